--- a/internal/world/controllers.go
+++ b/internal/world/controllers.go
@@ -118,6 +118,9 @@
 	}
 	local := time.Duration(float64(n.w.now-n.boot) * n.drift)
 	out := n.core.Step(local, in)
+	if n.w.observe != nil {
+		n.w.observe(n.w.now, n.label, out)
+	}
 	if n.stops {
 		n.stops, n.stuck = false, out
 		return
--- a/internal/world/scenario.go
+++ b/internal/world/scenario.go
@@ -23,6 +23,12 @@
 
 // Play runs a scenario with every seed and reports what went wrong.
 func Play(a *txtar.Archive, trace func(string, ...any)) []string {
+	return play(a, trace, nil)
+}
+
+// play is Play with a function that is given the effects of every step of every
+// controller, in order; nil for none.
+func play(a *txtar.Archive, trace func(string, ...any), observe func(seed int) effectObserver) []string {
 	seeds := 1
 	var world, script string
 	for _, f := range a.Files {
@@ -47,7 +53,11 @@
 		if err := s.read(world); err != nil {
 			return []string{"world: " + err.Error()}
 		}
-		w := New(s, trace)
+		w := newWorld(s, trace)
+		if observe != nil {
+			w.observe = observe(seed)
+		}
+		w.begin()
 		if faults := w.script(script); len(faults) > 0 {
 			return append([]string{fmt.Sprintf("seed %d:", seed)}, faults...)
 		}
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -101,8 +101,12 @@
 	meter   meter
 	stashed *wire.Report
 	trace   func(string, ...any)
+	observe effectObserver
 }
 
+// effectObserver is given the effects of one step of a controller; nil observes nothing.
+type effectObserver func(now time.Duration, controller string, effects []core.Effect)
+
 type event struct {
 	at  time.Duration
 	seq int
