--- a/internal/standby/log.go
+++ b/internal/standby/log.go
@@ -183,8 +183,8 @@
 	if r.follows(m) && m.Sequence == r.sequence {
 		return ack
 	}
-	var facts []wire.Fact
-	damaged := crc32.ChecksumIEEE(m.Facts) != m.Checksum || wire.Decode(m.Facts, &facts) != nil
+	facts, err := wire.DecodeFacts(m.Facts, logMessageFacts)
+	damaged := err != nil || crc32.ChecksumIEEE(m.Facts) != m.Checksum
 	if damaged || !m.Reset && !(r.follows(m) && m.Sequence == r.sequence+1) || m.Reset && r.follows(m) && m.Sequence < r.sequence {
 		r.dropped++
 		ack.Resync = true
--- a/internal/wire/decision_log.go
+++ b/internal/wire/decision_log.go
@@ -1,5 +1,13 @@
 package wire
 
+import (
+	"bytes"
+	"errors"
+	"fmt"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
 // FactKind is a kind of what only the leader knows.
 type FactKind int
 
@@ -39,6 +47,30 @@
 	Seen     bool
 }
 
+// ErrTooManyFacts says that a list of facts claims to be longer than any that is sent.
+var ErrTooManyFacts = errors.New("too many facts")
+
+// DecodeFacts reads a list of at most limit facts, as Encode writes it. The claimed length
+// is checked first: the library allocates as many elements as a message claims to have, and
+// five bytes can claim four thousand million.
+func DecodeFacts(raw []byte, limit int) ([]Fact, error) {
+	decoder := msgpack.NewDecoder(bytes.NewReader(raw))
+	count, err := decoder.DecodeArrayLen()
+	if err != nil {
+		return nil, fmt.Errorf("decode facts: %w", err)
+	}
+	if count > limit {
+		return nil, fmt.Errorf("%w: %d", ErrTooManyFacts, count)
+	}
+	facts := make([]Fact, max(0, count))
+	for i := range facts {
+		if err := decoder.Decode(&facts[i]); err != nil {
+			return nil, fmt.Errorf("decode fact %d: %w", i, err)
+		}
+	}
+	return facts, nil
+}
+
 // DecisionLog is a message of the leader's log to its standby, by net/rpc. Messages are
 // numbered within a term; one with Reset begins anew with nothing. Format 5.
 type DecisionLog struct {
