--- a/cmd/micaport/main.go
+++ b/cmd/micaport/main.go
@@ -47,9 +47,9 @@
 var errNoConfig = errors.New("--config FILE is required; see --help")
 
 // load reads and checks both files; the error names the faults of both.
-func (f *files) load() (*config.Settings, config.Operator, error) {
+func (f *files) load() (*config.Settings, config.OperatorSettings, error) {
 	if f.Config == "" {
-		return nil, config.Operator{}, errNoConfig
+		return nil, config.OperatorSettings{}, errNoConfig
 	}
 	settings, err := config.Load(f.Config)
 	operator, operatorErr := config.LoadOperator(f.Operator, f.Set)
@@ -92,7 +92,7 @@
 		return err
 	}
 	site := limits.SiteOf(settings, operator)
-	accounts, err := limits.Read(store.NewTool(settings.External.State), site)
+	accounts, err := limits.Read(store.NewAdminClient(settings.External.State), site)
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	if err := limits.Apply(store.NewTool(settings.External.State), limits.SiteOf(settings, operator), changes, c.Check); err != nil {
+	if err := limits.Apply(store.NewAdminClient(settings.External.State), limits.SiteOf(settings, operator), changes, c.Check); err != nil {
 		return err
 	}
 	if c.Check {
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	overview := leadership.Read(settings, store.NewTool(settings.External.State), peer.AskStandby)
+	overview := leadership.Read(settings, store.NewAdminClient(settings.External.State), peer.QueryLeadership)
 	if c.JSON {
 		return leadership.PrintJSON(out, overview)
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -25,14 +25,14 @@
 func Routes(r *httprouter.Router, ask Ask, ready func() bool) {
 	r.POST("/api/jobs", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
 		if body, ok := Body(w, q); ok {
-			serve(w, ask, core.UserRequest{Kind: wire.Submit, Body: body})
+			serve(w, ask, core.UserRequest{Kind: wire.RequestSubmit, Body: body})
 		}
 	})
 	r.GET("/api/jobs/:ref", func(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
-		serve(w, ask, core.UserRequest{Kind: wire.Poll, Ref: p.ByName("ref")})
+		serve(w, ask, core.UserRequest{Kind: wire.RequestStatus, JobID: p.ByName("ref")})
 	})
 	r.POST("/api/jobs/:ref/withdraw", func(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
-		serve(w, ask, core.UserRequest{Kind: wire.Withdraw, Ref: p.ByName("ref")})
+		serve(w, ask, core.UserRequest{Kind: wire.RequestCancel, JobID: p.ByName("ref")})
 	})
 	r.GET("/ready", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		if ready() {
@@ -66,9 +66,9 @@
 }
 
 func serve(w http.ResponseWriter, ask Ask, u core.UserRequest) {
-	rep, ok := ask(func(req uint64) core.Input { u.Req = req; return u })
+	rep, ok := ask(func(req uint64) core.Input { u.RequestID = req; return u })
 	if !ok {
-		rep = core.Reply{Status: 503, Body: wire.Error{Error: "overloaded"}, RetryS: 1}
+		rep = core.Reply{Status: 503, Body: wire.Error{Error: "overloaded"}, RetryAfterS: 1}
 	}
 	Write(w, rep)
 }
@@ -85,8 +85,8 @@
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/msgpack")
-	if r.RetryS > 0 {
-		h.Set("Retry-After", strconv.Itoa(r.RetryS))
+	if r.RetryAfterS > 0 {
+		h.Set("Retry-After", strconv.Itoa(r.RetryAfterS))
 	}
 	w.WriteHeader(r.Status)
 	w.Write(b)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -40,15 +40,15 @@
 }
 
 func TestRoutes(t *testing.T) {
-	srv, asked := server(t, core.Reply{Status: 201, Body: wire.JobStatus{Ref: "wk-1", Status: "pending"}}, true)
+	srv, asked := server(t, core.Reply{Status: 201, Body: wire.JobStatus{JobID: "wk-1", Status: "pending"}}, true)
 	if r := do(t, "POST", srv.URL+"/api/jobs", []byte{0x80}); r.StatusCode != 201 {
 		t.Errorf("submit: %d", r.StatusCode)
 	}
 	do(t, "GET", srv.URL+"/api/jobs/wk-1", nil)
 	do(t, "POST", srv.URL+"/api/jobs/wk-1/withdraw", nil)
-	want := []wire.RequestKind{wire.Submit, wire.Poll, wire.Withdraw}
+	want := []wire.RequestKind{wire.RequestSubmit, wire.RequestStatus, wire.RequestCancel}
 	for i, u := range *asked {
-		if u.Kind != want[i] || (i > 0 && u.Ref != "wk-1") {
+		if u.Kind != want[i] || (i > 0 && u.JobID != "wk-1") {
 			t.Errorf("request %d is %+v", i, u)
 		}
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -25,8 +25,8 @@
 	limit *rate.Limiter
 	post  func(core.Input)
 
-	pressing atomic.Int32 // hires and returns on their way or waiting
-	right    atomic.Pointer[right]
+	urgentCalls atomic.Int32 // hires and returns on their way or waiting
+	permission  atomic.Pointer[callPermission]
 }
 
 // New makes a client that keeps below the cloud's request rate.
@@ -42,22 +42,24 @@
 	}
 }
 
-// right is until when calls of a term may be begun.
-type right struct {
+// callPermission is until when calls of a term may be begun.
+type callPermission struct {
 	term  uint64
 	until time.Time
 }
 
 // Allow lets hires and returns of a term be begun until a time, those that wait for their
 // turn included, and those of no other term.
-func (c *Client) Allow(term uint64, until time.Time) { c.right.Store(&right{term, until}) }
+func (c *Client) Allow(term uint64, until time.Time) {
+	c.permission.Store(&callPermission{term, until})
+}
 
 // deadline is until when a hire or return may be begun.
-func (c *Client) deadline(q core.Cloud, decided time.Time) time.Time {
+func (c *Client) deadline(q core.CallCloud, decided time.Time) time.Time {
 	if q.Term == 0 {
-		return decided.Add(q.Within)
+		return decided.Add(q.ValidFor)
 	}
-	if r := c.right.Load(); r != nil && r.term == q.Term {
+	if r := c.permission.Load(); r != nil && r.term == q.Term {
 		return r.until
 	}
 	return time.Time{}
@@ -78,51 +80,51 @@
 }
 
 // Call runs one call of the core.
-func (c *Client) Call(q core.Cloud) {
+func (c *Client) Call(q core.CallCloud) {
 	decided := time.Now()
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
-		r := core.Clouded{ID: q.ID, Outcome: core.Refused}
-		if q.Hire != nil || q.Return != nil {
-			c.pressing.Add(1)
-			defer c.pressing.Add(-1)
+		r := core.CloudAnswered{ID: q.ID, Outcome: core.Refused}
+		if q.Provision != nil || q.Deprovision != nil {
+			c.urgentCalls.Add(1)
+			defer c.urgentCalls.Add(-1)
 		} else {
-			c.giveWay(ctx)
+			c.yieldToUrgent(ctx)
 		}
 		waited := c.limit.Wait(ctx)
 		deadline := c.deadline(q, decided)
 		begun := context.WithValue(ctx, connectDeadline{}, deadline)
-		if late := (q.Hire != nil || q.Return != nil) && time.Now().After(deadline); waited == nil && !late {
+		if late := (q.Provision != nil || q.Deprovision != nil) && time.Now().After(deadline); waited == nil && !late {
 			switch {
-			case q.Flavors:
-				var f wire.Flavors
+			case q.ListTypes:
+				var f wire.MachineTypeList
 				r.Outcome = c.send(ctx, http.MethodGet, "/flavors", nil, &f)
-				r.Flavors = f.Rigs
-			case q.List:
+				r.MachineTypes = f.MachineTypes
+			case q.ListMachines:
 				r.Machines, r.Outcome = c.list(ctx)
-			case q.Hire != nil:
-				var h wire.Hosts
-				r.Outcome = c.send(begun, http.MethodPost, "/hosts", q.Hire, &h)
-				r.Hosts = h.Hosts
-			case q.Return != nil:
-				r.Outcome = c.send(begun, http.MethodPost, "/hosts/return", wire.Hosts{Hosts: q.Return}, nil)
+			case q.Provision != nil:
+				var h wire.MachineNames
+				r.Outcome = c.send(begun, http.MethodPost, "/hosts", q.Provision, &h)
+				r.Names = h.Names
+			case q.Deprovision != nil:
+				r.Outcome = c.send(begun, http.MethodPost, "/hosts/return", wire.MachineNames{Names: q.Deprovision}, nil)
 			}
 		}
 		c.post(r)
 	}()
 }
 
-// giveWay lets hires and returns go before a list, for a while: a list only
+// yieldToUrgent lets hires and returns go before a list, for a while: a list only
 // tells of machines that nobody knows.
-func (c *Client) giveWay(ctx context.Context) {
-	for i := 0; i < 20 && c.pressing.Load() > 0 && ctx.Err() == nil; i++ {
+func (c *Client) yieldToUrgent(ctx context.Context) {
+	for i := 0; i < 20 && c.urgentCalls.Load() > 0 && ctx.Err() == nil; i++ {
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-func (c *Client) list(ctx context.Context) ([]wire.Machine, core.Outcome) {
-	var all []wire.Machine
+func (c *Client) list(ctx context.Context) ([]wire.CloudMachine, core.Outcome) {
+	var all []wire.CloudMachine
 	from := ""
 	for {
 		q := url.Values{"limit": {"500"}}
@@ -133,12 +135,12 @@
 		if out := c.send(ctx, http.MethodGet, "/hosts?"+q.Encode(), nil, &l); out != core.OK {
 			return nil, out
 		}
-		all = append(all, l.Hosts...)
-		if !l.More || len(l.Hosts) == 0 {
+		all = append(all, l.Machines...)
+		if !l.HasNext || len(l.Machines) == 0 {
 			return all, core.OK
 		}
-		from = l.Hosts[len(l.Hosts)-1].Name
-		c.giveWay(ctx)
+		from = l.Machines[len(l.Machines)-1].Name
+		c.yieldToUrgent(ctx)
 		if c.limit.Wait(ctx) != nil {
 			return nil, core.Refused
 		}
@@ -178,7 +180,7 @@
 	case http.StatusServiceUnavailable:
 		var e wire.Error
 		if wire.Decode(b, &e) == nil && e.Error == "no capacity" {
-			return core.Full
+			return core.NoCapacity
 		}
 		return core.Refused
 	case http.StatusTooManyRequests, http.StatusBadRequest:
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -11,12 +11,12 @@
 	"micaport/internal/wire"
 )
 
-func call(t *testing.T, h http.HandlerFunc, q core.Cloud) core.Clouded {
+func call(t *testing.T, h http.HandlerFunc, q core.CallCloud) core.CloudAnswered {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	defer srv.Close()
-	got := make(chan core.Clouded, 1)
-	New(strings.TrimPrefix(srv.URL, "http://"), 100, func(in core.Input) { got <- in.(core.Clouded) }).Call(q)
+	got := make(chan core.CloudAnswered, 1)
+	New(strings.TrimPrefix(srv.URL, "http://"), 100, func(in core.Input) { got <- in.(core.CloudAnswered) }).Call(q)
 	select {
 	case r := <-got:
 		return r
@@ -38,13 +38,13 @@
 // "no capacity" says to try another pool, trouble to try again, and no answer
 // that the hire may have been carried out.
 func TestHireOutcomes(t *testing.T) {
-	hire := core.Cloud{ID: 4, Within: time.Minute, Hire: &wire.Hire{Name: "r-1-1", Rig: "g2", Zone: "a", Count: 2}}
+	hire := core.CallCloud{ID: 4, ValidFor: time.Minute, Provision: &wire.ProvisionRequest{Name: "r-1-1", MachineType: "g2", Zone: "a", Count: 2}}
 	for _, c := range []struct {
 		status int
 		body   any
 		want   core.Outcome
 	}{
-		{200, map[string]any{"hosts": []string{"vm-1"}}, core.OK}, {503, map[string]any{"error": "no capacity"}, core.Full},
+		{200, map[string]any{"hosts": []string{"vm-1"}}, core.OK}, {503, map[string]any{"error": "no capacity"}, core.NoCapacity},
 		{503, map[string]any{"error": "trouble"}, core.Refused}, {429, map[string]any{}, core.Refused}, {500, map[string]any{}, core.Unknown},
 	} {
 		r := call(t, func(w http.ResponseWriter, r *http.Request) {
@@ -53,7 +53,7 @@
 			}
 			reply(w, c.status, c.body)
 		}, hire)
-		if r.ID != 4 || r.Outcome != c.want || (c.want == core.OK) != (len(r.Hosts) == 1) {
+		if r.ID != 4 || r.Outcome != c.want || (c.want == core.OK) != (len(r.Names) == 1) {
 			t.Errorf("%d %v: got %+v", c.status, c.body, r)
 		}
 	}
@@ -69,7 +69,7 @@
 			t.Errorf("asked %s", r.URL)
 		}
 		reply(w, 200, map[string]any{"hosts": []any{map[string]any{"ref": "vm-2", "status": "running"}}, "has_next": false})
-	}, core.Cloud{List: true})
+	}, core.CallCloud{ListMachines: true})
 	if r.Outcome != core.OK || len(r.Machines) != 2 || r.Machines[0].AgeS != 3.5 || r.Machines[1].Name != "vm-2" {
 		t.Errorf("got %+v", r)
 	}
@@ -82,7 +82,7 @@
 	r := call(t, func(w http.ResponseWriter, r *http.Request) {
 		sent = true
 		reply(w, 200, map[string]any{})
-	}, core.Cloud{ID: 5, Return: []string{"vm-1"}, Within: time.Nanosecond})
+	}, core.CallCloud{ID: 5, Deprovision: []string{"vm-1"}, ValidFor: time.Nanosecond})
 	if sent || r.Outcome != core.Refused || r.ID != 5 {
 		t.Errorf("sent: %v, got %+v", sent, r)
 	}
@@ -93,7 +93,7 @@
 func TestCallsFollowTheRightOfTheirTerm(t *testing.T) {
 	now := time.Now()
 	c := New("127.0.0.1:1", 100, nil)
-	q := core.Cloud{Return: []string{"vm-1"}, Within: time.Second, Term: 7}
+	q := core.CallCloud{Deprovision: []string{"vm-1"}, ValidFor: time.Second, Term: 7}
 	if d := c.deadline(q, now); !d.IsZero() {
 		t.Errorf("without a right it may be begun until %v", d)
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,21 +7,21 @@
 )
 
 // checker gathers the faults of settings.
-type checker struct{ faults []error }
+type checker struct{ errs []error }
 
-func (c *checker) bad(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Errorf("  "+format, args...))
+func (c *checker) fail(format string, args ...any) {
+	c.errs = append(c.errs, fmt.Errorf("  "+format, args...))
 }
 
 func (c *checker) address(name, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		c.bad("%s: %q is not host:port", name, value)
+		c.fail("%s: %q is not host:port", name, value)
 	}
 }
 
 func (c *checker) positive(name string, value float64) {
 	if !(value > 0) {
-		c.bad("%s must be positive, not %v", name, value)
+		c.fail("%s must be positive, not %v", name, value)
 	}
 }
 
@@ -41,34 +41,34 @@
 	c.workers(s)
 	c.services(s)
 	c.machine(s)
-	return errors.Join(c.faults...)
+	return errors.Join(c.errs...)
 }
 
 // controllers checks the names and addresses of this controller and its peers.
 func (c *checker) controllers(s *Settings) {
 	if s.Label == "" {
-		c.bad("label is missing")
+		c.fail("label is missing")
 	}
 	if s.Zone == "" {
-		c.bad("site is missing")
+		c.fail("site is missing")
 	}
 	c.address("bind", s.Bind)
 	c.address("cluster_listen", s.ClusterBind)
 	c.address("external.cloud", s.External.Cloud)
 	c.address("external.state", s.External.State)
 	if s.Bind != "" && s.Bind == s.ClusterBind {
-		c.bad("bind and cluster_listen are the same address")
+		c.fail("bind and cluster_listen are the same address")
 	}
 	labels := map[string]bool{s.Label: true}
 	for i, p := range s.Peers {
 		if p.Label == "" || labels[p.Label] {
-			c.bad("peers[%d]: label %q is missing or taken", i, p.Label)
+			c.fail("peers[%d]: label %q is missing or taken", i, p.Label)
 		}
 		labels[p.Label] = true
 		c.address(fmt.Sprintf("peers[%d].address", i), p.Address)
 	}
 	if size := s.Deployment.Size; size != 0 && size != len(s.Peers)+1 {
-		c.bad("deployment.size is %d, but %d controllers are named", size, len(s.Peers)+1)
+		c.fail("deployment.size is %d, but %d controllers are named", size, len(s.Peers)+1)
 	}
 }
 
@@ -79,15 +79,15 @@
 		zones[z] = true
 	}
 	if len(zones) == 0 {
-		c.bad("deployment.zones is empty")
+		c.fail("deployment.zones is empty")
 		return
 	}
 	if !zones[s.Zone] {
-		c.bad("site %q is not among deployment.zones", s.Zone)
+		c.fail("site %q is not among deployment.zones", s.Zone)
 	}
 	for i, p := range s.Peers {
 		if !zones[p.Zone] {
-			c.bad("peers[%d]: site %q is not among deployment.zones", i, p.Zone)
+			c.fail("peers[%d]: site %q is not among deployment.zones", i, p.Zone)
 		}
 	}
 }
@@ -97,14 +97,14 @@
 	names := map[string]bool{}
 	for i, t := range teams {
 		if t.Name == "" || names[t.Name] {
-			c.bad("teams[%d]: name %q is missing or taken", i, t.Name)
+			c.fail("teams[%d]: name %q is missing or taken", i, t.Name)
 		}
 		names[t.Name] = true
-		if t.Cores < 0 || t.Cards < 0 || t.CoresMax < 0 || t.CardsMax < 0 {
-			c.bad("team %s: amounts must not be negative", t.Name)
+		if t.GuaranteedCores < 0 || t.GuaranteedGPUs < 0 || t.MaxCores < 0 || t.MaxGPUs < 0 {
+			c.fail("team %s: amounts must not be negative", t.Name)
 		}
-		if t.CoresMax > 0 && t.Cores > t.CoresMax || t.CardsMax > 0 && t.Cards > t.CardsMax {
-			c.bad("team %s: the guarantee exceeds the limit", t.Name)
+		if t.MaxCores > 0 && t.GuaranteedCores > t.MaxCores || t.MaxGPUs > 0 && t.GuaranteedGPUs > t.MaxGPUs {
+			c.fail("team %s: the guarantee exceeds the limit", t.Name)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	c.positive("workers.gang_wait_s", w.GangWaitS)
 	c.positive("workers.gang_peer_s", w.GangPeerS)
 	if w.LeaseS > 0 && w.CancelS > 0 && w.ReportS > 0 && s.Validity() < 2*Seconds(w.ReportS) {
-		c.bad("workers: cancel_s %v leaves no time beyond lease_s %v for an owner's validity", w.CancelS, w.LeaseS)
+		c.fail("workers: cancel_s %v leaves no time beyond lease_s %v for an owner's validity", w.CancelS, w.LeaseS)
 	}
 }
 
@@ -136,11 +136,11 @@
 		c.positive("state.next.txn_ops", float64(*ops))
 	}
 	limits := s.Limits()
-	if limits.TxnOps > 0 && limits.TxnOps < leastOps {
-		c.bad("state: transactions of %d changes are too small, at least %d are needed", limits.TxnOps, leastOps)
+	if limits.TxnOps > 0 && limits.TxnOps < minTransactionOps {
+		c.fail("state: transactions of %d changes are too small, at least %d are needed", limits.TxnOps, minTransactionOps)
 	}
-	if limits.ValueBytes > 0 && limits.ValueBytes < leastValue {
-		c.bad("state: values of %d bytes are too small, at least %d are needed", limits.ValueBytes, leastValue)
+	if limits.ValueBytes > 0 && limits.ValueBytes < minValueBytes {
+		c.fail("state: values of %d bytes are too small, at least %d are needed", limits.ValueBytes, minValueBytes)
 	}
 	c.positive("cloud.rps", s.Deployment.Cloud.RPS)
 }
@@ -148,10 +148,10 @@
 // machine checks that the machine's limits let a controller serve at all.
 func (c *checker) machine(s *Settings) {
 	limits := &s.Deployment.Limits
-	if limits.Sockets != 0 && s.PublicSockets() < leastPublic {
-		c.bad("limits.fd_limit: %d sockets leave %d for users and workers, at least %d are needed", limits.Sockets, max(0, s.PublicSockets()), leastPublic)
+	if limits.Sockets != 0 && s.PublicSockets() < minPublicSockets {
+		c.fail("limits.fd_limit: %d sockets leave %d for users and workers, at least %d are needed", limits.Sockets, max(0, s.PublicSockets()), minPublicSockets)
 	}
-	if limits.MemoryMB != 0 && limits.MemoryMB < leastMemory {
-		c.bad("limits.mem_mb: %v is less than the %d that a controller takes by itself", limits.MemoryMB, leastMemory)
+	if limits.MemoryMB != 0 && limits.MemoryMB < minMemoryMB {
+		c.fail("limits.mem_mb: %v is less than the %d that a controller takes by itself", limits.MemoryMB, minMemoryMB)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,11 +26,11 @@
 
 // Team is a team's guarantee and limit; 0 means none.
 type Team struct {
-	Name     string  `json:"name"`
-	Cores    float64 `json:"cpus"`
-	CoresMax float64 `json:"cpus_max"`
-	Cards    float64 `json:"gpus"`
-	CardsMax float64 `json:"gpus_max"`
+	Name            string  `json:"name"`
+	GuaranteedCores float64 `json:"cpus"`
+	MaxCores        float64 `json:"cpus_max"`
+	GuaranteedGPUs  float64 `json:"gpus"`
+	MaxGPUs         float64 `json:"gpus_max"`
 }
 
 // Objective restates an aim of the users.
@@ -90,8 +90,8 @@
 	} `json:"deployment"`
 }
 
-// Operator is what the operators may set in their INI file.
-type Operator struct {
+// OperatorSettings is what the operators may set in their INI file.
+type OperatorSettings struct {
 	// IdleReturnS is how long a machine may stand idle before it is returned.
 	IdleReturnS float64 `ini:"idle_return_s"`
 	// SpareMachines are kept ready beyond the present need.
@@ -123,10 +123,10 @@
 const LeaderLease = 5 * time.Second
 
 // CheckOperator names what in the operators' settings contradicts those of the platform.
-func (s *Settings) CheckOperator(op Operator) error {
+func (s *Settings) CheckOperator(op OperatorSettings) error {
 	// Until a leader that replaced another early may call the cloud, nobody returns a
 	// machine. That must not outlast the leases of the workers.
-	least := LeaderLease + standby.CloudWait(LeaderLease)
+	least := LeaderLease + standby.CloudFenceTime(LeaderLease)
 	if lease := Seconds(s.Deployment.Workers.LeaseS); op.Takeover == TakeoverEarly && lease <= least {
 		return fmt.Errorf("takeover = %s needs workers.lease_s above %v, not %v", TakeoverEarly, least, lease)
 	}
@@ -134,8 +134,8 @@
 }
 
 // DefaultOperator is used where the INI file is silent.
-func DefaultOperator() Operator {
-	return Operator{IdleReturnS: 40, SpareMachines: 0, Preempt: true, Admission: AdmitByLeader, Takeover: TakeoverByLease}
+func DefaultOperator() OperatorSettings {
+	return OperatorSettings{IdleReturnS: 40, SpareMachines: 0, Preempt: true, Admission: AdmitByLeader, Takeover: TakeoverByLease}
 }
 
 // Load reads and checks the settings; the error names every fault.
@@ -196,7 +196,7 @@
 // LoadOperator reads the operators' INI file; unknown names are faults.
 // Settings given by name, as "quota.admission", come before those of the file: a machine
 // without a disk has no file.
-func LoadOperator(path string, named map[string]string) (Operator, error) {
+func LoadOperator(path string, named map[string]string) (OperatorSettings, error) {
 	op := DefaultOperator()
 	f := ini.Empty()
 	if path != "" {
@@ -256,8 +256,8 @@
 // more each for a moment of change, and a few for the runtime.
 const (
 	ownSockets = 8 + 2 + 3 + 2 + 5
-	// OrderSockets are for telling machines something directly.
-	OrderSockets = 32
+	// CommandSockets are for telling machines something directly.
+	CommandSockets = 32
 )
 
 // PeerSockets is how many connections of peers are taken at a time: each makes
@@ -266,21 +266,21 @@
 
 // PublicSockets is how many connections of users and workers are taken.
 func (s *Settings) PublicSockets() int {
-	return s.Deployment.Limits.Sockets - ownSockets - OrderSockets - s.PeerSockets() - len(s.Peers)
+	return s.Deployment.Limits.Sockets - ownSockets - CommandSockets - s.PeerSockets() - len(s.Peers)
 }
 
-// leastPublic is how many users and workers a controller must be able to take
-// to serve at all, and leastMemory the MB that its program takes by itself.
+// minPublicSockets is how many users and workers a controller must be able to take
+// to serve at all, and minMemoryMB the MB that its program takes by itself.
 const (
-	leastPublic = 16
-	leastMemory = 24
+	minPublicSockets = 16
+	minMemoryMB      = 24
 )
 
 // A grant of a gang across parts changes two keys; a record needs a few hundred bytes
 // before it lists any task.
 const (
-	leastOps   = 2
-	leastValue = 1024
+	minTransactionOps = 2
+	minValueBytes     = 1024
 )
 
 // Limits of the state service.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rest := s.PeerSockets() + OrderSockets + ownSockets + len(s.Peers)
+	rest := s.PeerSockets() + CommandSockets + ownSockets + len(s.Peers)
 	if public := s.PublicSockets(); public+rest > 3389 || public < 3200 {
 		t.Errorf("%d sockets for users and workers, %d for the rest", public, rest)
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -50,7 +50,7 @@
 	var faults []error
 	amounts := map[string]**float64{
 		"cpus": &change.CoresGuarantee, "cpus_max": &change.CoresLimit,
-		"gpus": &change.CardsGuarantee, "gpus_max": &change.CardsLimit,
+		"gpus": &change.GPUsGuarantee, "gpus_max": &change.GPUsLimit,
 	}
 	versioned := false
 	for _, key := range section.Keys() {
--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -7,18 +7,18 @@
 
 // isBackfill tells whether a job is backfill. Ordinary machines are neither hired for it
 // nor given to it while idle, unless it has waited for long with nothing started.
-func (p *plan) isBackfill(w *queuedJob) bool {
-	j := w.j
-	t := p.n.teamTerms(j.team)
-	if j.prio > 0 || t.Cards > 0 || t.Cores > 0 {
+func (p *schedulingPass) isBackfill(w *queuedJob) bool {
+	j := w.job
+	t := p.node.teamQuota(j.team)
+	if j.priority > 0 || t.GuaranteedGPUs > 0 || t.GuaranteedCores > 0 {
 		return false
 	}
-	return len(j.rec.Active) > 0 || j.rec.Next > 1 || j.blockedSince == 0 || p.n.now-j.blockedSince < backfillPatience
+	return len(j.record.ActiveTasks) > 0 || j.record.NextAttempt > 1 || j.waitingSince == 0 || p.node.now-j.waitingSince < backfillWaitTime
 }
 
 // splitBackfill takes backfill out of the queues. It is served after room has been set
 // aside for what others will need at once.
-func (p *plan) splitBackfill(qs []*teamQueue) (rest, backfill []*teamQueue) {
+func (p *schedulingPass) splitBackfill(qs []*teamQueue) (rest, backfill []*teamQueue) {
 	for _, q := range qs {
 		if slices.ContainsFunc(q.jobs, p.isBackfill) {
 			x := &teamQueue{team: q.team}
@@ -36,17 +36,17 @@
 	return qs, backfill
 }
 
-// backfillPatience is how long backfill waits before it may have ordinary machines.
-const backfillPatience = 60 * second
+// backfillWaitTime is how long backfill waits before it may have ordinary machines.
+const backfillWaitTime = 60 * second
 
 // reserveRoom keeps free room from backfill for tasks that will probably come before
 // backfill could be stopped for them, which takes two reports of a machine.
-func (p *plan) reserveRoom(j *job, tasks int) {
+func (p *schedulingPass) reserveRoom(j *job, tasks int) {
 	for range tasks {
-		s := p.up.best(j, nil, nil)
+		s := p.available.best(j, nil, nil)
 		if s == nil {
 			return
 		}
-		s.take(j.rec.Spec)
+		s.take(j.record.Spec)
 	}
 }
--- a/internal/core/boots.go
+++ b/internal/core/boots.go
@@ -17,55 +17,55 @@
 // and a machine is given up early only when one that was rented with it or after
 // it is up already.
 const (
-	lateBoot   = 1.6
-	giveUpBoot = 2.0
-	patientFor = 8.0 // where nothing has come up that was rented as late
+	lateBootFactor   = 1.6
+	giveUpBootFactor = 2.0
+	maxBootFactor    = 8.0 // where nothing has come up that was rented as late
 )
 
-// bootsKept is how many boots are remembered.
-const bootsKept = 24
+// maxRecentBoots is how many boots are remembered.
+const maxRecentBoots = 24
 
 // boot is a machine that has come up.
 type boot struct {
-	name   string
-	rented Time
-	ratio  float64 // to its type's boot time
+	name          string
+	provisionedAt Time
+	ratio         float64 // to its type's boot time
 }
 
-// cameUp notes that a machine that was awaited is up.
-func (c *cloudState) cameUp(n *Node, name string) {
+// noteBooted notes that a machine that was awaited is up.
+func (c *autoscaler) noteBooted(n *Node, name string) {
 	b := c.booting[name]
 	if b == nil {
 		return
 	}
 	delete(c.booting, name)
-	if r := n.flavor(b.pool.rig); r != nil && r.BootS > 0 {
-		c.boots = append(c.boots, boot{name, b.since, (n.now - b.since).Seconds() / r.BootS})
-		c.boots = c.boots[max(0, len(c.boots)-bootsKept):]
+	if r := n.typeAt(b.pool.machineType); r != nil && r.BootS > 0 {
+		c.recentBoots = append(c.recentBoots, boot{name, b.provisionedAt, (n.now - b.provisionedAt).Seconds() / r.BootS})
+		c.recentBoots = c.recentBoots[max(0, len(c.recentBoots)-maxRecentBoots):]
 	}
 }
 
-// slowness is how many times longer than usual machines have taken lately: the
+// bootSlowdown is how many times longer than usual machines have taken lately: the
 // upper fifth, as the usual spread is no slowness.
-func (c *cloudState) slowness() float64 {
-	if len(c.boots) == 0 {
+func (c *autoscaler) bootSlowdown() float64 {
+	if len(c.recentBoots) == 0 {
 		return 1
 	}
 	var all []float64
-	for _, b := range c.boots {
+	for _, b := range c.recentBoots {
 		all = append(all, b.ratio)
 	}
 	slices.Sort(all)
-	return max(1, min(patientFor, all[len(all)*4/5]/1.5))
+	return max(1, min(maxBootFactor, all[len(all)*4/5]/1.5))
 }
 
 // overdue tells whether a machine that was rented some time ago is late, and
 // whether it should go back.
-func (n *Node) overdue(r *wire.Flavor, rented Time) (late, giveUp bool) {
-	c := &n.leader.cloud
-	age, slow := (n.now - rented).Seconds(), c.slowness()
-	if !slices.ContainsFunc(c.boots, func(b boot) bool { return b.rented >= rented-second }) {
-		return age > 2*lateBoot*slow*r.BootS+3, age > patientFor*slow*r.BootS+5
+func (n *Node) overdue(r *wire.MachineType, rented Time) (late, giveUp bool) {
+	c := &n.leader.autoscaler
+	age, slow := (n.now - rented).Seconds(), c.bootSlowdown()
+	if !slices.ContainsFunc(c.recentBoots, func(b boot) bool { return b.provisionedAt >= rented-second }) {
+		return age > 2*lateBootFactor*slow*r.BootS+3, age > maxBootFactor*slow*r.BootS+5
 	}
-	return age > lateBoot*slow*r.BootS+3, age > giveUpBoot*slow*r.BootS+5
+	return age > lateBootFactor*slow*r.BootS+3, age > giveUpBootFactor*slow*r.BootS+5
 }
--- a/internal/core/bulk.go
+++ b/internal/core/bulk.go
@@ -8,126 +8,126 @@
 // neighbours on a machine as fit, which take a record no more than one entry,
 // and their ends are gathered.
 
-// tasksLimit bounds the active tasks of a job.
-func (n *Node) tasksLimit(j *job) int {
+// maxActiveTasks bounds the active tasks of a job.
+func (n *Node) maxActiveTasks(j *job) int {
 	switch {
-	case j.bulk:
-		return max(n.activeLimit(), n.cfg.BulkTasks)
-	case j.rec.Spec != nil && j.rec.Spec.Shape == wire.ShapeGang:
-		return j.rec.Frames // all or none
-	case j.rec.Spec != nil && j.rec.Spec.Shape == wire.ShapeDaemon:
-		return max(n.activeLimit(), n.plannableListBytes(j)*7/8/n.runCost())
-	}
-	return n.activeLimit()
+	case j.largeArray:
+		return max(n.maxSingleTasks(), n.cfg.MaxBulkTasks)
+	case j.record.Spec != nil && j.record.Spec.Shape == wire.ShapeGang:
+		return j.record.TaskCount // all or none
+	case j.record.Spec != nil && j.record.Spec.Shape == wire.ShapeDaemon:
+		return max(n.maxSingleTasks(), n.plannableListCapacity(j)*7/8/n.taskRunBytes())
+	}
+	return n.maxSingleTasks()
 }
 
-// rangeCost is what a range of done tasks takes at most in the form in which
+// taskRangeBytes is what a range of done tasks takes at most in the form in which
 // values are measured.
-const rangeCost = 16
+const taskRangeBytes = 16
 
-// recordCost bounds the size of the lists in a job's record.
-func recordCost(active wire.Actives, done wire.TaskSet) int {
-	return active.Cost() + rangeCost*len(done)
+// taskListBytes bounds the size of the lists in a job's record.
+func taskListBytes(active wire.ActiveTasks, done wire.TaskSet) int {
+	return active.Cost() + taskRangeBytes*len(done)
 }
 
-// listBytes is what the lists of a bulk job may take, in all its keys. In each some
+// listCapacity is what the lists of a bulk job may take, in all its keys. In each some
 // room is left that no run fits.
-func (n *Node) listBytes(j *job) int {
-	return max(100, n.valueBytes()-j.base+n.continuationKeys()*(n.cfg.ValueBytes-continuationFrame-2*n.runCost()))
+func (n *Node) listCapacity(j *job) int {
+	return max(100, n.valueBytes()-j.baseBytes+n.overflowKeys()*(n.cfg.MaxValueBytes-overflowFrameBytes-2*n.taskRunBytes()))
 }
 
-// plannableListBytes is that for what is yet to be granted, by the limits that hold at all times.
-func (n *Node) plannableListBytes(j *job) int {
-	return max(100, n.listBytes(j)-n.valueBytes()+n.cfg.ValueBytes)
+// plannableListCapacity is that for what is yet to be granted, by the limits that hold at all times.
+func (n *Node) plannableListCapacity(j *job) int {
+	return max(100, n.listCapacity(j)-n.valueBytes()+n.cfg.MaxValueBytes)
 }
 
-// runCost is what one more run on some machine takes.
-func (n *Node) runCost() int {
-	if len(n.hosts) == 0 {
+// taskRunBytes is what one more run on some machine takes.
+func (n *Node) taskRunBytes() int {
+	if len(n.machines) == 0 {
 		return wire.RunCost("vm-000000")
 	}
-	return wire.RunCost(n.hosts[len(n.hosts)-1].name) + 1
+	return wire.RunCost(n.machines[len(n.machines)-1].name) + 1
 }
 
-// resultDelay is how long a result waits for others of the same job when puts
+// outcomeDelayFor is how long a result waits for others of the same job when puts
 // are scarce: one put serves them all, and the tasks of a gang end together.
 // The ends of a bulk job come many a second. What fills spare room can wait for
 // longer than work that somebody needs soon.
-func (n *Node) resultDelay(j *job) Time {
-	pause := Time(float64(resultPause) * n.scarcity())
-	if j.rec == nil || j.rec.Spec == nil || j.rec.State != wire.Live || j.rec.Spec.Shape != wire.ShapeArray || len(j.rec.Active) < 2 {
+func (n *Node) outcomeDelayFor(j *job) Time {
+	pause := Time(float64(outcomeDelay) * n.writeScarcity())
+	if j.record == nil || j.record.Spec == nil || j.record.State != wire.JobLive || j.record.Spec.Shape != wire.ShapeArray || len(j.record.ActiveTasks) < 2 {
 		return pause
 	}
-	if j.prio == 0 {
+	if j.priority == 0 {
 		pause *= 8
 	}
-	if j.bulk {
-		pause = max(pause, resultPause)
+	if j.largeArray {
+		pause = max(pause, outcomeDelay)
 	}
-	return min(pause, quarterOfEstimate(j))
+	return min(pause, maxBatchingDelay(j))
 }
 
-// quarterOfEstimate bounds what is gathered for a job's tasks by a quarter of the time that
+// maxBatchingDelay bounds what is gathered for a job's tasks by a quarter of the time that
 // they are said to take.
-func quarterOfEstimate(j *job) Time {
-	return max(resultPause, Time(j.rec.Spec.ExpectedS*float64(second)/4))
+func maxBatchingDelay(j *job) Time {
+	return max(outcomeDelay, Time(j.record.Spec.ExpectedS*float64(second)/4))
 }
 
 // recordRoom is the room that is left in the records of bulk jobs while an owner
 // changes them. Taking single tasks out of runs can only make a record larger:
 // when there is no room for that, ends wait until the whole run has ended.
 type recordRoom struct {
-	n    *Node
-	w    *writer
-	left map[int]int
+	node   *Node
+	writer *writer
+	left   map[int]int
 }
 
 func newRecordRoom(n *Node, w *writer) *recordRoom { return &recordRoom{n, w, map[int]int{}} }
 
-func (x *recordRoom) of(j *job) int {
-	left, known := x.left[j.ix]
+func (x *recordRoom) remaining(j *job) int {
+	left, known := x.left[j.index]
 	if !known {
-		rec := j.rec
-		if changed := x.w.recs[j.ix]; changed != nil {
+		rec := j.record
+		if changed := x.writer.records[j.index]; changed != nil {
 			rec = changed
 		}
-		left = x.n.listBytes(j) - recordCost(rec.Active, rec.DoneSet)
-		x.left[j.ix] = left
+		left = x.node.listCapacity(j) - taskListBytes(rec.ActiveTasks, rec.DoneTasks)
+		x.left[j.index] = left
 	}
 	return left
 }
 
-// mayEnd tells whether the end of a task may be written.
-func (x *recordRoom) mayEnd(k taskKey, host string) bool {
-	j := x.n.jobs[k.job]
-	if !j.bulk || j.rec.State != wire.Live {
+// mayRemove tells whether the end of a task may be written.
+func (x *recordRoom) mayRemove(k taskKey, host string) bool {
+	j := x.node.jobs[k.job]
+	if !j.largeArray || j.record.State != wire.JobLive {
 		return true
 	}
-	if room, cost := x.of(j), wire.RunCost(host)+rangeCost; room > 2*cost {
-		x.left[j.ix] = room - cost
+	if room, cost := x.remaining(j), wire.RunCost(host)+taskRangeBytes; room > 2*cost {
+		x.left[j.index] = room - cost
 		return true
 	}
-	at := x.n.activeAt(k, host)
+	at := x.node.activeTaskIndex(k, host)
 	if at < 0 {
 		return true
 	}
-	from, to := j.rec.Active.Run(at)
+	from, to := j.record.ActiveTasks.Run(at)
 	for i := from; i < to; i++ {
-		b := &j.rec.Active[i]
-		if _, over := x.n.results[taskKey{k.job, b.Task, b.Attempt}]; !over {
+		b := &j.record.ActiveTasks[i]
+		if _, over := x.node.outcomes[taskKey{k.job, b.Task, b.Attempt}]; !over {
 			return false
 		}
 	}
 	return true
 }
 
-// kept is what of a result a record takes. The done tasks of a bulk job are a
+// recordable is what of a result a record takes. The done tasks of a bulk job are a
 // few ranges, as the lowest are granted first; should they not be, a task is
 // rather started again, which its machine answers with done at once, than a
 // record made too large to be written ever again.
-func (x *recordRoom) kept(j *job, rec *wire.Job, k taskKey, res result) result {
-	if j.bulk && res.cause == wire.CauseDone && len(rec.DoneSet) > x.n.listBytes(j)/(2*rangeCost) &&
-		!rec.DoneSet.Has(k.task-1) && !rec.DoneSet.Has(k.task+1) {
+func (x *recordRoom) recordable(j *job, rec *wire.Job, k taskKey, res taskOutcome) taskOutcome {
+	if j.largeArray && res.cause == wire.CauseDone && len(rec.DoneTasks) > x.node.listCapacity(j)/(2*taskRangeBytes) &&
+		!rec.DoneTasks.Has(k.task-1) && !rec.DoneTasks.Has(k.task+1) {
 		res.cause = causeLost
 	}
 	return res
@@ -135,41 +135,41 @@
 
 // mayAdd tells whether one more run may be put into a record.
 func (x *recordRoom) mayAdd(j *job) bool {
-	if !j.bulk {
+	if !j.largeArray {
 		return true
 	}
-	if room, cost := x.of(j), x.n.runCost(); room > 2*cost {
-		x.left[j.ix] = room - cost
+	if room, cost := x.remaining(j), x.node.taskRunBytes(); room > 2*cost {
+		x.left[j.index] = room - cost
 		return true
 	}
 	return false
 }
 
-// maxRun bounds a run: the tasks of one machine.
-const maxRun = 256
+// maxRunLength bounds a run: the tasks of one machine.
+const maxRunLength = 256
 
-// runsLeft is how many runs the leader may still grant to a bulk job. What is
+// remainingRuns is how many runs the leader may still grant to a bulk job. What is
 // granted but not placed counts by the machines that the grants had in mind.
 // An eighth is left for runs that their owners have to split.
-func (n *Node) runsLeft(j *job) int {
-	cost, each := recordCost(j.rec.Active, j.rec.DoneSet), n.runCost()
-	var last *host
-	for i := range j.rec.Active {
-		if a := &j.rec.Active[i]; a.Host == "" {
-			if h := n.leader.hint[taskKey{j.ix, a.Task, a.Attempt}]; h != last {
+func (n *Node) remainingRuns(j *job) int {
+	cost, each := taskListBytes(j.record.ActiveTasks, j.record.DoneTasks), n.taskRunBytes()
+	var last *machine
+	for i := range j.record.ActiveTasks {
+		if a := &j.record.ActiveTasks[i]; a.Machine == "" {
+			if h := n.leader.grantHints[taskKey{j.index, a.Task, a.Attempt}]; h != last {
 				cost, last = cost+each, h
 			}
 		}
 	}
-	return (n.plannableListBytes(j)*7/8 - cost) / each
+	return (n.plannableListCapacity(j)*7/8 - cost) / each
 }
 
-// count is how many tasks of a kind find room on the machine.
-func (s *slot) count(sp *wire.Spec) int {
-	k := maxRun
-	for _, x := range [][2]float64{{s.cores, sp.Cores}, {s.cards, sp.Cards}, {s.mem, sp.MemoryGB}} {
+// capacityFor is how many tasks of a kind find room on the machine.
+func (s *slot) capacityFor(sp *wire.JobSpec) int {
+	k := maxRunLength
+	for _, x := range [][2]float64{{s.cores, sp.Cores}, {s.gpus, sp.GPUs}, {s.memoryGB, sp.MemoryGB}} {
 		if x[1] > 0 {
-			k = min(k, int((x[0]+eps)/x[1]))
+			k = min(k, int((x[0]+epsilon)/x[1]))
 		}
 	}
 	return max(0, k)
@@ -181,12 +181,12 @@
 // fills spare room or is bulk. It counts from the last grant: the record of a
 // bulk job changes all the time.
 func (n *Node) grantDelay(j *job) Time {
-	if len(j.rec.Active) == 0 || j.rec.Spec.Shape != wire.ShapeArray || j.prio > 0 && !j.bulk {
+	if len(j.record.ActiveTasks) == 0 || j.record.Spec.Shape != wire.ShapeArray || j.priority > 0 && !j.largeArray {
 		return 0
 	}
-	pause := Time(float64(maxGrantDelay) * n.scarcity())
-	if j.bulk {
-		pause = max(pause, resultPause)
+	pause := Time(float64(maxGrantDelay) * n.writeScarcity())
+	if j.largeArray {
+		pause = max(pause, outcomeDelay)
 	}
-	return min(pause, quarterOfEstimate(j))
+	return min(pause, maxBatchingDelay(j))
 }
--- a/internal/core/chain_test.go
+++ b/internal/core/chain_test.go
@@ -12,24 +12,24 @@
 	if members == nil {
 		members = []Member{{"n0", "a"}}
 	}
-	n := New(Config{Self: "n0", Life: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []Team{{Name: "t"}},
-		Report: 4 * second, Lease: 30 * second, Validity: 23 * second, LeaderTTL: 5 * second, TxnOps: 12, ValueBytes: 8192, BatchPuts: 8,
-		WallMS: func() int64 { return 1_000_000 }})
-	n.Step(second, Changes{Reset: true, Rev: 1, Events: []Event{{Key: wire.FormatPrefix + "n0", Rev: 1, Value: &wire.SupportedFormat{Format: wire.Format}}}})
-	n.takeTypes([]wire.Flavor{{Name: "g", Cores: 8, Cards: 1, MemoryGB: 64, FetchGBs: 1, Price: 1, BootS: 10, Zones: []string{"a"}}})
+	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []Team{{Name: "t"}},
+		HeartbeatInterval: 4 * second, WorkerLease: 30 * second, OwnerValidity: 23 * second, LeaderLease: 5 * second, MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8,
+		WallClockMS: func() int64 { return 1_000_000 }})
+	n.Step(second, RecordsChanged{Reset: true, Revision: 1, Events: []Event{{Key: wire.FormatPrefix + "n0", Revision: 1, Value: &wire.SupportedFormat{Format: wire.Format}}}})
+	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 	return n
 }
 
-func see(n *Node, rev int, ref string, state wire.JobState, mod func(*wire.Spec), needs ...string) {
-	sp := &wire.Spec{Ref: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, Urgency: "low", Frames: 1, Image: "i", ExpectedS: 10, WaitsOn: needs}
+func see(n *Node, rev int, ref string, state wire.JobState, mod func(*wire.JobSpec), needs ...string) {
+	sp := &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: needs}
 	if mod != nil {
 		mod(sp)
 	}
-	rec := &wire.Job{Spec: sp, Frames: 1, State: state, At: 1_000_000, Next: 1}
-	if state != wire.Live {
+	rec := &wire.Job{Spec: sp, TaskCount: 1, State: state, AcceptedAtMS: 1_000_000, NextAttempt: 1}
+	if state != wire.JobLive {
 		rec.Spec = nil
 	}
-	n.Step(n.now+1, Changes{Rev: uint64(rev), Events: []Event{{Key: wire.JobKey(ref), Rev: uint64(rev), Value: rec}}})
+	n.Step(n.now+1, RecordsChanged{Revision: uint64(rev), Events: []Event{{Key: wire.JobKey(ref), Revision: uint64(rev), Value: rec}}})
 }
 
 func submission(ref string, needs ...string) []byte {
@@ -54,17 +54,17 @@
 		in, inputs = inputs[0], inputs[1:]
 		for _, e := range n.Step(n.now+1, in) {
 			switch x := e.(type) {
-			case Read:
-				if j := stored[x.Ref]; j != nil {
-					inputs = append(inputs, GotJob{ID: x.ID, Outcome: OK, Rev: 7, Job: j})
+			case ReadJob:
+				if j := stored[x.JobID]; j != nil {
+					inputs = append(inputs, JobRead{ID: x.ID, Outcome: OK, Revision: 7, Job: j})
 				} else {
-					inputs = append(inputs, GotJob{ID: x.ID, Outcome: Missing})
+					inputs = append(inputs, JobRead{ID: x.ID, Outcome: NotFound})
 				}
 			case Commit:
-				if x.Class == User && len(x.Writes) > 0 {
+				if x.Class == ClassUser && len(x.Writes) > 0 {
 					wrote = append(wrote, x.Writes...)
 				}
-				inputs = append(inputs, Committed{ID: x.ID, Outcome: OK, Rev: n.rev})
+				inputs = append(inputs, Committed{ID: x.ID, Outcome: OK, Revision: n.revision})
 			case Reply:
 				reply = &x
 			}
@@ -78,10 +78,10 @@
 // with it; and what was never accepted, or runs until it is withdrawn, is refused.
 func TestSubmissionNamesJobs(t *testing.T) {
 	live := func(shape string) *wire.Job {
-		return &wire.Job{Frames: 1, Spec: &wire.Spec{Ref: "x", Shape: shape}}
+		return &wire.Job{TaskCount: 1, Spec: &wire.JobSpec{ID: "x", Shape: shape}}
 	}
 	stored := map[string]*wire.Job{
-		"wk-000020": live(wire.ShapeArray), "wk-000021": {State: wire.Done, Frames: 1}, "wk-000022": {State: wire.Withdrawn, Frames: 1},
+		"wk-000020": live(wire.ShapeArray), "wk-000021": {State: wire.JobDone, TaskCount: 1}, "wk-000022": {State: wire.JobCancelled, TaskCount: 1},
 		"wk-000023": live(wire.ShapeDaemon),
 	}
 	for _, c := range []struct {
@@ -90,25 +90,25 @@
 		state  wire.JobState
 		stays  int
 	}{
-		{[]string{"wk-000001"}, 201, wire.Live, 1}, // in our copy
-		{[]string{"wk-000002"}, 201, wire.Live, 0}, // done there
-		{[]string{"wk-000003"}, 201, wire.Withdrawn, 0},
-		{[]string{"wk-000004"}, 201, wire.Withdrawn, 0}, // below the withdrawn one, which its own record does not say
-		{[]string{"wk-000020", "wk-000001", "wk-000020"}, 201, wire.Live, 2},
-		{[]string{"wk-000021"}, 201, wire.Live, 0},
-		{[]string{"wk-000020", "wk-000022"}, 201, wire.Withdrawn, 0},
+		{[]string{"wk-000001"}, 201, wire.JobLive, 1}, // in our copy
+		{[]string{"wk-000002"}, 201, wire.JobLive, 0}, // done there
+		{[]string{"wk-000003"}, 201, wire.JobCancelled, 0},
+		{[]string{"wk-000004"}, 201, wire.JobCancelled, 0}, // below the withdrawn one, which its own record does not say
+		{[]string{"wk-000020", "wk-000001", "wk-000020"}, 201, wire.JobLive, 2},
+		{[]string{"wk-000021"}, 201, wire.JobLive, 0},
+		{[]string{"wk-000020", "wk-000022"}, 201, wire.JobCancelled, 0},
 		{[]string{"wk-000023"}, 422, 0, 0},
 		{[]string{"wk-000005"}, 422, 0, 0}, // a service in our copy
 		{[]string{"wk-000020", "wk-000099"}, 422, 0, 0},
 		{[]string{"wk-000100"}, 422, 0, 0}, // itself
 	} {
 		n := chained()
-		see(n, 2, "wk-000001", wire.Live, nil)
-		see(n, 3, "wk-000002", wire.Done, nil)
-		see(n, 4, "wk-000003", wire.Withdrawn, nil)
-		see(n, 5, "wk-000004", wire.Live, nil, "wk-000003")
-		see(n, 6, "wk-000005", wire.Live, func(s *wire.Spec) { s.Shape = wire.ShapeDaemon })
-		r, wrote := settle(n, UserRequest{Req: 1, Kind: wire.Submit, Body: submission("wk-000100", c.needs...)}, stored)
+		see(n, 2, "wk-000001", wire.JobLive, nil)
+		see(n, 3, "wk-000002", wire.JobDone, nil)
+		see(n, 4, "wk-000003", wire.JobCancelled, nil)
+		see(n, 5, "wk-000004", wire.JobLive, nil, "wk-000003")
+		see(n, 6, "wk-000005", wire.JobLive, func(s *wire.JobSpec) { s.Shape = wire.ShapeDaemon })
+		r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", c.needs...)}, stored)
 		if r == nil || r.Status != c.status {
 			t.Errorf("%v: answered with %+v", c.needs, r)
 			continue
@@ -118,7 +118,7 @@
 		}
 		for _, w := range wrote {
 			j := w.Value.(*wire.Job)
-			if j.State != c.state || (j.Spec != nil && len(j.Spec.WaitsOn) != c.stays) || (j.Spec == nil) != (c.state == wire.Withdrawn) {
+			if j.State != c.state || (j.Spec != nil && len(j.Spec.Dependencies) != c.stays) || (j.Spec == nil) != (c.state == wire.JobCancelled) {
 				t.Errorf("%v: recorded %+v", c.needs, j)
 			}
 		}
@@ -129,27 +129,27 @@
 // nothing new is written.
 func TestNothingNewBeforeAllAreUpgraded(t *testing.T) {
 	n := chained(Member{"n0", "a"}, Member{"n1", "a"})
-	see(n, 2, "wk-000001", wire.Live, nil)
-	r, wrote := settle(n, UserRequest{Req: 1, Kind: wire.Submit, Body: submission("wk-000100", "wk-000001")}, nil)
-	if r == nil || r.Status != 503 || r.RetryS == 0 || len(wrote) > 0 || n.continuationKeys() > 0 {
+	see(n, 2, "wk-000001", wire.JobLive, nil)
+	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", "wk-000001")}, nil)
+	if r == nil || r.Status != 503 || r.RetryAfterS == 0 || len(wrote) > 0 || n.overflowKeys() > 0 {
 		t.Errorf("answered with %+v, wrote %+v", r, wrote)
 	}
 	// Nor is it handed to a peer, which may be of the version before.
 	n.storeOK = false
-	n.peers["n1"] = &peer{at: n.now, msg: &wire.Gossip{From: "n1", StoreOK: true}}
-	for _, e := range n.Step(n.now+1, UserRequest{Req: 3, Kind: wire.Submit, Body: submission("wk-000100", "wk-000001")}) {
+	n.peers["n1"] = &peer{heardAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
+	for _, e := range n.Step(n.now+1, UserRequest{RequestID: 3, Kind: wire.RequestSubmit, Body: submission("wk-000100", "wk-000001")}) {
 		if _, is := e.(Forward); is {
 			t.Error("handed on before all are upgraded")
 		}
 	}
 	n.storeOK = true
-	n.Step(n.now+1, Changes{Rev: 9, Events: []Event{{Key: wire.FormatPrefix + "n1", Rev: 9, Value: &wire.SupportedFormat{Format: 2}}}})
-	if r, wrote = settle(n, UserRequest{Req: 2, Kind: wire.Submit, Body: submission("wk-000100", "wk-000001")}, nil); r == nil || r.Status != 201 || len(wrote) != 1 {
+	n.Step(n.now+1, RecordsChanged{Revision: 9, Events: []Event{{Key: wire.FormatPrefix + "n1", Revision: 9, Value: &wire.SupportedFormat{Format: 2}}}})
+	if r, wrote = settle(n, UserRequest{RequestID: 2, Kind: wire.RequestSubmit, Body: submission("wk-000100", "wk-000001")}, nil); r == nil || r.Status != 201 || len(wrote) != 1 {
 		t.Errorf("answered with %+v, wrote %+v", r, wrote)
 	}
 	// It never goes back.
-	n.Step(n.now+1, Changes{Rev: 10, Events: []Event{{Key: wire.FormatPrefix + "n1", Rev: 10, Value: &wire.SupportedFormat{Format: 1}}}})
-	if !n.writesChains() {
+	n.Step(n.now+1, RecordsChanged{Revision: 10, Events: []Event{{Key: wire.FormatPrefix + "n1", Revision: 10, Value: &wire.SupportedFormat{Format: 1}}}})
+	if !n.writesDependencies() {
 		t.Error("went back to the format before")
 	}
 }
@@ -160,21 +160,21 @@
 	const many = 10_000
 	n := chained()
 	name := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
-	see(n, 2, name(0), wire.Live, nil)
+	see(n, 2, name(0), wire.JobLive, nil)
 	for i := 1; i < many; i++ {
-		see(n, 2+i, name(i), wire.Live, nil, name(i-1))
+		see(n, 2+i, name(i), wire.JobLive, nil, name(i-1))
 	}
 	for i := 1; i < many; i++ {
-		see(n, 2+many+i, name(many+i), wire.Live, nil, name(0))
+		see(n, 2+many+i, name(many+i), wire.JobLive, nil, name(0))
 	}
-	n.leader.rec = nil
-	see(n, 5*many, name(0), wire.Withdrawn, nil)
-	if len(n.derivedWithdrawals) != 2*many-2 {
-		t.Errorf("%d jobs were touched, not %d once each", len(n.derivedWithdrawals), 2*many-2)
+	n.leader.record = nil
+	see(n, 5*many, name(0), wire.JobCancelled, nil)
+	if len(n.derivedCancellations) != 2*many-2 {
+		t.Errorf("%d jobs were touched, not %d once each", len(n.derivedCancellations), 2*many-2)
 	}
 	for _, i := range []int{1, many - 1, many + 1, 2*many - 1} {
-		r, _ := settle(n, UserRequest{Req: uint64(i), Kind: wire.Poll, Ref: name(i)}, nil)
-		if r == nil || r.Status != 200 || r.Body.(wire.JobStatus).Status != wire.StatusWithdrawn {
+		r, _ := settle(n, UserRequest{RequestID: uint64(i), Kind: wire.RequestStatus, JobID: name(i)}, nil)
+		if r == nil || r.Status != 200 || r.Body.(wire.JobStatus).Status != wire.StatusCancelled {
 			t.Errorf("%s: %+v", name(i), r)
 		}
 	}
@@ -184,20 +184,20 @@
 // the time left that those after it take; a job that waits is in no queue.
 func TestLastJobPressesAll(t *testing.T) {
 	n := chained()
-	see(n, 2, "wk-000001", wire.Live, nil)
-	see(n, 3, "wk-000002", wire.Live, nil, "wk-000001")
-	see(n, 4, "wk-000003", wire.Live, nil, "wk-000001")
-	see(n, 5, "wk-000004", wire.Live, func(s *wire.Spec) { s.Urgency, s.DueS = "high", 100 }, "wk-000002", "wk-000003")
+	see(n, 2, "wk-000001", wire.JobLive, nil)
+	see(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
+	see(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001")
+	see(n, 5, "wk-000004", wire.JobLive, func(s *wire.JobSpec) { s.Priority, s.DeadlineS = "high", 100 }, "wk-000002", "wk-000003")
 	due := int64(1_000_000 + 100_000)
 	for i, want := range []int64{due - 2*14_000, due - 14_000, due - 14_000, due} {
-		if j := n.jobs[i]; j.chain.dueMS != want || j.prio != 2 {
-			t.Errorf("%s is due at %d with priority %d, not %d", j.ref, j.chain.dueMS, j.prio, want)
+		if j := n.jobs[i]; j.links.deadlineMS != want || j.priority != 2 {
+			t.Errorf("%s is due at %d with priority %d, not %d", j.id, j.links.deadlineMS, j.priority, want)
 		}
 	}
 	queued := func() (out []string) {
 		for _, q := range n.queues() {
 			for _, w := range q.jobs {
-				out = append(out, w.j.ref)
+				out = append(out, w.job.id)
 			}
 		}
 		return out
@@ -205,7 +205,7 @@
 	if got := queued(); len(got) != 1 || got[0] != "wk-000001" {
 		t.Errorf("queued: %v", got)
 	}
-	see(n, 9, "wk-000001", wire.Done, nil)
+	see(n, 9, "wk-000001", wire.JobDone, nil)
 	if got := queued(); len(got) != 2 {
 		t.Errorf("queued: %v", got)
 	}
@@ -215,22 +215,22 @@
 // is answered from those above it.
 func TestAnswerFromAbove(t *testing.T) {
 	n := chained()
-	spec := func(needs ...string) *wire.Spec { return &wire.Spec{Shape: wire.ShapeArray, WaitsOn: needs} }
+	spec := func(needs ...string) *wire.JobSpec { return &wire.JobSpec{Shape: wire.ShapeArray, Dependencies: needs} }
 	stored := map[string]*wire.Job{
-		"wk-000001": {State: wire.Withdrawn, Frames: 1}, "wk-000002": {Frames: 1, Spec: spec("wk-000001")},
-		"wk-000003": {Frames: 1, Spec: spec("wk-000002")}, "wk-000005": {Frames: 1, Spec: spec()}, "wk-000006": {Frames: 1, Spec: spec("wk-000005")},
+		"wk-000001": {State: wire.JobCancelled, TaskCount: 1}, "wk-000002": {TaskCount: 1, Spec: spec("wk-000001")},
+		"wk-000003": {TaskCount: 1, Spec: spec("wk-000002")}, "wk-000005": {TaskCount: 1, Spec: spec()}, "wk-000006": {TaskCount: 1, Spec: spec("wk-000005")},
 	}
 	for i, ref := range []string{"wk-000001", "wk-000002", "wk-000003", "wk-000005", "wk-000006"} {
 		j := stored[ref]
-		see(n, 2+i, ref, wire.Live, nil, func() []string {
+		see(n, 2+i, ref, wire.JobLive, nil, func() []string {
 			if j.Spec == nil {
 				return nil
 			}
-			return j.Spec.WaitsOn
+			return j.Spec.Dependencies
 		}()...)
 	}
-	for ref, want := range map[string]string{"wk-000003": wire.StatusWithdrawn, "wk-000006": wire.StatusPending} {
-		got, wrote := settle(n, UserRequest{Req: 5, Kind: wire.Submit, Body: submission(ref)}, stored)
+	for ref, want := range map[string]string{"wk-000003": wire.StatusCancelled, "wk-000006": wire.StatusPending} {
+		got, wrote := settle(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submission(ref)}, stored)
 		if got == nil || got.Status != 200 || got.Body.(wire.JobStatus).Status != want || len(wrote) > 0 {
 			t.Errorf("%s: %+v", ref, got)
 		}
@@ -241,20 +241,20 @@
 // come later and name them, or were withdrawn before what they needed ended, do no harm.
 func TestFinishedJobsKeepNoChain(t *testing.T) {
 	n := chained()
-	see(n, 2, "wk-000001", wire.Live, nil)
-	see(n, 3, "wk-000002", wire.Live, nil, "wk-000001")
-	see(n, 4, "wk-000003", wire.Live, nil, "wk-000001", "wk-000002")
-	see(n, 5, "wk-000002", wire.Withdrawn, nil)
-	see(n, 6, "wk-000001", wire.Done, nil)
-	see(n, 7, "wk-000003", wire.Withdrawn, nil)
-	see(n, 8, "wk-000004", wire.Live, nil, "wk-000001")
-	see(n, 9, "wk-000005", wire.Live, nil, "wk-000002")
+	see(n, 2, "wk-000001", wire.JobLive, nil)
+	see(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
+	see(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001", "wk-000002")
+	see(n, 5, "wk-000002", wire.JobCancelled, nil)
+	see(n, 6, "wk-000001", wire.JobDone, nil)
+	see(n, 7, "wk-000003", wire.JobCancelled, nil)
+	see(n, 8, "wk-000004", wire.JobLive, nil, "wk-000001")
+	see(n, 9, "wk-000005", wire.JobLive, nil, "wk-000002")
 	for i := range 3 {
-		if n.jobs[i].chain != nil {
-			t.Errorf("%s keeps %+v", n.jobs[i].ref, n.jobs[i].chain)
+		if n.jobs[i].links != nil {
+			t.Errorf("%s keeps %+v", n.jobs[i].id, n.jobs[i].links)
 		}
 	}
-	if n.jobs[3].waits() || !n.jobs[4].waits() || n.jobs[4].state() != wire.Withdrawn {
-		t.Errorf("%+v, %+v", n.jobs[3].chain, n.jobs[4].chain)
+	if n.jobs[3].isWaiting() || !n.jobs[4].isWaiting() || n.jobs[4].state() != wire.JobCancelled {
+		t.Errorf("%+v, %+v", n.jobs[3].links, n.jobs[4].links)
 	}
 }
--- a/internal/core/continuation_test.go
+++ b/internal/core/continuation_test.go
@@ -15,92 +15,92 @@
 // written again.
 func TestSpread(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, TxnOps: 4, ValueBytes: 2048, ValueNow: 8192,
-		WallMS: func() int64 { return 0 }})
-	n.agreed = wire.Format
-	if n.continuationKeys() != 2 {
-		t.Fatalf("%d further keys, not 2", n.continuationKeys())
+	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, MaxTransactionOps: 4, MaxValueBytes: 2048, CurrentValueBytes: 8192,
+		WallClockMS: func() int64 { return 0 }})
+	n.agreedFormat = wire.Format
+	if n.overflowKeys() != 2 {
+		t.Fatalf("%d further keys, not 2", n.overflowKeys())
 	}
 	const ref = "wk-000001"
-	rec := &wire.Job{Spec: &wire.Spec{Ref: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, Frames: 200, Image: "img"}, Frames: 200, Next: 1}
-	kept := map[int]wire.Actives{} // further keys as stored
+	rec := &wire.Job{Spec: &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 200, Image: "img"}, TaskCount: 200, NextAttempt: 1}
+	kept := map[int]wire.ActiveTasks{} // further keys as stored
 	most := 0
 	for step := range 400 {
-		was, wasMore := slices.Clone(rec.Active), rec.Continuations
-		next := clone(rec)
+		was, wasMore := slices.Clone(rec.ActiveTasks), rec.OverflowKeys
+		next := cloneRecord(rec)
 		for range 1 + rng.IntN(3) { // ends
-			if len(next.Active) > 0 && rng.IntN(2) == 0 {
-				i := rng.IntN(len(next.Active))
-				next.Active = slices.Delete(next.Active, i, i+1)
+			if len(next.ActiveTasks) > 0 && rng.IntN(2) == 0 {
+				i := rng.IntN(len(next.ActiveTasks))
+				next.ActiveTasks = slices.Delete(next.ActiveTasks, i, i+1)
 			}
 		}
 		for range rng.IntN(8) { // grants
-			if len(next.Active) < 110 && step < 300 {
-				next.Active = append(next.Active, wire.Active{Task: step*10 + rng.IntN(10), Attempt: uint64(step), Host: fmt.Sprintf("vm-%06d", rng.IntN(200)), Session: 1, Part: rng.IntN(3)})
+			if len(next.ActiveTasks) < 110 && step < 300 {
+				next.ActiveTasks = append(next.ActiveTasks, wire.ActiveTask{Task: step*10 + rng.IntN(10), Attempt: uint64(step), Machine: fmt.Sprintf("vm-%06d", rng.IntN(200)), Epoch: 1, Shard: rng.IntN(3)})
 			}
 		}
 		writes := n.splitRecord(ref, was, wasMore, 0, next)
-		if len(writes) > n.cfg.TxnOps+1 {
+		if len(writes) > n.cfg.MaxTransactionOps+1 {
 			t.Fatalf("step %d: %d writes", step, len(writes))
 		}
 		for _, w := range writes {
 			if w.Value != nil {
-				if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.ValueBytes {
+				if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.MaxValueBytes {
 					t.Fatalf("step %d: %s has %d bytes, %v", step, w.Key, size, err)
 				}
 			}
 			switch v := w.Value.(type) {
 			case *wire.Job:
 				rec = v
-			case *wire.Continuation:
-				_, k := wire.SplitContinuation(w.Key)
-				if slices.Equal(kept[k], v.Active) && len(v.Active) > 0 {
+			case *wire.Overflow:
+				_, k := wire.SplitOverflowKey(w.Key)
+				if slices.Equal(kept[k], v.ActiveTasks) && len(v.ActiveTasks) > 0 {
 					t.Errorf("step %d: %s is written again unchanged", step, w.Key)
 				}
-				kept[k] = v.Active
+				kept[k] = v.ActiveTasks
 			case nil:
-				_, k := wire.SplitContinuation(w.Key)
+				_, k := wire.SplitOverflowKey(w.Key)
 				delete(kept, k)
 			}
 		}
 		for k, l := range kept {
-			n.putContinuation(wire.ContinuationKey(ref, k), &wire.Continuation{Active: slices.Clone(l)})
+			n.putOverflow(wire.OverflowKey(ref, k), &wire.Overflow{ActiveTasks: slices.Clone(l)})
 		}
-		if len(kept) != rec.Continuations {
-			t.Fatalf("step %d: %d further keys are stored, the record names %d", step, len(kept), rec.Continuations)
+		if len(kept) != rec.OverflowKeys {
+			t.Fatalf("step %d: %d further keys are stored, the record names %d", step, len(kept), rec.OverflowKeys)
 		}
-		most = max(most, rec.Continuations)
-		rec = clone(rec)
+		most = max(most, rec.OverflowKeys)
+		rec = cloneRecord(rec)
 		n.assemble(ref, rec)
-		byTask := func(a, b wire.Active) int { return (a.Task-b.Task)*1e6 + int(a.Attempt) - int(b.Attempt) }
-		got, want := slices.Clone(rec.Active), slices.Clone(next.Active)
+		byTask := func(a, b wire.ActiveTask) int { return (a.Task-b.Task)*1e6 + int(a.Attempt) - int(b.Attempt) }
+		got, want := slices.Clone(rec.ActiveTasks), slices.Clone(next.ActiveTasks)
 		slices.SortStableFunc(got, byTask)
 		slices.SortStableFunc(want, byTask)
 		if !slices.Equal(got, want) {
 			t.Fatalf("step %d: %d tasks became %d", step, len(want), len(got))
 		}
 	}
-	if most < 2 || rec.Continuations != 0 {
-		t.Errorf("%d further keys at most, %d in the end", most, rec.Continuations)
+	if most < 2 || rec.OverflowKeys != 0 {
+		t.Errorf("%d further keys at most, %d in the end", most, rec.OverflowKeys)
 	}
 }
 
 // A record that the earlier version left larger than a value may be is written in
 // several keys in one transaction.
 func TestSpreadOfALargeRecord(t *testing.T) {
-	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, TxnOps: 4, ValueBytes: 2048, ValueNow: 8192,
-		WallMS: func() int64 { return 0 }})
-	n.agreed = wire.Format
-	rec := &wire.Job{Spec: &wire.Spec{Ref: "wk-000001", Frames: 100}, Frames: 100, Next: 101}
+	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, MaxTransactionOps: 4, MaxValueBytes: 2048, CurrentValueBytes: 8192,
+		WallClockMS: func() int64 { return 0 }})
+	n.agreedFormat = wire.Format
+	rec := &wire.Job{Spec: &wire.JobSpec{ID: "wk-000001", TaskCount: 100}, TaskCount: 100, NextAttempt: 101}
 	for i := range 100 {
-		rec.Active = append(rec.Active, wire.Active{Task: i, Attempt: uint64(i + 1), Host: fmt.Sprintf("vm-%06d", i), Session: 1, StoredIn: 1})
+		rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: i, Attempt: uint64(i + 1), Machine: fmt.Sprintf("vm-%06d", i), Epoch: 1, StoredIn: 1})
 	}
-	writes := n.splitRecord("wk-000001", slices.Clone(rec.Active), 0, 0, rec)
-	if len(writes) > n.cfg.TxnOps {
+	writes := n.splitRecord("wk-000001", slices.Clone(rec.ActiveTasks), 0, 0, rec)
+	if len(writes) > n.cfg.MaxTransactionOps {
 		t.Errorf("%d writes", len(writes))
 	}
 	for _, w := range writes {
-		if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.ValueBytes {
+		if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.MaxValueBytes {
 			t.Errorf("%s has %d bytes, %v", w.Key, size, err)
 		}
 	}
@@ -112,50 +112,50 @@
 	d, _ := owner(t)
 	d.wait(6 * second)
 	n := d.n
-	n.cfg.TxnOps, n.cfg.ValueBytes, n.cfg.ValueNow, n.cfg.BatchPuts = 4, 2048, 16<<10, 8
-	n.takeTypes([]wire.Flavor{{Name: "g", Cores: 8, Cards: 1, MemoryGB: 64, FetchGBs: 1, Price: 1, BootS: 10, Zones: []string{"a"}}})
-	big := lowJob(wire.Live)
-	big.Frames, big.Spec.Frames = 400, 400
+	n.cfg.MaxTransactionOps, n.cfg.MaxValueBytes, n.cfg.CurrentValueBytes, n.cfg.MaxBatchWrites = 4, 2048, 16<<10, 8
+	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
+	big := lowJob(wire.JobLive)
+	big.TaskCount, big.Spec.TaskCount = 400, 400
 	for i := range 400 {
-		big.Active = append(big.Active, wire.Active{Task: i, Attempt: uint64(i + 1), Host: fmt.Sprintf("vm-%06d", i), Session: 1})
+		big.ActiveTasks = append(big.ActiveTasks, wire.ActiveTask{Task: i, Attempt: uint64(i + 1), Machine: fmt.Sprintf("vm-%06d", i), Epoch: 1})
 	}
 	d.put(big)
-	n.shrunk = false
+	n.recordsFit = false
 	named := 0
 	for range 400 {
 		d.now += 50 * time.Millisecond
 		for _, e := range n.Step(d.now, Tick{}) {
-			if l, is := e.(Lease); is {
-				n.Step(d.now, Leased{ID: l.ID, Outcome: OK, Lease: max(l.Lease, 7)})
+			if l, is := e.(RenewLease); is {
+				n.Step(d.now, LeaseAnswered{ID: l.ID, Outcome: OK, LeaseID: max(l.LeaseID, 7)})
 			}
 			c, is := e.(Commit)
 			if !is {
 				continue
 			}
-			if len(c.Writes) > n.cfg.TxnOps {
+			if len(c.Writes) > n.cfg.MaxTransactionOps {
 				t.Fatalf("%d writes", len(c.Writes))
 			}
-			ch := Changes{}
+			ch := RecordsChanged{}
 			d.rev++
 			for _, w := range c.Writes {
-				if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.ValueBytes {
+				if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.MaxValueBytes {
 					t.Fatalf("%s has %d bytes, %v", w.Key, size, err)
 				}
 				if j, is := w.Value.(*wire.Job); is {
-					named = j.Continuations
+					named = j.OverflowKeys
 				}
-				if !slices.ContainsFunc(c.If, func(c Cond) bool { return c.Key == wire.JobKey("wk-000001") }) {
-					t.Fatalf("%s is written under %+v", w.Key, c.If)
+				if !slices.ContainsFunc(c.Conditions, func(c Condition) bool { return c.Key == wire.JobKey("wk-000001") }) {
+					t.Fatalf("%s is written under %+v", w.Key, c.Conditions)
 				}
-				ch.Events = append(ch.Events, Event{Key: w.Key, Rev: d.rev, Value: w.Value})
+				ch.Events = append(ch.Events, Event{Key: w.Key, Revision: d.rev, Value: w.Value})
 			}
-			ch.Rev = d.rev
-			n.Step(d.now, Committed{ID: c.ID, Outcome: OK, Rev: d.rev})
+			ch.Revision = d.rev
+			n.Step(d.now, Committed{ID: c.ID, Outcome: OK, Revision: d.rev})
 			n.Step(d.now, ch)
 		}
 	}
-	if named < 5 || len(n.jobs[0].rec.Active) != 400 {
-		t.Errorf("%d further keys are named, %d tasks are left", named, len(n.jobs[0].rec.Active))
+	if named < 5 || len(n.jobs[0].record.ActiveTasks) != 400 {
+		t.Errorf("%d further keys are named, %d tasks are left", named, len(n.jobs[0].record.ActiveTasks))
 	}
 }
 
@@ -163,18 +163,18 @@
 // there, and with it the specification, which says what the tasks charge.
 func TestWithdrawalLeavesFurtherKeys(t *testing.T) {
 	n := chained()
-	n.cfg.ValueBytes, n.cfg.TxnOps = 2048, 4
+	n.cfg.MaxValueBytes, n.cfg.MaxTransactionOps = 2048, 4
 	for _, own := range []int{0, 2} {
-		rec := lowJob(wire.Live)
-		rec.Continuations, rec.Frames = 1, 9
+		rec := lowJob(wire.JobLive)
+		rec.OverflowKeys, rec.TaskCount = 1, 9
 		for i := range own {
-			rec.Active = append(rec.Active, wire.Active{Task: i, Attempt: 1, Host: "vm-1", Session: 1})
+			rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: i, Attempt: 1, Machine: "vm-1", Epoch: 1})
 		}
-		r, wrote := settle(n, UserRequest{Req: uint64(own + 1), Kind: wire.Withdraw, Ref: "wk-000001"}, map[string]*wire.Job{"wk-000001": rec})
+		r, wrote := settle(n, UserRequest{RequestID: uint64(own + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": rec})
 		if r == nil || r.Status != 200 || len(wrote) != 1 {
 			t.Fatalf("answered with %+v, wrote %+v", r, wrote)
 		}
-		if j := wrote[0].Value.(*wire.Job); j.State != wire.Withdrawn || j.Continuations != 1 || j.Spec == nil || len(j.Active) != own {
+		if j := wrote[0].Value.(*wire.Job); j.State != wire.JobCancelled || j.OverflowKeys != 1 || j.Spec == nil || len(j.ActiveTasks) != own {
 			t.Errorf("recorded %+v", j)
 		}
 	}
@@ -186,7 +186,7 @@
 	n := chained()
 	n.cfg.WriteRPS, n.cfg.NextWriteRPS = 20, 15
 	refuse := func() {
-		n.commit(Bulk, nil, []Write{{Key: "m/i/n0", Value: &wire.Images{}}}, func(Committed) {})
+		n.commit(ClassBackground, nil, []Write{{Key: "m/i/n0", Value: &wire.ImageCache{}}}, func(Committed) {})
 		n.Step(n.now+1, Committed{ID: n.nextID, Outcome: Refused, Limited: true})
 	}
 	if n.writeRPS() != 20 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,128 +23,128 @@
 	nextID  uint64
 	pending map[uint64]func(Result) // what to do with the results of requests, by their ids
 
-	recordsCopy
-	siteView
-	storeLink
-	peerExchange
+	recordReplica
+	topology
+	storeState
+	gossipState
 	ownerState
 
 	leader leaderState
 	leadership
-	standby standbyState
-	users   userState
+	failover failoverState
+	users    userState
 
-	budget   writeBudget
-	runTimes runTimes
+	budget           writeBudget
+	runTimeEstimator runTimeEstimator
 
-	arrivals    []*arrivals
+	arrivals    []*classArrivals
 	countedFrom Time // since when arrivals are counted; 0: not yet
 
 	resumedAt Time   // when we last found out that we had stood still
-	work      uint64 // machines looked at so far
+	workCount uint64 // machines looked at so far
 }
 
-// recordsCopy is our copy of the records.
-type recordsCopy struct {
+// recordReplica is our copy of the records.
+type recordReplica struct {
 	loaded   bool   // the first listing has been taken in
-	rev      uint64 // how far the copy goes
+	revision uint64 // how far the copy goes
 	jobs     []*job
-	refs     wire.Interner // of jobs
+	jobIDs   wire.Interner // of jobs
 	finished map[finishedKind]*wire.Job
 	live     []int // jobs that are unfinished or still have tasks on machines
 	gangs    map[string]*gang
 
-	continuations map[string]map[int]wire.Actives // active tasks in further keys, by job
+	overflow map[string]map[int]wire.ActiveTasks // active tasks in further keys, by job
 	// Parts of lists of needs, by job and key, while the job's record is not taken in.
-	needsLists         map[string]map[string][]string
-	derivedWithdrawals []int // jobs below a withdrawn one, not yet recorded as such
-	shrunk             bool  // no record is larger than the limits to come
+	dependencyLists      map[string]map[string][]string
+	derivedCancellations []int // jobs below a withdrawn one, not yet recorded as such
+	recordsFit           bool  // no record is larger than the limits to come
 
 	ledger *quota.Ledger // of the teams' accounts and what is charged to them
-	terms  []Team        // the teams' guarantees and limits that are in force
+	quotas []Team        // the teams' guarantees and limits that are in force
 
-	formats  map[string]int // the format that each controller reads
-	agreed   int            // the newest format that all controllers read
-	formatAt Time           // when we leave our own record of it, if it is not there
+	formats      map[string]int // the format that each controller reads
+	agreedFormat int            // the newest format that all controllers read
+	formatAt     Time           // when we leave our own record of it, if it is not there
 
-	types  []wire.Flavor
-	rigsAt Time   // when the cloud last told of the machine types
-	rigRev uint64 // of the stored machine types
+	offeredTypes   []wire.MachineType
+	typesFetchedAt Time   // when the cloud last told of the machine types
+	typesRevision  uint64 // of the stored machine types
 }
 
 // finishedKind is what tells finished jobs apart that have nothing left on machines.
 type finishedKind struct {
-	state  wire.JobState
-	frames int
+	state     wire.JobState
+	taskCount int
 }
 
-// siteView is what there is at the site. Names are mapped to indices where they come in.
-type siteView struct {
-	zones, teams, rigs, images, hostIx wire.Interner
+// topology is what there is at the site. Names are mapped to indices where they come in.
+type topology struct {
+	zoneNames, teamNames, typeNames, imageNames, machineNames wire.Interner
 
-	flavors   []*wire.Flavor // by index of their name; nil: not on offer
-	parts     []*part
-	zoneParts []partRange // by zone
-	hosts     []*host
+	machineTypes []*wire.MachineType // by index of their name; nil: not on offer
+	shards       []*shard
+	zoneShards   []shardRange // by zone
+	machines     []*machine
 }
 
-// partRange is a run of neighbours among the parts.
-type partRange struct{ first, count int }
+// shardRange is a run of neighbours among the parts.
+type shardRange struct{ first, count int }
 
-// storeLink is how we stand with the state service.
-type storeLink struct {
-	storeOK    bool
-	storeSince Time // since when it has served us
-	storeAt    Time // last proof that it serves us
+// storeState is how we stand with the state service.
+type storeState struct {
+	storeOK         bool
+	storeOKSince    Time // since when it has served us
+	storeAnsweredAt Time // last proof that it serves us
 
-	partLease lease
-	leadLease lease
-	checkAt   Time
-	checks    []check
-	provenAt  Time // when the last check that has settled was sent
+	shardLease       lease
+	leaderLease      lease
+	ownershipCheckAt Time
+	ownershipChecks  []ownershipCheck
+	provenAt         Time // when the last check that has settled was sent
 }
 
-// peerExchange is what we tell the other controllers and hear of them.
-type peerExchange struct {
-	peers       map[string]*peer
-	gossipAt    Time
-	gossipLast  Time
-	ver         uint64      // of our view of our own machines
-	changeLog   []change    // of our machines, in order of version
-	strayHosts  []int       // machines of others that came here lately
-	keptHosts   map[int]int // machines that the leader keeps for a job
-	keptHostsAt Time
-	retiring    []int // machines that the leader wants emptied
-	ownInfoAt   Time
+// gossipState is what we tell the other controllers and hear of them.
+type gossipState struct {
+	peers              map[string]*peer
+	gossipAt           Time
+	gossipSentAt       Time
+	version            uint64       // of our view of our own machines
+	changeLog          []viewChange // of our machines, in order of version
+	strayMachines      []int        // machines of others that came here lately
+	reservedMachines   map[int]int  // machines that the leader keeps for a job
+	reservedMachinesAt Time
+	draining           []int // machines that the leader wants emptied
+	ownViewAt          Time
 
 	refusedSince map[string]Time
-	roomAt       Time
+	mailboxAt    Time
 }
 
 // ownerState is what we remember as the owner of parts.
 type ownerState struct {
-	held      []heldReport
-	heldAt    Time
-	unstarted []int // machines of ours with a task that they have not shown
-	owner     batch
-	ownerAt   Time
-	results   map[taskKey]result // what became of tasks, not yet in their records
-	stopJobs  map[int]bool       // gangs to be stopped in good order
-	grantSeen map[taskKey]Time
-
-	admissionAt Time // when we next look for work to admit by ourselves
-	tidyAt      Time
-	imagesAt    Time
-	imagesKept  int // entries in the record of images as last written
+	heldReplies   []heldReply
+	heldRepliesAt Time
+	unstarted     []int // machines of ours with a task that they have not shown
+	batch         batch
+	placementAt   Time
+	outcomes      map[taskKey]taskOutcome // what became of tasks, not yet in their records
+	gangsToStop   map[int]bool            // gangs to be stopped in good order
+	grantSeenAt   map[taskKey]Time
+
+	admissionAt    Time // when we next look for work to admit by ourselves
+	cleanupAt      Time
+	imageCacheAt   Time
+	imageCacheSize int // entries in the record of images as last written
 }
 
 // peer is what we have last heard of another controller.
 type peer struct {
-	at      Time
-	msg     *wire.Gossip
-	have    uint64 // how far we have taken in its changes
-	byStore bool   // heard through the state service only
-	broken  bool   // our connection to it has broken since
+	heardAt   Time
+	message   *wire.Gossip
+	version   uint64 // how far we have taken in its changes
+	byMailbox bool   // heard through the state service only
+	broken    bool   // our connection to it has broken since
 }
 
 // New makes a node. Its parts follow from the settings alone.
@@ -152,125 +152,125 @@
 	n := &Node{
 		cfg:     cfg,
 		pending: map[uint64]func(Result){},
-		recordsCopy: recordsCopy{
-			finished:      map[finishedKind]*wire.Job{},
-			gangs:         map[string]*gang{},
-			continuations: map[string]map[int]wire.Actives{},
-			needsLists:    map[string]map[string][]string{},
-			formats:       map[string]int{},
+		recordReplica: recordReplica{
+			finished:        map[finishedKind]*wire.Job{},
+			gangs:           map[string]*gang{},
+			overflow:        map[string]map[int]wire.ActiveTasks{},
+			dependencyLists: map[string]map[string][]string{},
+			formats:         map[string]int{},
 		},
-		peerExchange: peerExchange{
-			peers:        map[string]*peer{},
-			keptHosts:    map[int]int{},
-			refusedSince: map[string]Time{},
+		gossipState: gossipState{
+			peers:            map[string]*peer{},
+			reservedMachines: map[int]int{},
+			refusedSince:     map[string]Time{},
 		},
 		ownerState: ownerState{
-			results:   map[taskKey]result{},
-			stopJobs:  map[int]bool{},
-			grantSeen: map[taskKey]Time{},
+			outcomes:    map[taskKey]taskOutcome{},
+			gangsToStop: map[int]bool{},
+			grantSeenAt: map[taskKey]Time{},
 		},
 	}
 	if n.cfg.Format == 0 {
 		n.cfg.Format = wire.Format
 	}
-	n.partLease.ttl = cfg.Validity
-	n.leadLease.ttl = cfg.LeaderTTL
+	n.shardLease.ttl = cfg.OwnerValidity
+	n.leaderLease.ttl = cfg.LeaderLease
 	for _, z := range slices.Sorted(slices.Values(cfg.Zones)) {
-		n.zones.Of(z)
+		n.zoneNames.Of(z)
 	}
 	for i := range cfg.Teams {
-		n.teams.Of(cfg.Teams[i].Name)
+		n.teamNames.Of(cfg.Teams[i].Name)
 	}
-	n.makeParts()
+	n.makeShards()
 	n.makeLedger()
-	n.makeStandby()
-	for _, o := range cfg.Waits {
-		at := slices.IndexFunc(n.arrivals, func(a *arrivals) bool { return a.class == o.Class })
+	n.initFailover()
+	for _, o := range cfg.StartObjectives {
+		at := slices.IndexFunc(n.arrivals, func(a *classArrivals) bool { return a.class == o.Class })
 		if at < 0 {
-			n.arrivals = append(n.arrivals, &arrivals{class: o.Class, within: o.Within})
+			n.arrivals = append(n.arrivals, &classArrivals{class: o.Class, startWithin: o.Within})
 		} else {
-			n.arrivals[at].within = min(n.arrivals[at].within, o.Within)
+			n.arrivals[at].startWithin = min(n.arrivals[at].startWithin, o.Within)
 		}
 	}
-	n.leader.dealtAt = dealTimes(len(cfg.Teams))
+	n.leader.sharesDistributedAt = neverDistributed(len(cfg.Teams))
 	n.leader.reset()
-	n.owner.name = "owner"
+	n.batch.role = "owner"
 	return n
 }
 
 // Step takes one input and returns its effects.
 func (n *Node) Step(now Time, in Input) []Effect {
 	n.out = nil
-	if gap := now - n.now; n.now > 0 && gap > pauseThreshold {
+	if gap := now - n.now; n.now > 0 && gap > stallThreshold {
 		n.now = now
-		n.resumeAfterPause(gap)
+		n.resumeAfterStall(gap)
 	}
 	n.now = max(n.now, now)
 	switch x := in.(type) {
 	case Tick:
-	case Reported:
-		n.report(x)
+	case WorkerReported:
+		n.workerHeartbeat(x)
 	case UserRequest:
-		n.user(x)
-	case Forwarded:
-		n.forwarded(x)
+		n.userRequest(x)
+	case ForwardAnswered:
+		n.forwardAnswered(x)
 	case Committed:
-		n.resolve(x.ID, x)
-	case Directed:
-		n.resolve(x.ID, x)
-	case GotJob:
-		n.resolve(x.ID, x)
-	case Leased:
-		n.resolve(x.ID, x)
-	case Clouded:
-		n.resolve(x.ID, x)
-	case Changes:
-		n.changes(x)
-	case Gossiped:
-		n.gossiped(x.Msg)
+		n.deliverResult(x.ID, x)
+	case CommandsAnswered:
+		n.deliverResult(x.ID, x)
+	case JobRead:
+		n.deliverResult(x.ID, x)
+	case LeaseAnswered:
+		n.deliverResult(x.ID, x)
+	case CloudAnswered:
+		n.deliverResult(x.ID, x)
+	case RecordsChanged:
+		n.recordsChanged(x)
+	case GossipReceived:
+		n.gossipReceived(x.Message)
 	case HeartbeatReceived:
-		n.heartbeat(x.Msg)
+		n.leaderHeartbeat(x.Message)
 	case Disconnected:
 		n.disconnected(x.Peer)
-	case LogReceived:
-		n.logReceived(x)
-	case LogAcknowledged:
-		n.standby.publisher.Acknowledged(n.now, x.Ack)
+	case DecisionLogReceived:
+		n.decisionLogReceived(x)
+	case DecisionLogAcknowledged:
+		n.failover.publisher.Acknowledged(n.now, x.Ack)
 	case StatusRequest:
-		n.emit(Reply{Req: x.Req, Status: http.StatusOK, Body: n.standbyStatus()})
+		n.emit(Reply{RequestID: x.RequestID, Status: http.StatusOK, Body: n.leadershipStatus()})
 	}
-	n.timers()
+	n.runTimers()
 	return n.out
 }
 
-// timers does whatever is due. It is cheap when nothing is.
-func (n *Node) timers() {
-	n.renew()
+// runTimers does whatever is due. It is cheap when nothing is.
+func (n *Node) runTimers() {
+	n.renewLeases()
 	if !n.loaded {
 		return
 	}
 	n.writeFormat()
-	n.claimParts()
-	n.standbyTick()
+	n.claimShards()
+	n.runFailover()
 	n.claimLeader()
-	n.runChecks()
-	n.ownerTick()
-	n.answerHeld()
-	n.startDirectly()
-	if n.now >= n.ownInfoAt {
+	n.checkOwnership()
+	n.runOwner()
+	n.sendHeldReplies()
+	n.sendDirectStarts()
+	if n.now >= n.ownViewAt {
 		// Changes on our machines are told at once, silence now and then.
-		n.ownInfoAt = n.now + second
-		was := n.ver
-		n.ownInfo()
-		n.gossip(n.ver != was)
+		n.ownViewAt = n.now + second
+		was := n.version
+		n.updateOwnViews()
+		n.sendGossip(n.version != was)
 	}
-	n.leaderTick()
-	n.gossip(false)
-	n.keepImages()
-	n.forgetHosts()
+	n.runLeader()
+	n.sendGossip(false)
+	n.writeImageCache()
+	n.forgetMachines()
 	n.askRevision()
-	n.settlePolls()
-	n.expireUsers()
+	n.answerStatusRequests()
+	n.expireRequests()
 }
 
 func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
@@ -279,23 +279,23 @@
 	n.emit(Log{Level: level, Text: text, Args: args})
 }
 
-func (n *Node) id(f func(Result)) uint64 {
+func (n *Node) onResult(f func(Result)) uint64 {
 	n.nextID++
 	n.pending[n.nextID] = f
 	return n.nextID
 }
 
-func (n *Node) resolve(id uint64, in Result) {
+func (n *Node) deliverResult(id uint64, in Result) {
 	if f := n.pending[id]; f != nil {
 		delete(n.pending, id)
 		f(in)
 	}
 }
 
-func (n *Node) commit(class Class, conds []Cond, writes []Write, f func(Committed)) {
-	id := n.id(func(in Result) {
+func (n *Node) commit(class RequestClass, conds []Condition, writes []Write, f func(Committed)) {
+	id := n.onResult(func(in Result) {
 		c := in.(Committed)
-		n.storeHeard(c.Outcome)
+		n.noteStoreOutcome(c.Outcome)
 		if c.Limited && len(writes) > 0 {
 			n.budget.noteRefusal(n.now)
 		}
@@ -304,34 +304,34 @@
 		}
 		f(c)
 	})
-	if class == Bulk {
+	if class == ClassBackground {
 		n.budget.available -= float64(len(writes))
 	}
-	n.emit(Commit{ID: id, If: conds, Writes: writes, Class: class})
+	n.emit(Commit{ID: id, Conditions: conds, Writes: writes, Class: class})
 }
 
-// storeHeard notes whether the state service serves us.
-func (n *Node) storeHeard(o Outcome) {
+// noteStoreOutcome notes whether the state service serves us.
+func (n *Node) noteStoreOutcome(o Outcome) {
 	switch o {
-	case OK, Conflict, Missing, BadLease, TooLarge:
+	case OK, Conflict, NotFound, LeaseExpired, TooLarge:
 		if !n.storeOK {
 			// In an outage owners run out of validity and their workers go
 			// round in vain. That says nothing about the owners afterwards.
-			n.storeSince = n.now
-			for _, p := range n.parts {
+			n.storeOKSince = n.now
+			for _, p := range n.shards {
 				p.forgetBounces()
 			}
 		}
-		n.storeOK, n.storeAt = true, n.now
+		n.storeOK, n.storeAnsweredAt = true, n.now
 	default:
-		if n.now-n.storeAt > 3*time.Second {
+		if n.now-n.storeAnsweredAt > 3*time.Second {
 			n.storeOK = false
 		}
 	}
 }
 
 // Work counts machines looked at since the start, for tests of how cost grows.
-func (n *Node) Work() uint64 { return n.work }
+func (n *Node) Work() uint64 { return n.workCount }
 
 // Ready tells whether user requests can be taken. It stays true through an
 // outage, since a removal from the balancer outlasts it.
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -13,38 +13,38 @@
 // hint: what the records or the owners contradict is dropped.
 
 const (
-	// publishPause lies between two looks at what the leader knows, and publishPauseEach is
+	// publishInterval lies between two looks at what the leader knows, and publishIntervalPerFact is
 	// how much more for each live job and each fact: a look at 4,000 facts takes some
 	// milliseconds, of which a controller with a tenth of a core has few.
-	publishPause     = 200 * time.Millisecond
-	publishPauseEach = 100 * time.Microsecond
+	publishInterval        = 200 * time.Millisecond
+	publishIntervalPerFact = 100 * time.Microsecond
 )
 
-// publishDecisions tells the standby what has changed of what only we know.
-func (n *Node) publishDecisions() {
-	s := &n.standby
+// publishDecisionLog tells the standby what has changed of what only we know.
+func (n *Node) publishDecisionLog() {
+	s := &n.failover
 	if !n.fenced() {
 		return
 	}
-	s.publisher.Direct(s.designated, n.leader.rev)
-	if s.designated == "" || n.now < s.publishAt {
+	s.publisher.Direct(s.standby, n.leader.term)
+	if s.standby == "" || n.now < s.publishAt {
 		return
 	}
 	facts := n.leaderFacts()
-	s.publishAt = n.now + publishPause + Time(len(n.live)+len(facts))*publishPauseEach
+	s.publishAt = n.now + publishInterval + Time(len(n.live)+len(facts))*publishIntervalPerFact
 	s.publisher.Publish(facts)
-	if to, m := s.publisher.Next(n.now, n.cfg.Self, n.cfg.Life); m != nil {
-		n.emit(SendLog{To: to, Msg: m})
+	if to, m := s.publisher.Next(n.now, n.cfg.Self, n.cfg.Incarnation); m != nil {
+		n.emit(SendDecisionLog{To: to, Message: m})
 	}
 }
 
-// logReceived takes in a message of the leader's log.
-func (n *Node) logReceived(x LogReceived) {
+// decisionLogReceived takes in a message of the leader's log.
+func (n *Node) decisionLogReceived(x DecisionLogReceived) {
 	ack := wire.DecisionLogAck{Resync: true}
-	if x.Msg != nil {
-		ack = n.standby.replica.Take(n.now, n.standby.follower.Claim(), x.Msg)
+	if x.Message != nil {
+		ack = n.failover.replica.Take(n.now, n.failover.follower.Claim(), x.Message)
 	}
-	n.emit(Reply{Req: x.Req, Status: http.StatusOK, Body: ack})
+	n.emit(Reply{RequestID: x.RequestID, Status: http.StatusOK, Body: ack})
 }
 
 // factTime is a time in a fact, in milliseconds; 0 is none.
@@ -56,11 +56,11 @@
 // leaderFacts lists what only the leader knows.
 func (n *Node) leaderFacts() []wire.Fact {
 	facts := n.cloudFacts()
-	for _, k := range n.leader.kept {
-		facts = append(facts, wire.Fact{Kind: wire.FactKept, Name: k.Host, Ref: k.Ref})
+	for _, k := range n.leader.reservations {
+		facts = append(facts, wire.Fact{Kind: wire.FactReserved, Name: k.Host, JobID: k.Ref})
 	}
 	for _, r := range n.leader.returned {
-		if n.now-r.at <= returnedFor {
+		if n.now-r.at <= returnedAnnounceTime {
 			facts = append(facts, wire.Fact{Kind: wire.FactReturned, Name: r.name, At: factTime(r.at)})
 		}
 	}
@@ -73,7 +73,7 @@
 // Decisions lists what the controller knows as the leader alone, with times of its own
 // steady clock; nothing if it does not lead.
 func (n *Node) Decisions() []wire.Fact {
-	if !n.leads() {
+	if !n.isLeader() {
 		return nil
 	}
 	return n.leaderFacts()
@@ -81,26 +81,26 @@
 
 // jobFacts adds what only the leader knows of a job.
 func (n *Node) jobFacts(facts []wire.Fact, j *job) []wire.Fact {
-	if j.blockedSince != 0 { // it may be before the start of this process
-		facts = append(facts, wire.Fact{Kind: wire.FactBlocked, Name: j.ref, At: cmp.Or(j.blockedSince.Milliseconds(), -1)})
+	if j.waitingSince != 0 { // it may be before the start of this process
+		facts = append(facts, wire.Fact{Kind: wire.FactWaitingSince, Name: j.id, At: cmp.Or(j.waitingSince.Milliseconds(), -1)})
 	}
-	if j.gangZone >= 0 && j.blockedSince != 0 {
-		facts = append(facts, wire.Fact{Kind: wire.FactGangZone, Name: j.ref, Zone: n.zones.Name(j.gangZone)})
+	if j.gangZone >= 0 && j.waitingSince != 0 {
+		facts = append(facts, wire.Fact{Kind: wire.FactGangZone, Name: j.id, Zone: n.zoneNames.Name(j.gangZone)})
 	}
-	if j.place.since != 0 {
-		facts = append(facts, wire.Fact{Kind: wire.FactPlace, Name: j.ref, At: cmp.Or(j.place.since.Milliseconds(), -1), Count: j.place.denials})
+	if j.queuePosition.waitingSince != 0 {
+		facts = append(facts, wire.Fact{Kind: wire.FactQueuePosition, Name: j.id, At: cmp.Or(j.queuePosition.waitingSince.Milliseconds(), -1), Count: j.queuePosition.droppedAttempts})
 	}
 	if j.preemptAt > n.now {
-		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ref, At: factTime(j.preemptAt)})
+		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.id, At: factTime(j.preemptAt)})
 	}
 	return facts
 }
 
 // poolFact is a fact about a pool, or a machine or hire of it.
-func (n *Node) poolFact(kind wire.FactKind, name string, x pool, at Time) wire.Fact {
-	f := wire.Fact{Kind: kind, Name: name, At: factTime(at), Rig: n.rigs.Name(x.rig), Zone: n.zones.Name(x.zone), Spot: x.spot}
+func (n *Node) poolFact(kind wire.FactKind, name string, x machinePool, at Time) wire.Fact {
+	f := wire.Fact{Kind: kind, Name: name, At: factTime(at), MachineType: n.typeNames.Name(x.machineType), Zone: n.zoneNames.Name(x.zone), Spot: x.spot}
 	if name == "" {
-		f.Name = f.Rig + "/" + f.Zone
+		f.Name = f.MachineType + "/" + f.Zone
 		if x.spot {
 			f.Name += "/spot"
 		}
@@ -109,143 +109,143 @@
 }
 
 // poolOf is the pool of a fact, if it is one of ours.
-func (n *Node) poolOf(f *wire.Fact) (x pool, known bool) {
-	x = pool{n.rigs.Find(f.Rig), n.zones.Find(f.Zone), f.Spot}
-	return x, x.rig >= 0 && x.zone >= 0
+func (n *Node) poolOf(f *wire.Fact) (x machinePool, known bool) {
+	x = machinePool{n.typeNames.Find(f.MachineType), n.zoneNames.Find(f.Zone), f.Spot}
+	return x, x.machineType >= 0 && x.zone >= 0
 }
 
 // cloudFacts lists the leader's dealings with the cloud.
 func (n *Node) cloudFacts() []wire.Fact {
-	c := &n.leader.cloud
+	c := &n.leader.autoscaler
 	var facts []wire.Fact
 	for name, b := range c.booting {
-		f := n.poolFact(wire.FactBooting, name, b.pool, b.since)
-		f.Seen = b.seen
+		f := n.poolFact(wire.FactBooting, name, b.pool, b.provisionedAt)
+		f.Seen = b.listed
 		facts = append(facts, f)
 	}
-	for _, h := range c.hires {
-		f := n.poolFact(wire.FactHire, h.req.Name, h.pool, h.first)
-		f.Count = h.req.Count
+	for _, h := range c.provisions {
+		f := n.poolFact(wire.FactProvisioning, h.request.Name, h.pool, h.decidedAt)
+		f.Count = h.request.Count
 		facts = append(facts, f)
 	}
-	for _, b := range c.boots {
-		facts = append(facts, wire.Fact{Kind: wire.FactBoot, Name: b.name, At: factTime(b.rented), Ratio: b.ratio})
+	for _, b := range c.recentBoots {
+		facts = append(facts, wire.Fact{Kind: wire.FactBootTime, Name: b.name, At: factTime(b.provisionedAt), Ratio: b.ratio})
 	}
-	for x, at := range c.backoff {
+	for x, at := range c.retryAt {
 		if at > n.now {
 			facts = append(facts, n.poolFact(wire.FactBackoff, "", x, at))
 		}
 	}
-	for x, at := range c.short {
-		if n.now-at < shortFor {
-			facts = append(facts, n.poolFact(wire.FactShort, "", x, at))
+	for x, at := range c.shortageAt {
+		if n.now-at < shortageTime {
+			facts = append(facts, n.poolFact(wire.FactCapacityShortage, "", x, at))
 		}
 	}
-	for name, at := range c.idleFrom {
+	for name, at := range c.idleSince {
 		facts = append(facts, wire.Fact{Kind: wire.FactIdle, Name: name, At: factTime(at)})
 	}
-	for name := range c.retiring {
-		facts = append(facts, wire.Fact{Kind: wire.FactRetiring, Name: name})
+	for name := range c.draining {
+		facts = append(facts, wire.Fact{Kind: wire.FactDraining, Name: name})
 	}
-	for name, at := range c.stray {
-		facts = append(facts, wire.Fact{Kind: wire.FactUnheard, Name: name, At: factTime(at)})
+	for name, at := range c.unreportedSince {
+		facts = append(facts, wire.Fact{Kind: wire.FactUnreported, Name: name, At: factTime(at)})
 	}
 	return facts
 }
 
 // adoptDecisions goes on from what the leader of a term told us as its standby.
 func (n *Node) adoptDecisions(term uint64) {
-	facts := n.standby.replica.Of(term)
+	facts := n.failover.replica.Of(term)
 	if len(facts) == 0 {
 		return
 	}
 	slices.SortFunc(facts, func(a, b wire.Fact) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 	for _, index := range n.live {
-		n.jobs[index].blockedSince, n.jobs[index].place = 0, gangPlace{} // noted when we last led
+		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // noted when we last led
 	}
 	adopted := 0
 	for i := range facts {
-		if n.adopt(&facts[i]) {
+		if n.adoptFact(&facts[i]) {
 			adopted++
 		}
 	}
-	c := &n.leader.cloud
-	slices.SortFunc(c.boots, func(a, b boot) int { return cmp.Compare(a.rented, b.rented) })
+	c := &n.leader.autoscaler
+	slices.SortFunc(c.recentBoots, func(a, b boot) int { return cmp.Compare(a.provisionedAt, b.provisionedAt) })
 	n.log(LogInfo, "going on from the last leader's decisions", "term", term, "facts", len(facts), "adopted", adopted)
 }
 
-// adopt takes in one fact, unless it is contradicted.
-func (n *Node) adopt(f *wire.Fact) bool {
+// adoptFact takes in one fact, unless it is contradicted.
+func (n *Node) adoptFact(f *wire.Fact) bool {
 	switch f.Kind {
-	case wire.FactHire, wire.FactBackoff, wire.FactShort:
-		return n.adoptPool(f)
-	case wire.FactBlocked, wire.FactGangZone, wire.FactPreemptedAt, wire.FactPlace:
-		return n.adoptJob(f)
+	case wire.FactProvisioning, wire.FactBackoff, wire.FactCapacityShortage:
+		return n.adoptPoolFact(f)
+	case wire.FactWaitingSince, wire.FactGangZone, wire.FactPreemptedAt, wire.FactQueuePosition:
+		return n.adoptJobFact(f)
 	}
-	return n.adoptMachine(f)
+	return n.adoptMachineFact(f)
 }
 
-// adoptPool takes in a fact about a pool or a hire. A hire under way is repeated under its
+// adoptPoolFact takes in a fact about a pool or a hire. A hire under way is repeated under its
 // own name, which the cloud answers as it did the first time.
-func (n *Node) adoptPool(f *wire.Fact) bool {
-	c := &n.leader.cloud
+func (n *Node) adoptPoolFact(f *wire.Fact) bool {
+	c := &n.leader.autoscaler
 	x, known := n.poolOf(f)
 	if !known {
 		return false
 	}
 	switch f.Kind {
-	case wire.FactHire:
+	case wire.FactProvisioning:
 		if f.Count <= 0 {
 			return false
 		}
-		c.hires = append(c.hires, &hiring{pool: x, first: timeOf(f), at: n.now,
-			req: wire.Hire{Name: f.Name, Rig: f.Rig, Zone: f.Zone, Spot: f.Spot, Count: f.Count}})
+		c.provisions = append(c.provisions, &provisioning{pool: x, decidedAt: timeOf(f), sendAt: n.now,
+			request: wire.ProvisionRequest{Name: f.Name, MachineType: f.MachineType, Zone: f.Zone, Spot: f.Spot, Count: f.Count}})
 	case wire.FactBackoff:
-		c.backoff[x] = timeOf(f)
-	case wire.FactShort:
-		c.short[x] = timeOf(f)
+		c.retryAt[x] = timeOf(f)
+	case wire.FactCapacityShortage:
+		c.shortageAt[x] = timeOf(f)
 	}
 	return true
 }
 
-// adoptJob takes in a fact about a job that still waits.
-func (n *Node) adoptJob(f *wire.Fact) bool {
-	index := n.refs.Find(f.Name)
-	if index < 0 || n.jobs[index].rec == nil || n.jobs[index].rec.State != wire.Live {
+// adoptJobFact takes in a fact about a job that still waits.
+func (n *Node) adoptJobFact(f *wire.Fact) bool {
+	index := n.jobIDs.Find(f.Name)
+	if index < 0 || n.jobs[index].record == nil || n.jobs[index].record.State != wire.JobLive {
 		return false
 	}
 	j := n.jobs[index]
 	switch f.Kind {
-	case wire.FactBlocked:
-		j.blockedSince = cmp.Or(timeOf(f), -1)
+	case wire.FactWaitingSince:
+		j.waitingSince = cmp.Or(timeOf(f), -1)
 	case wire.FactGangZone:
-		zone := n.zones.Find(f.Zone)
+		zone := n.zoneNames.Find(f.Zone)
 		if zone < 0 {
 			return false
 		}
 		j.gangZone = zone
-	case wire.FactPlace:
-		j.place = gangPlace{cmp.Or(timeOf(f), -1), f.Count}
+	case wire.FactQueuePosition:
+		j.queuePosition = queuePosition{cmp.Or(timeOf(f), -1), f.Count}
 	case wire.FactPreemptedAt:
 		j.preemptAt = timeOf(f)
 	}
 	return true
 }
 
-// adoptMachine takes in a fact about a machine that is not known to be gone.
-func (n *Node) adoptMachine(f *wire.Fact) bool {
-	c := &n.leader.cloud
-	var h *host
-	if index := n.hostIx.Find(f.Name); index >= 0 {
-		h = n.hosts[index]
+// adoptMachineFact takes in a fact about a machine that is not known to be gone.
+func (n *Node) adoptMachineFact(f *wire.Fact) bool {
+	c := &n.leader.autoscaler
+	var h *machine
+	if index := n.machineNames.Find(f.Name); index >= 0 {
+		h = n.machines[index]
 	}
 	switch f.Kind {
-	case wire.FactBoot:
-		c.boots = append(c.boots, boot{f.Name, timeOf(f), f.Ratio})
+	case wire.FactBootTime:
+		c.recentBoots = append(c.recentBoots, boot{f.Name, timeOf(f), f.Ratio})
 		return true
 	case wire.FactReturned:
-		n.hostOf(f.Name).returned = true
-		n.leader.returned = append(n.leader.returned, returned{f.Name, timeOf(f)})
+		n.machineNamed(f.Name).returned = true
+		n.leader.returned = append(n.leader.returned, returnedMachine{f.Name, timeOf(f)})
 		return true
 	}
 	if h != nil && h.returned {
@@ -254,27 +254,27 @@
 	switch f.Kind {
 	case wire.FactBooting:
 		x, known := n.poolOf(f)
-		if !known || h != nil && h.info.known {
+		if !known || h != nil && h.view.known {
 			return false
 		}
-		c.booting[f.Name] = &bootingHost{pool: x, since: timeOf(f), seen: f.Seen}
+		c.booting[f.Name] = &bootingMachine{pool: x, provisionedAt: timeOf(f), listed: f.Seen}
 	case wire.FactIdle:
-		c.idleFrom[f.Name] = timeOf(f)
-	case wire.FactRetiring:
-		if h != nil && len(h.on) > 0 {
+		c.idleSince[f.Name] = timeOf(f)
+	case wire.FactDraining:
+		if h != nil && len(h.placements) > 0 {
 			return false
 		}
-		c.retiring[f.Name] = true
-	case wire.FactUnheard:
-		if h != nil && h.info.known {
+		c.draining[f.Name] = true
+	case wire.FactUnreported:
+		if h != nil && h.view.known {
 			return false
 		}
-		c.stray[f.Name] = timeOf(f)
-	case wire.FactKept:
-		if n.refs.Find(f.Ref) < 0 || h == nil {
+		c.unreportedSince[f.Name] = timeOf(f)
+	case wire.FactReserved:
+		if n.jobIDs.Find(f.JobID) < 0 || h == nil {
 			return false
 		}
-		n.leader.kept = append(n.leader.kept, wire.Kept{Host: f.Name, Ref: f.Ref})
+		n.leader.reservations = append(n.leader.reservations, wire.Reservation{Host: f.Name, Ref: f.JobID})
 	default:
 		return false // of a later version
 	}
--- a/internal/core/direct.go
+++ b/internal/core/direct.go
@@ -7,107 +7,107 @@
 // then its task counts as there and, once it has ended, is not cleared. See
 // "Starts at a worker's own address" in docs/design.md.
 
-// directLimit bounds the starts of a machine's session that go to its own
+// maxDirectStarts bounds the starts of a machine's session that go to its own
 // address, as each leaves an ended task in its reports: a kilobyte in all. Work
 // of low urgency has none of them, as it comes in swarms of tiny tasks.
-const directLimit = 16
+const maxDirectStarts = 16
 
 // directStart is a start sent to a machine's own address in its present session
 // and our term.
 type directStart struct {
-	at     Time
-	obeyed bool // the worker has said so: it knows the attempt, and no copy has an effect
+	sentAt       Time
+	acknowledged bool // the worker has said so: it knows the attempt, and no copy has an effect
 }
 
-// mayComeTooLate tells whether a start that nobody has seen obeyed might still be
+// mayStartTooLate tells whether a start that nobody has seen obeyed might still be
 // when its job has been withdrawn for cancel_s: it can be as long as the session
 // lasts. A machine that goes on reporting is therefore answered no more from
 // half a validity after the withdrawal on, reckoned from before it was recorded, as
 // our copy may show it late, and its lease ends the session in time. For a job that is not withdrawn there is no need of it: answers repeat
 // the start, after which the worker knows the attempt.
-func (n *Node) mayComeTooLate(j *job, s directStart) bool {
-	return !s.obeyed && j.rec.State == wire.Withdrawn && n.now-j.closedAt > n.cfg.Validity/2
+func (n *Node) mayStartTooLate(j *job, s directStart) bool {
+	return !s.acknowledged && j.record.State == wire.JobCancelled && n.now-j.closedAt > n.cfg.OwnerValidity/2
 }
 
 // noteUnstarted remembers a machine of ours on which a task has been placed.
-func (n *Node) noteUnstarted(h *host, k taskKey) {
-	if h.listed || h.part < 0 || !n.holds(n.parts[h.part]) {
+func (n *Node) noteUnstarted(h *machine, k taskKey) {
+	if h.unstartedListed || h.shard < 0 || !n.owns(n.shards[h.shard]) {
 		return
 	}
-	if _, there := h.tasks[k]; !there {
-		h.listed = true
-		n.unstarted = append(n.unstarted, h.ix)
+	if _, there := h.reportedTasks[k]; !there {
+		h.unstartedListed = true
+		n.unstarted = append(n.unstarted, h.index)
 	}
 }
 
-// startDirectly tells machines of tasks that have just been placed on them,
+// sendDirectStarts tells machines of tasks that have just been placed on them,
 // where no answer to a report is about to.
-func (n *Node) startDirectly() {
+func (n *Node) sendDirectStarts() {
 	if len(n.unstarted) == 0 {
 		return
 	}
 	list := n.unstarted
 	n.unstarted = nil
 	for _, ix := range list {
-		h := n.hosts[ix]
-		h.listed = false
-		if h.part >= 0 && n.hearsUs(h) {
-			n.startOn(h)
+		h := n.machines[ix]
+		h.unstartedListed = false
+		if h.shard >= 0 && n.acceptsCommands(h) {
+			n.sendStartsTo(h)
 		}
 	}
 }
 
-// hearsUs tells whether a machine does what the present owner says, and none
+// acceptsCommands tells whether a machine does what the present owner says, and none
 // of its reports waits for an answer.
-func (n *Node) hearsUs(h *host) bool {
-	p := n.parts[h.part]
-	return n.valid(p) && h.term == p.rev && h.token && h.held == 0 && h.ignored == 0 && !h.deaf && !h.returned &&
-		h.leavingAt == 0 && h.addr != "" && n.now-h.heard < 2*n.cfg.Report
+func (n *Node) acceptsCommands(h *machine) bool {
+	p := n.shards[h.shard]
+	return n.mayActAsOwner(p) && h.term == p.term && h.tokenConfirmed && h.heldReplies == 0 && h.ignoredReplies == 0 && !h.unresponsive && !h.returned &&
+		h.reclaimAt == 0 && h.address != "" && n.now-h.heartbeatAt < 2*n.cfg.HeartbeatInterval
 }
 
-func (n *Node) startOn(h *host) {
-	var orders []wire.Order
+func (n *Node) sendStartsTo(h *machine) {
+	var orders []wire.Command
 	var keys []taskKey
-	for i := range h.on {
-		x := &h.on[i]
+	for i := range h.placements {
+		x := &h.placements[i]
 		k, j := x.taskKey, n.jobs[x.job]
-		_, there := h.tasks[k]
-		_, over := n.results[k]
-		_, sent := h.direct[k]
-		if there || over || sent || h.started[k] > 0 || x.session != h.session || x.stop != wire.Keep ||
-			j.rec.State != wire.Live || j.prio == 0 || len(h.direct)+len(orders) >= directLimit {
+		_, there := h.reportedTasks[k]
+		_, over := n.outcomes[k]
+		_, sent := h.directStarts[k]
+		if there || over || sent || h.startSentAt[k] > 0 || x.epoch != h.epoch || x.stop != wire.StopNone ||
+			j.record.State != wire.JobLive || j.priority == 0 || len(h.directStarts)+len(orders) >= maxDirectStarts {
 			continue
 		}
-		a := n.active(k, h.name)
-		if a == nil || n.holdBack(j, a) {
+		a := n.activeTask(k, h.name)
+		if a == nil || n.delaysGangStart(j, a) {
 			continue
 		}
-		orders = append(orders, wire.Order{Op: wire.OrderStart, Task: wire.TaskName(j.ref, k.task), Attempt: k.attempt})
+		orders = append(orders, wire.Command{Op: wire.CommandStart, Task: wire.TaskName(j.id, k.task), Attempt: k.attempt})
 		keys = append(keys, k)
 	}
 	if len(orders) == 0 {
 		return
 	}
 	for _, k := range keys {
-		h.direct[k] = directStart{at: n.now}
+		h.directStarts[k] = directStart{sentAt: n.now}
 	}
-	term, session := h.term, h.session
-	id := n.id(func(in Result) {
-		if h.term != term || h.session != session {
+	term, session := h.term, h.epoch
+	id := n.onResult(func(in Result) {
+		if h.term != term || h.epoch != session {
 			return
 		}
 		for _, k := range keys {
-			switch s, there := h.direct[k]; in.(Directed).Outcome {
+			switch s, there := h.directStarts[k]; in.(CommandsAnswered).Outcome {
 			case OK:
 				if there {
-					s.obeyed = true
-					h.direct[k] = s
+					s.acknowledged = true
+					h.directStarts[k] = s
 				}
 			case Refused, Conflict:
 				// Certainly not carried out, now or later: its reports will do.
-				delete(h.direct, k)
+				delete(h.directStarts, k)
 			}
 		}
 	})
-	n.emit(Direct{ID: id, Addr: h.addr, Orders: wire.Orders{Token: term, Session: session, Orders: orders}})
+	n.emit(SendCommands{ID: id, Address: h.address, Batch: wire.CommandBatch{Token: term, Epoch: session, Commands: orders}})
 }
--- a/internal/core/direct_test.go
+++ b/internal/core/direct_test.go
@@ -21,22 +21,22 @@
 func (d *drive) step(in Input) {
 	for _, e := range d.n.Step(d.now, in) {
 		switch x := e.(type) {
-		case Lease:
-			d.step(Leased{ID: x.ID, Outcome: OK, Lease: max(x.Lease, 7)})
+		case RenewLease:
+			d.step(LeaseAnswered{ID: x.ID, Outcome: OK, LeaseID: max(x.LeaseID, 7)})
 		case Commit:
-			ch := Changes{}
+			ch := RecordsChanged{}
 			if d.lag {
-				d.step(Committed{ID: x.ID, Outcome: OK, Rev: d.rev + 1})
+				d.step(Committed{ID: x.ID, Outcome: OK, Revision: d.rev + 1})
 				continue
 			}
 			if len(x.Writes) > 0 {
 				d.rev++
 			}
 			for _, w := range x.Writes {
-				ch.Events = append(ch.Events, Event{Key: w.Key, Rev: d.rev, Value: w.Value})
+				ch.Events = append(ch.Events, Event{Key: w.Key, Revision: d.rev, Value: w.Value})
 			}
-			ch.Rev = d.rev
-			d.step(Committed{ID: x.ID, Outcome: OK, Rev: d.rev})
+			ch.Revision = d.rev
+			d.step(Committed{ID: x.ID, Outcome: OK, Revision: d.rev})
 			d.step(ch)
 		case Log:
 		default:
@@ -54,12 +54,12 @@
 
 func (d *drive) put(job *wire.Job) {
 	d.rev++
-	d.step(Changes{Rev: d.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Rev: d.rev, Value: job}}})
+	d.step(RecordsChanged{Revision: d.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: job}}})
 }
 
-func (d *drive) direct() *Direct {
+func (d *drive) direct() *SendCommands {
 	for _, e := range d.out {
-		if x, ok := e.(Direct); ok {
+		if x, ok := e.(SendCommands); ok {
 			return &x
 		}
 	}
@@ -68,38 +68,38 @@
 
 // placedDirectly is a controller with one machine that has shown its term and on which
 // a task of a job has just been placed, and the start that it sends.
-func placedDirectly(t *testing.T) (*drive, *wire.Job, *Direct) {
+func placedDirectly(t *testing.T) (*drive, *wire.Job, *SendCommands) {
 	t.Helper()
-	d := &drive{rev: 1, n: New(Config{Self: "n0", Life: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"},
-		Teams: []Team{{Name: "t"}}, Report: 8 * second, Lease: 34 * second, Validity: 28 * second, LeaderTTL: 5 * second,
-		TxnOps: 12, ValueBytes: 8192, BatchPuts: 8, WallMS: func() int64 { return 0 }})}
-	d.step(Changes{Reset: true, Rev: 1})
+	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"},
+		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
+		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
+	d.step(RecordsChanged{Reset: true, Revision: 1})
 	d.wait(2 * second)
-	term := d.n.parts[0].rev
+	term := d.n.shards[0].term
 	d.report(1, 0)
 	d.report(2, term)
 	d.wait(4 * second) // its answer no longer waits
-	job := &wire.Job{Frames: 1, Next: 2, Spec: &wire.Spec{Ref: "wk-000001", Team: "t", Shape: wire.ShapeDaemon, Urgency: "standard", Frames: 1, Image: "i"},
-		Active: []wire.Active{{Attempt: 1, Host: "vm-1", Session: 1}}}
+	job := &wire.Job{TaskCount: 1, NextAttempt: 2, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeDaemon, Priority: "standard", TaskCount: 1, Image: "i"},
+		ActiveTasks: []wire.ActiveTask{{Attempt: 1, Machine: "vm-1", Epoch: 1}}}
 	d.put(job)
 	o := d.direct()
-	if o == nil || o.Addr != "10.0.0.9:1" || o.Orders.Token != term || o.Orders.Session != 1 || len(o.Orders.Orders) != 1 {
+	if o == nil || o.Address != "10.0.0.9:1" || o.Batch.Token != term || o.Batch.Epoch != 1 || len(o.Batch.Commands) != 1 {
 		t.Fatalf("the start that goes to the machine's address is %+v", o)
 	}
 	return d, job, o
 }
 
-func (d *drive) report(seq, token uint64, tasks ...wire.Task) {
+func (d *drive) report(seq, token uint64, tasks ...wire.TaskStatus) {
 	d.out = nil
-	d.step(Reported{Req: seq, Report: &wire.Report{Host: "vm-1", Addr: "10.0.0.9:1", Rig: "g", Zone: "a", Session: 1, Seq: seq, Token: token, Tasks: tasks}})
+	d.step(WorkerReported{RequestID: seq, Heartbeat: &wire.WorkerHeartbeat{Machine: "vm-1", Addr: "10.0.0.9:1", MachineType: "g", Zone: "a", Epoch: 1, Sequence: seq, Token: token, Tasks: tasks}})
 }
 
-func (d *drive) orders(t *testing.T) []wire.Order {
+func (d *drive) orders(t *testing.T) []wire.Command {
 	t.Helper()
 	d.wait(4 * second)
 	for _, e := range d.out {
 		if r, ok := e.(Reply); ok {
-			return r.Body.(wire.ReportReply).Orders
+			return r.Body.(wire.HeartbeatReply).Commands
 		}
 	}
 	t.Fatal("the report was not answered")
@@ -114,13 +114,13 @@
 		gone    bool
 	}{{Unknown, false}, {OK, false}, {Refused, true}, {Conflict, true}} {
 		d, job, o := placedDirectly(t)
-		d.step(Directed{ID: o.ID, Outcome: c.outcome})
-		gone := clone(job)
-		gone.State = wire.Withdrawn
+		d.step(CommandsAnswered{ID: o.ID, Outcome: c.outcome})
+		gone := cloneRecord(job)
+		gone.State = wire.JobCancelled
 		d.put(gone)
-		d.report(9, o.Orders.Token)
+		d.report(9, o.Batch.Token)
 		d.wait(3 * second)
-		if got := len(d.n.jobs[0].rec.Active) == 0; got != c.gone {
+		if got := len(d.n.jobs[0].record.ActiveTasks) == 0; got != c.gone {
 			t.Errorf("outcome %d: counted as gone: %v", c.outcome, got)
 		}
 	}
@@ -135,15 +135,15 @@
 		status  int
 	}{{Unknown, 503}, {OK, 200}, {Refused, 200}} {
 		d, job, o := placedDirectly(t)
-		d.step(Directed{ID: o.ID, Outcome: c.outcome})
-		gone := clone(job)
-		gone.State = wire.Withdrawn
+		d.step(CommandsAnswered{ID: o.ID, Outcome: c.outcome})
+		gone := cloneRecord(job)
+		gone.State = wire.JobCancelled
 		d.put(gone)
 		for seq := uint64(9); seq < 13; seq++ {
-			d.report(seq, o.Orders.Token)
+			d.report(seq, o.Batch.Token)
 			d.wait(4 * second)
 		}
-		d.report(13, o.Orders.Token)
+		d.report(13, o.Batch.Token)
 		d.wait(4 * second)
 		if at := slices.IndexFunc(d.out, func(e Effect) bool { _, is := e.(Reply); return is }); at < 0 || d.out[at].(Reply).Status != c.status {
 			t.Errorf("outcome %d: answered with %+v", c.outcome, d.out)
@@ -156,15 +156,15 @@
 // cancel_s by as much.
 func TestDirectStartOfAJobWithdrawnUnseen(t *testing.T) {
 	d, job, o := placedDirectly(t)
-	d.step(Directed{ID: o.ID, Outcome: Unknown})
+	d.step(CommandsAnswered{ID: o.ID, Outcome: Unknown})
 	d.lag = true
 	d.wait(11 * second)
 	d.lag = false
-	gone := clone(job)
-	gone.State = wire.Withdrawn
+	gone := cloneRecord(job)
+	gone.State = wire.JobCancelled
 	d.put(gone)
 	d.wait(4 * second)
-	d.report(9, o.Orders.Token)
+	d.report(9, o.Batch.Token)
 	d.wait(4 * second)
 	if at := slices.IndexFunc(d.out, func(e Effect) bool { _, is := e.(Reply); return is }); at < 0 || d.out[at].(Reply).Status != 503 {
 		t.Errorf("answered with %+v", d.out)
@@ -175,16 +175,16 @@
 // copy of the start.
 func TestDirectStartIsNotCleared(t *testing.T) {
 	d, _, o := placedDirectly(t)
-	d.step(Directed{ID: o.ID, Outcome: OK})
-	ended := wire.Task{Task: "wk-000001/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError}
-	d.report(9, o.Orders.Token, ended)
+	d.step(CommandsAnswered{ID: o.ID, Outcome: OK})
+	ended := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.CauseError}
+	d.report(9, o.Batch.Token, ended)
 	d.wait(second)
-	if len(d.n.jobs[0].rec.Active) != 0 {
+	if len(d.n.jobs[0].record.ActiveTasks) != 0 {
 		t.Fatal("the end was not written")
 	}
-	d.report(10, o.Orders.Token, ended)
+	d.report(10, o.Batch.Token, ended)
 	for _, x := range d.orders(t) {
-		if x.Op == wire.OrderClear {
+		if x.Op == wire.CommandClear {
 			t.Errorf("told to %+v", x)
 		}
 	}
@@ -196,24 +196,24 @@
 // let go.
 func TestForgottenMachineReportsAgain(t *testing.T) {
 	d, job, o := placedDirectly(t)
-	d.step(Directed{ID: o.ID, Outcome: Conflict})
-	rec := clone(job)
-	rec.Active = nil
+	d.step(CommandsAnswered{ID: o.ID, Outcome: Conflict})
+	rec := cloneRecord(job)
+	rec.ActiveTasks = nil
 	d.put(rec)
-	d.wait(4 * d.n.cfg.Lease)
-	if len(d.n.parts[0].hosts) != 0 {
+	d.wait(4 * d.n.cfg.WorkerLease)
+	if len(d.n.shards[0].machines) != 0 {
 		t.Fatal("the machine was not forgotten")
 	}
-	term := o.Orders.Token
+	term := o.Batch.Token
 	d.report(50, term)
 	d.report(51, term)
-	again := clone(job)
-	again.Active = []wire.Active{{Attempt: 2, Host: "vm-1", Session: 1}}
+	again := cloneRecord(job)
+	again.ActiveTasks = []wire.ActiveTask{{Attempt: 2, Machine: "vm-1", Epoch: 1}}
 	d.put(again)
 	d.report(52, term)
 	started := d.direct() != nil
 	for _, x := range d.orders(t) {
-		started = started || x.Op == wire.OrderStart && x.Attempt == 2
+		started = started || x.Op == wire.CommandStart && x.Attempt == 2
 	}
 	if !started {
 		t.Error("nothing was started on it")
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -12,16 +12,16 @@
 // when full, none ever did.
 func TestEachOfManyGrantsRunsOutOfPatience(t *testing.T) {
 	const grants = 12_000
-	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, TxnOps: 12, ValueBytes: 8192, WallMS: func() int64 { return 0 }})
-	rec := &wire.Job{Spec: &wire.Spec{Ref: "wk-1", Shape: wire.ShapeArray, Frames: grants}, Frames: grants, Next: 2}
+	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
+	rec := &wire.Job{Spec: &wire.JobSpec{ID: "wk-1", Shape: wire.ShapeArray, TaskCount: grants}, TaskCount: grants, NextAttempt: 2}
 	for task := range grants {
-		rec.Active = append(rec.Active, wire.Active{Task: task, Attempt: 1})
+		rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1})
 	}
 	n.putJob("wk-1", rec, 1)
 	ask := func() int {
 		over := 0
 		for task := range grants {
-			if n.outOfPatience(taskKey{0, task, 1}) {
+			if n.grantTimedOut(taskKey{0, task, 1}) {
 				over++
 			}
 		}
@@ -30,19 +30,19 @@
 	if over := ask(); over != 0 {
 		t.Fatalf("%d grants ran out of patience at once", over)
 	}
-	n.now = grantPatience + second
-	n.forgetSettledGrants()
+	n.now = grantTimeout + second
+	n.forgetPlacedGrants()
 	if over := ask(); over != grants {
 		t.Errorf("%d of %d grants have run out of patience", over, grants)
 	}
-	placed := clone(rec)
-	for i := range placed.Active {
-		placed.Active[i].Host = "vm-000001"
+	placed := cloneRecord(rec)
+	for i := range placed.ActiveTasks {
+		placed.ActiveTasks[i].Machine = "vm-000001"
 	}
 	n.putJob("wk-1", placed, 2)
-	n.forgetSettledGrants()
-	if len(n.grantSeen) != 0 {
-		t.Errorf("%d grants are remembered that have been placed", len(n.grantSeen))
+	n.forgetPlacedGrants()
+	if len(n.grantSeenAt) != 0 {
+		t.Errorf("%d grants are remembered that have been placed", len(n.grantSeenAt))
 	}
 }
 
@@ -50,21 +50,21 @@
 // all: one that is not named counts as lost, and would be returned with its tasks.
 func TestEveryStrayMachineIsNamed(t *testing.T) {
 	const machines = 2_000
-	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}, {"n1", "a"}}, Zones: []string{"a"}, Report: 3 * second, Lease: 30 * second,
-		TxnOps: 12, ValueBytes: 8192, WallMS: func() int64 { return 0 }})
+	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}, {"n1", "a"}}, Zones: []string{"a"}, HeartbeatInterval: 3 * second, WorkerLease: 30 * second,
+		MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
 	n.now = 100 * second
 	for i := range machines {
-		h := n.hostOf(fmt.Sprintf("vm-%06d", i))
-		h.redirectAt, h.straying, h.info.quiet = n.now, true, 2
-		n.strayHosts = append(n.strayHosts, h.ix)
+		h := n.machineNamed(fmt.Sprintf("vm-%06d", i))
+		h.redirectedAt, h.strayListed, h.view.missedHeartbeats = n.now, true, 2
+		n.strayMachines = append(n.strayMachines, h.index)
 	}
-	strays := n.strays()
+	strays := n.strayMachineNames()
 	if len(strays) != machines {
 		t.Fatalf("%d of %d machines are named", len(strays), machines)
 	}
-	n.peers["n1"] = &peer{at: n.now, msg: &wire.Gossip{From: "n1", Strays: strays}}
-	for _, h := range n.hosts {
-		if n.lost(h, 4*n.cfg.Report, true) {
+	n.peers["n1"] = &peer{heardAt: n.now, message: &wire.Gossip{From: "n1", Strays: strays}}
+	for _, h := range n.machines {
+		if n.isUnreachable(h, 4*n.cfg.HeartbeatInterval, true) {
 			t.Fatalf("%s counts as lost though it has turned to a peer", h.name)
 		}
 	}
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -7,13 +7,13 @@
 // of the deployment has left a record that it reads it; as those records stay, that
 // never goes back. See "Two versions side by side" in docs/design.md.
 
-// formatPause is how long a controller waits before it leaves its record by itself:
+// formatDelay is how long a controller waits before it leaves its record by itself:
 // it goes with the claim of a part, if there is one to be claimed.
-const formatPause = 2 * second
+const formatDelay = 2 * second
 
 // formatWrites is the record of what we read, until our copy shows it.
 func (n *Node) formatWrites() []Write {
-	if n.cfg.Format < wire.FormatChains || n.formats[n.cfg.Self] >= n.cfg.Format {
+	if n.cfg.Format < wire.FormatDependencies || n.formats[n.cfg.Self] >= n.cfg.Format {
 		return nil
 	}
 	return []Write{{Key: wire.FormatPrefix + n.cfg.Self, Value: &wire.SupportedFormat{Format: n.cfg.Format}}}
@@ -22,14 +22,14 @@
 // writeFormat leaves that record.
 func (n *Node) writeFormat() {
 	if n.formatAt == 0 {
-		n.formatAt = n.now + formatPause
+		n.formatAt = n.now + formatDelay
 	}
 	if n.now < n.formatAt || !n.storeOK {
 		return
 	}
 	if w := n.formatWrites(); w != nil {
-		n.formatAt = n.now + formatPause
-		n.commit(User, nil, w, func(Committed) {})
+		n.formatAt = n.now + formatDelay
+		n.commit(ClassUser, nil, w, func(Committed) {})
 	}
 }
 
@@ -38,27 +38,27 @@
 	n.formats[label] = max(n.formats[label], r.Format)
 	agreed := n.cfg.Format
 	for _, m := range n.cfg.Members {
-		agreed = min(agreed, n.formats[m.Label])
+		agreed = min(agreed, n.formats[m.Name])
 	}
-	if agreed <= n.agreed {
+	if agreed <= n.agreedFormat {
 		return
 	}
-	n.agreed = agreed
+	n.agreedFormat = agreed
 	n.log(LogInfo, "all controllers read a format", "format", agreed)
 	for _, jx := range n.live {
-		if j := n.jobs[jx]; j.rec.Spec != nil {
-			n.measure(j)
+		if j := n.jobs[jx]; j.record.Spec != nil {
+			n.measureRecord(j)
 		}
 	}
 }
 
-// writesChains tells whether records may hold what jobs wait on, and go on in
+// writesDependencies tells whether records may hold what jobs wait on, and go on in
 // further keys.
-func (n *Node) writesChains() bool { return n.agreed >= wire.FormatChains }
+func (n *Node) writesDependencies() bool { return n.agreedFormat >= wire.FormatDependencies }
 
-// writesAccounts tells whether teams may have accounts, and owners admit work within
+// writesTeamAccounts tells whether teams may have accounts, and owners admit work within
 // their shares.
-func (n *Node) writesAccounts() bool { return n.agreed >= wire.FormatAccounts }
+func (n *Node) writesTeamAccounts() bool { return n.agreedFormat >= wire.FormatTeamAccounts }
 
-// writesLongNeeds tells whether what jobs wait on may stand in further keys.
-func (n *Node) writesLongNeeds() bool { return n.agreed >= wire.FormatLongNeeds }
+// writesDependencyLists tells whether what jobs wait on may stand in further keys.
+func (n *Node) writesDependencyLists() bool { return n.agreedFormat >= wire.FormatDependencyLists }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -10,45 +10,45 @@
 
 // gang is our copy of the record of a gang attempt that spans parts.
 type gang struct {
-	key  string
-	ref  string
-	rec  *wire.Gang
-	rev  uint64
-	seen Time
+	key      string
+	jobID    string
+	record   *wire.Gang
+	revision uint64
+	seenAt   Time
 	// As an owner: the room held for each task, until the record settles.
-	held map[int]*host
+	held map[int]*machine
 	// As the leader: the parts that agreed.
 	agreed map[int]bool
 	denied bool
 }
 
-// gangPlace is the place among those that wait of a gang whose attempt is being tried.
-type gangPlace struct {
-	since   Time // since when it had waited when it was granted; 0: none
-	denials int  // attempts that have been dropped since it was last placed
+// queuePosition is the place among those that wait of a gang whose attempt is being tried.
+type queuePosition struct {
+	waitingSince    Time // since when it had waited when it was granted; 0: none
+	droppedAttempts int  // attempts that have been dropped since it was last placed
 }
 
-// deniedAttempts is how many dropped attempts cost a gang nothing. An owner that has just
+// maxDroppedAttempts is how many dropped attempts cost a gang nothing. An owner that has just
 // come back denies what its machines can't take yet, and could take a moment later. One
 // whose attempts go on failing waits anew, so that it does not keep room from others for
 // ever.
-const deniedAttempts = 3
+const maxDroppedAttempts = 3
 
-// takePlace remembers since when a gang that is granted now has waited.
-func (j *job) takePlace() {
-	if j.blockedSince != 0 {
-		j.place.since = j.blockedSince
+// rememberPosition remembers since when a gang that is granted now has waited.
+func (j *job) rememberPosition() {
+	if j.waitingSince != 0 {
+		j.queuePosition.waitingSince = j.waitingSince
 	}
-	j.blockedSince = 0
+	j.waitingSince = 0
 }
 
-// giveBackPlace lets a gang whose attempt was dropped wait on from when it had waited.
+// restorePosition lets a gang whose attempt was dropped wait on from when it had waited.
 // Before this, a gang that had waited longest was overtaken by the next one, which was
 // given the same machines half a second later.
-func (j *job) giveBackPlace() {
-	if j.blockedSince == 0 && j.place.since != 0 && j.place.denials < deniedAttempts {
-		j.place.denials++
-		j.blockedSince = j.place.since
+func (j *job) restorePosition() {
+	if j.waitingSince == 0 && j.queuePosition.waitingSince != 0 && j.queuePosition.droppedAttempts < maxDroppedAttempts {
+		j.queuePosition.droppedAttempts++
+		j.waitingSince = j.queuePosition.waitingSince
 	}
 }
 
@@ -62,11 +62,11 @@
 				break
 			}
 		}
-		g = &gang{key: key, ref: ref, seen: n.now, agreed: map[int]bool{}}
+		g = &gang{key: key, jobID: ref, seenAt: n.now, agreed: map[int]bool{}}
 		n.gangs[key] = g
 	}
-	if rev > g.rev {
-		g.rec, g.rev = rec, rev
+	if rev > g.revision {
+		g.record, g.revision = rec, rev
 	}
 }
 
@@ -79,22 +79,24 @@
 	return keys
 }
 
-// takeHolds subtracts the room that is pending for gangs.
-func (n *Node) takeHolds(slots *slotSet) {
+// subtractHolds subtracts the room that is pending for gangs.
+func (n *Node) subtractHolds(slots *slotSet) {
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
-		j := n.jobNamed(g.ref)
-		if j == nil || j.rec == nil || j.rec.Spec == nil {
+		j := n.jobNamed(g.jobID)
+		if j == nil || j.record == nil || j.record.Spec == nil {
 			continue
 		}
 		for _, task := range slices.Sorted(maps.Keys(g.held)) {
 			h := g.held[task]
-			if slices.ContainsFunc(j.rec.Active, func(a wire.Active) bool { return a.Task == task && a.Attempt == g.rec.Attempt && a.Host != "" }) {
+			if slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool {
+				return a.Task == task && a.Attempt == g.record.Attempt && a.Machine != ""
+			}) {
 				continue // placed: counted by its record
 			}
 			for _, s := range slots.all {
-				if s.h == h {
-					s.take(j.rec.Spec)
+				if s.machine == h {
+					s.take(j.record.Spec)
 				}
 			}
 		}
@@ -102,7 +104,7 @@
 }
 
 func (n *Node) jobNamed(ref string) *job {
-	if ix := n.refs.Find(ref); ix >= 0 {
+	if ix := n.jobIDs.Find(ref); ix >= 0 {
 		return n.jobs[ix]
 	}
 	return nil
@@ -111,56 +113,56 @@
 // placeGang places a gang that fits this part as a whole, and holds room for
 // our share of a larger one.
 func (n *Node) placeGang(w *writer, j *job, slots *slotSet) {
-	var mine []wire.Active
+	var mine []wire.ActiveTask
 	attempt := uint64(0)
-	for _, a := range j.rec.Active {
-		if a.Host == "" && n.valid(n.parts[a.Part]) {
+	for _, a := range j.record.ActiveTasks {
+		if a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard]) {
 			mine = append(mine, a)
 			attempt = a.Attempt
 		}
 	}
-	g := n.gangs[wire.GangKey(j.ref, attempt)]
+	g := n.gangs[wire.GangKey(j.id, attempt)]
 	if g != nil {
-		n.ownerGang(w, j, g, mine, slots)
+		n.advanceOwnedGang(w, j, g, mine, slots)
 		return
 	}
-	whole := !slices.ContainsFunc(j.rec.Active, func(a wire.Active) bool { return a.Part != mine[0].Part || a.Host != "" })
-	k := taskKey{j.ix, mine[0].Task, attempt}
+	whole := !slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool { return a.Shard != mine[0].Shard || a.Machine != "" })
+	k := taskKey{j.index, mine[0].Task, attempt}
 	if !whole {
 		// Its record is not known here yet, or has been settled and removed.
-		if n.outOfPatience(k) {
+		if n.grantTimedOut(k) {
 			if rec := w.job(j); rec != nil {
-				n.giveBack(w, rec)
-				failGang(rec, attempt)
+				n.revokeUnplaced(w, rec)
+				abandonGang(rec, attempt)
 			}
 		}
 		return
 	}
 	chosen := n.chooseAll(j, mine, slots)
-	if chosen == nil && !n.outOfPatience(k) {
+	if chosen == nil && !n.grantTimedOut(k) {
 		return
 	}
 	rec := w.job(j)
 	if rec == nil {
 		return
 	}
-	w.parts[mine[0].Part] = true
+	w.shards[mine[0].Shard] = true
 	if chosen == nil {
-		n.giveBack(w, rec)
+		n.revokeUnplaced(w, rec)
 		return
 	}
 	for i := range mine {
-		chosen[i].take(j.rec.Spec)
-		setHost(rec, &mine[i], chosen[i].h)
+		chosen[i].take(j.record.Spec)
+		assignMachine(rec, &mine[i], chosen[i].machine)
 	}
 }
 
 // chooseAll finds machines for all the tasks or for none.
-func (n *Node) chooseAll(j *job, tasks []wire.Active, slots *slotSet) []*slot {
+func (n *Node) chooseAll(j *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
 	var chosen []*slot
-	sp := j.rec.Spec
+	sp := j.record.Spec
 	for _, a := range tasks {
-		s := slots.best(j, func(s *slot) bool { return s.part == a.Part }, nil)
+		s := slots.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil)
 		if s == nil {
 			break
 		}
@@ -168,7 +170,7 @@
 		chosen = append(chosen, s)
 	}
 	for _, s := range chosen {
-		s.give(sp, 1)
+		s.release(sp, 1)
 	}
 	if len(chosen) < len(tasks) {
 		return nil
@@ -176,49 +178,49 @@
 	return chosen
 }
 
-// ownerGang plays the owner's side of try, confirm and cancel.
-func (n *Node) ownerGang(w *writer, j *job, g *gang, mine []wire.Active, slots *slotSet) {
-	switch g.rec.State {
+// advanceOwnedGang plays the owner's side of try, confirm and cancel.
+func (n *Node) advanceOwnedGang(w *writer, j *job, g *gang, mine []wire.ActiveTask, slots *slotSet) {
+	switch g.record.State {
 	case wire.GangTrying:
 		if g.held == nil {
-			n.tryHold(j, g, mine, slots)
+			n.holdForGang(j, g, mine, slots)
 		}
 	case wire.GangConfirmed:
-		n.placeConfirmed(w, j, g, mine, slots)
+		n.placeConfirmedGang(w, j, g, mine, slots)
 	}
 }
 
-// tryHold holds room for our share of a gang, or denies it.
-func (n *Node) tryHold(j *job, g *gang, mine []wire.Active, slots *slotSet) {
+// holdForGang holds room for our share of a gang, or denies it.
+func (n *Node) holdForGang(j *job, g *gang, mine []wire.ActiveTask, slots *slotSet) {
 	chosen := n.chooseAll(j, mine, slots)
 	if chosen == nil {
 		if !g.denied {
 			g.denied = true
-			n.gossip(true)
+			n.sendGossip(true)
 		}
 		return
 	}
-	g.held = map[int]*host{}
+	g.held = map[int]*machine{}
 	g.denied = false
 	for i, s := range chosen {
-		s.take(j.rec.Spec)
-		g.held[mine[i].Task] = s.h
+		s.take(j.record.Spec)
+		g.held[mine[i].Task] = s.machine
 	}
-	n.gossip(true)
+	n.sendGossip(true)
 }
 
-// placeConfirmed places our share of a confirmed gang on the machines that were held for
+// placeConfirmedGang places our share of a confirmed gang on the machines that were held for
 // it, or on others where a hold went with its machine or its owner.
-func (n *Node) placeConfirmed(w *writer, j *job, g *gang, mine []wire.Active, slots *slotSet) {
-	hosts := n.heldHosts(g, mine)
+func (n *Node) placeConfirmedGang(w *writer, j *job, g *gang, mine []wire.ActiveTask, slots *slotSet) {
+	hosts := n.heldMachines(g, mine)
 	if hosts == nil {
 		g.held = nil
 		for _, s := range n.chooseAll(j, mine, slots) {
-			s.take(j.rec.Spec)
-			hosts = append(hosts, s.h)
+			s.take(j.record.Spec)
+			hosts = append(hosts, s.machine)
 		}
 	}
-	if hosts == nil && !n.outOfPatience(taskKey{j.ix, mine[0].Task, g.rec.Attempt}) {
+	if hosts == nil && !n.grantTimedOut(taskKey{j.index, mine[0].Task, g.record.Attempt}) {
 		return
 	}
 	rec := w.job(j)
@@ -226,24 +228,24 @@
 		return
 	}
 	for _, a := range mine {
-		w.parts[a.Part] = true
+		w.shards[a.Shard] = true
 	}
 	if hosts == nil {
-		n.giveBack(w, rec)
-		failGang(rec, g.rec.Attempt)
+		n.revokeUnplaced(w, rec)
+		abandonGang(rec, g.record.Attempt)
 		return
 	}
 	for i := range mine {
-		setHost(rec, &mine[i], hosts[i])
+		assignMachine(rec, &mine[i], hosts[i])
 	}
 }
 
-// heldHosts gives the machines held for the tasks of a gang, or nil unless all are usable.
-func (n *Node) heldHosts(g *gang, mine []wire.Active) []*host {
-	hosts := make([]*host, len(mine))
+// heldMachines gives the machines held for the tasks of a gang, or nil unless all are usable.
+func (n *Node) heldMachines(g *gang, mine []wire.ActiveTask) []*machine {
+	hosts := make([]*machine, len(mine))
 	for i, a := range mine {
 		h := g.held[a.Task]
-		if h == nil || !n.usable(h) {
+		if h == nil || !n.acceptsTasks(h) {
 			return nil
 		}
 		hosts[i] = h
@@ -251,100 +253,100 @@
 	return hosts
 }
 
-// settleGangs lets a pending hold cancel itself: at its deadline the owner
+// expireGangHolds lets a pending hold cancel itself: at its deadline the owner
 // marks the record dropped, conditional on nobody having confirmed it, and
 // only when our copy shows it dropped does the hold go.
-func (n *Node) settleGangs(w *writer) {
+func (n *Node) expireGangHolds(w *writer) {
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
-		switch g.rec.State {
+		switch g.record.State {
 		case wire.GangDropped:
 			g.held = nil
 		case wire.GangTrying:
-			if n.now-g.seen > 3*n.cfg.Report && slices.ContainsFunc(g.rec.Parts, func(p int) bool { return n.valid(n.parts[p]) }) {
-				rec := *g.rec
+			if n.now-g.seenAt > 3*n.cfg.HeartbeatInterval && slices.ContainsFunc(g.record.Shards, func(p int) bool { return n.mayActAsOwner(n.shards[p]) }) {
+				rec := *g.record
 				rec.State = wire.GangDropped
-				w.also(Write{Key: g.key, Value: &rec}, Cond{g.key, g.rev})
+				w.addWrite(Write{Key: g.key, Value: &rec}, Condition{g.key, g.revision})
 			}
 		}
 	}
 }
 
-// holdsToTell lists what we, as owners, say about gangs being tried.
-func (n *Node) holdsToTell() []wire.Hold {
-	var out []wire.Hold
+// gangHolds lists what we, as owners, say about gangs being tried.
+func (n *Node) gangHolds() []wire.GangHold {
+	var out []wire.GangHold
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
-		if g.rec.State != wire.GangTrying || (g.held == nil && !g.denied) {
+		if g.record.State != wire.GangTrying || (g.held == nil && !g.denied) {
 			continue
 		}
-		for _, p := range g.rec.Parts {
-			if n.valid(n.parts[p]) {
-				out = append(out, wire.Hold{Ref: g.ref, Attempt: g.rec.Attempt, Part: p, OK: g.held != nil})
+		for _, p := range g.record.Shards {
+			if n.mayActAsOwner(n.shards[p]) {
+				out = append(out, wire.GangHold{Ref: g.jobID, Attempt: g.record.Attempt, Part: p, OK: g.held != nil})
 			}
 		}
 	}
 	return out
 }
 
-// hearHolds takes owners' answers; only the leader acts on them.
-func (n *Node) hearHolds(holds []wire.Hold) {
+// receiveGangHolds takes owners' answers; only the leader acts on them.
+func (n *Node) receiveGangHolds(holds []wire.GangHold) {
 	for _, h := range holds {
-		if g := n.gangs[wire.GangKey(h.Ref, h.Attempt)]; g != nil && g.rec.State == wire.GangTrying {
+		if g := n.gangs[wire.GangKey(h.Ref, h.Attempt)]; g != nil && g.record.State == wire.GangTrying {
 			if h.OK {
 				g.agreed[h.Part] = true
 			} else {
 				g.denied = true
 			}
-			n.leader.dirty = true
+			n.leader.planNeeded = true
 		}
 	}
 }
 
-// leadGangs confirms gangs whose owners all agree, drops those that one
+// advanceGangs confirms gangs whose owners all agree, drops those that one
 // denies, and removes the records of settled ones.
-func (n *Node) leadGangs(w *writer) {
-	n.hearHolds(n.holdsToTell())
+func (n *Node) advanceGangs(w *writer) {
+	n.receiveGangHolds(n.gangHolds())
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
-		j := n.jobNamed(g.ref)
-		unplaced := j != nil && j.rec != nil && slices.ContainsFunc(j.rec.Active, func(a wire.Active) bool {
-			return a.Attempt == g.rec.Attempt && a.Host == ""
+		j := n.jobNamed(g.jobID)
+		unplaced := j != nil && j.record != nil && slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool {
+			return a.Attempt == g.record.Attempt && a.Machine == ""
 		})
-		switch g.rec.State {
+		switch g.record.State {
 		case wire.GangTrying:
 			all := true
-			for _, p := range g.rec.Parts {
+			for _, p := range g.record.Shards {
 				all = all && g.agreed[p]
 			}
-			rec := *g.rec
+			rec := *g.record
 			switch {
-			case all && unplaced && j.rec.State == wire.Live:
+			case all && unplaced && j.record.State == wire.JobLive:
 				rec.State = wire.GangConfirmed
-			case g.denied || !unplaced || n.now-g.seen > 4*n.cfg.Report:
+			case g.denied || !unplaced || n.now-g.seenAt > 4*n.cfg.HeartbeatInterval:
 				rec.State = wire.GangDropped
 			default:
 				continue
 			}
-			w.also(Write{Key: g.key, Value: &rec}, Cond{g.key, g.rev})
+			w.addWrite(Write{Key: g.key, Value: &rec}, Condition{g.key, g.revision})
 		case wire.GangDropped:
 			if unplaced {
 				rec := w.job(j)
 				if rec == nil {
 					return
 				}
-				rec.Active = slices.DeleteFunc(rec.Active, func(a wire.Active) bool {
-					return a.Attempt == g.rec.Attempt && a.Host == ""
+				rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
+					return a.Attempt == g.record.Attempt && a.Machine == ""
 				})
-				j.giveBackPlace()
+				j.restorePosition()
 			}
-			w.also(Write{Key: g.key}, Cond{g.key, g.rev})
+			w.addWrite(Write{Key: g.key}, Condition{g.key, g.revision})
 		case wire.GangConfirmed:
 			if !unplaced {
 				if j != nil {
-					j.place = gangPlace{}
+					j.queuePosition = queuePosition{}
 				}
-				w.also(Write{Key: g.key}, Cond{g.key, g.rev})
+				w.addWrite(Write{Key: g.key}, Condition{g.key, g.revision})
 			}
 		}
 	}
--- a/internal/core/gang_placement.go
+++ b/internal/core/gang_placement.go
@@ -7,37 +7,37 @@
 )
 
 // serveGang grants a whole gang or nothing.
-func (p *plan) serveGang(w *queuedJob) {
-	j, sp := w.j, w.j.rec.Spec
+func (p *schedulingPass) serveGang(w *queuedJob) {
+	j, sp := w.job, w.job.record.Spec
 	if p.admission != nil {
 		p.admitGang(w)
 		return
 	}
-	if !p.quota(j, len(w.tasks)) {
+	if !p.hasQuota(j, len(w.tasks)) {
 		// Its team's smaller jobs would take what becomes free of the limit
 		// for ever: after its patience the limit is kept for it.
-		p.noteBlocked(j)
-		if j.team >= 0 && p.n.now-j.blockedSince > gangPatience {
+		p.noteWaiting(j)
+		if j.team >= 0 && p.node.now-j.waitingSince > gangStarvationTime {
 			p.charge(j, len(w.tasks))
 		}
 		return
 	}
-	if chosen := p.gangSlots(w); chosen != nil {
+	if chosen := p.chooseGangSlots(w); chosen != nil {
 		if !p.grant(j, w.tasks, chosen) {
 			p.charge(j, len(w.tasks))
 		}
 		for _, s := range chosen {
-			s.fetching(j)
+			s.noteFetch(j)
 			s.take(sp)
 		}
-		j.takePlace()
+		j.rememberPosition()
 		return
 	}
-	p.noteBlocked(j)
-	p.waiting += len(w.tasks)
+	p.noteWaiting(j)
+	p.unplacedTasks += len(w.tasks)
 	if len(w.tasks) == 1 {
-		for _, s := range p.up.soon {
-			if s.suits(j) && s.fitsSoon(sp) {
+		for _, s := range p.available.releasing {
+			if s.accepts(j) && s.fitsAfterRelease(sp) {
 				s.take(sp)
 				return
 			}
@@ -47,50 +47,50 @@
 			return
 		}
 	}
-	p.awaitGang(w)
+	p.reserveGangRoom(w)
 }
 
-// gangSlots chooses machines for a gang: from one part if any has the room,
+// chooseGangSlots chooses machines for a gang: from one part if any has the room,
 // else from one zone, else from anywhere unless the zone has to be one.
-func (p *plan) gangSlots(w *queuedJob) []*slot {
+func (p *schedulingPass) chooseGangSlots(w *queuedJob) []*slot {
 	var best []*slot
 	bestScore := 0.0
 	try := func(in func(part, zone int) bool, penalty float64) {
-		if p.up.roomFor(w.j, in) < len(w.tasks) {
+		if p.available.capacityFor(w.job, in) < len(w.tasks) {
 			return
 		}
-		chosen, score := p.pick(w, func(s *slot) bool { return in(s.part, s.zone) })
+		chosen, score := p.pickSlots(w, func(s *slot) bool { return in(s.shard, s.zone) })
 		if chosen != nil && (best == nil || score+penalty < bestScore) {
 			best, bestScore = chosen, score+penalty
 		}
 	}
-	for _, x := range p.n.parts {
-		try(func(part, _ int) bool { return part == x.ix }, 0)
+	for _, x := range p.node.shards {
+		try(func(part, _ int) bool { return part == x.index }, 0)
 	}
 	if best != nil && len(w.tasks) == 1 {
 		return best
 	}
-	for z := range p.n.zones.Len() {
+	for z := range p.node.zoneNames.Len() {
 		try(func(part, zone int) bool { return zone == z && part >= 0 }, 10)
 	}
-	if !w.j.rec.Spec.SameZone {
+	if !w.job.record.Spec.SameZone {
 		try(func(part, _ int) bool { return part >= 0 }, 20)
 	}
 	return best
 }
 
-// roomFor bounds how many tasks of a job find room, from above.
-func (x *slotSet) roomFor(j *job, in func(part, zone int) bool) int {
-	sp, sum := j.rec.Spec, 0
-	for _, c := range x.order {
-		if !in(c.part, c.zone) || !j.allows(c.rig, c.zone, c.spot) {
+// capacityFor bounds how many tasks of a job find room, from above.
+func (x *slotSet) capacityFor(j *job, in func(part, zone int) bool) int {
+	sp, sum := j.record.Spec, 0
+	for _, c := range x.classOrder {
+		if !in(c.shard, c.zone) || !j.allows(c.machineType, c.zone, c.spot) {
 			continue
 		}
 		each := 1 << 10
-		if sp.Cards >= 1 {
-			each = (c.cards + 1) / int(sp.Cards)
-			if float64(c.cards)+1 < sp.Cards+eps {
-				each = c.cards / int(sp.Cards)
+		if sp.GPUs >= 1 {
+			each = (c.gpus + 1) / int(sp.GPUs)
+			if float64(c.gpus)+1 < sp.GPUs+epsilon {
+				each = c.gpus / int(sp.GPUs)
 			}
 		}
 		sum += each * len(*x.open[c])
@@ -98,26 +98,26 @@
 	return sum
 }
 
-// pick chooses greedily and undoes its taking.
-func (p *plan) pick(w *queuedJob, ok func(*slot) bool) ([]*slot, float64) {
-	sp := w.j.rec.Spec
+// pickSlots chooses greedily and undoes its taking.
+func (p *schedulingPass) pickSlots(w *queuedJob, ok func(*slot) bool) ([]*slot, float64) {
+	sp := w.job.record.Spec
 	var chosen []*slot
 	worst := 0.0
-	zones := make([]int, p.n.zones.Len())
+	zones := make([]int, p.node.zoneNames.Len())
 	for range w.tasks {
-		s := p.up.best(w.j, func(s *slot) bool {
+		s := p.available.best(w.job, func(s *slot) bool {
 			return ok(s) && !(sp.Spread && zones[s.zone] >= zoneLimit(sp))
 		}, nil)
 		if s == nil {
 			break
 		}
-		worst = max(worst, p.n.score(w.j, s))
+		worst = max(worst, p.node.score(w.job, s))
 		s.take(sp)
 		zones[s.zone]++
 		chosen = append(chosen, s)
 	}
 	for _, s := range chosen {
-		s.give(sp, 1)
+		s.release(sp, 1)
 	}
 	if len(chosen) < len(w.tasks) {
 		return nil, 0
@@ -125,62 +125,62 @@
 	return chosen, worst
 }
 
-// source is a place that a gang which does not fit yet may get.
-type source struct {
-	s       *slot
+// roomSource is a place that a gang which does not fit yet may get.
+type roomSource struct {
+	slot    *slot
 	victims []victim
 	drain   bool
 	cost    float64
 }
 
-// choice is how a gang could get its room in one zone.
-type choice struct {
-	zone int // -1: any
-	from []source
-	hire int
-	cost float64
+// gangRoom is how a gang could get its room in one zone.
+type gangRoom struct {
+	zone      int // -1: any
+	sources   []roomSource
+	provision int
+	cost      float64
 }
 
-// awaitGang makes room for a gang that does not fit yet, in the zone where
+// reserveGangRoom makes room for a gang that does not fit yet, in the zone where
 // that costs least: it keeps what is free, about to be free or booting, hires,
 // stops work that it may stop, and as the last resort keeps machines from
 // being filled again until what runs there has ended.
-func (p *plan) awaitGang(w *queuedJob) {
-	sp := w.j.rec.Spec
+func (p *schedulingPass) reserveGangRoom(w *queuedJob) {
+	sp := w.job.record.Spec
 	mayEvict := p.mayPreempt(w)
-	var best *choice
-	if sp.SameZone && w.j.zone < 0 {
-		for z := range p.n.zones.Len() {
-			if c := p.gather(w, z, mayEvict); best == nil || c.cost < best.cost {
+	var best *gangRoom
+	if sp.SameZone && w.job.zone < 0 {
+		for z := range p.node.zoneNames.Len() {
+			if c := p.searchRoom(w, z, mayEvict); best == nil || c.cost < best.cost {
 				best = c
 			}
 		}
 	} else {
-		best = p.gather(w, w.j.zone, mayEvict)
+		best = p.searchRoom(w, w.job.zone, mayEvict)
 	}
-	w.j.gangZone = best.zone
+	w.job.gangZone = best.zone
 	stopped := false
-	for _, x := range best.from {
-		if w == p.starved && x.s.h != nil {
-			p.kept = append(p.kept, wire.Kept{Host: x.s.h.name, Ref: w.j.ref})
+	for _, x := range best.sources {
+		if w == p.starved && x.slot.machine != nil {
+			p.reservations = append(p.reservations, wire.Reservation{Host: x.slot.machine.name, Ref: w.job.id})
 		}
 		switch {
 		case len(x.victims) > 0:
-			if p.stop(w, x.victims) {
+			if p.stopVictims(w, x.victims) {
 				stopped = true
 			}
-			x.s.reserved = true
+			x.slot.reserved = true
 		case x.drain:
-			x.s.reserved = true
+			x.slot.reserved = true
 		default:
-			x.s.take(sp)
+			x.slot.take(sp)
 		}
 	}
 	if stopped {
-		w.j.preemptAt = p.n.now + 3*p.n.cfg.Report
+		w.job.preemptAt = p.node.now + 3*p.node.cfg.HeartbeatInterval
 	}
-	for range best.hire {
-		s := p.hireFor(w, func(s *slot) bool { return best.zone < 0 || s.zone == best.zone })
+	for range best.provision {
+		s := p.provisionFor(w, func(s *slot) bool { return best.zone < 0 || s.zone == best.zone })
 		if s == nil {
 			return
 		}
@@ -190,123 +190,123 @@
 
 // What the ways of making room for a task of a gang cost, in seconds of waiting.
 const (
-	expectedCost = 15   // a machine that is on its way
-	evictionCost = 10   // stopping less urgent tasks, besides what they lose
-	drainCost    = 60   // waiting for the tasks on a machine to end
-	hireCost     = 30   // a machine to be hired
-	noHireCost   = 1000 // where none can be had
-	stayGain     = 10   // going on where room is being made already
+	bootingCost    = 15   // a machine that is on its way
+	preemptionCost = 10   // stopping less urgent tasks, besides what they lose
+	drainCost      = 60   // waiting for the tasks on a machine to end
+	provisionCost  = 30   // a machine to be hired
+	noCapacityCost = 1000 // where none can be had
+	sameZoneBonus  = 10   // going on where room is being made already
 )
 
-// gathering works out where a gang's room in a zone could come from.
-type gathering struct {
-	p    *plan
-	w    *queuedJob
-	zone int // -1: any
-	all  []source
-	seen map[*slot]bool
+// roomSearch works out where a gang's room in a zone could come from.
+type roomSearch struct {
+	pass    *schedulingPass
+	queued  *queuedJob
+	zone    int // -1: any
+	sources []roomSource
+	seen    map[*slot]bool
 }
 
 // enough tells whether there are more sources than the choice needs.
-func (g *gathering) enough() bool { return len(g.all) >= 4*len(g.w.tasks) }
+func (g *roomSearch) enough() bool { return len(g.sources) >= 4*len(g.queued.tasks) }
 
 // elsewhere tells whether a machine is not in the zone.
-func (g *gathering) elsewhere(s *slot) bool { return g.zone >= 0 && s.zone != g.zone }
+func (g *roomSearch) elsewhere(s *slot) bool { return g.zone >= 0 && s.zone != g.zone }
 
-// gather works out what a gang's room in a zone would cost.
-func (p *plan) gather(w *queuedJob, zone int, mayEvict bool) *choice {
-	g := &gathering{p: p, w: w, zone: zone, seen: map[*slot]bool{}}
-	canHire := p.canHire(w.j, zone)
+// searchRoom works out what a gang's room in a zone would cost.
+func (p *schedulingPass) searchRoom(w *queuedJob, zone int, mayEvict bool) *gangRoom {
+	g := &roomSearch{pass: p, queued: w, zone: zone, seen: map[*slot]bool{}}
+	canHire := p.canProvision(w.job, zone)
 	g.addFree()
 	if mayEvict || !canHire {
 		g.addOccupied(mayEvict, !canHire)
 	}
-	slices.SortStableFunc(g.all, func(a, b source) int { return int(a.cost) - int(b.cost) })
+	slices.SortStableFunc(g.sources, func(a, b roomSource) int { return int(a.cost) - int(b.cost) })
 	if canHire {
-		if at := slices.IndexFunc(g.all, func(x source) bool { return x.cost > hireCost }); at >= 0 {
-			g.all = g.all[:at]
+		if at := slices.IndexFunc(g.sources, func(x roomSource) bool { return x.cost > provisionCost }); at >= 0 {
+			g.sources = g.sources[:at]
 		}
 	}
 	return g.choose(canHire)
 }
 
 // add takes in a machine with free room, once for each task that it has room for.
-func (g *gathering) add(s *slot, cost float64) {
-	spec := g.w.j.rec.Spec
-	if s.reserved || g.seen[s] || g.elsewhere(s) || !s.suits(g.w.j) || !s.fitsSoon(spec) {
+func (g *roomSearch) add(s *slot, cost float64) {
+	spec := g.queued.job.record.Spec
+	if s.reserved || g.seen[s] || g.elsewhere(s) || !s.accepts(g.queued.job) || !s.fitsAfterRelease(spec) {
 		return
 	}
 	g.seen[s] = true
 	// What it can take is worked out on a copy.
-	for room := *s; room.fitsSoon(spec) && !g.enough(); {
-		room.in = nil
+	for room := *s; room.fitsAfterRelease(spec) && !g.enough(); {
+		room.set = nil
 		room.take(spec)
-		g.all = append(g.all, source{s: s, cost: cost})
+		g.sources = append(g.sources, roomSource{slot: s, cost: cost})
 	}
 }
 
 // addFree takes in room that is free, about to be free, or on its way.
-func (g *gathering) addFree() {
-	p := g.p
-	for _, k := range p.up.order {
-		if (g.zone < 0 || k.zone == g.zone) && g.w.j.allows(k.rig, k.zone, k.spot) {
-			for _, s := range *p.up.open[k] {
-				p.n.work++
+func (g *roomSearch) addFree() {
+	p := g.pass
+	for _, k := range p.available.classOrder {
+		if (g.zone < 0 || k.zone == g.zone) && g.queued.job.allows(k.machineType, k.zone, k.spot) {
+			for _, s := range *p.available.open[k] {
+				p.node.workCount++
 				g.add(s, 0)
 			}
 		}
 	}
-	for _, s := range p.up.soon {
+	for _, s := range p.available.releasing {
 		g.add(s, 0)
 	}
 	for _, s := range p.expected.all {
 		if g.enough() {
 			break
 		}
-		g.add(s, expectedCost)
+		g.add(s, bootingCost)
 	}
 }
 
 // addOccupied takes in machines whose tasks could be stopped or waited for.
-func (g *gathering) addOccupied(mayEvict, mayDrain bool) {
-	p, w := g.p, g.w
-	for _, s := range p.up.all {
-		if g.elsewhere(s) || s.reserved || g.seen[s] || s.h.leastPrio == noPrio || !s.suits(w.j) {
+func (g *roomSearch) addOccupied(mayEvict, mayDrain bool) {
+	p, w := g.pass, g.queued
+	for _, s := range p.available.all {
+		if g.elsewhere(s) || s.reserved || g.seen[s] || s.machine.lowestPriority == noPriority || !s.accepts(w.job) {
 			continue
 		}
-		p.n.work++
-		if mayEvict && s.h.leastPrio <= w.j.prio {
-			if victims, ok := p.clearing(w, s, false); ok {
-				cost := float64(evictionCost)
+		p.node.workCount++
+		if mayEvict && s.machine.lowestPriority <= w.job.priority {
+			if victims, ok := p.victimsOn(w, s, false); ok {
+				cost := float64(preemptionCost)
 				for _, x := range victims {
 					cost += x.cost / 4
 				}
-				g.all = append(g.all, source{s: s, victims: victims, cost: cost})
+				g.sources = append(g.sources, roomSource{slot: s, victims: victims, cost: cost})
 				continue
 			}
 		}
 		if mayDrain {
-			if _, ok := p.clearing(w, s, true); ok {
-				g.all = append(g.all, source{s: s, drain: true, cost: drainCost})
+			if _, ok := p.victimsOn(w, s, true); ok {
+				g.sources = append(g.sources, roomSource{slot: s, drain: true, cost: drainCost})
 			}
 		}
 	}
 }
 
 // choose takes the cheapest sources, and machines to be hired for the rest.
-func (g *gathering) choose(canHire bool) *choice {
-	tasks := len(g.w.tasks)
-	c := &choice{zone: g.zone, from: g.all[:min(len(g.all), tasks)]}
-	for _, x := range c.from {
+func (g *roomSearch) choose(canHire bool) *gangRoom {
+	tasks := len(g.queued.tasks)
+	c := &gangRoom{zone: g.zone, sources: g.sources[:min(len(g.sources), tasks)]}
+	for _, x := range c.sources {
 		c.cost += x.cost
 	}
-	c.hire = tasks - len(c.from)
-	c.cost += float64(c.hire) * hireCost
-	if c.hire > 0 && !canHire {
-		c.cost += noHireCost * float64(c.hire)
+	c.provision = tasks - len(c.sources)
+	c.cost += float64(c.provision) * provisionCost
+	if c.provision > 0 && !canHire {
+		c.cost += noCapacityCost * float64(c.provision)
 	}
-	if g.zone >= 0 && g.zone == g.w.j.gangZone {
-		c.cost -= stayGain
+	if g.zone >= 0 && g.zone == g.queued.job.gangZone {
+		c.cost -= sameZoneBonus
 	}
 	return c
 }
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -8,114 +8,114 @@
 	"micaport/internal/wire"
 )
 
-// gossip tells the peers what we own and what has changed on it.
-func (n *Node) gossip(now bool) {
+// sendGossip tells the peers what we own and what has changed on it.
+func (n *Node) sendGossip(now bool) {
 	if now {
-		n.gossipAt = min(n.gossipAt, n.gossipLast+gossipPause)
+		n.gossipAt = min(n.gossipAt, n.gossipSentAt+minGossipInterval)
 		return
 	}
 	if n.now < n.gossipAt {
 		return
 	}
-	n.gossipAt, n.gossipLast = n.now+second, n.now
-	n.ownInfo()
+	n.gossipAt, n.gossipSentAt = n.now+second, n.now
+	n.updateOwnViews()
 	m := wire.Gossip{
-		From: n.cfg.Self, Life: n.cfg.Life, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isolated(),
-		Holds: n.holdsToTell(), Strays: n.strays(), Seen: map[string]wire.Seen{}, Need: n.budget.pendingRecords,
+		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isolated(),
+		Holds: n.gangHolds(), Strays: n.strayMachineNames(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
 		Leader: n.leaderView(),
 	}
-	for _, p := range n.parts {
-		if n.valid(p) {
-			m.Parts = append(m.Parts, p.ix)
-			m.Terms = append(m.Terms, p.rev)
+	for _, p := range n.shards {
+		if n.mayActAsOwner(p) {
+			m.Parts = append(m.Parts, p.index)
+			m.Terms = append(m.Terms, p.term)
 		}
 	}
 	for label, p := range n.peers {
-		m.Seen[label] = wire.Seen{Life: p.msg.Life, Ver: p.have}
+		m.Seen[label] = wire.SeenVersion{Life: p.message.Life, Ver: p.version}
 	}
-	if n.leads() {
-		m.Retire = n.leader.retireList(n)
-		m.Returned = n.leader.returnedLately(n)
-		m.Kept = n.leader.kept
+	if n.isLeader() {
+		m.Retire = n.leader.drainList(n)
+		m.Returned = n.leader.recentlyReturned(n)
+		m.Kept = n.leader.reservations
 		for _, key := range n.gangKeys() {
-			if g := n.gangs[key]; g.rec.State != wire.GangDropped {
-				m.Tries = append(m.Tries, wire.Hold{Ref: g.ref, Attempt: g.rec.Attempt, OK: g.rec.State == wire.GangConfirmed})
+			if g := n.gangs[key]; g.record.State != wire.GangDropped {
+				m.Tries = append(m.Tries, wire.GangHold{Ref: g.jobID, Attempt: g.record.Attempt, OK: g.record.State == wire.GangConfirmed})
 			}
 		}
-		n.heedLeader(&m)
+		n.followLeader(&m)
 	}
 	// Peers that have seen as much get the same message.
 	made := map[uint64]*wire.Gossip{}
 	for _, x := range n.cfg.Members {
-		if x.Label == n.cfg.Self {
+		if x.Name == n.cfg.Self {
 			continue
 		}
-		base := n.seenBy(x.Label)
+		base := n.versionSeenBy(x.Name)
 		if made[base] == nil {
-			made[base] = n.withChanges(m, base, len(n.hosts))
+			made[base] = n.withViewChanges(m, base, len(n.machines))
 		}
-		n.emit(Send{To: x.Label, Msg: made[base]})
+		n.emit(SendGossip{To: x.Name, Message: made[base]})
 	}
-	n.gossipByStore(m)
+	n.writeMailbox(m)
 }
 
-// gossipPause is the least time between two messages: what happens at once on
+// minGossipInterval is the least time between two messages: what happens at once on
 // many machines is told at once.
-const gossipPause = 150 * time.Millisecond
+const minGossipInterval = 150 * time.Millisecond
 
-// seenBy is how far a peer has taken in what we tell of our machines. A peer
+// versionSeenBy is how far a peer has taken in what we tell of our machines. A peer
 // that says nothing of this life of ours is told everything.
-func (n *Node) seenBy(label string) uint64 {
+func (n *Node) versionSeenBy(label string) uint64 {
 	if p := n.peers[label]; p != nil {
-		if s := p.msg.Seen[n.cfg.Self]; s.Life == n.cfg.Life {
+		if s := p.message.Seen[n.cfg.Self]; s.Life == n.cfg.Incarnation {
 			return s.Ver
 		}
 	}
 	return 0
 }
 
-// note puts a change of our own view of a machine on the list that the peers
+// noteViewChange puts a change of our own view of a machine on the list that the peers
 // get.
-func (n *Node) note(h *host) {
-	n.ver++
-	h.ver = n.ver
-	n.changeLog = append(n.changeLog, change{n.ver, h.ix})
-	if len(n.changeLog) > 2*len(n.hosts)+64 {
-		n.changeLog = slices.DeleteFunc(n.changeLog, func(c change) bool { return n.hosts[c.host].ver != c.ver })
+func (n *Node) noteViewChange(h *machine) {
+	n.version++
+	h.viewVersion = n.version
+	n.changeLog = append(n.changeLog, viewChange{n.version, h.index})
+	if len(n.changeLog) > 2*len(n.machines)+64 {
+		n.changeLog = slices.DeleteFunc(n.changeLog, func(c viewChange) bool { return n.machines[c.machine].viewVersion != c.version })
 	}
 }
 
-// change is an entry of the list of changes; it is out of date once the
+// viewChange is an entry of the list of changes; it is out of date once the
 // machine has a later one.
-type change struct {
-	ver  uint64
-	host int
+type viewChange struct {
+	version uint64
+	machine int
 }
 
-// withChanges completes a message with up to limit machines that changed after
+// withViewChanges completes a message with up to limit machines that changed after
 // base. It always takes the earliest, so that the receiver has all there is
 // up to the version that the message names, and a lost or repeated one does no
 // harm.
-func (n *Node) withChanges(m wire.Gossip, base uint64, limit int) *wire.Gossip {
-	m.Since, m.Ver = base, n.ver
+func (n *Node) withViewChanges(m wire.Gossip, base uint64, limit int) *wire.Gossip {
+	m.Since, m.Ver = base, n.version
 	var names wire.Interner
-	at := sort.Search(len(n.changeLog), func(i int) bool { return n.changeLog[i].ver > base })
+	at := sort.Search(len(n.changeLog), func(i int) bool { return n.changeLog[i].version > base })
 	for _, c := range n.changeLog[at:] {
-		h := n.hosts[c.host]
-		n.work++
-		if h.ver != c.ver || h.part < 0 || !n.valid(n.parts[h.part]) || !h.info.known {
+		h := n.machines[c.machine]
+		n.workCount++
+		if h.viewVersion != c.version || h.shard < 0 || !n.mayActAsOwner(n.shards[h.shard]) || !h.view.known {
 			continue
 		}
 		if len(m.Hosts) >= limit {
-			m.Ver = c.ver - 1
+			m.Ver = c.version - 1
 			break
 		}
-		i := wire.HostInfo{Name: h.name, Zone: names.Of(n.zones.Name(h.zone)), Errors: h.info.errors,
-			Flags: wire.Flags(h.spot, h.info.leaving, h.info.retiring, h.info.sick, h.info.lost, h.info.unsure) + h.info.quiet<<8}
-		if h.rig >= 0 {
-			i.Rig = names.Of(n.rigs.Name(h.rig))
+		i := wire.MachineInfo{Name: h.name, Zone: names.Of(n.zoneNames.Name(h.zone)), Errors: h.view.errors,
+			Flags: wire.Flags(h.spot, h.view.reclaimed, h.view.draining, h.view.unhealthy, h.view.unreachable, h.view.unconfirmed) + h.view.missedHeartbeats<<8}
+		if h.machineType >= 0 {
+			i.Rig = names.Of(n.typeNames.Name(h.machineType))
 		}
-		h.images.each(func(im int) { i.Images = append(i.Images, names.Of(n.images.Name(im))) })
+		h.images.each(func(im int) { i.Images = append(i.Images, names.Of(n.imageNames.Name(im))) })
 		m.Hosts = append(m.Hosts, i)
 	}
 	for i := range names.Len() {
@@ -124,95 +124,95 @@
 	return &m
 }
 
-// ownInfo brings our view of our own machines up to date.
-func (n *Node) ownInfo() {
-	for _, p := range n.parts {
-		if !n.valid(p) {
+// updateOwnViews brings our view of our own machines up to date.
+func (n *Node) updateOwnViews() {
+	for _, p := range n.shards {
+		if !n.mayActAsOwner(p) {
 			continue
 		}
 		fresh, all := 0, 0
-		for _, h := range p.hosts {
-			if h.term == p.rev && !h.returned {
+		for _, h := range p.machines {
+			if h.term == p.term && !h.returned {
 				all++
-				if n.now-h.heard < 2*n.cfg.Report {
+				if n.now-h.heartbeatAt < 2*n.cfg.HeartbeatInterval {
 					fresh++
 				}
 			}
 		}
-		for _, h := range p.hosts {
-			n.work++
-			if h.term != p.rev {
+		for _, h := range p.machines {
+			n.workCount++
+			if h.term != p.term {
 				continue
 			}
-			silent := n.now - h.heard
-			h.sick = h.sick && n.errorsOn(h) > 0 // the jobs may have turned out to be at fault
-			v := view{known: true, leaving: h.leavingAt > 0, retiring: h.retiring, sick: h.sick, unsure: !h.token && !h.newborn,
-				errors: n.errorsOn(h), images: n.countImages(h)}
+			silent := n.now - h.heartbeatAt
+			h.unhealthy = h.unhealthy && n.failedJobCount(h) > 0 // the jobs may have turned out to be at fault
+			v := machineView{known: true, reclaimed: h.reclaimAt > 0, draining: h.draining, unhealthy: h.unhealthy, unconfirmed: !h.tokenConfirmed && !h.newlyBooted,
+				errors: n.failedJobCount(h), images: n.imageCount(h)}
 			switch {
-			case silent > 3*n.cfg.Report:
-				v.quiet = 2
-			case silent > 2*n.cfg.Report:
-				v.quiet = 1
+			case silent > 3*n.cfg.HeartbeatInterval:
+				v.missedHeartbeats = 2
+			case silent > 2*n.cfg.HeartbeatInterval:
+				v.missedHeartbeats = 1
 			}
 			// Machines could not report to us before we could answer. A deaf
 			// one is as good as lost: all it does ends with its lease.
-			v.lost = h.deaf || n.lost(h, min(silent, n.now-p.validSince), 2*fresh > all)
-			if v != h.info || h.infoTerm != p.rev {
-				n.setInfo(h, v, p.rev)
-				n.note(h)
-				n.leader.dirty = true
+			v.unreachable = h.unresponsive || n.isUnreachable(h, min(silent, n.now-p.validSince), 2*fresh > all)
+			if v != h.view || h.viewTerm != p.term {
+				n.setView(h, v, p.term)
+				n.noteViewChange(h)
+				n.leader.planNeeded = true
 			}
 		}
 	}
 }
 
-// setInfo takes what the owner of a machine says of it.
-func (n *Node) setInfo(h *host, v view, term uint64) {
-	if v.unsure && (!h.info.unsure || h.infoTerm != term) {
-		h.unsureAt = n.now
+// setView takes what the owner of a machine says of it.
+func (n *Node) setView(h *machine, v machineView, term uint64) {
+	if v.unconfirmed && (!h.view.unconfirmed || h.viewTerm != term) {
+		h.unconfirmedSince = n.now
 	}
-	h.info, h.infoTerm = v, term
+	h.view, h.viewTerm = v, term
 }
 
-// gossiped takes a peer's message.
-func (n *Node) gossiped(m *wire.Gossip) {
-	if m == nil || !slices.ContainsFunc(n.cfg.Members, func(x Member) bool { return x.Label == m.From }) || m.From == n.cfg.Self {
+// gossipReceived takes a peer's message.
+func (n *Node) gossipReceived(m *wire.Gossip) {
+	if m == nil || !slices.ContainsFunc(n.cfg.Members, func(x Member) bool { return x.Name == m.From }) || m.From == n.cfg.Self {
 		return
 	}
 	was := n.peers[m.From]
-	if !m.StoreOK && (was == nil || was.msg.StoreOK) {
+	if !m.StoreOK && (was == nil || was.message.StoreOK) {
 		n.refusedSince[m.From] = n.now
 	}
 	if !slices.IsSorted(m.Strays) { // from a version that tells them as they came
 		m.Strays = slices.Sorted(slices.Values(m.Strays))
 	}
-	p := &peer{at: n.now, msg: m}
-	if was != nil && was.msg.Life == m.Life {
-		if p.have = was.have; m.UpS < was.msg.UpS {
+	p := &peer{heardAt: n.now, message: m}
+	if was != nil && was.message.Life == m.Life {
+		if p.version = was.version; m.UpS < was.message.UpS {
 			return // overtaken by a newer one
 		}
 	}
 	n.peers[m.From] = p
 	// Changes after a version that we have not reached leave a gap: what we
 	// say we have seen makes the peer tell it again.
-	if m.Since <= p.have && m.Ver >= p.have {
-		p.have = m.Ver
-		n.takeHosts(m)
+	if m.Since <= p.version && m.Ver >= p.version {
+		p.version = m.Ver
+		n.receiveMachines(m)
 	}
-	n.hearHolds(m.Holds)
-	n.hearLeaderView(m.From, m.Leader)
+	n.receiveGangHolds(m.Holds)
+	n.receiveLeaderView(m.From, m.Leader)
 	// A newer term than our copy shows means that we have lost the part and
 	// can't see it: we are refused by the state service.
 	for i, ix := range m.Parts {
-		if ix >= 0 && ix < len(n.parts) && i < len(m.Terms) && m.Terms[i] > n.parts[ix].rev {
-			n.putPart(n.parts[ix], &wire.Part{Owner: m.From, Life: m.Life}, m.Terms[i])
+		if ix >= 0 && ix < len(n.shards) && i < len(m.Terms) && m.Terms[i] > n.shards[ix].term {
+			n.putShard(n.shards[ix], &wire.Shard{Owner: m.From, Incarnation: m.Life}, m.Terms[i])
 		}
 	}
-	n.heedLeader(m)
+	n.followLeader(m)
 }
 
-// takeHosts takes what a peer says of its machines.
-func (n *Node) takeHosts(m *wire.Gossip) {
+// receiveMachines takes what a peer says of its machines.
+func (n *Node) receiveMachines(m *wire.Gossip) {
 	name := func(i int) string {
 		if i < 0 || i >= len(m.Names) {
 			return ""
@@ -220,14 +220,14 @@
 		return m.Names[i]
 	}
 	for i := range m.Hosts {
-		n.work++
+		n.workCount++
 		info := &m.Hosts[i]
-		part := n.partOf(n.zones.Find(name(info.Zone)), info.Name)
+		part := n.shardOf(n.zoneNames.Find(name(info.Zone)), info.Name)
 		if part < 0 {
 			continue
 		}
-		h := n.hostOf(info.Name)
-		if n.holds(n.parts[part]) {
+		h := n.machineNamed(info.Name)
+		if n.owns(n.shards[part]) {
 			continue // we know better
 		}
 		// One that has lost the part without having seen it finds its machines
@@ -238,66 +238,66 @@
 				term = m.Terms[k]
 			}
 		}
-		if term < n.parts[part].rev {
+		if term < n.shards[part].term {
 			continue
 		}
-		n.setPart(h, part)
+		n.setShard(h, part)
 		if rig := name(info.Rig); rig != "" {
-			h.rig = n.rigs.Of(rig)
+			h.machineType = n.typeNames.Of(rig)
 		}
 		f := info.Flags
 		h.spot = f&wire.FlagSpot != 0
-		v := view{known: true, leaving: f&wire.FlagLeaving != 0, retiring: f&wire.FlagRetiring != 0, sick: f&wire.FlagSick != 0,
-			lost: f&wire.FlagLost != 0, unsure: f&wire.FlagUnsure != 0, quiet: f >> 8, errors: info.Errors}
-		n.setInfo(h, v, term)
-		h.retiring = h.info.retiring
-		if h.info.quiet == 0 {
-			h.bounceAt = 0 // it has reached its owner
+		v := machineView{known: true, reclaimed: f&wire.FlagReclaimed != 0, draining: f&wire.FlagDraining != 0, unhealthy: f&wire.FlagUnhealthy != 0,
+			unreachable: f&wire.FlagUnreachable != 0, unconfirmed: f&wire.FlagUnconfirmed != 0, missedHeartbeats: f >> 8, errors: info.Errors}
+		n.setView(h, v, term)
+		h.draining = h.view.draining
+		if h.view.missedHeartbeats == 0 {
+			h.bouncedAt = 0 // it has reached its owner
 		}
 		for _, im := range info.Images {
-			h.images.add(n.images.Of(name(im)))
+			h.images.add(n.imageNames.Of(name(im)))
 		}
 	}
-	n.leader.dirty = n.leader.dirty || len(m.Hosts) > 0
+	n.leader.planNeeded = n.leader.planNeeded || len(m.Hosts) > 0
 }
 
-// heedLeader does what the leader asks of owners.
-func (n *Node) heedLeader(m *wire.Gossip) {
-	if n.leader.rec == nil || n.leader.rec.Node != m.From {
+// followLeader does what the leader asks of owners.
+func (n *Node) followLeader(m *wire.Gossip) {
+	if n.leader.record == nil || n.leader.record.Controller != m.From {
 		return
 	}
 	for _, name := range m.Returned {
-		if ix := n.hostIx.Find(name); ix >= 0 {
-			n.hosts[ix].returned = true
+		if ix := n.machineNames.Find(name); ix >= 0 {
+			n.machines[ix].returned = true
 		}
 	}
 	// Owners choose the machines. Without knowing which ones the leader keeps
 	// for a gang they filled them again as soon as a task on them had ended.
-	clear(n.keptHosts)
-	n.keptHostsAt = n.now
+	clear(n.reservedMachines)
+	n.reservedMachinesAt = n.now
 	for _, k := range m.Kept {
-		if h, j := n.hostIx.Find(k.Host), n.refs.Find(k.Ref); h >= 0 && j >= 0 {
-			n.keptHosts[h] = j
+		if h, j := n.machineNames.Find(k.Host), n.jobIDs.Find(k.Ref); h >= 0 && j >= 0 {
+			n.reservedMachines[h] = j
 		}
 	}
 	asked := make(map[string]bool, len(m.Retire))
 	for _, name := range m.Retire {
 		asked[name] = true
-		if ix := n.hostIx.Find(name); ix >= 0 {
-			h := n.hosts[ix]
-			if h.part >= 0 && n.holds(n.parts[h.part]) && len(h.on) == 0 && len(h.tasks) == 0 && !h.retiring {
-				h.retiring = true
-				n.retiring = append(n.retiring, h.ix)
-				n.gossip(true)
+		if ix := n.machineNames.Find(name); ix >= 0 {
+			h := n.machines[ix]
+			if h.shard >= 0 && n.owns(n.shards[h.shard]) && len(h.placements) == 0 && len(h.reportedTasks) == 0 && !h.draining {
+				h.draining = true
+				n.draining = append(n.draining, h.index)
+				n.sendGossip(true)
 			}
 		}
 	}
-	n.retiring = slices.DeleteFunc(n.retiring, func(ix int) bool {
-		h := n.hosts[ix]
+	n.draining = slices.DeleteFunc(n.draining, func(ix int) bool {
+		h := n.machines[ix]
 		// A leader that was replaced early may still return what it had asked for.
-		if h.retiring && !asked[h.name] && n.now >= n.cloudOpensAt() {
-			h.retiring = false
+		if h.draining && !asked[h.name] && n.now >= n.cloudOpensAt() {
+			h.draining = false
 		}
-		return !h.retiring || h.returned
+		return !h.draining || h.returned
 	})
 }
--- a/internal/core/gossip_store.go
+++ b/internal/core/gossip_store.go
@@ -6,31 +6,31 @@
 
 // The message to peers that is left with the state service while one can't be heard.
 
-// gossipByStore leaves the message with the state service while some peer
+// writeMailbox leaves the message with the state service while some peer
 // can't be heard. Zones that are cut from each other both reach the service,
 // so the leader goes on knowing the machines on the other side. Nothing rests
 // on it: a message that is lost, late or old costs a better choice, no more.
 // It holds as many changes as fit a value; the rest follows with the next.
-func (n *Node) gossipByStore(m wire.Gossip) {
-	if n.now < n.roomAt || !n.storeOK || n.now < 10*second {
+func (n *Node) writeMailbox(m wire.Gossip) {
+	if n.now < n.mailboxAt || !n.storeOK || n.now < 10*second {
 		return
 	}
-	silent, base := false, n.ver
+	silent, base := false, n.version
 	for _, x := range n.cfg.Members {
-		if x.Label == n.cfg.Self {
+		if x.Name == n.cfg.Self {
 			continue
 		}
-		if p := n.peers[x.Label]; p == nil || p.byStore || n.now-p.at > 3*second {
+		if p := n.peers[x.Name]; p == nil || p.byMailbox || n.now-p.heardAt > 3*second {
 			silent = true
 			if p != nil { // one that was never heard may be dead; it will ask
-				base = min(base, n.seenBy(x.Label))
+				base = min(base, n.versionSeenBy(x.Name))
 			}
 		}
 	}
 	if !silent {
 		return
 	}
-	n.roomAt = n.now + n.cfg.Report
+	n.mailboxAt = n.now + n.cfg.HeartbeatInterval
 	// Controllers that are cut from each other but all reach the service would otherwise
 	// replace each other's leader in turns: only who can be heard directly is evidence.
 	m.Leader = nil
@@ -39,39 +39,39 @@
 	m.Strays = m.Strays[:min(len(m.Strays), 20)]
 	// 40 bytes are ample for a machine, with six images; names and the rest
 	// stay well within a quarter of the value.
-	short := n.withChanges(m, base, max(1, n.cfg.ValueBytes*5/8/40))
-	for k := len(short.Hosts); k > 1 && !n.fits(short); {
+	short := n.withViewChanges(m, base, max(1, n.cfg.MaxValueBytes*5/8/40))
+	for k := len(short.Hosts); k > 1 && !n.valueFits(short); {
 		// Where values are small the rest of the message takes most of one.
 		k /= 2
 		m.Returned, m.Retire, m.Strays = m.Returned[:len(m.Returned)/2], m.Retire[:len(m.Retire)/2], m.Strays[:len(m.Strays)/2]
 		m.Kept, m.Holds = m.Kept[:min(len(m.Kept), 8*k)], m.Holds[:min(len(m.Holds), 8*k)]
-		short = n.withChanges(m, base, k)
+		short = n.withViewChanges(m, base, k)
 	}
-	if !n.fits(short) {
+	if !n.valueFits(short) {
 		return
 	}
-	if short.Ver < n.ver {
+	if short.Ver < n.version {
 		// More is to be told than fits. With hundreds of machines up at once
 		// the leader would plan without most of them for a while.
-		n.roomAt = n.now + max(second, Time(float64(n.cfg.Report)*n.scarcity()))
+		n.mailboxAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
 	}
-	n.commit(Bulk, nil, []Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: short}}, func(Committed) {})
+	n.commit(ClassBackground, nil, []Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: short}}, func(Committed) {})
 }
 
-// fits tells whether a value is within the limits.
-func (n *Node) fits(v any) bool {
+// valueFits tells whether a value is within the limits.
+func (n *Node) valueFits(v any) bool {
 	size, err := wire.JSONSize(v)
-	return err == nil && size <= n.cfg.ValueBytes
+	return err == nil && size <= n.cfg.MaxValueBytes
 }
 
-// gossipFromStore takes a message left with the state service, unless the
+// readMailbox takes a message left with the state service, unless the
 // peer can be heard directly or the message is an old one.
-func (n *Node) gossipFromStore(m *wire.Gossip) {
-	if p := n.peers[m.From]; p != nil && (!p.byStore && n.now-p.at < 3*second || p.msg.Life == m.Life && m.UpS <= p.msg.UpS) {
+func (n *Node) readMailbox(m *wire.Gossip) {
+	if p := n.peers[m.From]; p != nil && (!p.byMailbox && n.now-p.heardAt < 3*second || p.message.Life == m.Life && m.UpS <= p.message.UpS) {
 		return
 	}
-	n.gossiped(m)
-	if p := n.peers[m.From]; p != nil && p.msg == m {
-		p.byStore = true
+	n.gossipReceived(m)
+	if p := n.peers[m.From]; p != nil && p.message == m {
+		p.byMailbox = true
 	}
 }
--- a/internal/core/guards_test.go
+++ b/internal/core/guards_test.go
@@ -12,21 +12,21 @@
 // term, in a report with the given number.
 func owner(t *testing.T) (d *drive, term uint64) {
 	t.Helper()
-	d = &drive{rev: 1, n: New(Config{Self: "n0", Life: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"},
-		Teams: []Team{{Name: "t"}}, Report: 8 * second, Lease: 34 * second, Validity: 28 * second, LeaderTTL: 5 * second,
-		TxnOps: 12, ValueBytes: 8192, BatchPuts: 8, WallMS: func() int64 { return 0 }})}
-	d.step(Changes{Reset: true, Rev: 1})
+	d = &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"},
+		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
+		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
+	d.step(RecordsChanged{Reset: true, Revision: 1})
 	d.wait(2 * second)
-	term = d.n.parts[0].rev
+	term = d.n.shards[0].term
 	d.report(1, 0)
 	d.report(2, term)
 	d.wait(4 * second)
 	return d, term
 }
 
-func lowJob(state wire.JobState, active ...wire.Active) *wire.Job {
-	return &wire.Job{Frames: 1, Next: 2, State: state, Active: active,
-		Spec: &wire.Spec{Ref: "wk-000001", Team: "t", Shape: wire.ShapeArray, Urgency: "low", Frames: 1, Image: "i", Cores: 1}}
+func lowJob(state wire.JobState, active ...wire.ActiveTask) *wire.Job {
+	return &wire.Job{TaskCount: 1, NextAttempt: 2, State: state, ActiveTasks: active,
+		Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 1}}
 }
 
 // A report that does not carry our term may have been made before an earlier owner's
@@ -37,14 +37,14 @@
 		gone bool
 	}{{true, true}, {false, false}} {
 		d, term := owner(t)
-		d.put(lowJob(wire.Withdrawn, wire.Active{Attempt: 1, Host: "vm-1", Session: 1}))
+		d.put(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 		token := term
 		if !c.own {
 			token = term - 1
 		}
 		d.report(9, token)
 		d.wait(3 * second)
-		if gone := len(d.n.jobs[0].rec.Active) == 0; gone != c.gone {
+		if gone := len(d.n.jobs[0].record.ActiveTasks) == 0; gone != c.gone {
 			t.Errorf("our own term in the report: %v; taken as gone: %v", c.own, gone)
 		}
 	}
@@ -55,10 +55,10 @@
 	d, term := owner(t)
 	d.report(9, term)
 	d.wait(4 * second)
-	d.put(lowJob(wire.Withdrawn, wire.Active{Attempt: 1, Host: "vm-1", Session: 1}))
+	d.put(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 	d.report(9, term)
 	d.wait(second)
-	if len(d.n.jobs[0].rec.Active) == 0 {
+	if len(d.n.jobs[0].record.ActiveTasks) == 0 {
 		t.Error("a copy proved a task gone")
 	}
 	if !slices.ContainsFunc(d.out, func(e Effect) bool { r, is := e.(Reply); return is && r.Status == 503 }) {
@@ -69,11 +69,11 @@
 // What was found out in one term is void in the next.
 func TestFindingsEndWithTheirTerm(t *testing.T) {
 	d, _ := owner(t)
-	d.put(lowJob(wire.Live, wire.Active{Attempt: 1, Host: "vm-1", Session: 1}))
+	d.put(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 	k := taskKey{0, 0, 1}
-	d.n.results[k] = result{"vm-1", causeLost, d.now, d.n.parts[0].rev}
-	d.n.putPart(d.n.parts[0], &wire.Part{Owner: "n0", Life: "x"}, d.rev+5)
-	if len(d.n.results) != 0 {
+	d.n.outcomes[k] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].term}
+	d.n.putShard(d.n.shards[0], &wire.Shard{Owner: "n0", Incarnation: "x"}, d.rev+5)
+	if len(d.n.outcomes) != 0 {
 		t.Error("a finding outlived its term")
 	}
 }
@@ -84,16 +84,16 @@
 	d, _ := owner(t)
 	d.wait(6 * second)
 	n := d.n
-	if !n.leads() {
+	if !n.isLeader() {
 		t.Fatal("does not lead")
 	}
-	n.takeTypes([]wire.Flavor{{Name: "g", Cores: 8, Cards: 1, MemoryGB: 64, FetchGBs: 1, Price: 1, BootS: 10, Zones: []string{"a"}}})
-	d.report(20, n.parts[0].rev)
+	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
+	d.report(20, n.shards[0].term)
 	d.rev++
-	j := lowJob(wire.Live)
-	j.Spec.Urgency = "high"
+	j := lowJob(wire.JobLive)
+	j.Spec.Priority = "high"
 	n.out = nil
-	n.changes(Changes{Rev: d.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Rev: d.rev, Value: j}}})
+	n.recordsChanged(RecordsChanged{Revision: d.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: j}}})
 	for range 100 {
 		d.now += 50 * time.Millisecond
 		for _, e := range n.Step(d.now, Tick{}) {
@@ -101,8 +101,8 @@
 			if !is || len(c.Writes) == 0 || c.Writes[0].Key != wire.JobKey("wk-000001") {
 				continue
 			}
-			if !slices.Contains(c.If, Cond{wire.LeaderKey, n.leader.rev}) || !slices.Contains(c.If, Cond{wire.JobKey("wk-000001"), d.rev}) {
-				t.Errorf("granted under %+v", c.If)
+			if !slices.Contains(c.Conditions, Condition{wire.LeaderKey, n.leader.term}) || !slices.Contains(c.Conditions, Condition{wire.JobKey("wk-000001"), d.rev}) {
+				t.Errorf("granted under %+v", c.Conditions)
 			}
 			return
 		}
--- a/internal/core/hire.go
+++ b/internal/core/hire.go
@@ -8,93 +8,93 @@
 	"micaport/internal/wire"
 )
 
-// pool is a kind of machine at a place.
-type pool struct {
-	rig, zone int
-	spot      bool
+// machinePool is a kind of machine at a place.
+type machinePool struct {
+	machineType, zone int
+	spot              bool
 }
 
-func (s *slot) pool() pool { return pool{s.rig, s.zone, s.spot} }
+func (s *slot) pool() machinePool { return machinePool{s.machineType, s.zone, s.spot} }
 
-// cloudState is the leader's dealings with the cloud.
-type cloudState struct {
-	hireSeq  int
-	hires    []*hiring
-	booting  map[string]*bootingHost
-	boots    []boot // the last that have come up
-	backoff  map[pool]Time
-	short    map[pool]Time // when it last had fewer machines than were asked for
-	retiring map[string]bool
-	idleFrom map[string]Time
+// autoscaler is the leader's dealings with the cloud.
+type autoscaler struct {
+	requestSequence int
+	provisions      []*provisioning
+	booting         map[string]*bootingMachine
+	recentBoots     []boot // the last that have come up
+	retryAt         map[machinePool]Time
+	shortageAt      map[machinePool]Time // when it last had fewer machines than were asked for
+	draining        map[string]bool
+	idleSince       map[string]Time
 
-	listAt   Time
-	listing  bool
-	flavAt   Time
-	returnAt Time
-	idleAt   Time
-	giving   bool
-	stray    map[string]Time // listed as running, but never heard of
+	listAt          Time
+	listing         bool
+	typesAt         Time
+	deprovisionAt   Time
+	scaleInAt       Time
+	deprovisioning  bool
+	unreportedSince map[string]Time // listed as running, but never heard of
 }
 
-type hiring struct {
-	pool  pool
-	req   wire.Hire
-	sent  bool
-	at    Time
-	first Time
+type provisioning struct {
+	pool      machinePool
+	request   wire.ProvisionRequest
+	sent      bool
+	sendAt    Time
+	decidedAt Time
 }
 
-type bootingHost struct {
-	pool  pool
-	since Time
-	seen  bool // in the machine list
+type bootingMachine struct {
+	pool          machinePool
+	provisionedAt Time
+	listed        bool // in the machine list
 }
 
-func newCloudState() cloudState {
-	return cloudState{
-		booting: map[string]*bootingHost{}, backoff: map[pool]Time{}, short: map[pool]Time{}, retiring: map[string]bool{},
-		idleFrom: map[string]Time{}, stray: map[string]Time{},
+func newAutoscaler() autoscaler {
+	return autoscaler{
+		booting: map[string]*bootingMachine{}, retryAt: map[machinePool]Time{}, shortageAt: map[machinePool]Time{}, draining: map[string]bool{},
+		idleSince: map[string]Time{}, unreportedSince: map[string]Time{},
 	}
 }
 
-func (n *Node) cloudCall(c Cloud, f func(Clouded)) {
-	c.ID = n.id(func(in Result) {
-		r := in.(Clouded)
+func (n *Node) cloudCall(c CallCloud, f func(CloudAnswered)) {
+	c.ID = n.onResult(func(in Result) {
+		r := in.(CloudAnswered)
 		if r.Outcome != Unknown {
-			n.cloudBadSince = 0
-		} else if n.cloudBadSince == 0 {
-			n.cloudBadSince = n.now
+			n.cloudUnreachableSince = 0
+		} else if n.cloudUnreachableSince == 0 {
+			n.cloudUnreachableSince = n.now
 		}
 		f(r)
 	})
 	// A process that stood still must not send what it decided before: another
 	// leads by then, and the machines may be in use.
-	c.Within = n.cloudRight()
+	c.ValidFor = n.cloudCallTime()
 	if n.fenced() {
-		c.Term = n.leader.rev
+		c.Term = n.leader.term
 	}
 	n.emit(c)
 }
 
-// cloudTick keeps the machine types and the machine list up to date, and
+// runCloudCalls keeps the machine types and the machine list up to date, and
 // sends hires.
-func (n *Node) cloudTick() {
-	c := &n.leader.cloud
+func (n *Node) runCloudCalls() {
+	c := &n.leader.autoscaler
 	tenure := n.leader.tenure
-	if n.now >= c.flavAt {
-		c.flavAt = n.now + 30*second
-		if n.types == nil || n.rigsAt == 0 {
-			c.flavAt = n.now + 2*second
+	if n.now >= c.typesAt {
+		c.typesAt = n.now + 30*second
+		if n.offeredTypes == nil || n.typesFetchedAt == 0 {
+			c.typesAt = n.now + 2*second
 		}
-		n.cloudCall(Cloud{Flavors: true}, func(r Clouded) {
-			if r.Outcome == OK && len(r.Flavors) > 0 {
-				n.takeFlavors(r.Flavors)
+		n.cloudCall(CallCloud{ListTypes: true}, func(r CloudAnswered) {
+			if r.Outcome == OK && len(r.MachineTypes) > 0 {
+				n.updateMachineTypes(r.MachineTypes)
 			}
 		})
 	}
 	if n.now >= c.listAt && !c.listing {
 		c.listing = true
-		n.cloudCall(Cloud{List: true}, func(r Clouded) {
+		n.cloudCall(CallCloud{ListMachines: true}, func(r CloudAnswered) {
 			if n.leader.tenure != tenure {
 				return
 			}
@@ -102,139 +102,139 @@
 			// A list of several pages may take a fifth of what the cloud
 			// allows; most of it is for renting and returning.
 			pages := Time(len(r.Machines)/500 + 1)
-			c.listAt = n.now + max(4*second, n.cfg.ListLag/2, Time(float64((pages-1)*5*second)/max(n.cfg.CloudRPS, 0.1)))
+			c.listAt = n.now + max(4*second, n.cfg.CloudListLag/2, Time(float64((pages-1)*5*second)/max(n.cfg.CloudRPS, 0.1)))
 			if r.Outcome == OK {
-				n.takeList(r.Machines)
+				n.reconcileMachineList(r.Machines)
 			}
 		})
 	}
-	for _, h := range c.hires {
-		if h.sent || n.now < h.at || n.cloudRight() == 0 {
+	for _, h := range c.provisions {
+		if h.sent || n.now < h.sendAt || n.cloudCallTime() == 0 {
 			continue
 		}
 		h.sent = true
-		n.cloudCall(Cloud{Hire: &h.req}, func(r Clouded) {
+		n.cloudCall(CallCloud{Provision: &h.request}, func(r CloudAnswered) {
 			if n.leader.tenure != tenure {
 				return
 			}
-			n.hired(h, r)
+			n.provisionAnswered(h, r)
 		})
 	}
 }
 
-// takeTypes takes the machine types, by name and by index.
-func (n *Node) takeTypes(f []wire.Flavor) {
-	n.types = f
+// setMachineTypes takes the machine types, by name and by index.
+func (n *Node) setMachineTypes(f []wire.MachineType) {
+	n.offeredTypes = f
 	for i := range f {
-		ix := n.rigs.Of(f[i].Name)
-		for len(n.flavors) <= ix {
-			n.flavors = append(n.flavors, nil)
+		ix := n.typeNames.Of(f[i].Name)
+		for len(n.machineTypes) <= ix {
+			n.machineTypes = append(n.machineTypes, nil)
 		}
-		n.flavors[ix] = &f[i]
+		n.machineTypes[ix] = &f[i]
 	}
-	n.leader.dirty = true
+	n.leader.planNeeded = true
 }
 
-func (n *Node) takeFlavors(f []wire.Flavor) {
-	changed := len(f) != len(n.types)
+func (n *Node) updateMachineTypes(f []wire.MachineType) {
+	changed := len(f) != len(n.offeredTypes)
 	for i := range f {
-		changed = changed || n.types[i].Name != f[i].Name
+		changed = changed || n.offeredTypes[i].Name != f[i].Name
 	}
-	n.takeTypes(f)
-	n.rigsAt = n.now
-	if changed || n.rigRev == 0 {
-		for len(f) > 1 && !n.fits(&wire.Types{Rigs: f}) {
+	n.setMachineTypes(f)
+	n.typesFetchedAt = n.now
+	if changed || n.typesRevision == 0 {
+		for len(f) > 1 && !n.valueFits(&wire.MachineTypeCache{Types: f}) {
 			f = f[:len(f)-1] // better some than none
 		}
-		n.commit(Bulk, []Cond{{wire.LeaderKey, n.leader.rev}},
-			[]Write{{Key: wire.TypesKey, Value: &wire.Types{Rigs: f}}}, func(Committed) {})
+		n.commit(ClassBackground, []Condition{{wire.LeaderKey, n.leader.term}},
+			[]Write{{Key: wire.MachineTypesKey, Value: &wire.MachineTypeCache{Types: f}}}, func(Committed) {})
 	}
 }
 
-// noCapacityPause is how long a pool that had no more machines is left alone.
-const noCapacityPause = 10 * second
+// noCapacityDelay is how long a pool that had no more machines is left alone.
+const noCapacityDelay = 10 * second
 
-func (n *Node) hired(h *hiring, r Clouded) {
-	c := &n.leader.cloud
+func (n *Node) provisionAnswered(h *provisioning, r CloudAnswered) {
+	c := &n.leader.autoscaler
 	done := true
 	switch r.Outcome {
 	case OK:
-		for _, name := range r.Hosts {
-			c.booting[name] = &bootingHost{pool: h.pool, since: n.now}
+		for _, name := range r.Names {
+			c.booting[name] = &bootingMachine{pool: h.pool, provisionedAt: n.now}
 		}
-		if len(r.Hosts) < h.req.Count {
-			c.backoff[h.pool], c.short[h.pool] = n.now+noCapacityPause, n.now
+		if len(r.Names) < h.request.Count {
+			c.retryAt[h.pool], c.shortageAt[h.pool] = n.now+noCapacityDelay, n.now
 		}
-		n.log(LogInfo, "hired", "rig", h.req.Rig, "zone", h.req.Zone, "spot", h.req.Spot, "wanted", h.req.Count, "got", len(r.Hosts))
-	case Full:
-		c.backoff[h.pool], c.short[h.pool] = n.now+noCapacityPause, n.now
+		n.log(LogInfo, "hired", "rig", h.request.MachineType, "zone", h.request.Zone, "spot", h.request.Spot, "wanted", h.request.Count, "got", len(r.Names))
+	case NoCapacity:
+		c.retryAt[h.pool], c.shortageAt[h.pool] = n.now+noCapacityDelay, n.now
 	case Refused:
-		c.backoff[h.pool] = n.now + 2*second
+		c.retryAt[h.pool] = n.now + 2*second
 	default:
 		// It may have been carried out: only the same name tells.
-		h.sent, h.at = false, n.now+second
-		done = n.now-h.first > 60*second
+		h.sent, h.sendAt = false, n.now+second
+		done = n.now-h.decidedAt > 60*second
 	}
 	if done {
-		c.hires = slices.DeleteFunc(c.hires, func(x *hiring) bool { return x == h })
+		c.provisions = slices.DeleteFunc(c.provisions, func(x *provisioning) bool { return x == h })
 	}
-	n.leader.dirty = true
+	n.leader.planNeeded = true
 }
 
-// takeList takes the cloud's machine list, which lags.
-func (n *Node) takeList(list []wire.Machine) {
-	c := &n.leader.cloud
+// reconcileMachineList takes the cloud's machine list, which lags.
+func (n *Node) reconcileMachineList(list []wire.CloudMachine) {
+	c := &n.leader.autoscaler
 	listed := map[string]bool{}
 	var back []string
 	for i := range list {
 		m := &list[i]
 		listed[m.Name] = true
-		ix := n.hostIx.Find(m.Name)
-		known := ix >= 0 && n.hosts[ix].info.known
-		if ix >= 0 && n.hosts[ix].returned {
+		ix := n.machineNames.Find(m.Name)
+		known := ix >= 0 && n.machines[ix].view.known
+		if ix >= 0 && n.machines[ix].returned {
 			continue
 		}
-		r := n.flavor(n.rigs.Find(m.Rig))
+		r := n.typeAt(n.typeNames.Find(m.MachineType))
 		switch {
 		case m.Status == wire.MachineFailed:
 			back = append(back, m.Name)
 		case known:
-			c.cameUp(n, m.Name)
-			delete(c.stray, m.Name)
+			c.noteBooted(n, m.Name)
+			delete(c.unreportedSince, m.Name)
 		case m.Status == wire.MachineBooting:
 			b := c.booting[m.Name]
 			if b == nil {
-				b = &bootingHost{pool: pool{n.rigs.Of(m.Rig), n.zones.Of(m.Zone), m.Spot}, since: n.now - Time(m.AgeS*float64(second))}
+				b = &bootingMachine{pool: machinePool{n.typeNames.Of(m.MachineType), n.zoneNames.Of(m.Zone), m.Spot}, provisionedAt: n.now - Time(m.AgeS*float64(second))}
 				c.booting[m.Name] = b
 			}
-			b.seen = true
+			b.listed = true
 			if r != nil {
 				if _, giveUp := n.overdue(r, n.now-Time(m.AgeS*float64(second))); giveUp {
 					back = append(back, m.Name)
 				}
 			}
 		default:
-			if c.stray[m.Name] == 0 {
-				c.stray[m.Name] = n.now
+			if c.unreportedSince[m.Name] == 0 {
+				c.unreportedSince[m.Name] = n.now
 			}
-			if n.now-c.stray[m.Name] > n.cfg.Lease+10*second {
+			if n.now-c.unreportedSince[m.Name] > n.cfg.WorkerLease+10*second {
 				back = append(back, m.Name)
 			}
 		}
 	}
 	for name, b := range c.booting {
-		if !listed[name] && (b.seen || n.now-b.since > 3*n.cfg.ListLag+10*second) {
+		if !listed[name] && (b.listed || n.now-b.provisionedAt > 3*n.cfg.CloudListLag+10*second) {
 			delete(c.booting, name)
 		}
 	}
 	for _, name := range back {
-		c.retiring[name] = true
+		c.draining[name] = true
 	}
 }
 
 // addExpected adds machines that are on their way, as room to plan with.
-func (n *Node) addExpected(p *plan) {
-	c := &n.leader.cloud
+func (n *Node) addExpected(p *schedulingPass) {
+	c := &n.leader.autoscaler
 	names := make([]string, 0, len(c.booting))
 	for name := range c.booting {
 		names = append(names, name)
@@ -242,72 +242,72 @@
 	sort.Strings(names)
 	for _, name := range names {
 		b := c.booting[name]
-		if ix := n.hostIx.Find(name); ix >= 0 && n.hosts[ix].info.known {
-			c.cameUp(n, name)
+		if ix := n.machineNames.Find(name); ix >= 0 && n.machines[ix].view.known {
+			c.noteBooted(n, name)
 			continue
 		}
-		if r := n.flavor(b.pool.rig); r != nil {
-			if late, _ := n.overdue(r, b.since); late {
+		if r := n.typeAt(b.pool.machineType); r != nil {
+			if late, _ := n.overdue(r, b.provisionedAt); late {
 				continue // plan without it
 			}
 		}
 		p.addExpectedMachine(b.pool)
 	}
-	for _, h := range c.hires {
-		for range h.req.Count {
+	for _, h := range c.provisions {
+		for range h.request.Count {
 			p.addExpectedMachine(h.pool)
 		}
 	}
 }
 
 // addExpectedMachine adds a machine that is to come.
-func (p *plan) addExpectedMachine(x pool) *slot {
-	s := p.n.newSlot(x)
+func (p *schedulingPass) addExpectedMachine(x machinePool) *slot {
+	s := p.node.newSlot(x)
 	if s != nil {
 		p.expected.add(s)
-		p.count[x]++
+		p.poolSizes[x]++
 	}
 	return s
 }
 
-func (n *Node) newSlot(x pool) *slot {
-	r := n.flavor(x.rig)
+func (n *Node) newSlot(x machinePool) *slot {
+	r := n.typeAt(x.machineType)
 	if r == nil {
 		return nil
 	}
 	part := -1
-	for _, y := range n.parts {
+	for _, y := range n.shards {
 		if y.zone == x.zone {
-			part = y.ix
+			part = y.index
 			break
 		}
 	}
-	return &slot{part: part, zone: x.zone, rig: x.rig, spot: x.spot, rigRef: r, cores: r.Cores, cards: r.Cards, mem: r.MemoryGB}
+	return &slot{shard: part, zone: x.zone, machineType: x.machineType, spot: x.spot, typeInfo: r, cores: r.Cores, gpus: r.GPUs, memoryGB: r.MemoryGB}
 }
 
 type pricedPool struct {
-	pool
+	machinePool
 	price float64
 }
 
 // pools lists the pools that a job's tasks may be put on, cheapest first.
-func (p *plan) pools(j *job) []pricedPool {
-	n, sp := p.n, j.rec.Spec
+func (p *schedulingPass) pools(j *job) []pricedPool {
+	n, sp := p.node, j.record.Spec
 	list := make([]pricedPool, 0, 8)
-	for ix, r := range n.flavors {
-		if r == nil || !fitsRig(sp, r) {
+	for ix, r := range n.machineTypes {
+		if r == nil || !fitsType(sp, r) {
 			continue
 		}
 		for _, name := range r.Zones {
-			z := n.zones.Find(name)
-			if z < 0 || n.partOf(z, "") < 0 {
+			z := n.zoneNames.Find(name)
+			if z < 0 || n.shardOf(z, "") < 0 {
 				continue
 			}
-			if r.SpotPrice > 0 && j.allows(ix, z, true) {
-				list = append(list, pricedPool{pool{ix, z, true}, r.SpotPrice})
+			if r.SpotPricePerHour > 0 && j.allows(ix, z, true) {
+				list = append(list, pricedPool{machinePool{ix, z, true}, r.SpotPricePerHour})
 			}
 			if j.allows(ix, z, false) {
-				list = append(list, pricedPool{pool{ix, z, false}, r.Price})
+				list = append(list, pricedPool{machinePool{ix, z, false}, r.PricePerHour})
 			}
 		}
 	}
@@ -315,95 +315,97 @@
 		if a.price != b.price {
 			return cmp.Compare(a.price, b.price)
 		}
-		return cmp.Compare(p.count[a.pool], p.count[b.pool])
+		return cmp.Compare(p.poolSizes[a.machinePool], p.poolSizes[b.machinePool])
 	})
 	return list
 }
 
-func (p *plan) open(x pool) bool { return p.n.now >= p.n.leader.cloud.backoff[x] }
+func (p *schedulingPass) mayProvision(x machinePool) bool {
+	return p.node.now >= p.node.leader.autoscaler.retryAt[x]
+}
 
-// canHire tells whether machines for a job can be had. A pool that had none a
+// canProvision tells whether machines for a job can be had. A pool that had none a
 // while ago is asked again and again, but not counted on: in the moment of each
 // try the room that is being gathered on machines in use would be let go.
-func (p *plan) canHire(j *job, zone int) bool {
+func (p *schedulingPass) canProvision(j *job, zone int) bool {
 	for _, x := range p.pools(j) {
-		at, short := p.n.leader.cloud.short[x.pool]
-		if (zone < 0 || x.zone == zone) && p.open(x.pool) && !(short && p.n.now-at < shortFor) {
+		at, short := p.node.leader.autoscaler.shortageAt[x.machinePool]
+		if (zone < 0 || x.zone == zone) && p.mayProvision(x.machinePool) && !(short && p.node.now-at < shortageTime) {
 			return true
 		}
 	}
 	return false
 }
 
-// shortFor is how long a pool without machines is not counted on.
-const shortFor = 60 * second
+// shortageTime is how long a pool without machines is not counted on.
+const shortageTime = 60 * second
 
-// hireFor adds a machine to be hired for a task, if there may be one.
-func (p *plan) hireFor(w *queuedJob, ok func(*slot) bool) *slot {
-	n := p.n
-	if w.j.suspect || n.cfg.MaxMachines > 0 && len(p.up.all)+len(p.expected.all) >= n.cfg.MaxMachines {
+// provisionFor adds a machine to be hired for a task, if there may be one.
+func (p *schedulingPass) provisionFor(w *queuedJob, ok func(*slot) bool) *slot {
+	n := p.node
+	if w.job.suspect || n.cfg.MaxMachines > 0 && len(p.available.all)+len(p.expected.all) >= n.cfg.MaxMachines {
 		return nil
 	}
-	for _, x := range p.pools(w.j) {
-		if !p.open(x.pool) {
+	for _, x := range p.pools(w.job) {
+		if !p.mayProvision(x.machinePool) {
 			continue
 		}
-		if s := n.newSlot(x.pool); s != nil && ok(s) {
-			p.hires[x.pool]++
-			return p.addExpectedMachine(x.pool)
+		if s := n.newSlot(x.machinePool); s != nil && ok(s) {
+			p.provisions[x.machinePool]++
+			return p.addExpectedMachine(x.machinePool)
 		}
 	}
 	return nil
 }
 
-// hireAndReturn sends what the plan asks for, and returns machines that are
+// scale sends what the plan asks for, and returns machines that are
 // not needed.
-func (n *Node) hireAndReturn(p *plan, idle map[*slot]bool) {
-	c := &n.leader.cloud
-	var ask []pool
-	for x := range p.hires {
+func (n *Node) scale(p *schedulingPass, idle map[*slot]bool) {
+	c := &n.leader.autoscaler
+	var ask []machinePool
+	for x := range p.provisions {
 		ask = append(ask, x)
 	}
 	sort.Slice(ask, func(a, b int) bool {
-		if p.hires[ask[a]] != p.hires[ask[b]] {
-			return p.hires[ask[a]] > p.hires[ask[b]] // a call rents 50 at most
+		if p.provisions[ask[a]] != p.provisions[ask[b]] {
+			return p.provisions[ask[a]] > p.provisions[ask[b]] // a call rents 50 at most
 		}
 		if ask[a].zone != ask[b].zone {
 			return ask[a].zone < ask[b].zone
 		}
-		if ask[a].rig != ask[b].rig {
-			return ask[a].rig < ask[b].rig
+		if ask[a].machineType != ask[b].machineType {
+			return ask[a].machineType < ask[b].machineType
 		}
 		return ask[a].spot && !ask[b].spot
 	})
 	// Calls are scarce: what waits for one is better planned anew and asked
 	// for in larger numbers.
-	room := max(2, int(2*n.cfg.CloudRPS)) - len(c.hires)
-	if n.cloudRight() == 0 {
+	room := max(2, int(2*n.cfg.CloudRPS)) - len(c.provisions)
+	if n.cloudCallTime() == 0 {
 		room = 0 // what can't be sent yet is planned anew until it can
 	}
 	for ; room > 0 && len(ask) > 0; room-- {
 		x := ask[0]
-		if len(p.up.all) == 0 {
+		if len(p.available.all) == 0 {
 			// Nothing runs yet. Boot times differ by more than a factor of
 			// two, so some more machines mean that the first are up sooner.
-			p.hires[x] += min((p.hires[x]+1)/2, extraBoots)
+			p.provisions[x] += min((p.provisions[x]+1)/2, maxExtraMachines)
 		}
-		k := min(p.hires[x], 50)
-		c.hires = append(c.hires, &hiring{pool: x, first: n.now,
-			req: wire.Hire{Name: n.hireName(), Rig: n.rigs.Name(x.rig), Zone: n.zones.Name(x.zone), Spot: x.spot, Count: k}})
-		if p.hires[x] -= k; p.hires[x] == 0 {
+		k := min(p.provisions[x], 50)
+		c.provisions = append(c.provisions, &provisioning{pool: x, decidedAt: n.now,
+			request: wire.ProvisionRequest{Name: n.provisionName(), MachineType: n.typeNames.Name(x.machineType), Zone: n.zoneNames.Name(x.zone), Spot: x.spot, Count: k}})
+		if p.provisions[x] -= k; p.provisions[x] == 0 {
 			ask = ask[1:]
 		} else {
 			ask = append(ask[1:], x)
 		}
 	}
-	if n.now >= c.idleAt {
-		c.idleAt = n.now + second
-		n.returnIdle(p, idle)
+	if n.now >= c.scaleInAt {
+		c.scaleInAt = n.now + second
+		n.scaleIn(p, idle)
 	}
 }
 
-// extraBoots bounds how many machines more are asked for in one call while
+// maxExtraMachines bounds how many machines more are asked for in one call while
 // nothing runs.
-const extraBoots = 10
+const maxExtraMachines = 10
