--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -6,74 +6,74 @@
 	"micaport/internal/wire"
 )
 
-// host is what we know of a machine.
-type host struct {
-	ix   int
-	name string
-	rig  int // -1 while unknown
-	zone int
-	spot bool
-	part int
-	on   []placed // tasks that our copy of the records puts on it
-
-	taken     room // what they take; good while roomKnown
-	roomKnown bool
-	leastPrio int // urgency of the least urgent task that may be stopped
+// machine is what we know of a machine.
+type machine struct {
+	index       int
+	name        string
+	machineType int // -1 while unknown
+	zone        int
+	spot        bool
+	shard       int
+	placements  []placement // tasks that our copy of the records puts on it
+
+	used           resourceUse // what they take; good while usedKnown
+	usedKnown      bool
+	lowestPriority int // urgency of the least urgent task that may be stopped
 
 	// As its owner.
-	term         uint64 // the term in which the following was learnt
-	session, seq uint64
-	reports      int  // heard in this term
-	token        bool // it has shown that it knows our term
-	newborn      bool // it has only just come to life
-	heard        Time // last report in this term
-	answered     Time // last report answered with 200
-	ignored      int  // answers in a row that had no effect
-	deaf         bool // hears neither answers nor commands
-	leavingAt    Time // when the cloud takes it away; 0: not announced
-	tasks        map[taskKey]string
-	started      map[taskKey]uint64 // report that was last answered with the start
-	direct       map[taskKey]directStart
-	silenced     bool // no longer answered, so that its session ends
-	addr         string
-	held         int          // answers to it that wait
-	listed       bool         // among those with a task that they have not shown
-	lingering    int          // ended tasks in its last report that must not be cleared
-	errJobs      map[int]bool // jobs that failed on it since its last success
-	sick         bool
-	retiring     bool
-	fullUntil    Time
-
-	images set
+	term            uint64 // the term in which the following was learnt
+	epoch, sequence uint64
+	heartbeats      int  // heard in this term
+	tokenConfirmed  bool // it has shown that it knows our term
+	newlyBooted     bool // it has only just come to life
+	heartbeatAt     Time // last report in this term
+	answeredAt      Time // last report answered with 200
+	ignoredReplies  int  // answers in a row that had no effect
+	unresponsive    bool // hears neither answers nor commands
+	reclaimAt       Time // when the cloud takes it away; 0: not announced
+	reportedTasks   map[taskKey]string
+	startSentAt     map[taskKey]uint64 // report that was last answered with the start
+	directStarts    map[taskKey]directStart
+	leaseExpiring   bool // no longer answered, so that its session ends
+	address         string
+	heldReplies     int          // answers to it that wait
+	unstartedListed bool         // among those with a task that they have not shown
+	unclearedTasks  int          // ended tasks in its last report that must not be cleared
+	failedJobs      map[int]bool // jobs that failed on it since its last success
+	unhealthy       bool
+	draining        bool
+	noCapacityUntil Time
+
+	images indexSet
 
 	// As seen from anywhere.
-	info     view
-	infoTerm uint64 // the term in which it was told
-	unsureAt Time   // since when it is said to be unsure
-	ver      uint64 // of our own view, for the peers
-	returned bool
-
-	redirectAt, bounceAt, bounceFrom Time   // see redirect
-	straying                         bool   // listed among those that came here
-	strayShift, strayTick            uint64 // the newest of its reports that came here
+	view             machineView
+	viewTerm         uint64 // the term in which it was told
+	unconfirmedSince Time   // since when it is said to be unsure
+	viewVersion      uint64 // of our own view, for the peers
+	returned         bool
+
+	redirectedAt, bouncedAt, bouncingSince Time   // see redirect
+	strayListed                            bool   // listed among those that came here
+	strayEpoch, straySequence              uint64 // the newest of its reports that came here
 }
 
-// view is what the owner of a machine tells of it.
-type view struct {
-	known                                 bool
-	leaving, retiring, sick, lost, unsure bool // unsure: not yet shown to obey us
-	quiet                                 int  // 1: two reports are missing, 2: three
-	errors                                int
-	images                                int // how many, so that a new one shows as a change
+// machineView is what the owner of a machine tells of it.
+type machineView struct {
+	known                                                    bool
+	reclaimed, draining, unhealthy, unreachable, unconfirmed bool // unsure: not yet shown to obey us
+	missedHeartbeats                                         int  // 1: two reports are missing, 2: three
+	errors                                                   int
+	images                                                   int // how many, so that a new one shows as a change
 }
 
-// placed is a task that a record puts on a machine.
-type placed struct {
+// placement is a task that a record puts on a machine.
+type placement struct {
 	taskKey
-	part    int
-	stop    wire.StopMark
-	session uint64
-	at      int // its place among the active tasks of the record
+	shard       int
+	stop        wire.StopRequest
+	epoch       uint64
+	activeIndex int // its place among the active tasks of the record
 }
 
 type taskKey struct {
@@ -81,74 +81,74 @@
 	attempt   uint64
 }
 
-// room is an amount of a machine.
-type room struct {
-	cores, cards, mem             float64
-	soonCores, soonCards, soonMem float64 // the part that is about to be free
-	daemon                        bool
+// resourceUse is an amount of a machine.
+type resourceUse struct {
+	cores, gpus, memoryGB                            float64
+	releasingCores, releasingGPUs, releasingMemoryGB float64 // the part that is about to be free
+	daemon                                           bool
 }
 
-func (n *Node) hostOf(name string) *host {
-	ix := n.hostIx.Of(name)
-	if ix == len(n.hosts) {
-		n.hosts = append(n.hosts, &host{ix: ix, name: name, part: -1, rig: -1, zone: -1})
+func (n *Node) machineNamed(name string) *machine {
+	ix := n.machineNames.Of(name)
+	if ix == len(n.machines) {
+		n.machines = append(n.machines, &machine{index: ix, name: name, shard: -1, machineType: -1, zone: -1})
 	}
-	return n.hosts[ix]
+	return n.machines[ix]
 }
 
-// setPart notes whose machine it is.
-func (n *Node) setPart(h *host, part int) {
-	if h.part != part {
-		if h.part >= 0 {
-			p := n.parts[h.part]
-			p.hosts = slices.DeleteFunc(p.hosts, func(x *host) bool { return x == h })
+// setShard notes whose machine it is.
+func (n *Node) setShard(h *machine, part int) {
+	if h.shard != part {
+		if h.shard >= 0 {
+			p := n.shards[h.shard]
+			p.machines = slices.DeleteFunc(p.machines, func(x *machine) bool { return x == h })
 		}
-		h.part = part
+		h.shard = part
 		if part >= 0 {
-			n.parts[part].hosts = append(n.parts[part].hosts, h)
+			n.shards[part].machines = append(n.shards[part].machines, h)
 		}
 	}
 	if part >= 0 {
-		h.zone = n.parts[part].zone
+		h.zone = n.shards[part].zone
 	}
 }
 
-// flavor is the machine type with an index, or nil.
-func (n *Node) flavor(rig int) *wire.Flavor {
-	if rig < 0 || rig >= len(n.flavors) {
+// typeAt is the machine type with an index, or nil.
+func (n *Node) typeAt(rig int) *wire.MachineType {
+	if rig < 0 || rig >= len(n.machineTypes) {
 		return nil
 	}
-	return n.flavors[rig]
+	return n.machineTypes[rig]
 }
 
-// takenOn computes what the records place on a machine: it is there until it
+// usageOf computes what the records place on a machine: it is there until it
 // is proven gone.
-func (n *Node) takenOn(h *host) *room {
-	if h.roomKnown {
-		return &h.taken
+func (n *Node) usageOf(h *machine) *resourceUse {
+	if h.usedKnown {
+		return &h.used
 	}
-	h.taken, h.roomKnown, h.leastPrio = room{}, true, noPrio
-	for i := range h.on {
-		p := &h.on[i]
+	h.used, h.usedKnown, h.lowestPriority = resourceUse{}, true, noPriority
+	for i := range h.placements {
+		p := &h.placements[i]
 		j := n.jobs[p.job]
-		sp := j.rec.Spec
+		sp := j.record.Spec
 		if sp == nil {
 			continue
 		}
-		t := &h.taken
+		t := &h.used
 		t.cores += sp.Cores
-		t.cards += sp.Cards
-		t.mem += sp.MemoryGB
+		t.gpus += sp.GPUs
+		t.memoryGB += sp.MemoryGB
 		t.daemon = t.daemon || sp.Shape == wire.ShapeDaemon
-		if p.stop != wire.Keep || j.rec.State != wire.Live {
-			t.soonCores += sp.Cores
-			t.soonCards += sp.Cards
-			t.soonMem += sp.MemoryGB
+		if p.stop != wire.StopNone || j.record.State != wire.JobLive {
+			t.releasingCores += sp.Cores
+			t.releasingGPUs += sp.GPUs
+			t.releasingMemoryGB += sp.MemoryGB
 		} else if sp.Shape != wire.ShapeDaemon {
-			h.leastPrio = min(h.leastPrio, j.prio)
+			h.lowestPriority = min(h.lowestPriority, j.priority)
 		}
 	}
-	return &h.taken
+	return &h.used
 }
 
-const noPrio = 99
+const noPriority = 99
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -9,89 +9,89 @@
 
 // Which machines have which images, kept so that the knowledge outlives the process.
 
-func (n *Node) countImages(h *host) int {
+func (n *Node) imageCount(h *machine) int {
 	c := 0
 	h.images.each(func(int) { c++ })
 	return c
 }
 
-// imagePause is how often the images on our machines are written down. What
+// imageCacheInterval is how often the images on our machines are written down. What
 // the last moments before a crash added is lost, at the price of a fetch.
-const imagePause = 20 * second
+const imageCacheInterval = 20 * second
 
-// keepImages writes down which machine has which image. Without it, every
+// writeImageCache writes down which machine has which image. Without it, every
 // choice after all controllers had died was blind to what is cached.
-func (n *Node) keepImages() {
-	if n.now < n.imagesAt || !n.storeOK {
+func (n *Node) writeImageCache() {
+	if n.now < n.imageCacheAt || !n.storeOK {
 		return
 	}
-	n.imagesAt = n.now + imagePause
-	rec := &wire.Images{Hosts: map[string][]int{}}
+	n.imageCacheAt = n.now + imageCacheInterval
+	rec := &wire.ImageCache{Machines: map[string][]int{}}
 	count := 0
-	room := n.cfg.ValueBytes * 3 / 4 // in bytes, which the sums below stay well within
+	room := n.cfg.MaxValueBytes * 3 / 4 // in bytes, which the sums below stay well within
 	var names wire.Interner
-	for _, p := range n.parts {
-		if !n.valid(p) {
+	for _, p := range n.shards {
+		if !n.mayActAsOwner(p) {
 			continue
 		}
-		for _, h := range p.hosts {
-			if h.returned || h.term != p.rev || len(h.images) == 0 {
+		for _, h := range p.machines {
+			if h.returned || h.term != p.term || len(h.images) == 0 {
 				continue
 			}
 			if room -= len(h.name) + 6; room < 0 {
 				break
 			}
 			h.images.each(func(im int) {
-				name := n.images.Name(im)
+				name := n.imageNames.Name(im)
 				if names.Find(name) < 0 {
 					room -= len(name) + 3
 				}
 				if room -= 4; room > 0 {
-					rec.Hosts[h.name] = append(rec.Hosts[h.name], names.Of(name))
+					rec.Machines[h.name] = append(rec.Machines[h.name], names.Of(name))
 					count++
 				}
 			})
 		}
 	}
-	if count == n.imagesKept {
+	if count == n.imageCacheSize {
 		return
 	}
-	n.imagesKept = count
+	n.imageCacheSize = count
 	for i := range names.Len() {
 		rec.Names = append(rec.Names, names.Name(i))
 	}
-	n.commit(Bulk, nil, []Write{{Key: wire.ImagePrefix + n.cfg.Self, Value: rec}}, func(Committed) {})
+	n.commit(ClassBackground, nil, []Write{{Key: wire.ImagePrefix + n.cfg.Self, Value: rec}}, func(Committed) {})
 }
 
-// takeImages learns from what was written down.
-func (n *Node) takeImages(rec *wire.Images) {
-	for _, name := range slices.Sorted(maps.Keys(rec.Hosts)) {
-		if n.hostIx.Find(name) < 0 && n.loaded {
+// putImageCache learns from what was written down.
+func (n *Node) putImageCache(rec *wire.ImageCache) {
+	for _, name := range slices.Sorted(maps.Keys(rec.Machines)) {
+		if n.machineNames.Find(name) < 0 && n.loaded {
 			continue // a machine that nobody has spoken of since is gone
 		}
-		h := n.hostOf(name)
-		for _, im := range rec.Hosts[name] {
+		h := n.machineNamed(name)
+		for _, im := range rec.Machines[name] {
 			if im >= 0 && im < len(rec.Names) {
-				h.images.add(n.images.Of(rec.Names[im]))
+				h.images.add(n.imageNames.Of(rec.Names[im]))
 			}
 		}
 	}
 }
 
-// fetchGB sums the images that a machine is fetching, or about to.
-func (n *Node) fetchGB(h *host) float64 {
+// pendingFetchGB sums the images that a machine is fetching, or about to.
+func (n *Node) pendingFetchGB(h *machine) float64 {
 	sum := 0.0
-	for i := range h.on {
-		j := n.jobs[h.on[i].job]
-		if j.rec.Spec == nil || h.images.has(j.image) {
+	for i := range h.placements {
+		j := n.jobs[h.placements[i].job]
+		if j.record.Spec == nil || h.images.has(j.image) {
 			continue
 		}
 		twice := false
 		for k := range i {
-			twice = twice || n.jobs[h.on[k].job].image == j.image
+			twice = twice || n.jobs[h.placements[k].job].image == j.image
 		}
 		if !twice {
-			sum += j.rec.Spec.ImageGB
+			sum += j.record.Spec.ImageGB
 		}
 	}
 	return sum
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -8,38 +8,38 @@
 
 // job is our copy of a job's record, with what follows from it.
 type job struct {
-	ix        int
-	ref       string
-	rec       *wire.Job
-	rev       uint64
-	image     int
-	prio      int
-	team      int // -1: not one of ours
-	zone      int // the only one allowed, or -1
-	rigs      set // the types allowed, unless any is
-	any       bool
-	spot      bool
-	base      int   // bytes of its record, without its lists
-	bulk      bool  // more tasks than can be active one by one, see bulk.go
-	pend      []int // tasks neither done nor active; good while pendKnown
-	pendKnown bool
-	unplaced  int // active tasks granted but not placed
+	index        int
+	id           string
+	record       *wire.Job
+	revision     uint64
+	image        int
+	priority     int
+	team         int      // -1: not one of ours
+	zone         int      // the only one allowed, or -1
+	machineTypes indexSet // the types allowed, unless any is
+	anyType      bool
+	allowSpot    bool
+	baseBytes    int   // bytes of its record, without its lists
+	largeArray   bool  // more tasks than can be active one by one, see bulk.go
+	pending      []int // tasks neither done nor active; good while pendingKnown
+	pendingKnown bool
+	unplaced     int // active tasks granted but not placed
 	// Leader's memory; lost without harm.
-	blockedSince Time
-	place        gangPlace
-	gangZone     int  // where room is being made for it; -1: nowhere yet
-	preemptAt    Time // not before this is anything stopped for it again
-	notBefore    Time
-	errorsSeen   int
-	suspect      bool   // failed wherever it ran: rather the job's fault than the machines'
-	changed      Time   // when our copy last changed
-	closedAt     Time   // it was recorded as done or withdrawn at this time or later
-	grantedAt    Time   // when we, as the leader, last granted anything of it
-	within       bool   // inside its team's guarantee
-	chain        *chain // what it waits on and what waits on it; nil: nothing
+	waitingSince    Time
+	queuePosition   queuePosition
+	gangZone        int  // where room is being made for it; -1: nowhere yet
+	preemptAt       Time // not before this is anything stopped for it again
+	retryAt         Time
+	errorsSeen      int
+	suspect         bool             // failed wherever it ran: rather the job's fault than the machines'
+	changedAt       Time             // when our copy last changed
+	closedAt        Time             // it was recorded as done or withdrawn at this time or later
+	grantedAt       Time             // when we, as the leader, last granted anything of it
+	withinGuarantee bool             // inside its team's guarantee
+	links           *dependencyLinks // what it waits on and what waits on it; nil: nothing
 }
 
-func priority(urgency string) int {
+func priorityOf(urgency string) int {
 	switch urgency {
 	case "critical":
 		return 3
@@ -53,8 +53,8 @@
 
 // putJob takes a record, or its absence, into our copy.
 func (n *Node) putJob(ref string, rec *wire.Job, rev uint64) {
-	j := n.jobAt(ref)
-	if rev <= j.rev {
+	j := n.ensureJob(ref)
+	if rev <= j.revision {
 		return
 	}
 	if rec != nil {
@@ -62,21 +62,21 @@
 	}
 	n.countJobChange(j, rec)
 	n.chargeJob(j, -1)
-	if j.rec != nil {
-		n.unindex(j)
+	if j.record != nil {
+		n.unindexPlacements(j)
 	}
-	if rec != nil && rec.State != wire.Live && len(rec.Active) == 0 && len(rec.DoneSet) == 0 {
-		rec = n.sameFinished(rec)
+	if rec != nil && rec.State != wire.JobLive && len(rec.ActiveTasks) == 0 && len(rec.DoneTasks) == 0 {
+		rec = n.sharedFinishedRecord(rec)
 	}
-	j.rec, j.rev, j.changed, j.pendKnown, j.pend = rec, rev, n.now, false, nil
+	j.record, j.revision, j.changedAt, j.pendingKnown, j.pending = rec, rev, n.now, false, nil
 	if rec == nil {
 		n.setLive(j, false)
 		return
 	}
 	n.noteClosed(j)
 	if rec.Spec != nil && j.image < 0 {
-		n.describe(j, rec.Spec)
-		if n.loaded && !rec.Waits() {
+		n.indexSpec(j, rec.Spec)
+		if n.loaded && !rec.HasDependencies() {
 			n.noteArrival(j)
 		}
 	}
@@ -84,29 +84,29 @@
 	n.noteErrors(j)
 	n.chargeJob(j, 1)
 	j.unplaced = 0
-	for i := range rec.Active {
-		if rec.Active[i].Host == "" {
+	for i := range rec.ActiveTasks {
+		if rec.ActiveTasks[i].Machine == "" {
 			j.unplaced++
 		}
 	}
-	n.index(j)
-	n.setLive(j, rec.State == wire.Live || len(rec.Active) > 0)
+	n.indexPlacements(j)
+	n.setLive(j, rec.State == wire.JobLive || len(rec.ActiveTasks) > 0)
 }
 
 // countJobChange takes a change of a job's record into the statistics: of users'
 // writes, of what ends, and of how long jobs take.
 func (n *Node) countJobChange(j *job, rec *wire.Job) {
-	was := j.rec
-	if n.loaded && rec != nil && (was == nil || was.State == wire.Live && rec.State == wire.Withdrawn) {
+	was := j.record
+	if n.loaded && rec != nil && (was == nil || was.State == wire.JobLive && rec.State == wire.JobCancelled) {
 		n.budget.seenUserWrites++
 	}
 	if was == nil {
 		return
 	}
-	if rec == nil || rec.State != wire.Live {
-		n.noteEnd(was)
+	if rec == nil || rec.State != wire.JobLive {
+		n.noteCompletion(was)
 	}
-	if rec != nil && rec.State == wire.Done && was.State == wire.Live {
+	if rec != nil && rec.State == wire.JobDone && was.State == wire.JobLive {
 		n.noteRunTime(j, was)
 	}
 }
@@ -115,7 +115,7 @@
 // lagged behind. What it knew at the last proof that has settled did not hold this
 // change, so it was made after that was sent.
 func (n *Node) noteClosed(j *job) {
-	if j.rec.State == wire.Live || j.closedAt != 0 {
+	if j.record.State == wire.JobLive || j.closedAt != 0 {
 		return
 	}
 	j.closedAt = n.now
@@ -136,126 +136,126 @@
 // noteErrors makes a job that fails everywhere wait, longer each time, and suspects the
 // job rather than the machines.
 func (n *Node) noteErrors(j *job) {
-	rec := j.rec
-	if rec.Errors > j.errorsSeen && rec.Errors >= errorsBeforePause {
-		doublings := min(rec.Errors-errorsBeforePause, maxPauseDoublings)
-		j.notBefore = n.now + min(firstErrorPause<<doublings, longestErrorPause)
+	rec := j.record
+	if rec.ConsecutiveErrors > j.errorsSeen && rec.ConsecutiveErrors >= errorsBeforePause {
+		doublings := min(rec.ConsecutiveErrors-errorsBeforePause, maxPauseDoublings)
+		j.retryAt = n.now + min(firstErrorPause<<doublings, longestErrorPause)
 	}
-	j.errorsSeen = rec.Errors
-	if rec.Errors >= errorsBeforePause && len(rec.Avoid) >= errorsBeforePause && len(rec.DoneSet) == 0 {
+	j.errorsSeen = rec.ConsecutiveErrors
+	if rec.ConsecutiveErrors >= errorsBeforePause && len(rec.FailedMachines) >= errorsBeforePause && len(rec.DoneTasks) == 0 {
 		j.suspect = true
-	} else if rec.State == wire.Done || len(rec.DoneSet) > 0 {
+	} else if rec.State == wire.JobDone || len(rec.DoneTasks) > 0 {
 		j.suspect = false
 	}
 }
 
-// sameFinished gives one record for all finished jobs that have nothing left to
+// sharedFinishedRecord gives one record for all finished jobs that have nothing left to
 // tell them apart: they are kept for ever, and there are very many.
-func (n *Node) sameFinished(rec *wire.Job) *wire.Job {
-	key := finishedKind{rec.State, rec.Frames}
+func (n *Node) sharedFinishedRecord(rec *wire.Job) *wire.Job {
+	key := finishedKind{rec.State, rec.TaskCount}
 	if have := n.finished[key]; have != nil {
 		return have
 	}
-	n.finished[key] = &wire.Job{State: rec.State, Frames: rec.Frames}
+	n.finished[key] = &wire.Job{State: rec.State, TaskCount: rec.TaskCount}
 	return n.finished[key]
 }
 
-// describe maps the names in a specification to indices.
-func (n *Node) describe(j *job, sp *wire.Spec) {
-	j.image = n.images.Of(sp.Image)
-	j.prio = max(j.prio, priority(sp.Urgency))
-	j.team = n.teams.Find(sp.Team)
+// indexSpec maps the names in a specification to indices.
+func (n *Node) indexSpec(j *job, sp *wire.JobSpec) {
+	j.image = n.imageNames.Of(sp.Image)
+	j.priority = max(j.priority, priorityOf(sp.Priority))
+	j.team = n.teamNames.Find(sp.Team)
 	if sp.Zone != "" {
-		j.zone = n.zones.Of(sp.Zone)
+		j.zone = n.zoneNames.Of(sp.Zone)
 	}
-	j.spot, j.any = sp.Spot, len(sp.Rigs) == 0 && !sp.RigsForbidAll
-	n.measure(j)
-	for _, name := range sp.Rigs {
-		j.rigs.add(n.rigs.Of(name))
+	j.allowSpot, j.anyType = sp.AllowSpot, len(sp.MachineTypes) == 0 && !sp.NoMachineTypes
+	n.measureRecord(j)
+	for _, name := range sp.MachineTypes {
+		j.machineTypes.add(n.typeNames.Of(name))
 	}
-	n.linkNeeds(j)
+	n.linkDependencies(j)
 }
 
 // allows tells whether a job's tasks may run on a kind of machine at a place.
 func (j *job) allows(rig, zone int, spot bool) bool {
-	return (j.any || j.rigs.has(rig)) && (j.zone < 0 || j.zone == zone) && (j.spot || !spot)
+	return (j.anyType || j.machineTypes.has(rig)) && (j.zone < 0 || j.zone == zone) && (j.allowSpot || !spot)
 }
 
 func (n *Node) setLive(j *job, on bool) {
-	at, found := slices.BinarySearch(n.live, j.ix)
+	at, found := slices.BinarySearch(n.live, j.index)
 	if on && !found {
-		n.live = slices.Insert(n.live, at, j.ix)
+		n.live = slices.Insert(n.live, at, j.index)
 	} else if !on && found {
 		n.live = slices.Delete(n.live, at, at+1)
 	}
 }
 
-// index keeps, for every machine, the tasks that records put on it.
-func (n *Node) index(j *job) {
-	for i := range j.rec.Active {
-		a := &j.rec.Active[i]
-		if a.Host == "" {
+// indexPlacements keeps, for every machine, the tasks that records put on it.
+func (n *Node) indexPlacements(j *job) {
+	for i := range j.record.ActiveTasks {
+		a := &j.record.ActiveTasks[i]
+		if a.Machine == "" {
 			continue
 		}
-		h := n.hostOf(a.Host)
-		n.setPart(h, a.Part)
-		at := len(h.on)
-		for at > 0 && h.on[at-1].job > j.ix {
+		h := n.machineNamed(a.Machine)
+		n.setShard(h, a.Shard)
+		at := len(h.placements)
+		for at > 0 && h.placements[at-1].job > j.index {
 			at--
 		}
-		h.on = slices.Insert(h.on, at, placed{part: a.Part, stop: a.Stop, session: a.Session, at: i, taskKey: taskKey{j.ix, a.Task, a.Attempt}})
-		h.roomKnown = false
-		n.noteUnstarted(h, taskKey{j.ix, a.Task, a.Attempt})
+		h.placements = slices.Insert(h.placements, at, placement{shard: a.Shard, stop: a.Stop, epoch: a.Epoch, activeIndex: i, taskKey: taskKey{j.index, a.Task, a.Attempt}})
+		h.usedKnown = false
+		n.noteUnstarted(h, taskKey{j.index, a.Task, a.Attempt})
 	}
 }
 
-func (n *Node) unindex(j *job) {
+func (n *Node) unindexPlacements(j *job) {
 	last := ""
-	for i := range j.rec.Active {
-		if a := &j.rec.Active[i]; a.Host != last && a.Host != "" {
-			last = a.Host
-			h := n.hostOf(a.Host)
-			h.on = slices.DeleteFunc(h.on, func(p placed) bool { return p.job == j.ix })
-			h.roomKnown = false
+	for i := range j.record.ActiveTasks {
+		if a := &j.record.ActiveTasks[i]; a.Machine != last && a.Machine != "" {
+			last = a.Machine
+			h := n.machineNamed(a.Machine)
+			h.placements = slices.DeleteFunc(h.placements, func(p placement) bool { return p.job == j.index })
+			h.usedKnown = false
 		}
 	}
 }
 
-// clone copies a record so that it can be changed.
-func clone(r *wire.Job) *wire.Job {
+// cloneRecord copies a record so that it can be changed.
+func cloneRecord(r *wire.Job) *wire.Job {
 	c := *r
-	c.Active = slices.Clone(r.Active)
-	c.DoneSet = slices.Clone(r.DoneSet)
-	c.Avoid = slices.Clone(r.Avoid)
+	c.ActiveTasks = slices.Clone(r.ActiveTasks)
+	c.DoneTasks = slices.Clone(r.DoneTasks)
+	c.FailedMachines = slices.Clone(r.FailedMachines)
 	return &c
 }
 
-// tidy closes a finished record: the state follows from the done tasks, and
+// compactRecord closes a finished record: the state follows from the done tasks, and
 // the specification is dropped once no task charges the team any more.
-func tidy(r *wire.Job) {
-	if r.State == wire.Live && r.DoneSet.Count() == r.Frames {
-		r.State = wire.Done
+func compactRecord(r *wire.Job) {
+	if r.State == wire.JobLive && r.DoneTasks.Count() == r.TaskCount {
+		r.State = wire.JobDone
 	}
-	if r.State != wire.Live && len(r.Active) == 0 && r.Continuations == 0 {
-		r.Spec, r.Avoid, r.Errors = nil, nil, 0
-		if r.State == wire.Done {
-			r.DoneSet = nil
+	if r.State != wire.JobLive && len(r.ActiveTasks) == 0 && r.OverflowKeys == 0 {
+		r.Spec, r.FailedMachines, r.ConsecutiveErrors = nil, nil, 0
+		if r.State == wire.JobDone {
+			r.DoneTasks = nil
 		}
 	}
 }
 
-// status is what a user is told.
-func status(ref string, r *wire.Job) wire.JobStatus {
-	s := wire.JobStatus{Ref: ref, Status: wire.StatusPending, Done: r.DoneSet.Count()}
+// jobStatus is what a user is told.
+func jobStatus(ref string, r *wire.Job) wire.JobStatus {
+	s := wire.JobStatus{JobID: ref, Status: wire.StatusPending, Done: r.DoneTasks.Count()}
 	switch r.State {
-	case wire.Done:
-		return wire.JobStatus{Ref: ref, Status: wire.StatusDone, Done: r.Frames}
-	case wire.Withdrawn:
-		s.Status = wire.StatusWithdrawn
+	case wire.JobDone:
+		return wire.JobStatus{JobID: ref, Status: wire.StatusDone, Done: r.TaskCount}
+	case wire.JobCancelled:
+		s.Status = wire.StatusCancelled
 		return s
 	}
-	for _, a := range r.Active {
-		if a.Host != "" {
+	for _, a := range r.ActiveTasks {
+		if a.Machine != "" {
 			s.Running++
 		}
 	}
@@ -267,27 +267,27 @@
 
 // waitingTasks lists up to limit tasks that wait to be granted.
 func (n *Node) waitingTasks(j *job, limit int) []int {
-	if !j.pendKnown {
-		j.pend, j.pendKnown = pendingTasks(j.rec, n.tasksLimit(j)), true
+	if !j.pendingKnown {
+		j.pending, j.pendingKnown = pendingTasks(j.record, n.maxActiveTasks(j)), true
 	}
-	return j.pend[:max(0, min(limit, len(j.pend)))]
+	return j.pending[:max(0, min(limit, len(j.pending)))]
 }
 
 // pendingTasks lists up to limit tasks that are neither done nor active,
 // lowest first, so that the done set stays a few ranges.
 func pendingTasks(r *wire.Job, limit int) []int {
-	if limit <= 0 || r.State != wire.Live {
+	if limit <= 0 || r.State != wire.JobLive {
 		return nil
 	}
-	busy := make(map[int]bool, len(r.Active))
-	for _, a := range r.Active {
+	busy := make(map[int]bool, len(r.ActiveTasks))
+	for _, a := range r.ActiveTasks {
 		busy[a.Task] = true
 	}
 	var out []int
 	next, ri := 0, 0
-	for next < r.Frames && len(out) < limit {
-		if ri < len(r.DoneSet) && r.DoneSet[ri].First <= next {
-			next = r.DoneSet[ri].End
+	for next < r.TaskCount && len(out) < limit {
+		if ri < len(r.DoneTasks) && r.DoneTasks[ri].First <= next {
+			next = r.DoneTasks[ri].End
 			ri++
 			continue
 		}
@@ -299,9 +299,9 @@
 	return out
 }
 
-// activeLimit bounds the active tasks of one record by the size of a value,
+// maxSingleTasks bounds the active tasks of one record by the size of a value,
 // with room for the rest of the record. Larger arrays are told apart in bulk.go.
-func (n *Node) activeLimit() int {
+func (n *Node) maxSingleTasks() int {
 	const perTask = 60 // generous, in JSON form, with its share of the done set
-	return max(1, (n.cfg.ValueBytes*(1+n.continuationKeys())-2000)/perTask)
+	return max(1, (n.cfg.MaxValueBytes*(1+n.overflowKeys())-2000)/perTask)
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -11,46 +11,46 @@
 // leaderState is the leader's record and, while we lead, its memory. All of
 // the memory can be lost: a new leader rebuilds it from records and reports.
 type leaderState struct {
-	rec    *wire.Leader
-	rev    uint64
-	since  Time
-	tenure int // counts how often we began or ceased to lead
-	batch  batch
-	dirty  bool
-	at     Time
-
-	hint        map[taskKey]*host // the machine that a grant had in mind
-	hintsTidyAt Time
-
-	dealtAt  []Time    // when the shares of each team's limit were last dealt
-	gathered []bool    // by team: the last that was dealt was to gather all shares
-	excessAt Time      // when teams beyond their limits are reported next
-	placing  []placing // what the batch under way places on machines of our own
-
-	cloud cloudState
+	record     *wire.Leader
+	term       uint64
+	since      Time
+	tenure     int // counts how often we began or ceased to lead
+	batch      batch
+	planNeeded bool
+	planAt     Time
+
+	grantHints     map[taskKey]*machine // the machine that a grant had in mind
+	hintsCleanupAt Time
+
+	sharesDistributedAt []Time             // when the shares of each team's limit were last dealt
+	sharesReclaimed     []bool             // by team: the last that was dealt was to gather all shares
+	excessAt            Time               // when teams beyond their limits are reported next
+	pendingPlacements   []pendingPlacement // what the batch under way places on machines of our own
+
+	autoscaler autoscaler
 	// Machines that the cloud has confirmed gone, for the owners to hear.
-	returned []returned
-	kept     []wire.Kept // machines kept for the gang that has waited longest
+	returned     []returnedMachine
+	reservations []wire.Reservation // machines kept for the gang that has waited longest
 }
 
-// placing is room on a machine of ours that a batch of the leader takes.
-type placing struct {
-	h  *host
-	sp *wire.Spec
+// pendingPlacement is room on a machine of ours that a batch of the leader takes.
+type pendingPlacement struct {
+	machine *machine
+	spec    *wire.JobSpec
 }
 
-type returned struct {
+type returnedMachine struct {
 	name string
 	at   Time
 }
 
-// returnedFor is how long the owners are told of a machine's return.
-const returnedFor = 20 * second
+// returnedAnnounceTime is how long the owners are told of a machine's return.
+const returnedAnnounceTime = 20 * second
 
-// returnedLately names the machines that went back a short while ago. An owner
+// recentlyReturned names the machines that went back a short while ago. An owner
 // that misses it finds them silent.
-func (l *leaderState) returnedLately(n *Node) []string {
-	l.returned = slices.DeleteFunc(l.returned, func(r returned) bool { return n.now-r.at > returnedFor })
+func (l *leaderState) recentlyReturned(n *Node) []string {
+	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > returnedAnnounceTime })
 	var out []string
 	for _, r := range l.returned {
 		out = append(out, r.name)
@@ -60,25 +60,25 @@
 
 func (l *leaderState) reset() {
 	l.tenure++
-	l.batch = batch{name: "leader", gen: l.batch.gen + 1}
-	l.hint, l.placing = map[taskKey]*host{}, nil
-	l.cloud = newCloudState()
-	l.returned, l.kept = nil, nil
-	l.dealtAt = dealTimes(len(l.dealtAt))
-	l.gathered = make([]bool, len(l.dealtAt))
-	l.dirty = true
+	l.batch = batch{role: "leader", generation: l.batch.generation + 1}
+	l.grantHints, l.pendingPlacements = map[taskKey]*machine{}, nil
+	l.autoscaler = newAutoscaler()
+	l.returned, l.reservations = nil, nil
+	l.sharesDistributedAt = neverDistributed(len(l.sharesDistributedAt))
+	l.sharesReclaimed = make([]bool, len(l.sharesDistributedAt))
+	l.planNeeded = true
 }
 
-// leaderTick plans and grants.
-func (n *Node) leaderTick() {
+// runLeader plans and grants.
+func (n *Node) runLeader() {
 	l := &n.leader
-	if !n.leads() || n.resign() {
+	if !n.isLeader() || n.resign() {
 		return
 	}
 	// Refused by the state service, we may have lost the lead without seeing
 	// it. Commits would fail, but the cloud would go on obeying us.
 	// Nor does a new lease renew what was claimed under one that has ended.
-	if n.now-n.leadLease.sent > n.leadLease.ttl || n.leadLease.id != n.claimLease {
+	if n.now-n.leaderLease.sentAt > n.leaderLease.ttl || n.leaderLease.id != n.claimLeaseID {
 		return
 	}
 	if n.resumedAt > 0 && n.now-n.resumedAt < 2*second {
@@ -87,8 +87,8 @@
 	if !n.mayDecide() {
 		return
 	}
-	n.cloudTick()
-	if n.now < l.at || (!l.dirty && n.now < l.at+second) || n.types == nil {
+	n.runCloudCalls()
+	if n.now < l.planAt || (!l.planNeeded && n.now < l.planAt+second) || n.offeredTypes == nil {
 		return
 	}
 	// First hear from the owners what there is.
@@ -100,58 +100,58 @@
 	}
 	// A pass looks at every unfinished job and every machine, if briefly; with
 	// thousands of them the share of a core that we have allows fewer passes.
-	l.at = n.now + 120*time.Millisecond + Time(len(n.live))*300*time.Microsecond + Time(n.machines())*100*time.Microsecond
-	l.dirty, l.placing = false, nil
+	l.planAt = n.now + 120*time.Millisecond + Time(len(n.live))*300*time.Microsecond + Time(n.machineCount())*100*time.Microsecond
+	l.planNeeded, l.pendingPlacements = false, nil
 	w := newWriter(n)
-	w.conds = append(w.conds, Cond{wire.LeaderKey, l.rev})
-	n.forgetHintsNowAndThen()
+	w.conditions = append(w.conditions, Condition{wire.LeaderKey, l.term})
+	n.cleanUpHints()
 	n.shrinkRecords(w)
-	n.leadGangs(w)
-	n.revokeOrphans(w)
-	n.ownInfo()
-	left := n.plan(w)
+	n.advanceGangs(w)
+	n.revokeUnownedGrants(w)
+	n.updateOwnViews()
+	left := n.runSchedulingPass(w)
 	n.reportExcess()
-	n.recordWithdrawals(w)
+	n.recordCancellations(w)
 	n.budget.pendingGrants = len(w.order) + left
-	n.log(LogDebug, "planned", "machines", n.machines(), "changed", len(w.order), "left", left)
+	n.log(LogDebug, "planned", "machines", n.machineCount(), "changed", len(w.order), "left", left)
 	w.send(&l.batch, nil)
-	n.decided()
+	n.notePlanned()
 }
 
-// forgetHintsNowAndThen keeps the leader's memory of grants to those that matter.
-func (n *Node) forgetHintsNowAndThen() {
-	if n.now >= n.leader.hintsTidyAt {
-		n.leader.hintsTidyAt = n.now + 5*second
+// cleanUpHints keeps the leader's memory of grants to those that matter.
+func (n *Node) cleanUpHints() {
+	if n.now >= n.leader.hintsCleanupAt {
+		n.leader.hintsCleanupAt = n.now + 5*second
 		n.forgetHints()
 	}
 }
 
-// machines counts those that we know and that may still be there.
-func (n *Node) machines() int {
+// machineCount counts those that we know and that may still be there.
+func (n *Node) machineCount() int {
 	c := 0
-	for _, p := range n.parts {
-		c += len(p.hosts)
+	for _, p := range n.shards {
+		c += len(p.machines)
 	}
 	return c
 }
 
-// revokeOrphans takes back grants to parts that have had no owner for a while.
-func (n *Node) revokeOrphans(w *writer) {
+// revokeUnownedGrants takes back grants to parts that have had no owner for a while.
+func (n *Node) revokeUnownedGrants(w *writer) {
 	for _, jx := range n.live {
 		j := n.jobs[jx]
 		if j.unplaced == 0 {
 			continue
 		}
-		for _, a := range j.rec.Active {
-			if a.Host != "" {
+		for _, a := range j.record.ActiveTasks {
+			if a.Machine != "" {
 				continue
 			}
 			// An owner that is there may just be waiting for its turn to write.
 			wait := 8 * second
-			if n.ownerThere(n.parts[a.Part]) {
+			if n.ownerIsHeard(n.shards[a.Shard]) {
 				wait = 40 * second
 			}
-			if n.now-j.changed < wait || n.gangs[wire.GangKey(j.ref, a.Attempt)] != nil {
+			if n.now-j.changedAt < wait || n.gangs[wire.GangKey(j.id, a.Attempt)] != nil {
 				continue
 			}
 			rec := w.job(j)
@@ -160,23 +160,23 @@
 			}
 			// Never placed, so nothing can have started; an owner that
 			// places it at this moment changes the record and we lose.
-			rec.Active = slices.DeleteFunc(rec.Active, func(b wire.Active) bool { return b.Host == "" })
+			rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(b wire.ActiveTask) bool { return b.Machine == "" })
 			break
 		}
 	}
 }
 
-// ownerThere tells whether a part has an owner that can be heard.
-func (n *Node) ownerThere(p *part) bool {
-	if p.rec == nil {
+// ownerIsHeard tells whether a part has an owner that can be heard.
+func (n *Node) ownerIsHeard(p *shard) bool {
+	if p.record == nil {
 		return false
 	}
-	owner := n.peers[p.rec.Owner]
-	return n.holds(p) || owner != nil && n.now-owner.at < 5*second
+	owner := n.peers[p.record.Owner]
+	return n.owns(p) || owner != nil && n.now-owner.heardAt < 5*second
 }
 
-// hireName is unique for ever: no two leaders share a term.
-func (n *Node) hireName() string {
-	n.leader.cloud.hireSeq++
-	return fmt.Sprintf("r-%d-%d", n.leader.rev, n.leader.cloud.hireSeq)
+// provisionName is unique for ever: no two leaders share a term.
+func (n *Node) provisionName() string {
+	n.leader.autoscaler.requestSequence++
+	return fmt.Sprintf("r-%d-%d", n.leader.term, n.leader.autoscaler.requestSequence)
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -11,38 +11,38 @@
 
 // leadership is what a controller knows of its own way to the lead and away from it.
 type leadership struct {
-	nextClaimAt   Time
-	nextResignAt  Time
-	claimLease    uint64 // the lease of our claim
-	abandonedTerm uint64 // the claim of ours that we have given up, or that has been replaced
-	acceptedTerm  uint64 // the last claim of ours of which we had the answer
-	acceptedAt    Time
-	lastClaim     uint64 // the term of the last claim, whose leader may be gone
-	cloudBadSince Time   // since when the cloud has not answered; 0: it does
-	cutOffSince   Time   // since when we lead cut off; 0: we don't
+	nextClaimAt           Time
+	nextResignAt          Time
+	claimLeaseID          uint64 // the lease of our claim
+	abandonedTerm         uint64 // the claim of ours that we have given up, or that has been replaced
+	acceptedTerm          uint64 // the last claim of ours of which we had the answer
+	acceptedAt            Time
+	lastClaimTerm         uint64 // the term of the last claim, whose leader may be gone
+	cloudUnreachableSince Time   // since when the cloud has not answered; 0: it does
+	cutOffSince           Time   // since when we lead cut off; 0: we don't
 }
 
 // putLeader takes in who leads. A new term of the same process goes on with what the
 // leader knows.
 func (n *Node) putLeader(rec *wire.Leader, rev uint64) {
-	if rev <= n.leader.rev {
+	if rev <= n.leader.term {
 		return
 	}
 	// Also one who has resigned: what it last decided and never heard of would
 	// else count as about to be written for ever, and its own owner would leave
 	// those records alone.
-	led, continues, before := n.claimed(), n.leads(), uint64(0)
-	if rec != nil && rev > n.lastClaim {
-		before, n.lastClaim = n.lastClaim, rev
+	led, continues, before := n.holdsLeaderClaim(), n.isLeader(), uint64(0)
+	if rec != nil && rev > n.lastClaimTerm {
+		before, n.lastClaimTerm = n.lastClaimTerm, rev
 	}
-	n.leader.rec, n.leader.rev = rec, rev
+	n.leader.record, n.leader.term = rec, rev
 	n.observeLeader()
-	if continues && n.leads() {
+	if continues && n.isLeader() {
 		n.log(LogInfo, "leading on", "term", rev)
 		return
 	}
 	n.leader.since = n.now
-	if n.leads() {
+	if n.isLeader() {
 		n.leader.reset()
 		n.log(LogInfo, "leading", "term", rev)
 		n.adoptDecisions(before)
@@ -52,35 +52,35 @@
 	}
 }
 
-func (n *Node) leads() bool { return n.claimed() && n.leader.rev != n.abandonedTerm }
+func (n *Node) isLeader() bool { return n.holdsLeaderClaim() && n.leader.term != n.abandonedTerm }
 
-// claimed tells whether our copy shows a claim of ours, abandoned or not.
-func (n *Node) claimed() bool {
-	r := n.leader.rec
-	return r != nil && r.Node == n.cfg.Self && r.Life == n.cfg.Life
+// holdsLeaderClaim tells whether our copy shows a claim of ours, abandoned or not.
+func (n *Node) holdsLeaderClaim() bool {
+	r := n.leader.record
+	return r != nil && r.Controller == n.cfg.Self && r.Incarnation == n.cfg.Incarnation
 }
 
 // claimLeader takes the leadership when nobody has it, when an earlier life of ours had
 // it, or early when a quorum suspects the leader.
 func (n *Node) claimLeader() {
 	l := &n.leader
-	if n.leads() || n.leadLease.id == 0 || n.now-n.leadLease.sent > n.leadLease.ttl/2 || n.now < n.nextClaimAt {
+	if n.isLeader() || n.leaderLease.id == 0 || n.now-n.leaderLease.sentAt > n.leaderLease.ttl/2 || n.now < n.nextClaimAt {
 		return
 	}
 	switch {
-	case l.rec == nil:
-		if n.now-l.since >= n.claimPause() {
+	case l.record == nil:
+		if n.now-l.since >= n.claimDelay() {
 			n.sendClaim(n.newClaim(0), 0)
 		}
-	case l.rec.Node == n.cfg.Self:
-		n.sendClaim(n.newClaim(l.rec.Streak), l.rev)
-	case n.standby.follower.Advise(n.now) == standby.Replace && n.now-n.leadLease.sent <= standby.MaxLeaseAge:
+	case l.record.Controller == n.cfg.Self:
+		n.sendClaim(n.newClaim(l.record.Streak), l.term)
+	case n.failover.follower.Advise(n.now) == standby.Replace && n.now-n.leaderLease.sentAt <= standby.MaxLeaseAge:
 		n.claimEarly()
 	}
 }
 
-// claimPause spaces the candidates for a leadership that nobody has.
-func (n *Node) claimPause() Time {
+// claimDelay spaces the candidates for a leadership that nobody has.
+func (n *Node) claimDelay() Time {
 	pause := Time(n.rank()) * 400 * time.Millisecond
 	if n.isolated() {
 		pause += 5 * second // let one that reaches more of the world have it
@@ -90,8 +90,8 @@
 
 // newClaim is the record of a claim of ours.
 func (n *Node) newClaim(streak int) *wire.Leader {
-	claim := &wire.Leader{Node: n.cfg.Self, Life: n.cfg.Life}
-	if n.writesStandby() {
+	claim := &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}
+	if n.writesEarlyFailover() {
 		claim.Fenced, claim.Streak = n.cfg.EarlyTakeover, streak
 	}
 	return claim
@@ -101,44 +101,44 @@
 // nobody has it.
 func (n *Node) sendClaim(claim *wire.Leader, rev uint64, more ...Write) {
 	n.nextClaimAt = n.now + 500*time.Millisecond
-	n.claimLease = n.leadLease.id
-	writes := []Write{{Key: wire.LeaderKey, Value: claim, Lease: n.leadLease.id}}
-	n.commit(Vital, []Cond{{wire.LeaderKey, rev}}, append(writes, more...), func(c Committed) {
+	n.claimLeaseID = n.leaderLease.id
+	writes := []Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leaderLease.id}}
+	n.commit(ClassLease, []Condition{{wire.LeaderKey, rev}}, append(writes, more...), func(c Committed) {
 		switch c.Outcome {
-		case BadLease:
-			n.leadLease.id, n.leadLease.next = 0, n.now
+		case LeaseExpired:
+			n.leaderLease.id, n.leaderLease.renewAt = 0, n.now
 		case OK:
-			n.acceptedTerm, n.acceptedAt = c.Rev, n.now
+			n.acceptedTerm, n.acceptedAt = c.Revision, n.now
 		}
 	})
 }
 
-// unseenClaimPatience is how long a claim may be ours before our copy shows it.
-const unseenClaimPatience = 2 * second
+// unseenClaimTimeout is how long a claim may be ours before our copy shows it.
+const unseenClaimTimeout = 2 * second
 
 // dropUnseenClaim gives up a claim that our copy does not show: our watch hangs. Kept
 // alive by our renewals, it would leave the site without a leader that decides.
 func (n *Node) dropUnseenClaim() {
-	if n.acceptedTerm <= n.rev || n.now-n.acceptedAt < unseenClaimPatience || !n.cfg.EarlyTakeover {
+	if n.acceptedTerm <= n.revision || n.now-n.acceptedAt < unseenClaimTimeout || !n.cfg.EarlyTakeover {
 		return
 	}
 	term := n.acceptedTerm
 	n.acceptedTerm, n.nextClaimAt = 0, n.now+10*second
 	n.log(LogInfo, "giving the leadership up: the watch does not show it", "term", term)
-	n.commit(Vital, []Cond{{wire.LeaderKey, term}}, []Write{{Key: wire.LeaderKey}}, func(Committed) {})
+	n.commit(ClassLease, []Condition{{wire.LeaderKey, term}}, []Write{{Key: wire.LeaderKey}}, func(Committed) {})
 }
 
 // isolated tells whether we can't reach the cloud, or no other controller.
 // Refusals don't count: they are the same for everyone.
 func (n *Node) isolated() bool {
-	if n.cloudBadSince > 0 && n.now-n.cloudBadSince > 4*second {
+	if n.cloudUnreachableSince > 0 && n.now-n.cloudUnreachableSince > 4*second {
 		return true
 	}
 	if len(n.cfg.Members) < 2 {
 		return false
 	}
 	for _, p := range n.peers {
-		if !p.byStore && n.now-p.at < 6*second {
+		if !p.byMailbox && n.now-p.heardAt < 6*second {
 			return false
 		}
 	}
@@ -157,17 +157,17 @@
 		n.cutOffSince = n.now
 	}
 	// The peers need a moment to notice, and to tell, that they are cut too.
-	if n.now < n.nextResignAt || n.now-n.leader.since < 5*second || n.now-n.cutOffSince < n.cfg.Report+2*second {
+	if n.now < n.nextResignAt || n.now-n.leader.since < 5*second || n.now-n.cutOffSince < n.cfg.HeartbeatInterval+2*second {
 		return false
 	}
 	for _, p := range n.peers {
-		if n.now-p.at < 8*second && p.msg.StoreOK && !p.msg.CutOff {
+		if n.now-p.heardAt < 8*second && p.message.StoreOK && !p.message.CutOff {
 			n.nextResignAt = n.now + 10*second
 			n.log(LogInfo, "giving the leadership up: cut off")
 			// From here on we don't lead, even if our watch hangs and never
 			// shows it; only a refusal says that we still do.
-			n.abandonedTerm = n.leader.rev
-			n.commit(Vital, []Cond{{wire.LeaderKey, n.leader.rev}}, []Write{{Key: wire.LeaderKey}}, func(c Committed) {
+			n.abandonedTerm = n.leader.term
+			n.commit(ClassLease, []Condition{{wire.LeaderKey, n.leader.term}}, []Write{{Key: wire.LeaderKey}}, func(c Committed) {
 				if c.Outcome == Refused {
 					n.abandonedTerm = 0
 				}
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -10,35 +10,35 @@
 const (
 	OK Outcome = iota
 	Conflict
-	Missing
+	NotFound
 	Refused
 	Unknown
-	BadLease
-	Full     // the cloud has no capacity
-	TooLarge // a value or a transaction beyond the limits: not carried out, ever
+	LeaseExpired
+	NoCapacity // the cloud has no capacity
+	TooLarge   // a value or a transaction beyond the limits: not carried out, ever
 )
 
-// Cond demands that a key is at a revision; 0 means absent.
-type Cond struct {
-	Key string
-	Rev uint64
+// Condition demands that a key is at a revision; 0 means absent.
+type Condition struct {
+	Key      string
+	Revision uint64
 }
 
 // Write puts or drops a key. Value is a record of package wire.
 type Write struct {
-	Key   string
-	Value wire.Record // nil drops the key
-	Lease uint64
+	Key     string
+	Value   wire.Record // nil drops the key
+	LeaseID uint64
 }
 
-// Class orders requests when the budget is short.
-type Class int
+// RequestClass orders requests when the budget is short.
+type RequestClass int
 
 // Classes, most pressing first.
 const (
-	Vital Class = iota // renewals and claims
-	User               // submissions, withdrawals, polls
-	Bulk               // everything else
+	ClassLease      RequestClass = iota // renewals and claims
+	ClassUser                           // submissions, withdrawals, polls
+	ClassBackground                     // everything else
 )
 
 // LogLevel says how much a line of the log matters.
@@ -63,116 +63,116 @@
 	result()
 }
 
-func (Commit) effect()       {}
-func (Read) effect()         {}
-func (Lease) effect()        {}
-func (Cloud) effect()        {}
-func (Direct) effect()       {}
-func (Send) effect()         {}
-func (CloudAllowed) effect() {}
-func (Heartbeat) effect()    {}
-func (SendLog) effect()      {}
-func (Forward) effect()      {}
-func (Reply) effect()        {}
-func (Log) effect()          {}
+func (Commit) effect()          {}
+func (ReadJob) effect()         {}
+func (RenewLease) effect()      {}
+func (CallCloud) effect()       {}
+func (SendCommands) effect()    {}
+func (SendGossip) effect()      {}
+func (AllowCloudCalls) effect() {}
+func (SendHeartbeat) effect()   {}
+func (SendDecisionLog) effect() {}
+func (Forward) effect()         {}
+func (Reply) effect()           {}
+func (Log) effect()             {}
 
-func (Tick) input()              {}
-func (Reported) input()          {}
-func (UserRequest) input()       {}
-func (Forwarded) input()         {}
-func (Committed) input()         {}
-func (Directed) input()          {}
-func (GotJob) input()            {}
-func (Leased) input()            {}
-func (Changes) input()           {}
-func (Clouded) input()           {}
-func (Gossiped) input()          {}
-func (HeartbeatReceived) input() {}
-func (Disconnected) input()      {}
-func (StatusRequest) input()     {}
-func (LogReceived) input()       {}
-func (LogAcknowledged) input()   {}
+func (Tick) input()                    {}
+func (WorkerReported) input()          {}
+func (UserRequest) input()             {}
+func (ForwardAnswered) input()         {}
+func (Committed) input()               {}
+func (CommandsAnswered) input()        {}
+func (JobRead) input()                 {}
+func (LeaseAnswered) input()           {}
+func (RecordsChanged) input()          {}
+func (CloudAnswered) input()           {}
+func (GossipReceived) input()          {}
+func (HeartbeatReceived) input()       {}
+func (Disconnected) input()            {}
+func (StatusRequest) input()           {}
+func (DecisionLogReceived) input()     {}
+func (DecisionLogAcknowledged) input() {}
 
-func (Committed) result() {}
-func (Directed) result()  {}
-func (GotJob) result()    {}
-func (Leased) result()    {}
-func (Clouded) result()   {}
+func (Committed) result()        {}
+func (CommandsAnswered) result() {}
+func (JobRead) result()          {}
+func (LeaseAnswered) result()    {}
+func (CloudAnswered) result()    {}
 
 // Effects.
 type (
 	// Commit is a transaction on the state service.
 	Commit struct {
-		ID     uint64
-		If     []Cond
-		Writes []Write
-		Class  Class
+		ID         uint64
+		Conditions []Condition
+		Writes     []Write
+		Class      RequestClass
 	}
-	// Read fetches a job's record.
-	Read struct {
-		ID  uint64
-		Ref string
-	}
-	// Lease creates (Lease 0) or extends a lease.
-	Lease struct {
+	// ReadJob fetches a job's record.
+	ReadJob struct {
 		ID    uint64
-		Lease uint64
-		TTL   Time
+		JobID string
 	}
-	// Cloud is a call to the cloud; exactly one of the fields says which.
-	Cloud struct {
+	// RenewLease creates (Lease 0) or extends a lease.
+	RenewLease struct {
 		ID      uint64
-		Flavors bool
-		List    bool
-		Hire    *wire.Hire
-		Return  []string
-		Within  Time // how long after this a hire or return may be sent
+		LeaseID uint64
+		TTL     Time
+	}
+	// CallCloud is a call to the cloud; exactly one of the fields says which.
+	CallCloud struct {
+		ID           uint64
+		ListTypes    bool
+		ListMachines bool
+		Provision    *wire.ProvisionRequest
+		Deprovision  []string
+		ValidFor     Time // how long after this a hire or return may be sent
 		// Term, if not 0, is that of the claim under which the call was decided: it may be
-		// sent for as long as the last CloudAllowed says, also while it waits for its turn.
+		// sent for as long as the last AllowCloudCalls says, also while it waits for its turn.
 		Term uint64
 	}
-	// CloudAllowed lets hires and returns of a term, and of no other, be sent until a time of
+	// AllowCloudCalls lets hires and returns of a term, and of no other, be sent until a time of
 	// the core's clock: a pause between the step and what carries this out prolongs nothing.
-	CloudAllowed struct {
+	AllowCloudCalls struct {
 		Term  uint64
 		Until Time
 	}
-	// Direct sends orders to a worker's own address; Directed says what became
+	// SendCommands sends orders to a worker's own address; Directed says what became
 	// of them.
-	Direct struct {
-		ID     uint64
-		Addr   string
-		Orders wire.Orders
+	SendCommands struct {
+		ID      uint64
+		Address string
+		Batch   wire.CommandBatch
 	}
-	// Send is a message to a peer.
-	Send struct {
-		To  string
-		Msg *wire.Gossip
+	// SendGossip is a message to a peer.
+	SendGossip struct {
+		To      string
+		Message *wire.Gossip
 	}
-	// Heartbeat tells a peer that we lead. A newer one takes the place of one that has
+	// SendHeartbeat tells a peer that we lead. A newer one takes the place of one that has
 	// not been sent.
-	Heartbeat struct {
-		To  string
-		Msg *wire.Heartbeat
+	SendHeartbeat struct {
+		To      string
+		Message *wire.LeaderHeartbeat
 	}
-	// SendLog sends a message of the decision log to the standby; LogAcknowledged answers it,
+	// SendDecisionLog sends a message of the decision log to the standby; DecisionLogAcknowledged answers it,
 	// if it is answered.
-	SendLog struct {
-		To  string
-		Msg *wire.DecisionLog
+	SendDecisionLog struct {
+		To      string
+		Message *wire.DecisionLog
 	}
 	// Forward hands a user's request to a peer; the answer comes as Forwarded.
 	Forward struct {
-		Req  uint64
-		To   string
-		Call wire.UserCall
+		RequestID uint64
+		To        string
+		Call      wire.UserCall
 	}
 	// Reply answers a request of a user or a worker.
 	Reply struct {
-		Req    uint64
-		Status int
-		Body   any
-		RetryS int
+		RequestID   uint64
+		Status      int
+		Body        any
+		RetryAfterS int
 	}
 	// Log is a line for the log.
 	Log struct {
@@ -186,88 +186,88 @@
 type (
 	// Tick lets timers fire.
 	Tick struct{}
-	// Reported is a worker's report.
-	Reported struct {
-		Req    uint64
-		Report *wire.Report
+	// WorkerReported is a worker's report.
+	WorkerReported struct {
+		RequestID uint64
+		Heartbeat *wire.WorkerHeartbeat
 	}
 	// UserRequest is a user's request at the API, or one handed on by a peer.
 	UserRequest struct {
-		Req       uint64
+		RequestID uint64
 		Kind      wire.RequestKind
-		Ref       string
+		JobID     string
 		Body      []byte
 		Forwarded bool
 	}
-	// Forwarded is a peer's answer to Forward; Status 0 means none came.
-	Forwarded struct {
-		Req    uint64
-		Answer wire.UserAnswer
+	// ForwardAnswered is a peer's answer to Forward; Status 0 means none came.
+	ForwardAnswered struct {
+		RequestID uint64
+		Answer    wire.UserAnswer
 	}
 	// Committed is the result of Commit.
 	Committed struct {
-		ID      uint64
-		Outcome Outcome
-		Rev     uint64
-		Failed  []string // after Conflict: the keys that were not as demanded
-		Limited bool     // the service said that there were too many puts
+		ID       uint64
+		Outcome  Outcome
+		Revision uint64
+		Failed   []string // after Conflict: the keys that were not as demanded
+		Limited  bool     // the service said that there were too many puts
 	}
-	// Directed is the result of Direct: OK when the worker has carried the
+	// CommandsAnswered is the result of Direct: OK when the worker has carried the
 	// orders out, Conflict when it never will, as its session or token is
 	// another, Refused when they were not sent.
-	Directed struct {
+	CommandsAnswered struct {
 		ID      uint64
 		Outcome Outcome
 	}
-	// GotJob is the result of Read.
-	GotJob struct {
-		ID      uint64
-		Outcome Outcome
-		Rev     uint64
-		Job     *wire.Job
+	// JobRead is the result of Read.
+	JobRead struct {
+		ID       uint64
+		Outcome  Outcome
+		Revision uint64
+		Job      *wire.Job
 	}
-	// Leased is the result of Lease.
-	Leased struct {
+	// LeaseAnswered is the result of Lease.
+	LeaseAnswered struct {
 		ID      uint64
 		Outcome Outcome
-		Lease   uint64
+		LeaseID uint64
 	}
-	// Changes are events of the watch, in order, up to revision Rev. Reset
+	// RecordsChanged are events of the watch, in order, up to revision Rev. Reset
 	// says that they are a full listing: everything else is absent.
-	Changes struct {
-		Reset  bool
-		Rev    uint64
-		Events []Event
+	RecordsChanged struct {
+		Reset    bool
+		Revision uint64
+		Events   []Event
 	}
-	// Clouded is the result of Cloud.
-	Clouded struct {
-		ID       uint64
-		Outcome  Outcome
-		Flavors  []wire.Flavor
-		Machines []wire.Machine
-		Hosts    []string
+	// CloudAnswered is the result of Cloud.
+	CloudAnswered struct {
+		ID           uint64
+		Outcome      Outcome
+		MachineTypes []wire.MachineType
+		Machines     []wire.CloudMachine
+		Names        []string
 	}
-	// Gossiped is a message from a peer.
-	Gossiped struct{ Msg *wire.Gossip }
+	// GossipReceived is a message from a peer.
+	GossipReceived struct{ Message *wire.Gossip }
 	// HeartbeatReceived is a leader's heartbeat.
-	HeartbeatReceived struct{ Msg *wire.Heartbeat }
+	HeartbeatReceived struct{ Message *wire.LeaderHeartbeat }
 	// Disconnected says that the connection to a peer has broken.
 	Disconnected struct{ Peer string }
-	// LogReceived is a message of the leader's decision log; Reply has a
+	// DecisionLogReceived is a message of the leader's decision log; Reply has a
 	// wire.DecisionLogAck.
-	LogReceived struct {
-		Req uint64
-		Msg *wire.DecisionLog
+	DecisionLogReceived struct {
+		RequestID uint64
+		Message   *wire.DecisionLog
 	}
-	// LogAcknowledged is the standby's answer to SendLog.
-	LogAcknowledged struct{ Ack wire.DecisionLogAck }
-	// StatusRequest asks who leads and who stands by; Reply has a wire.StandbyStatus.
-	StatusRequest struct{ Req uint64 }
+	// DecisionLogAcknowledged is the standby's answer to SendDecisionLog.
+	DecisionLogAcknowledged struct{ Ack wire.DecisionLogAck }
+	// StatusRequest asks who leads and who stands by; Reply has a wire.LeadershipStatus.
+	StatusRequest struct{ RequestID uint64 }
 )
 
 // Event is a change of a key; Value is nil when it was dropped.
 type Event struct {
-	Key   string
-	Rev   uint64
-	Value wire.Record
+	Key      string
+	Revision uint64
+	Value    wire.Record
 }
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -10,7 +10,7 @@
 // smallValues is a controller whose records hold few names.
 func smallValues(members ...Member) *Node {
 	n := chained(members...)
-	n.cfg.ValueBytes, n.cfg.TxnOps = 2048, 4
+	n.cfg.MaxValueBytes, n.cfg.MaxTransactionOps = 2048, 4
 	return n
 }
 
@@ -18,19 +18,19 @@
 func manyNeeds(n *Node, count int) (refs []string) {
 	for i := range count {
 		ref := fmt.Sprintf("wk-%06d", 1000+i)
-		see(n, 10+i, ref, wire.Live, nil)
+		see(n, 10+i, ref, wire.JobLive, nil)
 		refs = append(refs, ref)
 	}
 	return refs
 }
 
 // changesOf makes the events by which a watch shows writes.
-func changesOf(rev int, writes []Write) Changes {
+func changesOf(rev int, writes []Write) RecordsChanged {
 	var events []Event
 	for i, w := range writes {
-		events = append(events, Event{Key: w.Key, Rev: uint64(rev + i), Value: w.Value})
+		events = append(events, Event{Key: w.Key, Revision: uint64(rev + i), Value: w.Value})
 	}
-	return Changes{Rev: uint64(rev + len(writes)), Events: events}
+	return RecordsChanged{Revision: uint64(rev + len(writes)), Events: events}
 }
 
 // A job may wait on more jobs than its record has room for: they are written first, in
@@ -40,16 +40,16 @@
 	const count = 900
 	n := smallValues()
 	refs := manyNeeds(n, count)
-	r, wrote := settle(n, UserRequest{Req: 1, Kind: wire.Submit, Body: submission("wk-000100", refs...)}, nil)
+	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", refs...)}, nil)
 	if r == nil || r.Status != 201 {
 		t.Fatalf("answered with %+v", r)
 	}
 	last, is := wrote[len(wrote)-1].Value.(*wire.Job)
-	if !is || last.NeedsKeys != len(wrote)-1 || last.NeedsKeys < 5 || len(last.Spec.WaitsOn) > 0 {
+	if !is || last.DependencyListKeys != len(wrote)-1 || last.DependencyListKeys < 5 || len(last.Spec.Dependencies) > 0 {
 		t.Fatalf("the record is %+v after %d writes", last, len(wrote))
 	}
 	for _, w := range wrote {
-		if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.ValueBytes {
+		if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.MaxValueBytes {
 			t.Errorf("%s takes %d bytes, %v", w.Key, size, err)
 		}
 	}
@@ -60,17 +60,17 @@
 		manyNeeds(other, count)
 		other.Step(other.now+1, changesOf(2000, order))
 		j := other.jobNamed("wk-000100")
-		if j.chain == nil || j.chain.openNeeds != count || len(other.needsLists) > 0 {
-			t.Fatalf("%s: %d needs are open, %d lists are kept", name, j.chain.openNeeds, len(other.needsLists))
+		if j.links == nil || j.links.openDependencies != count || len(other.dependencyLists) > 0 {
+			t.Fatalf("%s: %d needs are open, %d lists are kept", name, j.links.openDependencies, len(other.dependencyLists))
 		}
 		for i, ref := range refs[:count-1] {
-			see(other, 3000+i, ref, wire.Done, nil)
+			see(other, 3000+i, ref, wire.JobDone, nil)
 		}
-		if !j.waits() {
+		if !j.isWaiting() {
 			t.Errorf("%s: it waits no more though one need is not done", name)
 		}
-		see(other, 5000, refs[count-1], wire.Withdrawn, nil)
-		if j.state() != wire.Withdrawn {
+		see(other, 5000, refs[count-1], wire.JobCancelled, nil)
+		if j.state() != wire.JobCancelled {
 			t.Errorf("%s: it goes on below a withdrawn job", name)
 		}
 	}
@@ -82,17 +82,17 @@
 	n := smallValues()
 	refs := manyNeeds(n, 900)
 	submit := func(req uint64, allowed int) (reply *Reply, wrote []Write) {
-		inputs := []Input{UserRequest{Req: req, Kind: wire.Submit, Body: submission("wk-000100", refs...)}}
+		inputs := []Input{UserRequest{RequestID: req, Kind: wire.RequestSubmit, Body: submission("wk-000100", refs...)}}
 		for len(inputs) > 0 {
 			in := inputs[0]
 			inputs = inputs[1:]
 			for _, e := range n.Step(n.now+1, in) {
 				switch x := e.(type) {
 				case Commit:
-					if x.Class != User || len(x.Writes) == 0 {
+					if x.Class != ClassUser || len(x.Writes) == 0 {
 						continue
 					}
-					if len(x.Writes) > n.cfg.TxnOps {
+					if len(x.Writes) > n.cfg.MaxTransactionOps {
 						t.Errorf("%d changes in a transaction", len(x.Writes))
 					}
 					if allowed--; allowed < 0 {
@@ -109,7 +109,7 @@
 		return reply, wrote
 	}
 	reply, first := submit(1, 1)
-	if reply == nil || reply.Status != 503 || len(first) != n.cfg.TxnOps {
+	if reply == nil || reply.Status != 503 || len(first) != n.cfg.MaxTransactionOps {
 		t.Fatalf("answered with %+v after %d writes", reply, len(first))
 	}
 	reply, rest := submit(2, 100)
@@ -123,8 +123,8 @@
 		}
 		written[w.Key] = true
 	}
-	if record := rest[len(rest)-1].Value.(*wire.Job); len(written) != record.NeedsKeys+1 {
-		t.Errorf("%d keys, not %d", len(written), record.NeedsKeys+1)
+	if record := rest[len(rest)-1].Value.(*wire.Job); len(written) != record.DependencyListKeys+1 {
+		t.Errorf("%d keys, not %d", len(written), record.DependencyListKeys+1)
 	}
 }
 
@@ -133,20 +133,20 @@
 func TestNoLongListBeforeAllReadIt(t *testing.T) {
 	n := smallValues(Member{"n0", "a"}, Member{"n1", "a"})
 	reads := func(rev uint64, label string, format int) {
-		n.Step(n.now+1, Changes{Rev: rev, Events: []Event{{Key: wire.FormatPrefix + label, Rev: rev, Value: &wire.SupportedFormat{Format: format}}}})
+		n.Step(n.now+1, RecordsChanged{Revision: rev, Events: []Event{{Key: wire.FormatPrefix + label, Revision: rev, Value: &wire.SupportedFormat{Format: format}}}})
 	}
 	reads(5, "n0", wire.Format)
-	reads(6, "n1", wire.FormatChains)
+	reads(6, "n1", wire.FormatDependencies)
 	refs := manyNeeds(n, 300)
-	r, wrote := settle(n, UserRequest{Req: 1, Kind: wire.Submit, Body: submission("wk-000100", refs...)}, nil)
-	if r == nil || r.Status != 503 || r.RetryS == 0 || len(wrote) > 0 {
+	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", refs...)}, nil)
+	if r == nil || r.Status != 503 || r.RetryAfterS == 0 || len(wrote) > 0 {
 		t.Errorf("answered with %+v, wrote %d", r, len(wrote))
 	}
 	// Nor is it handed to a peer, which may answer 422.
 	n.storeOK = false
-	n.peers["n1"] = &peer{at: n.now, msg: &wire.Gossip{From: "n1", StoreOK: true}}
+	n.peers["n1"] = &peer{heardAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
 	forwards := func(req uint64, needs ...string) (count int) {
-		for _, e := range n.Step(n.now+1, UserRequest{Req: req, Kind: wire.Submit, Body: submission("wk-000102", needs...)}) {
+		for _, e := range n.Step(n.now+1, UserRequest{RequestID: req, Kind: wire.RequestSubmit, Body: submission("wk-000102", needs...)}) {
 			if _, is := e.(Forward); is {
 				count++
 			}
@@ -160,12 +160,12 @@
 		t.Error("a short list is not handed on")
 	}
 	n.storeOK = true
-	r, wrote = settle(n, UserRequest{Req: 2, Kind: wire.Submit, Body: submission("wk-000101", refs[:5]...)}, nil)
+	r, wrote = settle(n, UserRequest{RequestID: 2, Kind: wire.RequestSubmit, Body: submission("wk-000101", refs[:5]...)}, nil)
 	if r == nil || r.Status != 201 || len(wrote) != 1 {
 		t.Errorf("answered with %+v, wrote %d", r, len(wrote))
 	}
 	reads(2000, "n1", wire.Format)
-	if r, _ = settle(n, UserRequest{Req: 3, Kind: wire.Submit, Body: submission("wk-000100", refs...)}, nil); r == nil || r.Status != 201 {
+	if r, _ = settle(n, UserRequest{RequestID: 3, Kind: wire.RequestSubmit, Body: submission("wk-000100", refs...)}, nil); r == nil || r.Status != 201 {
 		t.Errorf("answered with %+v", r)
 	}
 }
@@ -174,9 +174,9 @@
 // answered from the jobs above: it is put off, not called pending.
 func TestUnknownListIsNotAnswered(t *testing.T) {
 	n := smallValues()
-	stored := map[string]*wire.Job{"wk-000100": {Frames: 1, Spec: &wire.Spec{Shape: wire.ShapeArray}, NeedsList: "x", NeedsKeys: 2}}
-	r, _ := settle(n, UserRequest{Req: 1, Kind: wire.Submit, Body: []byte{0x81, 0xa3, 'r', 'e', 'f', 0xa9, 'w', 'k', '-', '0', '0', '0', '1', '0', '0'}}, stored)
-	if r == nil || r.Status != 503 || r.RetryS == 0 {
+	stored := map[string]*wire.Job{"wk-000100": {TaskCount: 1, Spec: &wire.JobSpec{Shape: wire.ShapeArray}, DependencyList: "x", DependencyListKeys: 2}}
+	r, _ := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: []byte{0x81, 0xa3, 'r', 'e', 'f', 0xa9, 'w', 'k', '-', '0', '0', '0', '1', '0', '0'}}, stored)
+	if r == nil || r.Status != 503 || r.RetryAfterS == 0 {
 		t.Errorf("answered with %+v", r)
 	}
 }
@@ -185,14 +185,14 @@
 // good rather than start too early.
 func TestIncompleteListDoesNotStart(t *testing.T) {
 	n := smallValues()
-	spec := &wire.Spec{Ref: "wk-000100", Team: "t", Shape: wire.ShapeArray, Frames: 1}
-	rec := &wire.Job{Spec: spec, Frames: 1, Next: 1, NeedsList: "x", NeedsKeys: 2}
-	see(n, 9, "wk-000001", wire.Done, nil)
-	n.Step(n.now+1, Changes{Rev: 11, Events: []Event{
-		{Key: wire.NeedsKey("wk-000100", "x", 1), Rev: 10, Value: &wire.Needs{Refs: []string{"wk-000001"}}},
-		{Key: wire.JobKey("wk-000100"), Rev: 11, Value: rec},
+	spec := &wire.JobSpec{ID: "wk-000100", Team: "t", Shape: wire.ShapeArray, TaskCount: 1}
+	rec := &wire.Job{Spec: spec, TaskCount: 1, NextAttempt: 1, DependencyList: "x", DependencyListKeys: 2}
+	see(n, 9, "wk-000001", wire.JobDone, nil)
+	n.Step(n.now+1, RecordsChanged{Revision: 11, Events: []Event{
+		{Key: wire.DependencyListKey("wk-000100", "x", 1), Revision: 10, Value: &wire.DependencyList{JobIDs: []string{"wk-000001"}}},
+		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: rec},
 	}})
-	if !n.jobNamed("wk-000100").waits() {
+	if !n.jobNamed("wk-000100").isWaiting() {
 		t.Error("a job without all its needs may start")
 	}
 }
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -9,171 +9,171 @@
 	"micaport/internal/wire"
 )
 
-// taskEnded notes the end of a task for its record and what it says of the
+// noteTaskExit notes the end of a task for its record and what it says of the
 // machine.
-func (n *Node) taskEnded(h *host, k taskKey, t *wire.Task) {
-	if _, known := n.results[k]; known {
+func (n *Node) noteTaskExit(h *machine, k taskKey, t *wire.TaskStatus) {
+	if _, known := n.outcomes[k]; known {
 		return
 	}
-	n.results[k] = result{h.name, t.Cause, n.now, h.termOf(n)}
+	n.outcomes[k] = taskOutcome{h.name, t.ExitCause, n.now, h.shardTerm(n)}
 	j := n.jobs[k.job]
-	switch t.Cause {
+	switch t.ExitCause {
 	case wire.CauseDone:
-		h.errJobs, h.sick = nil, false
+		h.failedJobs, h.unhealthy = nil, false
 		h.images.add(j.image)
 	case wire.CauseError:
-		if h.errJobs == nil {
-			h.errJobs = map[int]bool{}
+		if h.failedJobs == nil {
+			h.failedJobs = map[int]bool{}
 		}
-		if j.rec.Errors < 3 {
-			h.errJobs[k.job] = true
+		if j.record.ConsecutiveErrors < 3 {
+			h.failedJobs[k.job] = true
 		}
 		// Two jobs failing here, or one that runs elsewhere, speak against
 		// the machine rather than the job.
-		if n.errorsOn(h) >= 2 || j.rec.DoneSet.Count() > 0 {
-			h.sick = true
+		if n.failedJobCount(h) >= 2 || j.record.DoneTasks.Count() > 0 {
+			h.unhealthy = true
 		}
-		n.ownInfoAt = 0 // before more is granted to it
-	case wire.CauseFull:
-		h.fullUntil = n.now + 2*n.cfg.Report
+		n.ownViewAt = 0 // before more is granted to it
+	case wire.CauseNoCapacity:
+		h.noCapacityUntil = n.now + 2*n.cfg.HeartbeatInterval
 	}
-	n.log(LogDebug, "task ended", "job", j.ref, "task", k.task, "attempt", k.attempt, "host", h.name, "cause", t.Cause)
+	n.log(LogDebug, "task ended", "job", j.id, "task", k.task, "attempt", k.attempt, "host", h.name, "cause", t.ExitCause)
 }
 
-// errorsOn counts the jobs that failed on a machine since something last succeeded
+// failedJobCount counts the jobs that failed on a machine since something last succeeded
 // there. A job that has failed on three machines and never succeeded says nothing
 // against them: a few such jobs once put one sound machine after the other under
 // quarantine, until their users withdrew them.
-func (n *Node) errorsOn(h *host) int {
+func (n *Node) failedJobCount(h *machine) int {
 	c := 0
-	for jx := range h.errJobs {
+	for jx := range h.failedJobs {
 		c += boolToInt(!n.jobs[jx].suspect)
 	}
 	return c
 }
 
-// usable tells whether an owner may place tasks on a machine of its own.
-func (n *Node) usable(h *host) bool {
-	if h.part < 0 {
+// acceptsTasks tells whether an owner may place tasks on a machine of its own.
+func (n *Node) acceptsTasks(h *machine) bool {
+	if h.shard < 0 {
 		return false
 	}
-	p := n.parts[h.part]
-	return h.term == p.rev && (h.token || h.newborn) && h.ignored == 0 && n.now-h.heard < 3*n.cfg.Report && h.leavingAt == 0 &&
-		!h.sick && !h.retiring && !h.returned && n.now >= h.fullUntil
+	p := n.shards[h.shard]
+	return h.term == p.term && (h.tokenConfirmed || h.newlyBooted) && h.ignoredReplies == 0 && n.now-h.heartbeatAt < 3*n.cfg.HeartbeatInterval && h.reclaimAt == 0 &&
+		!h.unhealthy && !h.draining && !h.returned && n.now >= h.noCapacityUntil
 }
 
-// ownerTick writes what has become of tasks, and places granted ones.
-func (n *Node) ownerTick() {
-	if n.now < n.ownerAt {
+// runOwner writes what has become of tasks, and places granted ones.
+func (n *Node) runOwner() {
+	if n.now < n.placementAt {
 		return
 	}
-	n.ownerAt = n.now + 60*time.Millisecond + Time(len(n.live))*20*time.Microsecond
+	n.placementAt = n.now + 60*time.Millisecond + Time(len(n.live))*20*time.Microsecond
 	anyValid := false
-	for _, p := range n.parts {
-		if n.valid(p) {
+	for _, p := range n.shards {
+		if n.mayActAsOwner(p) {
 			anyValid = true
-			n.silentHosts(p)
+			n.expireSilentMachines(p)
 		}
 	}
 	if !anyValid {
-		n.owner.drop()
+		n.batch.drop()
 		return
 	}
-	if !n.owner.ready(n) {
+	if !n.batch.ready(n) {
 		return
 	}
 	w := newWriter(n)
-	var room ownRoom
-	n.applyResults(w, &room, true)
-	n.applyStops(w)
-	n.settleGangs(w)
+	var room lazySlots
+	n.applyOutcomes(w, &room, true)
+	n.stopReclaimedGangs(w)
+	n.expireGangHolds(w)
 	n.placeGranted(w, &room)
-	n.applyResults(w, &room, false)
+	n.applyOutcomes(w, &room, false)
 	n.admitWork(w, &room)
-	w.send(&n.owner, nil)
+	w.send(&n.batch, nil)
 }
 
-// silentHosts gives up the tasks of machines whose lease must have run out.
-func (n *Node) silentHosts(p *part) {
-	limit := n.cfg.Lease + n.cfg.Lease/1000 + second
-	for _, h := range p.hosts {
-		if len(h.on) == 0 {
+// expireSilentMachines gives up the tasks of machines whose lease must have run out.
+func (n *Node) expireSilentMachines(p *shard) {
+	limit := n.cfg.WorkerLease + n.cfg.WorkerLease/1000 + second
+	for _, h := range p.machines {
+		if len(h.placements) == 0 {
 			continue
 		}
-		last := p.bound
-		if h.term == p.rev {
-			last = max(last, h.answered)
+		last := p.ownedSince
+		if h.term == p.term {
+			last = max(last, h.answeredAt)
 		}
 		if !h.returned && n.now-last <= limit {
 			continue
 		}
-		for i := range h.on {
-			k := h.on[i].taskKey
-			if _, known := n.results[k]; !known && h.on[i].part == p.ix {
-				n.results[k] = result{h.name, causeLost, n.now, h.termOf(n)}
-				n.log(LogInfo, "task lost with its machine", "job", n.jobs[k.job].ref, "task", k.task, "host", h.name)
+		for i := range h.placements {
+			k := h.placements[i].taskKey
+			if _, known := n.outcomes[k]; !known && h.placements[i].shard == p.index {
+				n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
+				n.log(LogInfo, "task lost with its machine", "job", n.jobs[k.job].id, "task", k.task, "host", h.name)
 			}
 		}
 	}
 }
 
-// forgetHosts lets go of machines that are gone, so that nothing is spent on
+// forgetMachines lets go of machines that are gone, so that nothing is spent on
 // what has been.
-func (n *Node) forgetHosts() {
-	if n.now < n.tidyAt {
+func (n *Node) forgetMachines() {
+	if n.now < n.cleanupAt {
 		return
 	}
-	n.tidyAt = n.now + 5*second
-	n.forgetSettledGrants()
-	for _, p := range n.parts {
-		for i := len(p.hosts) - 1; i >= 0; i-- {
-			h := p.hosts[i]
-			silent := n.valid(p) && h.term == p.rev && n.now-h.heard > 3*n.cfg.Lease
-			if len(h.on) == 0 && (h.returned || silent || h.info.lost && !n.holds(p) && n.now-p.changed > 3*n.cfg.Lease) {
-				n.setPart(h, -1)
-				h.info, h.tasks, h.started, h.direct, h.errJobs, h.images = view{}, nil, nil, nil, nil, nil
+	n.cleanupAt = n.now + 5*second
+	n.forgetPlacedGrants()
+	for _, p := range n.shards {
+		for i := len(p.machines) - 1; i >= 0; i-- {
+			h := p.machines[i]
+			silent := n.mayActAsOwner(p) && h.term == p.term && n.now-h.heartbeatAt > 3*n.cfg.WorkerLease
+			if len(h.placements) == 0 && (h.returned || silent || h.view.unreachable && !n.owns(p) && n.now-p.changedAt > 3*n.cfg.WorkerLease) {
+				n.setShard(h, -1)
+				h.view, h.reportedTasks, h.startSentAt, h.directStarts, h.failedJobs, h.images = machineView{}, nil, nil, nil, nil, nil
 				h.term = 0 // if it reports again, it is learnt anew
 			}
 		}
 	}
 }
 
-// pressing tells whether others wait for the end of a task to be written: a
+// isUrgentOutcome tells whether others wait for the end of a task to be written: a
 // daemon or gang that is to start anew, a user who waits for the end of a job.
 // The end of one task of an array among others can wait behind placings; by
 // the time its turn comes, one put often serves several.
-func (n *Node) pressing(k taskKey, res result) bool {
+func (n *Node) isUrgentOutcome(k taskKey, res taskOutcome) bool {
 	j := n.jobs[k.job]
-	if j.rec == nil || j.rec.State != wire.Live {
+	if j.record == nil || j.record.State != wire.JobLive {
 		return false
 	}
-	return j.rec.Spec.Shape != wire.ShapeArray || res.cause != wire.CauseDone || len(j.rec.Active) == 1
+	return j.record.Spec.Shape != wire.ShapeArray || res.cause != wire.CauseDone || len(j.record.ActiveTasks) == 1
 }
 
-// applyResults writes what became of tasks, either what presses or the rest.
-func (n *Node) applyResults(w *writer, room *ownRoom, pressing bool) {
-	keys := n.sortedResults()
+// applyOutcomes writes what became of tasks, either what presses or the rest.
+func (n *Node) applyOutcomes(w *writer, room *lazySlots, pressing bool) {
+	keys := n.sortedOutcomes()
 	oldest := map[int]Time{}
 	for _, k := range keys {
-		if at, seen := oldest[k.job]; !seen || n.results[k].at < at {
-			oldest[k.job] = n.results[k].at
+		if at, seen := oldest[k.job]; !seen || n.outcomes[k].at < at {
+			oldest[k.job] = n.outcomes[k].at
 		}
 	}
 	slack := newRecordRoom(n, w)
 	for _, k := range keys {
-		res := n.results[k]
-		if w.ended[k] || n.pressing(k, res) != pressing && w.recs[k.job] == nil || n.leader.batch.holds(n.jobs[k.job]) {
+		res := n.outcomes[k]
+		if w.exitedTasks[k] || n.isUrgentOutcome(k, res) != pressing && w.records[k.job] == nil || n.leader.batch.changes(n.jobs[k.job]) {
 			continue
 		}
-		if n.awaitsNewSession(res) || n.now-oldest[k.job] < n.resultDelay(n.jobs[k.job]) {
+		if n.awaitsNewEpoch(res) || n.now-oldest[k.job] < n.outcomeDelayFor(n.jobs[k.job]) {
 			continue
 		}
-		a := n.active(k, res.host)
-		if a == nil || !n.valid(n.parts[a.Part]) || n.parts[a.Part].rev != res.term {
-			delete(n.results, k) // written, or found out in a term that is over
+		a := n.activeTask(k, res.machine)
+		if a == nil || !n.mayActAsOwner(n.shards[a.Shard]) || n.shards[a.Shard].term != res.term {
+			delete(n.outcomes, k) // written, or found out in a term that is over
 			continue
 		}
-		if !slack.mayEnd(k, res.host) {
+		if !slack.mayRemove(k, res.machine) {
 			continue
 		}
 		rec := w.job(n.jobs[k.job])
@@ -182,154 +182,154 @@
 		}
 		// Once: an end that is applied twice would count an error twice and
 		// put two tasks where one was.
-		w.ended[k] = true
-		w.parts[a.Part] = true
+		w.exitedTasks[k] = true
+		w.shards[a.Shard] = true
 		was := *a
-		finish(rec, k, slack.kept(n.jobs[k.job], rec, k, res))
+		removeExitedTask(rec, k, slack.recordable(n.jobs[k.job], rec, k, res))
 		if slack.mayAdd(n.jobs[k.job]) {
-			n.placeAnew(w, rec, was, res, room)
+			n.replaceLostTask(w, rec, was, res, room)
 		}
 	}
 }
 
-// sortedResults lists the tasks of which we know what became of them, in a fixed order.
-func (n *Node) sortedResults() []taskKey {
-	return slices.SortedFunc(maps.Keys(n.results), func(a, b taskKey) int {
+// sortedOutcomes lists the tasks of which we know what became of them, in a fixed order.
+func (n *Node) sortedOutcomes() []taskKey {
+	return slices.SortedFunc(maps.Keys(n.outcomes), func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 	})
 }
 
-// awaitsNewSession tells whether a lost task should wait a moment for its machine: one
+// awaitsNewEpoch tells whether a lost task should wait a moment for its machine: one
 // that has lost its session is the best place for the same task, as it has the image,
 // once it has shown that it knows our term.
-func (n *Node) awaitsNewSession(res result) bool {
-	h := n.hostOf(res.host)
-	return res.cause == causeLost && h.part >= 0 && n.now-res.at < sessionPause && h.term == n.parts[h.part].rev &&
-		!h.token && n.now-h.heard < sessionPause
+func (n *Node) awaitsNewEpoch(res taskOutcome) bool {
+	h := n.machineNamed(res.machine)
+	return res.cause == causeLost && h.shard >= 0 && n.now-res.at < epochDelay && h.term == n.shards[h.shard].term &&
+		!h.tokenConfirmed && n.now-h.heartbeatAt < epochDelay
 }
 
-// placeAnew gives a task that its machine has lost another machine of the same
+// replaceLostTask gives a task that its machine has lost another machine of the same
 // part: the grant stands, only the choice of the machine is the owner's. It
 // saves two puts, and when a whole zone has lost its tasks that is most of the
 // time it takes to have them back.
-func (n *Node) placeAnew(w *writer, rec *wire.Job, was wire.Active, res result, room *ownRoom) {
-	if rec.State != wire.Live || rec.Spec.Shape == wire.ShapeGang || was.Stop != wire.Keep ||
-		res.cause != causeLost && res.cause != wire.CauseHalted {
+func (n *Node) replaceLostTask(w *writer, rec *wire.Job, was wire.ActiveTask, res taskOutcome, room *lazySlots) {
+	if rec.State != wire.JobLive || rec.Spec.Shape == wire.ShapeGang || was.Stop != wire.StopNone ||
+		res.cause != causeLost && res.cause != wire.CauseStopped {
 		return
 	}
-	j := n.jobNamed(rec.Spec.Ref)
-	s := room.slots(n).best(j, func(s *slot) bool { return s.part == was.Part }, nil)
-	if s == nil || s.h.name == was.Host && s.h.session <= was.Session {
+	j := n.jobNamed(rec.Spec.ID)
+	s := room.slots(n).best(j, func(s *slot) bool { return s.shard == was.Shard }, nil)
+	if s == nil || s.machine.name == was.Machine && s.machine.epoch <= was.Epoch {
 		return
 	}
 	s.take(rec.Spec)
-	rec.Active = append(rec.Active, wire.Active{Task: was.Task, Attempt: w.attempt(j, rec), Part: was.Part, Host: s.h.name, Session: s.h.session, Admitted: was.Admitted})
-	n.log(LogDebug, "placed anew", "job", j.ref, "task", was.Task, "host", s.h.name)
+	rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: was.Task, Attempt: w.attempt(j, rec), Shard: was.Shard, Machine: s.machine.name, Epoch: s.machine.epoch, Admitted: was.Admitted})
+	n.log(LogDebug, "placed anew", "job", j.id, "task", was.Task, "host", s.machine.name)
 }
 
-// finish takes a task that is gone out of its record.
-func finish(rec *wire.Job, k taskKey, res result) {
-	rec.Active = slices.DeleteFunc(rec.Active, func(a wire.Active) bool {
-		return a.Task == k.task && a.Attempt == k.attempt && a.Host == res.host
+// removeExitedTask takes a task that is gone out of its record.
+func removeExitedTask(rec *wire.Job, k taskKey, res taskOutcome) {
+	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
+		return a.Task == k.task && a.Attempt == k.attempt && a.Machine == res.machine
 	})
 	gang := rec.Spec.Shape == wire.ShapeGang
 	switch {
-	case res.cause == wire.CauseDone && rec.State == wire.Live:
-		rec.Errors, rec.Avoid = 0, nil
+	case res.cause == wire.CauseDone && rec.State == wire.JobLive:
+		rec.ConsecutiveErrors, rec.FailedMachines = 0, nil
 		if gang {
 			// The tasks of a gang complete together.
-			rec.DoneSet = wire.Range(0, rec.Frames)
+			rec.DoneTasks = wire.Range(0, rec.TaskCount)
 		} else if rec.Spec.Shape == wire.ShapeArray {
-			rec.DoneSet = rec.DoneSet.With(k.task)
+			rec.DoneTasks = rec.DoneTasks.With(k.task)
 		}
 		return
 	case res.cause == wire.CauseError:
-		rec.Errors++
-		if !slices.Contains(rec.Avoid, res.host) {
-			rec.Avoid = append(rec.Avoid, res.host)
+		rec.ConsecutiveErrors++
+		if !slices.Contains(rec.FailedMachines, res.machine) {
+			rec.FailedMachines = append(rec.FailedMachines, res.machine)
 		}
-		if len(rec.Avoid) > 4 {
-			rec.Avoid = rec.Avoid[1:]
+		if len(rec.FailedMachines) > 4 {
+			rec.FailedMachines = rec.FailedMachines[1:]
 		}
 	}
-	if gang && rec.State == wire.Live {
-		failGang(rec, k.attempt)
+	if gang && rec.State == wire.JobLive {
+		abandonGang(rec, k.attempt)
 	}
 }
 
-// failGang stops what is left of a gang's attempt. Tasks that are saving on
+// abandonGang stops what is left of a gang's attempt. Tasks that are saving on
 // order go on; those not yet placed are given up at once.
-func failGang(rec *wire.Job, attempt uint64) {
-	rec.Active = slices.DeleteFunc(rec.Active, func(a wire.Active) bool {
-		return a.Attempt == attempt && a.Host == ""
+func abandonGang(rec *wire.Job, attempt uint64) {
+	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
+		return a.Attempt == attempt && a.Machine == ""
 	})
-	for i := range rec.Active {
-		if a := &rec.Active[i]; a.Attempt == attempt && a.Stop == wire.Keep {
-			a.Stop = wire.Abandon
+	for i := range rec.ActiveTasks {
+		if a := &rec.ActiveTasks[i]; a.Attempt == attempt && a.Stop == wire.StopNone {
+			a.Stop = wire.StopAbandon
 		}
 	}
 }
 
-// applyStops marks gangs that have to leave a machine for an orderly stop.
-func (n *Node) applyStops(w *writer) {
+// stopReclaimedGangs marks gangs that have to leave a machine for an orderly stop.
+func (n *Node) stopReclaimedGangs(w *writer) {
 	var list []int
-	for jx := range n.stopJobs {
+	for jx := range n.gangsToStop {
 		list = append(list, jx)
 	}
 	slices.Sort(list)
 	for _, jx := range list {
 		j := n.jobs[jx]
-		if j.rec == nil || j.rec.State != wire.Live || !slices.ContainsFunc(j.rec.Active, func(a wire.Active) bool { return a.Stop == wire.Keep }) {
-			delete(n.stopJobs, jx)
+		if j.record == nil || j.record.State != wire.JobLive || !slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool { return a.Stop == wire.StopNone }) {
+			delete(n.gangsToStop, jx)
 			continue
 		}
 		rec := w.job(j)
 		if rec == nil {
 			return
 		}
-		markStop(rec)
+		preemptAll(rec)
 	}
 }
 
-// markStop asks every task of a job to save and exit.
-func markStop(rec *wire.Job) {
-	rec.Active = slices.DeleteFunc(rec.Active, func(a wire.Active) bool { return a.Host == "" })
-	for i := range rec.Active {
-		if rec.Active[i].Stop == wire.Keep {
-			rec.Active[i].Stop = wire.Preempt
+// preemptAll asks every task of a job to save and exit.
+func preemptAll(rec *wire.Job) {
+	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool { return a.Machine == "" })
+	for i := range rec.ActiveTasks {
+		if rec.ActiveTasks[i].Stop == wire.StopNone {
+			rec.ActiveTasks[i].Stop = wire.StopPreempt
 		}
 	}
 }
 
-// ownRoom is the room on our machines, worked out when it is first needed.
-type ownRoom struct{ set *slotSet }
+// lazySlots is the room on our machines, worked out when it is first needed.
+type lazySlots struct{ set *slotSet }
 
-func (r *ownRoom) slots(n *Node) *slotSet {
+func (r *lazySlots) slots(n *Node) *slotSet {
 	if r.set == nil {
-		r.set = n.ownSlots()
+		r.set = n.ownedSlots()
 	}
 	return r.set
 }
 
-// ownSlots lists the room on the machines that we own, less what is held.
-func (n *Node) ownSlots() *slotSet {
+// ownedSlots lists the room on the machines that we own, less what is held.
+func (n *Node) ownedSlots() *slotSet {
 	slots := newSlotSet(n)
-	for _, p := range n.parts {
-		if !n.valid(p) {
+	for _, p := range n.shards {
+		if !n.mayActAsOwner(p) {
 			continue
 		}
-		for _, h := range p.hosts {
-			n.work++
-			if n.usable(h) {
+		for _, h := range p.machines {
+			n.workCount++
+			if n.acceptsTasks(h) {
 				if s := n.slotOf(h); s != nil {
-					if j, kept := n.keptHosts[h.ix]; kept && n.now-n.keptHostsAt < 5*second {
-						s.keptFor = j + 1
+					if j, kept := n.reservedMachines[h.index]; kept && n.now-n.reservedMachinesAt < 5*second {
+						s.reservedFor = j + 1
 					}
 					// What is proven gone leaves its room, though its record
 					// still shows it; the new placing goes into the same put.
-					for i := range h.on {
-						if _, over := n.results[h.on[i].taskKey]; over && n.jobs[h.on[i].job].rec.Spec != nil {
-							s.give(n.jobs[h.on[i].job].rec.Spec, 1)
+					for i := range h.placements {
+						if _, over := n.outcomes[h.placements[i].taskKey]; over && n.jobs[h.placements[i].job].record.Spec != nil {
+							s.release(n.jobs[h.placements[i].job].record.Spec, 1)
 						}
 					}
 					slots.add(s)
@@ -337,14 +337,14 @@
 			}
 		}
 	}
-	n.takeHolds(slots)
+	n.subtractHolds(slots)
 	if n.leader.batch.active {
-		taken := map[*host][]*wire.Spec{}
-		for _, x := range n.leader.placing {
-			taken[x.h] = append(taken[x.h], x.sp)
+		taken := map[*machine][]*wire.JobSpec{}
+		for _, x := range n.leader.pendingPlacements {
+			taken[x.machine] = append(taken[x.machine], x.spec)
 		}
 		for _, s := range slots.all {
-			for _, sp := range taken[s.h] {
+			for _, sp := range taken[s.machine] {
 				s.take(sp)
 			}
 		}
@@ -353,11 +353,11 @@
 }
 
 // placeGranted chooses machines for the tasks granted to our parts.
-func (n *Node) placeGranted(w *writer, room *ownRoom) {
+func (n *Node) placeGranted(w *writer, room *lazySlots) {
 	for _, jx := range n.live {
 		j := n.jobs[jx]
-		if j.unplaced == 0 || n.leader.batch.holds(j) || !slices.ContainsFunc(j.rec.Active, func(a wire.Active) bool {
-			return a.Host == "" && n.valid(n.parts[a.Part])
+		if j.unplaced == 0 || n.leader.batch.changes(j) || !slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool {
+			return a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard])
 		}) {
 			continue
 		}
@@ -365,15 +365,15 @@
 	}
 }
 
-// grantPatience is how long an owner looks for room for a grant before it
+// grantTimeout is how long an owner looks for room for a grant before it
 // gives it back.
-const grantPatience = 2500 * time.Millisecond
+const grantTimeout = 2500 * time.Millisecond
 
 func (n *Node) placeJob(w *writer, j *job, slots *slotSet) {
-	sp := j.rec.Spec
-	if j.rec.State != wire.Live {
+	sp := j.record.Spec
+	if j.record.State != wire.JobLive {
 		if rec := w.job(j); rec != nil {
-			n.giveBack(w, rec)
+			n.revokeUnplaced(w, rec)
 		}
 		return
 	}
@@ -383,81 +383,81 @@
 	}
 	slack := newRecordRoom(n, w)
 	var s *slot
-	for i := range j.rec.Active {
-		a := &j.rec.Active[i]
-		if a.Host != "" || !n.valid(n.parts[a.Part]) {
+	for i := range j.record.ActiveTasks {
+		a := &j.record.ActiveTasks[i]
+		if a.Machine != "" || !n.mayActAsOwner(n.shards[a.Shard]) {
 			continue
 		}
-		if !j.bulk || s == nil || s.part != a.Part || !s.fits(sp) {
-			if s = slots.best(j, func(s *slot) bool { return s.part == a.Part }, nil); s != nil && !slack.mayAdd(j) {
+		if !j.largeArray || s == nil || s.shard != a.Shard || !s.fits(sp) {
+			if s = slots.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil); s != nil && !slack.mayAdd(j) {
 				s = nil
 			}
 		}
-		k := taskKey{j.ix, a.Task, a.Attempt}
-		if s == nil && !n.outOfPatience(k) {
+		k := taskKey{j.index, a.Task, a.Attempt}
+		if s == nil && !n.grantTimedOut(k) {
 			continue
 		}
 		rec := w.job(j)
 		if rec == nil {
 			return
 		}
-		w.parts[a.Part] = true
+		w.shards[a.Shard] = true
 		if s == nil {
-			rec.Active = slices.DeleteFunc(rec.Active, func(b wire.Active) bool {
-				return b.Task == a.Task && b.Attempt == a.Attempt && b.Host == ""
+			rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(b wire.ActiveTask) bool {
+				return b.Task == a.Task && b.Attempt == a.Attempt && b.Machine == ""
 			})
 			continue
 		}
 		s.take(sp)
-		setHost(rec, a, s.h)
+		assignMachine(rec, a, s.machine)
 	}
 }
 
-func setHost(rec *wire.Job, a *wire.Active, h *host) {
-	for i := range rec.Active {
-		if b := &rec.Active[i]; b.Task == a.Task && b.Attempt == a.Attempt {
-			b.Host, b.Session = h.name, h.session
+func assignMachine(rec *wire.Job, a *wire.ActiveTask, h *machine) {
+	for i := range rec.ActiveTasks {
+		if b := &rec.ActiveTasks[i]; b.Task == a.Task && b.Attempt == a.Attempt {
+			b.Machine, b.Epoch = h.name, h.epoch
 			return
 		}
 	}
 }
 
-// giveBack removes the grants to our parts that were never placed.
-func (n *Node) giveBack(w *writer, rec *wire.Job) {
-	rec.Active = slices.DeleteFunc(rec.Active, func(a wire.Active) bool {
-		mine := a.Host == "" && n.valid(n.parts[a.Part])
+// revokeUnplaced removes the grants to our parts that were never placed.
+func (n *Node) revokeUnplaced(w *writer, rec *wire.Job) {
+	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
+		mine := a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard])
 		if mine {
-			w.parts[a.Part] = true
+			w.shards[a.Shard] = true
 		}
 		return mine
 	})
 }
 
-// forgetSettledGrants drops what is remembered of grants that have been placed or given
+// forgetPlacedGrants drops what is remembered of grants that have been placed or given
 // back. It is called now and then; the memory is bounded by the grants that wait. A bound
 // on their number would be one on the site: when it was reached everything was forgotten,
 // so that with more grants waiting than it no grant ever ran out of patience.
-func (n *Node) forgetSettledGrants() {
-	for k := range n.grantSeen {
-		if !n.jobs[k.job].awaitsPlacing(k) {
-			delete(n.grantSeen, k)
+func (n *Node) forgetPlacedGrants() {
+	for k := range n.grantSeenAt {
+		if !n.jobs[k.job].awaitsPlacement(k) {
+			delete(n.grantSeenAt, k)
 		}
 	}
 }
 
-// awaitsPlacing tells whether the record holds a grant that has no machine yet.
-func (j *job) awaitsPlacing(k taskKey) bool {
-	return j.rec != nil && j.unplaced > 0 && slices.ContainsFunc(j.rec.Active, func(a wire.Active) bool {
-		return a.Task == k.task && a.Attempt == k.attempt && a.Host == ""
+// awaitsPlacement tells whether the record holds a grant that has no machine yet.
+func (j *job) awaitsPlacement(k taskKey) bool {
+	return j.record != nil && j.unplaced > 0 && slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool {
+		return a.Task == k.task && a.Attempt == k.attempt && a.Machine == ""
 	})
 }
 
-// outOfPatience tells whether a grant has waited too long for room.
-func (n *Node) outOfPatience(k taskKey) bool {
-	at, seen := n.grantSeen[k]
+// grantTimedOut tells whether a grant has waited too long for room.
+func (n *Node) grantTimedOut(k taskKey) bool {
+	at, seen := n.grantSeenAt[k]
 	if !seen {
-		n.grantSeen[k] = n.now
+		n.grantSeenAt[k] = n.now
 		return false
 	}
-	return n.now-at > grantPatience
+	return n.now-at > grantTimeout
 }
--- a/internal/core/part.go
+++ b/internal/core/part.go
@@ -9,73 +9,73 @@
 	"micaport/internal/wire"
 )
 
-// part is a share of a zone's machines.
-type part struct {
-	ix   int
-	name string
-	zone int
-	home string // the controller meant to own it; "" in a zone without one
-	rec  *wire.Part
-	rev  uint64 // of the claim: the term and the workers' token
+// shard is a share of a zone's machines.
+type shard struct {
+	index          int
+	name           string
+	zone           int
+	homeController string // the controller meant to own it; "" in a zone without one
+	record         *wire.Shard
+	term           uint64 // of the claim: the term and the workers' token
 
-	hosts      []*host // machines that may still be there
-	changed    Time    // when our copy last saw it change hands
-	askedAt    Time    // when we last asked ourselves whether to claim it
-	since      Time    // when our copy last saw it change hands or go
-	proven     bool    // a check has covered this term
-	base       Time    // our validity counts from here
-	validSince Time    // since when we could answer without a break
-	bound      Time    // no earlier owner can have answered a report sent after this
-	until      Time    // no owner before the present one answers after this
+	machines           []*machine // machines that may still be there
+	changedAt          Time       // when our copy last saw it change hands
+	claimCheckedAt     Time       // when we last asked ourselves whether to claim it
+	claimableSince     Time       // when our copy last saw it change hands or go
+	proven             bool       // a check has covered this term
+	validFrom          Time       // our validity counts from here
+	validSince         Time       // since when we could answer without a break
+	ownedSince         Time       // no earlier owner can have answered a report sent after this
+	previousOwnerUntil Time       // no owner before the present one answers after this
 }
 
-// PartID names a part: the zone whose machines it holds, and the controller that is
+// ShardID names a part: the zone whose machines it holds, and the controller that is
 // meant to own it, which is "" in a zone without one.
-type PartID struct{ Zone, Home string }
+type ShardID struct{ Zone, Home string }
 
 // Name is the part's name in records.
-func (p PartID) Name() string {
+func (p ShardID) Name() string {
 	if p.Home == "" {
 		return p.Zone + "/-"
 	}
 	return p.Zone + "/" + p.Home
 }
 
-// Parts lists the parts of a deployment in the order in which records number them.
-func Parts(zones []string, members []Member) []PartID {
+// Shards lists the parts of a deployment in the order in which records number them.
+func Shards(zones []string, members []Member) []ShardID {
 	members = slices.Clone(members)
-	sort.Slice(members, func(i, k int) bool { return members[i].Label < members[k].Label })
-	var parts []PartID
+	sort.Slice(members, func(i, k int) bool { return members[i].Name < members[k].Name })
+	var parts []ShardID
 	for _, zone := range slices.Sorted(slices.Values(zones)) {
 		before := len(parts)
 		for _, m := range members {
 			if m.Zone == zone {
-				parts = append(parts, PartID{zone, m.Label})
+				parts = append(parts, ShardID{zone, m.Name})
 			}
 		}
 		if len(parts) == before {
-			parts = append(parts, PartID{Zone: zone})
+			parts = append(parts, ShardID{Zone: zone})
 		}
 	}
 	return parts
 }
 
-// makeParts splits the machines of each zone among its controllers.
-func (n *Node) makeParts() {
-	n.zoneParts = make([]partRange, n.zones.Len())
-	for ix, id := range Parts(n.cfg.Zones, n.cfg.Members) {
-		zone := n.zones.Find(id.Zone)
-		n.parts = append(n.parts, &part{ix: ix, name: id.Name(), zone: zone, home: id.Home})
-		if n.zoneParts[zone].count == 0 {
-			n.zoneParts[zone].first = ix
+// makeShards splits the machines of each zone among its controllers.
+func (n *Node) makeShards() {
+	n.zoneShards = make([]shardRange, n.zoneNames.Len())
+	for ix, id := range Shards(n.cfg.Zones, n.cfg.Members) {
+		zone := n.zoneNames.Find(id.Zone)
+		n.shards = append(n.shards, &shard{index: ix, name: id.Name(), zone: zone, homeController: id.Home})
+		if n.zoneShards[zone].count == 0 {
+			n.zoneShards[zone].first = ix
 		}
-		n.zoneParts[zone].count++
+		n.zoneShards[zone].count++
 	}
 }
 
-// partOf hashes a machine to a part of its zone, or gives -1.
-func (n *Node) partOf(zone int, name string) int {
-	if zone < 0 || zone >= len(n.zoneParts) {
+// shardOf hashes a machine to a part of its zone, or gives -1.
+func (n *Node) shardOf(zone int, name string) int {
+	if zone < 0 || zone >= len(n.zoneShards) {
 		return -1
 	}
 	f := fnv.New64a()
@@ -88,120 +88,120 @@
 	v ^= v >> 33
 	v *= 0xc4ceb9fe1a85ec53
 	v ^= v >> 33
-	return n.zoneParts[zone].first + int(v%uint64(n.zoneParts[zone].count))
+	return n.zoneShards[zone].first + int(v%uint64(n.zoneShards[zone].count))
 }
 
-func (n *Node) partNamed(key string) *part {
-	for _, p := range n.parts {
-		if wire.PartKey(p.name) == key {
+func (n *Node) shardWithKey(key string) *shard {
+	for _, p := range n.shards {
+		if wire.ShardKey(p.name) == key {
 			return p
 		}
 	}
 	return nil
 }
 
-func (n *Node) putPart(p *part, rec *wire.Part, rev uint64) {
-	if rev <= p.rev {
+func (n *Node) putShard(p *shard, rec *wire.Shard, rev uint64) {
+	if rev <= p.term {
 		return
 	}
-	was := p.rec
-	p.rec, p.rev, p.since, p.changed = rec, rev, n.now, n.now
+	was := p.record
+	p.record, p.term, p.claimableSince, p.changedAt = rec, rev, n.now, n.now
 	if was != nil && rec != nil && was.Owner != rec.Owner {
 		// Taken over while it lived: it may answer until its validity has run out,
 		// whoever takes the part next, and when. It once was forgotten by an owner
 		// that took a part, ended, and came back.
-		p.until = n.now + n.cfg.Validity
+		p.previousOwnerUntil = n.now + n.cfg.OwnerValidity
 	}
-	p.proven, p.base = false, 0
+	p.proven, p.validFrom = false, 0
 	// What machines did under the last owner says nothing about this one.
 	// Kept, it made two peers take the part from each other in turns.
 	p.forgetBounces()
-	n.voidResults(p)
-	if rec != nil && rec.Owner == n.cfg.Self && rec.Life == n.cfg.Life {
+	n.discardOutcomes(p)
+	if rec != nil && rec.Owner == n.cfg.Self && rec.Incarnation == n.cfg.Incarnation {
 		// An owner whose key went with its lease had stopped before, and an
 		// earlier life of ours is dead; but who was taken over lately may still
 		// answer.
-		p.bound = max(n.now, p.until)
-		n.checkAt = 0
+		p.ownedSince = max(n.now, p.previousOwnerUntil)
+		n.ownershipCheckAt = 0
 		n.log(LogInfo, "part claimed", "part", p.name, "term", rev)
-	} else if was != nil && was.Owner == n.cfg.Self && was.Life == n.cfg.Life {
+	} else if was != nil && was.Owner == n.cfg.Self && was.Incarnation == n.cfg.Incarnation {
 		n.log(LogInfo, "part lost", "part", p.name)
 	}
 }
 
-// voidResults drops what was found out about the tasks of a part in a term
+// discardOutcomes drops what was found out about the tasks of a part in a term
 // that has ended and could not be written in it. Another owner may have served
 // the machines since; applied in a later term, it would put tasks on a second
 // machine that have run on all the while.
-func (n *Node) voidResults(p *part) {
-	for k, res := range n.results {
-		if a := n.active(k, res.host); a == nil || a.Part == p.ix {
-			delete(n.results, k)
+func (n *Node) discardOutcomes(p *shard) {
+	for k, res := range n.outcomes {
+		if a := n.activeTask(k, res.machine); a == nil || a.Shard == p.index {
+			delete(n.outcomes, k)
 		}
 	}
 }
 
-func (p *part) forgetBounces() {
-	for _, h := range p.hosts {
-		h.redirectAt, h.bounceAt = 0, 0
+func (p *shard) forgetBounces() {
+	for _, h := range p.machines {
+		h.redirectedAt, h.bouncedAt = 0, 0
 	}
 }
 
-// holds tells whether our copy says that the part is ours.
-func (n *Node) holds(p *part) bool {
-	return p.rec != nil && p.rec.Owner == n.cfg.Self && p.rec.Life == n.cfg.Life
+// owns tells whether our copy says that the part is ours.
+func (n *Node) owns(p *shard) bool {
+	return p.record != nil && p.record.Owner == n.cfg.Self && p.record.Incarnation == n.cfg.Incarnation
 }
 
-// valid tells whether we may act as the owner now.
-func (n *Node) valid(p *part) bool {
-	return n.holds(p) && p.proven && n.now < p.base+n.cfg.Validity
+// mayActAsOwner tells whether we may act as the owner now.
+func (n *Node) mayActAsOwner(p *shard) bool {
+	return n.owns(p) && p.proven && n.now < p.validFrom+n.cfg.OwnerValidity
 }
 
-// claimParts takes parts that nobody holds, and those whose owner can't serve
+// claimShards takes parts that nobody holds, and those whose owner can't serve
 // their workers.
-func (n *Node) claimParts() {
-	if n.partLease.id == 0 || n.now-n.partLease.sent > n.partLease.ttl/2 {
+func (n *Node) claimShards() {
+	if n.shardLease.id == 0 || n.now-n.shardLease.sentAt > n.shardLease.ttl/2 {
 		return
 	}
-	for _, p := range n.parts {
-		if n.holds(p) || n.now < p.claimAt() || n.now < p.askedAt+200*time.Millisecond {
+	for _, p := range n.shards {
+		if n.owns(p) || n.now < p.claimAt() || n.now < p.claimCheckedAt+200*time.Millisecond {
 			continue
 		}
-		p.askedAt = n.now
+		p.claimCheckedAt = n.now
 		if !n.mayClaim(p) {
 			continue
 		}
-		p.since = max(p.since, n.now) // wait before the next try
-		rev := p.rev
-		if p.rec == nil {
+		p.claimableSince = max(p.claimableSince, n.now) // wait before the next try
+		rev := p.term
+		if p.record == nil {
 			rev = 0
 		}
-		key := wire.PartKey(p.name)
-		claim := []Write{{Key: key, Value: &wire.Part{Owner: n.cfg.Self, Life: n.cfg.Life}, Lease: n.partLease.id}}
-		n.commit(Vital, []Cond{{key, rev}}, append(claim, n.formatWrites()...),
+		key := wire.ShardKey(p.name)
+		claim := []Write{{Key: key, Value: &wire.Shard{Owner: n.cfg.Self, Incarnation: n.cfg.Incarnation}, LeaseID: n.shardLease.id}}
+		n.commit(ClassLease, []Condition{{key, rev}}, append(claim, n.formatWrites()...),
 			func(c Committed) {
-				if c.Outcome == BadLease {
-					n.partLease.id, n.partLease.next = 0, n.now
+				if c.Outcome == LeaseExpired {
+					n.shardLease.id, n.shardLease.renewAt = 0, n.now
 				}
 			})
 	}
 }
 
 // claimAt spaces claims of one part.
-func (p *part) claimAt() Time { return p.since + 300*time.Millisecond }
+func (p *shard) claimAt() Time { return p.claimableSince + 300*time.Millisecond }
 
-func (n *Node) mayClaim(p *part) bool {
-	waited := n.now - p.since
-	if p.rec == nil {
+func (n *Node) mayClaim(p *shard) bool {
+	waited := n.now - p.claimableSince
+	if p.record == nil {
 		switch {
-		case p.home == n.cfg.Self:
+		case p.homeController == n.cfg.Self:
 			return true
-		case n.zones.Name(p.zone) == n.cfg.Zone:
+		case n.zoneNames.Name(p.zone) == n.cfg.Zone:
 			return waited > 2*second
 		}
 		return waited > 4*second+Time(n.rank())*second
 	}
-	if p.rec.Owner == n.cfg.Self {
+	if p.record.Owner == n.cfg.Self {
 		return true // an earlier life of ours
 	}
 	// Its workers come here although we send them to their owner. A single
@@ -209,58 +209,58 @@
 	// about the owner.
 	var first Time
 	bounced, known := 0, 0
-	for _, h := range p.hosts {
-		if h.returned || h.info.lost {
+	for _, h := range p.machines {
+		if h.returned || h.view.unreachable {
 			continue
 		}
-		if h.info.known && h.info.quiet < 2 {
+		if h.view.known && h.view.missedHeartbeats < 2 {
 			known++
 		}
-		if h.bounceAt > 0 && n.now-h.bounceAt < 12*second {
+		if h.bouncedAt > 0 && n.now-h.bouncedAt < 12*second {
 			bounced++
-			if first == 0 || h.bounceFrom < first {
-				first = h.bounceFrom
+			if first == 0 || h.bouncingSince < first {
+				first = h.bouncingSince
 			}
 		}
 	}
 	need := max(1, min(known, max(2, min(known/8, 12))))
-	owner := n.peers[p.rec.Owner]
-	deaf := owner == nil || n.now-owner.at > 5*second
-	refused := owner != nil && !deaf && !owner.msg.StoreOK
+	owner := n.peers[p.record.Owner]
+	deaf := owner == nil || n.now-owner.heardAt > 5*second
+	refused := owner != nil && !deaf && !owner.message.StoreOK
 	wait := 0 * second
-	if n.zones.Name(p.zone) != n.cfg.Zone {
+	if n.zoneNames.Name(p.zone) != n.cfg.Zone {
 		wait = 4 * second
 	}
 	switch {
 	case bounced >= need && n.now-first > 2*second+wait && waited > 10*second:
-		n.log(LogInfo, "taking part over: its workers can't reach its owner", "part", p.name, "owner", p.rec.Owner)
+		n.log(LogInfo, "taking part over: its workers can't reach its owner", "part", p.name, "owner", p.record.Owner)
 		return true
 	case deaf && bounced >= 1 && waited > 5*second+wait:
-		n.log(LogInfo, "taking part over: owner is silent", "part", p.name, "owner", p.rec.Owner)
+		n.log(LogInfo, "taking part over: owner is silent", "part", p.name, "owner", p.record.Owner)
 		return true
-	case refused && n.storeOK && n.now-n.storeAt < 2*second && n.peerRefusedFor(p.rec.Owner) > 4*second+wait:
-		n.log(LogInfo, "taking part over: owner is refused by the state service", "part", p.name, "owner", p.rec.Owner)
+	case refused && n.storeOK && n.now-n.storeAnsweredAt < 2*second && n.peerRefusedFor(p.record.Owner) > 4*second+wait:
+		n.log(LogInfo, "taking part over: owner is refused by the state service", "part", p.name, "owner", p.record.Owner)
 		return true
 	}
 	// The home controller is back and well: it stands beside the workers.
-	home := p.home == n.cfg.Self && waited > 60*second && n.storeOK
+	home := p.homeController == n.cfg.Self && waited > 60*second && n.storeOK
 	return home && owner != nil && !deaf
 }
 
 func (n *Node) peerRefusedFor(label string) Time {
 	p := n.peers[label]
-	if p == nil || p.msg.StoreOK {
+	if p == nil || p.message.StoreOK {
 		return 0
 	}
 	// An outage ends for one controller a moment before another.
-	return n.now - max(n.refusedSince[label], n.storeSince)
+	return n.now - max(n.refusedSince[label], n.storeOKSince)
 }
 
 // rank orders the controllers, so that two don't claim at once.
 func (n *Node) rank() int {
 	r := 0
 	for _, m := range n.cfg.Members {
-		if m.Label < n.cfg.Self {
+		if m.Name < n.cfg.Self {
 			r++
 		}
 	}
--- a/internal/core/part_test.go
+++ b/internal/core/part_test.go
@@ -14,18 +14,18 @@
 	for start := 0; start < 200; start += 20 {
 		count := map[int]int{}
 		for i := range 20 {
-			count[n.partOf(n.zones.Find("a"), fmt.Sprintf("vm-%06d", start+i))]++
+			count[n.shardOf(n.zoneNames.Find("a"), fmt.Sprintf("vm-%06d", start+i))]++
 		}
 		if len(count) != 2 {
 			t.Errorf("machines %d on: parts %v", start, count)
 		}
 		for p, c := range count {
-			if c < 4 || n.parts[p].zone != n.zones.Find("a") {
-				t.Errorf("machines %d on: part %d of zone %d has %d of 20", start, p, n.parts[p].zone, c)
+			if c < 4 || n.shards[p].zone != n.zoneNames.Find("a") {
+				t.Errorf("machines %d on: part %d of zone %d has %d of 20", start, p, n.shards[p].zone, c)
 			}
 		}
 	}
-	if p := n.partOf(n.zones.Find("elsewhere"), "vm-000001"); p != -1 {
+	if p := n.shardOf(n.zoneNames.Find("elsewhere"), "vm-000001"); p != -1 {
 		t.Errorf("a machine in an unknown zone went to part %d", p)
 	}
 }
@@ -52,36 +52,36 @@
 // counts as a takeover of a moment ago.
 func TestBoundCountsEveryOwnerBefore(t *testing.T) {
 	const validity = 20 * second
-	claim := func(owner, life string) *wire.Part { return &wire.Part{Owner: owner, Life: life} }
+	claim := func(owner, life string) *wire.Shard { return &wire.Shard{Owner: owner, Incarnation: life} }
 	for _, c := range []struct {
 		name  string
-		steps []*wire.Part // a second apart, nil for a claim that goes with its lease
-		bound Time         // after the first step
+		steps []*wire.Shard // a second apart, nil for a claim that goes with its lease
+		bound Time          // after the first step
 	}{
 		{"nobody had it", nil, 0},
-		{"its owner stopped", []*wire.Part{claim("n1", "a"), nil}, 2 * second},
-		{"an earlier life of ours", []*wire.Part{claim("n0", "old")}, 1 * second},
-		{"taken from an owner that lives", []*wire.Part{claim("n1", "a")}, 1*second + validity},
-		{"an earlier life of ours took it", []*wire.Part{claim("n1", "a"), claim("n0", "old")}, 1*second + validity},
-		{"a peer took it and its claim went", []*wire.Part{claim("n1", "a"), claim("n2", "b"), nil}, 1*second + validity},
+		{"its owner stopped", []*wire.Shard{claim("n1", "a"), nil}, 2 * second},
+		{"an earlier life of ours", []*wire.Shard{claim("n0", "old")}, 1 * second},
+		{"taken from an owner that lives", []*wire.Shard{claim("n1", "a")}, 1*second + validity},
+		{"an earlier life of ours took it", []*wire.Shard{claim("n1", "a"), claim("n0", "old")}, 1*second + validity},
+		{"a peer took it and its claim went", []*wire.Shard{claim("n1", "a"), claim("n2", "b"), nil}, 1*second + validity},
 	} {
-		n := New(Config{Self: "n0", Life: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, Validity: validity})
-		p := n.parts[0]
+		n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, OwnerValidity: validity})
+		p := n.shards[0]
 		n.loaded = true
 		rev := uint64(1)
 		for _, rec := range append(c.steps, claim("n0", "x")) {
-			n.putPart(p, rec, rev)
+			n.putShard(p, rec, rev)
 			rev++
 			n.now += second
 		}
-		if p.bound != c.bound {
-			t.Errorf("%s: bound %v, not %v", c.name, p.bound, c.bound)
+		if p.ownedSince != c.bound {
+			t.Errorf("%s: bound %v, not %v", c.name, p.ownedSince, c.bound)
 		}
 	}
-	n := New(Config{Self: "n0", Life: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, Validity: validity, WallMS: func() int64 { return 0 }})
-	n.Step(second, Changes{Reset: true, Rev: 5})
-	n.putPart(n.parts[0], claim("n0", "x"), 6)
-	if b := n.parts[0].bound; b != second+validity {
+	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
+	n.Step(second, RecordsChanged{Reset: true, Revision: 5})
+	n.putShard(n.shards[0], claim("n0", "x"), 6)
+	if b := n.shards[0].ownedSince; b != second+validity {
 		t.Errorf("just started: bound %v", b)
 	}
 }
--- a/internal/core/place_test.go
+++ b/internal/core/place_test.go
@@ -11,9 +11,9 @@
 // whole-machine work; tasks that need one never look there.
 func TestCardlessTasksGoBesideOthers(t *testing.T) {
 	n := chained()
-	n.takeTypes([]wire.Flavor{{Name: "g", Cores: 24, Cards: 2, MemoryGB: 96, FetchGBs: 1, Price: 1, BootS: 10, Zones: []string{"a"}}})
+	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 24, GPUs: 2, MemoryGB: 96, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 	job := func(cores, cards float64) *job {
-		return &job{rec: &wire.Job{Spec: &wire.Spec{Cores: cores, Cards: cards, Shape: wire.ShapeArray, Spot: true}}, zone: -1, any: true, spot: true}
+		return &job{record: &wire.Job{Spec: &wire.JobSpec{Cores: cores, GPUs: cards, Shape: wire.ShapeArray, AllowSpot: true}}, zone: -1, anyType: true, allowSpot: true}
 	}
 	for _, c := range []struct {
 		what         string
@@ -30,8 +30,8 @@
 		free := [][2]float64{{24, 2}, {4, 0}, {12, 1}} // cores and cards
 		var slots []*slot
 		for _, f := range free {
-			s := n.newSlot(pool{n.rigs.Find("g"), 0, true})
-			s.cores, s.cards = f[0], f[1]
+			s := n.newSlot(machinePool{n.typeNames.Find("g"), 0, true})
+			s.cores, s.gpus = f[0], f[1]
 			set.add(s)
 			slots = append(slots, s)
 		}
@@ -46,17 +46,17 @@
 // are machines without, those do.
 func TestReserveBesideOthers(t *testing.T) {
 	n := chained()
-	job := &job{rec: &wire.Job{Spec: &wire.Spec{Cores: 1}}, any: true}
-	if !n.besideOthers(job) {
+	job := &job{record: &wire.Job{Spec: &wire.JobSpec{Cores: 1}}, anyType: true}
+	if !n.fitsBesideGPUWork(job) {
 		t.Error("a task without cards has no room beside others")
 	}
-	job.rec.Spec.Cards = 1
-	if n.besideOthers(job) {
+	job.record.Spec.GPUs = 1
+	if n.fitsBesideGPUWork(job) {
 		t.Error("a task with a card has")
 	}
-	job.rec.Spec.Cards = 0
-	n.takeTypes([]wire.Flavor{{Name: "g", Cores: 8, Cards: 1, MemoryGB: 64}, {Name: "c", Cores: 8, MemoryGB: 64}})
-	if n.besideOthers(job) {
+	job.record.Spec.GPUs = 0
+	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64}, {Name: "c", Cores: 8, MemoryGB: 64}})
+	if n.fitsBesideGPUWork(job) {
 		t.Error("where there are machines without cards")
 	}
 }
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -10,37 +10,37 @@
 // usage is what a team's tasks take.
 type usage struct{ cores, cards float64 }
 
-func (u *usage) add(sp *wire.Spec, k float64) {
+func (u *usage) add(sp *wire.JobSpec, k float64) {
 	u.cores += sp.Cores * k
-	u.cards += sp.Cards * k
+	u.cards += sp.GPUs * k
 }
 
-// plan holds the state of one planning pass.
-type plan struct {
-	n           *Node
-	w           *writer
-	up          *slotSet       // machines up
-	expected    *slotSet       // machines booting, hired or to be hired
-	used        []usage        // by team, with what the pass adds
-	added       []quota.Amount // by team, what the pass adds
-	atLimit     []bool         // by team: the limit alone kept something waiting
-	admission   *admission     // the pass admits within our own shares; nil: it grants as the leader
-	hires       map[pool]int
-	count       map[pool]int  // machines of each pool, up, coming or planned
-	starved     *queuedJob    // the gang that gathers room before all others
-	kept        []wire.Kept   // for it
-	unmet       []unmetDemand // demands that found no free room in this pass
-	hasBackfill bool          // there is backfill
-	ungranted   int           // grants that found no put, at most 50
-	stops       int
-	waiting     int // tasks for which there was no room
+// schedulingPass holds the state of one planning pass.
+type schedulingPass struct {
+	node          *Node
+	writer        *writer
+	available     *slotSet       // machines up
+	expected      *slotSet       // machines booting, hired or to be hired
+	used          []usage        // by team, with what the pass adds
+	added         []quota.Amount // by team, what the pass adds
+	atLimit       []bool         // by team: the limit alone kept something waiting
+	admission     *admission     // the pass admits within our own shares; nil: it grants as the leader
+	provisions    map[machinePool]int
+	poolSizes     map[machinePool]int // machines of each pool, up, coming or planned
+	starved       *queuedJob          // the gang that gathers room before all others
+	reservations  []wire.Reservation  // for it
+	unmetDemands  []unmetDemand       // demands that found no free room in this pass
+	hasBackfill   bool                // there is backfill
+	ungranted     int                 // grants that found no put, at most 50
+	preemptions   int
+	unplacedTasks int // tasks for which there was no room
 }
 
-// plan grants waiting tasks to parts, in the order of the queue, and works
+// runSchedulingPass grants waiting tasks to parts, in the order of the queue, and works
 // out what to hire, stop and return. It tells how many jobs were left for want
 // of puts.
-func (n *Node) plan(w *writer) int {
-	p := n.newPlan(w)
+func (n *Node) runSchedulingPass(w *writer) int {
+	p := n.newSchedulingPass(w)
 	p.addMachines()
 	p.chargeTeams()
 	p.chargeGrants()
@@ -48,70 +48,70 @@
 	idle := p.idleSlots()
 	queues, backfill := p.splitBackfill(n.queues())
 	left := p.serveQueues(queues)
-	if !slices.Equal(p.kept, n.leader.kept) {
-		n.leader.kept = p.kept
-		n.gossip(true)
+	if !slices.Equal(p.reservations, n.leader.reservations) {
+		n.leader.reservations = p.reservations
+		n.sendGossip(true)
 	}
-	p.planStages()
-	p.keepReserve()
+	p.planNextStages()
+	p.planReserve()
 	// Backfill must not claim the writes that others need.
 	left += (p.serveQueues(backfill) - left) / backfillShare
-	p.dealShares()
-	p.logRoom(idle)
-	n.hireAndReturn(p, idle)
+	p.distributeShares()
+	p.logUtilization(idle)
+	n.scale(p, idle)
 	return left
 }
 
-// newPlan begins a planning pass with nothing known.
-func (n *Node) newPlan(w *writer) *plan {
-	return &plan{
-		n: n, w: w, up: newSlotSet(n), expected: newSlotSet(n),
-		used: make([]usage, n.teams.Len()), added: make([]quota.Amount, n.teams.Len()), atLimit: make([]bool, n.teams.Len()), hires: map[pool]int{}, count: map[pool]int{},
+// newSchedulingPass begins a planning pass with nothing known.
+func (n *Node) newSchedulingPass(w *writer) *schedulingPass {
+	return &schedulingPass{
+		node: n, writer: w, available: newSlotSet(n), expected: newSlotSet(n),
+		used: make([]usage, n.teamNames.Len()), added: make([]quota.Amount, n.teamNames.Len()), atLimit: make([]bool, n.teamNames.Len()), provisions: map[machinePool]int{}, poolSizes: map[machinePool]int{},
 	}
 }
 
 // addMachines takes in the machines that tasks may be granted to.
-func (p *plan) addMachines() {
-	for _, x := range p.n.parts {
-		for _, h := range x.hosts {
-			p.n.work++
-			if s := p.n.leaderSlot(h); s != nil {
-				p.up.add(s)
-				p.count[s.pool()]++
+func (p *schedulingPass) addMachines() {
+	for _, x := range p.node.shards {
+		for _, h := range x.machines {
+			p.node.workCount++
+			if s := p.node.grantableSlot(h); s != nil {
+				p.available.add(s)
+				p.poolSizes[s.pool()]++
 			}
 		}
 	}
 }
 
 // chargeTeams takes what every team is charged: each active task, whatever its job's state.
-func (p *plan) chargeTeams() {
+func (p *schedulingPass) chargeTeams() {
 	for team := range p.used {
-		p.used[team].cores, p.used[team].cards = p.n.ledger.Used(team).Decimal()
+		p.used[team].cores, p.used[team].cards = p.node.ledger.Used(team).Decimal()
 	}
 }
 
 // charge counts tasks of a job against its team for the rest of the pass.
-func (p *plan) charge(j *job, tasks int) {
-	p.used[j.team].add(j.rec.Spec, float64(tasks))
+func (p *schedulingPass) charge(j *job, tasks int) {
+	p.used[j.team].add(j.record.Spec, float64(tasks))
 	p.added[j.team] = p.added[j.team].Plus(j.demand(tasks))
 }
 
-// logRoom logs how much of the site is in use, for debugging.
-func (p *plan) logRoom(idle map[*slot]bool) {
-	n := p.n
+// logUtilization logs how much of the site is in use, for debugging.
+func (p *schedulingPass) logUtilization(idle map[*slot]bool) {
+	n := p.node
 	idleSpot, spot, half := 0, 0, 0
-	for _, s := range p.up.all {
+	for _, s := range p.available.all {
 		switch {
 		case s.spot && idle[s]:
 			idleSpot++
-		case !idle[s] && s.cards >= 1:
+		case !idle[s] && s.gpus >= 1:
 			half++
 		}
 		if s.spot {
 			spot++
 		}
 	}
-	n.log(LogDebug, "room", "up", len(p.up.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", half, "coming", len(p.expected.all), "hires", len(n.leader.cloud.hires), "blocked", p.waiting)
+	n.log(LogDebug, "room", "up", len(p.available.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", half, "coming", len(p.expected.all), "hires", len(n.leader.autoscaler.provisions), "blocked", p.unplacedTasks)
 }
 
 // backfillShare is how many grants of backfill without a write left count as one pending
@@ -119,30 +119,30 @@
 const backfillShare = 3
 
 // chargeGrants takes room for grants that their owners have not placed yet.
-func (p *plan) chargeGrants() {
-	n := p.n
-	var byHost map[*host]*slot
+func (p *schedulingPass) chargeGrants() {
+	n := p.node
+	var byHost map[*machine]*slot
 	for _, jx := range n.live {
 		j := n.jobs[jx]
-		if j.rec.Spec == nil || j.unplaced == 0 {
+		if j.record.Spec == nil || j.unplaced == 0 {
 			continue
 		}
 		if byHost == nil {
-			byHost = make(map[*host]*slot, len(p.up.all))
-			for _, s := range p.up.all {
-				byHost[s.h] = s
+			byHost = make(map[*machine]*slot, len(p.available.all))
+			for _, s := range p.available.all {
+				byHost[s.machine] = s
 			}
 		}
-		for _, a := range j.rec.Active {
-			if a.Host != "" {
+		for _, a := range j.record.ActiveTasks {
+			if a.Machine != "" {
 				continue
 			}
-			s := byHost[n.leader.hint[taskKey{j.ix, a.Task, a.Attempt}]]
+			s := byHost[n.leader.grantHints[taskKey{j.index, a.Task, a.Attempt}]]
 			if s == nil {
-				s = p.up.best(j, func(s *slot) bool { return s.part == a.Part }, nil)
+				s = p.available.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil)
 			}
 			if s != nil {
-				s.take(j.rec.Spec)
+				s.take(j.record.Spec)
 			}
 		}
 	}
@@ -151,51 +151,51 @@
 // forgetHints drops the machines that placed grants had in mind, so that the memory is
 // bounded by the grants that wait rather than by a number.
 func (n *Node) forgetHints() {
-	for k := range n.leader.hint {
-		if j := n.jobs[k.job]; !j.awaitsPlacing(k) && n.now-j.grantedAt > hintLife {
-			delete(n.leader.hint, k)
+	for k := range n.leader.grantHints {
+		if j := n.jobs[k.job]; !j.awaitsPlacement(k) && n.now-j.grantedAt > grantHintTime {
+			delete(n.leader.grantHints, k)
 		}
 	}
 }
 
-// hintLife is how long the leader remembers the machine that a grant had in mind though
+// grantHintTime is how long the leader remembers the machine that a grant had in mind though
 // its copy does not show the grant; a commit may take a while.
-const hintLife = 20 * second
+const grantHintTime = 20 * second
 
-// unsureFor is how long a machine that has not yet shown its owner's term may
+// unconfirmedTime is how long a machine that has not yet shown its owner's term may
 // be planned with. A new one shows it with its second report; what only a late
 // copy tells of, never.
-const unsureFor = 3 * second
+const unconfirmedTime = 3 * second
 
-// leaderSlot is a machine that tasks may be granted to. Its owner's word is
+// grantableSlot is a machine that tasks may be granted to. Its owner's word is
 // used as long as it lasts; when the owner can be reached through the state
 // service only, what it said last has to do.
-func (n *Node) leaderSlot(h *host) *slot {
-	v := &h.info
-	if h.returned || !v.known || v.leaving || v.sick || v.lost || h.retiring || v.unsure && n.now-h.unsureAt > unsureFor {
+func (n *Node) grantableSlot(h *machine) *slot {
+	v := &h.view
+	if h.returned || !v.known || v.reclaimed || v.unhealthy || v.unreachable || h.draining || v.unconfirmed && n.now-h.unconfirmedSince > unconfirmedTime {
 		return nil
 	}
-	p := n.parts[h.part]
-	if p.rec == nil {
+	p := n.shards[h.shard]
+	if p.record == nil {
 		return nil
 	}
-	if owner := n.peers[p.rec.Owner]; p.rec.Owner != n.cfg.Self && (owner == nil || n.now-owner.at > 5*second) {
-		if owner != nil && n.now-owner.at > 3*n.cfg.Lease || n.now-p.changed > 3*n.cfg.Lease && h.infoTerm != p.rev {
+	if owner := n.peers[p.record.Owner]; p.record.Owner != n.cfg.Self && (owner == nil || n.now-owner.heardAt > 5*second) {
+		if owner != nil && n.now-owner.heardAt > 3*n.cfg.WorkerLease || n.now-p.changedAt > 3*n.cfg.WorkerLease && h.viewTerm != p.term {
 			return nil
 		}
-	} else if v.quiet > 1 || h.infoTerm != p.rev && n.now-p.changed > 4*n.cfg.Report {
+	} else if v.missedHeartbeats > 1 || h.viewTerm != p.term && n.now-p.changedAt > 4*n.cfg.HeartbeatInterval {
 		return nil
 	}
-	if n.leader.cloud.retiring[h.name] {
+	if n.leader.autoscaler.draining[h.name] {
 		return nil
 	}
 	return n.slotOf(h)
 }
 
-func (p *plan) idleSlots() map[*slot]bool {
+func (p *schedulingPass) idleSlots() map[*slot]bool {
 	idle := map[*slot]bool{}
-	for _, s := range p.up.all {
-		if len(s.h.on) == 0 && s.untouched() {
+	for _, s := range p.available.all {
+		if len(s.machine.placements) == 0 && s.isIdle() {
 			idle[s] = true
 		}
 	}
@@ -203,73 +203,73 @@
 }
 
 // grant writes tasks of a job to parts, as one attempt.
-func (p *plan) grant(j *job, tasks []int, slots []*slot) bool {
-	n := p.n
-	rec := p.w.job(j)
+func (p *schedulingPass) grant(j *job, tasks []int, slots []*slot) bool {
+	n := p.node
+	rec := p.writer.job(j)
 	if rec == nil {
 		p.ungranted = min(p.ungranted+1, 50)
 		return false
 	}
-	was := rec.Next
-	attempt := p.w.attempt(j, rec)
+	was := rec.NextAttempt
+	attempt := p.writer.attempt(j, rec)
 	parts := map[int]bool{}
 	own := true
 	for _, s := range slots {
-		parts[s.part] = true
-		own = own && n.mayPlace(s)
+		parts[s.shard] = true
+		own = own && n.mayAssignMachine(s)
 	}
 	own = own && (len(parts) == 1 || rec.Spec.Shape != wire.ShapeGang)
 	for i, t := range tasks {
 		s := slots[i]
-		a := wire.Active{Task: t, Attempt: attempt, Part: s.part, Admitted: p.admission != nil}
+		a := wire.ActiveTask{Task: t, Attempt: attempt, Shard: s.shard, Admitted: p.admission != nil}
 		if own {
-			a.Host, a.Session = s.h.name, s.h.session
-			p.w.parts[s.part] = true
+			a.Machine, a.Epoch = s.machine.name, s.machine.epoch
+			p.writer.shards[s.shard] = true
 			if p.admission == nil {
-				n.leader.placing = append(n.leader.placing, placing{s.h, rec.Spec})
+				n.leader.pendingPlacements = append(n.leader.pendingPlacements, pendingPlacement{s.machine, rec.Spec})
 			}
 		} else {
-			n.leader.hint[taskKey{j.ix, t, attempt}] = s.h
+			n.leader.grantHints[taskKey{j.index, t, attempt}] = s.machine
 		}
-		rec.Active = append(rec.Active, a)
+		rec.ActiveTasks = append(rec.ActiveTasks, a)
 	}
 	if len(parts) > 1 && rec.Spec.Shape == wire.ShapeGang {
 		g := &wire.Gang{Attempt: attempt}
-		for ix := range n.parts {
+		for ix := range n.shards {
 			if parts[ix] {
-				g.Parts = append(g.Parts, ix)
+				g.Shards = append(g.Shards, ix)
 			}
 		}
-		key := wire.GangKey(j.ref, attempt)
-		if !p.w.also(Write{Key: key, Value: g}, Cond{key, 0}) {
-			rec.Active, rec.Next = rec.Active[:len(rec.Active)-len(tasks)], was
-			delete(p.w.tries, j.ix)
+		key := wire.GangKey(j.id, attempt)
+		if !p.writer.addWrite(Write{Key: key, Value: g}, Condition{key, 0}) {
+			rec.ActiveTasks, rec.NextAttempt = rec.ActiveTasks[:len(rec.ActiveTasks)-len(tasks)], was
+			delete(p.writer.attempts, j.index)
 			p.ungranted = min(p.ungranted+1, 50)
 			return false
 		}
 	}
 	p.charge(j, len(tasks))
-	p.restOnAccount(j, slots)
+	p.addAccountCondition(j, slots)
 	j.grantedAt = n.now
-	n.log(LogDebug, "granted", "job", j.ref, "attempt", attempt, "tasks", len(tasks), "part", n.parts[slots[0].part].name)
+	n.log(LogDebug, "granted", "job", j.id, "attempt", attempt, "tasks", len(tasks), "part", n.shards[slots[0].shard].name)
 	return true
 }
 
-// mayPlace tells whether the leader may choose the machine in the grant, since it
+// mayAssignMachine tells whether the leader may choose the machine in the grant, since it
 // owns the part as well: one put does for both. The commit then rests on both
 // keys. While our own owner's batch is under way, what that places is not known
 // here yet.
-func (n *Node) mayPlace(s *slot) bool {
-	return s.h != nil && n.valid(n.parts[s.part]) && !n.owner.active && n.usable(s.h)
+func (n *Node) mayAssignMachine(s *slot) bool {
+	return s.machine != nil && n.mayActAsOwner(n.shards[s.shard]) && !n.batch.active && n.acceptsTasks(s.machine)
 }
 
 // withinLimit tells whether a team's limit leaves the leader room for more tasks.
-func (p *plan) withinLimit(j *job, tasks int) bool {
-	return j.team >= 0 && p.n.ledger.MayGrant(j.team, p.added[j.team].Plus(j.demand(tasks)), p.n.rev)
+func (p *schedulingPass) withinLimit(j *job, tasks int) bool {
+	return j.team >= 0 && p.node.ledger.MayGrant(j.team, p.added[j.team].Plus(j.demand(tasks)), p.node.revision)
 }
 
-// quota tells whether the limit has room for tasks that wait, and notes where it has not.
-func (p *plan) quota(j *job, tasks int) bool {
+// hasQuota tells whether the limit has room for tasks that wait, and notes where it has not.
+func (p *schedulingPass) hasQuota(j *job, tasks int) bool {
 	if p.withinLimit(j, tasks) {
 		return true
 	}
@@ -277,6 +277,6 @@
 		return false
 	}
 	// A job that the limit has no room for at all is not worth gathering shares for.
-	p.atLimit[j.team] = p.atLimit[j.team] || p.n.ledger.Fits(j.team, j.demand(tasks))
+	p.atLimit[j.team] = p.atLimit[j.team] || p.node.ledger.Fits(j.team, j.demand(tasks))
 	return false
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -8,79 +8,79 @@
 
 // victim is a task that may be stopped to make room.
 type victim struct {
-	j    *job
+	job  *job
 	key  taskKey
 	cost float64
 }
 
 // mayPreempt tells whether anything may be stopped for w now. What was
 // stopped takes a report or two to go; nothing more is stopped till then.
-func (p *plan) mayPreempt(w *queuedJob) bool {
-	n := p.n
-	return n.cfg.Preempt && p.stops < 8 && n.now-w.j.blockedSince >= second && n.now >= w.j.preemptAt &&
-		(w.j.prio >= 2 || w.within)
+func (p *schedulingPass) mayPreempt(w *queuedJob) bool {
+	n := p.node
+	return n.cfg.Preempt && p.preemptions < 8 && n.now-w.job.waitingSince >= second && n.now >= w.job.preemptAt &&
+		(w.job.priority >= 2 || w.withinGuarantee)
 }
 
-// clearing lists the tasks to be stopped on a machine so that a task of w
+// victimsOn lists the tasks to be stopped on a machine so that a task of w
 // fits, cheapest first. With all set it asks instead whether the machine could
 // take the task once everything but daemons has ended.
-func (p *plan) clearing(w *queuedJob, s *slot, all bool) ([]victim, bool) {
-	n, sp := p.n, w.j.rec.Spec
-	if s.h == nil {
+func (p *schedulingPass) victimsOn(w *queuedJob, s *slot, all bool) ([]victim, bool) {
+	n, sp := p.node, w.job.record.Spec
+	if s.machine == nil {
 		return nil, false
 	}
 	var list []victim
-	for i := range s.h.on {
-		x := &s.h.on[i]
+	for i := range s.machine.placements {
+		x := &s.machine.placements[i]
 		v := n.jobs[x.job]
-		if v == w.j || x.stop != wire.Keep || v.rec.State != wire.Live || v.rec.Spec.Shape == wire.ShapeDaemon {
+		if v == w.job || x.stop != wire.StopNone || v.record.State != wire.JobLive || v.record.Spec.Shape == wire.ShapeDaemon {
 			continue
 		}
-		if !all && (p.w.recs[x.job] != nil || !p.mayStop(w, v)) {
+		if !all && (p.writer.records[x.job] != nil || !p.mayPreemptJob(w, v)) {
 			continue
 		}
-		cost := v.rec.Spec.SaveS + float64(20*v.prio)
-		if v.rec.Spec.CheckpointS == 0 {
+		cost := v.record.Spec.CheckpointTimeS + float64(20*v.priority)
+		if v.record.Spec.CheckpointIntervalS == 0 {
 			cost += 100
 		}
-		if v.rec.Spec.Shape == wire.ShapeGang {
-			cost += 30 * float64(len(v.rec.Active)-1)
+		if v.record.Spec.Shape == wire.ShapeGang {
+			cost += 30 * float64(len(v.record.ActiveTasks)-1)
 		}
 		list = append(list, victim{v, x.taskKey, cost})
 	}
 	slices.SortStableFunc(list, func(a, b victim) int { return int(a.cost*10) - int(b.cost*10) })
 	room := *s
-	room.in = nil
+	room.set = nil
 	var chosen []victim
 	for _, v := range list {
-		if room.fitsSoon(sp) {
+		if room.fitsAfterRelease(sp) {
 			break
 		}
 		chosen = append(chosen, v)
-		room.give(v.j.rec.Spec, 1)
+		room.release(v.job.record.Spec, 1)
 	}
-	return chosen, len(chosen) > 0 && room.fitsSoon(sp)
+	return chosen, len(chosen) > 0 && room.fitsAfterRelease(sp)
 }
 
 // preempt stops work to make room for one task: work of lower urgency, or
 // work that another team runs beyond its guarantee when this one is within.
-func (p *plan) preempt(w *queuedJob, ok func(*slot) bool) *slot {
+func (p *schedulingPass) preempt(w *queuedJob, ok func(*slot) bool) *slot {
 	if !p.mayPreempt(w) {
 		return nil
 	}
 	var best []victim
 	var room *slot
 	bestCost := 0.0
-	for _, s := range p.up.all {
-		if s.h.leastPrio > w.j.prio || s.reserved || !s.suits(w.j) || !ok(s) {
+	for _, s := range p.available.all {
+		if s.machine.lowestPriority > w.job.priority || s.reserved || !s.accepts(w.job) || !ok(s) {
 			continue
 		}
-		p.n.work++
-		chosen, fits := p.clearing(w, s, false)
+		p.node.workCount++
+		chosen, fits := p.victimsOn(w, s, false)
 		if !fits {
 			continue
 		}
-		cost := p.n.score(w.j, s)
+		cost := p.node.score(w.job, s)
 		for _, v := range chosen {
 			cost += v.cost
 		}
@@ -88,42 +88,42 @@
 			best, bestCost, room = chosen, cost, s
 		}
 	}
-	if best == nil || !p.stop(w, best) {
-		w.j.preemptAt = p.n.now + second // no need to look again at every pass
+	if best == nil || !p.stopVictims(w, best) {
+		w.job.preemptAt = p.node.now + second // no need to look again at every pass
 		return nil
 	}
-	w.j.preemptAt = p.n.now + 3*p.n.cfg.Report + Time(best[0].j.rec.Spec.SaveS*float64(second))
+	w.job.preemptAt = p.node.now + 3*p.node.cfg.HeartbeatInterval + Time(best[0].job.record.Spec.CheckpointTimeS*float64(second))
 	return room
 }
 
-// stop marks tasks to be stopped; a gang is stopped as a whole.
-func (p *plan) stop(w *queuedJob, victims []victim) bool {
+// stopVictims marks tasks to be stopped; a gang is stopped as a whole.
+func (p *schedulingPass) stopVictims(w *queuedJob, victims []victim) bool {
 	for _, v := range victims {
-		rec := p.w.job(v.j)
+		rec := p.writer.job(v.job)
 		if rec == nil {
 			return false
 		}
-		if v.j.rec.Spec.Shape == wire.ShapeGang {
-			markStop(rec)
+		if v.job.record.Spec.Shape == wire.ShapeGang {
+			preemptAll(rec)
 		} else {
-			for i := range rec.Active {
-				if rec.Active[i].Task == v.key.task && rec.Active[i].Attempt == v.key.attempt {
-					rec.Active[i].Stop = wire.Preempt
+			for i := range rec.ActiveTasks {
+				if rec.ActiveTasks[i].Task == v.key.task && rec.ActiveTasks[i].Attempt == v.key.attempt {
+					rec.ActiveTasks[i].Stop = wire.StopPreempt
 				}
 			}
 		}
-		p.n.log(LogInfo, "preempting", "job", v.j.ref, "task", v.key.task, "for", w.j.ref)
+		p.node.log(LogInfo, "preempting", "job", v.job.id, "task", v.key.task, "for", w.job.id)
 	}
-	p.stops++
+	p.preemptions++
 	return true
 }
 
-// mayStop tells whether the rules of preemption let w stop work of v, and w
+// mayPreemptJob tells whether the rules of preemption let w stop work of v, and w
 // comes first in the queue as well: otherwise what was stopped would get its
 // place back and be stopped again.
-func (p *plan) mayStop(w *queuedJob, v *job) bool {
-	if v.prio < w.j.prio {
+func (p *schedulingPass) mayPreemptJob(w *queuedJob, v *job) bool {
+	if v.priority < w.job.priority {
 		return true
 	}
-	return v.prio == w.j.prio && w.within && !v.within && v.team != w.j.team
+	return v.priority == w.job.priority && w.withinGuarantee && !v.withinGuarantee && v.team != w.job.team
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -8,214 +8,214 @@
 
 // What a report says of tasks, held against the records.
 
-// active finds a placed task in our copy of the records.
-func (n *Node) active(k taskKey, hostName string) *wire.Active {
-	if at := n.activeAt(k, hostName); at >= 0 {
-		return &n.jobs[k.job].rec.Active[at]
+// activeTask finds a placed task in our copy of the records.
+func (n *Node) activeTask(k taskKey, hostName string) *wire.ActiveTask {
+	if at := n.activeTaskIndex(k, hostName); at >= 0 {
+		return &n.jobs[k.job].record.ActiveTasks[at]
 	}
 	return nil
 }
 
-// activeAt gives a placed task's place in its record, or -1.
-func (n *Node) activeAt(k taskKey, hostName string) int {
-	ix := n.hostIx.Find(hostName)
+// activeTaskIndex gives a placed task's place in its record, or -1.
+func (n *Node) activeTaskIndex(k taskKey, hostName string) int {
+	ix := n.machineNames.Find(hostName)
 	if k.job < 0 || ix < 0 {
 		return -1
 	}
-	for i := range n.hosts[ix].on {
-		if x := &n.hosts[ix].on[i]; x.taskKey == k {
-			return x.at
+	for i := range n.machines[ix].placements {
+		if x := &n.machines[ix].placements[i]; x.taskKey == k {
+			return x.activeIndex
 		}
 	}
 	return -1
 }
 
-// sessionPause is how long a task that was lost with its machine's session
+// epochDelay is how long a task that was lost with its machine's session
 // waits for the machine to take our term. It reports again after half a second.
-const sessionPause = 1200 * time.Millisecond
+const epochDelay = 1200 * time.Millisecond
 
-// termOf is the term of the part that the machine belongs to.
-func (h *host) termOf(n *Node) uint64 { return n.parts[h.part].rev }
+// shardTerm is the term of the part that the machine belongs to.
+func (h *machine) shardTerm(n *Node) uint64 { return n.shards[h.shard].term }
 
-// resultPause is how long a result waits for others of the same job when puts
+// outcomeDelay is how long a result waits for others of the same job when puts
 // are scarce: one put serves them all, and the tasks of a gang end together.
-const resultPause = 500 * time.Millisecond
+const outcomeDelay = 500 * time.Millisecond
 
 const causeLost = "lost"
 
 // reconciliation compares one report with the records.
 type reconciliation struct {
-	n        *Node
-	h        *host
-	report   *wire.Report
-	fresh    bool // the worker has seen our token: no earlier owner can start anything on it
-	reported map[taskKey]bool
-	before   map[taskKey]string // the states in the report before
-	orders   []wire.Order
-	ignored  bool // a start that it was told lacks
+	node           *Node
+	machine        *machine
+	heartbeat      *wire.WorkerHeartbeat
+	tokenCurrent   bool // the worker has seen our token: no earlier owner can start anything on it
+	reported       map[taskKey]bool
+	previousStates map[taskKey]string // the states in the report before
+	commands       []wire.Command
+	startIgnored   bool // a start that it was told lacks
 }
 
 // reconcile compares a report with the records and gives the orders that
 // bring the machine in line.
-func (n *Node) reconcile(p *part, h *host, r *wire.Report) []wire.Order {
-	x := &reconciliation{n: n, h: h, report: r, fresh: r.Token == p.rev, reported: make(map[taskKey]bool, len(r.Tasks)), before: h.tasks}
-	h.tasks, h.lingering = make(map[taskKey]string, len(r.Tasks)), 0
+func (n *Node) reconcile(p *shard, h *machine, r *wire.WorkerHeartbeat) []wire.Command {
+	x := &reconciliation{node: n, machine: h, heartbeat: r, tokenCurrent: r.Token == p.term, reported: make(map[taskKey]bool, len(r.Tasks)), previousStates: h.reportedTasks}
+	h.reportedTasks, h.unclearedTasks = make(map[taskKey]string, len(r.Tasks)), 0
 	for i := range r.Tasks {
-		x.present(&r.Tasks[i])
+		x.reportedTask(&r.Tasks[i])
 	}
-	for i := range h.on {
-		if on := &h.on[i]; !x.reported[on.taskKey] {
-			x.missing(on)
+	for i := range h.placements {
+		if on := &h.placements[i]; !x.reported[on.taskKey] {
+			x.missingTask(on)
 		}
 	}
-	if x.ignored && n.inVain(h) {
-		h.ignored++
+	if x.startIgnored && n.replyLikelyLost(h) {
+		h.ignoredReplies++
 	}
-	return x.orders
+	return x.commands
 }
 
-func (x *reconciliation) order(op, task string, attempt uint64, graceS float64) {
-	x.orders = append(x.orders, wire.Order{Op: op, Task: task, Attempt: attempt, GraceS: graceS})
+func (x *reconciliation) command(op, task string, attempt uint64, graceS float64) {
+	x.commands = append(x.commands, wire.Command{Op: op, Task: task, Attempt: attempt, GraceS: graceS})
 }
 
-// present deals with a task that the report shows.
-func (x *reconciliation) present(t *wire.Task) {
-	n, h := x.n, x.h
-	ref, task, err := wire.SplitTask(t.Task)
+// reportedTask deals with a task that the report shows.
+func (x *reconciliation) reportedTask(t *wire.TaskStatus) {
+	n, h := x.node, x.machine
+	ref, task, err := wire.SplitTaskName(t.Task)
 	if err != nil {
 		return
 	}
-	k := taskKey{n.refs.Find(ref), task, t.Attempt}
+	k := taskKey{n.jobIDs.Find(ref), task, t.Attempt}
 	x.reported[k] = true
-	a := n.active(k, h.name)
+	a := n.activeTask(k, h.name)
 	switch {
-	case t.State == wire.TaskEnded:
-		x.ended(t, k, a)
+	case t.State == wire.TaskExited:
+		x.exitedTask(t, k, a)
 		return
 	case a == nil:
-		x.order(wire.OrderKill, t.Task, t.Attempt, 0)
+		x.command(wire.CommandKill, t.Task, t.Attempt, 0)
 		return
 	}
-	h.tasks[k] = t.State
+	h.reportedTasks[k] = t.State
 	j := n.jobs[k.job]
-	if x.before[k] != t.State {
-		n.log(LogDebug, "task state", "job", j.ref, "class", j.rec.Spec.Class, "task", task, "attempt", t.Attempt, "host", h.name, "state", t.State)
+	if x.previousStates[k] != t.State {
+		n.log(LogDebug, "task state", "job", j.id, "class", j.record.Spec.Class, "task", task, "attempt", t.Attempt, "host", h.name, "state", t.State)
 	}
 	if t.State != wire.TaskFetching {
 		h.images.add(j.image)
 	}
-	if grace, kill := n.killGrace(h, j, a, t); kill {
-		x.order(wire.OrderKill, t.Task, t.Attempt, grace)
+	if grace, kill := n.stopGrace(h, j, a, t); kill {
+		x.command(wire.CommandKill, t.Task, t.Attempt, grace)
 	}
 }
 
-// ended deals with a task that the report shows as ended; a is its entry in the
+// exitedTask deals with a task that the report shows as ended; a is its entry in the
 // record, or nil.
-func (x *reconciliation) ended(t *wire.Task, k taskKey, a *wire.Active) {
+func (x *reconciliation) exitedTask(t *wire.TaskStatus, k taskKey, a *wire.ActiveTask) {
 	if a != nil {
-		x.n.taskEnded(x.h, k, t)
+		x.node.noteTaskExit(x.machine, k, t)
 		return
 	}
-	if _, direct := x.h.direct[k]; direct {
+	if _, direct := x.machine.directStarts[k]; direct {
 		// A late copy of its start may still come. As long as the worker knows the
 		// attempt that has no effect.
-		x.h.lingering++
+		x.machine.unclearedTasks++
 		return
 	}
 	// The record has let go of this attempt, so it can't be started again and may be
 	// forgotten by the worker.
-	x.order(wire.OrderClear, t.Task, t.Attempt, 0)
+	x.command(wire.CommandClear, t.Task, t.Attempt, 0)
 }
 
-// missing deals with a task that a record puts on the machine and the report lacks.
-func (x *reconciliation) missing(on *placed) {
-	n, h := x.n, x.h
+// missingTask deals with a task that a record puts on the machine and the report lacks.
+func (x *reconciliation) missingTask(on *placement) {
+	n, h := x.node, x.machine
 	k, j := on.taskKey, n.jobs[on.job]
-	if _, known := n.results[k]; known {
+	if _, known := n.outcomes[k]; known {
 		return
 	}
-	last, sent := h.started[k]
+	last, sent := h.startSentAt[k]
 	// A start sent to the worker's own address may still be on its way, whatever its
 	// reports say.
-	viaAddr, direct := h.direct[k]
-	gone := x.fresh && x.report.Seq > last && !direct
-	x.ignored = x.ignored || sent && gone
+	viaAddr, direct := h.directStarts[k]
+	gone := x.tokenCurrent && x.heartbeat.Sequence > last && !direct
+	x.startIgnored = x.startIgnored || sent && gone
 	switch {
-	case x.report.Session > on.session:
-		n.results[k] = result{h.name, causeLost, n.now, h.termOf(n)}
-	case j.rec.State != wire.Live || on.stop != wire.Keep || h.leavingAt > 0:
+	case x.heartbeat.Epoch > on.epoch:
+		n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
+	case j.record.State != wire.JobLive || on.stop != wire.StopNone || h.reclaimAt > 0:
 		if gone {
-			n.results[k] = result{h.name, causeLost, n.now, h.termOf(n)}
-		} else if direct && n.mayComeTooLate(j, viaAddr) {
-			h.ignored, h.silenced = deafAfter, true
-		} else if direct && n.now-viaAddr.at > 2*n.cfg.Lease {
-			h.ignored = deafAfter // it took a start and never showed it
+			n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
+		} else if direct && n.mayStartTooLate(j, viaAddr) {
+			h.ignoredReplies, h.leaseExpiring = maxIgnoredReplies, true
+		} else if direct && n.now-viaAddr.sentAt > 2*n.cfg.WorkerLease {
+			h.ignoredReplies = maxIgnoredReplies // it took a start and never showed it
 		}
-	case gone && sent && h.ignored >= deafAfter-1:
+	case gone && sent && h.ignoredReplies >= maxIgnoredReplies-1:
 		// It goes on reporting and does not do what it is told. The report is newer
 		// than the answer that ordered the start and lacks it; from here on it is not
 		// ordered again.
-		n.results[k] = result{h.name, causeLost, n.now, h.termOf(n)}
-	case n.holdBack(j, n.active(k, h.name)):
+		n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
+	case n.delaysGangStart(j, n.activeTask(k, h.name)):
 	default:
-		x.order(wire.OrderStart, wire.TaskName(j.ref, k.task), k.attempt, 0)
-		h.started[k] = x.report.Seq
+		x.command(wire.CommandStart, wire.TaskName(j.id, k.task), k.attempt, 0)
+		h.startSentAt[k] = x.heartbeat.Sequence
 	}
 }
 
-// killGrace decides whether a task on the machine has to stop, and with how
+// stopGrace decides whether a task on the machine has to stop, and with how
 // much time to save.
-func (n *Node) killGrace(h *host, j *job, a *wire.Active, t *wire.Task) (float64, bool) {
-	sp := j.rec.Spec
+func (n *Node) stopGrace(h *machine, j *job, a *wire.ActiveTask, t *wire.TaskStatus) (float64, bool) {
+	sp := j.record.Spec
 	switch {
-	case j.rec.State == wire.Withdrawn, a.Stop == wire.Abandon:
+	case j.record.State == wire.JobCancelled, a.Stop == wire.StopAbandon:
 		return 0, true
-	case j.rec.State != wire.Live:
+	case j.record.State != wire.JobLive:
 		return 0, false
-	case t.State == wire.TaskSaving:
+	case t.State == wire.TaskCheckpointing:
 		return 0, false
-	case a.Stop == wire.Preempt:
-		return sp.SaveS + 5, true
-	case h.leavingAt == 0:
+	case a.Stop == wire.StopPreempt:
+		return sp.CheckpointTimeS + 5, true
+	case h.reclaimAt == 0:
 		return 0, false
 	}
-	left := (h.leavingAt - n.now).Seconds()
+	left := (h.reclaimAt - n.now).Seconds()
 	switch {
-	case sp.Shape == wire.ShapeGang && sp.Frames > 1:
+	case sp.Shape == wire.ShapeGang && sp.TaskCount > 1:
 		// All tasks have to be told, so the record says it.
-		n.stopJobs[j.ix] = true
+		n.gangsToStop[j.index] = true
 		return 0, false
-	case sp.Shape == wire.ShapeDaemon || sp.CheckpointS == 0:
-		return 0, left < 2.5*n.cfg.Report.Seconds()
+	case sp.Shape == wire.ShapeDaemon || sp.CheckpointIntervalS == 0:
+		return 0, left < 2.5*n.cfg.HeartbeatInterval.Seconds()
 	}
-	return max(sp.SaveS+1, left-1), true
+	return max(sp.CheckpointTimeS+1, left-1), true
 }
 
-// holdBack delays the start of a gang's tasks whose machines have the image
+// delaysGangStart delays the start of a gang's tasks whose machines have the image
 // until those that fetch it are nearly there: a task waits for the others no
 // longer than gang_wait_s, which a fetch can exceed.
-func (n *Node) holdBack(j *job, a *wire.Active) bool {
-	sp := j.rec.Spec
-	if sp.Shape != wire.ShapeGang || sp.Frames < 2 {
+func (n *Node) delaysGangStart(j *job, a *wire.ActiveTask) bool {
+	sp := j.record.Spec
+	if sp.Shape != wire.ShapeGang || sp.TaskCount < 2 {
 		return false
 	}
 	// Images come at two thirds of the nominal rate at worst. A gang that is
 	// surely complete in time had better start with the last of them, not
 	// with the next report of a machine that was held back.
-	if r := n.flavor(n.hostOf(a.Host).rig); r != nil && r.FetchGBs > 0 &&
-		1.5*sp.ImageGB/r.FetchGBs < (n.cfg.GangWait-2*n.cfg.Report).Seconds() {
+	if r := n.typeAt(n.machineNamed(a.Machine).machineType); r != nil && r.FetchGBs > 0 &&
+		1.5*sp.ImageGB/r.FetchGBs < (n.cfg.GangWait-2*n.cfg.HeartbeatInterval).Seconds() {
 		return false
 	}
-	if !n.hostOf(a.Host).images.has(j.image) {
+	if !n.machineNamed(a.Machine).images.has(j.image) {
 		return false
 	}
-	for i := range j.rec.Active {
-		b := &j.rec.Active[i]
-		if b.Attempt != a.Attempt || b.Host == "" {
+	for i := range j.record.ActiveTasks {
+		b := &j.record.ActiveTasks[i]
+		if b.Attempt != a.Attempt || b.Machine == "" {
 			continue
 		}
-		hb := n.hostOf(b.Host)
-		if hb.images.has(j.image) || n.parts[b.Part].rec == nil || !n.valid(n.parts[b.Part]) {
+		hb := n.machineNamed(b.Machine)
+		if hb.images.has(j.image) || n.shards[b.Shard].record == nil || !n.mayActAsOwner(n.shards[b.Shard]) {
 			continue
 		}
 		return true
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -8,42 +8,42 @@
 
 // Our copy of the records, as the watch of the state service shows them.
 
-// changes takes events of the watch into our copy of the records.
-func (n *Node) changes(c Changes) {
+// recordsChanged takes events of the watch into our copy of the records.
+func (n *Node) recordsChanged(c RecordsChanged) {
 	if c.Reset {
-		n.dropUnlisted(c)
-		clear(n.continuations) // the listing holds all there are
+		n.deleteUnlisted(c)
+		clear(n.overflow) // the listing holds all there are
 	}
-	n.changeAll(c.Events)
+	n.applyEvents(c.Events)
 	if c.Reset {
-		n.assumeTakeovers()
+		n.assumeRecentOwners()
 	} else {
 		n.countWrites(len(c.Events))
 	}
 	n.loaded = n.loaded || c.Reset
-	n.rev = max(n.rev, c.Rev)
-	n.leader.dirty = true
-	n.settleChecks()
+	n.revision = max(n.revision, c.Revision)
+	n.leader.planNeeded = true
+	n.settleOwnershipChecks()
 	n.settleProofs()
-	n.heldAt = 0
-	n.owner.settle(n)
+	n.heldRepliesAt = 0
+	n.batch.settle(n)
 	n.leader.batch.settle(n)
 }
 
-// dropUnlisted drops the records that a full listing lacks.
-func (n *Node) dropUnlisted(listing Changes) {
+// deleteUnlisted drops the records that a full listing lacks.
+func (n *Node) deleteUnlisted(listing RecordsChanged) {
 	listed := map[string]bool{}
 	for _, e := range listing.Events {
 		listed[e.Key] = true
 	}
 	for _, j := range n.jobs {
-		if j.rec != nil && !listed[wire.JobKey(j.ref)] {
-			n.putJob(j.ref, nil, listing.Rev)
+		if j.record != nil && !listed[wire.JobKey(j.id)] {
+			n.putJob(j.id, nil, listing.Revision)
 		}
 	}
-	for _, p := range n.parts {
-		if p.rec != nil && !listed[wire.PartKey(p.name)] {
-			n.putPart(p, nil, listing.Rev)
+	for _, p := range n.shards {
+		if p.record != nil && !listed[wire.ShardKey(p.name)] {
+			n.putShard(p, nil, listing.Revision)
 		}
 	}
 	for key := range n.gangs {
@@ -53,35 +53,35 @@
 	}
 	for i := range n.cfg.Teams {
 		if name := n.cfg.Teams[i].Name; !listed[wire.AccountKey(name)] {
-			n.putAccount(name, nil, listing.Rev)
+			n.putAccount(name, nil, listing.Revision)
 		}
 	}
 	if !listed[wire.LeaderKey] {
-		n.putLeader(nil, listing.Rev)
+		n.putLeader(nil, listing.Revision)
 	}
 }
 
-// assumeTakeovers takes it that each part was taken over from an owner that lives, as
+// assumeRecentOwners takes it that each part was taken over from an owner that lives, as
 // what happened before a listing is not known.
-func (n *Node) assumeTakeovers() {
-	for _, p := range n.parts {
-		p.until = n.now + n.cfg.Validity
+func (n *Node) assumeRecentOwners() {
+	for _, p := range n.shards {
+		p.previousOwnerUntil = n.now + n.cfg.OwnerValidity
 	}
 }
 
-// changeAll takes events in. Further active tasks change together with their job's
+// applyEvents takes events in. Further active tasks change together with their job's
 // record; what several transactions did to one is taken in as it stands in the end.
-func (n *Node) changeAll(events []Event) {
+func (n *Node) applyEvents(events []Event) {
 	var last map[string]int
 	for i, e := range events {
-		if needs, is := e.Value.(*wire.Needs); is {
-			n.putNeeds(e.Key, needs) // in a listing it comes after the record
+		if needs, is := e.Value.(*wire.DependencyList); is {
+			n.putDependencyList(e.Key, needs) // in a listing it comes after the record
 		}
-		if !strings.HasPrefix(e.Key, wire.ContinuationPrefix) {
+		if !strings.HasPrefix(e.Key, wire.OverflowPrefix) {
 			continue
 		}
-		m, _ := e.Value.(*wire.Continuation)
-		n.putContinuation(e.Key, m)
+		m, _ := e.Value.(*wire.Overflow)
+		n.putOverflow(e.Key, m)
 		if last == nil {
 			last = map[string]int{}
 			for k, e := range events {
@@ -92,68 +92,68 @@
 	}
 	for i, e := range events {
 		if last == nil || last[e.Key] == i || !strings.HasPrefix(e.Key, wire.JobPrefix) {
-			n.change(e)
+			n.applyEvent(e)
 		}
 	}
 }
 
-// change takes one event in.
-func (n *Node) change(e Event) {
+// applyEvent takes one event in.
+func (n *Node) applyEvent(e Event) {
 	switch v := e.Value.(type) {
 	case *wire.SupportedFormat:
 		n.putFormat(e.Key[len(wire.FormatPrefix):], v)
 	case *wire.Job:
 		ref := e.Key[len(wire.JobPrefix):]
-		n.putJob(ref, v, e.Rev)
-		delete(n.needsLists, ref)
-	case *wire.Part:
-		if p := n.partNamed(e.Key); p != nil {
-			n.putPart(p, v, e.Rev)
+		n.putJob(ref, v, e.Revision)
+		delete(n.dependencyLists, ref)
+	case *wire.Shard:
+		if p := n.shardWithKey(e.Key); p != nil {
+			n.putShard(p, v, e.Revision)
 		}
 	case *wire.Leader:
-		n.putLeader(v, e.Rev)
+		n.putLeader(v, e.Revision)
 	case *wire.Takeovers:
 		n.putTakeovers(v)
 	case *wire.Account:
-		n.putAccount(wire.AccountTeam(e.Key), v, e.Rev)
+		n.putAccount(wire.AccountTeam(e.Key), v, e.Revision)
 	case *wire.Gang:
-		n.putGang(e.Key, v, e.Rev)
+		n.putGang(e.Key, v, e.Revision)
 	case *wire.Gossip:
 		if n.loaded { // a listing's may be of long ago
-			n.gossipFromStore(v)
+			n.readMailbox(v)
 		}
-	case *wire.Images:
-		n.takeImages(v)
-	case *wire.Types:
-		n.typesStored(v, e.Rev)
+	case *wire.ImageCache:
+		n.putImageCache(v)
+	case *wire.MachineTypeCache:
+		n.putMachineTypes(v, e.Revision)
 	case nil:
-		n.dropped(e)
+		n.applyDelete(e)
 	}
 }
 
-// dropped takes in that a key is gone. Jobs' records are never dropped.
-func (n *Node) dropped(e Event) {
+// applyDelete takes in that a key is gone. Jobs' records are never dropped.
+func (n *Node) applyDelete(e Event) {
 	switch {
 	case e.Key == wire.LeaderKey:
-		n.putLeader(nil, e.Rev)
-	case strings.HasPrefix(e.Key, wire.PartPrefix):
-		if p := n.partNamed(e.Key); p != nil {
-			n.putPart(p, nil, e.Rev)
+		n.putLeader(nil, e.Revision)
+	case strings.HasPrefix(e.Key, wire.ShardPrefix):
+		if p := n.shardWithKey(e.Key); p != nil {
+			n.putShard(p, nil, e.Revision)
 		}
 	case strings.HasPrefix(e.Key, wire.GangPrefix):
 		delete(n.gangs, e.Key)
 	case strings.HasPrefix(e.Key, wire.AccountPrefix):
-		n.putAccount(wire.AccountTeam(e.Key), nil, e.Rev)
+		n.putAccount(wire.AccountTeam(e.Key), nil, e.Revision)
 	}
 }
 
-// typesStored takes the stored machine types, unless the cloud has told of them.
-func (n *Node) typesStored(types *wire.Types, rev uint64) {
-	if rev < n.rigRev {
+// putMachineTypes takes the stored machine types, unless the cloud has told of them.
+func (n *Node) putMachineTypes(types *wire.MachineTypeCache, rev uint64) {
+	if rev < n.typesRevision {
 		return
 	}
-	n.rigRev = rev
-	if n.types == nil {
-		n.takeTypes(types.Rigs)
+	n.typesRevision = rev
+	if n.offeredTypes == nil {
+		n.setMachineTypes(types.Types)
 	}
 }
--- a/internal/core/reserve.go
+++ b/internal/core/reserve.go
@@ -7,37 +7,37 @@
 	"micaport/internal/wire"
 )
 
-// Objective is an aim of the users for a class: its tasks start within a time.
-type Objective struct {
+// StartObjective is an aim of the users for a class: its tasks start within a time.
+type StartObjective struct {
 	Class  string
 	Within Time
 }
 
-// arrivals is what has come of a class lately, while machines were up.
-type arrivals struct {
-	class  string
-	within Time
-	sample *job // the newest
-	list   []arrival
-	ends   []arrival // jobs that have given their machines back
-	// guardOnly: it has no such aim, but belongs to a team with a guarantee. Room for
-	// it is only kept free of work that fills what is guardOnly.
-	guardOnly bool
+// classArrivals is what has come of a class lately, while machines were up.
+type classArrivals struct {
+	class       string
+	startWithin Time
+	sample      *job // the newest
+	jobs        []arrival
+	completions []arrival // jobs that have given their machines back
+	// backfillGuard: it has no such aim, but belongs to a team with a guarantee. Room for
+	// it is only kept free of work that fills what is backfillGuard.
+	backfillGuard bool
 }
 
 type arrival struct {
-	at     Time
-	frames int
+	at    Time
+	tasks int
 }
 
 // arrivalWindow is how far back arrivals are counted.
 const arrivalWindow = 150 * second
 
-// counting tells whether what comes and ends is counted. What comes while
+// countsArrivals tells whether what comes and ends is counted. What comes while
 // nothing is up yet is a backlog and says nothing about the rate. Every
 // controller counts, so that a new leader knows what the last one did.
-func (n *Node) counting() bool {
-	if n.countedFrom == 0 && n.loaded && n.anyUp() {
+func (n *Node) countsArrivals() bool {
+	if n.countedFrom == 0 && n.loaded && n.anyMachineUp() {
 		n.countedFrom = n.now
 	}
 	return n.countedFrom > 0
@@ -45,47 +45,47 @@
 
 // noteArrival counts a new job of a class that is to start at once.
 func (n *Node) noteArrival(j *job) {
-	if !n.counting() {
+	if !n.countsArrivals() {
 		return
 	}
-	class := j.rec.Spec.Class
-	if t := j.team; t >= 0 && (n.cfg.Teams[t].Cards > 0 || n.cfg.Teams[t].Cores > 0) && len(n.arrivals) < maxClasses &&
-		!slices.ContainsFunc(n.arrivals, func(a *arrivals) bool { return a.class == class }) {
-		n.arrivals = append(n.arrivals, &arrivals{class: class, guardOnly: true})
+	class := j.record.Spec.Class
+	if t := j.team; t >= 0 && (n.cfg.Teams[t].GuaranteedGPUs > 0 || n.cfg.Teams[t].GuaranteedCores > 0) && len(n.arrivals) < maxClasses &&
+		!slices.ContainsFunc(n.arrivals, func(a *classArrivals) bool { return a.class == class }) {
+		n.arrivals = append(n.arrivals, &classArrivals{class: class, backfillGuard: true})
 	}
 	for _, a := range n.arrivals {
 		if a.class == class {
 			a.sample = j
-			a.list = append(a.forget(n.now).list, arrival{n.now, min(j.rec.Frames, n.activeLimit())})
+			a.jobs = append(a.dropOld(n.now).jobs, arrival{n.now, min(j.record.TaskCount, n.maxSingleTasks())})
 		}
 	}
 }
 
-// noteEnd counts a job of such a class that has let go of its machines.
-func (n *Node) noteEnd(was *wire.Job) {
-	if !n.counting() || was.Spec == nil || was.State != wire.Live {
+// noteCompletion counts a job of such a class that has let go of its machines.
+func (n *Node) noteCompletion(was *wire.Job) {
+	if !n.countsArrivals() || was.Spec == nil || was.State != wire.JobLive {
 		return
 	}
 	for _, a := range n.arrivals {
 		if a.class == was.Spec.Class {
-			a.ends = append(a.forget(n.now).ends, arrival{n.now, len(was.Active)})
+			a.completions = append(a.dropOld(n.now).completions, arrival{n.now, len(was.ActiveTasks)})
 		}
 	}
 }
 
-func (n *Node) anyUp() bool {
-	for _, p := range n.parts {
-		if len(p.hosts) > 0 {
+func (n *Node) anyMachineUp() bool {
+	for _, p := range n.shards {
+		if len(p.machines) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops what came before the window.
-func (a *arrivals) forget(now Time) *arrivals {
+// dropOld drops what came before the window.
+func (a *classArrivals) dropOld(now Time) *classArrivals {
 	old := func(x arrival) bool { return now-x.at > arrivalWindow }
-	a.list, a.ends = slices.DeleteFunc(a.list, old), slices.DeleteFunc(a.ends, old)
+	a.jobs, a.completions = slices.DeleteFunc(a.jobs, old), slices.DeleteFunc(a.completions, old)
 	return a
 }
 
@@ -94,12 +94,12 @@
 // standard deviation more, as jobs come and go by chance and in different
 // sizes. It is never more than may come: where nothing comes any more, what
 // ends needs no room. lead is how long a machine takes.
-func (a *arrivals) reserve(now, since, lead Time) int {
-	a.forget(now)
+func (a *classArrivals) reserve(now, since, lead Time) int {
+	a.dropOld(now)
 	window := max(60*second, min(arrivalWindow, now-since))
 	part := lead.Seconds() / window.Seconds()
-	come, comeVar := meanAndVariance(a.list, part)
-	end, endVar := meanAndVariance(a.ends, part)
+	come, comeVar := meanAndVariance(a.jobs, part)
+	end, endVar := meanAndVariance(a.completions, part)
 	net := max(0, come-end) + math.Sqrt(comeVar+endVar)
 	return int(math.Round(min(net, come+math.Sqrt(comeVar))))
 }
@@ -107,59 +107,59 @@
 // meanAndVariance gives the mean and the variance of the tasks in a part of the window.
 func meanAndVariance(list []arrival, part float64) (mean, variance float64) {
 	for _, x := range list {
-		mean += float64(x.frames) * part
-		variance += float64(x.frames) * float64(x.frames) * part
+		mean += float64(x.tasks) * part
+		variance += float64(x.tasks) * float64(x.tasks) * part
 	}
 	return mean, variance
 }
 
-// keepReserve plans room for what will come before a machine hired then could
+// planReserve plans room for what will come before a machine hired then could
 // be up: idle machines that it uses don't go back, and what is missing is
 // hired. It comes last and grants nothing, so any real task can have the room.
-func (p *plan) keepReserve() {
-	n := p.n
+func (p *schedulingPass) planReserve() {
+	n := p.node
 	for _, a := range n.arrivals {
 		j := n.sampleOf(a)
 		if j == nil {
 			continue
 		}
-		lead := n.lead(j)
-		if a.guardOnly {
+		lead := n.provisionTime(j)
+		if a.backfillGuard {
 			if p.hasBackfill {
-				p.reserveRoom(j, a.reserve(n.now, n.countedFrom, 2*n.cfg.Report+second))
+				p.reserveRoom(j, a.reserve(n.now, n.countedFrom, 2*n.cfg.HeartbeatInterval+second))
 			}
 			continue
 		}
 		// Where an image alone takes longer, a machine that is up is no help;
 		// where a boot is quick enough, there is no need of one.
-		if lead == 0 || lead+n.imageTime(j) < a.within || n.besideOthers(j) {
+		if lead == 0 || lead+n.imageFetchTime(j) < a.startWithin || n.fitsBesideGPUWork(j) {
 			continue
 		}
 		for range a.reserve(n.now, n.countedFrom, lead) {
-			s := p.up.best(j, nil, nil)
+			s := p.available.best(j, nil, nil)
 			if s == nil {
 				s = p.expected.best(j, nil, nil)
 			}
 			if s == nil {
-				s = p.hireFor(&queuedJob{j: j}, func(*slot) bool { return true })
+				s = p.provisionFor(&queuedJob{job: j}, func(*slot) bool { return true })
 			}
 			if s == nil {
 				break
 			}
-			s.take(j.rec.Spec)
+			s.take(j.record.Spec)
 		}
 	}
 }
 
-// besideOthers tells whether a job's tasks need no cards where all machines that they
+// fitsBesideGPUWork tells whether a job's tasks need no cards where all machines that they
 // may run on have some: they find room beside work that does, and machines with cards
 // need not stand idle for them.
-func (n *Node) besideOthers(j *job) bool {
-	if j.rec.Spec.Cards > 0 {
+func (n *Node) fitsBesideGPUWork(j *job) bool {
+	if j.record.Spec.GPUs > 0 {
 		return false
 	}
-	for ix, r := range n.flavors {
-		if r != nil && r.Cards == 0 && (j.any || j.rigs.has(ix)) && fitsRig(j.rec.Spec, r) {
+	for ix, r := range n.machineTypes {
+		if r != nil && r.GPUs == 0 && (j.anyType || j.machineTypes.has(ix)) && fitsType(j.record.Spec, r) {
 			return false
 		}
 	}
@@ -171,12 +171,12 @@
 
 // sampleOf is the newest job of the class that still has its specification, or
 // nil: a finished record has dropped it.
-func (n *Node) sampleOf(a *arrivals) *job {
-	usable := func(j *job) bool { return j != nil && j.rec != nil && j.rec.Spec != nil && j.team >= 0 }
+func (n *Node) sampleOf(a *classArrivals) *job {
+	usable := func(j *job) bool { return j != nil && j.record != nil && j.record.Spec != nil && j.team >= 0 }
 	if !usable(a.sample) {
 		a.sample = nil
 		for _, jx := range n.live {
-			if j := n.jobs[jx]; usable(j) && j.rec.Spec.Class == a.class {
+			if j := n.jobs[jx]; usable(j) && j.record.Spec.Class == a.class {
 				a.sample = j
 			}
 		}
@@ -184,28 +184,28 @@
 	return a.sample
 }
 
-// lead is how long it takes from the wish for a machine until it reports, in
+// provisionTime is how long it takes from the wish for a machine until it reports, in
 // most cases; 0 if no type fits.
-func (n *Node) lead(j *job) Time {
+func (n *Node) provisionTime(j *job) Time {
 	best := 0.0
-	for ix, r := range n.flavors {
-		if r != nil && (j.any || j.rigs.has(ix)) && fitsRig(j.rec.Spec, r) && (best == 0 || r.BootS < best) {
+	for ix, r := range n.machineTypes {
+		if r != nil && (j.anyType || j.machineTypes.has(ix)) && fitsType(j.record.Spec, r) && (best == 0 || r.BootS < best) {
 			best = r.BootS
 		}
 	}
 	return Time(best * 1.3 * float64(second))
 }
 
-// imageTime is how long a job's image takes at the nominal rate.
-func (n *Node) imageTime(j *job) Time {
+// imageFetchTime is how long a job's image takes at the nominal rate.
+func (n *Node) imageFetchTime(j *job) Time {
 	rate := 0.0
-	for ix, r := range n.flavors {
-		if r != nil && (j.any || j.rigs.has(ix)) {
+	for ix, r := range n.machineTypes {
+		if r != nil && (j.anyType || j.machineTypes.has(ix)) {
 			rate = max(rate, r.FetchGBs)
 		}
 	}
 	if rate <= 0 {
 		return 0
 	}
-	return Time(j.rec.Spec.ImageGB / rate * float64(second))
+	return Time(j.record.Spec.ImageGB / rate * float64(second))
 }
--- a/internal/core/returns.go
+++ b/internal/core/returns.go
@@ -4,128 +4,128 @@
 
 // Machines that are no longer needed go back to the cloud.
 
-// returnIdle picks machines that stood idle, are sick or are lost, and gives
+// scaleIn picks machines that stood idle, are sick or are lost, and gives
 // them back once their owner has let go of them.
-func (n *Node) returnIdle(p *plan, idle map[*slot]bool) {
-	n.retireIdle(p, idle)
-	n.retireUnfit()
-	c := &n.leader.cloud
-	if c.giving || n.now < c.returnAt || n.cloudRight() == 0 {
+func (n *Node) scaleIn(p *schedulingPass, idle map[*slot]bool) {
+	n.drainIdle(p, idle)
+	n.drainUnhealthy()
+	c := &n.leader.autoscaler
+	if c.deprovisioning || n.now < c.deprovisionAt || n.cloudCallTime() == 0 {
 		return
 	}
-	if give := n.returnable(); len(give) > 0 {
-		n.returnMachines(give)
+	if give := n.drainedMachines(); len(give) > 0 {
+		n.deprovision(give)
 	}
 }
 
-// retireIdle marks machines that have stood idle for long enough.
-func (n *Node) retireIdle(p *plan, idle map[*slot]bool) {
-	c := &n.leader.cloud
-	spares := map[pool]int{}
-	for _, s := range p.up.all {
-		name := s.h.name
-		if !idle[s] || !s.untouched() || s.reserved {
-			delete(c.idleFrom, name)
+// drainIdle marks machines that have stood idle for long enough.
+func (n *Node) drainIdle(p *schedulingPass, idle map[*slot]bool) {
+	c := &n.leader.autoscaler
+	spares := map[machinePool]int{}
+	for _, s := range p.available.all {
+		name := s.machine.name
+		if !idle[s] || !s.isIdle() || s.reserved {
+			delete(c.idleSince, name)
 			continue
 		}
-		if _, seen := c.idleFrom[name]; !seen {
-			c.idleFrom[name] = n.now
+		if _, seen := c.idleSince[name]; !seen {
+			c.idleSince[name] = n.now
 		}
-		patience := n.cfg.IdleReturn
+		patience := n.cfg.IdleTimeout
 		if s.errors > 0 {
 			// It failed a job and nothing has succeeded since: no spare.
-			patience = min(faultyIdleReturn, patience)
+			patience = min(faultyIdleTimeout, patience)
 		} else {
 			x := s.pool()
-			if spares[x]++; spares[x] <= n.cfg.Spares {
+			if spares[x]++; spares[x] <= n.cfg.SpareMachines {
 				continue
 			}
 		}
-		if n.now-c.idleFrom[name] > patience {
-			c.retiring[name] = true
+		if n.now-c.idleSince[name] > patience {
+			c.draining[name] = true
 		}
 	}
 }
 
-// faultyIdleReturn is how long a machine that has failed a job may stand idle.
-const faultyIdleReturn = 10 * second
+// faultyIdleTimeout is how long a machine that has failed a job may stand idle.
+const faultyIdleTimeout = 10 * second
 
-// retireUnfit marks machines that are lost, or sick and empty, and keeps those on which
+// drainUnhealthy marks machines that are lost, or sick and empty, and keeps those on which
 // their owners have placed something meanwhile.
-func (n *Node) retireUnfit() {
-	c := &n.leader.cloud
-	for _, y := range n.parts {
-		for _, h := range y.hosts {
-			if h.returned || !h.info.known {
+func (n *Node) drainUnhealthy() {
+	c := &n.leader.autoscaler
+	for _, y := range n.shards {
+		for _, h := range y.machines {
+			if h.returned || !h.view.known {
 				continue
 			}
-			if h.info.lost || h.info.sick && len(h.on) == 0 {
-				c.retiring[h.name] = true
-			} else if len(h.on) > 0 && !h.retiring {
-				delete(c.retiring, h.name)
+			if h.view.unreachable || h.view.unhealthy && len(h.placements) == 0 {
+				c.draining[h.name] = true
+			} else if len(h.placements) > 0 && !h.draining {
+				delete(c.draining, h.name)
 			}
 		}
 	}
 }
 
-// returnable lists machines that may go back now, as many as a call takes: their
+// drainedMachines lists machines that may go back now, as many as a call takes: their
 // owners have let go of them, or nobody has heard of them.
-func (n *Node) returnable() (give []string) {
-	c := &n.leader.cloud
-	for name := range c.retiring {
-		if index := n.hostIx.Find(name); index >= 0 {
-			h := n.hosts[index]
+func (n *Node) drainedMachines() (give []string) {
+	c := &n.leader.autoscaler
+	for name := range c.draining {
+		if index := n.machineNames.Find(name); index >= 0 {
+			h := n.machines[index]
 			if h.returned {
-				delete(c.retiring, name)
+				delete(c.draining, name)
 				continue
 			}
-			if h.info.known && !h.info.lost && !(h.retiring && len(h.on) == 0) {
+			if h.view.known && !h.view.unreachable && !(h.draining && len(h.placements) == 0) {
 				continue
 			}
 		}
 		give = append(give, name)
 	}
 	sort.Strings(give)
-	return give[:min(len(give), maxReturns)]
+	return give[:min(len(give), maxDeprovisioned)]
 }
 
-// maxReturns is how many machines one call to the cloud returns at most.
-const maxReturns = 100
+// maxDeprovisioned is how many machines one call to the cloud returns at most.
+const maxDeprovisioned = 100
 
-// returnMachines gives machines back to the cloud.
-func (n *Node) returnMachines(give []string) {
-	c := &n.leader.cloud
-	c.giving = true
+// deprovision gives machines back to the cloud.
+func (n *Node) deprovision(give []string) {
+	c := &n.leader.autoscaler
+	c.deprovisioning = true
 	tenure := n.leader.tenure
-	n.cloudCall(Cloud{Return: give}, func(r Clouded) {
+	n.cloudCall(CallCloud{Deprovision: give}, func(r CloudAnswered) {
 		if r.Outcome == OK {
 			for _, name := range give {
-				n.hostOf(name).returned = true
+				n.machineNamed(name).returned = true
 			}
 		}
 		if n.leader.tenure != tenure {
 			return
 		}
-		c.giving = false
+		c.deprovisioning = false
 		if r.Outcome != OK {
-			c.returnAt = n.now + 2*second
+			c.deprovisionAt = n.now + 2*second
 			return
 		}
 		for _, name := range give {
-			delete(c.retiring, name)
+			delete(c.draining, name)
 			delete(c.booting, name)
-			delete(c.stray, name)
-			n.leader.returned = append(n.leader.returned, returned{name, n.now})
+			delete(c.unreportedSince, name)
+			n.leader.returned = append(n.leader.returned, returnedMachine{name, n.now})
 		}
 		n.log(LogInfo, "returned", "hosts", give)
-		n.gossip(true)
+		n.sendGossip(true)
 	})
 }
 
-// retireList names the machines that owners are to empty for return.
-func (l *leaderState) retireList(n *Node) []string {
+// drainList names the machines that owners are to empty for return.
+func (l *leaderState) drainList(n *Node) []string {
 	var out []string
-	for name := range l.cloud.retiring {
+	for name := range l.autoscaler.draining {
 		out = append(out, name)
 	}
 	sort.Strings(out)
--- a/internal/core/set.go
+++ b/internal/core/set.go
@@ -2,13 +2,13 @@
 
 import "math/bits"
 
-// set is a set of small indices.
-type set []uint64
+// indexSet is a set of small indices.
+type indexSet []uint64
 
-func (s set) has(i int) bool { return i >= 0 && i/64 < len(s) && s[i/64]&(1<<(i%64)) != 0 }
+func (s indexSet) has(i int) bool { return i >= 0 && i/64 < len(s) && s[i/64]&(1<<(i%64)) != 0 }
 
 // add puts an index in and tells whether it is new.
-func (s *set) add(i int) bool {
+func (s *indexSet) add(i int) bool {
 	if i < 0 || s.has(i) {
 		return false
 	}
@@ -20,7 +20,7 @@
 }
 
 // each calls f with the members in order.
-func (s set) each(f func(int)) {
+func (s indexSet) each(f func(int)) {
 	for w, word := range s {
 		for ; word != 0; word &= word - 1 {
 			f(w*64 + bits.TrailingZeros64(word))
--- a/internal/core/shares.go
+++ b/internal/core/shares.go
@@ -11,69 +11,69 @@
 // quota for what is dealt and docs/team-limits.md for why.
 
 const (
-	// dealPause lies between two writes of a team's account, so that shares which follow
+	// shareInterval lies between two writes of a team's account, so that shares which follow
 	// the load cost a tenth of a put a second for each team at most.
-	dealPause = 10 * second
-	// urgentDealPause is that for withdrawing shares that somebody waits for.
-	urgentDealPause = second
-	// redealPause is that after shares have been gathered. A leader that takes over finds
+	shareInterval = 10 * second
+	// reclaimInterval is that for withdrawing shares that somebody waits for.
+	reclaimInterval = second
+	// redistributeInterval is that after shares have been gathered. A leader that takes over finds
 	// a backlog and gathers for it; were the owners then left without shares for long,
 	// they could admit nothing when it ends in its turn.
-	redealPause = 3 * second
-	// excessPause lies between two reports of a team that uses more than its limit.
-	excessPause = 30 * second
+	redistributeInterval = 3 * second
+	// excessReportInterval lies between two reports of a team that uses more than its limit.
+	excessReportInterval = 30 * second
 )
 
-// dealShares writes the account of a team whose shares should be other ones, at most one
+// distributeShares writes the account of a team whose shares should be other ones, at most one
 // in a commit. It comes last, so that it takes no write that a grant needs.
-func (p *plan) dealShares() {
-	n := p.n
-	if !n.writesAccounts() {
+func (p *schedulingPass) distributeShares() {
+	n := p.node
+	if !n.writesTeamAccounts() {
 		return
 	}
 	for team := range n.cfg.Teams {
-		if n.now-n.leader.dealtAt[team] < p.dealPauseFor(team) {
+		if n.now-n.leader.sharesDistributedAt[team] < p.shareIntervalFor(team) {
 			continue
 		}
-		account, reason := n.ledger.Deal(team, p.demandOn(team))
-		if reason == quota.Unchanged || !n.fits(account) {
+		account, reason := n.ledger.Distribute(team, p.shareDemand(team))
+		if reason == quota.Unchanged || !n.valueFits(account) {
 			continue
 		}
-		if p.ungranted > 0 && reason != quota.Gathered {
+		if p.ungranted > 0 && reason != quota.Reclaimed {
 			return
 		}
 		key := wire.AccountKey(n.cfg.Teams[team].Name)
-		if p.w.also(Write{Key: key, Value: account}, Cond{key, n.ledger.Revision(team)}) {
-			n.leader.dealtAt[team], n.leader.gathered[team] = n.now, reason == quota.Gathered
+		if p.writer.addWrite(Write{Key: key, Value: account}, Condition{key, n.ledger.Revision(team)}) {
+			n.leader.sharesDistributedAt[team], n.leader.sharesReclaimed[team] = n.now, reason == quota.Reclaimed
 			n.log(LogDebug, "shares dealt", "team", n.cfg.Teams[team].Name, "reason", int(reason), "shares", len(account.Shares))
 		}
 		return
 	}
 }
 
-// dealPauseFor is how long a team's account is left alone after it was written. All pauses
+// shareIntervalFor is how long a team's account is left alone after it was written. All pauses
 // are the longest where puts are scarce.
-func (p *plan) dealPauseFor(team int) Time {
-	pause := dealPause
+func (p *schedulingPass) shareIntervalFor(team int) Time {
+	pause := shareInterval
 	switch {
 	case p.atLimit[team]:
-		pause = urgentDealPause
-	case p.n.leader.gathered[team]:
-		pause = redealPause
+		pause = reclaimInterval
+	case p.node.leader.sharesReclaimed[team]:
+		pause = redistributeInterval
 	}
-	return pause + Time(p.n.scarcity()*float64(dealPause-pause))
+	return pause + Time(p.node.writeScarcity()*float64(shareInterval-pause))
 }
 
-// demandOn is what the shares of a team are to be dealt by.
-func (p *plan) demandOn(team int) quota.Demand {
-	n := p.n
+// shareDemand is what the shares of a team are to be dealt by.
+func (p *schedulingPass) shareDemand(team int) quota.Demand {
+	n := p.node
 	d := quota.Demand{
-		Owned: make([]bool, len(n.parts)), Blocked: p.atLimit[team], Granted: p.added[team],
+		Owned: make([]bool, len(n.shards)), Blocked: p.atLimit[team], Granted: p.added[team],
 		Enabled: n.cfg.Admission != AdmitNothing,
 	}
-	for i, part := range n.parts {
+	for i, part := range n.shards {
 		// What we own ourselves needs no share: we grant there as the leader.
-		d.Owned[i] = part.rec != nil && !n.holds(part) && n.ownerThere(part)
+		d.Owned[i] = part.record != nil && !n.owns(part) && n.ownerIsHeard(part)
 	}
 	return d
 }
@@ -88,13 +88,13 @@
 		if excess := n.ledger.Excess(team); excess != (quota.Amount{}) {
 			cores, cards := excess.Decimal()
 			n.log(LogInfo, "a team uses more than its limit", "team", n.cfg.Teams[team].Name, "cores", cores, "cards", cards)
-			n.leader.excessAt = n.now + excessPause
+			n.leader.excessAt = n.now + excessReportInterval
 		}
 	}
 }
 
-// dealTimes are when a leader last dealt the shares of each team: at first, never.
-func dealTimes(teams int) []Time {
+// neverDistributed are when a leader last dealt the shares of each team: at first, never.
+func neverDistributed(teams int) []Time {
 	times := make([]Time, teams)
 	for i := range times {
 		times[i] = -time.Hour
--- a/internal/core/size_test.go
+++ b/internal/core/size_test.go
@@ -18,18 +18,18 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, TxnOps: 12, ValueBytes: 8192,
-		WallMS: func() int64 { return 0 }})
-	n.Step(second, Changes{Reset: true, Rev: 1})
+	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
+		WallClockMS: func() int64 { return 0 }})
+	n.Step(second, RecordsChanged{Reset: true, Revision: 1})
 	const jobs = 100_000
 	before := heap()
 	for i := range jobs {
 		ref := fmt.Sprintf("wk-%06d", i)
-		spec := &wire.Spec{Ref: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, Frames: 3, Image: "img", Rigs: []string{"g2"}}
-		n.Step(second, Changes{Rev: uint64(2*i + 2), Events: []Event{{Key: wire.JobKey(ref), Rev: uint64(2*i + 2),
-			Value: &wire.Job{Spec: spec, Frames: 3, Next: 4}}}})
-		n.Step(second, Changes{Rev: uint64(2*i + 3), Events: []Event{{Key: wire.JobKey(ref), Rev: uint64(2*i + 3),
-			Value: &wire.Job{State: wire.Done, Frames: 3, Next: 4}}}})
+		spec := &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 3, Image: "img", MachineTypes: []string{"g2"}}
+		n.Step(second, RecordsChanged{Revision: uint64(2*i + 2), Events: []Event{{Key: wire.JobKey(ref), Revision: uint64(2*i + 2),
+			Value: &wire.Job{Spec: spec, TaskCount: 3, NextAttempt: 4}}}})
+		n.Step(second, RecordsChanged{Revision: uint64(2*i + 3), Events: []Event{{Key: wire.JobKey(ref), Revision: uint64(2*i + 3),
+			Value: &wire.Job{State: wire.JobDone, TaskCount: 3, NextAttempt: 4}}}})
 	}
 	each := (heap() - before) / jobs
 	t.Logf("a finished job keeps %d bytes", each)
@@ -39,7 +39,7 @@
 	if len(n.live) != 0 {
 		t.Errorf("%d finished jobs count as live", len(n.live))
 	}
-	out := n.Step(second, UserRequest{Req: 1, Kind: wire.Poll, Ref: "wk-000007"})
+	out := n.Step(second, UserRequest{RequestID: 1, Kind: wire.RequestStatus, JobID: "wk-000007"})
 	if len(out) == 0 || out[0].(Reply).Body.(wire.JobStatus).Status != wire.StatusDone {
 		t.Errorf("a finished job is answered with %+v", out)
 	}
--- a/internal/core/stage.go
+++ b/internal/core/stage.go
@@ -19,15 +19,15 @@
 	maxCorrection = 4.0 // these is rather due to waiting than to the estimate
 )
 
-// runTimes compares how long the jobs of each class took with their owners'
+// runTimeEstimator compares how long the jobs of each class took with their owners'
 // estimates. Only the leader that granted a job can tell when it began; a new leader
 // begins with the estimates as they are.
-type runTimes struct {
+type runTimeEstimator struct {
 	ratios map[string][]float64 // time taken by the estimate, by class, oldest first
 }
 
 // add takes in a job that is done.
-func (r *runTimes) add(class string, took Time, expectedS float64) {
+func (r *runTimeEstimator) add(class string, took Time, expectedS float64) {
 	if expectedS <= 0 {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // correction is what estimates of a class are to be multiplied by.
-func (r *runTimes) correction(class string) float64 {
+func (r *runTimeEstimator) correction(class string) float64 {
 	list := r.ratios[class]
 	if len(list) < minRunSamples {
 		return 1
@@ -53,25 +53,25 @@
 }
 
 // runTime is how long a job probably takes once all its tasks are granted.
-func (n *Node) runTime(spec *wire.Spec) Time {
-	return Time(spec.ExpectedS * n.runTimes.correction(spec.Class) * float64(second))
+func (n *Node) runTime(spec *wire.JobSpec) Time {
+	return Time(spec.ExpectedS * n.runTimeEstimator.correction(spec.Class) * float64(second))
 }
 
 // noteRunTime learns from a job that is done. One that was granted in several parts
 // took longer than from its last grant on, which is all that is known of it.
 func (n *Node) noteRunTime(j *job, was *wire.Job) {
-	if was.Spec == nil || j.grantedAt == 0 || !n.leads() {
+	if was.Spec == nil || j.grantedAt == 0 || !n.isLeader() {
 		return
 	}
-	n.runTimes.add(was.Spec.Class, n.now-j.grantedAt, was.Spec.ExpectedS)
+	n.runTimeEstimator.add(was.Spec.Class, n.now-j.grantedAt, was.Spec.ExpectedS)
 }
 
-// planStages plans room for jobs whose last needs will probably end before a machine
+// planNextStages plans room for jobs whose last needs will probably end before a machine
 // hired now is up.
-func (p *plan) planStages() {
-	for _, index := range p.n.live {
-		j := p.n.jobs[index]
-		if j.rec.Spec != nil && j.team >= 0 && j.waits() && p.n.endsBefore(j, p.n.now+p.n.lead(j)) {
+func (p *schedulingPass) planNextStages() {
+	for _, index := range p.node.live {
+		j := p.node.jobs[index]
+		if j.record.Spec != nil && j.team >= 0 && j.isWaiting() && p.node.endsBefore(j, p.node.now+p.node.provisionTime(j)) {
 			p.planStage(j)
 		}
 	}
@@ -80,19 +80,19 @@
 // endsBefore tells whether all that a job still waits on will probably be done by a
 // time.
 func (n *Node) endsBefore(j *job, at Time) bool {
-	if j.chain.ancestorWithdrawn {
+	if j.links.ancestorCancelled {
 		return false
 	}
-	for _, index := range j.chain.needs {
+	for _, index := range j.links.dependencies {
 		need := n.jobs[index]
-		if need.rec == nil {
+		if need.record == nil {
 			return false // not seen yet, or only for a moment
 		}
-		if need.rec.State == wire.Done {
+		if need.record.State == wire.JobDone {
 			continue
 		}
-		granted := len(need.rec.Active) > 0 && len(n.waitingTasks(need, 1)) == 0
-		if need.rec.Spec == nil || !granted || max(need.grantedAt, need.readySince())+n.runTime(need.rec.Spec) > at {
+		granted := len(need.record.ActiveTasks) > 0 && len(n.waitingTasks(need, 1)) == 0
+		if need.record.Spec == nil || !granted || max(need.grantedAt, need.readySince())+n.runTime(need.record.Spec) > at {
 			return false
 		}
 	}
@@ -101,33 +101,33 @@
 
 // readySince is since when a job of a chain could run; 0 where it waited on nothing.
 func (j *job) readySince() Time {
-	if j.chain == nil {
+	if j.links == nil {
 		return 0
 	}
-	return j.chain.readyAt
+	return j.links.readyAt
 }
 
 // planStage takes room for the tasks of a job, as far as its team's limit goes, and
 // has machines hired for what finds none.
-func (p *plan) planStage(j *job) {
-	spec := j.rec.Spec
-	zones := make([]int, p.n.zones.Len())
+func (p *schedulingPass) planStage(j *job) {
+	spec := j.record.Spec
+	zones := make([]int, p.node.zoneNames.Len())
 	allowed := func(s *slot) bool {
 		if spec.Spread && zones[s.zone] >= zoneLimit(spec) {
 			return false
 		}
 		return !spec.SameZone || !slices.ContainsFunc(otherZones(zones, s.zone), func(tasks int) bool { return tasks > 0 })
 	}
-	for range min(j.rec.Frames, p.n.tasksLimit(j)) {
+	for range min(j.record.TaskCount, p.node.maxActiveTasks(j)) {
 		if !p.withinLimit(j, 1) {
 			return
 		}
-		s := p.up.best(j, allowed, nil)
+		s := p.available.best(j, allowed, nil)
 		if s == nil {
 			s = p.expected.best(j, allowed, nil)
 		}
 		if s == nil {
-			s = p.hireFor(&queuedJob{j: j}, allowed)
+			s = p.provisionFor(&queuedJob{job: j}, allowed)
 		}
 		if s == nil {
 			return
--- a/internal/core/stage_test.go
+++ b/internal/core/stage_test.go
@@ -10,7 +10,7 @@
 // Estimates of a class are corrected by the median of what jobs took, once enough of
 // them are done, and never by more than estimates are wrong.
 func TestEstimatesAreCorrected(t *testing.T) {
-	var r runTimes
+	var r runTimeEstimator
 	for range minRunSamples - 1 {
 		r.add("c", 20*second, 10)
 	}
@@ -38,26 +38,26 @@
 
 // leading makes a controller the leader of a site without machines.
 func leading(n *Node) {
-	n.Step(n.now+1, Changes{Rev: 1000, Events: []Event{{Key: wire.LeaderKey, Rev: 1000, Value: &wire.Leader{Node: n.cfg.Self, Life: n.cfg.Life}}}})
-	n.leader.cloud = newCloudState()
+	n.Step(n.now+1, RecordsChanged{Revision: 1000, Events: []Event{{Key: wire.LeaderKey, Revision: 1000, Value: &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}}}})
+	n.leader.autoscaler = newAutoscaler()
 }
 
 // granted shows a job whose only task is on a machine, as granted by this leader.
 func granted(n *Node, rev int, ref string, expectedS float64) {
-	spec := &wire.Spec{Ref: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, Urgency: "low", Frames: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
-	rec := &wire.Job{Spec: spec, Frames: 1, At: 1_000_000, Next: 2, Active: wire.Actives{{Attempt: 1, Host: "vm-000001", Session: 1}}}
-	n.Step(n.now+1, Changes{Rev: uint64(rev), Events: []Event{{Key: wire.JobKey(ref), Rev: uint64(rev), Value: rec}}})
+	spec := &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
+	rec := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
+	n.Step(n.now+1, RecordsChanged{Revision: uint64(rev), Events: []Event{{Key: wire.JobKey(ref), Revision: uint64(rev), Value: rec}}})
 	n.jobNamed(ref).grantedAt = n.now
 }
 
 // planned is how many machines a pass that plans stages only wants to hire.
 func planned(n *Node) (machines int) {
-	p := n.newPlan(newWriter(n))
-	p.planStages()
-	for _, count := range p.hires {
+	p := n.newSchedulingPass(newWriter(n))
+	p.planNextStages()
+	for _, count := range p.provisions {
 		machines += count
 	}
-	if len(p.w.order) > 0 {
+	if len(p.writer.order) > 0 {
 		panic("something was granted ahead")
 	}
 	return machines
@@ -66,7 +66,7 @@
 // Room for a stage is planned from when what it needs will probably end before a
 // machine hired now is up, and not before; nor for one that will never run.
 func TestStageIsPlannedAhead(t *testing.T) {
-	wide := func(s *wire.Spec) { s.Cores, s.Frames = 8, 3 }
+	wide := func(s *wire.JobSpec) { s.Cores, s.TaskCount = 8, 3 }
 	for name, c := range map[string]struct {
 		expectedS float64 // of the need
 		after     Time
@@ -81,11 +81,11 @@
 		n := chained()
 		leading(n)
 		granted(n, 2000, "wk-000001", c.expectedS)
-		see(n, 2001, "wk-000002", wire.Live, nil)
-		see(n, 2002, "wk-000003", wire.Live, wide, "wk-000001")
-		n.jobNamed("wk-000003").rec.Frames = 3
+		see(n, 2001, "wk-000002", wire.JobLive, nil)
+		see(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
+		n.jobNamed("wk-000003").record.TaskCount = 3
 		if c.withdrawn {
-			n.markWithdrawn(n.jobNamed("wk-000003"))
+			n.markCancelled(n.jobNamed("wk-000003"))
 		}
 		n.now += c.after
 		if got := planned(n); got != c.want {
@@ -96,8 +96,8 @@
 	n := chained()
 	leading(n)
 	granted(n, 2000, "wk-000001", 10)
-	see(n, 2001, "wk-000002", wire.Live, nil)
-	see(n, 2002, "wk-000003", wire.Live, wide, "wk-000001", "wk-000002")
+	see(n, 2001, "wk-000002", wire.JobLive, nil)
+	see(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
 	if got := planned(n); got != 0 {
 		t.Errorf("%d machines for a job with a need that waits itself", got)
 	}
@@ -107,19 +107,19 @@
 func TestDeadlineGoesByCorrectedTimes(t *testing.T) {
 	n := chained()
 	for range minRunSamples {
-		n.runTimes.add("c", 30*second, 10)
+		n.runTimeEstimator.add("c", 30*second, 10)
 	}
-	see(n, 2, "wk-000001", wire.Live, nil)
-	see(n, 3, "wk-000002", wire.Live, func(s *wire.Spec) { s.DueS = 100 }, "wk-000001")
+	see(n, 2, "wk-000001", wire.JobLive, nil)
+	see(n, 3, "wk-000002", wire.JobLive, func(s *wire.JobSpec) { s.DeadlineS = 100 }, "wk-000001")
 	const estimateMS, reportMS, due = 10_000, 4_000, 1_100_000
-	if got, want := n.jobNamed("wk-000001").chain.dueMS, int64(due-3*estimateMS-reportMS); got != want {
+	if got, want := n.jobNamed("wk-000001").links.deadlineMS, int64(due-3*estimateMS-reportMS); got != want {
 		t.Errorf("due at %d, not %d", got, want)
 	}
-	if got, want := n.startBy(n.jobNamed("wk-000002")), int64(due-3*estimateMS); got != want {
+	if got, want := n.latestStart(n.jobNamed("wk-000002")), int64(due-3*estimateMS); got != want {
 		t.Errorf("to begin by %d, not %d", got, want)
 	}
-	see(n, 4, "wk-000003", wire.Live, nil)
-	if got := n.startBy(n.jobNamed("wk-000003")); got != math.MaxInt64 {
+	see(n, 4, "wk-000003", wire.JobLive, nil)
+	if got := n.latestStart(n.jobNamed("wk-000003")); got != math.MaxInt64 {
 		t.Errorf("a job without a chain has to begin by %d", got)
 	}
 }
