--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -12,134 +12,134 @@
 // Early replacement of a leader that has failed: what package standby decides is carried
 // out here. See docs/standby.md.
 
-// standbyState is this controller's part in the early replacement of leaders.
-type standbyState struct {
-	follower    *standby.Follower
-	fence       standby.Fence
-	takeover    standby.Takeover
-	earlySeenAt Time // when a claim was last seen that may have replaced a live leader; 0: never
-	settled     bool // the present leadership of ours has made its first pass
-	designated  string
-	heartbeatAt Time
-	takeovers   *wire.Takeovers // the record, as our copy has it
+// failoverState is this controller's part in the early replacement of leaders.
+type failoverState struct {
+	follower         *standby.Follower
+	fence            standby.Fence
+	takeover         standby.Takeover
+	earlyClaimSeenAt Time // when a claim was last seen that may have replaced a live leader; 0: never
+	firstPassDone    bool // the present leadership of ours has made its first pass
+	standby          string
+	heartbeatAt      Time
+	takeovers        *wire.Takeovers // the record, as our copy has it
 
 	publisher *standby.Publisher // our end of the decision log as the leader
 	replica   *standby.Replica   // our end of it as the standby
 	publishAt Time
 }
 
-// takeoversKept is how many takeovers the record lists, where a value has room for them.
-const takeoversKept = 8
+// maxRecordedTakeovers is how many takeovers the record lists, where a value has room for them.
+const maxRecordedTakeovers = 8
 
-func (n *Node) makeStandby() {
-	cfg := standby.Config{Self: n.cfg.Self, Early: n.cfg.EarlyTakeover, LeaseTTL: n.cfg.LeaderTTL}
+func (n *Node) initFailover() {
+	cfg := standby.Config{Self: n.cfg.Self, Early: n.cfg.EarlyTakeover, LeaseTTL: n.cfg.LeaderLease}
 	for _, m := range n.cfg.Members {
-		cfg.Members = append(cfg.Members, m.Label)
+		cfg.Members = append(cfg.Members, m.Name)
 	}
 	slices.Sort(cfg.Members)
-	n.standby.follower = standby.NewFollower(cfg)
-	n.standby.publisher, n.standby.replica = standby.NewPublisher(), standby.NewReplica()
+	n.failover.follower = standby.NewFollower(cfg)
+	n.failover.publisher, n.failover.replica = standby.NewPublisher(), standby.NewReplica()
 }
 
-// writesStandby tells whether claims may say that they are fenced.
-func (n *Node) writesStandby() bool { return n.agreed >= wire.FormatStandby }
+// writesEarlyFailover tells whether claims may say that they are fenced.
+func (n *Node) writesEarlyFailover() bool { return n.agreedFormat >= wire.FormatEarlyFailover }
 
 // fenced tells whether we lead under a claim that may be replaced early.
-func (n *Node) fenced() bool { return n.leads() && n.leader.rec.Fenced }
+func (n *Node) fenced() bool { return n.isLeader() && n.leader.record.Fenced }
 
 // observeLeader takes in a change of the leader's record.
 func (n *Node) observeLeader() {
-	s, rec := &n.standby, n.leader.rec
-	claim := standby.Claim{Term: n.leader.rev}
+	s, rec := &n.failover, n.leader.record
+	claim := standby.Claim{Term: n.leader.term}
 	if rec != nil {
-		claim.Node, claim.Life, claim.Fenced, claim.Streak = rec.Node, rec.Life, rec.Fenced, rec.Streak
+		claim.Controller, claim.Incarnation, claim.Fenced, claim.Streak = rec.Controller, rec.Incarnation, rec.Fenced, rec.Streak
 	}
 	s.follower.Observe(n.now, claim)
 	if claim.Streak > 0 {
-		s.earlySeenAt = n.now
+		s.earlyClaimSeenAt = n.now
 	}
-	s.settled, s.designated, s.heartbeatAt = false, "", n.now
-	if !n.leads() {
+	s.firstPassDone, s.standby, s.heartbeatAt = false, "", n.now
+	if !n.isLeader() {
 		s.takeover.End()
 		return
 	}
-	s.fence.Begin(n.now, n.cfg.LeaderTTL, n.cloudOpensAt())
+	s.fence.Begin(n.now, n.cfg.LeaderLease, n.cloudOpensAt())
 	s.takeover.Reach(standby.Seen, n.now)
 }
 
 // cloudOpensAt is when no leader that was replaced early can call the cloud any more.
 func (n *Node) cloudOpensAt() Time {
-	if n.standby.earlySeenAt == 0 {
+	if n.failover.earlyClaimSeenAt == 0 {
 		return 0
 	}
-	return n.standby.earlySeenAt + standby.CloudWait(n.cfg.LeaderTTL)
+	return n.failover.earlyClaimSeenAt + standby.CloudFenceTime(n.cfg.LeaderLease)
 }
 
 // putTakeovers takes in the record of the last takeovers. One that is listed when we
 // start may have been made a moment ago.
 func (n *Node) putTakeovers(record *wire.Takeovers) {
-	n.standby.takeovers = record
+	n.failover.takeovers = record
 	if !n.loaded {
-		n.standby.earlySeenAt = n.now
+		n.failover.earlyClaimSeenAt = n.now
 	}
 }
 
-// standbyTick does what is due for heartbeats, proofs and the lease of a candidate.
-func (n *Node) standbyTick() {
-	if n.leads() {
+// runFailover does what is due for heartbeats, proofs and the lease of a candidate.
+func (n *Node) runFailover() {
+	if n.isLeader() {
 		n.fenceClaim()
 		n.proveClaim()
 		n.sendHeartbeats()
-		n.publishDecisions()
+		n.publishDecisionLog()
 		return
 	}
 	n.dropUnseenClaim()
-	s := &n.standby
+	s := &n.failover
 	suspected := s.follower.SuspectedAt() > 0
 	advice := s.follower.Advise(n.now)
 	if advice == standby.Follow {
 		return
 	}
 	if !suspected {
-		n.log(LogInfo, "the leader is suspected", "leader", n.leader.rec.Node, "silence", s.follower.Silence(n.now))
-		n.gossip(true) // the peers are to know at once
+		n.log(LogInfo, "the leader is suspected", "leader", n.leader.record.Controller, "silence", s.follower.Silence(n.now))
+		n.sendGossip(true) // the peers are to know at once
 	}
-	if n.now-n.leadLease.sent > standby.MaxLeaseAge/2 {
-		n.leadLease.next = min(n.leadLease.next, n.now)
+	if n.now-n.leaderLease.sentAt > standby.MaxLeaseAge/2 {
+		n.leaderLease.renewAt = min(n.leaderLease.renewAt, n.now)
 	}
 }
 
-// wantsLeadLease tells whether we need a leader lease although another leads: as its
+// needsLeaderLease tells whether we need a leader lease although another leads: as its
 // standby, and while we suspect it.
-func (n *Node) wantsLeadLease() bool {
-	f := n.standby.follower
-	return n.cfg.EarlyTakeover && (f.Stands() || f.SuspectedAt() > 0)
+func (n *Node) needsLeaderLease() bool {
+	f := n.failover.follower
+	return n.cfg.EarlyTakeover && (f.IsStandby() || f.SuspectedAt() > 0)
 }
 
 // claimEarly replaces a leader whose lease has not ended. The claim is conditional on the
 // revision of its key, so that of several candidates one succeeds, and every commit of
 // the replaced leader fails from then on.
 func (n *Node) claimEarly() {
-	s := &n.standby
-	replaced, evidence := n.leader.rec.Node, s.follower.Evidence(n.now)
+	s := &n.failover
+	replaced, evidence := n.leader.record.Controller, s.follower.Evidence(n.now)
 	s.takeover.Begin(n.now, replaced, s.follower.SuspectedAt(), evidence)
 	n.log(LogInfo, "replacing the leader", "leader", replaced, "silence", evidence.Silence, "broken", evidence.Broken,
 		"suspecting", evidence.Suspecting, "hearing", evidence.Hearing, "members", evidence.Members)
 	record := n.withTakeover(wire.Takeover{
-		From: replaced, To: n.cfg.Self, Replaced: n.leader.rev, At: n.cfg.WallMS(), SilenceMS: evidence.Silence.Milliseconds(), Broken: evidence.Broken,
+		From: replaced, To: n.cfg.Self, Replaced: n.leader.term, At: n.cfg.WallClockMS(), SilenceMS: evidence.Silence.Milliseconds(), Broken: evidence.Broken,
 		Suspecting: evidence.Suspecting, Hearing: evidence.Hearing, Members: evidence.Members, StagesMS: n.stagesMS(),
 	})
-	n.sendClaim(n.newClaim(s.follower.Streak(n.now)), n.leader.rev, Write{Key: wire.TakeoversKey, Value: record})
+	n.sendClaim(n.newClaim(s.follower.Streak(n.now)), n.leader.term, Write{Key: wire.TakeoversKey, Value: record})
 }
 
 // withTakeover is the record of the last takeovers with one more, as many as a value holds.
 func (n *Node) withTakeover(t wire.Takeover) *wire.Takeovers {
 	record := &wire.Takeovers{}
-	if n.standby.takeovers != nil {
-		record.List = slices.Clone(n.standby.takeovers.List)
+	if n.failover.takeovers != nil {
+		record.List = slices.Clone(n.failover.takeovers.List)
 	}
 	record.List = append(record.List, t)
-	for len(record.List) > 1 && (len(record.List) > takeoversKept || !n.fits(record)) {
+	for len(record.List) > 1 && (len(record.List) > maxRecordedTakeovers || !n.valueFits(record)) {
 		record.List = record.List[1:]
 	}
 	return record
@@ -148,8 +148,8 @@
 // stagesMS are the times of the stages of our takeover so far.
 func (n *Node) stagesMS() []int64 {
 	var stages []int64
-	for stage := standby.Suspected; stage <= standby.Decided && n.standby.takeover.Reached(stage); stage++ {
-		stages = append(stages, n.standby.takeover.After(stage).Milliseconds())
+	for stage := standby.Suspected; stage <= standby.Decided && n.failover.takeover.Reached(stage); stage++ {
+		stages = append(stages, n.failover.takeover.After(stage).Milliseconds())
 	}
 	return stages
 }
@@ -157,28 +157,28 @@
 // fenceClaim makes a new claim of ours once all controllers read that it is fenced. It
 // waits for what was decided under the old one.
 func (n *Node) fenceClaim() {
-	if !n.cfg.EarlyTakeover || !n.writesStandby() || n.leader.rec.Fenced || n.leader.batch.active || n.now < n.nextClaimAt ||
-		n.leadLease.id != n.claimLease || n.now-n.leadLease.sent > n.leadLease.ttl/2 {
+	if !n.cfg.EarlyTakeover || !n.writesEarlyFailover() || n.leader.record.Fenced || n.leader.batch.active || n.now < n.nextClaimAt ||
+		n.leaderLease.id != n.claimLeaseID || n.now-n.leaderLease.sentAt > n.leaderLease.ttl/2 {
 		return
 	}
-	n.sendClaim(n.newClaim(0), n.leader.rev)
+	n.sendClaim(n.newClaim(0), n.leader.term)
 }
 
 // proveClaim proves that our claim still stood when the proof was sent. The cloud, which
 // no record fences, is called only for a while after.
 func (n *Node) proveClaim() {
-	fence, term := &n.standby.fence, n.leader.rev
+	fence, term := &n.failover.fence, n.leader.term
 	if !n.fenced() || !fence.Due(n.now) {
 		return
 	}
 	sent := n.now
-	n.commit(Vital, []Cond{{wire.LeaderKey, term}}, nil, func(c Committed) {
+	n.commit(ClassLease, []Condition{{wire.LeaderKey, term}}, nil, func(c Committed) {
 		switch {
-		case n.leader.rev != term:
+		case n.leader.term != term:
 		case c.Outcome == Conflict:
 			n.abandonedTerm = term // replaced, though our watch does not show it yet
 		case c.Outcome == OK && sent >= n.resumedAt:
-			fence.Proven(sent, c.Rev)
+			fence.AddProof(sent, c.Revision)
 			n.settleProofs()
 		}
 	})
@@ -187,20 +187,20 @@
 // settleProofs lets those proofs count whose revision our copy has reached, and extends
 // the right of the calls that wait for their turn.
 func (n *Node) settleProofs() {
-	s := &n.standby
-	before := s.fence.Right(n.now)
-	s.fence.Settle(n.rev)
-	if right := s.fence.Right(n.now); n.fenced() && right > before { // before it opens, nothing is to be sent
-		n.emit(CloudAllowed{Term: n.leader.rev, Until: n.now + right})
+	s := &n.failover
+	before := s.fence.RemainingCallTime(n.now)
+	s.fence.Settle(n.revision)
+	if right := s.fence.RemainingCallTime(n.now); n.fenced() && right > before { // before it opens, nothing is to be sent
+		n.emit(AllowCloudCalls{Term: n.leader.term, Until: n.now + right})
 	}
 }
 
-// cloudRight is for how much longer the cloud may be asked to hire or return.
-func (n *Node) cloudRight() Time {
+// cloudCallTime is for how much longer the cloud may be asked to hire or return.
+func (n *Node) cloudCallTime() Time {
 	if !n.fenced() {
-		return n.cfg.LeaderTTL
+		return n.cfg.LeaderLease
 	}
-	return n.standby.fence.Right(n.now)
+	return n.failover.fence.RemainingCallTime(n.now)
 }
 
 // mayDecide tells whether a leader that may be replaced early has proof that it has not
@@ -209,21 +209,21 @@
 	if !n.fenced() {
 		return true
 	}
-	s := &n.standby
-	if !s.fence.CaughtUp() || !s.settled && n.owner.active && n.owner.outcomeUnknown {
+	s := &n.failover
+	if !s.fence.CaughtUp() || !s.firstPassDone && n.batch.active && n.batch.outcomeUnknown {
 		return false
 	}
 	s.takeover.Reach(standby.CaughtUp, n.now)
 	return true
 }
 
-// decided notes that a pass over the queues was made.
-func (n *Node) decided() {
-	s := &n.standby
-	if s.settled {
+// notePlanned notes that a pass over the queues was made.
+func (n *Node) notePlanned() {
+	s := &n.failover
+	if s.firstPassDone {
 		return
 	}
-	s.settled = true
+	s.firstPassDone = true
 	if !s.takeover.Reach(standby.Decided, n.now) {
 		return
 	}
@@ -234,32 +234,32 @@
 
 // recordStages completes the entry of our takeover.
 func (n *Node) recordStages() {
-	if n.standby.takeovers == nil || len(n.standby.takeovers.List) == 0 {
+	if n.failover.takeovers == nil || len(n.failover.takeovers.List) == 0 {
 		return
 	}
-	record := &wire.Takeovers{List: slices.Clone(n.standby.takeovers.List)}
+	record := &wire.Takeovers{List: slices.Clone(n.failover.takeovers.List)}
 	last := &record.List[len(record.List)-1]
 	if last.To != n.cfg.Self {
 		return
 	}
 	last.StagesMS = n.stagesMS()
-	n.commit(Bulk, []Cond{{wire.LeaderKey, n.leader.rev}}, []Write{{Key: wire.TakeoversKey, Value: record}}, func(Committed) {})
+	n.commit(ClassBackground, []Condition{{wire.LeaderKey, n.leader.term}}, []Write{{Key: wire.TakeoversKey, Value: record}}, func(Committed) {})
 }
 
 // sendHeartbeats tells the peers that we lead, and who is to take over first.
 func (n *Node) sendHeartbeats() {
-	s := &n.standby
+	s := &n.failover
 	if !n.fenced() || n.now < s.heartbeatAt {
 		return
 	}
 	s.heartbeatAt = n.now + standby.HeartbeatInterval
-	if elected := standby.Elect(s.designated, n.candidates()); elected != s.designated {
-		s.designated = elected
+	if elected := standby.Elect(s.standby, n.candidates()); elected != s.standby {
+		s.standby = elected
 		n.log(LogInfo, "standby", "controller", elected)
 	}
 	for _, m := range n.cfg.Members {
-		if m.Label != n.cfg.Self {
-			n.emit(Heartbeat{To: m.Label, Msg: &wire.Heartbeat{From: n.cfg.Self, Life: n.cfg.Life, Term: n.leader.rev, Standby: s.designated}})
+		if m.Name != n.cfg.Self {
+			n.emit(SendHeartbeat{To: m.Name, Message: &wire.LeaderHeartbeat{From: n.cfg.Self, Life: n.cfg.Incarnation, Term: n.leader.term, Standby: s.standby}})
 		}
 	}
 }
@@ -268,23 +268,23 @@
 func (n *Node) candidates() []standby.Candidate {
 	var list []standby.Candidate
 	for _, m := range n.cfg.Members {
-		if p := n.peers[m.Label]; p != nil && m.Label != n.cfg.Self && !p.byStore && !p.broken {
-			list = append(list, standby.Candidate{Label: m.Label, Silent: n.now - p.at, Served: p.msg.StoreOK, CutOff: p.msg.CutOff})
+		if p := n.peers[m.Name]; p != nil && m.Name != n.cfg.Self && !p.byMailbox && !p.broken {
+			list = append(list, standby.Candidate{Name: m.Name, Silence: n.now - p.heardAt, StoreOK: p.message.StoreOK, CutOff: p.message.CutOff})
 		}
 	}
 	return list
 }
 
-// heartbeat takes in a leader's heartbeat.
-func (n *Node) heartbeat(m *wire.Heartbeat) {
+// leaderHeartbeat takes in a leader's heartbeat.
+func (n *Node) leaderHeartbeat(m *wire.LeaderHeartbeat) {
 	if m != nil {
-		n.standby.follower.Heartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
+		n.failover.follower.Heartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
 	}
 }
 
 // disconnected takes in that the connection to a peer has broken.
 func (n *Node) disconnected(label string) {
-	n.standby.follower.Disconnected(n.now, label)
+	n.failover.follower.Disconnected(n.now, label)
 	if p := n.peers[label]; p != nil {
 		p.broken = true
 	}
@@ -292,40 +292,40 @@
 
 // leaderView is what we tell the peers of a leader that may be replaced early.
 func (n *Node) leaderView() *wire.LeaderView {
-	if n.leader.rec == nil || !n.leader.rec.Fenced || n.leader.rec.Node == n.cfg.Self {
+	if n.leader.record == nil || !n.leader.record.Fenced || n.leader.record.Controller == n.cfg.Self {
 		return nil
 	}
-	o := n.standby.follower.Opinion(n.now)
+	o := n.failover.follower.Opinion(n.now)
 	return &wire.LeaderView{Term: o.Term, SilenceMS: o.Silence.Milliseconds(), Broken: o.Broken, Suspected: o.Suspected}
 }
 
-// hearLeaderView takes in what a peer tells of the leader.
-func (n *Node) hearLeaderView(from string, v *wire.LeaderView) {
+// receiveLeaderView takes in what a peer tells of the leader.
+func (n *Node) receiveLeaderView(from string, v *wire.LeaderView) {
 	if v != nil {
-		n.standby.follower.Told(n.now, from, standby.Opinion{
+		n.failover.follower.ReceiveOpinion(n.now, from, standby.Opinion{
 			Term: v.Term, Silence: Time(v.SilenceMS) * time.Millisecond, Broken: v.Broken, Suspected: v.Suspected,
 		})
 	}
 }
 
-// standbyStatus answers the operators' question who leads and who stands by.
-func (n *Node) standbyStatus() wire.StandbyStatus {
-	s := &n.standby
-	status := wire.StandbyStatus{
-		Controller: n.cfg.Self, Term: n.leader.rev, Revision: n.rev, Agreed: n.agreed, Served: n.storeOK, Early: n.cfg.EarlyTakeover,
-		Standby: s.follower.Designated(), PauseMS: s.follower.Pause().Milliseconds(),
-	}
-	if n.leader.rec == nil {
+// leadershipStatus answers the operators' question who leads and who stands by.
+func (n *Node) leadershipStatus() wire.LeadershipStatus {
+	s := &n.failover
+	status := wire.LeadershipStatus{
+		Controller: n.cfg.Self, Term: n.leader.term, Revision: n.revision, Agreed: n.agreedFormat, Served: n.storeOK, Early: n.cfg.EarlyTakeover,
+		Standby: s.follower.Standby(), PauseMS: s.follower.MinTenure().Milliseconds(),
+	}
+	if n.leader.record == nil {
 		return status
 	}
-	status.Leader, status.Fenced, status.Streak = n.leader.rec.Node, n.leader.rec.Fenced, n.leader.rec.Streak
-	if n.leads() {
-		status.Standby = s.designated
+	status.Leader, status.Fenced, status.Streak = n.leader.record.Controller, n.leader.record.Fenced, n.leader.record.Streak
+	if n.isLeader() {
+		status.Standby = s.standby
 		status.LogMessages, status.LogFacts = s.publisher.Lag()
 		status.LogResyncs = s.publisher.Resyncs()
 		return status
 	}
-	if term, _ := s.replica.Sequence(); term == n.leader.rev {
+	if term, _ := s.replica.Sequence(); term == n.leader.term {
 		status.LogHeld = s.replica.Facts()
 	}
 	status.LogDropped = s.replica.Dropped()
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -17,31 +17,31 @@
 	now     Time
 	rev     uint64
 	commits []Commit // not yet answered
-	clouds  []Cloud
+	clouds  []CallCloud
 }
 
 // newMember is n1 of n0, n1 and n2, which replaces leaders early; all read the newest format.
 func newMember(t *testing.T) *member {
 	t.Helper()
-	m := &member{t: t, rev: 10, n: New(Config{Self: "n1", Life: "y", Zone: "a", Members: []Member{{"n0", "a"}, {"n1", "a"}, {"n2", "a"}}, Zones: []string{"a"},
-		Teams: []Team{{Name: "t"}}, Report: 8 * second, Lease: 34 * second, Validity: 28 * second, LeaderTTL: 5 * second, EarlyTakeover: true,
-		TxnOps: 12, ValueBytes: 8192, BatchPuts: 8, WallMS: func() int64 { return 7 }})}
+	m := &member{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []Member{{"n0", "a"}, {"n1", "a"}, {"n2", "a"}}, Zones: []string{"a"},
+		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second, EarlyTakeover: true,
+		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 7 }})}
 	var events []Event
 	for _, label := range []string{"n0", "n1", "n2"} {
-		events = append(events, Event{Key: wire.FormatPrefix + label, Rev: 3, Value: &wire.SupportedFormat{Format: wire.Format}})
+		events = append(events, Event{Key: wire.FormatPrefix + label, Revision: 3, Value: &wire.SupportedFormat{Format: wire.Format}})
 	}
-	m.step(Changes{Reset: true, Rev: m.rev, Events: events})
+	m.step(RecordsChanged{Reset: true, Revision: m.rev, Events: events})
 	return m
 }
 
 func (m *member) step(in Input) {
 	for _, e := range m.n.Step(m.now, in) {
 		switch x := e.(type) {
-		case Lease:
-			m.step(Leased{ID: x.ID, Outcome: OK, Lease: max(x.Lease, 7)})
+		case RenewLease:
+			m.step(LeaseAnswered{ID: x.ID, Outcome: OK, LeaseID: max(x.LeaseID, 7)})
 		case Commit:
 			m.commits = append(m.commits, x)
-		case Cloud:
+		case CallCloud:
 			m.clouds = append(m.clouds, x)
 		}
 	}
@@ -52,7 +52,7 @@
 	for end := m.now + d; m.now < end; {
 		m.now += 50 * time.Millisecond
 		if term > 0 && m.now%(500*time.Millisecond) == 0 {
-			m.step(HeartbeatReceived{Msg: &wire.Heartbeat{From: "n0", Life: "x", Term: term, Standby: "n1"}})
+			m.step(HeartbeatReceived{Message: &wire.LeaderHeartbeat{From: "n0", Life: "x", Term: term, Standby: "n1"}})
 		}
 		m.step(Tick{})
 	}
@@ -61,19 +61,19 @@
 // lead lets the records show that a controller leads, and gives the term.
 func (m *member) lead(node, life string, fenced bool, streak int) uint64 {
 	m.rev++
-	m.step(Changes{Rev: m.rev, Events: []Event{{Key: wire.LeaderKey, Rev: m.rev, Value: &wire.Leader{Node: node, Life: life, Fenced: fenced, Streak: streak}}}})
+	m.step(RecordsChanged{Revision: m.rev, Events: []Event{{Key: wire.LeaderKey, Revision: m.rev, Value: &wire.Leader{Controller: node, Incarnation: life, Fenced: fenced, Streak: streak}}}})
 	return m.rev
 }
 
 // suspect lets n2 say that it suspects the leader of a term.
 func (m *member) suspect(term uint64) {
-	m.step(Gossiped{Msg: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true, Leader: &wire.LeaderView{Term: term, Suspected: true}}})
+	m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true, Leader: &wire.LeaderView{Term: term, Suspected: true}}})
 }
 
 // take removes the commits that are conditional on the leader key and gives them.
 func (m *member) take() (taken []Commit) {
 	m.commits = slices.DeleteFunc(m.commits, func(c Commit) bool {
-		is := slices.ContainsFunc(c.If, func(c Cond) bool { return c.Key == wire.LeaderKey })
+		is := slices.ContainsFunc(c.Conditions, func(c Condition) bool { return c.Key == wire.LeaderKey })
 		if is {
 			taken = append(taken, c)
 		}
@@ -103,11 +103,11 @@
 	m.suspect(term)
 	m.wait(300*time.Millisecond, 0)
 	claims := m.take()
-	if len(claims) != 1 || !slices.Equal(claims[0].If, []Cond{{wire.LeaderKey, term}}) || len(claims[0].Writes) != 2 {
+	if len(claims) != 1 || !slices.Equal(claims[0].Conditions, []Condition{{wire.LeaderKey, term}}) || len(claims[0].Writes) != 2 {
 		t.Fatalf("claims %+v", claims)
 	}
 	claim, record := claims[0].Writes[0].Value.(*wire.Leader), claims[0].Writes[1].Value.(*wire.Takeovers)
-	if *claim != (wire.Leader{Node: "n1", Life: "y", Fenced: true, Streak: 1}) || claims[0].Writes[0].Lease != 7 {
+	if *claim != (wire.Leader{Controller: "n1", Incarnation: "y", Fenced: true, Streak: 1}) || claims[0].Writes[0].LeaseID != 7 {
 		t.Errorf("claim %+v", claim)
 	}
 	if got := record.List[0]; got.From != "n0" || got.Replaced != term || got.Suspecting != 2 || got.Members != 3 || got.SilenceMS < 1750 || len(got.StagesMS) != 2 {
@@ -121,12 +121,12 @@
 	m := newMember(t)
 	term := m.lead("n0", "x", true, 0)
 	m.wait(10*second, term)
-	m.n.leadLease.waiting = true // a renewal without an answer
+	m.n.leaderLease.renewing = true // a renewal without an answer
 	m.wait(2500*time.Millisecond, 0)
 	m.suspect(term)
 	m.wait(300*time.Millisecond, 0)
 	if claims := m.take(); len(claims) > 0 {
-		t.Errorf("claimed under a lease renewed %v ago", m.now-m.n.leadLease.sent)
+		t.Errorf("claimed under a lease renewed %v ago", m.now-m.n.leaderLease.sentAt)
 	}
 }
 
@@ -139,11 +139,11 @@
 	if len(m.take()) == 0 {
 		t.Fatal("not claimed")
 	}
-	m.n.takeTypes([]wire.Flavor{{Name: "g", Cores: 8, Cards: 1, MemoryGB: 64, FetchGBs: 1, Price: 1, BootS: 10, Zones: []string{"a"}}})
+	m.n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 	m.lead("n1", "y", true, 1)
 	proofs := m.take()
-	if len(proofs) != 1 || len(proofs[0].Writes) != 0 || !m.n.leads() {
-		t.Fatalf("leads %v, proofs %+v", m.n.leads(), proofs)
+	if len(proofs) != 1 || len(proofs[0].Writes) != 0 || !m.n.isLeader() {
+		t.Fatalf("leads %v, proofs %+v", m.n.isLeader(), proofs)
 	}
 	return m, proofs[0]
 }
@@ -151,14 +151,14 @@
 // submitOne lets a job be accepted that only a hire can serve.
 func (m *member) submitOne() {
 	m.rev++
-	job := lowJob(wire.Live)
-	job.Spec.Urgency = "high"
-	m.step(Changes{Rev: m.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Rev: m.rev, Value: job}}})
+	job := lowJob(wire.JobLive)
+	job.Spec.Priority = "high"
+	m.step(RecordsChanged{Revision: m.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Revision: m.rev, Value: job}}})
 }
 
 // calls gives the hires and returns that the cloud was asked for.
 func (m *member) calls() int {
-	return len(slices.DeleteFunc(slices.Clone(m.clouds), func(c Cloud) bool { return c.Hire == nil && c.Return == nil }))
+	return len(slices.DeleteFunc(slices.Clone(m.clouds), func(c CallCloud) bool { return c.Provision == nil && c.Deprovision == nil }))
 }
 
 // A new leader makes no pass before its claim is proven, and leaves the cloud alone until
@@ -167,21 +167,21 @@
 	m, proof := takenOver(t)
 	m.submitOne()
 	m.wait(second, 0)
-	if m.n.standby.settled {
+	if m.n.failover.firstPassDone {
 		t.Error("a pass was made without proof")
 	}
-	m.step(Committed{ID: proof.ID, Outcome: OK, Rev: m.rev})
+	m.step(Committed{ID: proof.ID, Outcome: OK, Revision: m.rev})
 	m.wait(second, 0)
-	if !m.n.standby.settled {
+	if !m.n.failover.firstPassDone {
 		t.Error("no pass was made with a proof")
 	}
-	for m.now < m.n.standby.earlySeenAt+standby.CloudWait(5*second) {
+	for m.now < m.n.failover.earlyClaimSeenAt+standby.CloudFenceTime(5*second) {
 		if m.calls() > 0 {
-			t.Fatalf("the cloud was called %v after the claim", m.now-m.n.standby.earlySeenAt)
+			t.Fatalf("the cloud was called %v after the claim", m.now-m.n.failover.earlyClaimSeenAt)
 		}
 		m.wait(50*time.Millisecond, 0)
 		for _, c := range m.take() {
-			m.step(Committed{ID: c.ID, Outcome: OK, Rev: m.rev})
+			m.step(Committed{ID: c.ID, Outcome: OK, Revision: m.rev})
 		}
 	}
 	m.wait(2*second, 0)
@@ -189,8 +189,8 @@
 		t.Error("the cloud was not called")
 	}
 	for _, c := range m.clouds {
-		if c.Hire != nil && c.Within > standby.ProofValidity(5*second) {
-			t.Errorf("a call may be sent for %v", c.Within)
+		if c.Provision != nil && c.ValidFor > standby.ProofValidity(5*second) {
+			t.Errorf("a call may be sent for %v", c.ValidFor)
 		}
 	}
 }
@@ -199,8 +199,8 @@
 // watch hangs.
 func TestReplacedLeaderLearnsByItsProof(t *testing.T) {
 	m, proof := takenOver(t)
-	m.step(Committed{ID: proof.ID, Outcome: Conflict, Rev: m.rev + 5, Failed: []string{wire.LeaderKey}})
-	if m.n.leads() {
+	m.step(Committed{ID: proof.ID, Outcome: Conflict, Revision: m.rev + 5, Failed: []string{wire.LeaderKey}})
+	if m.n.isLeader() {
 		t.Error("it still leads")
 	}
 }
@@ -208,12 +208,12 @@
 // While a commit of its owner's role may yet be carried out, a new leader decides nothing.
 func TestNewLeaderSettlesItsOwnCommits(t *testing.T) {
 	m, proof := takenOver(t)
-	m.n.owner.active, m.n.owner.outcomeUnknown = true, true
-	m.step(Committed{ID: proof.ID, Outcome: OK, Rev: m.rev})
+	m.n.batch.active, m.n.batch.outcomeUnknown = true, true
+	m.step(Committed{ID: proof.ID, Outcome: OK, Revision: m.rev})
 	if m.n.mayDecide() {
 		t.Error("it decides")
 	}
-	m.n.owner.active = false
+	m.n.batch.active = false
 	if !m.n.mayDecide() {
 		t.Error("it does not decide when the commit is settled")
 	}
@@ -222,7 +222,7 @@
 // A leader that stood still decides nothing until a proof sent afterwards has settled.
 func TestPauseVoidsProofs(t *testing.T) {
 	m, proof := takenOver(t)
-	m.step(Committed{ID: proof.ID, Outcome: OK, Rev: m.rev})
+	m.step(Committed{ID: proof.ID, Outcome: OK, Revision: m.rev})
 	if !m.n.mayDecide() {
 		t.Fatal("not proven")
 	}
@@ -231,9 +231,9 @@
 	m.now += 3 * second
 	m.step(Tick{})
 	for _, c := range late { // sent before the pause, answered after it
-		m.step(Committed{ID: c.ID, Outcome: OK, Rev: m.rev})
+		m.step(Committed{ID: c.ID, Outcome: OK, Revision: m.rev})
 	}
-	if m.n.mayDecide() || m.n.cloudRight() > 0 {
+	if m.n.mayDecide() || m.n.cloudCallTime() > 0 {
 		t.Error("a proof outlived the pause")
 	}
 }
@@ -247,7 +247,7 @@
 	m.now += 4 * second
 	m.suspect(term)
 	m.wait(200*time.Millisecond, 0)
-	if claims := m.take(); len(claims) > 0 || m.n.standby.follower.SuspectedAt() > 0 {
+	if claims := m.take(); len(claims) > 0 || m.n.failover.follower.SuspectedAt() > 0 {
 		t.Errorf("the leader is suspected, claims %+v", claims)
 	}
 }
@@ -259,10 +259,10 @@
 	m.suspect(term)
 	m.wait(100*time.Millisecond, 0)
 	claims := m.take()
-	m.step(Committed{ID: claims[0].ID, Outcome: OK, Rev: m.rev + 9})
+	m.step(Committed{ID: claims[0].ID, Outcome: OK, Revision: m.rev + 9})
 	m.wait(3*second, 0)
 	for _, c := range m.take() {
-		if slices.Equal(c.If, []Cond{{wire.LeaderKey, m.rev + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
+		if slices.Equal(c.Conditions, []Condition{{wire.LeaderKey, m.rev + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
 			return
 		}
 	}
@@ -275,16 +275,16 @@
 	m := newMember(t)
 	m.wait(2*second, 0) // it has a lease and claims
 	term := m.lead("n1", "y", false, 0)
-	m.n.leader.cloud.booting["vm-1"] = &bootingHost{}
+	m.n.leader.autoscaler.booting["vm-1"] = &bootingMachine{}
 	m.wait(500*time.Millisecond, 0)
 	claims := m.take()
 	last := claims[len(claims)-1]
-	if !slices.Equal(last.If, []Cond{{wire.LeaderKey, term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
+	if !slices.Equal(last.Conditions, []Condition{{wire.LeaderKey, term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
 		t.Fatalf("claims %+v", claims)
 	}
 	tenure := m.n.leader.tenure
 	m.lead("n1", "y", true, 0)
-	if len(m.n.leader.cloud.booting) != 1 || m.n.leader.tenure != tenure || !m.n.fenced() {
+	if len(m.n.leader.autoscaler.booting) != 1 || m.n.leader.tenure != tenure || !m.n.fenced() {
 		t.Error("the leader began anew")
 	}
 }
@@ -296,8 +296,8 @@
 		t.Fatal("the cloud is closed without a takeover")
 	}
 	fresh := New(m.n.cfg)
-	fresh.Step(second, Changes{Reset: true, Rev: 5, Events: []Event{{Key: wire.TakeoversKey, Rev: 4, Value: &wire.Takeovers{}}}})
-	if want := second + standby.CloudWait(5*second); fresh.cloudOpensAt() != want {
+	fresh.Step(second, RecordsChanged{Reset: true, Revision: 5, Events: []Event{{Key: wire.TakeoversKey, Revision: 4, Value: &wire.Takeovers{}}}})
+	if want := second + standby.CloudFenceTime(5*second); fresh.cloudOpensAt() != want {
 		t.Errorf("it opens at %v, not %v", fresh.cloudOpensAt(), want)
 	}
 }
@@ -308,19 +308,19 @@
 	m := newMember(t)
 	term := m.lead("n0", "x", true, 0)
 	m.wait(10*second, term)
-	h := m.n.hostOf("vm-1")
-	h.retiring = true
-	m.n.retiring = []int{h.ix}
+	h := m.n.machineNamed("vm-1")
+	h.draining = true
+	m.n.draining = []int{h.index}
 	m.lead("n2", "z", true, 1)
 	hear := func() {
-		m.step(Gossiped{Msg: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true}})
+		m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true}})
 	}
-	m.wait(standby.CloudWait(5*second)-100*time.Millisecond, 0)
-	if hear(); !h.retiring {
+	m.wait(standby.CloudFenceTime(5*second)-100*time.Millisecond, 0)
+	if hear(); !h.draining {
 		t.Error("the owner may place on a machine that the replaced leader may return")
 	}
 	m.wait(200*time.Millisecond, 0)
-	if hear(); h.retiring {
+	if hear(); h.draining {
 		t.Error("the machine is kept empty for ever")
 	}
 }
@@ -340,36 +340,36 @@
 func TestDecisionsAreAdopted(t *testing.T) {
 	for _, ofLast := range []bool{true, false} {
 		m := newMember(t)
-		m.n.takeTypes([]wire.Flavor{{Name: "g", Cores: 8, Cards: 1, MemoryGB: 64, FetchGBs: 1, Price: 1, BootS: 10, Zones: []string{"a"}}})
-		m.n.hostOf("vm-4").info.known = true
-		m.n.hostOf("vm-5").returned = true
+		m.n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
+		m.n.machineNamed("vm-4").view.known = true
+		m.n.machineNamed("vm-5").returned = true
 		term := m.lead("n0", "x", true, 0)
 		m.wait(2*second, term)
-		m.step(LogReceived{Req: 1, Msg: logMessage(t, term, 1, m.now,
-			wire.Fact{Kind: wire.FactBooting, Name: "vm-3", Rig: "g", Zone: "a", At: m.now.Milliseconds() - 1000},
-			wire.Fact{Kind: wire.FactBooting, Name: "vm-4", Rig: "g", Zone: "a", At: 1}, // its owner hears it
-			wire.Fact{Kind: wire.FactRetiring, Name: "vm-5"},                            // gone
-			wire.Fact{Kind: wire.FactRetiring, Name: "vm-6"},
-			wire.Fact{Kind: wire.FactBooting, Name: "vm-7", Rig: "g", Zone: "elsewhere", At: 1},
-			wire.Fact{Kind: wire.FactHire, Name: "r-5-2", Rig: "g", Zone: "a", Count: 3, At: 1},
-			wire.Fact{Kind: wire.FactBlocked, Name: "wk-999999", At: 1},
+		m.step(DecisionLogReceived{RequestID: 1, Message: logMessage(t, term, 1, m.now,
+			wire.Fact{Kind: wire.FactBooting, Name: "vm-3", MachineType: "g", Zone: "a", At: m.now.Milliseconds() - 1000},
+			wire.Fact{Kind: wire.FactBooting, Name: "vm-4", MachineType: "g", Zone: "a", At: 1}, // its owner hears it
+			wire.Fact{Kind: wire.FactDraining, Name: "vm-5"},                                    // gone
+			wire.Fact{Kind: wire.FactDraining, Name: "vm-6"},
+			wire.Fact{Kind: wire.FactBooting, Name: "vm-7", MachineType: "g", Zone: "elsewhere", At: 1},
+			wire.Fact{Kind: wire.FactProvisioning, Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3, At: 1},
+			wire.Fact{Kind: wire.FactWaitingSince, Name: "wk-999999", At: 1},
 			wire.Fact{Kind: 99, Name: "of a later version"})})
 		if !ofLast {
 			m.lead("n2", "z", true, 1)
 		}
 		m.lead("n1", "y", true, 2)
-		c := &m.n.leader.cloud
+		c := &m.n.leader.autoscaler
 		if !ofLast {
-			if len(c.booting)+len(c.hires)+len(c.retiring) > 0 {
+			if len(c.booting)+len(c.provisions)+len(c.draining) > 0 {
 				t.Errorf("adopted of an earlier leader: %+v", c)
 			}
 			continue
 		}
-		if len(c.booting) != 1 || c.booting["vm-3"] == nil || m.now-c.booting["vm-3"].since != second || len(c.retiring) != 1 || !c.retiring["vm-6"] {
-			t.Errorf("booting %v, retiring %v", c.booting, c.retiring)
+		if len(c.booting) != 1 || c.booting["vm-3"] == nil || m.now-c.booting["vm-3"].provisionedAt != second || len(c.draining) != 1 || !c.draining["vm-6"] {
+			t.Errorf("booting %v, retiring %v", c.booting, c.draining)
 		}
-		if len(c.hires) != 1 || c.hires[0].sent || c.hires[0].req != (wire.Hire{Name: "r-5-2", Rig: "g", Zone: "a", Count: 3}) {
-			t.Errorf("hires %+v", c.hires)
+		if len(c.provisions) != 1 || c.provisions[0].sent || c.provisions[0].request != (wire.ProvisionRequest{Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3}) {
+			t.Errorf("hires %+v", c.provisions)
 		}
 	}
 }
@@ -377,17 +377,17 @@
 // A gang whose attempts are dropped keeps its place three times, and then waits anew; who
 // has been placed begins anew.
 func TestDroppedGangKeepsItsPlace(t *testing.T) {
-	j := &job{blockedSince: 5 * second}
-	for i := range deniedAttempts + 1 {
-		j.takePlace()
-		j.giveBackPlace()
-		if want := i < deniedAttempts; (j.blockedSince == 5*second) != want {
-			t.Errorf("after %d dropped attempts it has waited since %v", i+1, j.blockedSince)
+	j := &job{waitingSince: 5 * second}
+	for i := range maxDroppedAttempts + 1 {
+		j.rememberPosition()
+		j.restorePosition()
+		if want := i < maxDroppedAttempts; (j.waitingSince == 5*second) != want {
+			t.Errorf("after %d dropped attempts it has waited since %v", i+1, j.waitingSince)
 		}
 	}
-	j.place = gangPlace{}
-	if j.giveBackPlace(); j.blockedSince != 0 {
-		t.Errorf("a gang that was placed has waited since %v", j.blockedSince)
+	j.queuePosition = queuePosition{}
+	if j.restorePosition(); j.waitingSince != 0 {
+		t.Errorf("a gang that was placed has waited since %v", j.waitingSince)
 	}
 }
 
@@ -397,9 +397,9 @@
 	term := m.lead("n0", "x", true, 2)
 	m.wait(2*second, term)
 	m.wait(400*time.Millisecond, 0)
-	out := m.n.Step(m.now, StatusRequest{Req: 5})
-	got := out[0].(Reply).Body.(wire.StandbyStatus)
-	want := wire.StandbyStatus{Controller: "n1", Leader: "n0", Term: term, Fenced: true, Streak: 2, Standby: "n1", Revision: m.rev, SilenceMS: 400,
+	out := m.n.Step(m.now, StatusRequest{RequestID: 5})
+	got := out[0].(Reply).Body.(wire.LeadershipStatus)
+	want := wire.LeadershipStatus{Controller: "n1", Leader: "n0", Term: term, Fenced: true, Streak: 2, Standby: "n1", Revision: m.rev, SilenceMS: 400,
 		Early: true, Agreed: wire.Format, Served: true, PauseMS: 10000}
 	if got != want {
 		t.Errorf("%+v, not %+v", got, want)
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -13,56 +13,56 @@
 
 // userState holds the requests of users that wait for the state service.
 type userState struct {
-	open map[uint64]*userOp
+	requests map[uint64]*pendingRequest
 
-	polls    []*userOp // wait for the next question of how far the records go
-	asking   bool
-	expireAt Time // when requests that waited for too long are next looked for
-	askAt    Time
-	settled  []pollBatch // know it, and wait for our copy to get there
+	statusRequests []*pendingRequest // wait for the next question of how far the records go
+	revisionAsked  bool
+	expireAt       Time // when requests that waited for too long are next looked for
+	revisionAskAt  Time
+	answerable     []statusBatch // know it, and wait for our copy to get there
 }
 
-// pollBatch is a number of polls that our copy may answer once it has reached
+// statusBatch is a number of polls that our copy may answer once it has reached
 // a revision that the state service named after they had come.
-type pollBatch struct {
-	rev   uint64
-	since Time
-	ops   []*userOp
+type statusBatch struct {
+	revision uint64
+	since    Time
+	requests []*pendingRequest
 }
 
-type userOp struct {
+type pendingRequest struct {
 	UserRequest
-	spec     *wire.Spec
-	fault    error
-	deadline Time
-	handed   bool // given to a peer
-	needs    *needed
+	spec            *wire.JobSpec
+	err             error
+	deadline        Time
+	forwardedToPeer bool // given to a peer
+	dependencies    *dependencyCheck
 }
 
 // Users wait 5 s for a submission and 2 s for a poll; answers come before.
 const (
-	writePatience = 4500 * time.Millisecond
-	pollPatience  = 1800 * time.Millisecond
+	submitTimeout = 4500 * time.Millisecond
+	statusTimeout = 1800 * time.Millisecond
 )
 
-func (n *Node) user(r UserRequest) {
-	op := &userOp{UserRequest: r, deadline: n.now + writePatience}
-	if n.users.open == nil {
-		n.users.open = map[uint64]*userOp{}
+func (n *Node) userRequest(r UserRequest) {
+	op := &pendingRequest{UserRequest: r, deadline: n.now + submitTimeout}
+	if n.users.requests == nil {
+		n.users.requests = map[uint64]*pendingRequest{}
 	}
-	n.users.open[r.Req] = op
+	n.users.requests[r.RequestID] = op
 	switch r.Kind {
-	case wire.Submit:
-		op.Ref, op.spec, op.fault = wire.ParseSpec(r.Body)
-		if op.Ref == "" {
-			n.answer(op, 400, wire.Error{Error: op.fault.Error()})
+	case wire.RequestSubmit:
+		op.JobID, op.spec, op.err = wire.ParseJobSpec(r.Body)
+		if op.JobID == "" {
+			n.answer(op, 400, wire.Error{Error: op.err.Error()})
 			return
 		}
-	case wire.Poll:
-		op.deadline = n.now + pollPatience
+	case wire.RequestStatus:
+		op.deadline = n.now + statusTimeout
 		fallthrough
-	case wire.Withdraw:
-		if !wire.ValidRef(op.Ref) {
+	case wire.RequestCancel:
+		if !wire.ValidJobID(op.JobID) {
 			n.answer(op, 404, wire.Error{Error: "no such job"})
 			return
 		}
@@ -71,31 +71,31 @@
 		return
 	}
 	// A final state never changes, so our copy may answer for it.
-	ix := n.refs.Find(op.Ref)
-	if ix >= 0 && n.jobs[ix].rec != nil && n.jobs[ix].state() != wire.Live {
-		n.answer(op, 200, n.reply(op, n.jobs[ix].rec))
+	ix := n.jobIDs.Find(op.JobID)
+	if ix >= 0 && n.jobs[ix].record != nil && n.jobs[ix].state() != wire.JobLive {
+		n.answer(op, 200, n.reply(op, n.jobs[ix].record))
 		return
 	}
-	if n.handOver(op) {
+	if n.forwardToPeer(op) {
 		return
 	}
-	if op.Kind == wire.Submit && op.fault == nil && (ix < 0 || n.jobs[ix].rec == nil) {
-		n.create(op)
+	if op.Kind == wire.RequestSubmit && op.err == nil && (ix < 0 || n.jobs[ix].record == nil) {
+		n.createJob(op)
 		return
 	}
-	if op.Kind == wire.Poll && n.loaded {
-		n.users.polls = append(n.users.polls, op)
+	if op.Kind == wire.RequestStatus && n.loaded {
+		n.users.statusRequests = append(n.users.statusRequests, op)
 		n.askRevision()
 		return
 	}
-	n.lookUp(op)
+	n.readJob(op)
 }
 
-// pollPause gathers polls: one question to the state service serves all that
+// statusInterval gathers polls: one question to the state service serves all that
 // came before it was sent. With hundreds of users, reading each record would
 // take more of a core than we have. All controllers together spend at most a
 // sixth of the service's requests on it.
-func (n *Node) pollPause() Time {
+func (n *Node) statusInterval() Time {
 	pause := 60 * time.Millisecond
 	if n.cfg.StateRPS > 0 {
 		pause = max(pause, Time(float64(6*len(n.cfg.Members))/n.cfg.StateRPS*float64(second)))
@@ -108,96 +108,98 @@
 // came, so answers from it never go back.
 func (n *Node) askRevision() {
 	u := &n.users
-	if u.asking || len(u.polls) == 0 || n.now < u.askAt {
+	if u.revisionAsked || len(u.statusRequests) == 0 || n.now < u.revisionAskAt {
 		return
 	}
-	ops := u.polls
-	u.polls, u.asking, u.askAt = nil, true, n.now+n.pollPause()
+	ops := u.statusRequests
+	u.statusRequests, u.revisionAsked, u.revisionAskAt = nil, true, n.now+n.statusInterval()
 	// Equal or not, the answer names the present revision.
-	n.commit(User, []Cond{{wire.LeaderKey, n.leader.rev}}, nil, func(c Committed) {
-		u.asking = false
+	n.commit(ClassUser, []Condition{{wire.LeaderKey, n.leader.term}}, nil, func(c Committed) {
+		u.revisionAsked = false
 		switch c.Outcome {
 		case OK, Conflict:
-			u.settled = append(u.settled, pollBatch{rev: c.Rev, since: n.now, ops: ops})
-			n.settlePolls()
+			u.answerable = append(u.answerable, statusBatch{revision: c.Revision, since: n.now, requests: ops})
+			n.answerStatusRequests()
 		default:
 			for _, op := range ops {
-				if n.retry(op, c.Outcome) {
-					u.polls = append(u.polls, op)
+				if n.mayRetry(op, c.Outcome) {
+					u.statusRequests = append(u.statusRequests, op)
 				}
 			}
 		}
 	})
 }
 
-// settlePolls answers the polls that our copy has caught up with. When it
+// answerStatusRequests answers the polls that our copy has caught up with. When it
 // lags, the records are read one by one.
-func (n *Node) settlePolls() {
+func (n *Node) answerStatusRequests() {
 	u := &n.users
-	var rest []pollBatch
-	for _, b := range u.settled {
+	var rest []statusBatch
+	for _, b := range u.answerable {
 		switch {
-		case n.rev >= b.rev:
-			for _, op := range b.ops {
-				if ix := n.refs.Find(op.Ref); ix >= 0 && n.jobs[ix].rec != nil {
-					n.answer(op, 200, n.reply(op, n.jobs[ix].rec))
+		case n.revision >= b.revision:
+			for _, op := range b.requests {
+				if ix := n.jobIDs.Find(op.JobID); ix >= 0 && n.jobs[ix].record != nil {
+					n.answer(op, 200, n.reply(op, n.jobs[ix].record))
 				} else {
 					n.answer(op, 404, wire.Error{Error: "no such job"})
 				}
 			}
 		case n.now-b.since > 400*time.Millisecond:
-			for _, op := range b.ops {
-				if _, open := u.open[op.Req]; open {
-					n.lookUp(op)
+			for _, op := range b.requests {
+				if _, open := u.requests[op.RequestID]; open {
+					n.readJob(op)
 				}
 			}
 		default:
 			rest = append(rest, b)
 		}
 	}
-	u.settled = rest
+	u.answerable = rest
 }
 
 // reply is the body of a 200. Withdrawals and submissions leave out counts.
-func (n *Node) reply(op *userOp, r *wire.Job) any {
+func (n *Node) reply(op *pendingRequest, r *wire.Job) any {
 	// What our copy shows of the jobs above is final.
-	if j := n.jobNamed(op.Ref); r.State == wire.Live && j != nil && j.rec != nil && j.state() == wire.Withdrawn {
-		return wire.JobStatus{Ref: op.Ref, Status: wire.StatusWithdrawn}
+	if j := n.jobNamed(op.JobID); r.State == wire.JobLive && j != nil && j.record != nil && j.state() == wire.JobCancelled {
+		return wire.JobStatus{JobID: op.JobID, Status: wire.StatusCancelled}
 	}
-	return status(op.Ref, r)
+	return jobStatus(op.JobID, r)
 }
 
-func (n *Node) answer(op *userOp, status int, body any) {
-	if _, ok := n.users.open[op.Req]; !ok {
+func (n *Node) answer(op *pendingRequest, status int, body any) {
+	if _, ok := n.users.requests[op.RequestID]; !ok {
 		return
 	}
-	delete(n.users.open, op.Req)
+	delete(n.users.requests, op.RequestID)
 	retry := 0
 	if status == 503 {
 		retry = 1
 	}
-	n.emit(Reply{Req: op.Req, Status: status, Body: body, RetryS: retry})
+	n.emit(Reply{RequestID: op.RequestID, Status: status, Body: body, RetryAfterS: retry})
 }
 
 const notUpgraded = "not before all controllers have been upgraded"
 
-func (n *Node) later(op *userOp, why string) { n.answer(op, 503, wire.Error{Error: why}) }
+func (n *Node) answerUnavailable(op *pendingRequest, why string) {
+	n.answer(op, 503, wire.Error{Error: why})
+}
 
-// handOver gives the request to a peer when we alone can't reach the state
+// forwardToPeer gives the request to a peer when we alone can't reach the state
 // service.
-func (n *Node) handOver(op *userOp) bool {
-	if n.storeOK || op.Forwarded || op.handed {
+func (n *Node) forwardToPeer(op *pendingRequest) bool {
+	if n.storeOK || op.Forwarded || op.forwardedToPeer {
 		return false
 	}
 	if n.peersMayMisread(op.spec) {
-		n.later(op, notUpgraded)
+		n.answerUnavailable(op, notUpgraded)
 		return true
 	}
 	for _, m := range n.cfg.Members {
-		p := n.peers[m.Label]
-		if p != nil && p.msg.StoreOK && n.now-p.at < 3*second {
-			op.handed = true
-			n.emit(Forward{Req: op.Req, To: m.Label, Call: wire.UserCall{Kind: op.Kind, Ref: op.Ref, Body: op.Body}})
+		p := n.peers[m.Name]
+		if p != nil && p.message.StoreOK && n.now-p.heardAt < 3*second {
+			op.forwardedToPeer = true
+			n.emit(Forward{RequestID: op.RequestID, To: m.Name, Call: wire.UserCall{Kind: op.Kind, Ref: op.JobID, Body: op.Body}})
 			return true
 		}
 	}
@@ -207,225 +209,225 @@
 // peersMayMisread tells whether a submission means something else to a peer of an earlier
 // version. One that reads format 1 takes a chained job for one that waits on nothing, and
 // one that reads format 2 answers 422 to names that its record has no room for.
-func (n *Node) peersMayMisread(spec *wire.Spec) bool {
+func (n *Node) peersMayMisread(spec *wire.JobSpec) bool {
 	switch {
-	case spec == nil || len(spec.WaitsOn) == 0 || n.writesLongNeeds():
+	case spec == nil || len(spec.Dependencies) == 0 || n.writesDependencyLists():
 		return false
-	case !n.writesChains():
+	case !n.writesDependencies():
 		return true
 	}
-	return !n.fitsValue(n.newRecord(spec))
+	return !n.jobRecordFits(n.newRecord(spec))
 }
 
-// forwarded answers a user with what a peer answered.
-func (n *Node) forwarded(f Forwarded) {
-	op := n.users.open[f.Req]
+// forwardAnswered answers a user with what a peer answered.
+func (n *Node) forwardAnswered(f ForwardAnswered) {
+	op := n.users.requests[f.RequestID]
 	if op == nil {
 		return
 	}
 	if f.Answer.Status == 0 {
-		n.later(op, "state service unavailable")
+		n.answerUnavailable(op, "state service unavailable")
 		return
 	}
 	n.answer(op, f.Answer.Status, f.Answer.Body)
 }
 
-// retry tells whether a request that met trouble may be tried again in time.
-func (n *Node) retry(op *userOp, o Outcome) bool {
-	if _, open := n.users.open[op.Req]; !open {
+// mayRetry tells whether a request that met trouble may be tried again in time.
+func (n *Node) mayRetry(op *pendingRequest, o Outcome) bool {
+	if _, open := n.users.requests[op.RequestID]; !open {
 		return false
 	}
 	if o == Refused {
-		if !n.handOver(op) {
-			n.later(op, "state service unavailable")
+		if !n.forwardToPeer(op) {
+			n.answerUnavailable(op, "state service unavailable")
 		}
 		return false
 	}
 	if n.now > op.deadline-second {
-		n.later(op, "state service unavailable")
+		n.answerUnavailable(op, "state service unavailable")
 		return false
 	}
 	return true
 }
 
-// create commits a new job's record, after checking that it can ever run.
-func (n *Node) create(op *userOp) {
+// createJob commits a new job's record, after checking that it can ever run.
+func (n *Node) createJob(op *pendingRequest) {
 	s := op.spec
-	if n.types == nil {
-		n.later(op, "machine types are not known yet")
+	if n.offeredTypes == nil {
+		n.answerUnavailable(op, "machine types are not known yet")
 		return
 	}
-	if why := n.neverRuns(s); why != "" {
-		op.fault = fmt.Errorf("%s", why)
-		n.lookUp(op)
+	if why := n.rejectReason(s); why != "" {
+		op.err = fmt.Errorf("%s", why)
+		n.readJob(op)
 		return
 	}
-	if len(s.WaitsOn) > 0 && !n.writesChains() {
-		n.later(op, notUpgraded)
+	if len(s.Dependencies) > 0 && !n.writesDependencies() {
+		n.answerUnavailable(op, notUpgraded)
 		return
 	}
-	if len(s.WaitsOn) > 0 && !n.findNeeds(op) {
+	if len(s.Dependencies) > 0 && !n.findDependencies(op) {
 		return // it comes back here
 	}
 	withdrawn := false
-	if len(s.WaitsOn) > 0 {
-		if withdrawn, op.fault = n.settleNeeds(op); op.fault != nil {
-			n.lookUp(op)
+	if len(s.Dependencies) > 0 {
+		if withdrawn, op.err = n.settleDependencies(op); op.err != nil {
+			n.readJob(op)
 			return
 		}
 	}
 	// Types that nobody offers can't be had; leaving them out bounds the size
 	// of the record whatever the user sends.
-	s.Rigs = slices.DeleteFunc(s.Rigs, func(name string) bool { return n.flavor(n.rigs.Find(name)) == nil })
+	s.MachineTypes = slices.DeleteFunc(s.MachineTypes, func(name string) bool { return n.typeAt(n.typeNames.Find(name)) == nil })
 	rec := n.newRecord(s)
 	status := wire.StatusPending
 	if withdrawn {
 		// Withdrawn with what it names, before it could start.
-		rec.State, status = wire.Withdrawn, wire.StatusWithdrawn
-		tidy(rec)
-	} else if !n.fitRecord(op, rec) {
+		rec.State, status = wire.JobCancelled, wire.StatusCancelled
+		compactRecord(rec)
+	} else if !n.fitJobRecord(op, rec) {
 		return // answered, or it comes back here
 	}
-	key := wire.JobKey(s.Ref)
-	n.commit(User, []Cond{{key, 0}}, []Write{{Key: key, Value: rec}}, func(c Committed) {
+	key := wire.JobKey(s.ID)
+	n.commit(ClassUser, []Condition{{key, 0}}, []Write{{Key: key, Value: rec}}, func(c Committed) {
 		switch c.Outcome {
 		case OK:
-			n.log(LogDebug, "accepted", "job", s.Ref, "class", s.Class, "team", s.Team, "frames", s.Frames, "image", s.Image, "gb", s.ImageGB, "expected_s", s.ExpectedS)
-			n.answer(op, 201, wire.JobStatus{Ref: s.Ref, Status: status})
+			n.log(LogDebug, "accepted", "job", s.ID, "class", s.Class, "team", s.Team, "frames", s.TaskCount, "image", s.Image, "gb", s.ImageGB, "expected_s", s.ExpectedS)
+			n.answer(op, 201, wire.JobStatus{JobID: s.ID, Status: status})
 		case Conflict:
-			n.lookUp(op)
+			n.readJob(op)
 		default:
-			if n.retry(op, c.Outcome) {
-				n.create(op)
+			if n.mayRetry(op, c.Outcome) {
+				n.createJob(op)
 			}
 		}
 	})
 }
 
 // newRecord is the record of a job that is accepted now.
-func (n *Node) newRecord(spec *wire.Spec) *wire.Job {
-	return &wire.Job{Spec: spec, Frames: spec.Frames, At: n.cfg.WallMS(), Next: 1}
+func (n *Node) newRecord(spec *wire.JobSpec) *wire.Job {
+	return &wire.Job{Spec: spec, TaskCount: spec.TaskCount, AcceptedAtMS: n.cfg.WallClockMS(), NextAttempt: 1}
 }
 
-// fitRecord makes a new job's record fit a value, if need be by writing what it waits
+// fitJobRecord makes a new job's record fit a value, if need be by writing what it waits
 // on to further keys first.
-func (n *Node) fitRecord(op *userOp, rec *wire.Job) bool {
-	if n.fitsValue(rec) {
+func (n *Node) fitJobRecord(op *pendingRequest, rec *wire.Job) bool {
+	if n.jobRecordFits(rec) {
 		return true
 	}
 	bare := *rec.Spec
-	bare.WaitsOn = nil
+	bare.Dependencies = nil
 	named := *rec
-	named.Spec, named.NeedsList, named.NeedsKeys = &bare, nameList(nil), wire.MaxFrames
+	named.Spec, named.DependencyList, named.DependencyListKeys = &bare, dependencyListName(nil), wire.MaxTasks
 	switch {
-	case !n.fitsValue(&named):
-		op.fault = errors.New("its names are too long to be recorded")
-		n.lookUp(op)
+	case !n.jobRecordFits(&named):
+		op.err = errors.New("its names are too long to be recorded")
+		n.readJob(op)
 		return false
-	case !n.writesLongNeeds():
-		n.later(op, notUpgraded)
+	case !n.writesDependencyLists():
+		n.answerUnavailable(op, notUpgraded)
 		return false
 	}
-	return n.writeNeeds(op, rec)
+	return n.writeDependencyList(op, rec)
 }
 
-// fitsValue tells whether a value holds a record and a few lists of active tasks.
-func (n *Node) fitsValue(rec *wire.Job) bool {
+// jobRecordFits tells whether a value holds a record and a few lists of active tasks.
+func (n *Node) jobRecordFits(rec *wire.Job) bool {
 	const lists = 2
-	return n.baseOf(rec)+lists*(n.runCost()+wire.ListCost+rangeCost) <= n.cfg.ValueBytes
+	return n.recordBaseBytes(rec)+lists*(n.taskRunBytes()+wire.GroupCost+taskRangeBytes) <= n.cfg.MaxValueBytes
 }
 
-// lookUp reads the record and goes on by the kind of request.
-func (n *Node) lookUp(op *userOp) {
-	id := n.id(func(in Result) {
-		g := in.(GotJob)
-		n.storeHeard(g.Outcome)
+// readJob reads the record and goes on by the kind of request.
+func (n *Node) readJob(op *pendingRequest) {
+	id := n.onResult(func(in Result) {
+		g := in.(JobRead)
+		n.noteStoreOutcome(g.Outcome)
 		switch g.Outcome {
 		case OK:
-			if op.Kind == wire.Withdraw && g.Job.State == wire.Live {
-				n.withdraw(op, g)
+			if op.Kind == wire.RequestCancel && g.Job.State == wire.JobLive {
+				n.cancelJob(op, g)
 				return
 			}
-			if g.Job.State == wire.Live && g.Job.Waits() {
-				n.answerFromAbove(op, g.Job)
+			if g.Job.State == wire.JobLive && g.Job.HasDependencies() {
+				n.answerFromAncestors(op, g.Job)
 				return
 			}
 			n.answer(op, 200, n.reply(op, g.Job))
-		case Missing:
+		case NotFound:
 			switch {
-			case op.Kind != wire.Submit:
+			case op.Kind != wire.RequestSubmit:
 				n.answer(op, 404, wire.Error{Error: "no such job"})
-			case op.fault == nil:
-				n.create(op)
+			case op.err == nil:
+				n.createJob(op)
 			case op.spec == nil:
-				n.answer(op, 400, wire.Error{Error: op.fault.Error()})
+				n.answer(op, 400, wire.Error{Error: op.err.Error()})
 			default:
-				n.answer(op, 422, wire.Error{Error: op.fault.Error()})
+				n.answer(op, 422, wire.Error{Error: op.err.Error()})
 			}
 		default:
-			if n.retry(op, g.Outcome) {
-				n.lookUp(op)
+			if n.mayRetry(op, g.Outcome) {
+				n.readJob(op)
 			}
 		}
 	})
-	n.emit(Read{ID: id, Ref: op.Ref})
+	n.emit(ReadJob{ID: id, JobID: op.JobID})
 }
 
-// withdraw marks the record; from this commit on no owner can place a task of
+// cancelJob marks the record; from this commit on no owner can place a task of
 // the job, as each placing is conditional on the record's revision.
-func (n *Node) withdraw(op *userOp, g GotJob) {
-	rec := clone(g.Job)
-	rec.State = wire.Withdrawn
-	tidy(rec)
+func (n *Node) cancelJob(op *pendingRequest, g JobRead) {
+	rec := cloneRecord(g.Job)
+	rec.State = wire.JobCancelled
+	compactRecord(rec)
 	// What its further keys hold is not known here and stays.
-	for i := range rec.Active {
-		rec.Active[i].StoredIn = 1
+	for i := range rec.ActiveTasks {
+		rec.ActiveTasks[i].StoredIn = 1
 	}
-	writes := n.splitRecord(op.Ref, rec.Active, rec.Continuations, rec.Continuations, rec)
-	n.commit(User, []Cond{{wire.JobKey(op.Ref), g.Rev}}, writes, func(c Committed) {
+	writes := n.splitRecord(op.JobID, rec.ActiveTasks, rec.OverflowKeys, rec.OverflowKeys, rec)
+	n.commit(ClassUser, []Condition{{wire.JobKey(op.JobID), g.Revision}}, writes, func(c Committed) {
 		switch c.Outcome {
 		case OK:
-			n.answer(op, 200, wire.JobStatus{Ref: op.Ref, Status: wire.StatusWithdrawn, Done: rec.DoneSet.Count()})
+			n.answer(op, 200, wire.JobStatus{JobID: op.JobID, Status: wire.StatusCancelled, Done: rec.DoneTasks.Count()})
 		case Conflict:
-			if n.retry(op, OK) {
-				n.lookUp(op)
+			if n.mayRetry(op, OK) {
+				n.readJob(op)
 			}
 		default:
-			if n.retry(op, c.Outcome) {
-				n.lookUp(op)
+			if n.mayRetry(op, c.Outcome) {
+				n.readJob(op)
 			}
 		}
 	})
 }
 
-// expireUsers answers requests that the state service has left waiting.
-func (n *Node) expireUsers() {
+// expireRequests answers requests that the state service has left waiting.
+func (n *Node) expireRequests() {
 	if n.now < n.users.expireAt {
 		return
 	}
 	n.users.expireAt = n.now + 50*time.Millisecond
 	var late []uint64
-	for req, op := range n.users.open {
+	for req, op := range n.users.requests {
 		if n.now >= op.deadline {
 			late = append(late, req)
 		}
 	}
 	slices.Sort(late)
 	for _, req := range late {
-		n.later(n.users.open[req], "state service is slow")
+		n.answerUnavailable(n.users.requests[req], "state service is slow")
 	}
 }
 
-// neverRuns says why a job can never run, or "".
-func (n *Node) neverRuns(s *wire.Spec) string {
-	index := n.teams.Find(s.Team)
+// rejectReason says why a job can never run, or "".
+func (n *Node) rejectReason(s *wire.JobSpec) string {
+	index := n.teamNames.Find(s.Team)
 	if index < 0 {
 		return "unknown team"
 	}
-	team := n.teamTerms(index)
+	team := n.teamQuota(index)
 	fits := false
-	for i := range n.types {
-		if r := &n.types[i]; rigAllowed(s, r.Name) && fitsRig(s, r) && (s.Zone == "" || slices.Contains(r.Zones, s.Zone)) {
+	for i := range n.offeredTypes {
+		if r := &n.offeredTypes[i]; typeAllowed(s, r.Name) && fitsType(s, r) && (s.Zone == "" || slices.Contains(r.Zones, s.Zone)) {
 			fits = true
 		}
 	}
@@ -434,25 +436,25 @@
 	}
 	count := 1.0
 	if s.Shape != wire.ShapeArray {
-		count = float64(s.Frames)
+		count = float64(s.TaskCount)
 	}
-	if over(s.Cores*count, team.CoresMax) || over(s.Cards*count, team.CardsMax) {
+	if exceeds(s.Cores*count, team.MaxCores) || exceeds(s.GPUs*count, team.MaxGPUs) {
 		return "needs more than the team's limit"
 	}
 	return ""
 }
 
-const eps = 1e-6
+const epsilon = 1e-6
 
-func over(need, limit float64) bool { return limit > 0 && need > limit+eps }
+func exceeds(need, limit float64) bool { return limit > 0 && need > limit+epsilon }
 
-func rigAllowed(s *wire.Spec, rig string) bool {
-	if s.RigsForbidAll {
+func typeAllowed(s *wire.JobSpec, rig string) bool {
+	if s.NoMachineTypes {
 		return false
 	}
-	return len(s.Rigs) == 0 || slices.Contains(s.Rigs, rig)
+	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, rig)
 }
 
-func fitsRig(s *wire.Spec, r *wire.Flavor) bool {
-	return s.Cores <= r.Cores+eps && s.Cards <= r.Cards+eps && s.MemoryGB <= r.MemoryGB+eps
+func fitsType(s *wire.JobSpec, r *wire.MachineType) bool {
+	return s.Cores <= r.Cores+epsilon && s.GPUs <= r.GPUs+epsilon && s.MemoryGB <= r.MemoryGB+epsilon
 }
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -8,14 +8,14 @@
 // records it has to write and takes the share that follows. So what is decided is written
 // at once, before others change the records that the decision is based on.
 type writeBudget struct {
-	available   float64
-	availableAt Time
-	rate        float64
-	rateAt      Time
-	backlogS    float64 // seconds that the pending records of all controllers take to write
-	seenWrites  float64 // writes that our watch has shown since measuredAt
-	measuredAt  Time
-	writesPerS  float64 // of all controllers, as a moving average
+	available      float64
+	availableAt    Time
+	rate           float64
+	rateUpdatedAt  Time
+	backlogSeconds float64 // seconds that the pending records of all controllers take to write
+	seenWrites     float64 // writes that our watch has shown since measuredAt
+	measuredAt     Time
+	writesPerS     float64 // of all controllers, as a moving average
 
 	seenUserWrites int     // submissions and withdrawals among those
 	userWritesPerS float64 // the same as a moving average
@@ -43,25 +43,25 @@
 	return n.cfg.WriteRPS
 }
 
-// bulkShare is the part of the writes that is shared in proportion to need: nine tenths,
+// backgroundShare is the part of the writes that is shared in proportion to need: nine tenths,
 // and less where users submit and withdraw a lot, as they would be refused otherwise.
-func (n *Node) bulkShare() float64 {
+func (n *Node) backgroundShare() float64 {
 	return max(0.5, min(0.9, 0.95-1.25*n.budget.userWritesPerS/n.writeRPS()))
 }
 
 // availableWrites is how many puts we may send now.
 func (n *Node) availableWrites() int {
 	if n.writeRPS() <= 0 {
-		return n.cfg.TxnOps
+		return n.cfg.MaxTransactionOps
 	}
 	p := &n.budget
-	if n.now >= p.rateAt {
-		p.rateAt = n.now + 200*time.Millisecond
+	if n.now >= p.rateUpdatedAt {
+		p.rateUpdatedAt = n.now + 200*time.Millisecond
 		p.pendingRecords = n.countPendingRecords()
 		p.rate = n.ownWriteRate()
 	}
 	// All together stay within the burst of a second that the service allows.
-	most := max(float64(n.cfg.BatchPuts), 1.5*n.writeRPS()/float64(len(n.cfg.Members))) + 1
+	most := max(float64(n.cfg.MaxBatchWrites), 1.5*n.writeRPS()/float64(len(n.cfg.Members))) + 1
 	p.available = min(p.available+p.rate*(n.now-p.availableAt).Seconds(), most)
 	p.availableAt = n.now
 	return int(p.available)
@@ -72,27 +72,27 @@
 	mine := 1 + float64(n.budget.pendingRecords)
 	total := mine
 	for _, m := range n.cfg.Members {
-		if p := n.peers[m.Label]; m.Label == n.cfg.Self {
+		if p := n.peers[m.Name]; m.Name == n.cfg.Self {
 			continue
-		} else if p != nil && n.now-p.at < 5*second {
-			total += 1 + float64(p.msg.Need)
+		} else if p != nil && n.now-p.heardAt < 5*second {
+			total += 1 + float64(p.message.Need)
 		} else {
 			total++
 		}
 	}
-	all := n.writeRPS() * n.bulkShare()
-	n.budget.backlogS = (total - float64(len(n.cfg.Members))) / all
+	all := n.writeRPS() * n.backgroundShare()
+	n.budget.backlogSeconds = (total - float64(len(n.cfg.Members))) / all
 	return max(all*mine/total, all/float64(3*len(n.cfg.Members)))
 }
 
-// scarcity goes from 0, when puts are to be had at once, to 1, when what waits
+// writeScarcity goes from 0, when puts are to be had at once, to 1, when what waits
 // takes two seconds and more or when well over half of all puts are in use:
 // then it pays to write less, at some delay.
-func (n *Node) scarcity() float64 {
+func (n *Node) writeScarcity() float64 {
 	if n.writeRPS() <= 0 {
 		return 0
 	}
-	return max(0, min(1, max(n.budget.backlogS/2, (n.budget.writesPerS/n.writeRPS()-0.25)*3)))
+	return max(0, min(1, max(n.budget.backlogSeconds/2, (n.budget.writesPerS/n.writeRPS()-0.25)*3)))
 }
 
 // countWrites counts what the watch shows.
@@ -110,8 +110,8 @@
 // have ended, of grants to our parts, and of grants yet to be made.
 func (n *Node) countPendingRecords() int {
 	seen := map[int]bool{}
-	for k, res := range n.results {
-		if n.pressing(k, res) {
+	for k, res := range n.outcomes {
+		if n.isUrgentOutcome(k, res) {
 			seen[k.job] = true
 		}
 	}
@@ -120,15 +120,15 @@
 		if j.unplaced == 0 {
 			continue
 		}
-		for i := range j.rec.Active {
-			if a := &j.rec.Active[i]; a.Host == "" && n.valid(n.parts[a.Part]) {
+		for i := range j.record.ActiveTasks {
+			if a := &j.record.ActiveTasks[i]; a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard]) {
 				seen[jx] = true
 				break
 			}
 		}
 	}
-	need := len(seen) + len(n.results)/4
-	if n.leads() {
+	need := len(seen) + len(n.outcomes)/4
+	if n.isLeader() {
 		need += n.budget.pendingGrants
 	}
 	return need
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -4,22 +4,22 @@
 
 // writer gathers changed records for one commit.
 type writer struct {
-	n     *Node
-	recs  map[int]*wire.Job
-	order []int
-	parts map[int]bool
-	extra []Write
-	conds []Cond
-	bytes int
-	limit int // puts
-	ended map[taskKey]bool
-	ahead bool           // further keys may be written before the record names them
-	tries map[int]uint64 // the attempt number of what is granted or placed anew here, by job
+	node               *Node
+	records            map[int]*wire.Job
+	order              []int
+	shards             map[int]bool
+	linkedWrites       []Write
+	conditions         []Condition
+	bytes              int
+	maxWrites          int // puts
+	exitedTasks        map[taskKey]bool
+	writeOverflowFirst bool           // further keys may be written before the record names them
+	attempts           map[int]uint64 // the attempt number of what is granted or placed anew here, by job
 }
 
 func newWriter(n *Node) *writer {
-	limit := min(n.cfg.TxnOps-1, n.cfg.BatchPuts, n.availableWrites())
-	return &writer{n: n, recs: map[int]*wire.Job{}, parts: map[int]bool{}, ended: map[taskKey]bool{}, tries: map[int]uint64{}, limit: limit}
+	limit := min(n.cfg.MaxTransactionOps-1, n.cfg.MaxBatchWrites, n.availableWrites())
+	return &writer{node: n, records: map[int]*wire.Job{}, shards: map[int]bool{}, exitedTasks: map[taskKey]bool{}, attempts: map[int]uint64{}, maxWrites: limit}
 }
 
 // maxTransactionBytes is what we put into one transaction, well below the service's
@@ -28,69 +28,69 @@
 
 // job gives a copy of the record to change, or nil when the commit is full.
 func (w *writer) job(j *job) *wire.Job {
-	if r := w.recs[j.ix]; r != nil {
+	if r := w.records[j.index]; r != nil {
 		return r
 	}
-	size := max(900, j.base) + recordCost(j.rec.Active, j.rec.DoneSet)
-	if len(w.order)+len(w.extra) >= w.limit || w.bytes+size > maxTransactionBytes {
+	size := max(900, j.baseBytes) + taskListBytes(j.record.ActiveTasks, j.record.DoneTasks)
+	if len(w.order)+len(w.linkedWrites) >= w.maxWrites || w.bytes+size > maxTransactionBytes {
 		return nil
 	}
 	w.bytes += size
-	w.recs[j.ix] = clone(j.rec)
-	w.order = append(w.order, j.ix)
-	return w.recs[j.ix]
+	w.records[j.index] = cloneRecord(j.record)
+	w.order = append(w.order, j.index)
+	return w.records[j.index]
 }
 
 // attempt gives the number for what this commit starts of a job: one for all of
 // its tasks, since a task is started once in a commit and the next commit takes
 // the next number. Tasks that begin together are so told in one run.
 func (w *writer) attempt(j *job, rec *wire.Job) uint64 {
-	if _, taken := w.tries[j.ix]; !taken {
-		w.tries[j.ix] = rec.Next
-		rec.Next++
+	if _, taken := w.attempts[j.index]; !taken {
+		w.attempts[j.index] = rec.NextAttempt
+		rec.NextAttempt++
 	}
-	return w.tries[j.ix]
+	return w.attempts[j.index]
 }
 
-// also adds a write of another key under a condition.
-func (w *writer) also(wr Write, c Cond) bool {
-	if len(w.order)+len(w.extra) >= w.n.cfg.TxnOps {
+// addWrite adds a write of another key under a condition.
+func (w *writer) addWrite(wr Write, c Condition) bool {
+	if len(w.order)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
 		return false
 	}
-	w.extra = append(w.extra, wr)
-	w.conds = append(w.conds, c)
+	w.linkedWrites = append(w.linkedWrites, wr)
+	w.conditions = append(w.conditions, c)
 	return true
 }
 
 // send commits the changes, each conditional on its record's revision, and
 // all on the terms of the parts they speak for.
 func (w *writer) send(b *batch, onOK func()) {
-	if len(w.order)+len(w.extra) == 0 {
+	if len(w.order)+len(w.linkedWrites) == 0 {
 		return
 	}
-	conds := w.conds
-	for i, p := range w.n.parts {
-		if w.parts[i] {
-			conds = append(conds, Cond{wire.PartKey(p.name), p.rev})
+	conds := w.conditions
+	for i, p := range w.node.shards {
+		if w.shards[i] {
+			conds = append(conds, Condition{wire.ShardKey(p.name), p.term})
 		}
 	}
-	writes := w.extra
+	writes := w.linkedWrites
 	for _, jx := range w.order {
-		j, rec := w.n.jobs[jx], w.recs[jx]
-		rec.Continuations = 0
-		tidy(rec)
-		changed := w.n.splitRecord(j.ref, j.rec.Active, j.rec.Continuations, 0, rec)
-		if len(changed) > w.n.cfg.TxnOps && w.ahead && len(writes) == 0 {
-			changed = writesAhead(changed, j.rec.Continuations, w.n.cfg.TxnOps)
+		j, rec := w.node.jobs[jx], w.records[jx]
+		rec.OverflowKeys = 0
+		compactRecord(rec)
+		changed := w.node.splitRecord(j.id, j.record.ActiveTasks, j.record.OverflowKeys, 0, rec)
+		if len(changed) > w.node.cfg.MaxTransactionOps && w.writeOverflowFirst && len(writes) == 0 {
+			changed = writesAhead(changed, j.record.OverflowKeys, w.node.cfg.MaxTransactionOps)
 		}
-		if len(writes)+len(changed) > w.n.cfg.TxnOps {
+		if len(writes)+len(changed) > w.node.cfg.MaxTransactionOps {
 			continue // it is decided again
 		}
-		conds = append(conds, Cond{wire.JobKey(j.ref), j.rev})
+		conds = append(conds, Condition{wire.JobKey(j.id), j.revision})
 		writes = append(writes, changed...)
 	}
 	if len(writes) == 0 {
 		return
 	}
-	b.start(w.n, conds, writes, w.extra, onOK)
+	b.start(w.node, conds, writes, w.linkedWrites, onOK)
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -17,14 +17,14 @@
 }
 
 // Ask asks the controller at an address for its view.
-type Ask func(address string, patience time.Duration) (wire.StandbyStatus, error)
+type Ask func(address string, patience time.Duration) (wire.LeadershipStatus, error)
 
 // patience is how long a controller has for its answer.
 const patience = 2 * time.Second
 
 // Controller is what one controller answered.
 type Controller struct {
-	wire.StandbyStatus
+	wire.LeadershipStatus
 	// Lag is how many revisions its copy of the records is behind the furthest that any
 	// controller has told.
 	Lag   uint64 `json:"lag"`
@@ -48,7 +48,7 @@
 		wait.Go(func() {
 			status, err := ask(p.Address, patience)
 			status.Controller = p.Label
-			overview.Controllers[i] = Controller{StandbyStatus: status}
+			overview.Controllers[i] = Controller{LeadershipStatus: status}
 			if err != nil {
 				overview.Controllers[i].Fault = err.Error()
 			}
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -23,8 +23,8 @@
 }
 
 // ask answers for n0, which leads, and n1, which stands by; n2 is away.
-func ask(address string, _ time.Duration) (wire.StandbyStatus, error) {
-	s := wire.StandbyStatus{Leader: "n0", Term: 12, Fenced: true, Streak: 1, Standby: "n1", Revision: 40, Early: true, Agreed: 5, Served: true}
+func ask(address string, _ time.Duration) (wire.LeadershipStatus, error) {
+	s := wire.LeadershipStatus{Leader: "n0", Term: 12, Fenced: true, Streak: 1, Standby: "n1", Revision: 40, Early: true, Agreed: 5, Served: true}
 	switch address {
 	case "h0:1":
 		return s, nil
@@ -33,7 +33,7 @@
 		s.LogHeld, s.LogDropped = 45, 2
 		return s, nil
 	}
-	return wire.StandbyStatus{}, errors.New("connection refused")
+	return wire.LeadershipStatus{}, errors.New("connection refused")
 }
 
 var settings = &config.Settings{Label: "n0", ClusterBind: "h0:1", Peers: []config.Peer{{Label: "n1", Address: "h1:1"}, {Label: "n2", Address: "h2:1"}}}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -18,12 +18,12 @@
 // Records is the state service, as far as the commands need it.
 type Records interface {
 	List(prefix string) (map[string]core.Event, error)
-	Commit(conds []core.Cond, writes []core.Write) error
+	Commit(conds []core.Condition, writes []core.Write) error
 }
 
 // Site is what the commands know of a deployment.
 type Site struct {
-	Parts       []core.PartID
+	Shards      []core.ShardID
 	Controllers []string
 	Teams       []config.Team
 	TxnOps      int
@@ -31,17 +31,17 @@
 }
 
 // SiteOf takes a site from the settings.
-func SiteOf(s *config.Settings, op config.Operator) *Site {
-	members := []core.Member{{Label: s.Label, Zone: s.Zone}}
+func SiteOf(s *config.Settings, op config.OperatorSettings) *Site {
+	members := []core.Member{{Name: s.Label, Zone: s.Zone}}
 	for _, p := range s.Peers {
-		members = append(members, core.Member{Label: p.Label, Zone: p.Zone})
+		members = append(members, core.Member{Name: p.Label, Zone: p.Zone})
 	}
 	site := &Site{
-		Parts: core.Parts(s.Deployment.Zones, members), Teams: s.Deployment.Teams,
+		Shards: core.Shards(s.Deployment.Zones, members), Teams: s.Deployment.Teams,
 		TxnOps: s.Limits().TxnOps, MaxMachines: op.MaxMachines,
 	}
 	for _, m := range members {
-		site.Controllers = append(site.Controllers, m.Label)
+		site.Controllers = append(site.Controllers, m.Name)
 	}
 	return site
 }
@@ -60,10 +60,10 @@
 	Guarantee wire.Resources `json:"guarantee"`
 	Shares    []wire.Share   `json:"shares,omitempty"`
 	Usage     Usage          `json:"usage"`
-	Fault     string         `json:"fault,omitempty"`
+	Error     string         `json:"fault,omitempty"`
 
-	record *wire.Account
-	rev    uint64
+	record   *wire.Account
+	revision uint64
 }
 
 // Read gives the accounts of all teams in the order of the settings.
@@ -78,7 +78,7 @@
 	}
 	var accounts []Account
 	for i := range site.Teams {
-		account := accountOf(&site.Teams[i], stored, len(site.Parts))
+		account := accountOf(&site.Teams[i], stored, len(site.Shards))
 		account.Usage = usage[account.Team]
 		accounts = append(accounts, account)
 	}
@@ -88,21 +88,21 @@
 // accountOf is a team's account as stored, or as the settings have it.
 func accountOf(team *config.Team, stored map[string]core.Event, parts int) Account {
 	record := &wire.Account{
-		Limit:     wire.Resources{Cores: team.CoresMax, Cards: team.CardsMax},
-		Guarantee: wire.Resources{Cores: team.Cores, Cards: team.Cards},
+		Limit:     wire.Resources{Cores: team.MaxCores, GPUs: team.MaxGPUs},
+		Guarantee: wire.Resources{Cores: team.GuaranteedCores, GPUs: team.GuaranteedGPUs},
 	}
 	account := Account{Team: team.Name}
 	event, present := stored[wire.AccountKey(team.Name)]
 	if present {
-		account.rev = event.Rev
+		account.revision = event.Revision
 		kept, _ := event.Value.(*wire.Account)
 		if err := quota.Validate(kept, parts); err != nil {
-			account.Fault = err.Error()
+			account.Error = err.Error()
 		}
 		switch {
 		case kept.Unreadable:
 			record.Unreadable = true // a change is based on the settings then
-		case account.Fault != "":
+		case account.Error != "":
 			withoutShares := *kept
 			withoutShares.Shares = nil
 			record = &withoutShares
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	continuations, err := records.List(wire.ContinuationPrefix)
+	continuations, err := records.List(wire.OverflowPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -131,21 +131,21 @@
 		if !is || job.Spec == nil {
 			continue
 		}
-		active := slices.Clone(job.Active)
-		for k := 1; k <= job.Continuations; k++ {
-			further := continuations[wire.ContinuationKey(key[len(wire.JobPrefix):], k)]
-			if c, is := further.Value.(*wire.Continuation); is {
-				active = append(active, c.Active...)
+		active := slices.Clone(job.ActiveTasks)
+		for k := 1; k <= job.OverflowKeys; k++ {
+			further := continuations[wire.OverflowKey(key[len(wire.JobPrefix):], k)]
+			if c, is := further.Value.(*wire.Overflow); is {
+				active = append(active, c.ActiveTasks...)
 			}
 		}
 		usage := teams[job.Spec.Team]
-		usage.add(active, wire.Resources{Cores: job.Spec.Cores, Cards: job.Spec.Cards})
+		usage.add(active, wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs})
 		teams[job.Spec.Team] = usage
 	}
 	return teams, nil
 }
 
-func (u *Usage) add(active wire.Actives, each wire.Resources) {
+func (u *Usage) add(active wire.ActiveTasks, each wire.Resources) {
 	for i := range active {
 		if !active[i].Admitted {
 			u.Granted = sum(u.Granted, each)
@@ -154,12 +154,12 @@
 		if u.Admitted == nil {
 			u.Admitted = map[int]wire.Resources{}
 		}
-		u.Admitted[active[i].Part] = sum(u.Admitted[active[i].Part], each)
+		u.Admitted[active[i].Shard] = sum(u.Admitted[active[i].Shard], each)
 	}
 }
 
 func sum(a, b wire.Resources) wire.Resources {
-	return wire.Resources{Cores: a.Cores + b.Cores, Cards: a.Cards + b.Cards}
+	return wire.Resources{Cores: a.Cores + b.Cores, GPUs: a.GPUs + b.GPUs}
 }
 
 // ErrTooManyTeams says that a file changes more teams than one transaction can.
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	types, err := records.List(wire.TypesKey)
+	types, err := records.List(wire.MachineTypesKey)
 	if err != nil {
 		return err
 	}
@@ -193,11 +193,11 @@
 }
 
 // plan works out what changes write, and what all accounts are then.
-func plan(site *Site, changes []quota.Change, stored map[string]core.Event) (next map[string]*wire.Account, conds []core.Cond, writes []core.Write, faults []error) {
+func plan(site *Site, changes []quota.Change, stored map[string]core.Event) (next map[string]*wire.Account, conds []core.Condition, writes []core.Write, faults []error) {
 	next = map[string]*wire.Account{}
 	accounts := map[string]Account{}
 	for i := range site.Teams {
-		account := accountOf(&site.Teams[i], stored, len(site.Parts))
+		account := accountOf(&site.Teams[i], stored, len(site.Shards))
 		accounts[account.Team], next[account.Team] = account, account.record
 	}
 	for i := range changes {
@@ -214,7 +214,7 @@
 		}
 		next[change.Team] = changed
 		key := wire.AccountKey(change.Team)
-		conds = append(conds, core.Cond{Key: key, Rev: account.rev})
+		conds = append(conds, core.Condition{Key: key, Revision: account.revision})
 		writes = append(writes, core.Write{Key: key, Value: changed})
 	}
 	return next, conds, writes, faults
@@ -230,7 +230,7 @@
 	var behind []string
 	for _, label := range site.Controllers {
 		format, is := formats[wire.FormatPrefix+label].Value.(*wire.SupportedFormat)
-		if !is || format.Format < wire.FormatAccounts {
+		if !is || format.Format < wire.FormatTeamAccounts {
 			behind = append(behind, label)
 		}
 	}
@@ -243,20 +243,20 @@
 // canHold checks that the guarantees of all teams fit the site, where its size is known:
 // operators have bounded the machines, and the leader has stored their types.
 func (s *Site) canHold(accounts map[string]*wire.Account, stored map[string]core.Event) error {
-	types, is := stored[wire.TypesKey].Value.(*wire.Types)
+	types, is := stored[wire.MachineTypesKey].Value.(*wire.MachineTypeCache)
 	if !is || s.MaxMachines == 0 {
 		return nil
 	}
 	var most, guaranteed wire.Resources
-	for i := range types.Rigs {
-		most.Cores = max(most.Cores, types.Rigs[i].Cores*float64(s.MaxMachines))
-		most.Cards = max(most.Cards, types.Rigs[i].Cards*float64(s.MaxMachines))
+	for i := range types.Types {
+		most.Cores = max(most.Cores, types.Types[i].Cores*float64(s.MaxMachines))
+		most.GPUs = max(most.GPUs, types.Types[i].GPUs*float64(s.MaxMachines))
 	}
 	for _, name := range slices.Sorted(maps.Keys(accounts)) {
 		guaranteed = sum(guaranteed, accounts[name].Guarantee)
 	}
-	if guaranteed.Cores > most.Cores || guaranteed.Cards > most.Cards {
-		return fmt.Errorf("%w: %v of %v cores, %v of %v GPUs", quota.ErrBeyondTheSite, guaranteed.Cores, most.Cores, guaranteed.Cards, most.Cards)
+	if guaranteed.Cores > most.Cores || guaranteed.GPUs > most.GPUs {
+		return fmt.Errorf("%w: %v of %v cores, %v of %v GPUs", quota.ErrBeyondTheSite, guaranteed.Cores, most.Cores, guaranteed.GPUs, most.GPUs)
 	}
 	return nil
 }
--- a/internal/limits/print.go
+++ b/internal/limits/print.go
@@ -29,8 +29,8 @@
 			admitted = sum(admitted, r)
 		}
 		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%s\t%s\n", a.Team, a.Version, amount(a.Guarantee), amount(a.Limit),
-			amount(a.Usage.Granted), amount(admitted), a.Fault)
-		for part, id := range site.Parts {
+			amount(a.Usage.Granted), amount(admitted), a.Error)
+		for part, id := range site.Shards {
 			share, open := a.shareOf(part)
 			used, admits := a.Usage.Admitted[part]
 			if open || admits {
@@ -44,8 +44,8 @@
 // shareOf is the share of a part.
 func (a *Account) shareOf(part int) (wire.Resources, bool) {
 	for _, s := range a.Shares {
-		if s.Part == part {
-			return wire.Resources{Cores: s.Cores, Cards: s.Cards}, true
+		if s.Shard == part {
+			return wire.Resources{Cores: s.Cores, GPUs: s.GPUs}, true
 		}
 	}
 	return wire.Resources{}, false
@@ -54,8 +54,8 @@
 // amount names what is not 0.
 func amount(r wire.Resources) string {
 	var named []string
-	if r.Cards != 0 {
-		named = append(named, fmt.Sprintf("%v GPUs", r.Cards))
+	if r.GPUs != 0 {
+		named = append(named, fmt.Sprintf("%v GPUs", r.GPUs))
 	}
 	if r.Cores != 0 {
 		named = append(named, fmt.Sprintf("%v cores", r.Cores))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,31 +28,31 @@
 
 // Node is a running controller.
 type Node struct {
-	log    *slog.Logger
-	start  time.Time
-	inputs chan core.Input // what the state service, the cloud and peers say
-	users  chan asked      // requests of users, also those that peers hand on
-	hosts  chan asked      // reports of workers
-	core   *core.Node
-	links  map[string]*peer.Link
-	store  *store.Client
-	cloud  *cloud.Client
-	orders *worker.Client
+	log          *slog.Logger
+	startedAt    time.Time
+	inputs       chan core.Input   // what the state service, the cloud and peers say
+	userInputs   chan pendingInput // requests of users, also those that peers hand on
+	workerInputs chan pendingInput // reports of workers
+	core         *core.Node
+	peers        map[string]*peer.Link
+	store        *store.Client
+	cloud        *cloud.Client
+	workers      *worker.Client
 
 	nextReq atomic.Uint64
-	waiting map[uint64]chan core.Reply // owned by the core's goroutine
+	replies map[uint64]chan core.Reply // owned by the core's goroutine
 	ready   atomic.Bool
 }
 
-// asked is an input that wants a reply.
-type asked struct {
+// pendingInput is an input that wants a reply.
+type pendingInput struct {
 	req   uint64
 	in    core.Input
 	reply chan core.Reply
 }
 
 // Run serves until ctx ends.
-func Run(ctx context.Context, s *config.Settings, op config.Operator, log *slog.Logger) error {
+func Run(ctx context.Context, s *config.Settings, op config.OperatorSettings, log *slog.Logger) error {
 	d := &s.Deployment
 	if mb := d.Limits.MemoryMB; mb > 0 {
 		// Leave room for what the collector does not see: stacks of the C
@@ -77,20 +77,20 @@
 	n := &Node{
 		// A connection has one request under way at most, so with as many
 		// places as sockets nothing is refused for want of a place.
-		log: log, start: time.Now(), inputs: make(chan core.Input, inputQueue),
-		users: make(chan asked, room), hosts: make(chan asked, room),
-		links: map[string]*peer.Link{}, waiting: map[uint64]chan core.Reply{},
+		log: log, startedAt: time.Now(), inputs: make(chan core.Input, inputQueue),
+		userInputs: make(chan pendingInput, room), workerInputs: make(chan pendingInput, room),
+		peers: map[string]*peer.Link{}, replies: map[uint64]chan core.Reply{},
 	}
 	n.core = core.New(coreConfig(s, op))
 	members := len(s.Peers) + 1
 	n.store = store.New(s.External.State, members, s.Limits().RPS, n.post)
 	n.cloud = cloud.New(s.External.Cloud, d.Cloud.RPS, n.post)
-	n.orders = worker.NewClient(n.post)
+	n.workers = worker.NewClient(n.post)
 	for _, p := range s.Peers {
-		n.links[p.Label] = peer.Dial(p.Address, func() { n.post(core.Disconnected{Peer: p.Label}) })
+		n.peers[p.Label] = peer.Dial(p.Address, func() { n.post(core.Disconnected{Peer: p.Label}) })
 	}
 	r := httprouter.New()
-	askUser, askHost := n.asker(n.users), n.asker(n.hosts)
+	askUser, askHost := n.asker(n.userInputs), n.asker(n.workerInputs)
 	api.Routes(r, askUser, n.ready.Load)
 	worker.Routes(r, askHost)
 	fail := make(chan error, 3)
@@ -108,13 +108,13 @@
 	}
 }
 
-// bulkTasksPerCore bounds the active tasks of one array by the processor. Such
+// maxBulkTasksPerCore bounds the active tasks of one array by the processor. Such
 // tasks may last a few seconds; while they end, their machines report twice a
 // second, which costs their owner some 0.2 ms a report and as much for each
 // task's grant, placing, start and end. A thousand tasks, a dozen on each machine
 // and over within ten seconds, so take 50 ms of each second, a third of what
 // the share that allows them gives.
-const bulkTasksPerCore = 6000
+const maxBulkTasksPerCore = 6000
 
 // admissions maps the operators' words to what they mean.
 var admissions = map[string]core.Admission{
@@ -123,39 +123,39 @@
 	config.AdmitGuaranteed: core.AdmitGuaranteed,
 }
 
-func coreConfig(s *config.Settings, op config.Operator) core.Config {
+func coreConfig(s *config.Settings, op config.OperatorSettings) core.Config {
 	d, limits := &s.Deployment, s.Limits()
 	c := core.Config{
 		Self: s.Label, Zone: s.Zone,
-		Life:    fmt.Sprintf("%d-%d-%d", os.Getpid(), time.Now().UnixNano(), rand.Uint32()),
-		Members: []core.Member{{Label: s.Label, Zone: s.Zone}},
-		Zones:   d.Zones,
-		Report:  config.Seconds(d.Workers.ReportS), Lease: config.Seconds(d.Workers.LeaseS),
-		GangWait:  config.Seconds(d.Workers.GangWaitS),
-		Validity:  s.Validity(),
-		LeaderTTL: config.LeaderLease,
-		TxnOps:    limits.TxnOps, ValueBytes: limits.ValueBytes, ValueNow: int(d.State.ValueKB * 1024),
+		Incarnation:       fmt.Sprintf("%d-%d-%d", os.Getpid(), time.Now().UnixNano(), rand.Uint32()),
+		Members:           []core.Member{{Name: s.Label, Zone: s.Zone}},
+		Zones:             d.Zones,
+		HeartbeatInterval: config.Seconds(d.Workers.ReportS), WorkerLease: config.Seconds(d.Workers.LeaseS),
+		GangWait:          config.Seconds(d.Workers.GangWaitS),
+		OwnerValidity:     s.Validity(),
+		LeaderLease:       config.LeaderLease,
+		MaxTransactionOps: limits.TxnOps, MaxValueBytes: limits.ValueBytes, CurrentValueBytes: int(d.State.ValueKB * 1024),
 		// A transaction needs as many of the puts allowed a second at once; a
 		// large one would wait behind every small one.
-		BatchPuts: max(2, int(1.5*d.State.WriteRPS/float64(len(s.Peers)+1))),
-		BulkTasks: int(bulkTasksPerCore * d.Limits.CoreShare),
-		ListLag:   config.Seconds(d.Cloud.ListLagS),
-		CloudRPS:  d.Cloud.RPS, StateRPS: limits.RPS, WriteRPS: d.State.WriteRPS, NextWriteRPS: limits.WriteRPS,
-		IdleReturn: config.Seconds(op.IdleReturnS), Spares: op.SpareMachines,
+		MaxBatchWrites: max(2, int(1.5*d.State.WriteRPS/float64(len(s.Peers)+1))),
+		MaxBulkTasks:   int(maxBulkTasksPerCore * d.Limits.CoreShare),
+		CloudListLag:   config.Seconds(d.Cloud.ListLagS),
+		CloudRPS:       d.Cloud.RPS, StateRPS: limits.RPS, WriteRPS: d.State.WriteRPS, NextWriteRPS: limits.WriteRPS,
+		IdleTimeout: config.Seconds(op.IdleReturnS), SpareMachines: op.SpareMachines,
 		MaxMachines: op.MaxMachines, Preempt: op.Preempt, Admission: admissions[op.Admission],
 		EarlyTakeover: op.Takeover == config.TakeoverEarly,
-		WallMS:        func() int64 { return time.Now().UnixMilli() },
+		WallClockMS:   func() int64 { return time.Now().UnixMilli() },
 	}
 	for _, p := range s.Peers {
-		c.Members = append(c.Members, core.Member{Label: p.Label, Zone: p.Zone})
+		c.Members = append(c.Members, core.Member{Name: p.Label, Zone: p.Zone})
 	}
 	for _, o := range d.Objectives {
 		if o.Kind == "wait" {
-			c.Waits = append(c.Waits, core.Objective{Class: o.Class, Within: config.Seconds(o.WithinS)})
+			c.StartObjectives = append(c.StartObjectives, core.StartObjective{Class: o.Class, Within: config.Seconds(o.WithinS)})
 		}
 	}
 	for _, t := range d.Teams {
-		c.Teams = append(c.Teams, core.Team{Name: t.Name, Cores: t.Cores, Cards: t.Cards, CoresMax: t.CoresMax, CardsMax: t.CardsMax})
+		c.Teams = append(c.Teams, core.Team{Name: t.Name, GuaranteedCores: t.GuaranteedCores, GuaranteedGPUs: t.GuaranteedGPUs, MaxCores: t.MaxCores, MaxGPUs: t.MaxGPUs})
 	}
 	return c
 }
@@ -176,9 +176,9 @@
 
 // asker makes a function that gives the core a request by way of a queue and
 // waits for its reply.
-func (n *Node) asker(queue chan asked) api.Ask {
+func (n *Node) asker(queue chan pendingInput) api.Ask {
 	return func(request func(req uint64) core.Input) (core.Reply, bool) {
-		a := asked{req: n.nextReq.Add(1), reply: make(chan core.Reply, 1)}
+		a := pendingInput{req: n.nextReq.Add(1), reply: make(chan core.Reply, 1)}
 		a.in = request(a.req)
 		select {
 		case queue <- a:
@@ -203,7 +203,7 @@
 		return in
 	default:
 	}
-	var a asked
+	var a pendingInput
 	select {
 	case <-ctx.Done():
 		return nil
@@ -211,10 +211,10 @@
 		return core.Tick{}
 	case in := <-n.inputs:
 		return in
-	case a = <-n.users:
-	case a = <-n.hosts:
+	case a = <-n.userInputs:
+	case a = <-n.workerInputs:
 	}
-	n.waiting[a.req] = a.reply
+	n.replies[a.req] = a.reply
 	return a.in
 }
 
@@ -226,7 +226,7 @@
 		if in == nil {
 			return
 		}
-		for _, e := range n.core.Step(time.Since(n.start), in) {
+		for _, e := range n.core.Step(time.Since(n.startedAt), in) {
 			n.perform(e)
 		}
 		if !n.ready.Load() {
@@ -239,33 +239,33 @@
 	switch x := e.(type) {
 	case core.Commit:
 		n.store.Commit(x)
-	case core.Read:
+	case core.ReadJob:
 		n.store.Read(x)
-	case core.Lease:
+	case core.RenewLease:
 		n.store.Lease(x)
-	case core.Cloud:
+	case core.CallCloud:
 		n.cloud.Call(x)
-	case core.CloudAllowed:
-		n.cloud.Allow(x.Term, n.start.Add(x.Until))
-	case core.Direct:
-		n.orders.Send(x)
-	case core.Send:
-		if l := n.links[x.To]; l != nil {
-			l.Send(x.Msg)
+	case core.AllowCloudCalls:
+		n.cloud.Allow(x.Term, n.startedAt.Add(x.Until))
+	case core.SendCommands:
+		n.workers.Send(x)
+	case core.SendGossip:
+		if l := n.peers[x.To]; l != nil {
+			l.Send(x.Message)
 		}
-	case core.Heartbeat:
-		if l := n.links[x.To]; l != nil {
-			l.SendHeartbeat(x.Msg)
+	case core.SendHeartbeat:
+		if l := n.peers[x.To]; l != nil {
+			l.SendHeartbeat(x.Message)
 		}
-	case core.SendLog:
-		if l := n.links[x.To]; l != nil {
-			l.SendLog(x.Msg, func(ack wire.DecisionLogAck) { n.post(core.LogAcknowledged{Ack: ack}) })
+	case core.SendDecisionLog:
+		if l := n.peers[x.To]; l != nil {
+			l.SendLog(x.Message, func(ack wire.DecisionLogAck) { n.post(core.DecisionLogAcknowledged{Ack: ack}) })
 		}
 	case core.Forward:
 		n.forward(x)
 	case core.Reply:
-		if c := n.waiting[x.Req]; c != nil {
-			delete(n.waiting, x.Req)
+		if c := n.replies[x.RequestID]; c != nil {
+			delete(n.replies, x.RequestID)
 			c <- x
 		}
 	case core.Log:
@@ -282,10 +282,10 @@
 
 // forward hands a user's request to a peer.
 func (n *Node) forward(f core.Forward) {
-	l := n.links[f.To]
+	l := n.peers[f.To]
 	if l == nil {
-		go n.post(core.Forwarded{Req: f.Req})
+		go n.post(core.ForwardAnswered{RequestID: f.RequestID})
 		return
 	}
-	l.Ask(f.Call, func(a wire.UserAnswer) { go n.post(core.Forwarded{Req: f.Req, Answer: a}) })
+	l.Ask(f.Call, func(a wire.UserAnswer) { go n.post(core.ForwardAnswered{RequestID: f.RequestID, Answer: a}) })
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -23,19 +23,19 @@
 
 // Gossip takes a peer's message.
 func (s *Service) Gossip(m *wire.Gossip, _ *Ack) error {
-	s.post(core.Gossiped{Msg: m})
+	s.post(core.GossipReceived{Message: m})
 	return nil
 }
 
 // Heartbeat takes a leader's heartbeat.
-func (s *Service) Heartbeat(m *wire.Heartbeat, _ *Ack) error {
-	s.post(core.HeartbeatReceived{Msg: m})
+func (s *Service) Heartbeat(m *wire.LeaderHeartbeat, _ *Ack) error {
+	s.post(core.HeartbeatReceived{Message: m})
 	return nil
 }
 
 // DecisionLog takes a message of the leader's decision log.
 func (s *Service) DecisionLog(m *wire.DecisionLog, ack *wire.DecisionLogAck) error {
-	r, ok := s.ask(func(req uint64) core.Input { return core.LogReceived{Req: req, Msg: m} })
+	r, ok := s.ask(func(req uint64) core.Input { return core.DecisionLogReceived{RequestID: req, Message: m} })
 	if !ok {
 		return errOverloaded
 	}
@@ -44,12 +44,12 @@
 }
 
 // Standby tells operators who leads and who stands by.
-func (s *Service) Standby(_ Ack, status *wire.StandbyStatus) error {
-	r, ok := s.ask(func(req uint64) core.Input { return core.StatusRequest{Req: req} })
+func (s *Service) Standby(_ Ack, status *wire.LeadershipStatus) error {
+	r, ok := s.ask(func(req uint64) core.Input { return core.StatusRequest{RequestID: req} })
 	if !ok {
 		return errOverloaded
 	}
-	*status = r.Body.(wire.StandbyStatus)
+	*status = r.Body.(wire.LeadershipStatus)
 	return nil
 }
 
@@ -58,7 +58,7 @@
 // User serves a request that a peer could not serve itself.
 func (s *Service) User(c *wire.UserCall, a *wire.UserAnswer) error {
 	r, ok := s.ask(func(req uint64) core.Input {
-		return core.UserRequest{Req: req, Kind: c.Kind, Ref: c.Ref, Body: c.Body, Forwarded: true}
+		return core.UserRequest{RequestID: req, Kind: c.Kind, JobID: c.Ref, Body: c.Body, Forwarded: true}
 	})
 	if !ok {
 		return errOverloaded
@@ -82,44 +82,44 @@
 		if err != nil {
 			return err
 		}
-		go srv.ServeConn(timed{c})
+		go srv.ServeConn(idleTimeoutConn{c})
 	}
 }
 
-// timed is a connection that ends when nothing has come for a while. A peer
+// idleTimeoutConn is a connection that ends when nothing has come for a while. A peer
 // speaks every second; what is left of one that has gone without a word must
 // not take the place of its next life.
-type timed struct{ net.Conn }
+type idleTimeoutConn struct{ net.Conn }
 
-const peerSilence = 20 * time.Second
+const peerIdleTimeout = 20 * time.Second
 
-func (c timed) Read(b []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(peerSilence)); err != nil {
+func (c idleTimeoutConn) Read(b []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(peerIdleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(b)
 }
 
-// forwardQueue is how many forwarded calls wait while a message is on its way to the
+// forwardQueueSize is how many forwarded calls wait while a message is on its way to the
 // peer, which may take 1.5 s. At a site of 4,000 machines users ask some 500 times a
 // second, and a controller that is refused by the state service forwards all that it gets.
-const forwardQueue = 4096
+const forwardQueueSize = 4096
 
 // Link is the way to one peer. Messages and heartbeats wait in mailboxes of one, where a
 // newer message replaces an older: each says all that there is to say.
 type Link struct {
 	addr       string
 	broken     func() // called when the connection has broken
-	box        chan *wire.Gossip
-	heartbeats chan *wire.Heartbeat
-	jobs       chan func(*rpc.Client)
+	gossip     chan *wire.Gossip
+	heartbeats chan *wire.LeaderHeartbeat
+	calls      chan func(*rpc.Client)
 }
 
 // Dial starts the actor that keeps the connection; broken is called, in a goroutine of
 // its own, whenever it breaks or can't be made.
 func Dial(addr string, broken func()) *Link {
-	l := &Link{addr: addr, broken: broken, box: make(chan *wire.Gossip, 1), heartbeats: make(chan *wire.Heartbeat, 1),
-		jobs: make(chan func(*rpc.Client), forwardQueue)}
+	l := &Link{addr: addr, broken: broken, gossip: make(chan *wire.Gossip, 1), heartbeats: make(chan *wire.LeaderHeartbeat, 1),
+		calls: make(chan func(*rpc.Client), forwardQueueSize)}
 	go l.run()
 	return l
 }
@@ -140,12 +140,12 @@
 }
 
 // Send leaves a message for the peer.
-func (l *Link) Send(m *wire.Gossip) { replace(l.box, m) }
+func (l *Link) Send(m *wire.Gossip) { replace(l.gossip, m) }
 
 // SendHeartbeat leaves a heartbeat for the peer.
-func (l *Link) SendHeartbeat(m *wire.Heartbeat) { replace(l.heartbeats, m) }
+func (l *Link) SendHeartbeat(m *wire.LeaderHeartbeat) { replace(l.heartbeats, m) }
 
-// SendLog sends a message of the decision log; done gets the answer, if one comes in time.
+// SendDecisionLog sends a message of the decision log; done gets the answer, if one comes in time.
 func (l *Link) SendLog(m *wire.DecisionLog, done func(wire.DecisionLogAck)) {
 	l.do(func(cl *rpc.Client) {
 		if cl == nil {
@@ -164,21 +164,21 @@
 // was room for it.
 func (l *Link) do(job func(*rpc.Client)) bool {
 	select {
-	case l.jobs <- job:
+	case l.calls <- job:
 		return true
 	default:
 		return false
 	}
 }
 
-// watched is a connection that tells when it has broken.
-type watched struct {
+// monitoredConn is a connection that tells when it has broken.
+type monitoredConn struct {
 	net.Conn
 	broken func()
 }
 
 // Read reports the first failure; the client reads all the time, and ends with it.
-func (c watched) Read(b []byte) (int, error) {
+func (c monitoredConn) Read(b []byte) (int, error) {
 	read, err := c.Conn.Read(b)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		c.broken()
@@ -227,9 +227,9 @@
 	}
 }
 
-// AskStandby asks the controller at an address who leads and who stands by.
-func AskStandby(address string, patience time.Duration) (wire.StandbyStatus, error) {
-	var status wire.StandbyStatus
+// QueryLeadership asks the controller at an address who leads and who stands by.
+func QueryLeadership(address string, patience time.Duration) (wire.LeadershipStatus, error) {
+	var status wire.LeadershipStatus
 	connection, err := net.DialTimeout("tcp", address, patience)
 	if err != nil {
 		return status, err
@@ -252,7 +252,7 @@
 			go l.broken()
 			return
 		}
-		cl = rpc.NewClient(watched{c, l.broken})
+		cl = rpc.NewClient(monitoredConn{c, l.broken})
 	}
 	for {
 		select {
@@ -262,7 +262,7 @@
 				cl.Close()
 				cl = nil
 			}
-		case m := <-l.box:
+		case m := <-l.gossip:
 			if connect(); cl == nil {
 				continue
 			}
@@ -270,7 +270,7 @@
 				cl.Close()
 				cl = nil
 			}
-		case f := <-l.jobs:
+		case f := <-l.calls:
 			connect()
 			f(cl)
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,15 +16,15 @@
 	}
 	defer l.Close()
 	heard := make(chan *wire.Gossip, 10)
-	go Serve(l, func(in core.Input) { heard <- in.(core.Gossiped).Msg }, func(input func(uint64) core.Input) (core.Reply, bool) {
+	go Serve(l, func(in core.Input) { heard <- in.(core.GossipReceived).Message }, func(input func(uint64) core.Input) (core.Reply, bool) {
 		u := input(5).(core.UserRequest)
 		if !u.Forwarded {
 			t.Error("a forwarded request could be forwarded on")
 		}
-		return core.Reply{Req: 5, Status: 200, Body: wire.JobStatus{Ref: u.Ref, Status: "done"}}, true
+		return core.Reply{RequestID: 5, Status: 200, Body: wire.JobStatus{JobID: u.JobID, Status: "done"}}, true
 	})
 	link := Dial(l.Addr().String(), func() {})
-	link.Send(&wire.Gossip{From: "n0", Hosts: []wire.HostInfo{{Name: "vm-1", Images: []int{7}}}, Holds: []wire.Hold{{Ref: "wk-1", Attempt: 3, OK: true}}})
+	link.Send(&wire.Gossip{From: "n0", Hosts: []wire.MachineInfo{{Name: "vm-1", Images: []int{7}}}, Holds: []wire.GangHold{{Ref: "wk-1", Attempt: 3, OK: true}}})
 	select {
 	case m := <-heard:
 		if m.From != "n0" || m.Hosts[0].Images[0] != 7 || !m.Holds[0].OK {
@@ -34,10 +34,10 @@
 		t.Fatal("nothing heard")
 	}
 	got := make(chan wire.UserAnswer, 1)
-	link.Ask(wire.UserCall{Kind: wire.Poll, Ref: "wk-1"}, func(a wire.UserAnswer) { got <- a })
+	link.Ask(wire.UserCall{Kind: wire.RequestStatus, Ref: "wk-1"}, func(a wire.UserAnswer) { got <- a })
 	a := <-got
 	var s wire.JobStatus
-	if err := wire.Decode(a.Body, &s); err != nil || a.Status != 200 || s.Ref != "wk-1" || s.Status != "done" {
+	if err := wire.Decode(a.Body, &s); err != nil || a.Status != 200 || s.JobID != "wk-1" || s.Status != "done" {
 		t.Errorf("got %+v %+v %v", a, s, err)
 	}
 }
@@ -53,17 +53,17 @@
 	connections := make(chan net.Conn, 10)
 	go Serve(accepting{l, connections}, func(in core.Input) { heard <- in }, func(input func(uint64) core.Input) (core.Reply, bool) {
 		switch x := input(5).(type) {
-		case core.LogReceived:
-			return core.Reply{Body: wire.DecisionLogAck{Term: x.Msg.Term, Sequence: x.Msg.Sequence}}, true
+		case core.DecisionLogReceived:
+			return core.Reply{Body: wire.DecisionLogAck{Term: x.Message.Term, Sequence: x.Message.Sequence}}, true
 		case core.StatusRequest:
-			return core.Reply{Body: wire.StandbyStatus{Leader: "n0", Revision: 7}}, true
+			return core.Reply{Body: wire.LeadershipStatus{Leader: "n0", Revision: 7}}, true
 		}
 		return core.Reply{}, false
 	})
 	broken := make(chan bool, 10)
 	link := Dial(l.Addr().String(), func() { broken <- true })
-	link.SendHeartbeat(&wire.Heartbeat{From: "n0", Term: 4, Standby: "n1"})
-	if m := (<-heard).(core.HeartbeatReceived).Msg; m.Term != 4 || m.Standby != "n1" {
+	link.SendHeartbeat(&wire.LeaderHeartbeat{From: "n0", Term: 4, Standby: "n1"})
+	if m := (<-heard).(core.HeartbeatReceived).Message; m.Term != 4 || m.Standby != "n1" {
 		t.Errorf("heard %+v", m)
 	}
 	acks := make(chan wire.DecisionLogAck, 1)
@@ -71,7 +71,7 @@
 	if ack := <-acks; ack.Term != 4 || ack.Sequence != 9 {
 		t.Errorf("answered %+v", ack)
 	}
-	if status, err := AskStandby(l.Addr().String(), time.Second); err != nil || status.Leader != "n0" || status.Revision != 7 {
+	if status, err := QueryLeadership(l.Addr().String(), time.Second); err != nil || status.Leader != "n0" || status.Revision != 7 {
 		t.Errorf("answered %+v, %v", status, err)
 	}
 	l.Close()
@@ -106,7 +106,7 @@
 	addr := l.Addr().String()
 	l.Close()
 	got := make(chan wire.UserAnswer, 1)
-	Dial(addr, func() {}).Ask(wire.UserCall{Kind: wire.Poll, Ref: "wk-1"}, func(a wire.UserAnswer) { got <- a })
+	Dial(addr, func() {}).Ask(wire.UserCall{Kind: wire.RequestStatus, Ref: "wk-1"}, func(a wire.UserAnswer) { got <- a })
 	select {
 	case a := <-got:
 		if a.Status != 0 {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -8,12 +8,12 @@
 	"micaport/internal/wire"
 )
 
-// Terms are a team's limit and guarantee. A limit of 0 is none, and so is a guarantee.
-type Terms struct{ Limit, Guarantee Amount }
+// Quota are a team's limit and guarantee. A limit of 0 is none, and so is a guarantee.
+type Quota struct{ Limit, Guarantee Amount }
 
-// TermsOf converts decimal quantities.
-func TermsOf(limit, guarantee wire.Resources) Terms {
-	return Terms{Limit: Of(limit.Cores, limit.Cards), Guarantee: Of(guarantee.Cores, guarantee.Cards)}
+// QuotaOf converts decimal quantities.
+func QuotaOf(limit, guarantee wire.Resources) Quota {
+	return Quota{Limit: Of(limit.Cores, limit.GPUs), Guarantee: Of(guarantee.Cores, guarantee.GPUs)}
 }
 
 // Faults of an account or of a change to one.
@@ -21,7 +21,7 @@
 	ErrNotANumber      = errors.New("an amount is not a number of a size that makes sense")
 	ErrNegative        = errors.New("an amount is negative")
 	ErrGuarantee       = errors.New("the guarantee exceeds the limit")
-	ErrUnknownPart     = errors.New("a share is held by a part that does not exist")
+	ErrUnknownShard    = errors.New("a share is held by a part that does not exist")
 	ErrSharedTwice     = errors.New("a part holds two shares")
 	ErrSharesExceed    = errors.New("the shares exceed the limit")
 	ErrUnreadable      = errors.New("the record can't be read")
@@ -37,24 +37,24 @@
 	if a.Unreadable {
 		return ErrUnreadable
 	}
-	if err := validateTerms(a.Limit, a.Guarantee); err != nil {
+	if err := validateQuota(a.Limit, a.Guarantee); err != nil {
 		return err
 	}
-	limit, sum := Of(a.Limit.Cores, a.Limit.Cards), Amount{}
+	limit, sum := Of(a.Limit.Cores, a.Limit.GPUs), Amount{}
 	seen := make([]bool, parts)
 	for _, share := range a.Shares {
-		if share.Part < 0 || share.Part >= parts {
-			return fmt.Errorf("%w: %d", ErrUnknownPart, share.Part)
+		if share.Shard < 0 || share.Shard >= parts {
+			return fmt.Errorf("%w: %d", ErrUnknownShard, share.Shard)
 		}
-		if seen[share.Part] {
-			return fmt.Errorf("%w: %d", ErrSharedTwice, share.Part)
+		if seen[share.Shard] {
+			return fmt.Errorf("%w: %d", ErrSharedTwice, share.Shard)
 		}
-		seen[share.Part] = true
-		amount := wire.Resources{Cores: share.Cores, Cards: share.Cards}
+		seen[share.Shard] = true
+		amount := wire.Resources{Cores: share.Cores, GPUs: share.GPUs}
 		if err := validateAmount(amount); err != nil {
-			return fmt.Errorf("share of part %d: %w", share.Part, err)
+			return fmt.Errorf("share of part %d: %w", share.Shard, err)
 		}
-		sum = sum.Plus(Of(share.Cores, share.Cards))
+		sum = sum.Plus(Of(share.Cores, share.GPUs))
 	}
 	if !sum.within(limit) {
 		return ErrSharesExceed
@@ -62,21 +62,21 @@
 	return nil
 }
 
-func validateTerms(limit, guarantee wire.Resources) error {
+func validateQuota(limit, guarantee wire.Resources) error {
 	if err := validateAmount(limit); err != nil {
 		return fmt.Errorf("limit: %w", err)
 	}
 	if err := validateAmount(guarantee); err != nil {
 		return fmt.Errorf("guarantee: %w", err)
 	}
-	if limit.Cores > 0 && guarantee.Cores > limit.Cores || limit.Cards > 0 && guarantee.Cards > limit.Cards {
+	if limit.Cores > 0 && guarantee.Cores > limit.Cores || limit.GPUs > 0 && guarantee.GPUs > limit.GPUs {
 		return ErrGuarantee
 	}
 	return nil
 }
 
 func validateAmount(r wire.Resources) error {
-	for _, x := range []float64{r.Cores, r.Cards} {
+	for _, x := range []float64{r.Cores, r.GPUs} {
 		switch {
 		case math.IsNaN(x) || x > maxUnits:
 			return ErrNotANumber
@@ -89,10 +89,10 @@
 
 // Change is an operator's change of a team's terms. What is nil stays as it is.
 type Change struct {
-	Team                           string
-	Version                        uint64 // of the account that the operator has seen
-	CoresLimit, CardsLimit         *float64
-	CoresGuarantee, CardsGuarantee *float64
+	Team                          string
+	Version                       uint64 // of the account that the operator has seen
+	CoresLimit, GPUsLimit         *float64
+	CoresGuarantee, GPUsGuarantee *float64
 }
 
 // Apply gives the account that follows from a change. The account that it is based on is
@@ -109,8 +109,8 @@
 		into *float64
 		from *float64
 	}{
-		{&next.Limit.Cores, c.CoresLimit}, {&next.Limit.Cards, c.CardsLimit},
-		{&next.Guarantee.Cores, c.CoresGuarantee}, {&next.Guarantee.Cards, c.CardsGuarantee},
+		{&next.Limit.Cores, c.CoresLimit}, {&next.Limit.GPUs, c.GPUsLimit},
+		{&next.Guarantee.Cores, c.CoresGuarantee}, {&next.Guarantee.GPUs, c.GPUsGuarantee},
 	}
 	named := false
 	for _, f := range fields {
@@ -121,14 +121,14 @@
 	if !named {
 		return nil, fmt.Errorf("team %s: %w", c.Team, ErrNothingToChange)
 	}
-	if err := validateTerms(next.Limit, next.Guarantee); err != nil {
+	if err := validateQuota(next.Limit, next.Guarantee); err != nil {
 		return nil, fmt.Errorf("team %s: %w", c.Team, err)
 	}
 	next.Version++
 	next.Unreadable = false
-	limit, sum := Of(next.Limit.Cores, next.Limit.Cards), Amount{}
+	limit, sum := Of(next.Limit.Cores, next.Limit.GPUs), Amount{}
 	for _, share := range now.Shares {
-		sum = sum.Plus(Of(share.Cores, share.Cards))
+		sum = sum.Plus(Of(share.Cores, share.GPUs))
 	}
 	if now.Unreadable || !sum.within(limit) {
 		next.Shares = nil
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -12,7 +12,7 @@
 
 // Amount is a quantity of cores and cards. It is kept in whole billionths, so that
 // adding and removing the same charges any number of times leaves nothing behind.
-type Amount struct{ Cores, Cards int64 }
+type Amount struct{ Cores, GPUs int64 }
 
 // unit is one core or card.
 const unit = 1_000_000_000
@@ -30,43 +30,43 @@
 
 // Decimal gives the quantities as decimal numbers.
 func (a Amount) Decimal() (cores, cards float64) {
-	return float64(a.Cores) / unit, float64(a.Cards) / unit
+	return float64(a.Cores) / unit, float64(a.GPUs) / unit
 }
 
 // Plus adds.
-func (a Amount) Plus(b Amount) Amount { return Amount{a.Cores + b.Cores, a.Cards + b.Cards} }
+func (a Amount) Plus(b Amount) Amount { return Amount{a.Cores + b.Cores, a.GPUs + b.GPUs} }
 
 // Minus subtracts.
-func (a Amount) Minus(b Amount) Amount { return Amount{a.Cores - b.Cores, a.Cards - b.Cards} }
+func (a Amount) Minus(b Amount) Amount { return Amount{a.Cores - b.Cores, a.GPUs - b.GPUs} }
 
 // Times multiplies by a count.
 func (a Amount) Times(count int) Amount {
-	return Amount{a.Cores * int64(count), a.Cards * int64(count)}
+	return Amount{a.Cores * int64(count), a.GPUs * int64(count)}
 }
 
 // max takes the larger of each quantity.
-func (a Amount) max(b Amount) Amount { return Amount{max(a.Cores, b.Cores), max(a.Cards, b.Cards)} }
+func (a Amount) max(b Amount) Amount { return Amount{max(a.Cores, b.Cores), max(a.GPUs, b.GPUs)} }
 
 // min takes the smaller of each quantity.
-func (a Amount) min(b Amount) Amount { return Amount{min(a.Cores, b.Cores), min(a.Cards, b.Cards)} }
+func (a Amount) min(b Amount) Amount { return Amount{min(a.Cores, b.Cores), min(a.GPUs, b.GPUs)} }
 
 // within tells whether the amount keeps to a limit, in which 0 means no limit.
 func (a Amount) within(limit Amount) bool {
 	return (limit.Cores == 0 || a.Cores <= limit.Cores+tolerance) &&
-		(limit.Cards == 0 || a.Cards <= limit.Cards+tolerance)
+		(limit.GPUs == 0 || a.GPUs <= limit.GPUs+tolerance)
 }
 
 // covers tells whether the amount is at least as large as another, up to rounding.
 func (a Amount) covers(b Amount) bool {
-	return b.Cores <= a.Cores+tolerance && b.Cards <= a.Cards+tolerance
+	return b.Cores <= a.Cores+tolerance && b.GPUs <= a.GPUs+tolerance
 }
 
 // whole rounds down to whole cores and cards: a fraction of one admits hardly any task.
-func (a Amount) whole() Amount { return Amount{a.Cores / unit * unit, a.Cards / unit * unit} }
+func (a Amount) whole() Amount { return Amount{a.Cores / unit * unit, a.GPUs / unit * unit} }
 
 // dividedBy gives an equal part of the amount.
 func (a Amount) dividedBy(parts int) Amount {
-	return Amount{a.Cores / int64(parts), a.Cards / int64(parts)}
+	return Amount{a.Cores / int64(parts), a.GPUs / int64(parts)}
 }
 
 // relevant drops the quantities that the limit does not limit.
@@ -74,8 +74,8 @@
 	if limit.Cores == 0 {
 		a.Cores = 0
 	}
-	if limit.Cards == 0 {
-		a.Cards = 0
+	if limit.GPUs == 0 {
+		a.GPUs = 0
 	}
 	return a
 }
--- a/internal/quota/deal.go
+++ b/internal/quota/deal.go
@@ -16,30 +16,30 @@
 // Reasons, those that can't wait first.
 const (
 	Unchanged Reason = iota
-	Withdrawn        // shares are no longer wanted, or their holder is gone
-	Gathered         // for work that no single share has room for
+	Revoked          // shares are no longer wanted, or their holder is gone
+	Reclaimed        // for work that no single share has room for
 	Renewed          // the settings have changed
 	Balanced         // the shares no longer fit what is free
 )
 
-// Deal gives the account as it should be written next, or no reason to write it.
+// Distribute gives the account as it should be written next, or no reason to write it.
 //
 // Shares are lowered to what is used of them at once, but raised only from what no share
 // holds as the record stands: what is being withdrawn from one share may have been spent
 // by its holder in this moment, and is known to be free only when the copy has reached
 // the revision of the withdrawal.
-func (l *Ledger) Deal(team int, d Demand) (*wire.Account, Reason) {
+func (l *Ledger) Distribute(team int, d Demand) (*wire.Account, Reason) {
 	t := &l.teams[team]
-	if t.record == nil && !d.Enabled || t.fault != nil {
+	if t.record == nil && !d.Enabled || t.err != nil {
 		return nil, Unchanged
 	}
-	terms := l.Terms(team)
+	terms := l.Quota(team)
 	if t.record == nil || t.record.Version == 0 {
 		terms = t.settings
 	}
-	plan := dealing{t: t, limit: terms.Limit, demand: d}
-	plan.run(l.parts)
-	if plan.reason == Unchanged && t.record != nil && terms != l.Terms(team) {
+	plan := distribution{account: t, limit: terms.Limit, demand: d}
+	plan.run(l.shards)
+	if plan.reason == Unchanged && t.record != nil && terms != l.Quota(team) {
 		plan.reason = Renewed
 	}
 	if t.record == nil {
@@ -52,50 +52,50 @@
 }
 
 // write makes the record.
-func (t *teamAccount) write(terms Terms, shares []partShare) *wire.Account {
+func (t *teamAccount) write(terms Quota, shares []shardShare) *wire.Account {
 	account := &wire.Account{}
 	if t.record != nil {
 		account.Version = t.record.Version
 	}
-	account.Limit.Cores, account.Limit.Cards = terms.Limit.Decimal()
-	account.Guarantee.Cores, account.Guarantee.Cards = terms.Guarantee.Decimal()
+	account.Limit.Cores, account.Limit.GPUs = terms.Limit.Decimal()
+	account.Guarantee.Cores, account.Guarantee.GPUs = terms.Guarantee.Decimal()
 	for _, s := range shares {
 		cores, cards := s.amount.Decimal()
-		account.Shares = append(account.Shares, wire.Share{Part: s.part, Cores: cores, Cards: cards})
+		account.Shares = append(account.Shares, wire.Share{Shard: s.shard, Cores: cores, GPUs: cards})
 	}
 	return account
 }
 
-// partShare is the share of one part.
-type partShare struct {
-	part   int
+// shardShare is the share of one part.
+type shardShare struct {
+	shard  int
 	amount Amount
 }
 
-// dealing works out one team's shares.
-type dealing struct {
-	t      *teamAccount
-	limit  Amount
-	demand Demand
+// distribution works out one team's shares.
+type distribution struct {
+	account *teamAccount
+	limit   Amount
+	demand  Demand
 
-	free   Amount // of the limit: neither used nor needed for what the leader grants
-	sure   Amount // of that: held by no share, so certainly unspent
-	reason Reason
-	shares []partShare
+	free       Amount // of the limit: neither used nor needed for what the leader grants
+	unassigned Amount // of that: held by no share, so certainly unspent
+	reason     Reason
+	shares     []shardShare
 }
 
-// dealtFraction is the part of what is free that is dealt out: half, so that the leader,
+// distributedFraction is the part of what is free that is dealt out: half, so that the leader,
 // which serves whatever no share has room for, keeps as much as all owners together.
-const dealtFraction = 2
+const distributedFraction = 2
 
-func (x *dealing) run(parts int) {
-	used := x.t.byLeader.Plus(x.demand.Granted)
-	x.sure = x.limit.Minus(used).Minus(x.t.reserved())
-	for _, admitted := range x.t.admitted {
+func (x *distribution) run(parts int) {
+	used := x.account.byLeader.Plus(x.demand.Granted)
+	x.unassigned = x.limit.Minus(used).Minus(x.account.reserved())
+	for _, admitted := range x.account.admitted {
 		used = used.Plus(admitted)
 	}
 	x.free = x.limit.Minus(used).relevant(x.limit).max(Amount{})
-	x.sure = x.sure.relevant(x.limit).max(Amount{})
+	x.unassigned = x.unassigned.relevant(x.limit).max(Amount{})
 	owners := 0
 	for _, owned := range x.demand.Owned {
 		if owned {
@@ -104,11 +104,11 @@
 	}
 	headroom := Amount{}
 	if x.demand.Enabled && !x.demand.Blocked && owners > 0 {
-		headroom = x.free.dividedBy(dealtFraction * owners).whole()
+		headroom = x.free.dividedBy(distributedFraction * owners).whole()
 	}
 	idle := Amount{}
 	for part := range parts {
-		idle = idle.Plus(x.part(part, headroom))
+		idle = idle.Plus(x.distributeTo(part, headroom))
 	}
 	// The shares hold most of what is free, as use has grown: the leader would soon be
 	// left without any.
@@ -120,50 +120,50 @@
 	}
 }
 
-// part deals one part's share and gives how much of its present share is idle.
-func (x *dealing) part(part int, headroom Amount) Amount {
-	admitted := x.t.admitted[part]
-	share, open := x.t.share(part)
+// distributeTo deals one part's share and gives how much of its present share is idle.
+func (x *distribution) distributeTo(part int, headroom Amount) Amount {
+	admitted := x.account.admitted[part]
+	share, open := x.account.share(part)
 	share, admitted = share.relevant(x.limit), admitted.relevant(x.limit)
 	idle := share.Minus(admitted).max(Amount{})
 	if !x.demand.Enabled || !x.demand.Owned[part] {
 		if open {
-			x.note(Withdrawn)
+			x.note(Revoked)
 		}
 		return idle
 	}
 	if x.demand.Blocked {
-		x.shares = append(x.shares, partShare{part, share.min(admitted)})
+		x.shares = append(x.shares, shardShare{part, share.min(admitted)})
 		if idle != (Amount{}) {
-			x.note(Gathered)
+			x.note(Reclaimed)
 		}
 		return idle
 	}
 	target := admitted.Plus(headroom)
 	next := share.min(target)
-	raise := target.Minus(next).min(x.sure).whole()
-	x.sure = x.sure.Minus(raise)
+	raise := target.Minus(next).min(x.unassigned).whole()
+	x.unassigned = x.unassigned.Minus(raise)
 	if !open || !idle.covers(headroom.dividedBy(2)) && raise != (Amount{}) {
 		x.note(Balanced)
 	}
-	x.shares = append(x.shares, partShare{part, next.Plus(raise)})
+	x.shares = append(x.shares, shardShare{part, next.Plus(raise)})
 	return idle
 }
 
 // note keeps the most pressing reason.
-func (x *dealing) note(r Reason) {
+func (x *distribution) note(r Reason) {
 	if x.reason == Unchanged || r < x.reason {
 		x.reason = r
 	}
 }
 
 // differs tells whether the shares dealt are other than those of the record.
-func (x *dealing) differs() bool {
-	if x.t.record == nil || len(x.shares) != len(x.t.record.Shares) {
+func (x *distribution) differs() bool {
+	if x.account.record == nil || len(x.shares) != len(x.account.record.Shares) {
 		return true
 	}
 	for _, s := range x.shares {
-		if now, open := x.t.share(s.part); !open || now != s.amount {
+		if now, open := x.account.share(s.shard); !open || now != s.amount {
 			return true
 		}
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -5,41 +5,41 @@
 // Ledger is one controller's view of all accounts: their records as its copy shows them,
 // and the charges that follow from the jobs' records.
 type Ledger struct {
-	parts int
-	teams []teamAccount
+	shards int
+	teams  []teamAccount
 }
 
 // teamAccount is what is known of one team.
 type teamAccount struct {
-	settings Terms // hold where no record says otherwise
+	settings Quota // hold where no record says otherwise
 	record   *wire.Account
-	rev      uint64
-	fault    error // why the record can't be used
+	revision uint64
+	err      error // why the record can't be used
 
 	byLeader Amount   // charged to what no share holds
 	admitted []Amount // charged to the shares, by part
 }
 
 // NewLedger makes a ledger for teams, by index, at a site with a number of parts.
-func NewLedger(teams []Terms, parts int) *Ledger {
-	l := &Ledger{parts: parts, teams: make([]teamAccount, len(teams))}
+func NewLedger(teams []Quota, parts int) *Ledger {
+	l := &Ledger{shards: parts, teams: make([]teamAccount, len(teams))}
 	for i, terms := range teams {
 		l.teams[i] = teamAccount{settings: terms, admitted: make([]Amount, parts)}
 	}
 	return l
 }
 
-// Put takes in a team's record, or its absence, at a revision.
-func (l *Ledger) Put(team int, record *wire.Account, rev uint64) error {
+// SetRecord takes in a team's record, or its absence, at a revision.
+func (l *Ledger) SetRecord(team int, record *wire.Account, rev uint64) error {
 	t := &l.teams[team]
-	if rev <= t.rev {
+	if rev <= t.revision {
 		return nil
 	}
-	t.record, t.rev, t.fault = record, rev, nil
+	t.record, t.revision, t.err = record, rev, nil
 	if record != nil {
-		t.fault = Validate(record, l.parts)
+		t.err = Validate(record, l.shards)
 	}
-	return t.fault
+	return t.err
 }
 
 // ChargeLeader adds to what is charged to no share; a negative amount removes.
@@ -64,15 +64,15 @@
 	return sum
 }
 
-// Terms are those in force for a team. A record that can't be read in whole counts for
+// Quota are those in force for a team. A record that can't be read in whole counts for
 // nothing but its terms, if those are sound; what is granted then is bounded by the
 // smaller of both limits.
-func (l *Ledger) Terms(team int) Terms {
+func (l *Ledger) Quota(team int) Quota {
 	t := &l.teams[team]
-	if t.record == nil || t.fault != nil && validateTerms(t.record.Limit, t.record.Guarantee) != nil {
+	if t.record == nil || t.err != nil && validateQuota(t.record.Limit, t.record.Guarantee) != nil {
 		return t.settings
 	}
-	return TermsOf(t.record.Limit, t.record.Guarantee)
+	return QuotaOf(t.record.Limit, t.record.Guarantee)
 }
 
 // Revision is that of the team's record; 0 where there is none. Whatever is admitted or
@@ -81,20 +81,20 @@
 	if l.teams[team].record == nil {
 		return 0
 	}
-	return l.teams[team].rev
+	return l.teams[team].revision
 }
 
 // Fault is why a team's record can't be used, or nil.
-func (l *Ledger) Fault(team int) error { return l.teams[team].fault }
+func (l *Ledger) Fault(team int) error { return l.teams[team].err }
 
 // share is what a part may hold by itself, and whether it may admit at all.
 func (t *teamAccount) share(part int) (Amount, bool) {
-	if t.record == nil || t.fault != nil {
+	if t.record == nil || t.err != nil {
 		return Amount{}, false
 	}
 	for _, s := range t.record.Shares {
-		if s.Part == part {
-			return Of(s.Cores, s.Cards), true
+		if s.Shard == part {
+			return Of(s.Cores, s.GPUs), true
 		}
 	}
 	return Amount{}, false
@@ -117,29 +117,29 @@
 // before it could miss what was admitted under the account's earlier shares.
 func (l *Ledger) MayGrant(team int, more Amount, copyRev uint64) bool {
 	t := &l.teams[team]
-	limit := l.Terms(team).Limit
-	if t.record != nil && (copyRev < t.rev || t.fault != nil && !t.hasSoundTerms()) {
+	limit := l.Quota(team).Limit
+	if t.record != nil && (copyRev < t.revision || t.err != nil && !t.hasValidQuota()) {
 		return false
 	}
 	return t.byLeader.Plus(t.reserved()).Plus(more).within(limit)
 }
 
 // Fits tells whether a team's limit has room for an amount when nothing else runs.
-func (l *Ledger) Fits(team int, a Amount) bool { return a.within(l.Terms(team).Limit) }
+func (l *Ledger) Fits(team int, a Amount) bool { return a.within(l.Quota(team).Limit) }
 
-// hasSoundTerms tells whether a faulty record still says what the limit is.
-func (t *teamAccount) hasSoundTerms() bool {
-	return !t.record.Unreadable && validateTerms(t.record.Limit, t.record.Guarantee) == nil
+// hasValidQuota tells whether a faulty record still says what the limit is.
+func (t *teamAccount) hasValidQuota() bool {
+	return !t.record.Unreadable && validateQuota(t.record.Limit, t.record.Guarantee) == nil
 }
 
 // MayAdmit tells whether the owner of a part may charge more to the part's share.
 func (l *Ledger) MayAdmit(team, part int, more Amount, copyRev uint64) bool {
 	t := &l.teams[team]
 	share, open := t.share(part)
-	if !open || copyRev < t.rev {
+	if !open || copyRev < t.revision {
 		return false
 	}
-	limit := l.Terms(team).Limit
+	limit := l.Quota(team).Limit
 	charged := t.admitted[part].Plus(more).relevant(limit)
 	return share.covers(charged)
 }
@@ -147,6 +147,6 @@
 // Excess is by how much a team uses more than its limit; it can, for as long as tasks
 // run that were started before the limit was lowered.
 func (l *Ledger) Excess(team int) Amount {
-	limit := l.Terms(team).Limit
+	limit := l.Quota(team).Limit
 	return l.Used(team).Minus(limit).relevant(limit).max(Amount{})
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -81,7 +81,7 @@
 func (m *model) restart(i int) {
 	m.rev++
 	m.terms[i] = m.rev
-	a := &actor{term: m.rev, ledger: NewLedger([]Terms{{Limit: Of(0, 12)}}, modelParts), rev: m.rev}
+	a := &actor{term: m.rev, ledger: NewLedger([]Quota{{Limit: Of(0, 12)}}, modelParts), rev: m.rev}
 	m.actors[i] = a
 	m.catchUp(a, len(m.events))
 	a.rev = m.rev
@@ -92,7 +92,7 @@
 		e := m.events[a.seen]
 		switch {
 		case e.account != nil:
-			_ = a.ledger.Put(0, e.account, e.rev)
+			_ = a.ledger.SetRecord(0, e.account, e.rev)
 		case e.part == leader:
 			a.ledger.ChargeLeader(0, e.charge)
 		default:
@@ -148,7 +148,7 @@
 		for part := range demand.Owned {
 			demand.Owned[part] = m.choose("owned", 5) > 0
 		}
-		account, reason := a.ledger.Deal(0, demand)
+		account, reason := a.ledger.Distribute(0, demand)
 		if reason == Unchanged {
 			return
 		}
@@ -157,7 +157,7 @@
 		}
 		c.account, c.charge = account, Amount{}
 	case m.missing == idleShares:
-		if !a.ledger.Used(0).Plus(more).within(a.ledger.Terms(0).Limit) {
+		if !a.ledger.Used(0).Plus(more).within(a.ledger.Quota(0).Limit) {
 			return
 		}
 	case !a.ledger.MayGrant(0, more, a.rev):
@@ -169,13 +169,13 @@
 
 // raiseAll deals all that seems free, as a dealer would that trusts its copy.
 func raiseAll(l *Ledger, account *wire.Account) {
-	_, free := l.Terms(0).Limit.Minus(l.Used(0)).max(Amount{}).Decimal()
+	_, free := l.Quota(0).Limit.Minus(l.Used(0)).max(Amount{}).Decimal()
 	for i := range account.Shares {
-		_, used := l.teams[0].admitted[account.Shares[i].Part].Decimal()
-		account.Shares[i].Cards = used
+		_, used := l.teams[0].admitted[account.Shares[i].Shard].Decimal()
+		account.Shares[i].GPUs = used
 	}
 	if len(account.Shares) > 0 {
-		account.Shares[0].Cards += free
+		account.Shares[0].GPUs += free
 	}
 }
 
@@ -214,7 +214,7 @@
 	if m.charged[i] == (Amount{}) {
 		return
 	}
-	gone := Amount{Cards: m.charged[i].Cards / int64(1+m.choose("part", 3)) / unit * unit}
+	gone := Amount{GPUs: m.charged[i].GPUs / int64(1+m.choose("part", 3)) / unit * unit}
 	if gone == (Amount{}) {
 		return
 	}
@@ -228,7 +228,7 @@
 	if m.account == nil {
 		return
 	}
-	change := Change{Version: m.account.Version, CardsLimit: &cards}
+	change := Change{Version: m.account.Version, GPUsLimit: &cards}
 	next, err := change.Apply(m.account)
 	if err != nil {
 		m.broken = err.Error()
@@ -248,8 +248,8 @@
 		share := Amount{}
 		if m.account != nil {
 			for _, s := range m.account.Shares {
-				if s.Part == part {
-					share = Of(s.Cores, s.Cards)
+				if s.Shard == part {
+					share = Of(s.Cores, s.GPUs)
 				}
 			}
 		}
@@ -261,9 +261,9 @@
 func (m *model) check(before Amount) {
 	limit := Of(0, 12)
 	if m.account != nil {
-		limit = TermsOf(m.account.Limit, m.account.Guarantee).Limit
+		limit = QuotaOf(m.account.Limit, m.account.Guarantee).Limit
 	}
-	if now := m.total(); !now.within(limit) && now.Cards > before.Cards {
+	if now := m.total(); !now.within(limit) && now.GPUs > before.GPUs {
 		m.broken = fmt.Sprintf("revision %d charges %v, limit %v, before %v", m.rev, now, limit, before)
 	}
 	if m.account != nil && Validate(m.account, modelParts) != nil {
--- a/internal/standby/election.go
+++ b/internal/standby/election.go
@@ -4,17 +4,17 @@
 
 // Candidate is a controller that might stand by, as the leader knows it.
 type Candidate struct {
-	Label  string
-	Silent time.Duration // since it was last heard directly
-	Served bool          // the state service serves it
-	CutOff bool          // it reaches neither the cloud nor any other controller
+	Name    string
+	Silence time.Duration // since it was last heard directly
+	StoreOK bool          // the state service serves it
+	CutOff  bool          // it reaches neither the cloud nor any other controller
 }
 
-// fitFor is how long a candidate may have been silent: two of its messages and a half.
-const fitFor = 2500 * time.Millisecond
+// maxCandidateSilence is how long a candidate may have been silent: two of its messages and a half.
+const maxCandidateSilence = 2500 * time.Millisecond
 
-// Fit tells whether a candidate could take over.
-func (c Candidate) Fit() bool { return c.Silent < fitFor && c.Served && !c.CutOff }
+// Eligible tells whether a candidate could take over.
+func (c Candidate) Eligible() bool { return c.Silence < maxCandidateSilence && c.StoreOK && !c.CutOff }
 
 // Elect names the standby: the present one for as long as it is fit, else the first fit
 // one by label, else none. It is a preference only. Candidates that disagree, or know of
@@ -22,14 +22,14 @@
 func Elect(present string, candidates []Candidate) string {
 	elected := ""
 	for _, c := range candidates {
-		if !c.Fit() {
+		if !c.Eligible() {
 			continue
 		}
-		if c.Label == present {
+		if c.Name == present {
 			return present
 		}
-		if elected == "" || c.Label < elected {
-			elected = c.Label
+		if elected == "" || c.Name < elected {
+			elected = c.Name
 		}
 	}
 	return elected
--- a/internal/standby/fence.go
+++ b/internal/standby/fence.go
@@ -6,7 +6,7 @@
 // a while after it sent a proof, a comparison of the leader key that succeeded, and the
 // next leader waits until the last proof that can have succeeded has run out:
 //
-//	MaxLeaseAge + validity + CallTravel + drift(LeaseTTL) <= LeaseTTL
+//	MaxLeaseAge + validity + CallTransit + drift(LeaseTTL) <= LeaseTTL
 //
 // The left side bounds when the last call of a replaced leader arrives, counted from the
 // last renewal of the lease under which it was replaced. So it has passed, too, when the
@@ -17,10 +17,10 @@
 	// MaxLeaseAge is how long ago the lease was renewed, at most, under which a leader
 	// is replaced early.
 	MaxLeaseAge = 500 * time.Millisecond
-	// CallTravel is how long a call that has been sent may be on its way to the cloud. A
+	// CallTransit is how long a call that has been sent may be on its way to the cloud. A
 	// network that holds calls for longer is the same trouble for one leader alone: the
 	// cloud may carry them out minutes late whoever leads.
-	CallTravel = time.Second
+	CallTransit = time.Second
 	// ProofInterval lies between two proofs of a leader.
 	ProofInterval = time.Second
 )
@@ -30,13 +30,13 @@
 
 // ProofValidity is how long a leader may call the cloud after it sent a proof.
 func ProofValidity(leaseTTL time.Duration) time.Duration {
-	return leaseTTL - MaxLeaseAge - CallTravel - drift(leaseTTL)
+	return leaseTTL - MaxLeaseAge - CallTransit - drift(leaseTTL)
 }
 
-// CloudWait is how long a leader leaves the cloud alone, counted from when this controller
+// CloudFenceTime is how long a leader leaves the cloud alone, counted from when this controller
 // saw a claim, its own or an earlier one, that replaced a leader early.
-func CloudWait(leaseTTL time.Duration) time.Duration {
-	return ProofValidity(leaseTTL) + CallTravel + drift(leaseTTL)
+func CloudFenceTime(leaseTTL time.Duration) time.Duration {
+	return ProofValidity(leaseTTL) + CallTransit + drift(leaseTTL)
 }
 
 // Fence is a leader's right to call the cloud.
@@ -75,9 +75,9 @@
 	return true
 }
 
-// Proven takes in that a proof sent at a time succeeded at a revision. It counts once
+// AddProof takes in that a proof sent at a time succeeded at a revision. It counts once
 // this controller's copy of the records has reached that; see Settle.
-func (f *Fence) Proven(sentAt time.Duration, revision uint64) {
+func (f *Fence) AddProof(sentAt time.Duration, revision uint64) {
 	f.pending = append(f.pending, proof{sentAt, revision})
 }
 
@@ -98,8 +98,8 @@
 // last pause: the copy of the records is current.
 func (f *Fence) CaughtUp() bool { return f.proven }
 
-// Right is for how much longer the cloud may be called; 0: not at all.
-func (f *Fence) Right(now time.Duration) time.Duration {
+// RemainingCallTime is for how much longer the cloud may be called; 0: not at all.
+func (f *Fence) RemainingCallTime(now time.Duration) time.Duration {
 	if !f.proven || now < f.opensAt {
 		return 0
 	}
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -19,8 +19,8 @@
 
 // Claim is the record of the leadership.
 type Claim struct {
-	Node, Life string
-	Term       uint64 // the revision of the claim
+	Controller, Incarnation string
+	Term                    uint64 // the revision of the claim
 	// Fenced is set where the leader's calls to the cloud rest on proofs of this claim.
 	// Only such a leader may be replaced before its lease ends.
 	Fenced bool
@@ -36,19 +36,19 @@
 	Suspected bool
 }
 
-// heardOpinion is what a peer told, and when.
-type heardOpinion struct {
+// peerOpinion is what a peer told, and when.
+type peerOpinion struct {
 	Opinion
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// opinionLife is how long a peer's opinion counts: two of the messages that controllers
+// opinionLifetime is how long a peer's opinion counts: two of the messages that controllers
 // send each other every second.
-const opinionLife = 2 * time.Second
+const opinionLifetime = 2 * time.Second
 
-// turnPause lies between the turns of two candidates: the time in which the first one's
+// candidateDelay lies between the turns of two candidates: the time in which the first one's
 // claim is carried out and seen.
-const turnPause = 400 * time.Millisecond
+const candidateDelay = 400 * time.Millisecond
 
 // Follower watches the leader on behalf of a controller that does not lead.
 type Follower struct {
@@ -56,49 +56,49 @@
 	claim       Claim
 	seenAt      time.Duration // when the claim was seen
 	detector    Detector
-	opinions    map[string]heardOpinion
-	designated  string        // the standby that the leader names
+	opinions    map[string]peerOpinion
+	standby     string        // the standby that the leader names
 	suspectedAt time.Duration // 0: not suspected
 	confirmedAt time.Duration // since when a quorum suspects the leader; 0: it does not
 }
 
 // NewFollower makes a follower that knows of no leader.
 func NewFollower(cfg Config) *Follower {
-	return &Follower{cfg: cfg, detector: Detector{bound: cfg.LeaseTTL}, opinions: map[string]heardOpinion{}}
+	return &Follower{cfg: cfg, detector: Detector{bound: cfg.LeaseTTL}, opinions: map[string]peerOpinion{}}
 }
 
 // Observe takes in who leads, as the records have it.
 func (f *Follower) Observe(now time.Duration, c Claim) {
-	if c.Term == f.claim.Term && c.Node == f.claim.Node {
+	if c.Term == f.claim.Term && c.Controller == f.claim.Controller {
 		return
 	}
 	f.claim, f.seenAt = c, now
 	f.detector.Reset(now)
-	f.designated = ""
+	f.standby = ""
 	f.suspectedAt, f.confirmedAt = 0, 0
 }
 
 // Heartbeat takes in a leader's heartbeat. Those of earlier terms and lives are ignored:
 // they may arrive late.
 func (f *Follower) Heartbeat(now time.Duration, node, life string, term uint64, designated string) {
-	if node != f.claim.Node || life != f.claim.Life || term != f.claim.Term {
+	if node != f.claim.Controller || life != f.claim.Incarnation || term != f.claim.Term {
 		return
 	}
 	f.detector.Heartbeat(now)
-	f.designated = designated
+	f.standby = designated
 }
 
 // Disconnected notes that the connection to a peer has broken.
 func (f *Follower) Disconnected(now time.Duration, node string) {
-	if node == f.claim.Node {
+	if node == f.claim.Controller {
 		f.detector.Disconnected(now)
 	}
 	delete(f.opinions, node)
 }
 
-// Told takes in a peer's opinion of the leader.
-func (f *Follower) Told(now time.Duration, peer string, o Opinion) {
-	f.opinions[peer] = heardOpinion{o, now}
+// ReceiveOpinion takes in a peer's opinion of the leader.
+func (f *Follower) ReceiveOpinion(now time.Duration, peer string, o Opinion) {
+	f.opinions[peer] = peerOpinion{o, now}
 }
 
 // Resumed discards what a pause of this process has made stale: everybody seems silent,
@@ -111,7 +111,7 @@
 
 // watching tells whether there is a leader that this controller may replace early.
 func (f *Follower) watching() bool {
-	return f.cfg.Early && f.claim.Fenced && f.claim.Node != "" && f.claim.Node != f.cfg.Self
+	return f.cfg.Early && f.claim.Fenced && f.claim.Controller != "" && f.claim.Controller != f.cfg.Self
 }
 
 // Opinion is what the controller tells its peers.
@@ -144,7 +144,7 @@
 	}
 	for _, label := range f.cfg.Members {
 		o, told := f.opinions[label]
-		if !told || label == f.cfg.Self || label == f.claim.Node || now-o.at > opinionLife || o.Term != f.claim.Term {
+		if !told || label == f.cfg.Self || label == f.claim.Controller || now-o.receivedAt > opinionLifetime || o.Term != f.claim.Term {
 			continue
 		}
 		if o.Suspected {
@@ -182,7 +182,7 @@
 	if f.confirmedAt == 0 {
 		f.confirmedAt = now
 	}
-	if now-f.seenAt < f.Pause() || now-f.confirmedAt < f.turn() {
+	if now-f.seenAt < f.MinTenure() || now-f.confirmedAt < f.claimDelay() {
 		return Prepare
 	}
 	return Replace
@@ -191,11 +191,11 @@
 // SuspectedAt is since when the controller has suspected the leader; 0: it does not.
 func (f *Follower) SuspectedAt() time.Duration { return f.suspectedAt }
 
-// Designated is the standby that the leader names; "" if none.
-func (f *Follower) Designated() string { return f.designated }
+// Standby is the standby that the leader names; "" if none.
+func (f *Follower) Standby() string { return f.standby }
 
-// Stands tells whether the leader has named this controller as its standby.
-func (f *Follower) Stands() bool { return f.watching() && f.designated == f.cfg.Self }
+// IsStandby tells whether the leader has named this controller as its standby.
+func (f *Follower) IsStandby() bool { return f.watching() && f.standby == f.cfg.Self }
 
 // Claim is that of the present leader.
 func (f *Follower) Claim() Claim { return f.claim }
@@ -203,20 +203,20 @@
 // Silence is how long the leader has not been heard.
 func (f *Follower) Silence(now time.Duration) time.Duration { return f.detector.Silence(now) }
 
-// turn is how long this controller leaves a confirmed failure to those before it: the
+// claimDelay is how long this controller leaves a confirmed failure to those before it: the
 // designated standby first, the others by label.
-func (f *Follower) turn() time.Duration {
-	if f.designated == f.cfg.Self {
+func (f *Follower) claimDelay() time.Duration {
+	if f.standby == f.cfg.Self {
 		return 0
 	}
 	before := 0
-	if f.designated != "" {
+	if f.standby != "" {
 		before++
 	}
 	for _, label := range f.cfg.Members {
-		if label < f.cfg.Self && label != f.claim.Node && label != f.designated {
+		if label < f.cfg.Self && label != f.claim.Controller && label != f.standby {
 			before++
 		}
 	}
-	return time.Duration(before) * turnPause
+	return time.Duration(before) * candidateDelay
 }
--- a/internal/standby/log.go
+++ b/internal/standby/log.go
@@ -124,7 +124,7 @@
 		}
 		fact, held := p.facts[key]
 		if !held {
-			fact = wire.Fact{Kind: key.kind, Name: key.name, Dropped: true}
+			fact = wire.Fact{Kind: key.kind, Name: key.name, Removed: true}
 		}
 		list = append(list, fact)
 		delete(p.dirty, key)
@@ -175,7 +175,7 @@
 // log to begin anew.
 func (r *Replica) Take(now time.Duration, leader Claim, m *wire.DecisionLog) wire.DecisionLogAck {
 	ack := wire.DecisionLogAck{Term: m.Term, Sequence: m.Sequence}
-	if m.From != leader.Node || m.Life != leader.Life || m.Term != leader.Term {
+	if m.From != leader.Controller || m.Life != leader.Incarnation || m.Term != leader.Term {
 		r.dropped++
 		ack.Resync = true
 		return ack
@@ -197,7 +197,7 @@
 	}
 	r.sequence = m.Sequence
 	for _, f := range facts {
-		if f.Dropped {
+		if f.Removed {
 			delete(r.facts, keyOf(&f))
 		} else {
 			r.facts[keyOf(&f)] = f
--- a/internal/standby/log_test.go
+++ b/internal/standby/log_test.go
@@ -14,7 +14,7 @@
 )
 
 // logClaim is the leader's claim in the tests of the log.
-var logClaim = Claim{Node: "a", Life: "a1", Term: 7}
+var logClaim = Claim{Controller: "a", Incarnation: "a1", Term: 7}
 
 func fact(name string, at int64) wire.Fact {
 	return wire.Fact{Kind: wire.FactIdle, Name: name, At: at}
@@ -73,7 +73,7 @@
 func TestLogConvertsTimes(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 7)
-	p.Publish([]wire.Fact{fact("x", 1500), {Kind: wire.FactRetiring, Name: "y"}})
+	p.Publish([]wire.Fact{fact("x", 1500), {Kind: wire.FactDraining, Name: "y"}})
 	_, m := p.Next(2*time.Second, "a", "a1")
 	r.Take(time.Hour, logClaim, m)
 	for _, f := range r.Of(7) {
--- a/internal/standby/pacing.go
+++ b/internal/standby/pacing.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// maxPause bounds the pause between takeovers, and with it how high a streak counts.
-const maxPause = 80 * time.Second
+// maxMinTenure bounds the pause between takeovers, and with it how high a streak counts.
+const maxMinTenure = 80 * time.Second
 
-// calmFactor is how many pauses a leader must have led for the streak to end with it.
-const calmFactor = 3
+// stableTenureFactor is how many pauses a leader must have led for the streak to end with it.
+const stableTenureFactor = 3
 
-// Pause is the least time for which the present leader leads before it is replaced early:
+// MinTenure is the least time for which the present leader leads before it is replaced early:
 // half its lease, about what a takeover takes, and twice as long with each early claim
 // that soon followed another. So a site whose leaders flap soon waits for leases as it
 // would without early takeovers.
-func (f *Follower) Pause() time.Duration { return pauseAfter(f.cfg.LeaseTTL, f.claim.Streak) }
+func (f *Follower) MinTenure() time.Duration { return minTenureAfter(f.cfg.LeaseTTL, f.claim.Streak) }
 
-// pauseAfter is the pause that follows a streak of early claims.
-func pauseAfter(leaseTTL time.Duration, streak int) time.Duration {
+// minTenureAfter is the pause that follows a streak of early claims.
+func minTenureAfter(leaseTTL time.Duration, streak int) time.Duration {
 	pause := leaseTTL / 2
 	for range streak {
-		if pause *= 2; pause >= maxPause {
-			return maxPause
+		if pause *= 2; pause >= maxMinTenure {
+			return maxMinTenure
 		}
 	}
 	return pause
@@ -28,7 +28,7 @@
 // Streak is that of a claim which replaces the present leader early: one more than the
 // present, or the first again where the present leader has led for a good while.
 func (f *Follower) Streak(now time.Duration) int {
-	if now-f.seenAt >= calmFactor*f.Pause() {
+	if now-f.seenAt >= stableTenureFactor*f.MinTenure() {
 		return 1
 	}
 	return f.claim.Streak + 1
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -15,7 +15,7 @@
 // minute ago and has sent heartbeats since, the last one at a minute.
 func follower(self string) *Follower {
 	f := NewFollower(Config{Self: self, Members: members, Early: true, LeaseTTL: leaseTTL})
-	f.Observe(0, Claim{Node: "a", Life: "a1", Term: 7, Fenced: true})
+	f.Observe(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
 	for at := time.Duration(0); at <= time.Minute; at += HeartbeatInterval {
 		f.Heartbeat(at, "a", "a1", 7, "b")
 	}
@@ -25,7 +25,7 @@
 // suspecting tells a follower of peers that suspect the leader.
 func (f *Follower) suspecting(now time.Duration, peers ...string) {
 	for _, p := range peers {
-		f.Told(now, p, Opinion{Term: 7, Suspected: true})
+		f.ReceiveOpinion(now, p, Opinion{Term: 7, Suspected: true})
 	}
 }
 
@@ -75,8 +75,8 @@
 	f.Heartbeat(now, "a", "a1", 6, "c")
 	f.Heartbeat(now, "a", "a0", 7, "c")
 	f.Heartbeat(now, "c", "a1", 7, "c")
-	if f.Silence(now) != 2*time.Second || f.Designated() != "b" {
-		t.Errorf("silence %v, standby %q", f.Silence(now), f.Designated())
+	if f.Silence(now) != 2*time.Second || f.Standby() != "b" {
+		t.Errorf("silence %v, standby %q", f.Silence(now), f.Standby())
 	}
 }
 
@@ -90,13 +90,13 @@
 		want Advice
 	}{
 		{"nobody told anything", func(*Follower) {}, Prepare},
-		{"one of two peers suspects", func(f *Follower) { f.suspecting(now, "c"); f.Told(now, "d", Opinion{Term: 7}) }, Prepare},
+		{"one of two peers suspects", func(f *Follower) { f.suspecting(now, "c"); f.ReceiveOpinion(now, "d", Opinion{Term: 7}) }, Prepare},
 		{"two peers suspect", func(f *Follower) { f.suspecting(now, "c", "d") }, Replace},
-		{"two suspect, one hears", func(f *Follower) { f.suspecting(now, "c", "d"); f.Told(now, "e", Opinion{Term: 7}) }, Replace},
-		{"what they told is old", func(f *Follower) { f.suspecting(now-opinionLife-1, "c", "d") }, Prepare},
+		{"two suspect, one hears", func(f *Follower) { f.suspecting(now, "c", "d"); f.ReceiveOpinion(now, "e", Opinion{Term: 7}) }, Replace},
+		{"what they told is old", func(f *Follower) { f.suspecting(now-opinionLifetime-1, "c", "d") }, Prepare},
 		{"they told of another term", func(f *Follower) {
-			f.Told(now, "c", Opinion{Term: 6, Suspected: true})
-			f.Told(now, "d", Opinion{Term: 6, Suspected: true})
+			f.ReceiveOpinion(now, "c", Opinion{Term: 6, Suspected: true})
+			f.ReceiveOpinion(now, "d", Opinion{Term: 6, Suspected: true})
 		}, Prepare},
 		{"one of them has ended", func(f *Follower) { f.suspecting(now, "c", "d"); f.Disconnected(now, "c") }, Prepare},
 		{"the leader suspects itself", func(f *Follower) { f.suspecting(now, "a", "c") }, Prepare},
@@ -121,9 +121,9 @@
 		t.Errorf("switched off: %v", got)
 	}
 	f = follower("b")
-	f.Observe(time.Minute, Claim{Node: "a", Life: "a1", Term: 8})
-	f.Told(now, "c", Opinion{Term: 8, Suspected: true})
-	f.Told(now, "d", Opinion{Term: 8, Suspected: true})
+	f.Observe(time.Minute, Claim{Controller: "a", Incarnation: "a1", Term: 8})
+	f.ReceiveOpinion(now, "c", Opinion{Term: 8, Suspected: true})
+	f.ReceiveOpinion(now, "d", Opinion{Term: 8, Suspected: true})
 	if got := f.Advise(now); got != Follow {
 		t.Errorf("not fenced: %v", got)
 	}
@@ -142,7 +142,7 @@
 		}
 		f.suspecting(now, others...)
 		f.Advise(now)
-		turn := time.Duration(i) * turnPause
+		turn := time.Duration(i) * candidateDelay
 		if i > 0 && f.Advise(now+turn-1) != Prepare {
 			t.Errorf("%s goes before its turn", self)
 		}
@@ -156,28 +156,28 @@
 func TestPacing(t *testing.T) {
 	f := follower("b")
 	now := time.Minute
-	for streak, pause := range []time.Duration{2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second, maxPause, maxPause} {
-		f.Observe(now, Claim{Node: "a", Life: "a1", Term: uint64(10 + streak), Fenced: true, Streak: streak})
-		if f.Pause() != pause || f.Streak(now+calmFactor*pause-1) != streak+1 || f.Streak(now+calmFactor*pause) != 1 {
-			t.Errorf("streak %d: pause %v, next %d, after calm %d", streak, f.Pause(), f.Streak(now+calmFactor*pause-1), f.Streak(now+calmFactor*pause))
+	for streak, pause := range []time.Duration{2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second, maxMinTenure, maxMinTenure} {
+		f.Observe(now, Claim{Controller: "a", Incarnation: "a1", Term: uint64(10 + streak), Fenced: true, Streak: streak})
+		if f.MinTenure() != pause || f.Streak(now+stableTenureFactor*pause-1) != streak+1 || f.Streak(now+stableTenureFactor*pause) != 1 {
+			t.Errorf("streak %d: pause %v, next %d, after calm %d", streak, f.MinTenure(), f.Streak(now+stableTenureFactor*pause-1), f.Streak(now+stableTenureFactor*pause))
 		}
 		failed := now + pause/2
 		for at := now; at <= failed; at += HeartbeatInterval {
 			f.Heartbeat(at, "a", "a1", uint64(10+streak), "b")
 		}
 		for _, at := range []time.Duration{now + pause - 1, max(now+pause, failed+SilenceTimeout+HeartbeatInterval)} {
-			f.Told(at, "c", Opinion{Term: uint64(10 + streak), Suspected: true})
-			f.Told(at, "d", Opinion{Term: uint64(10 + streak), Suspected: true})
+			f.ReceiveOpinion(at, "c", Opinion{Term: uint64(10 + streak), Suspected: true})
+			f.ReceiveOpinion(at, "d", Opinion{Term: uint64(10 + streak), Suspected: true})
 			if got := f.Advise(at); (got == Replace) != (at >= now+pause) {
 				t.Errorf("streak %d, after %v: %v", streak, at-now, got)
 			}
 		}
-		now += 10 * maxPause
+		now += 10 * maxMinTenure
 	}
 }
 
 func TestElect(t *testing.T) {
-	fit := func(label string) Candidate { return Candidate{Label: label, Served: true} }
+	fit := func(label string) Candidate { return Candidate{Name: label, StoreOK: true} }
 	cases := []struct {
 		present    string
 		candidates []Candidate
@@ -185,8 +185,8 @@
 	}{
 		{"", []Candidate{fit("c"), fit("b")}, "b"},
 		{"c", []Candidate{fit("b"), fit("c")}, "c"},
-		{"c", []Candidate{fit("b"), {Label: "c"}}, "b"},
-		{"c", []Candidate{{Label: "b", Served: true, CutOff: true}, {Label: "c", Served: true, Silent: fitFor}, fit("d")}, "d"},
+		{"c", []Candidate{fit("b"), {Name: "c"}}, "b"},
+		{"c", []Candidate{{Name: "b", StoreOK: true, CutOff: true}, {Name: "c", StoreOK: true, Silence: maxCandidateSilence}, fit("d")}, "d"},
 		{"c", nil, ""},
 	}
 	for _, c := range cases {
@@ -198,7 +198,7 @@
 
 // The sum that the fence rests on.
 func TestFenceInequality(t *testing.T) {
-	if MaxLeaseAge+ProofValidity(leaseTTL)+CallTravel+drift(leaseTTL) > leaseTTL {
+	if MaxLeaseAge+ProofValidity(leaseTTL)+CallTransit+drift(leaseTTL) > leaseTTL {
 		t.Error("a replaced leader's last call may come after the lease of the next has ended")
 	}
 	if ProofValidity(leaseTTL) < 3*ProofInterval {
@@ -230,7 +230,7 @@
 			early := leader > 0 && opens > 0
 			openClock := time.Duration(0)
 			if early {
-				openClock = clock(seenAt) + CloudWait(leaseTTL)
+				openClock = clock(seenAt) + CloudFenceTime(leaseTTL)
 			}
 			fence.Begin(clock(seenAt), leaseTTL, openClock)
 			replacedAt := claimedAt + between("leads", 0, 12*time.Second)
@@ -240,12 +240,12 @@
 				if fence.Due(clock(at)) {
 					carriedOut := at + between("proof", time.Millisecond, 1500*time.Millisecond)
 					if carriedOut < replacedAt {
-						fence.Proven(clock(at), 1)
+						fence.AddProof(clock(at), 1)
 						fence.Settle(1)
 					}
 				}
-				if fence.Right(clock(at)) > 0 {
-					calls = append(calls, cloudCall{leader, at + between("travel", 0, CallTravel)})
+				if fence.RemainingCallTime(clock(at)) > 0 {
+					calls = append(calls, cloudCall{leader, at + between("travel", 0, CallTransit)})
 				}
 			}
 			if claimedAt = replacedAt; byLease {
@@ -275,17 +275,17 @@
 func TestProofsSettle(t *testing.T) {
 	var f Fence
 	f.Begin(time.Second, leaseTTL, 0)
-	f.Proven(time.Second, 9)
+	f.AddProof(time.Second, 9)
 	f.Settle(8)
-	if f.CaughtUp() || f.Right(time.Second) > 0 {
+	if f.CaughtUp() || f.RemainingCallTime(time.Second) > 0 {
 		t.Error("a proof counts before its revision is reached")
 	}
 	f.Settle(9)
-	if right := f.Right(2 * time.Second); !f.CaughtUp() || right != ProofValidity(leaseTTL)-time.Second {
+	if right := f.RemainingCallTime(2 * time.Second); !f.CaughtUp() || right != ProofValidity(leaseTTL)-time.Second {
 		t.Errorf("right for %v", right)
 	}
 	f.Resumed(3 * time.Second)
-	if f.CaughtUp() || f.Right(3*time.Second) > 0 || !f.Due(3*time.Second) {
+	if f.CaughtUp() || f.RemainingCallTime(3*time.Second) > 0 || !f.Due(3*time.Second) {
 		t.Error("a proof outlives a pause")
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -23,13 +23,13 @@
 
 // Client is the adapter. Post delivers results to the core.
 type Client struct {
-	base  string
-	http  *http.Client
-	watch *http.Client
-	bulk  *rate.Limiter // requests that may wait
-	slots chan struct{}
-	pause time.Duration // between two watches
-	post  func(core.Input)
+	base          string
+	http          *http.Client
+	watch         *http.Client
+	background    *rate.Limiter // requests that may wait
+	inFlight      chan struct{}
+	watchInterval time.Duration // between two watches
+	post          func(core.Input)
 }
 
 // New makes a client that stays within its share of the service's limits.
@@ -47,23 +47,23 @@
 		watch: &http.Client{Transport: transport(2), Timeout: 4500 * time.Millisecond},
 		// The core keeps to its share of the puts; this keeps any one
 		// controller from using up the requests.
-		bulk:  rate.NewLimiter(rate.Limit(rps*min(1, 2/float64(members))), max(1, int(rps/4))),
-		slots: make(chan struct{}, 24),
+		background: rate.NewLimiter(rate.Limit(rps*min(1, 2/float64(members))), max(1, int(rps/4))),
+		inFlight:   make(chan struct{}, 24),
 		// Changes come in bursts; a short pause gathers them. All watches
 		// together take at most a third of the service's requests.
-		pause: max(40*time.Millisecond, time.Duration(float64(3*members)/rps*float64(time.Second))),
-		post:  post,
+		watchInterval: max(40*time.Millisecond, time.Duration(float64(3*members)/rps*float64(time.Second))),
+		post:          post,
 	}
 }
 
-type cond struct {
-	Key string `msgpack:"k"`
-	Rev uint64 `msgpack:"key_rev"`
+type condition struct {
+	Key      string `msgpack:"k"`
+	Revision uint64 `msgpack:"key_rev"`
 }
 
 type commitBody struct {
-	If     []cond  `msgpack:"if"`
-	Writes []write `msgpack:"writes,omitempty"`
+	If     []condition `msgpack:"if"`
+	Writes []write     `msgpack:"writes,omitempty"`
 }
 
 // write puts or drops a key.
@@ -74,60 +74,60 @@
 	Drop  string `msgpack:"drop,omitempty"`
 }
 
-type answer struct {
-	Rev    uint64             `msgpack:"ledger_rev"`
-	Value  msgpack.RawMessage `msgpack:"v"`
-	KeyRev uint64             `msgpack:"key_rev"`
-	Lease  uint64             `msgpack:"permit"`
-	Failed []string           `msgpack:"failed"`
-	Error  string             `msgpack:"error"`
+type response struct {
+	Revision    uint64             `msgpack:"ledger_rev"`
+	Value       msgpack.RawMessage `msgpack:"v"`
+	KeyRevision uint64             `msgpack:"key_rev"`
+	Lease       uint64             `msgpack:"permit"`
+	Failed      []string           `msgpack:"failed"`
+	Error       string             `msgpack:"error"`
 
-	limited bool // 429 was seen
+	rateLimited bool // 429 was seen
 }
 
-// noLease is what the service says of a put under a lease that has ended. Any other
+// leaseExpiredText is what the service says of a put under a lease that has ended. Any other
 // fault that it finds in a transaction of ours is that it is too large.
-const noLease = "no such lease"
+const leaseExpiredText = "no such lease"
 
 // Commit runs a transaction.
 func (c *Client) Commit(q core.Commit) {
 	go func() {
-		if q.Class == core.Bulk {
+		if q.Class == core.ClassBackground {
 			ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
 			defer stop()
-			if c.bulk.Wait(ctx) != nil {
+			if c.background.Wait(ctx) != nil {
 				c.post(core.Committed{ID: q.ID, Outcome: core.Refused})
 				return
 			}
 		}
-		var a answer
-		out := c.call(q.Class, http.MethodPost, "/commit", commitRequest(q.If, q.Writes), &a)
-		c.post(core.Committed{ID: q.ID, Outcome: out, Rev: a.Rev, Failed: a.Failed, Limited: a.limited})
+		var a response
+		out := c.call(q.Class, http.MethodPost, "/commit", commitRequest(q.Conditions, q.Writes), &a)
+		c.post(core.Committed{ID: q.ID, Outcome: out, Revision: a.Revision, Failed: a.Failed, Limited: a.rateLimited})
 	}()
 }
 
 // commitRequest is the body of a transaction.
-func commitRequest(conds []core.Cond, writes []core.Write) commitBody {
-	body := commitBody{If: []cond{}}
+func commitRequest(conds []core.Condition, writes []core.Write) commitBody {
+	body := commitBody{If: []condition{}}
 	for _, x := range conds {
-		body.If = append(body.If, cond{x.Key, x.Rev})
+		body.If = append(body.If, condition{x.Key, x.Revision})
 	}
 	for _, w := range writes {
 		if w.Value == nil {
 			body.Writes = append(body.Writes, write{Drop: w.Key})
 		} else {
-			body.Writes = append(body.Writes, write{Put: w.Key, Value: w.Value, Lease: w.Lease})
+			body.Writes = append(body.Writes, write{Put: w.Key, Value: w.Value, Lease: w.LeaseID})
 		}
 	}
 	return body
 }
 
 // Read fetches the record of a job.
-func (c *Client) Read(q core.Read) {
+func (c *Client) Read(q core.ReadJob) {
 	go func() {
-		var a answer
-		out := c.call(core.User, http.MethodGet, "/store/"+wire.JobKey(q.Ref), nil, &a)
-		r := core.GotJob{ID: q.ID, Outcome: out, Rev: a.KeyRev}
+		var a response
+		out := c.call(core.ClassUser, http.MethodGet, "/store/"+wire.JobKey(q.JobID), nil, &a)
+		r := core.JobRead{ID: q.ID, Outcome: out, Revision: a.KeyRevision}
 		if out == core.OK {
 			r.Job = new(wire.Job)
 			if err := wire.Decode(a.Value, r.Job); err != nil {
@@ -139,29 +139,29 @@
 }
 
 // Lease creates or extends a lease.
-func (c *Client) Lease(q core.Lease) {
+func (c *Client) Lease(q core.RenewLease) {
 	go func() {
-		var a answer
+		var a response
 		var out core.Outcome
-		if q.Lease == 0 {
-			out = c.call(core.Vital, http.MethodPost, "/grants", map[string]int64{"life_ms": q.TTL.Milliseconds()}, &a)
+		if q.LeaseID == 0 {
+			out = c.call(core.ClassLease, http.MethodPost, "/grants", map[string]int64{"life_ms": q.TTL.Milliseconds()}, &a)
 		} else {
-			out = c.call(core.Vital, http.MethodPost, fmt.Sprintf("/grants/%d/extend", q.Lease), nil, &a)
+			out = c.call(core.ClassLease, http.MethodPost, fmt.Sprintf("/grants/%d/extend", q.LeaseID), nil, &a)
 		}
-		if out == core.OK && q.Lease == 0 && a.Lease == 0 {
+		if out == core.OK && q.LeaseID == 0 && a.Lease == 0 {
 			out = core.Unknown
 		}
-		c.post(core.Leased{ID: q.ID, Outcome: out, Lease: a.Lease})
+		c.post(core.LeaseAnswered{ID: q.ID, Outcome: out, LeaseID: a.Lease})
 	}()
 }
 
 // call sends a request and says what is certain about it.
-func (c *Client) call(class core.Class, method, path string, body, into any) core.Outcome {
+func (c *Client) call(class core.RequestClass, method, path string, body, into any) core.Outcome {
 	select {
-	case c.slots <- struct{}{}:
-		defer func() { <-c.slots }()
+	case c.inFlight <- struct{}{}:
+		defer func() { <-c.inFlight }()
 	case <-time.After(time.Second):
-		if class != core.Vital {
+		if class != core.ClassLease {
 			return core.Refused
 		}
 	}
@@ -176,18 +176,18 @@
 		case http.StatusConflict:
 			return core.Conflict
 		case http.StatusNotFound:
-			return core.Missing
+			return core.NotFound
 		case http.StatusBadRequest:
-			if a, ok := into.(*answer); ok && a.Error != noLease {
+			if a, ok := into.(*response); ok && a.Error != leaseExpiredText {
 				return core.TooLarge
 			}
-			return core.BadLease
+			return core.LeaseExpired
 		case http.StatusTooManyRequests:
-			if a, ok := into.(*answer); ok {
-				a.limited = true
+			if a, ok := into.(*response); ok {
+				a.rateLimited = true
 			}
 			// What may wait is better decided anew.
-			if try < 4 && class != core.Bulk {
+			if try < 4 && class != core.ClassBackground {
 				time.Sleep(time.Duration(100+rand.IntN(150)*(try+1)) * time.Millisecond)
 				continue
 			}
@@ -232,23 +232,23 @@
 	return resp.StatusCode, nil
 }
 
-// listPage is how many records a page of a listing holds: the service allows 1,000 and
+// listPageSize is how many records a page of a listing holds: the service allows 1,000 and
 // 512 KiB, and a record may have 16 KiB, though most are far smaller.
-const listPage = "500"
+const listPageSize = "500"
 
-type row struct {
-	Key  string             `msgpack:"k"`
-	Val  msgpack.RawMessage `msgpack:"v"`
-	Rev  uint64             `msgpack:"key_rev"`
-	Put  string             `msgpack:"put"`
-	Drop string             `msgpack:"drop"`
+type keyValue struct {
+	Key      string             `msgpack:"k"`
+	Value    msgpack.RawMessage `msgpack:"v"`
+	Revision uint64             `msgpack:"key_rev"`
+	Put      string             `msgpack:"put"`
+	Drop     string             `msgpack:"drop"`
 }
 
-type listing struct {
-	Rows   []row  `msgpack:"rows"`
-	More   bool   `msgpack:"has_next"`
-	Rev    uint64 `msgpack:"ledger_rev"`
-	Events []row  `msgpack:"events"`
+type page struct {
+	Rows     []keyValue `msgpack:"rows"`
+	HasNext  bool       `msgpack:"has_next"`
+	Revision uint64     `msgpack:"ledger_rev"`
+	Events   []keyValue `msgpack:"events"`
 }
 
 // Watch follows all records until ctx ends, from a full listing on.
@@ -262,24 +262,24 @@
 				continue
 			}
 		}
-		var l listing
+		var l page
 		q := url.Values{"starts": {wire.Prefix}, "from": {strconv.FormatUint(rev, 10)}, "block_ms": {"3000"}}
 		status, err := c.send(c.watch, http.MethodGet, "/watch?"+q.Encode(), nil, &l)
 		switch {
 		case err != nil:
 			time.Sleep(100 * time.Millisecond)
 		case status == http.StatusOK:
-			ch := core.Changes{Rev: max(rev, l.Rev)}
+			ch := core.RecordsChanged{Revision: max(rev, l.Revision)}
 			for _, e := range l.Events {
 				if e.Drop != "" {
-					ch.Events = append(ch.Events, core.Event{Key: e.Drop, Rev: e.Rev})
-				} else if v, err := wire.DecodeRecord(e.Put, e.Val); err == nil && v != nil {
-					ch.Events = append(ch.Events, core.Event{Key: e.Put, Rev: e.Rev, Value: v})
+					ch.Events = append(ch.Events, core.Event{Key: e.Drop, Revision: e.Revision})
+				} else if v, err := wire.DecodeRecord(e.Put, e.Value); err == nil && v != nil {
+					ch.Events = append(ch.Events, core.Event{Key: e.Put, Revision: e.Revision, Value: v})
 				}
 			}
-			rev = ch.Rev
+			rev = ch.Revision
 			c.post(ch)
-			time.Sleep(c.pause)
+			time.Sleep(c.watchInterval)
 		case status == http.StatusGone:
 			listed = false
 		default:
@@ -292,29 +292,29 @@
 // on from the first one's, and the core acts once it has reached the last's.
 func (c *Client) list() (uint64, bool) {
 	var from string
-	ch := core.Changes{Reset: true}
+	ch := core.RecordsChanged{Reset: true}
 	for first := true; ; first = false {
-		q := url.Values{"starts": {wire.Prefix}, "limit": {listPage}}
+		q := url.Values{"starts": {wire.Prefix}, "limit": {listPageSize}}
 		if from != "" {
 			q.Set("from", from)
 		}
-		var l listing
+		var l page
 		if status, err := c.send(c.http, http.MethodGet, "/store?"+q.Encode(), nil, &l); err != nil || status != 200 {
 			return 0, false
 		}
 		if first {
-			ch.Rev = l.Rev
+			ch.Revision = l.Revision
 		}
 		for _, r := range l.Rows {
 			from = r.Key
-			if v, err := wire.DecodeRecord(r.Key, r.Val); err == nil && v != nil {
-				ch.Events = append(ch.Events, core.Event{Key: r.Key, Rev: r.Rev, Value: v})
+			if v, err := wire.DecodeRecord(r.Key, r.Value); err == nil && v != nil {
+				ch.Events = append(ch.Events, core.Event{Key: r.Key, Revision: r.Revision, Value: v})
 			}
 		}
-		if !l.More || len(l.Rows) == 0 {
+		if !l.HasNext || len(l.Rows) == 0 {
 			break
 		}
 	}
 	c.post(ch)
-	return ch.Rev, true
+	return ch.Revision, true
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -53,7 +53,7 @@
 		says   string
 		want   core.Outcome
 		rev    uint64
-	}{{200, "", core.OK, 7}, {409, "", core.Conflict, 7}, {400, "no such lease", core.BadLease, 7}, {400, "value too large", core.TooLarge, 7},
+	}{{200, "", core.OK, 7}, {409, "", core.Conflict, 7}, {400, "no such lease", core.LeaseExpired, 7}, {400, "value too large", core.TooLarge, 7},
 		{400, "", core.TooLarge, 7}, {503, "", core.Refused, 0}, {500, "", core.Unknown, 0}} {
 		var seen map[string]any
 		s, got := standIn(t, func(w http.ResponseWriter, r *http.Request) {
@@ -63,9 +63,9 @@
 			}
 			reply(w, c.status, map[string]any{"ledger_rev": 7, "error": c.says})
 		})
-		s.Commit(core.Commit{ID: 3, If: []core.Cond{{Key: "m/a", Rev: 5}}, Writes: []core.Write{
-			{Key: "m/p/x", Value: &wire.Part{Owner: "n0"}, Lease: 9}, {Key: "m/b"}}})
-		if r := next[core.Committed](t, got); r.ID != 3 || r.Outcome != c.want || r.Rev != c.rev {
+		s.Commit(core.Commit{ID: 3, Conditions: []core.Condition{{Key: "m/a", Revision: 5}}, Writes: []core.Write{
+			{Key: "m/p/x", Value: &wire.Shard{Owner: "n0"}, LeaseID: 9}, {Key: "m/b"}}})
+		if r := next[core.Committed](t, got); r.ID != 3 || r.Outcome != c.want || r.Revision != c.rev {
 			t.Errorf("status %d: got %+v", c.status, r)
 		}
 		writes := seen["writes"].([]any)
@@ -87,7 +87,7 @@
 			c.Close()
 		}
 	})
-	s.Commit(core.Commit{ID: 1, Class: core.User, Writes: []core.Write{{Key: "m/b"}}})
+	s.Commit(core.Commit{ID: 1, Class: core.ClassUser, Writes: []core.Write{{Key: "m/b"}}})
 	if r := next[core.Committed](t, got); r.Outcome != core.Unknown {
 		t.Errorf("got %+v", r)
 	}
@@ -106,8 +106,8 @@
 		}
 		reply(w, 200, map[string]any{"v": map[string]any{"st": 1, "n": 4}, "key_rev": 12})
 	})
-	s.Read(core.Read{ID: 2, Ref: "wk-1"})
-	if r := next[core.GotJob](t, got); r.Outcome != core.OK || r.Rev != 12 || r.Job.State != wire.Done || r.Job.Frames != 4 {
+	s.Read(core.ReadJob{ID: 2, JobID: "wk-1"})
+	if r := next[core.JobRead](t, got); r.Outcome != core.OK || r.Revision != 12 || r.Job.State != wire.JobDone || r.Job.TaskCount != 4 {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -123,16 +123,16 @@
 			reply(w, 404, map[string]any{})
 		}
 	})
-	s.Lease(core.Lease{ID: 1, TTL: 5 * time.Second})
-	if r := next[core.Leased](t, got); r.Outcome != core.OK || r.Lease != 41 {
+	s.Lease(core.RenewLease{ID: 1, TTL: 5 * time.Second})
+	if r := next[core.LeaseAnswered](t, got); r.Outcome != core.OK || r.LeaseID != 41 {
 		t.Errorf("got %+v", r)
 	}
-	s.Lease(core.Lease{ID: 2, Lease: 41})
-	if r := next[core.Leased](t, got); r.Outcome != core.OK {
+	s.Lease(core.RenewLease{ID: 2, LeaseID: 41})
+	if r := next[core.LeaseAnswered](t, got); r.Outcome != core.OK {
 		t.Errorf("got %+v", r)
 	}
-	s.Lease(core.Lease{ID: 3, Lease: 42})
-	if r := next[core.Leased](t, got); r.Outcome != core.Missing {
+	s.Lease(core.RenewLease{ID: 3, LeaseID: 42})
+	if r := next[core.LeaseAnswered](t, got); r.Outcome != core.NotFound {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -170,17 +170,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go s.Watch(ctx)
-	if c := next[core.Changes](t, got); !c.Reset || c.Rev != 0 || len(c.Events) != 0 {
+	if c := next[core.RecordsChanged](t, got); !c.Reset || c.Revision != 0 || len(c.Events) != 0 {
 		t.Errorf("first listing: %+v", c)
 	}
-	c := next[core.Changes](t, got)
-	if c.Reset || c.Rev != 2 || len(c.Events) != 2 || c.Events[0].Value.(*wire.Job).Frames != 2 || c.Events[1].Value != nil {
+	c := next[core.RecordsChanged](t, got)
+	if c.Reset || c.Revision != 2 || len(c.Events) != 2 || c.Events[0].Value.(*wire.Job).TaskCount != 2 || c.Events[1].Value != nil {
 		t.Errorf("events: %+v", c)
 	}
-	if c := next[core.Changes](t, got); !c.Reset || c.Rev != 20 || len(c.Events) != 2 {
+	if c := next[core.RecordsChanged](t, got); !c.Reset || c.Revision != 20 || len(c.Events) != 2 {
 		t.Errorf("second listing: %+v", c)
 	}
-	if c := next[core.Changes](t, got); c.Reset || c.Rev != 22 {
+	if c := next[core.RecordsChanged](t, got); c.Reset || c.Revision != 22 {
 		t.Errorf("after it: %+v", c)
 	}
 }
--- a/internal/store/tool.go
+++ b/internal/store/tool.go
@@ -10,16 +10,16 @@
 	"micaport/internal/wire"
 )
 
-// Tool reads and changes records for an operator's command, one request at a time.
-type Tool struct{ client *Client }
+// AdminClient reads and changes records for an operator's command, one request at a time.
+type AdminClient struct{ client *Client }
 
-// toolRPS is what a command asks of the state service at most: little, beside the
+// adminRPS is what a command asks of the state service at most: little, beside the
 // controllers that serve.
-const toolRPS = 4
+const adminRPS = 4
 
-// NewTool makes a tool for the state service at an address.
-func NewTool(addr string) *Tool {
-	return &Tool{New(addr, 1, toolRPS, func(core.Input) {})}
+// NewAdminClient makes a tool for the state service at an address.
+func NewAdminClient(addr string) *AdminClient {
+	return &AdminClient{New(addr, 1, adminRPS, func(core.Input) {})}
 }
 
 // Faults of requests to the state service.
@@ -30,11 +30,11 @@
 )
 
 // List reads all records below a prefix, by key.
-func (t *Tool) List(prefix string) (map[string]core.Event, error) {
+func (t *AdminClient) List(prefix string) (map[string]core.Event, error) {
 	records := map[string]core.Event{}
-	query := url.Values{"starts": {prefix}, "limit": {listPage}}
+	query := url.Values{"starts": {prefix}, "limit": {listPageSize}}
 	for {
-		var page listing
+		var page page
 		status, err := t.client.send(t.client.http, http.MethodGet, "/store?"+query.Encode(), nil, &page)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
@@ -44,20 +44,20 @@
 		}
 		for _, r := range page.Rows {
 			query.Set("from", r.Key)
-			if value, err := wire.DecodeRecord(r.Key, r.Val); err == nil && value != nil {
-				records[r.Key] = core.Event{Key: r.Key, Rev: r.Rev, Value: value}
+			if value, err := wire.DecodeRecord(r.Key, r.Value); err == nil && value != nil {
+				records[r.Key] = core.Event{Key: r.Key, Revision: r.Revision, Value: value}
 			}
 		}
-		if !page.More || len(page.Rows) == 0 {
+		if !page.HasNext || len(page.Rows) == 0 {
 			return records, nil
 		}
 	}
 }
 
 // Commit runs a transaction.
-func (t *Tool) Commit(conds []core.Cond, writes []core.Write) error {
-	var a answer
-	switch out := t.client.call(core.User, http.MethodPost, "/commit", commitRequest(conds, writes), &a); out {
+func (t *AdminClient) Commit(conds []core.Condition, writes []core.Write) error {
+	var a response
+	switch out := t.client.call(core.ClassUser, http.MethodPost, "/commit", commitRequest(conds, writes), &a); out {
 	case core.OK:
 		return nil
 	case core.Conflict:
--- a/internal/wire/account.go
+++ b/internal/wire/account.go
@@ -4,8 +4,8 @@
 
 // Resources are quantities of cores and cards.
 type Resources struct {
-	Cores float64 `msgpack:"c,omitempty"`
-	Cards float64 `msgpack:"g,omitempty"`
+	Cores float64 `msgpack:"c,omitempty" json:"Cores"`
+	GPUs  float64 `msgpack:"g,omitempty" json:"Cards"` // the name in printed JSON stays
 }
 
 // Account is the record of a team's limit and of how it is shared among the parts of the
@@ -22,9 +22,9 @@
 
 // Share is how much of a team's limit a part may admit by itself.
 type Share struct {
-	Part  int     `msgpack:"p"`
-	Cores float64 `msgpack:"c,omitempty"`
-	Cards float64 `msgpack:"g,omitempty"`
+	Shard int     `msgpack:"p"`
+	Cores float64 `msgpack:"c,omitempty" json:"Cores"`
+	GPUs  float64 `msgpack:"g,omitempty" json:"Cards"` // the name in printed JSON stays
 }
 
 // AccountKey is the key of a team's account. Names may hold what keys must not.
--- a/internal/wire/active_test.go
+++ b/internal/wire/active_test.go
@@ -15,12 +15,12 @@
 func TestActivesRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		var in Actives
+		var in ActiveTasks
 		for task, end := rng.IntN(50), rng.IntN(3000); task < end; {
-			a := Active{Task: task, Attempt: uint64(1 + rng.IntN(9999)), Part: rng.IntN(20), Host: "vm-0" + string(rune('0'+rng.IntN(10))),
-				Session: uint64(rng.IntN(3)), Stop: StopMark(rng.IntN(3))}
+			a := ActiveTask{Task: task, Attempt: uint64(1 + rng.IntN(9999)), Shard: rng.IntN(20), Machine: "vm-0" + string(rune('0'+rng.IntN(10))),
+				Epoch: uint64(rng.IntN(3)), Stop: StopRequest(rng.IntN(3))}
 			if rng.IntN(4) == 0 {
-				a.Host, a.Session = "", 0
+				a.Machine, a.Epoch = "", 0
 			}
 			for range 1 + rng.IntN(40) {
 				in = append(in, a)
@@ -28,7 +28,7 @@
 			}
 			task = a.Task + rng.IntN(3)
 		}
-		b, err := Encode(&Job{Frames: 3000, Active: in})
+		b, err := Encode(&Job{TaskCount: 3000, ActiveTasks: in})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,13 +36,13 @@
 		if err := Decode(b, &out); err != nil {
 			t.Fatal(err)
 		}
-		byTask := func(l Actives) Actives {
-			l = append(Actives(nil), l...)
+		byTask := func(l ActiveTasks) ActiveTasks {
+			l = append(ActiveTasks(nil), l...)
 			sort.Slice(l, func(i, k int) bool { return l[i].Task < l[k].Task })
 			return l
 		}
-		if len(in) > 0 && !reflect.DeepEqual(byTask(in), byTask(out.Active)) {
-			t.Fatalf("%d tasks came back as %d others", len(in), len(out.Active))
+		if len(in) > 0 && !reflect.DeepEqual(byTask(in), byTask(out.ActiveTasks)) {
+			t.Fatalf("%d tasks came back as %d others", len(in), len(out.ActiveTasks))
 		}
 		var raw map[string]any
 		if err := msgpack.Unmarshal(b, &raw); err != nil {
@@ -57,7 +57,7 @@
 func TestActivesRefuseBadRuns(t *testing.T) {
 	for _, bad := range []any{
 		[]any{[]any{0, 1, 0, []any{5, 1, "vm-1", 0}}},
-		[]any{[]any{0, 1, 0, []any{5, 1, "vm-1", MaxFrames + 1}}},
+		[]any{[]any{0, 1, 0, []any{5, 1, "vm-1", MaxTasks + 1}}},
 		[]any{[]any{0, 1, 0, []any{5, 1}}},
 		[]any{5},
 	} {
--- a/internal/wire/decision_log.go
+++ b/internal/wire/decision_log.go
@@ -13,38 +13,38 @@
 
 // Kinds of facts. Their numbers stay: other versions read them.
 const (
-	FactBooting     FactKind = 1  // a machine rented and not up; At: when it was rented
-	FactHire        FactKind = 2  // a hire under way, by the name of its request; At: when it was decided
-	FactBoot        FactKind = 3  // a machine that came up; At: when it was rented, Ratio: to its type's boot time
-	FactBackoff     FactKind = 4  // a pool that is left alone until At
-	FactShort       FactKind = 5  // a pool that had too few machines at At
-	FactIdle        FactKind = 6  // a machine idle since At
-	FactRetiring    FactKind = 7  // a machine to go back
-	FactUnheard     FactKind = 8  // a machine listed as running since At that nobody has heard of
-	FactKept        FactKind = 9  // a machine kept for the job Ref
-	FactReturned    FactKind = 10 // a machine gone back at At
-	FactBlocked     FactKind = 11 // a job that has not had room since At
-	FactGangZone    FactKind = 12 // the zone in which room is made for a gang
-	FactPreemptedAt FactKind = 13 // a job for which nothing is stopped before At
-	FactPlace       FactKind = 14 // a gang that is being tried and had waited since At; Count: attempts dropped
+	FactBooting          FactKind = 1  // a machine rented and not up; At: when it was rented
+	FactProvisioning     FactKind = 2  // a hire under way, by the name of its request; At: when it was decided
+	FactBootTime         FactKind = 3  // a machine that came up; At: when it was rented, Ratio: to its type's boot time
+	FactBackoff          FactKind = 4  // a pool that is left alone until At
+	FactCapacityShortage FactKind = 5  // a pool that had too few machines at At
+	FactIdle             FactKind = 6  // a machine idle since At
+	FactDraining         FactKind = 7  // a machine to go back
+	FactUnreported       FactKind = 8  // a machine listed as running since At that nobody has heard of
+	FactReserved         FactKind = 9  // a machine kept for the job Ref
+	FactReturned         FactKind = 10 // a machine gone back at At
+	FactWaitingSince     FactKind = 11 // a job that has not had room since At
+	FactGangZone         FactKind = 12 // the zone in which room is made for a gang
+	FactPreemptedAt      FactKind = 13 // a job for which nothing is stopped before At
+	FactQueuePosition    FactKind = 14 // a gang that is being tried and had waited since At; Count: attempts dropped
 )
 
 // Fact is one thing that only the leader knows, named by its kind and name. Times are in
 // milliseconds of the leader's steady clock.
 type Fact struct {
 	//lint:ignore U1000 the MessagePack library reads the options in its tag
-	_msgpack struct{} `msgpack:",as_array"`
-	Kind     FactKind
-	Name     string
-	Dropped  bool // it holds no longer; the rest is empty
-	At       int64
-	Rig      string
-	Zone     string
-	Spot     bool
-	Count    int
-	Ratio    float64
-	Ref      string
-	Seen     bool
+	_msgpack    struct{} `msgpack:",as_array"`
+	Kind        FactKind
+	Name        string
+	Removed     bool // it holds no longer; the rest is empty
+	At          int64
+	MachineType string
+	Zone        string
+	Spot        bool
+	Count       int
+	Ratio       float64
+	JobID       string
+	Seen        bool
 }
 
 // ErrTooManyFacts says that a list of facts claims to be longer than any that is sent.
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -13,24 +13,24 @@
 // What format 1 looks like: testdata/format1 was written by the version that is in
 // production, see the README there. Spelled out here as this version reads it.
 func format1() map[string]any {
-	spec := &Spec{Ref: "wk-000412", Class: "train", Team: "vision", Shape: "array", Urgency: "high", Frames: 16, Cores: 8, Cards: 1, MemoryGB: 64,
-		Image: "img-07", ImageGB: 6.2, Rigs: []string{"g8"}, Zone: "a", SameZone: true, Spot: true, ExpectedS: 240, CheckpointS: 30, SaveS: 4, DueS: 900}
+	spec := &JobSpec{ID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "high", TaskCount: 16, Cores: 8, GPUs: 1, MemoryGB: 64,
+		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, AllowSpot: true, ExpectedS: 240, CheckpointIntervalS: 30, CheckpointTimeS: 4, DeadlineS: 900}
 	g := &Gossip{From: "stanok-2", Life: "9-1-1", UpS: 12.5, StoreOK: true, Parts: []int{1}, Terms: []uint64{44},
-		Seen: map[string]Seen{"stanok-0": {Life: "7-98-1", Ver: 8}}, Need: 3, Since: 2, Ver: 9, Names: []string{"a", "g8", "img-01"},
-		Hosts: []HostInfo{{Name: "vm-000003", Rig: 1, Zone: 0, Flags: FlagSpot, Images: []int{2}}},
-		Holds: []Hold{{Ref: "wk-000412", Attempt: 3, Part: 1, OK: true}}, Tries: []Hold{{Ref: "wk-000412", Attempt: 3}},
-		Kept: []Kept{{Host: "vm-000003", Ref: "wk-000412"}}, Retire: []string{"vm-000001"}, Returned: []string{"vm-000002"}, Strays: []string{"vm-000005"}}
+		Seen: map[string]SeenVersion{"stanok-0": {Life: "7-98-1", Ver: 8}}, Need: 3, Since: 2, Ver: 9, Names: []string{"a", "g8", "img-01"},
+		Hosts: []MachineInfo{{Name: "vm-000003", Rig: 1, Zone: 0, Flags: FlagSpot, Images: []int{2}}},
+		Holds: []GangHold{{Ref: "wk-000412", Attempt: 3, Part: 1, OK: true}}, Tries: []GangHold{{Ref: "wk-000412", Attempt: 3}},
+		Kept: []Reservation{{Host: "vm-000003", Ref: "wk-000412"}}, Retire: []string{"vm-000001"}, Returned: []string{"vm-000002"}, Strays: []string{"vm-000005"}}
 	return map[string]any{
-		"job-live": &Job{Spec: spec, Frames: 16, At: 1764640000123, Next: 7, DoneSet: TaskSet{{First: 0, End: 3}, {First: 5, End: 6}}, Errors: 2, Avoid: []string{"vm-000004"},
-			Active: Actives{{Task: 3, Attempt: 4, Part: 1, Host: "vm-000231", Session: 2}, {Task: 4, Attempt: 4, Part: 1, Host: "vm-000231", Session: 2},
-				{Task: 7, Attempt: 6, Part: 0, Host: "vm-000007", Session: 1, Stop: Preempt}, {Task: 8, Attempt: 6, Part: 2}}},
-		"job-done":      &Job{State: Done, Frames: 16, At: 1764640000123, Next: 17},
-		"job-withdrawn": &Job{State: Withdrawn, Frames: 4, At: 1764640000123, Next: 3, DoneSet: TaskSet{{First: 0, End: 1}}},
-		"part":          &Part{Owner: "stanok-1", Life: "7-99-3"},
-		"leader":        &Leader{Node: "stanok-0", Life: "7-98-1"},
-		"gang":          &Gang{Attempt: 3, State: GangConfirmed, Parts: []int{0, 2}},
-		"images":        &Images{Names: []string{"img-01", "img-02"}, Hosts: map[string][]int{"vm-000003": {0, 1}}},
-		"types": &Types{Rigs: []Flavor{{Name: "g8", Cores: 96, Cards: 8, MemoryGB: 768, CacheGB: 200, FetchGBs: 1, Price: 12, SpotPrice: 4.5,
+		"job-live": &Job{Spec: spec, TaskCount: 16, AcceptedAtMS: 1764640000123, NextAttempt: 7, DoneTasks: TaskSet{{First: 0, End: 3}, {First: 5, End: 6}}, ConsecutiveErrors: 2, FailedMachines: []string{"vm-000004"},
+			ActiveTasks: ActiveTasks{{Task: 3, Attempt: 4, Shard: 1, Machine: "vm-000231", Epoch: 2}, {Task: 4, Attempt: 4, Shard: 1, Machine: "vm-000231", Epoch: 2},
+				{Task: 7, Attempt: 6, Shard: 0, Machine: "vm-000007", Epoch: 1, Stop: StopPreempt}, {Task: 8, Attempt: 6, Shard: 2}}},
+		"job-done":      &Job{State: JobDone, TaskCount: 16, AcceptedAtMS: 1764640000123, NextAttempt: 17},
+		"job-withdrawn": &Job{State: JobCancelled, TaskCount: 4, AcceptedAtMS: 1764640000123, NextAttempt: 3, DoneTasks: TaskSet{{First: 0, End: 1}}},
+		"part":          &Shard{Owner: "stanok-1", Incarnation: "7-99-3"},
+		"leader":        &Leader{Controller: "stanok-0", Incarnation: "7-98-1"},
+		"gang":          &Gang{Attempt: 3, State: GangConfirmed, Shards: []int{0, 2}},
+		"images":        &ImageCache{Names: []string{"img-01", "img-02"}, Machines: map[string][]int{"vm-000003": {0, 1}}},
+		"types": &MachineTypeCache{Types: []MachineType{{Name: "g8", Cores: 96, GPUs: 8, MemoryGB: 768, ImageCacheGB: 200, FetchGBs: 1, PricePerHour: 12, SpotPricePerHour: 4.5,
 			BootS: 45, Zones: []string{"a", "b"}}}},
 		"room":           g,
 		"gob-gossip":     g,
@@ -104,18 +104,18 @@
 // format2 spells out the records in testdata/format2, which the first version that
 // serves chained jobs has written.
 func format2() map[string]any {
-	waiting := &Spec{Ref: "wk-000413", Class: "gi-solve", Team: "vision", Shape: "gang", Urgency: "standard", Frames: 4, Cores: 2, MemoryGB: 6.4,
-		Image: "img-08", ImageGB: 1, SameZone: true, ExpectedS: 20, CheckpointS: 20, SaveS: 4, DueS: 300, WaitsOn: []string{"wk-000398", "wk-000405"}}
-	array := &Spec{Ref: "wk-000414", Class: "proxy-mesh", Team: "vision", Shape: "array", Urgency: "low", Frames: 200, Cores: 1, MemoryGB: 3.2,
-		Image: "img-09", ImageGB: 1, Spot: true, ExpectedS: 25}
+	waiting := &JobSpec{ID: "wk-000413", Class: "gi-solve", Team: "vision", Shape: "gang", Priority: "standard", TaskCount: 4, Cores: 2, MemoryGB: 6.4,
+		Image: "img-08", ImageGB: 1, SameZone: true, ExpectedS: 20, CheckpointIntervalS: 20, CheckpointTimeS: 4, DeadlineS: 300, Dependencies: []string{"wk-000398", "wk-000405"}}
+	array := &JobSpec{ID: "wk-000414", Class: "proxy-mesh", Team: "vision", Shape: "array", Priority: "low", TaskCount: 200, Cores: 1, MemoryGB: 3.2,
+		Image: "img-09", ImageGB: 1, AllowSpot: true, ExpectedS: 25}
 	return map[string]any{
-		"job-waiting": &Job{Spec: waiting, Frames: 4, At: 1764640000123, Next: 1},
-		"job-continued": &Job{Spec: array, Frames: 200, At: 1764640000123, Next: 9, DoneSet: TaskSet{{First: 0, End: 12}}, Continuations: 2,
-			Active: Actives{{Task: 12, Attempt: 4, Part: 1, Host: "vm-000231", Session: 2}}},
-		"continuation": &Continuation{Active: Actives{{Task: 13, Attempt: 5, Part: 1, Host: "vm-000231", Session: 2},
-			{Task: 14, Attempt: 5, Part: 1, Host: "vm-000231", Session: 2}, {Task: 15, Attempt: 6, Part: 0, Host: "vm-000007", Session: 1, Stop: Abandon},
-			{Task: 16, Attempt: 8, Part: 2}}},
-		"continuation-empty": &Continuation{},
+		"job-waiting": &Job{Spec: waiting, TaskCount: 4, AcceptedAtMS: 1764640000123, NextAttempt: 1},
+		"job-continued": &Job{Spec: array, TaskCount: 200, AcceptedAtMS: 1764640000123, NextAttempt: 9, DoneTasks: TaskSet{{First: 0, End: 12}}, OverflowKeys: 2,
+			ActiveTasks: ActiveTasks{{Task: 12, Attempt: 4, Shard: 1, Machine: "vm-000231", Epoch: 2}}},
+		"continuation": &Overflow{ActiveTasks: ActiveTasks{{Task: 13, Attempt: 5, Shard: 1, Machine: "vm-000231", Epoch: 2},
+			{Task: 14, Attempt: 5, Shard: 1, Machine: "vm-000231", Epoch: 2}, {Task: 15, Attempt: 6, Shard: 0, Machine: "vm-000007", Epoch: 1, Stop: StopAbandon},
+			{Task: 16, Attempt: 8, Shard: 2}}},
+		"continuation-empty": &Overflow{},
 		"reads":              &SupportedFormat{Format: 2},
 	}
 }
@@ -174,15 +174,15 @@
 // format4 spells out the records in testdata/format4, which the first version with
 // accounts of teams has written.
 func format4() map[string]any {
-	spec := &Spec{Ref: "wk-000415", Class: "proxy-mesh", Team: "vision", Shape: "array", Urgency: "low", Frames: 20, Cores: 1, Cards: 1, MemoryGB: 3.2,
-		Image: "img-09", ImageGB: 1, Spot: true, ExpectedS: 25}
+	spec := &JobSpec{ID: "wk-000415", Class: "proxy-mesh", Team: "vision", Shape: "array", Priority: "low", TaskCount: 20, Cores: 1, GPUs: 1, MemoryGB: 3.2,
+		Image: "img-09", ImageGB: 1, AllowSpot: true, ExpectedS: 25}
 	return map[string]any{
-		"account": &Account{Version: 3, Limit: Resources{Cores: 96, Cards: 24}, Guarantee: Resources{Cards: 8},
-			Shares: []Share{{Part: 0, Cores: 10, Cards: 2}, {Part: 2, Cards: 1.5}}},
-		"account-plain": &Account{Limit: Resources{Cards: 24}},
-		"job-admitted": &Job{Spec: spec, Frames: 20, At: 1764640000123, Next: 4, Active: Actives{
-			{Task: 0, Attempt: 1, Part: 1, Host: "vm-000231", Session: 2}, {Task: 1, Attempt: 2, Part: 1, Host: "vm-000231", Session: 2, Admitted: true},
-			{Task: 2, Attempt: 2, Part: 1, Host: "vm-000231", Session: 2, Admitted: true}, {Task: 3, Attempt: 3, Part: 0, Host: "vm-000007", Session: 1, Admitted: true, Stop: Abandon}}},
+		"account": &Account{Version: 3, Limit: Resources{Cores: 96, GPUs: 24}, Guarantee: Resources{GPUs: 8},
+			Shares: []Share{{Shard: 0, Cores: 10, GPUs: 2}, {Shard: 2, GPUs: 1.5}}},
+		"account-plain": &Account{Limit: Resources{GPUs: 24}},
+		"job-admitted": &Job{Spec: spec, TaskCount: 20, AcceptedAtMS: 1764640000123, NextAttempt: 4, ActiveTasks: ActiveTasks{
+			{Task: 0, Attempt: 1, Shard: 1, Machine: "vm-000231", Epoch: 2}, {Task: 1, Attempt: 2, Shard: 1, Machine: "vm-000231", Epoch: 2, Admitted: true},
+			{Task: 2, Attempt: 2, Shard: 1, Machine: "vm-000231", Epoch: 2, Admitted: true}, {Task: 3, Attempt: 3, Shard: 0, Machine: "vm-000007", Epoch: 1, Admitted: true, Stop: StopAbandon}}},
 	}
 }
 
@@ -198,8 +198,8 @@
 // takeovers writes.
 func format5() map[string]any {
 	return map[string]any{
-		"leader-fenced": &Leader{Node: "stanok-0", Life: "7-98-1", Fenced: true},
-		"leader-early":  &Leader{Node: "stanok-1", Life: "8-11-4", Fenced: true, Streak: 2},
+		"leader-fenced": &Leader{Controller: "stanok-0", Incarnation: "7-98-1", Fenced: true},
+		"leader-early":  &Leader{Controller: "stanok-1", Incarnation: "8-11-4", Fenced: true, Streak: 2},
 		"takeovers": &Takeovers{List: []Takeover{
 			{From: "stanok-0", To: "stanok-1", Replaced: 412, At: 1764640000123, SilenceMS: 1010, Broken: true, Suspecting: 2, Members: 3, StagesMS: []int64{1002, 1010, 1040, 1052, 1740}},
 			{From: "stanok-1", To: "stanok-2", Replaced: 530, At: 1764640031456, SilenceMS: 1810, Suspecting: 3, Hearing: 1, Members: 5, StagesMS: []int64{1760, 1810}}}},
@@ -209,7 +209,7 @@
 // messages5 are the messages between controllers that format 5 adds.
 func messages5() map[string]any {
 	return map[string]any{
-		"gob-heartbeat": &Heartbeat{From: "stanok-0", Life: "7-98-1", Term: 412, Standby: "stanok-1"},
+		"gob-heartbeat": &LeaderHeartbeat{From: "stanok-0", Life: "7-98-1", Term: 412, Standby: "stanok-1"},
 		"gob-decision-log": &DecisionLog{From: "stanok-0", Life: "7-98-1", Term: 412, Sequence: 3, Reset: true, NowMS: 60500,
 			Facts: []byte{0x90}, Checksum: 0x6a09e667},
 		"gob-decision-log-ack": &DecisionLogAck{Term: 412, Sequence: 3, Resync: true},
@@ -221,11 +221,11 @@
 // facts5 is a fact of each kind that has fields of its own, as the log carries them.
 func facts5() []Fact {
 	return []Fact{
-		{Kind: FactBooting, Name: "vm-000231", At: 1500, Rig: "g8", Zone: "a", Spot: true, Seen: true},
-		{Kind: FactHire, Name: "r-412-3", At: 1700, Rig: "g8", Zone: "b", Count: 12},
-		{Kind: FactBoot, Name: "vm-000230", At: 900, Ratio: 1.25},
-		{Kind: FactKept, Name: "vm-000007", Ref: "wk-000412"},
-		{Kind: FactIdle, Name: "vm-000009", Dropped: true},
+		{Kind: FactBooting, Name: "vm-000231", At: 1500, MachineType: "g8", Zone: "a", Spot: true, Seen: true},
+		{Kind: FactProvisioning, Name: "r-412-3", At: 1700, MachineType: "g8", Zone: "b", Count: 12},
+		{Kind: FactBootTime, Name: "vm-000230", At: 900, Ratio: 1.25},
+		{Kind: FactReserved, Name: "vm-000007", JobID: "wk-000412"},
+		{Kind: FactIdle, Name: "vm-000009", Removed: true},
 	}
 }
 
@@ -276,14 +276,14 @@
 // The version in production skips the keys that it does not know, as DecodeRecord
 // has always done; none of the new ones looks like one that it does.
 func TestNewKeysAreNoneOfFormat1(t *testing.T) {
-	for _, key := range []string{ContinuationKey("wk-000412", 1), FormatPrefix + "stanok-0", TakeoversKey} {
-		for _, old := range []string{JobPrefix, PartPrefix, GangPrefix, MailboxPrefix, ImagePrefix, LeaderKey, TypesKey} {
+	for _, key := range []string{OverflowKey("wk-000412", 1), FormatPrefix + "stanok-0", TakeoversKey} {
+		for _, old := range []string{JobPrefix, ShardPrefix, GangPrefix, MailboxPrefix, ImagePrefix, LeaderKey, MachineTypesKey} {
 			if strings.HasPrefix(key, old) {
 				t.Errorf("%s begins like %s", key, old)
 			}
 		}
 	}
-	if ref, k := SplitContinuation(ContinuationKey("wk-000412", 12)); ref != "wk-000412" || k != 12 {
+	if ref, k := SplitOverflowKey(OverflowKey("wk-000412", 12)); ref != "wk-000412" || k != 12 {
 		t.Errorf("%s, %d", ref, k)
 	}
 	if v, err := DecodeRecord("m/unknown/x", []byte{0x80}); v != nil || err != nil {
--- a/internal/wire/gossip.go
+++ b/internal/wire/gossip.go
@@ -1,8 +1,8 @@
 package wire
 
-// HostInfo is what the owner of a part tells the others about a machine. Names
+// MachineInfo is what the owner of a part tells the others about a machine. Names
 // other than its own are places in the message's list.
-type HostInfo struct {
+type MachineInfo struct {
 	//lint:ignore U1000 the MessagePack library reads the options in its tag
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
@@ -15,12 +15,12 @@
 
 // Flags of a machine.
 const (
-	FlagSpot     = 1 << iota
-	FlagLeaving  // recalled, or about to be returned
-	FlagRetiring // its owner places nothing on it any more; it may be returned
-	FlagSick     // fails jobs
-	FlagLost     // silent while its neighbours report, or deaf to answers
-	FlagUnsure   // has not yet shown that it knows its owner's term
+	FlagSpot        = 1 << iota
+	FlagReclaimed   // recalled, or about to be returned
+	FlagDraining    // its owner places nothing on it any more; it may be returned
+	FlagUnhealthy   // fails jobs
+	FlagUnreachable // silent while its neighbours report, or deaf to answers
+	FlagUnconfirmed // has not yet shown that it knows its owner's term
 )
 
 // Flags packs truths in the order of the constants.
@@ -34,8 +34,8 @@
 	return f
 }
 
-// Hold says that an owner holds room for its tasks of a gang attempt.
-type Hold struct {
+// GangHold says that an owner holds room for its tasks of a gang attempt.
+type GangHold struct {
 	//lint:ignore U1000 the MessagePack library reads the options in its tag
 	_msgpack struct{} `msgpack:",omitempty"`
 	Ref      string
@@ -44,17 +44,17 @@
 	OK       bool
 }
 
-// Kept says that a machine is kept for a job.
-type Kept struct {
+// Reservation says that a machine is kept for a job.
+type Reservation struct {
 	//lint:ignore U1000 the MessagePack library reads the options in its tag
 	_msgpack struct{} `msgpack:",as_array"`
 	Host     string
 	Ref      string
 }
 
-// Seen says how far a controller has taken in what another life tells of its
+// SeenVersion says how far a controller has taken in what another life tells of its
 // machines.
-type Seen struct {
+type SeenVersion struct {
 	Life string
 	Ver  uint64
 }
@@ -76,18 +76,18 @@
 	CutOff   bool  // the sender reaches neither the cloud nor any controller directly
 	Parts    []int // owned and valid
 	Terms    []uint64
-	Seen     map[string]Seen
+	Seen     map[string]SeenVersion
 	Need     int // records that it has to write
 	Since    uint64
 	Ver      uint64
 	Names    []string
-	Hosts    []HostInfo
-	Holds    []Hold
-	Tries    []Hold   // leader: gang attempts that wait for holds, confirmed if OK
-	Kept     []Kept   // leader: machines on which room is being gathered
-	Retire   []string // leader: machines to be emptied for return
-	Returned []string // leader: machines the cloud has confirmed gone
-	Strays   []string // machines that came here though their owners miss them
+	Hosts    []MachineInfo
+	Holds    []GangHold
+	Tries    []GangHold    // leader: gang attempts that wait for holds, confirmed if OK
+	Kept     []Reservation // leader: machines on which room is being gathered
+	Retire   []string      // leader: machines to be emptied for return
+	Returned []string      // leader: machines the cloud has confirmed gone
+	Strays   []string      // machines that came here though their owners miss them
 	Leader   *LeaderView
 }
 
@@ -96,9 +96,9 @@
 
 // Kinds of users' requests.
 const (
-	Submit   RequestKind = "submit"
-	Poll     RequestKind = "poll"
-	Withdraw RequestKind = "withdraw"
+	RequestSubmit RequestKind = "submit"
+	RequestStatus RequestKind = "poll"
+	RequestCancel RequestKind = "withdraw"
 )
 
 // UserCall is a user's request handed to a peer that can reach the state service.
--- a/internal/wire/production_test.go
+++ b/internal/wire/production_test.go
@@ -94,8 +94,8 @@
 	}
 
 	keys := map[string]string{
-		"job-live": JobKey("wk-000412"), "job-done": JobKey("wk-000412"), "job-withdrawn": JobKey("wk-000412"), "part": PartKey("a-0"),
-		"leader": LeaderKey, "gang": GangKey("wk-000412", 3), "images": ImagePrefix + "stanok-0", "types": TypesKey, "room": MailboxPrefix + "stanok-2",
+		"job-live": JobKey("wk-000412"), "job-done": JobKey("wk-000412"), "job-withdrawn": JobKey("wk-000412"), "part": ShardKey("a-0"),
+		"leader": LeaderKey, "gang": GangKey("wk-000412", 3), "images": ImagePrefix + "stanok-0", "types": MachineTypesKey, "room": MailboxPrefix + "stanok-2",
 	}
 	var input bytes.Buffer
 	var want []string
@@ -109,7 +109,7 @@
 		input.WriteString(keys[name] + " " + text + "\n")
 		want = append(want, text)
 	}
-	for _, key := range []string{ContinuationKey("wk-000412", 1), FormatPrefix + "stanok-0", TakeoversKey} {
+	for _, key := range []string{OverflowKey("wk-000412", 1), FormatPrefix + "stanok-0", TakeoversKey} {
 		input.WriteString(key + " 80\n")
 		want = append(want, "skipped")
 	}
