--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -15,105 +15,105 @@
 const (
 	Prefix        = "m/"
 	JobPrefix     = "m/j/"
-	PartPrefix    = "m/p/"
+	ShardPrefix   = "m/p/"
 	GangPrefix    = "m/g/"
 	MailboxPrefix = "m/r/"
 	ImagePrefix   = "m/i/"
 	// Since format 2:
-	ContinuationPrefix = "m/x/"
-	FormatPrefix       = "m/f/"
+	OverflowPrefix = "m/x/"
+	FormatPrefix   = "m/f/"
 	// Since format 3:
-	NeedsPrefix = "m/n/"
+	DependencyListPrefix = "m/n/"
 	// Since format 4:
 	AccountPrefix = "m/q/"
 	// Since format 5:
 	TakeoversKey = "m/takeovers"
 
-	LeaderKey = "m/leader"
-	TypesKey  = "m/types"
+	LeaderKey       = "m/leader"
+	MachineTypesKey = "m/types"
 )
 
 // Formats of the records. What a format adds is written only once every controller
 // reads it: see "Two versions side by side" in docs/design.md.
 const (
-	FormatChains    = 2 // jobs that wait on others; further keys for active tasks
-	FormatLongNeeds = 3 // further keys for the jobs that a job waits on
-	FormatAccounts  = 4 // accounts of teams, and tasks that owners have admitted
-	FormatStandby   = 5 // leaders that may be replaced before their lease ends, heartbeats, takeovers
-	Format          = FormatStandby
+	FormatDependencies    = 2 // jobs that wait on others; further keys for active tasks
+	FormatDependencyLists = 3 // further keys for the jobs that a job waits on
+	FormatTeamAccounts    = 4 // accounts of teams, and tasks that owners have admitted
+	FormatEarlyFailover   = 5 // leaders that may be replaced before their lease ends, heartbeats, takeovers
+	Format                = FormatEarlyFailover
 )
 
 // Record is a value that the controllers keep in the state service: one of the types
 // that DecodeRecord gives, by pointer.
 type Record interface{ record() }
 
-func (*Job) record()             {}
-func (*Continuation) record()    {}
-func (*Needs) record()           {}
-func (*Part) record()            {}
-func (*Leader) record()          {}
-func (*Gang) record()            {}
-func (*Images) record()          {}
-func (*Types) record()           {}
-func (*Gossip) record()          {}
-func (*SupportedFormat) record() {}
-func (*Account) record()         {}
-func (*Takeovers) record()       {}
+func (*Job) record()              {}
+func (*Overflow) record()         {}
+func (*DependencyList) record()   {}
+func (*Shard) record()            {}
+func (*Leader) record()           {}
+func (*Gang) record()             {}
+func (*ImageCache) record()       {}
+func (*MachineTypeCache) record() {}
+func (*Gossip) record()           {}
+func (*SupportedFormat) record()  {}
+func (*Account) record()          {}
+func (*Takeovers) record()        {}
 
 // JobState is the state of a job's record.
 type JobState int
 
 // States of a job's record; the last two are final.
 const (
-	Live      JobState = 0
-	Done      JobState = 1
-	Withdrawn JobState = 2
+	JobLive      JobState = 0
+	JobDone      JobState = 1
+	JobCancelled JobState = 2
 )
 
-// StopMark says whether an active task is to go on.
-type StopMark int
+// StopRequest says whether an active task is to go on.
+type StopRequest int
 
 // Stop marks of an active task.
 const (
-	Keep    StopMark = 0
-	Preempt StopMark = 1 // save, then exit
-	Abandon StopMark = 2 // exit at once; the attempt is lost
+	StopNone    StopRequest = 0
+	StopPreempt StopRequest = 1 // save, then exit
+	StopAbandon StopRequest = 2 // exit at once; the attempt is lost
 )
 
 // Job is the record of one job, the sole truth about it.
 type Job struct {
-	Spec          *Spec    `msgpack:"s,omitempty"`
-	State         JobState `msgpack:"st"`
-	Frames        int      `msgpack:"n"`
-	At            int64    `msgpack:"at"`           // wall-clock ms when accepted; orders queues only
-	Next          uint64   `msgpack:"nx"`           // next attempt number; never goes back
-	DoneSet       TaskSet  `msgpack:"dn,omitempty"` // tasks that are done
-	Active        Actives  `msgpack:"ac,omitempty"`
-	Errors        int      `msgpack:"er,omitempty"` // errors in a row, for back-off
-	Avoid         []string `msgpack:"av,omitempty"` // the last machines it failed on
-	Continuations int      `msgpack:"mo,omitempty"` // further keys that hold active tasks, from 1 on; format 2
+	Spec              *JobSpec    `msgpack:"s,omitempty"`
+	State             JobState    `msgpack:"st"`
+	TaskCount         int         `msgpack:"n"`
+	AcceptedAtMS      int64       `msgpack:"at"`           // wall-clock ms when accepted; orders queues only
+	NextAttempt       uint64      `msgpack:"nx"`           // next attempt number; never goes back
+	DoneTasks         TaskSet     `msgpack:"dn,omitempty"` // tasks that are done
+	ActiveTasks       ActiveTasks `msgpack:"ac,omitempty"`
+	ConsecutiveErrors int         `msgpack:"er,omitempty"` // errors in a row, for back-off
+	FailedMachines    []string    `msgpack:"av,omitempty"` // the last machines it failed on
+	OverflowKeys      int         `msgpack:"mo,omitempty"` // further keys that hold active tasks, from 1 on; format 2
 
 	// Where the record has no room for the jobs that it waits on, they stand in
 	// further keys, which are complete before the record is written and never change.
-	NeedsList string `msgpack:"nl,omitempty"` // the name of the list in their keys; format 3
-	NeedsKeys int    `msgpack:"nk,omitempty"` // how many keys, from 1 on; format 3
+	DependencyList     string `msgpack:"nl,omitempty"` // the name of the list in their keys; format 3
+	DependencyListKeys int    `msgpack:"nk,omitempty"` // how many keys, from 1 on; format 3
 }
 
-// Waits tells whether the job was submitted to wait on others.
-func (j *Job) Waits() bool {
-	return j.NeedsList != "" || j.Spec != nil && len(j.Spec.WaitsOn) > 0
+// HasDependencies tells whether the job was submitted to wait on others.
+func (j *Job) HasDependencies() bool {
+	return j.DependencyList != "" || j.Spec != nil && len(j.Spec.Dependencies) > 0
 }
 
-// Needs is a part of a list of jobs that a job waits on.
-type Needs struct {
-	Refs []string `msgpack:"w"`
+// DependencyList is a part of a list of jobs that a job waits on.
+type DependencyList struct {
+	JobIDs []string `msgpack:"w"`
 }
 
-// Continuation continues the active tasks of a job where one value is too small. A
+// Overflow continues the active tasks of a job where one value is too small. A
 // change of it changes the job's own record too, in the same transaction, so that
 // the revision of that one stands for all.
-type Continuation struct {
-	Active Actives `msgpack:"ac"`
+type Overflow struct {
+	ActiveTasks ActiveTasks `msgpack:"ac"`
 }
 
 // SupportedFormat says which format a controller reads. It is left for good.
@@ -121,16 +121,16 @@
 	Format int `msgpack:"v"`
 }
 
-// Part is the claim of a part. Its term is the revision of the claim.
-type Part struct {
-	Owner string `msgpack:"o"`
-	Life  string `msgpack:"b"` // the claiming process, told apart from its earlier lives
+// Shard is the claim of a part. Its term is the revision of the claim.
+type Shard struct {
+	Owner       string `msgpack:"o"`
+	Incarnation string `msgpack:"b"` // the claiming process, told apart from its earlier lives
 }
 
 // Leader is the claim of leadership. Its term is the revision of the claim.
 type Leader struct {
-	Node string `msgpack:"o"`
-	Life string `msgpack:"b"`
+	Controller  string `msgpack:"o"`
+	Incarnation string `msgpack:"b"`
 	// Fenced says that this leader calls the cloud only on proofs of this claim, so that
 	// it may be replaced before its lease ends; format 5.
 	Fenced bool `msgpack:"f,omitempty"`
@@ -153,36 +153,36 @@
 type Gang struct {
 	Attempt uint64    `msgpack:"t"`
 	State   GangState `msgpack:"st"`
-	Parts   []int     `msgpack:"p"`
+	Shards  []int     `msgpack:"p"`
 }
 
-// Images says which machines of a controller's parts have which images, so
+// ImageCache says which machines of a controller's parts have which images, so
 // that the knowledge outlives the process.
-type Images struct {
-	Names []string         `msgpack:"n"` // of the images
-	Hosts map[string][]int `msgpack:"h"` // places in Names
+type ImageCache struct {
+	Names    []string         `msgpack:"n"` // of the images
+	Machines map[string][]int `msgpack:"h"` // places in Names
 }
 
-// Types caches the machine types, for processes that start while the cloud
+// MachineTypeCache caches the machine types, for processes that start while the cloud
 // is in trouble.
-type Types struct {
-	Rigs []Flavor `msgpack:"r"`
+type MachineTypeCache struct {
+	Types []MachineType `msgpack:"r"`
 }
 
 // JobKey is the key of a job's record.
 func JobKey(ref string) string { return JobPrefix + ref }
 
-// PartKey is the key of a part's claim.
-func PartKey(name string) string { return PartPrefix + name }
+// ShardKey is the key of a part's claim.
+func ShardKey(name string) string { return ShardPrefix + name }
 
-// ContinuationKey is the key of a job's further active tasks.
-func ContinuationKey(ref string, k int) string {
-	return ContinuationPrefix + ref + "/" + strconv.Itoa(k)
+// OverflowKey is the key of a job's further active tasks.
+func OverflowKey(ref string, k int) string {
+	return OverflowPrefix + ref + "/" + strconv.Itoa(k)
 }
 
-// SplitContinuation is the reverse of MoreKey.
-func SplitContinuation(key string) (ref string, k int) {
-	ref, num, _ := strings.Cut(strings.TrimPrefix(key, ContinuationPrefix), "/")
+// SplitOverflowKey is the reverse of MoreKey.
+func SplitOverflowKey(key string) (ref string, k int) {
+	ref, num, _ := strings.Cut(strings.TrimPrefix(key, OverflowPrefix), "/")
 	k, err := strconv.Atoi(num)
 	if err != nil {
 		return ref, 0
@@ -190,14 +190,14 @@
 	return ref, k
 }
 
-// NeedsKey is the key of a part of a list of jobs that a job waits on.
-func NeedsKey(ref, list string, part int) string {
-	return NeedsPrefix + ref + "/" + list + "/" + strconv.Itoa(part)
+// DependencyListKey is the key of a part of a list of jobs that a job waits on.
+func DependencyListKey(ref, list string, part int) string {
+	return DependencyListPrefix + ref + "/" + list + "/" + strconv.Itoa(part)
 }
 
-// NeedsJob is the job that a key made by NeedsKey belongs to.
-func NeedsJob(key string) string {
-	ref, _, _ := strings.Cut(strings.TrimPrefix(key, NeedsPrefix), "/")
+// DependencyListJob is the job that a key made by DependencyListKey belongs to.
+func DependencyListJob(key string) string {
+	ref, _, _ := strings.Cut(strings.TrimPrefix(key, DependencyListPrefix), "/")
 	return ref
 }
 
@@ -206,16 +206,16 @@
 	return GangPrefix + ref + "/" + strconv.FormatUint(attempt, 10)
 }
 
-var refForm = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
+var jobIDPattern = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
 
-// ValidRef tells whether s has the form of a job id.
-func ValidRef(s string) bool { return refForm.MatchString(s) }
+// ValidJobID tells whether s has the form of a job id.
+func ValidJobID(s string) bool { return jobIDPattern.MatchString(s) }
 
 // TaskName joins a job id and a task number.
 func TaskName(ref string, task int) string { return ref + "/" + strconv.Itoa(task) }
 
-// SplitTask is the reverse of TaskName.
-func SplitTask(s string) (ref string, task int, err error) {
+// SplitTaskName is the reverse of TaskName.
+func SplitTaskName(s string) (ref string, task int, err error) {
 	i := strings.LastIndexByte(s, '/')
 	if i < 0 {
 		return "", 0, fmt.Errorf("task %q has no number", s)
@@ -268,28 +268,28 @@
 	switch {
 	case strings.HasPrefix(key, JobPrefix):
 		v = new(Job)
-	case strings.HasPrefix(key, PartPrefix):
-		v = new(Part)
+	case strings.HasPrefix(key, ShardPrefix):
+		v = new(Shard)
 	case strings.HasPrefix(key, GangPrefix):
 		v = new(Gang)
 	case strings.HasPrefix(key, MailboxPrefix):
 		v = new(Gossip)
 	case strings.HasPrefix(key, ImagePrefix):
-		v = new(Images)
-	case strings.HasPrefix(key, ContinuationPrefix):
-		v = new(Continuation)
+		v = new(ImageCache)
+	case strings.HasPrefix(key, OverflowPrefix):
+		v = new(Overflow)
 	case strings.HasPrefix(key, FormatPrefix):
 		v = new(SupportedFormat)
-	case strings.HasPrefix(key, NeedsPrefix):
-		v = new(Needs)
+	case strings.HasPrefix(key, DependencyListPrefix):
+		v = new(DependencyList)
 	case strings.HasPrefix(key, AccountPrefix):
 		return decodeAccount(raw), nil
 	case key == LeaderKey:
 		v = new(Leader)
 	case key == TakeoversKey:
 		v = new(Takeovers)
-	case key == TypesKey:
-		v = new(Types)
+	case key == MachineTypesKey:
+		v = new(MachineTypeCache)
 	default:
 		return nil, nil
 	}
--- a/internal/wire/standby.go
+++ b/internal/wire/standby.go
@@ -10,9 +10,9 @@
 	Suspected bool
 }
 
-// Heartbeat is what a leader that may be replaced early sends to each peer, by net/rpc
+// LeaderHeartbeat is what a leader that may be replaced early sends to each peer, by net/rpc
 // only. Format 5.
-type Heartbeat struct {
+type LeaderHeartbeat struct {
 	From, Life string
 	Term       uint64
 	Standby    string // the controller that is to take over first; "" if none is fit
@@ -42,9 +42,9 @@
 	StagesMS []int64 `msgpack:"st" json:"stages_ms"`
 }
 
-// StandbyStatus is what a controller answers to the operators' question who leads and
+// LeadershipStatus is what a controller answers to the operators' question who leads and
 // who stands by.
-type StandbyStatus struct {
+type LeadershipStatus struct {
 	Controller string `json:"controller"`
 	Leader     string `json:"leader"` // as its copy of the records has it
 	Term       uint64 `json:"term"`
--- a/internal/wire/submit.go
+++ b/internal/wire/submit.go
@@ -9,42 +9,42 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrames is the largest array that may be submitted.
-const MaxFrames = 100_000
+// MaxTasks is the largest array that may be submitted.
+const MaxTasks = 100_000
 
-// ParseSpec reads a submission. When the body is faulty the reference is
+// ParseJobSpec reads a submission. When the body is faulty the reference is
 // still returned if it could be read, since a known job is answered before
 // any check of the rest.
-func ParseSpec(body []byte) (ref string, spec *Spec, err error) {
+func ParseJobSpec(body []byte) (ref string, spec *JobSpec, err error) {
 	var m map[string]any
 	if err := msgpack.Unmarshal(body, &m); err != nil || m == nil {
 		return "", nil, errors.New("body is not a MessagePack map")
 	}
-	if s, ok := m["ref"].(string); ok && ValidRef(s) {
+	if s, ok := m["ref"].(string); ok && ValidJobID(s) {
 		ref = s
 	} else {
 		return "", nil, errors.New("ref is missing or malformed")
 	}
 	p := parser{m: m}
-	s := &Spec{
-		Ref: ref, Class: p.text("job_class"), Team: p.text("studio"),
-		Shape:    p.oneOf("shape", ShapeArray, ShapeGang, ShapeDaemon),
-		Urgency:  p.oneOf("urgency", "critical", "high", "standard", "low"),
-		Frames:   p.count("frames", 1, MaxFrames),
-		Cores:    p.amount("cores"),
-		Cards:    p.amount("cards"),
-		MemoryGB: p.amount("memory_gb"),
-		Image:    p.text("toolkit"), ImageGB: p.amount("size_gb"),
-		SameZone: p.flag("same_place"), Spread: p.flag("spread"), Spot: p.flag("loaner"),
-		ExpectedS:   p.amount("expected_s"),
-		CheckpointS: p.amount("snapshot_every_s"),
-		SaveS:       p.amount("snapshot_s"),
+	s := &JobSpec{
+		ID: ref, Class: p.text("job_class"), Team: p.text("studio"),
+		Shape:     p.oneOf("shape", ShapeArray, ShapeGang, ShapeDaemon),
+		Priority:  p.oneOf("urgency", "critical", "high", "standard", "low"),
+		TaskCount: p.count("frames", 1, MaxTasks),
+		Cores:     p.amount("cores"),
+		GPUs:      p.amount("cards"),
+		MemoryGB:  p.amount("memory_gb"),
+		Image:     p.text("toolkit"), ImageGB: p.amount("size_gb"),
+		SameZone: p.flag("same_place"), Spread: p.flag("spread"), AllowSpot: p.flag("loaner"),
+		ExpectedS:           p.amount("expected_s"),
+		CheckpointIntervalS: p.amount("snapshot_every_s"),
+		CheckpointTimeS:     p.amount("snapshot_s"),
 	}
 	if v := m["hall"]; v != nil {
 		s.Zone = p.text("hall")
 	}
 	if v := m["due_s"]; v != nil {
-		s.DueS = p.amount("due_s")
+		s.DeadlineS = p.amount("due_s")
 	}
 	if v := m["rigs"]; v != nil {
 		list, ok := v.([]any)
@@ -56,19 +56,19 @@
 			if !ok || len(name) > 200 {
 				p.fail("rigs")
 			}
-			s.Rigs = append(s.Rigs, name)
+			s.MachineTypes = append(s.MachineTypes, name)
 		}
-		s.RigsForbidAll = ok && len(list) == 0
+		s.NoMachineTypes = ok && len(list) == 0
 	}
-	s.WaitsOn = p.refs("waits_on")
+	s.Dependencies = p.jobIDs("waits_on")
 	if p.err != nil {
 		return ref, nil, p.err
 	}
 	return ref, s, nil
 }
 
-// refs reads a list of job ids that may be left out; each counts once.
-func (p *parser) refs(f string) []string {
+// jobIDs reads a list of job ids that may be left out; each counts once.
+func (p *parser) jobIDs(f string) []string {
 	v := p.m[f]
 	if v == nil {
 		return nil
@@ -80,7 +80,7 @@
 	var out []string
 	for _, x := range list {
 		ref, ok := x.(string)
-		if !ok || !ValidRef(ref) {
+		if !ok || !ValidJobID(ref) {
 			p.fail(f)
 			return nil
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,12 +22,12 @@
 }
 
 func TestParseSpec(t *testing.T) {
-	ref, s, err := ParseSpec(body(t, func(map[string]any) {}))
-	if err != nil || ref != "wk-000412" || s.Frames != 16 || s.Cores != 8 || !s.SameZone || s.Rigs[0] != "g8" || s.DueS != 900 {
+	ref, s, err := ParseJobSpec(body(t, func(map[string]any) {}))
+	if err != nil || ref != "wk-000412" || s.TaskCount != 16 || s.Cores != 8 || !s.SameZone || s.MachineTypes[0] != "g8" || s.DeadlineS != 900 {
 		t.Errorf("got %q, %+v, %v", ref, s, err)
 	}
 	// What may be null may be left out.
-	if _, s, err = ParseSpec(body(t, func(m map[string]any) { delete(m, "rigs"); delete(m, "hall"); m["due_s"] = nil })); err != nil || s.Rigs != nil {
+	if _, s, err = ParseJobSpec(body(t, func(m map[string]any) { delete(m, "rigs"); delete(m, "hall"); m["due_s"] = nil })); err != nil || s.MachineTypes != nil {
 		t.Errorf("got %+v, %v", s, err)
 	}
 }
@@ -38,8 +38,8 @@
 		given any
 		want  []string
 	}{{nil, nil}, {[]string{}, nil}, {[]string{"wk-000009", "wk-000003", "wk-000009"}, []string{"wk-000003", "wk-000009"}}} {
-		_, s, err := ParseSpec(body(t, func(m map[string]any) { m["waits_on"] = c.given }))
-		if err != nil || !reflect.DeepEqual(s.WaitsOn, c.want) {
+		_, s, err := ParseJobSpec(body(t, func(m map[string]any) { m["waits_on"] = c.given }))
+		if err != nil || !reflect.DeepEqual(s.Dependencies, c.want) {
 			t.Errorf("%v: got %+v, %v", c.given, s, err)
 		}
 	}
@@ -64,7 +64,7 @@
 		"hall":            func(m map[string]any) { m["hall"] = 3 },
 	} {
 		// The reference is still read: a known job is answered first.
-		if ref, s, err := ParseSpec(body(t, change)); err == nil || s != nil || ref != "wk-000412" {
+		if ref, s, err := ParseJobSpec(body(t, change)); err == nil || s != nil || ref != "wk-000412" {
 			t.Errorf("%s: got %q, %+v, %v", name, ref, s, err)
 		}
 	}
@@ -73,15 +73,15 @@
 		"a bad ref": body(t, func(m map[string]any) { m["ref"] = "wk-" }),
 		"no ref":    body(t, func(m map[string]any) { delete(m, "ref") }),
 	} {
-		if ref, _, err := ParseSpec(b); err == nil || ref != "" {
+		if ref, _, err := ParseJobSpec(b); err == nil || ref != "" {
 			t.Errorf("%s: got %q, %v", name, ref, err)
 		}
 	}
 }
 
 func TestRecordsSurviveEncoding(t *testing.T) {
-	j := Job{Spec: &Spec{Ref: "wk-1", Frames: 9}, Frames: 9, Next: 4, DoneSet: TaskSet{{First: 0, End: 2}, {First: 5, End: 6}},
-		Active: []Active{{Task: 3, Attempt: 2, Part: 1, Host: "vm-1", Session: 4, Stop: Preempt}, {Task: 4, Attempt: 3}}}
+	j := Job{Spec: &JobSpec{ID: "wk-1", TaskCount: 9}, TaskCount: 9, NextAttempt: 4, DoneTasks: TaskSet{{First: 0, End: 2}, {First: 5, End: 6}},
+		ActiveTasks: []ActiveTask{{Task: 3, Attempt: 2, Shard: 1, Machine: "vm-1", Epoch: 4, Stop: StopPreempt}, {Task: 4, Attempt: 3}}}
 	b, err := Encode(&j)
 	if err != nil {
 		t.Fatal(err)
@@ -93,11 +93,11 @@
 }
 
 func TestSplitTask(t *testing.T) {
-	if ref, n, err := SplitTask("wk-000412/3"); ref != "wk-000412" || n != 3 || err != nil {
+	if ref, n, err := SplitTaskName("wk-000412/3"); ref != "wk-000412" || n != 3 || err != nil {
 		t.Errorf("got %q %d %v", ref, n, err)
 	}
 	for _, s := range []string{"wk-1", "wk-1/", "wk-1/x", "wk-1/-2"} {
-		if _, _, err := SplitTask(s); err == nil {
+		if _, _, err := SplitTaskName(s); err == nil {
 			t.Errorf("%q was taken", s)
 		}
 	}
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -16,9 +16,9 @@
 // Client sends orders to workers' own addresses. Post delivers what became of
 // them to the core.
 type Client struct {
-	http  *http.Client
-	slots chan struct{}
-	post  func(core.Input)
+	http     *http.Client
+	inFlight chan struct{}
+	post     func(core.Input)
 }
 
 // NewClient makes a client. Connections are not kept: a machine is told
@@ -29,33 +29,33 @@
 			DialContext:       (&net.Dialer{Timeout: 700 * time.Millisecond}).DialContext,
 			DisableKeepAlives: true, DisableCompression: true,
 		}},
-		slots: make(chan struct{}, config.OrderSockets),
-		post:  post,
+		inFlight: make(chan struct{}, config.CommandSockets),
+		post:     post,
 	}
 }
 
 // Send runs one call of the core. When too many are under way it is not sent:
 // the next answer to the machine's report will do.
-func (c *Client) Send(q core.Direct) {
+func (c *Client) Send(q core.SendCommands) {
 	select {
-	case c.slots <- struct{}{}:
+	case c.inFlight <- struct{}{}:
 	default:
-		go c.post(core.Directed{ID: q.ID, Outcome: core.Refused})
+		go c.post(core.CommandsAnswered{ID: q.ID, Outcome: core.Refused})
 		return
 	}
 	go func() {
 		out := c.send(q)
-		<-c.slots
-		c.post(core.Directed{ID: q.ID, Outcome: out})
+		<-c.inFlight
+		c.post(core.CommandsAnswered{ID: q.ID, Outcome: out})
 	}()
 }
 
-func (c *Client) send(q core.Direct) core.Outcome {
-	b, err := wire.Encode(q.Orders)
+func (c *Client) send(q core.SendCommands) core.Outcome {
+	b, err := wire.Encode(q.Batch)
 	if err != nil {
 		return core.Refused
 	}
-	req, err := http.NewRequest(http.MethodPost, "http://"+q.Addr+"/orders", bytes.NewReader(b))
+	req, err := http.NewRequest(http.MethodPost, "http://"+q.Address+"/orders", bytes.NewReader(b))
 	if err != nil {
 		return core.Refused
 	}
--- a/internal/worker/client_test.go
+++ b/internal/worker/client_test.go
@@ -17,7 +17,7 @@
 func TestOutcomes(t *testing.T) {
 	var status atomic.Int32
 	hang := make(chan struct{})
-	orders := make(chan wire.Orders, 8)
+	orders := make(chan wire.CommandBatch, 8)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if status.Load() == 0 {
 			<-hang
@@ -25,7 +25,7 @@
 		}
 		b := make([]byte, q.ContentLength)
 		q.Body.Read(b)
-		var got wire.Orders
+		var got wire.CommandBatch
 		if err := wire.Decode(b, &got); err != nil || q.URL.Path != "/orders" {
 			t.Errorf("%s: %v", q.URL.Path, err)
 		}
@@ -41,7 +41,7 @@
 	closed := l.Addr().String()
 	l.Close()
 	results := make(chan core.Outcome, 1)
-	c := NewClient(func(in core.Input) { results <- in.(core.Directed).Outcome })
+	c := NewClient(func(in core.Input) { results <- in.(core.CommandsAnswered).Outcome })
 	c.http.Timeout = 300 * time.Millisecond
 	for _, x := range []struct {
 		addr   string
@@ -55,13 +55,13 @@
 		{closed, 200, core.Refused},
 	} {
 		status.Store(x.status)
-		c.Send(core.Direct{ID: 1, Addr: x.addr, Orders: wire.Orders{Token: 41, Session: 3,
-			Orders: []wire.Order{{Op: wire.OrderStart, Task: "wk-000001/0", Attempt: 2}}}})
+		c.Send(core.SendCommands{ID: 1, Address: x.addr, Batch: wire.CommandBatch{Token: 41, Epoch: 3,
+			Commands: []wire.Command{{Op: wire.CommandStart, Task: "wk-000001/0", Attempt: 2}}}})
 		if out := <-results; out != x.want {
 			t.Errorf("status %d: outcome %d, want %d", x.status, out, x.want)
 		}
 	}
-	if got := <-orders; got.Token != 41 || got.Session != 3 || len(got.Orders) != 1 || got.Orders[0].Attempt != 2 {
+	if got := <-orders; got.Token != 41 || got.Epoch != 3 || len(got.Commands) != 1 || got.Commands[0].Attempt != 2 {
 		t.Errorf("the worker got %+v", got)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -18,12 +18,12 @@
 		if !ok {
 			return
 		}
-		rep := new(wire.Report)
-		if err := wire.Decode(body, rep); err != nil || rep.Host == "" || rep.Session == 0 {
+		rep := new(wire.WorkerHeartbeat)
+		if err := wire.Decode(body, rep); err != nil || rep.Machine == "" || rep.Epoch == 0 {
 			api.Write(w, core.Reply{Status: 400, Body: wire.Error{Error: "malformed report"}})
 			return
 		}
-		a, ok := ask(func(req uint64) core.Input { return core.Reported{Req: req, Report: rep} })
+		a, ok := ask(func(req uint64) core.Input { return core.WorkerReported{RequestID: req, Heartbeat: rep} })
 		if !ok {
 			a = core.Reply{Status: 503, Body: wire.Error{Error: "overloaded"}}
 		}
--- a/internal/world/accounting.go
+++ b/internal/world/accounting.go
@@ -48,7 +48,7 @@
 func newAccounting(w *World) *accounting {
 	a := &accounting{w: w, jobs: map[string]jobCharge{}, teams: map[string]*teamCharge{}, highest: map[string]wire.Resources{}, createdAt: map[string]time.Duration{}, placedAt: map[string]time.Duration{}}
 	for _, t := range w.Teams {
-		limit := wire.Resources{Cores: t.CoresMax, Cards: t.CardsMax}
+		limit := wire.Resources{Cores: t.MaxCores, GPUs: t.MaxGPUs}
 		a.teams[t.Name] = &teamCharge{limit: limit, admitted: map[int]wire.Resources{}}
 		a.highest[t.Name] = limit
 	}
@@ -57,7 +57,7 @@
 
 // committed takes in a transaction and checks what it leads to, and that what it charges
 // rests on the accounts of its teams.
-func (a *accounting) committed(conds []core.Cond, puts []put) {
+func (a *accounting) committed(conds []core.Condition, puts []put) {
 	before := map[string]wire.Resources{}
 	for name, t := range a.teams {
 		before[name] = t.total()
@@ -67,8 +67,8 @@
 		switch {
 		case strings.HasPrefix(p.key, wire.JobPrefix):
 			changed[p.key[len(wire.JobPrefix):]] = true
-		case strings.HasPrefix(p.key, wire.ContinuationPrefix):
-			ref, _ := wire.SplitContinuation(p.key)
+		case strings.HasPrefix(p.key, wire.OverflowPrefix):
+			ref, _ := wire.SplitOverflowKey(p.key)
 			changed[ref] = true
 		case strings.HasPrefix(p.key, wire.AccountPrefix):
 			a.account(p)
@@ -81,7 +81,7 @@
 	}
 	for name, t := range a.teams {
 		now, was := t.total(), before[name]
-		if exceeds(now.Cores, t.limit.Cores, was.Cores) || exceeds(now.Cards, t.limit.Cards, was.Cards) {
+		if exceeds(now.Cores, t.limit.Cores, was.Cores) || exceeds(now.GPUs, t.limit.GPUs, was.GPUs) {
 			a.w.broke("quota", "revision %d charges %s %v, limit %v, before %v", a.w.store.rev, name, now, t.limit, was)
 		}
 	}
@@ -90,13 +90,13 @@
 // checkFence checks that a commit which charges more to a team, or to its shares, was
 // conditional on the team's account, if there is one: without that it could come after
 // the limit was lowered, or the share withdrawn.
-func (a *accounting) checkFence(conds []core.Cond, ref string, was jobCharge) {
+func (a *accounting) checkFence(conds []core.Condition, ref string, was jobCharge) {
 	now := a.jobs[ref]
 	if now.byLeader <= was.byLeader && now.countAdmitted() <= was.countAdmitted() {
 		return
 	}
 	key := wire.AccountKey(now.team)
-	if e := a.w.store.keys[key]; e != nil && !slices.ContainsFunc(conds, func(c core.Cond) bool { return c.Key == key }) {
+	if e := a.w.store.keys[key]; e != nil && !slices.ContainsFunc(conds, func(c core.Condition) bool { return c.Key == key }) {
 		a.w.broke("unfenced", "%s is charged to %s without a condition on its account", ref, now.team)
 	}
 }
@@ -118,9 +118,9 @@
 	}
 	t.limit = record.Limit
 	high := a.highest[name]
-	a.highest[name] = wire.Resources{Cores: max(high.Cores, record.Limit.Cores), Cards: max(high.Cards, record.Limit.Cards)}
+	a.highest[name] = wire.Resources{Cores: max(high.Cores, record.Limit.Cores), GPUs: max(high.GPUs, record.Limit.GPUs)}
 	for _, s := range record.Shares {
-		t.shares[s.Part] = wire.Resources{Cores: s.Cores, Cards: s.Cards}
+		t.shares[s.Shard] = wire.Resources{Cores: s.Cores, GPUs: s.GPUs}
 	}
 }
 
@@ -137,11 +137,11 @@
 	if rec.Spec == nil || a.teams[rec.Spec.Team] == nil {
 		return
 	}
-	c := jobCharge{team: rec.Spec.Team, each: wire.Resources{Cores: rec.Spec.Cores, Cards: rec.Spec.Cards}, admitted: map[int]int{}}
-	c.add(rec.Active)
-	for k := 1; k <= rec.Continuations; k++ {
-		if e := a.w.store.keys[wire.ContinuationKey(ref, k)]; e != nil {
-			c.add(decode(wire.ContinuationKey(ref, k), e.raw).(*wire.Continuation).Active)
+	c := jobCharge{team: rec.Spec.Team, each: wire.Resources{Cores: rec.Spec.Cores, GPUs: rec.Spec.GPUs}, admitted: map[int]int{}}
+	c.add(rec.ActiveTasks)
+	for k := 1; k <= rec.OverflowKeys; k++ {
+		if e := a.w.store.keys[wire.OverflowKey(ref, k)]; e != nil {
+			c.add(decode(wire.OverflowKey(ref, k), e.raw).(*wire.Overflow).ActiveTasks)
 		}
 	}
 	a.jobs[ref] = c
@@ -155,11 +155,11 @@
 	a.admissions += max(0, c.countAdmitted()-before.countAdmitted())
 }
 
-func (c *jobCharge) add(tasks wire.Actives) {
+func (c *jobCharge) add(tasks wire.ActiveTasks) {
 	for i := range tasks {
-		c.placed = c.placed || tasks[i].Host != ""
+		c.placed = c.placed || tasks[i].Machine != ""
 		if tasks[i].Admitted {
-			c.admitted[tasks[i].Part]++
+			c.admitted[tasks[i].Shard]++
 		} else {
 			c.byLeader++
 		}
@@ -188,7 +188,7 @@
 }
 
 func plus(a, b wire.Resources, count int) wire.Resources {
-	return wire.Resources{Cores: a.Cores + b.Cores*float64(count), Cards: a.Cards + b.Cards*float64(count)}
+	return wire.Resources{Cores: a.Cores + b.Cores*float64(count), GPUs: a.GPUs + b.GPUs*float64(count)}
 }
 
 // total is what a team is charged: what the leader has granted, and of each part the
@@ -199,7 +199,7 @@
 	for part, share := range t.shares {
 		used := t.admitted[part]
 		sum.Cores += max(share.Cores, used.Cores)
-		sum.Cards += max(share.Cards, used.Cards)
+		sum.GPUs += max(share.GPUs, used.GPUs)
 	}
 	for part, used := range t.admitted {
 		if _, shared := t.shares[part]; !shared {
@@ -223,8 +223,8 @@
 	now := &wire.Account{}
 	for _, t := range w.Teams {
 		if t.Name == team {
-			now.Limit = wire.Resources{Cores: t.CoresMax, Cards: t.CardsMax}
-			now.Guarantee = wire.Resources{Cores: t.Cores, Cards: t.Cards}
+			now.Limit = wire.Resources{Cores: t.MaxCores, GPUs: t.MaxGPUs}
+			now.Guarantee = wire.Resources{Cores: t.GuaranteedCores, GPUs: t.GuaranteedGPUs}
 		}
 	}
 	key := wire.AccountKey(team)
@@ -241,11 +241,11 @@
 		case err != nil:
 			return fmt.Errorf("bad number in %s: %w", arg, err)
 		case name == "cards":
-			change.CardsLimit = &x
+			change.GPUsLimit = &x
 		case name == "cores":
 			change.CoresLimit = &x
 		case name == "guarantee":
-			change.CardsGuarantee = &x
+			change.GPUsGuarantee = &x
 		default:
 			return errors.New("unknown amount " + name)
 		}
--- a/internal/world/accounting_test.go
+++ b/internal/world/accounting_test.go
@@ -38,7 +38,7 @@
 		s.Nodes = nil
 		w := newWorld(s, func(string, ...any) {})
 		key := wire.AccountKey("red")
-		raw, err := wire.Encode(&wire.Account{Limit: wire.Resources{Cards: 8}, Shares: []wire.Share{{Part: 0, Cards: 3}}})
+		raw, err := wire.Encode(&wire.Account{Limit: wire.Resources{GPUs: 8}, Shares: []wire.Share{{Shard: 0, GPUs: 3}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -62,14 +62,14 @@
 func (x plantedCommit) carryOut(t *testing.T, w *World, i int) {
 	t.Helper()
 	ref := []string{"wk-000001", "wk-000002"}[i]
-	rec := &wire.Job{Spec: &wire.Spec{Ref: ref, Team: "red", Shape: wire.ShapeArray, Frames: x.tasks, Cards: 1}, Frames: x.tasks, Next: 2}
+	rec := &wire.Job{Spec: &wire.JobSpec{ID: ref, Team: "red", Shape: wire.ShapeArray, TaskCount: x.tasks, GPUs: 1}, TaskCount: x.tasks, NextAttempt: 2}
 	for task := range x.tasks {
-		rec.Active = append(rec.Active, wire.Active{Task: task, Attempt: 1, Host: "vm-000001", Session: 1, Admitted: x.admitted})
+		rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1, Machine: "vm-000001", Epoch: 1, Admitted: x.admitted})
 	}
-	conds := []core.Cond{{Key: wire.JobKey(ref)}}
+	conds := []core.Condition{{Key: wire.JobKey(ref)}}
 	if x.fenced {
 		key := wire.AccountKey("red")
-		conds = append(conds, core.Cond{Key: key, Rev: w.store.keys[key].rev})
+		conds = append(conds, core.Condition{Key: key, Revision: w.store.keys[key].rev})
 	}
 	if out, _, _ := w.store.commit(nil, conds, encodeWrites([]core.Write{{Key: wire.JobKey(ref), Value: rec}})); out != core.OK {
 		t.Fatalf("the commit came to %v", out)
--- a/internal/world/chains.go
+++ b/internal/world/chains.go
@@ -11,7 +11,7 @@
 // above finds a job that this one waits on, directly or through others.
 func (u *userSim) above(is func(*userSim) bool) *userSim {
 	seen := map[string]bool{}
-	list := append([]string(nil), u.spec.WaitsOn...)
+	list := append([]string(nil), u.spec.Dependencies...)
 	for len(list) > 0 {
 		ref := list[len(list)-1]
 		list = list[:len(list)-1]
@@ -23,7 +23,7 @@
 		if is(a) {
 			return a
 		}
-		list = append(list, a.spec.WaitsOn...)
+		list = append(list, a.spec.Dependencies...)
 	}
 	return nil
 }
@@ -53,7 +53,7 @@
 		try = func() {
 			for _, r := range needs {
 				a := w.users[r]
-				if a == nil || !a.accepted || over && a.told != wire.StatusDone && a.told != wire.StatusWithdrawn {
+				if a == nil || !a.accepted || over && a.told != wire.StatusDone && a.told != wire.StatusCancelled {
 					w.after(100*time.Millisecond, try)
 					return
 				}
@@ -73,7 +73,7 @@
 	if w.rng.Float64() < cancelled {
 		w.after(time.Duration(w.rng.IntN(25000))*time.Millisecond, func() {
 			if u := w.users[all[w.rng.IntN(len(all))]]; u != nil && u.accepted && !u.asked {
-				w.Withdraw(u.spec.Ref)
+				w.Withdraw(u.spec.ID)
 			}
 		})
 	}
--- a/internal/world/controllers.go
+++ b/internal/world/controllers.go
@@ -42,12 +42,12 @@
 		return
 	}
 	cfg := core.Config{
-		Self: n.label, Zone: n.zone, Life: fmt.Sprintf("%s-%d", n.label, n.life), Zones: w.Zones, Teams: w.Teams,
-		Report: w.Report, Lease: w.Lease, GangWait: w.GangWait,
-		Validity: config.Validity(w.Lease, w.Cancel), LeaderTTL: 5 * time.Second, TxnOps: w.TxnOps, ValueBytes: w.ValueBytes,
-		BulkTasks: 600,
-		ListLag:   4 * time.Second, BatchPuts: w.batchPuts(), CloudRPS: 2, StateRPS: 250, WriteRPS: w.WriteRPS, IdleReturn: w.Idle, Spares: 1, Preempt: true,
-		WallMS: func() int64 { return w.now.Milliseconds() },
+		Self: n.label, Zone: n.zone, Incarnation: fmt.Sprintf("%s-%d", n.label, n.life), Zones: w.Zones, Teams: w.Teams,
+		HeartbeatInterval: w.Report, WorkerLease: w.Lease, GangWait: w.GangWait,
+		OwnerValidity: config.Validity(w.Lease, w.Cancel), LeaderLease: 5 * time.Second, MaxTransactionOps: w.TxnOps, MaxValueBytes: w.ValueBytes,
+		MaxBulkTasks: 600,
+		CloudListLag: 4 * time.Second, MaxBatchWrites: w.batchPuts(), CloudRPS: 2, StateRPS: 250, WriteRPS: w.WriteRPS, IdleTimeout: w.Idle, SpareMachines: 1, Preempt: true,
+		WallClockMS: func() int64 { return w.now.Milliseconds() },
 	}
 	least := func(now, next int) int {
 		if next > 0 {
@@ -60,11 +60,11 @@
 		cfg.Format = w.OldFormat
 	}
 	if cfg.Format != 1 { // format 1 knows of no limits to come
-		cfg.ValueNow, cfg.ValueBytes = cfg.ValueBytes, least(cfg.ValueBytes, w.NextValueBytes)
-		cfg.TxnOps, cfg.NextWriteRPS = least(cfg.TxnOps, w.NextTxnOps), w.NextWriteRPS
+		cfg.CurrentValueBytes, cfg.MaxValueBytes = cfg.MaxValueBytes, least(cfg.MaxValueBytes, w.NextValueBytes)
+		cfg.MaxTransactionOps, cfg.NextWriteRPS = least(cfg.MaxTransactionOps, w.NextTxnOps), w.NextWriteRPS
 	}
 	for _, m := range w.nodes {
-		cfg.Members = append(cfg.Members, core.Member{Label: m.label, Zone: m.zone})
+		cfg.Members = append(cfg.Members, core.Member{Name: m.label, Zone: m.zone})
 	}
 	n.core = core.New(cfg)
 	life := n.life
@@ -146,8 +146,8 @@
 		stuck, backlog := n.stuck, n.backlog
 		n.stuck, n.backlog, n.stops = nil, nil, false
 		for _, e := range stuck {
-			if call, is := e.(core.Cloud); is && (call.Hire != nil || call.Return != nil) && d > call.Within {
-				n.step(core.Clouded{ID: call.ID, Outcome: core.Refused}) // as the adapter does
+			if call, is := e.(core.CallCloud); is && (call.Provision != nil || call.Deprovision != nil) && d > call.ValidFor {
+				n.step(core.CloudAnswered{ID: call.ID, Outcome: core.Refused}) // as the adapter does
 				continue
 			}
 			n.perform(e)
--- a/internal/world/effects.go
+++ b/internal/world/effects.go
@@ -58,30 +58,30 @@
 	switch x := e.(type) {
 	case core.Commit:
 		n.commit(x)
-	case core.Read:
+	case core.ReadJob:
 		n.read(x)
-	case core.Lease:
+	case core.RenewLease:
 		n.call(w.storeFate, func() core.Input {
-			out, id := w.store.lease(x.Lease, x.TTL)
-			return core.Leased{ID: x.ID, Outcome: out, Lease: id}
-		}, core.Leased{ID: x.ID, Outcome: core.Unknown}, n.unlessRefused(core.Leased{ID: x.ID, Outcome: core.Refused}))
-	case core.Cloud:
+			out, id := w.store.lease(x.LeaseID, x.TTL)
+			return core.LeaseAnswered{ID: x.ID, Outcome: out, LeaseID: id}
+		}, core.LeaseAnswered{ID: x.ID, Outcome: core.Unknown}, n.unlessRefused(core.LeaseAnswered{ID: x.ID, Outcome: core.Refused}))
+	case core.CallCloud:
 		n.callCloud(x)
-	case core.Direct:
+	case core.SendCommands:
 		n.order(x)
-	case core.Send:
+	case core.SendGossip:
 		n.send(x)
-	case core.Heartbeat:
+	case core.SendHeartbeat:
 		n.heartbeat(x)
-	case core.SendLog:
+	case core.SendDecisionLog:
 		n.sendLog(x)
 	case core.Forward:
 		n.forward(x)
 	case core.Log:
 		w.trace("%8.3f %s %s %v", w.now.Seconds(), n.label, x.Text, x.Args)
 	case core.Reply:
-		if f := n.wait[x.Req]; f != nil {
-			delete(n.wait, x.Req)
+		if f := n.wait[x.RequestID]; f != nil {
+			delete(n.wait, x.RequestID)
 			f(x)
 		}
 	}
@@ -103,46 +103,46 @@
 	puts := encodeWrites(x.Writes)
 	n.call(w.writeFate(len(puts)), func() core.Input {
 		refused := w.meter.refused
-		out, rev, failed := w.store.commit(n, x.If, puts)
-		return core.Committed{ID: x.ID, Outcome: out, Rev: rev, Failed: failed, Limited: w.meter.refused > refused}
+		out, rev, failed := w.store.commit(n, x.Conditions, puts)
+		return core.Committed{ID: x.ID, Outcome: out, Revision: rev, Failed: failed, Limited: w.meter.refused > refused}
 	}, core.Committed{ID: x.ID, Outcome: core.Unknown}, n.unlessRefused(core.Committed{ID: x.ID, Outcome: core.Refused}))
 }
 
 // read fetches the record of a job.
-func (n *node) read(x core.Read) {
+func (n *node) read(x core.ReadJob) {
 	w := n.w
 	n.call(w.storeFate, func() core.Input {
-		r := core.GotJob{ID: x.ID, Outcome: core.Missing}
-		if k := w.store.keys[wire.JobKey(x.Ref)]; k != nil {
-			r.Outcome, r.Rev, r.Job = core.OK, k.rev, new(wire.Job)
+		r := core.JobRead{ID: x.ID, Outcome: core.NotFound}
+		if k := w.store.keys[wire.JobKey(x.JobID)]; k != nil {
+			r.Outcome, r.Revision, r.Job = core.OK, k.rev, new(wire.Job)
 			must(wire.Decode(k.raw, r.Job))
 		}
 		return r
-	}, core.GotJob{ID: x.ID, Outcome: core.Unknown}, n.unlessRefused(core.GotJob{ID: x.ID, Outcome: core.Refused}))
+	}, core.JobRead{ID: x.ID, Outcome: core.Unknown}, n.unlessRefused(core.JobRead{ID: x.ID, Outcome: core.Refused}))
 }
 
 // callCloud sends a call to the cloud.
-func (n *node) callCloud(x core.Cloud) {
+func (n *node) callCloud(x core.CallCloud) {
 	w := n.w
-	if x.Hire != nil || x.Return != nil {
+	if x.Provision != nil || x.Deprovision != nil {
 		if w.staleLeader(n) {
 			w.broke("stale_leader", "%s deals with the cloud", n.label)
 		}
 		w.takeovers.calls(n)
 	}
-	n.call(w.fate, func() core.Input { return w.cloud.call(x) }, core.Clouded{ID: x.ID, Outcome: core.Unknown}, func() core.Input {
+	n.call(w.fate, func() core.Input { return w.cloud.call(x) }, core.CloudAnswered{ID: x.ID, Outcome: core.Unknown}, func() core.Input {
 		if w.cut(n.label, n.zone, "cloud", "") {
-			return core.Clouded{ID: x.ID, Outcome: core.Unknown}
+			return core.CloudAnswered{ID: x.ID, Outcome: core.Unknown}
 		}
 		if w.cloud.outage {
-			return core.Clouded{ID: x.ID, Outcome: core.Refused}
+			return core.CloudAnswered{ID: x.ID, Outcome: core.Refused}
 		}
 		return nil
 	})
 }
 
 // send carries a message to a peer.
-func (n *node) send(x core.Send) {
+func (n *node) send(x core.SendGossip) {
 	w := n.w
 	for _, m := range w.nodes {
 		if m.label != x.To || w.cut(n.label, n.zone, m.label, m.zone) {
@@ -151,25 +151,25 @@
 		if w.now < w.lossTo && w.rng.Float64() < w.loss {
 			continue
 		}
-		msg := *x.Msg
-		if raw, err := wire.Encode(x.Msg); err == nil {
+		msg := *x.Message
+		if raw, err := wire.Encode(x.Message); err == nil {
 			w.meter.bytes += len(raw)
 		}
-		m.deliver(w.latency(), core.Gossiped{Msg: &msg})
+		m.deliver(w.latency(), core.GossipReceived{Message: &msg})
 	}
 }
 
 // order carries orders to a worker's own address. What is held back or comes
 // late may be obeyed long after the sender has given up, and twice.
-func (n *node) order(x core.Direct) {
+func (n *node) order(x core.SendCommands) {
 	w := n.w
 	var k *workerSim
 	for _, y := range w.workers {
-		if y.m.Addr == x.Addr {
+		if y.m.Addr == x.Address {
 			k = y
 		}
 	}
-	says := func(d time.Duration, o core.Outcome) { n.deliver(d, core.Directed{ID: x.ID, Outcome: o}) }
+	says := func(d time.Duration, o core.Outcome) { n.deliver(d, core.CommandsAnswered{ID: x.ID, Outcome: o}) }
 	if k == nil || k.off || w.now < k.deafTo {
 		says(700*time.Millisecond, core.Refused)
 		return
@@ -181,7 +181,7 @@
 		}
 		// The connection stood already when the cut began.
 		says(3*time.Second, core.Unknown)
-		k.take(x.Orders, func() bool { return w.cut(k.m.Name, k.m.Zone, n.label, n.zone) }, func(core.Outcome) {})
+		k.take(x.Batch, func() bool { return w.cut(k.m.Name, k.m.Zone, n.label, n.zone) }, func(core.Outcome) {})
 		return
 	}
 	d, runs, answered := w.fate()
@@ -193,10 +193,10 @@
 		}
 	}
 	if runs {
-		w.after(d, func() { k.take(x.Orders, nil, tell) })
+		w.after(d, func() { k.take(x.Batch, nil, tell) })
 	}
 	if w.now < w.copiesTo {
-		w.after(time.Second+time.Duration(w.rng.Int64N(int64(w.copyDelay))), func() { k.take(x.Orders, nil, func(core.Outcome) {}) })
+		w.after(time.Second+time.Duration(w.rng.Int64N(int64(w.copyDelay))), func() { k.take(x.Batch, nil, func(core.Outcome) {}) })
 	}
 	w.after(3*time.Second, func() {
 		if !told && n.life == life {
@@ -217,15 +217,15 @@
 		}
 		life := n.life
 		m.ask(func(req uint64) core.Input {
-			return core.UserRequest{Req: req, Kind: x.Call.Kind, Ref: x.Call.Ref, Body: x.Call.Body, Forwarded: true}
+			return core.UserRequest{RequestID: req, Kind: x.Call.Kind, JobID: x.Call.Ref, Body: x.Call.Body, Forwarded: true}
 		}, func(r core.Reply) {
 			b, err := wire.Encode(r.Body)
 			must(err)
 			if n.life == life {
-				n.deliver(w.latency(), core.Forwarded{Req: x.Req, Answer: wire.UserAnswer{Status: r.Status, Body: b}})
+				n.deliver(w.latency(), core.ForwardAnswered{RequestID: x.RequestID, Answer: wire.UserAnswer{Status: r.Status, Body: b}})
 			}
 		})
 		return
 	}
-	n.deliver(time.Second, core.Forwarded{Req: x.Req})
+	n.deliver(time.Second, core.ForwardAnswered{RequestID: x.RequestID})
 }
--- a/internal/world/effects_test.go
+++ b/internal/world/effects_test.go
@@ -150,21 +150,21 @@
 	switch effect.(type) {
 	case core.Commit:
 		return "commit"
-	case core.Read:
+	case core.ReadJob:
 		return "read"
-	case core.Lease:
+	case core.RenewLease:
 		return "lease"
-	case core.Cloud:
+	case core.CallCloud:
 		return "cloud"
-	case core.CloudAllowed:
+	case core.AllowCloudCalls:
 		return "cloud-allowed"
-	case core.Direct:
+	case core.SendCommands:
 		return "direct"
-	case core.Send:
+	case core.SendGossip:
 		return "send"
-	case core.Heartbeat:
+	case core.SendHeartbeat:
 		return "heartbeat"
-	case core.SendLog:
+	case core.SendDecisionLog:
 		return "send-log"
 	case core.Forward:
 		return "forward"
@@ -271,13 +271,13 @@
 func fieldNames(t reflect.Type) []string {
 	names := make([]string, t.NumField())
 	switch t {
-	case reflect.TypeFor[wire.Gossip](), reflect.TypeFor[wire.HostInfo](), reflect.TypeFor[wire.Hold](), reflect.TypeFor[wire.Kept](),
-		reflect.TypeFor[wire.Seen](), reflect.TypeFor[wire.LeaderView](), reflect.TypeFor[wire.Heartbeat](),
+	case reflect.TypeFor[wire.Gossip](), reflect.TypeFor[wire.MachineInfo](), reflect.TypeFor[wire.GangHold](), reflect.TypeFor[wire.Reservation](),
+		reflect.TypeFor[wire.SeenVersion](), reflect.TypeFor[wire.LeaderView](), reflect.TypeFor[wire.LeaderHeartbeat](),
 		reflect.TypeFor[wire.DecisionLog](), reflect.TypeFor[wire.DecisionLogAck](), reflect.TypeFor[wire.UserCall]():
 		for i := range names {
 			names[i] = " " + t.Field(i).Name + ":"
 		}
-	case reflect.TypeFor[wire.Images]():
+	case reflect.TypeFor[wire.ImageCache]():
 		for i := range names {
 			names[i] = " " + t.Field(i).Tag.Get("msgpack") + ":"
 		}
--- a/internal/world/loopback.go
+++ b/internal/world/loopback.go
@@ -143,7 +143,7 @@
 	d := &s.Deployment
 	d.Zones = w.Zones
 	for _, t := range w.Teams {
-		d.Teams = append(d.Teams, config.Team{Name: t.Name, Cores: t.Cores, CoresMax: t.CoresMax, Cards: t.Cards, CardsMax: t.CardsMax})
+		d.Teams = append(d.Teams, config.Team{Name: t.Name, GuaranteedCores: t.GuaranteedCores, MaxCores: t.MaxCores, GuaranteedGPUs: t.GuaranteedGPUs, MaxGPUs: t.MaxGPUs})
 	}
 	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = w.Report.Seconds(), w.Lease.Seconds(), w.Cancel.Seconds()
 	d.Workers.GangWaitS, d.Workers.GangPeerS = w.GangWait.Seconds(), w.GangPeer.Seconds()
@@ -333,18 +333,18 @@
 	var req *http.Request
 	base := "http://" + l.procs[n.ix].front.addr()
 	switch x := in.(type) {
-	case core.Reported:
-		raw, err := wire.Encode(x.Report)
+	case core.WorkerReported:
+		raw, err := wire.Encode(x.Heartbeat)
 		must(err)
 		req, _ = http.NewRequest(http.MethodPost, base+"/v1/report", bytes.NewReader(raw))
 	case core.UserRequest:
 		switch x.Kind {
-		case wire.Submit:
+		case wire.RequestSubmit:
 			req, _ = http.NewRequest(http.MethodPost, base+"/api/jobs", bytes.NewReader(x.Body))
-		case wire.Poll:
-			req, _ = http.NewRequest(http.MethodGet, base+"/api/jobs/"+x.Ref, nil)
-		case wire.Withdraw:
-			req, _ = http.NewRequest(http.MethodPost, base+"/api/jobs/"+x.Ref+"/withdraw", nil)
+		case wire.RequestStatus:
+			req, _ = http.NewRequest(http.MethodGet, base+"/api/jobs/"+x.JobID, nil)
+		case wire.RequestCancel:
+			req, _ = http.NewRequest(http.MethodPost, base+"/api/jobs/"+x.JobID+"/withdraw", nil)
 		}
 	}
 	go func() {
@@ -363,13 +363,13 @@
 // replyOf reads an answer as the models expect it.
 func replyOf(in core.Input, status int, body []byte) core.Reply {
 	r := core.Reply{Status: status, Body: body}
-	if _, report := in.(core.Reported); !report {
+	if _, report := in.(core.WorkerReported); !report {
 		return r
 	}
 	var err error
 	switch status {
 	case http.StatusOK:
-		var answer wire.ReportReply
+		var answer wire.HeartbeatReply
 		err = wire.Decode(body, &answer)
 		r.Body = answer
 	case http.StatusMisdirectedRequest:
@@ -388,7 +388,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
-		var orders wire.Orders
+		var orders wire.CommandBatch
 		if err != nil || wire.Decode(body, &orders) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
--- a/internal/world/loopback_services.go
+++ b/internal/world/loopback_services.go
@@ -132,9 +132,9 @@
 
 // commitCall carries a transaction out.
 func (s *store) commitCall(n *node, c *commitCall) (int, any) {
-	var conds []core.Cond
+	var conds []core.Condition
 	for _, x := range c.If {
-		conds = append(conds, core.Cond{Key: x.Key, Rev: x.Rev})
+		conds = append(conds, core.Condition{Key: x.Key, Revision: x.Rev})
 	}
 	var puts []put
 	for _, x := range c.Writes {
@@ -150,7 +150,7 @@
 		return http.StatusOK, map[string]any{"ledger_rev": rev}
 	case core.Conflict:
 		return http.StatusConflict, map[string]any{"failed": failed, "ledger_rev": rev}
-	case core.BadLease:
+	case core.LeaseExpired:
 		return http.StatusBadRequest, wire.Error{Error: "no such lease"}
 	}
 	return http.StatusTooManyRequests, wire.Error{Error: "too many changes"}
@@ -203,45 +203,45 @@
 // cloudHandler serves the cloud to one controller.
 func (l *Loopback) cloudHandler(n *node) http.Handler {
 	mux := http.NewServeMux()
-	call := func(w http.ResponseWriter, q core.Cloud) {
-		var r core.Clouded
+	call := func(w http.ResponseWriter, q core.CallCloud) {
+		var r core.CloudAnswered
 		l.call(func() {
-			if q.Hire != nil || q.Return != nil {
+			if q.Provision != nil || q.Deprovision != nil {
 				if l.staleLeader(n) {
 					l.broke("stale_leader", "%s deals with the cloud", n.label)
 				}
 				l.takeovers.calls(n)
 			}
-			r = core.Clouded{Outcome: core.Refused}
+			r = core.CloudAnswered{Outcome: core.Refused}
 			if !l.cloud.outage {
 				r = l.cloud.call(q)
 			}
 		})
 		switch {
-		case r.Outcome == core.Full:
+		case r.Outcome == core.NoCapacity:
 			answer(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		case r.Outcome != core.OK:
 			answer(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
-		case q.Flavors:
-			answer(w, http.StatusOK, wire.Flavors{Rigs: r.Flavors})
-		case q.List:
-			answer(w, http.StatusOK, wire.MachineList{Hosts: r.Machines})
+		case q.ListTypes:
+			answer(w, http.StatusOK, wire.MachineTypeList{MachineTypes: r.MachineTypes})
+		case q.ListMachines:
+			answer(w, http.StatusOK, wire.MachineList{Machines: r.Machines})
 		default:
-			answer(w, http.StatusOK, wire.Hosts{Hosts: r.Hosts})
+			answer(w, http.StatusOK, wire.MachineNames{Names: r.Names})
 		}
 	}
-	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) { call(w, core.Cloud{Flavors: true}) })
-	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) { call(w, core.Cloud{List: true}) })
+	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) { call(w, core.CallCloud{ListTypes: true}) })
+	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) { call(w, core.CallCloud{ListMachines: true}) })
 	mux.HandleFunc("POST /hosts", func(w http.ResponseWriter, q *http.Request) {
-		var hire wire.Hire
+		var hire wire.ProvisionRequest
 		if read(w, q, &hire) {
-			call(w, core.Cloud{Hire: &hire})
+			call(w, core.CallCloud{Provision: &hire})
 		}
 	})
 	mux.HandleFunc("POST /hosts/return", func(w http.ResponseWriter, q *http.Request) {
-		var names wire.Hosts
+		var names wire.MachineNames
 		if read(w, q, &names) {
-			call(w, core.Cloud{Return: names.Hosts})
+			call(w, core.CallCloud{Deprovision: names.Names})
 		}
 	})
 	return mux
--- a/internal/world/loopback_test.go
+++ b/internal/world/loopback_test.go
@@ -35,8 +35,8 @@
 	s.Boot, s.Idle = 300*time.Millisecond, time.Minute
 	s.Capacity, s.WriteRPS = workers/4, 400
 	limit := float64(workers) / 2 // a quarter of the cards that there are
-	s.Teams[0].Cards, s.Teams[0].CardsMax = limit/2, limit
-	s.Teams[1].Cards, s.Teams[1].CardsMax = limit/4, limit/2
+	s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = limit/2, limit
+	s.Teams[1].GuaranteedGPUs, s.Teams[1].MaxGPUs = limit/4, limit/2
 	return s
 }
 
--- a/internal/world/measure_loopback_test.go
+++ b/internal/world/measure_loopback_test.go
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		s := hammeredSite(workers)
-		s.Teams[0].Cards, s.Teams[0].CardsMax = 200, 200
+		s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = 200, 200
 		l, err := NewLoopback(s, binary, t.TempDir(), operator, func(string, ...any) {})
 		if err != nil {
 			t.Fatal(err)
@@ -54,11 +54,11 @@
 		}
 		histogram := newWaits()
 		for _, u := range l.order[1:] {
-			created, known := l.accounting.createdAt[u.spec.Ref]
+			created, known := l.accounting.createdAt[u.spec.ID]
 			if !known {
 				continue // never accepted
 			}
-			at, placed := l.accounting.placedAt[u.spec.Ref]
+			at, placed := l.accounting.placedAt[u.spec.ID]
 			if !placed {
 				at = l.now
 			}
--- a/internal/world/measure_test.go
+++ b/internal/world/measure_test.go
@@ -82,7 +82,7 @@
 	const begin, end = 60 * time.Second, 300 * time.Second
 	s := Defaults()
 	s.Seed, s.Nodes, s.Capacity, s.Idle, s.Admission, s.WriteRPS = seed+1, []string{"a", "b", "a", "b", "a"}, 100, 400*time.Second, admission, 60
-	s.Teams = []core.Team{{Name: "pool", Cards: 120, CardsMax: 120}, {Name: "warm", CardsMax: 1000}}
+	s.Teams = []core.Team{{Name: "pool", GuaranteedGPUs: 120, MaxGPUs: 120}, {Name: "warm", MaxGPUs: 1000}}
 	w := New(s, func(string, ...any) {})
 	must(w.submitLine([]string{"wk-000000", "team=warm", "frames=80", "run=30", "cards=2", "ordinary"}))
 	day.trouble(w)
@@ -96,9 +96,9 @@
 	sum, samples := 0.0, 0
 	w.every(time.Second, func() {
 		if w.now > begin+20*time.Second && w.now < end {
-			sum += w.accounting.teams["pool"].byLeader.Cards
+			sum += w.accounting.teams["pool"].byLeader.GPUs
 			for _, r := range w.accounting.teams["pool"].admitted {
-				sum += r.Cards
+				sum += r.GPUs
 			}
 			samples++
 		}
@@ -108,11 +108,11 @@
 		t.Errorf("%s, admission %d, seed %d: %v", day.name, admission, seed, w.Broken)
 	}
 	for _, u := range w.order[1:] {
-		at, placed := w.accounting.placedAt[u.spec.Ref]
+		at, placed := w.accounting.placedAt[u.spec.ID]
 		if !placed {
 			at = w.now
 		}
-		must(histogram.RecordValue(max(1, (at - w.accounting.createdAt[u.spec.Ref]).Milliseconds())))
+		must(histogram.RecordValue(max(1, (at - w.accounting.createdAt[u.spec.ID]).Milliseconds())))
 	}
 	*used += sum / float64(samples) / 120
 	return w.accounting.admissions
--- a/internal/world/meetings.go
+++ b/internal/world/meetings.go
@@ -26,7 +26,7 @@
 	lateReportsTo time.Duration
 	forNext       float64 // share of reports of which a copy is kept for the next leader
 	forNextTo     time.Duration
-	kept          []*wire.Report
+	kept          []*wire.WorkerHeartbeat
 
 	cancelAtEnd   float64 // share of jobs that are called off at the moment of their end
 	cancelAtEndTo time.Duration
@@ -63,7 +63,7 @@
 func (w *World) controller(arg string) int {
 	leader := 0
 	if k := w.store.keys[wire.LeaderKey]; k != nil {
-		label := decode(wire.LeaderKey, k.raw).(*wire.Leader).Node
+		label := decode(wire.LeaderKey, k.raw).(*wire.Leader).Controller
 		leader = slices.IndexFunc(w.nodes, func(n *node) bool { return n.label == label })
 	}
 	switch {
@@ -82,7 +82,7 @@
 }
 
 // copyLater lets a copy of a report come again.
-func (w *World) copyLater(r *wire.Report) {
+func (w *World) copyLater(r *wire.WorkerHeartbeat) {
 	if w.now < w.lateReportsTo && w.rng.Float64() < w.lateReports {
 		m := w.nodes[w.rng.IntN(len(w.nodes))]
 		w.after(2*time.Second+time.Duration(w.rng.Int64N(int64(w.Lease*3/2))), func() { m.hearCopy(r) })
@@ -92,8 +92,8 @@
 	}
 }
 
-func (n *node) hearCopy(r *wire.Report) {
-	n.ask(func(req uint64) core.Input { return core.Reported{Req: req, Report: r} }, func(core.Reply) {})
+func (n *node) hearCopy(r *wire.WorkerHeartbeat) {
+	n.ask(func(req uint64) core.Input { return core.WorkerReported{RequestID: req, Heartbeat: r} }, func(core.Reply) {})
 }
 
 // deliverKept gives what was kept for the next leader to every controller, just
@@ -114,7 +114,7 @@
 func (w *World) cancelNow(count int, hang time.Duration, prefix string) {
 	var long []*userSim
 	for _, u := range w.order {
-		if !u.accepted || u.asked || !strings.HasPrefix(u.spec.Ref, prefix) {
+		if !u.accepted || u.asked || !strings.HasPrefix(u.spec.ID, prefix) {
 			continue
 		}
 		running := false
@@ -128,7 +128,7 @@
 	w.rng.Shuffle(len(long), func(i, k int) { long[i], long[k] = long[k], long[i] })
 	hung := 0
 	for _, u := range long[:min(count, len(long))] {
-		w.after(time.Duration(w.rng.IntN(200))*time.Millisecond, func() { w.Withdraw(u.spec.Ref) })
+		w.after(time.Duration(w.rng.IntN(200))*time.Millisecond, func() { w.Withdraw(u.spec.ID) })
 		u.present(func(k *workerSim, _ *taskSim) {
 			if hang > 0 && hung < 8 && !k.hung {
 				hung++
@@ -145,15 +145,15 @@
 	}
 	w.after(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() {
 		if !u.asked {
-			w.Withdraw(u.spec.Ref)
+			w.Withdraw(u.spec.ID)
 		}
 	})
 }
 
 // ended tells whether all tasks of a job have completed.
 func (u *userSim) ended() bool {
-	for t := range u.spec.Frames {
-		if !u.w.done[wire.TaskName(u.spec.Ref, t)] {
+	for t := range u.spec.TaskCount {
+		if !u.w.done[wire.TaskName(u.spec.ID, t)] {
 			return false
 		}
 	}
@@ -173,26 +173,26 @@
 	}
 	for i := range 3 {
 		for _, n := range w.nodes {
-			w.after(time.Duration(i*4000+w.rng.IntN(4000))*time.Microsecond, func() { u.askAt(n, wire.Poll, nil) })
+			w.after(time.Duration(i*4000+w.rng.IntN(4000))*time.Microsecond, func() { u.askAt(n, wire.RequestStatus, nil) })
 		}
 	}
 	w.after(time.Duration(w.rng.IntN(5000))*time.Microsecond, func() {
-		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.Submit, u.body())
+		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestSubmit, u.body())
 	})
-	if u.told != wire.StatusDone && !u.asked && strings.HasPrefix(u.spec.Ref, bulkIDs) && w.rng.IntN(6) == 0 {
-		w.after(time.Duration(w.rng.IntN(8000))*time.Microsecond, func() { w.Withdraw(u.spec.Ref) })
+	if u.told != wire.StatusDone && !u.asked && strings.HasPrefix(u.spec.ID, bulkIDs) && w.rng.IntN(6) == 0 {
+		w.after(time.Duration(w.rng.IntN(8000))*time.Microsecond, func() { w.Withdraw(u.spec.ID) })
 	}
 }
 
 func (u *userSim) askAt(n *node, kind wire.RequestKind, body []byte) {
 	asked := u.w.now
-	u.w.askOf(n, kind, u.spec.Ref, body, 2*time.Second, func(r core.Reply) {
+	u.w.askOf(n, kind, u.spec.ID, body, 2*time.Second, func(r core.Reply) {
 		switch r.Status {
 		case 200, 201:
 			u.lastOK = u.w.now
 			u.hear(asked, r)
 		case 404, 400, 422:
-			u.w.broke("forgotten", "%s: %s got %d after it was accepted", u.spec.Ref, kind, r.Status)
+			u.w.broke("forgotten", "%s: %s got %d after it was accepted", u.spec.ID, kind, r.Status)
 		}
 	})
 }
@@ -212,23 +212,23 @@
 	kind := w.rng.IntN(4)
 	if kind == 0 && len(unfinished) > 0 {
 		u := unfinished[w.rng.IntN(len(unfinished))]
-		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.Submit, u.body())
+		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestSubmit, u.body())
 		return
 	}
 	if kind == 1 && len(done) > 0 {
 		u := done[w.rng.IntN(len(done))]
-		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.Withdraw, nil)
+		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestCancel, nil)
 		return
 	}
 	w.odd++
-	u := &userSim{w: w, spec: wire.Spec{Ref: fmt.Sprintf("wk-%06d", 700000+w.odd), Class: "c", Team: "wide", Shape: wire.ShapeArray,
-		Urgency: "standard", Frames: 1, Cores: 4, Cards: 1, MemoryGB: 16, Image: "img", ImageGB: 2, ExpectedS: 20}}
+	u := &userSim{w: w, spec: wire.JobSpec{ID: fmt.Sprintf("wk-%06d", 700000+w.odd), Class: "c", Team: "wide", Shape: wire.ShapeArray,
+		Priority: "standard", TaskCount: 1, Cores: 4, GPUs: 1, MemoryGB: 16, Image: "img", ImageGB: 2, ExpectedS: 20}}
 	want := 422
 	switch w.rng.IntN(4) {
 	case 0:
 		u.spec.Cores = 1000 // fits no machine
 	case 1:
-		u.spec.Team, u.spec.Shape, u.spec.Frames = "red", wire.ShapeGang, 9 // over the team's limit
+		u.spec.Team, u.spec.Shape, u.spec.TaskCount = "red", wire.ShapeGang, 9 // over the team's limit
 	case 2:
 		u.spec.Team = "nobody"
 	default:
@@ -239,13 +239,13 @@
 		want = 400
 		body = lacking(body, w.rng.IntN(1<<20))
 	}
-	w.askOf(w.nodes[w.rng.IntN(len(w.nodes))], wire.Submit, u.spec.Ref, body, 5*time.Second, func(r core.Reply) {
-		w.judgeOdd(u.spec.Ref, want, r.Status)
+	w.askOf(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestSubmit, u.spec.ID, body, 5*time.Second, func(r core.Reply) {
+		w.judgeOdd(u.spec.ID, want, r.Status)
 	})
 	w.after(8*time.Second, func() {
-		w.askOf(w.nodes[w.rng.IntN(len(w.nodes))], wire.Poll, u.spec.Ref, nil, 2*time.Second, func(r core.Reply) {
+		w.askOf(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestStatus, u.spec.ID, nil, 2*time.Second, func(r core.Reply) {
 			if r.Status == 200 {
-				w.broke("invented", "%s is known though it was refused", u.spec.Ref)
+				w.broke("invented", "%s is known though it was refused", u.spec.ID)
 			}
 		})
 	})
@@ -304,14 +304,14 @@
 			u.besideRoom = w.now
 		}
 		if w.now-max(u.besideRoom, w.calm) > waitsBesideRoom {
-			w.broke("left_waiting", "%s waits beside room since %v", u.spec.Ref, u.besideRoom)
+			w.broke("left_waiting", "%s waits beside room since %v", u.spec.ID, u.besideRoom)
 		}
 	}
 }
 
 // waits tells whether a job that should run has nothing on any machine.
 func (u *userSim) waits() bool {
-	if !u.accepted || u.asked || u.fails || u.held() || len(u.on) > 0 && slices.ContainsFunc(u.on, func(t *taskSim) bool { return t.state != wire.TaskEnded }) {
+	if !u.accepted || u.asked || u.fails || u.held() || len(u.on) > 0 && slices.ContainsFunc(u.on, func(t *taskSim) bool { return t.state != wire.TaskExited }) {
 		return false
 	}
 	return !u.ended()
@@ -331,9 +331,9 @@
 			continue
 		}
 		f := w.cloud.flavor
-		r := &roomSim{k, f.Cores, f.Cards, f.MemoryGB}
+		r := &roomSim{k, f.Cores, f.GPUs, f.MemoryGB}
 		for _, t := range k.tasks {
-			if t.state != wire.TaskEnded && t.u != nil {
+			if t.state != wire.TaskExited && t.u != nil {
 				r.take(t.u)
 			}
 		}
@@ -344,7 +344,7 @@
 
 func (r *roomSim) take(u *userSim) {
 	r.cores -= u.spec.Cores
-	r.cards -= u.spec.Cards
+	r.cards -= u.spec.GPUs
 	r.gb -= u.spec.MemoryGB
 }
 
@@ -354,18 +354,18 @@
 	sp, w := &u.spec, u.w
 	need := 1
 	if sp.Shape == wire.ShapeGang {
-		need = sp.Frames
+		need = sp.TaskCount
 	}
 	cores, cards := w.teamUse(sp.Team)
-	if beyond(w.accounting.teams[sp.Team].limit, cores+float64(need)*sp.Cores, cards+float64(need)*sp.Cards) {
+	if beyond(w.accounting.teams[sp.Team].limit, cores+float64(need)*sp.Cores, cards+float64(need)*sp.GPUs) {
 		return false
 	}
 	zones := map[string]int{}
 	for _, r := range free {
-		if r.k.m.Spot && !sp.Spot || sp.Zone != "" && sp.Zone != r.k.m.Zone {
+		if r.k.m.Spot && !sp.AllowSpot || sp.Zone != "" && sp.Zone != r.k.m.Zone {
 			continue
 		}
-		for k := *r; k.cores >= sp.Cores && k.cards >= sp.Cards && k.gb >= sp.MemoryGB && zones[r.k.m.Zone] < need; k.take(u) {
+		for k := *r; k.cores >= sp.Cores && k.cards >= sp.GPUs && k.gb >= sp.MemoryGB && zones[r.k.m.Zone] < need; k.take(u) {
 			zones[r.k.m.Zone]++
 		}
 	}
--- a/internal/world/rules.go
+++ b/internal/world/rules.go
@@ -18,7 +18,7 @@
 // present is that of World for the tasks of one job.
 func (u *userSim) present(f func(k *workerSim, t *taskSim)) {
 	for _, t := range u.on {
-		if t.state != wire.TaskEnded && !t.k.off {
+		if t.state != wire.TaskExited && !t.k.off {
 			f(t.k, t)
 		}
 	}
@@ -36,7 +36,7 @@
 		w.broke("attempt_recurs", "%s on %s and then on %s", name, at, k.m.Name)
 	}
 	w.attempts[name] = k.m.Name
-	for _, ref := range sp.WaitsOn {
+	for _, ref := range sp.Dependencies {
 		if a := w.users[ref]; a == nil || !a.ended() {
 			w.broke("too_early", "%s/%d before %s is done", t.ref, t.task, ref)
 		}
@@ -52,14 +52,14 @@
 		w.broke("quota", "%s uses %v cards and %v cores", sp.Team, cards, cores)
 	}
 	switch {
-	case k.m.Spot && !sp.Spot:
+	case k.m.Spot && !sp.AllowSpot:
 		w.broke("wrong_place", "%s on a spot machine", t.ref)
 	case sp.Zone != "" && sp.Zone != k.m.Zone:
 		w.broke("wrong_place", "%s in zone %s", t.ref, k.m.Zone)
 	case sp.SameZone && len(zones) > 1:
 		w.broke("wrong_place", "%s in zones %v", t.ref, zones)
-	case sp.Spread && zones[k.m.Zone] > (sp.Frames+1)/2:
-		w.broke("wrong_place", "%s has %d of %d tasks in zone %s", t.ref, zones[k.m.Zone], sp.Frames, k.m.Zone)
+	case sp.Spread && zones[k.m.Zone] > (sp.TaskCount+1)/2:
+		w.broke("wrong_place", "%s has %d of %d tasks in zone %s", t.ref, zones[k.m.Zone], sp.TaskCount, k.m.Zone)
 	}
 	if t.u.withdrawn > 0 && w.now-t.u.withdrawn > w.Cancel {
 		w.broke("ran_cancelled", "%s started %v after", t.ref, w.now-t.u.withdrawn)
@@ -86,7 +86,7 @@
 	// Once all troubles are over each job is judged by itself.
 	for _, u := range w.order {
 		if quiet := w.now - max(u.lastOK, w.calm); u.accepted && u.withdrawn == 0 && quiet > 75*time.Second {
-			w.broke("forgotten", "%s: no answer for %v, the last was %d", u.spec.Ref, quiet, u.lastCode)
+			w.broke("forgotten", "%s: no answer for %v, the last was %d", u.spec.ID, quiet, u.lastCode)
 		}
 	}
 	w.present(func(k *workerSim, t *taskSim) {
@@ -112,25 +112,25 @@
 		return
 	}
 	switch t.state {
-	case wire.TaskGathering:
+	case wire.TaskWaitingForGang:
 		if w.now-t.since > w.GangWait {
-			k.end(t, wire.CauseAlone)
+			k.end(t, wire.CauseGangIncomplete)
 		} else {
 			w.gather(t)
 		}
 	case wire.TaskRunning:
 		peers := 0
 		t.u.present(func(k2 *workerSim, x *taskSim) {
-			if x.attempt == t.attempt && !k2.hung && (x.state == wire.TaskRunning || x.state == wire.TaskSaving) {
+			if x.attempt == t.attempt && !k2.hung && (x.state == wire.TaskRunning || x.state == wire.TaskCheckpointing) {
 				peers++
 			}
 		})
-		if peers == t.u.spec.Frames || w.done[wire.TaskName(t.ref, t.task)] {
+		if peers == t.u.spec.TaskCount || w.done[wire.TaskName(t.ref, t.task)] {
 			t.lostAt = 0
 		} else if t.lostAt == 0 {
 			t.lostAt = w.now
 		} else if w.now-t.lostAt > w.GangPeer {
-			k.end(t, wire.CausePeers)
+			k.end(t, wire.CausePeerLost)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 	}
 	for _, u := range w.order {
 		if judged(u) {
-			largest[u.spec.Class] = max(largest[u.spec.Class], u.spec.Frames)
+			largest[u.spec.Class] = max(largest[u.spec.Class], u.spec.TaskCount)
 		}
 	}
 	for _, u := range w.order {
@@ -169,7 +169,7 @@
 		}
 		count("class "+u.spec.Class, u.begun > 0)
 		count("team "+u.spec.Team, u.begun > 0)
-		if u.spec.Frames == largest[u.spec.Class] {
+		if u.spec.TaskCount == largest[u.spec.Class] {
 			count("largest of class "+u.spec.Class, u.begun > 0 && u.begun-u.since <= beginWithin)
 		}
 	}
@@ -188,7 +188,7 @@
 		if u.spec.Team == team {
 			u.present(func(*workerSim, *taskSim) {
 				cores += u.spec.Cores
-				cards += u.spec.Cards
+				cards += u.spec.GPUs
 			})
 		}
 	}
@@ -204,5 +204,5 @@
 
 // beyond tells whether a use is beyond a limit, in which 0 is none.
 func beyond(limit wire.Resources, cores, cards float64) bool {
-	return limit.Cards > 0 && cards > limit.Cards+rounding || limit.Cores > 0 && cores > limit.Cores+rounding
+	return limit.GPUs > 0 && cards > limit.GPUs+rounding || limit.Cores > 0 && cores > limit.Cores+rounding
 }
--- a/internal/world/rules_test.go
+++ b/internal/world/rules_test.go
@@ -16,14 +16,14 @@
 		n.up = false
 	}
 	w.now = 400 * time.Second
-	u := &userSim{w: w, only: -1, accepted: true, lastOK: w.now, spec: wire.Spec{Ref: "wk-000001", Class: "c", Team: "red", Shape: shape, Frames: frames, Cores: 4, Cards: 1, MemoryGB: 16, Spot: true}}
-	w.users[u.spec.Ref] = u
+	u := &userSim{w: w, only: -1, accepted: true, lastOK: w.now, spec: wire.JobSpec{ID: "wk-000001", Class: "c", Team: "red", Shape: shape, TaskCount: frames, Cores: 4, GPUs: 1, MemoryGB: 16, AllowSpot: true}}
+	w.users[u.spec.ID] = u
 	w.order = append(w.order, u)
 	return w, u, addMachine(w, "vm-000001")
 }
 
 func addMachine(w *World, name string) *workerSim {
-	m := &machine{Machine: wire.Machine{Name: name, Zone: "a", Rig: "g2"}}
+	m := &machine{CloudMachine: wire.CloudMachine{Name: name, Zone: "a", MachineType: "g2"}}
 	w.cloud.hosts[name] = m
 	k := &workerSim{w: w, m: m, session: 1, tasks: map[string]*taskSim{}, images: map[string]bool{}, answered: w.now, drift: 1}
 	w.workers[name] = k
@@ -31,8 +31,8 @@
 }
 
 func (u *userSim) runs(k *workerSim, task int, attempt uint64) *taskSim {
-	t := &taskSim{u: u, k: k, ref: u.spec.Ref, task: task, attempt: attempt, state: wire.TaskRunning, since: u.w.now}
-	k.add(wire.TaskName(u.spec.Ref, task), t)
+	t := &taskSim{u: u, k: k, ref: u.spec.ID, task: task, attempt: attempt, state: wire.TaskRunning, since: u.w.now}
+	k.add(wire.TaskName(u.spec.ID, task), t)
 	return t
 }
 
@@ -40,7 +40,7 @@
 // is there for, and that it is quiet where nothing is wrong.
 func TestChecksFire(t *testing.T) {
 	answer := func(status string) core.Reply {
-		return core.Reply{Status: 200, Body: wire.JobStatus{Ref: "wk-000001", Status: status}}
+		return core.Reply{Status: 200, Body: wire.JobStatus{JobID: "wk-000001", Status: status}}
 	}
 	for _, c := range []struct {
 		rule string // "" if nothing may fire
@@ -59,7 +59,7 @@
 		}},
 		{"wrong_place", func(w *World, u *userSim, k *workerSim) { u.spec.Zone = "b"; w.started(k, u.runs(k, 0, 1)) }},
 		{"wrong_place", func(w *World, u *userSim, k *workerSim) {
-			u.spec.Spot, k.m.Spot = false, true
+			u.spec.AllowSpot, k.m.Spot = false, true
 			w.started(k, u.runs(k, 0, 1))
 		}},
 		{"ran_cancelled", func(w *World, u *userSim, k *workerSim) {
@@ -82,16 +82,16 @@
 			w.check()
 		}},
 		{"went_back", func(w *World, u *userSim, _ *workerSim) {
-			u.spec.Frames = 0
+			u.spec.TaskCount = 0
 			u.hear(w.now, answer(wire.StatusDone))
 			u.hear(w.now, answer(wire.StatusRunning))
 		}},
 		{"went_back", func(w *World, u *userSim, _ *workerSim) {
 			u.asked = true
-			u.hear(w.now, answer(wire.StatusWithdrawn))
+			u.hear(w.now, answer(wire.StatusCancelled))
 			u.hear(w.now, answer(wire.StatusPending))
 		}},
-		{"went_back", func(w *World, u *userSim, _ *workerSim) { u.hear(w.now, answer(wire.StatusWithdrawn)) }},
+		{"went_back", func(w *World, u *userSim, _ *workerSim) { u.hear(w.now, answer(wire.StatusCancelled)) }},
 		{"not_done", func(w *World, u *userSim, _ *workerSim) { u.hear(w.now, answer(wire.StatusDone)) }},
 		{"accepted_wrongly", func(w *World, _ *userSim, _ *workerSim) { w.judgeOdd("wk-700001", 422, 201) }},
 		{"accepted_wrongly", func(w *World, _ *userSim, _ *workerSim) { w.judgeOdd("wk-700001", 400, 422) }},
@@ -105,7 +105,7 @@
 		{"", func(w *World, u *userSim, k *workerSim) { // its team is at its limit
 			u.besideRoom = w.now - 91*time.Second
 			v := &userSim{w: w, only: -1, accepted: true, spec: u.spec}
-			v.spec.Ref, v.spec.Cards = "wk-000002", 8
+			v.spec.ID, v.spec.GPUs = "wk-000002", 8
 			w.order = append(w.order, v)
 			v.runs(addMachine(w, "vm-000002"), 0, 1)
 			w.leftWaiting()
@@ -136,12 +136,12 @@
 // TestSubmissionsLackAField: what the odd requests send is faulty each time.
 func TestSubmissionsLackAField(t *testing.T) {
 	_, u, _ := still(wire.ShapeArray, 1)
-	u.spec.Urgency, u.spec.Image = "low", "img"
-	if _, _, err := wire.ParseSpec(u.body()); err != nil {
+	u.spec.Priority, u.spec.Image = "low", "img"
+	if _, _, err := wire.ParseJobSpec(u.body()); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 64 {
-		if ref, _, err := wire.ParseSpec(lacking(u.body(), i)); err == nil || ref != u.spec.Ref {
+		if ref, _, err := wire.ParseJobSpec(lacking(u.body(), i)); err == nil || ref != u.spec.ID {
 			t.Errorf("%d: taken for sound (%q, %v)", i, ref, err)
 		}
 	}
--- a/internal/world/scenario.go
+++ b/internal/world/scenario.go
@@ -261,11 +261,11 @@
 
 // owner names the controller whose claim of a part stands.
 func (w *World) owner(part string) string {
-	k := w.store.keys[wire.PartKey(part)]
+	k := w.store.keys[wire.ShardKey(part)]
 	if k == nil {
 		return ""
 	}
-	return decode(wire.PartKey(part), k.raw).(*wire.Part).Owner
+	return decode(wire.ShardKey(part), k.raw).(*wire.Shard).Owner
 }
 
 func (w *World) expectOne(u *userSim, what string) error {
@@ -285,8 +285,8 @@
 	}
 	bad := func(got any) error { return fmt.Errorf("want %s, got %v", what, got) }
 	if k, v, ok := strings.Cut(what, "<="); ok {
-		if k == "starts" && w.Starts[u.spec.Ref] > number(v) {
-			return bad(w.Starts[u.spec.Ref])
+		if k == "starts" && w.Starts[u.spec.ID] > number(v) {
+			return bad(w.Starts[u.spec.ID])
 		}
 		if k == "begun" && (u.begun == 0 || u.begun > secs(float64(number(v)))) {
 			return bad(u.begun)
--- a/internal/world/script.go
+++ b/internal/world/script.go
@@ -316,7 +316,7 @@
 
 // submission is a job as a script's line describes it.
 type submission struct {
-	spec  wire.Spec
+	spec  wire.JobSpec
 	run   time.Duration
 	fails bool
 	only  int
@@ -326,8 +326,8 @@
 var submissionFlags = map[string]func(*submission){
 	"one_zone":       func(s *submission) { s.spec.SameZone = true },
 	"spread":         func(s *submission) { s.spec.Spread = true },
-	"ordinary":       func(s *submission) { s.spec.Spot = false },
-	"no-checkpoints": func(s *submission) { s.spec.CheckpointS, s.spec.SaveS = 0, 0 },
+	"ordinary":       func(s *submission) { s.spec.AllowSpot = false },
+	"no-checkpoints": func(s *submission) { s.spec.CheckpointIntervalS, s.spec.CheckpointTimeS = 0, 0 },
 	"fails":          func(s *submission) { s.fails = true },
 }
 
@@ -336,35 +336,35 @@
 	"shape": func(s *submission, text string) {
 		s.spec.Shape = text
 		if text == wire.ShapeDaemon {
-			s.spec.ExpectedS, s.spec.CheckpointS, s.spec.SaveS = 0, 0, 0
+			s.spec.ExpectedS, s.spec.CheckpointIntervalS, s.spec.CheckpointTimeS = 0, 0, 0
 		}
 	},
 	"team":    func(s *submission, text string) { s.spec.Team = text },
 	"class":   func(s *submission, text string) { s.spec.Class = text },
-	"urgency": func(s *submission, text string) { s.spec.Urgency = text },
+	"urgency": func(s *submission, text string) { s.spec.Priority = text },
 	"image":   func(s *submission, text string) { s.spec.Image = text },
 	"zone":    func(s *submission, text string) { s.spec.Zone = text },
-	"rig":     func(s *submission, text string) { s.spec.Rigs = []string{text} },
-	"after":   func(s *submission, text string) { s.spec.WaitsOn = strings.Split(text, ",") },
+	"rig":     func(s *submission, text string) { s.spec.MachineTypes = []string{text} },
+	"after":   func(s *submission, text string) { s.spec.Dependencies = strings.Split(text, ",") },
 }
 
 // submissionNumbers are attributes with a number.
 var submissionNumbers = map[string]func(*submission, float64){
-	"frames": func(s *submission, x float64) { s.spec.Frames = int(x) },
-	"cards":  func(s *submission, x float64) { s.spec.Cards = x },
+	"frames": func(s *submission, x float64) { s.spec.TaskCount = int(x) },
+	"cards":  func(s *submission, x float64) { s.spec.GPUs = x },
 	"cores":  func(s *submission, x float64) { s.spec.Cores = x },
 	"mem":    func(s *submission, x float64) { s.spec.MemoryGB = x },
 	"gb":     func(s *submission, x float64) { s.spec.ImageGB = x },
-	"due":    func(s *submission, x float64) { s.spec.DueS = x },
+	"due":    func(s *submission, x float64) { s.spec.DeadlineS = x },
 	"run":    func(s *submission, x float64) { s.run = secs(x) },
 	"ask":    func(s *submission, x float64) { s.only = int(x) },
 }
 
 // submitLine has a user submit a job: REF and attributes.
 func (w *World) submitLine(args []string) error {
-	s := &submission{run: 20 * time.Second, only: -1, spec: wire.Spec{
-		Ref: args[0], Class: "c", Team: "wide", Shape: "array", Urgency: "standard", Frames: 1,
-		Cores: 4, Cards: 1, MemoryGB: 16, Image: "img", ImageGB: 2, ExpectedS: 20, CheckpointS: 5, SaveS: 2, Spot: true}}
+	s := &submission{run: 20 * time.Second, only: -1, spec: wire.JobSpec{
+		ID: args[0], Class: "c", Team: "wide", Shape: "array", Priority: "standard", TaskCount: 1,
+		Cores: 4, GPUs: 1, MemoryGB: 16, Image: "img", ImageGB: 2, ExpectedS: 20, CheckpointIntervalS: 5, CheckpointTimeS: 2, AllowSpot: true}}
 	for _, arg := range args[1:] {
 		name, text, _ := strings.Cut(arg, "=")
 		x, _ := strconv.ParseFloat(text, 64)
@@ -379,6 +379,6 @@
 		}
 	}
 	w.Submit(s.spec, s.run, s.only)
-	w.users[s.spec.Ref].fails = s.fails
+	w.users[s.spec.ID].fails = s.fails
 	return nil
 }
--- a/internal/world/services.go
+++ b/internal/world/services.go
@@ -61,7 +61,7 @@
 func encodeWrites(ws []core.Write) []put {
 	var out []put
 	for _, x := range ws {
-		p := put{key: x.Key, lease: x.Lease}
+		p := put{key: x.Key, lease: x.LeaseID}
 		if x.Value != nil {
 			raw, err := wire.Encode(x.Value)
 			must(err)
@@ -87,7 +87,7 @@
 	return len(text)
 }
 
-func (s *store) commit(n *node, conds []core.Cond, puts []put) (core.Outcome, uint64, []string) {
+func (s *store) commit(n *node, conds []core.Condition, puts []put) (core.Outcome, uint64, []string) {
 	if s.outage {
 		return core.Refused, 0, nil
 	}
@@ -108,7 +108,7 @@
 			s.w.broke("limits", "%s: value of %s has %d bytes", n.label, p.key, size)
 		}
 		if p.lease != 0 && s.leases[p.lease] == nil {
-			return core.BadLease, s.rev, nil
+			return core.LeaseExpired, s.rev, nil
 		}
 	}
 	var failed []string
@@ -117,7 +117,7 @@
 		if e := s.keys[c.Key]; e != nil {
 			have = e.rev
 		}
-		if have != c.Rev {
+		if have != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
@@ -153,7 +153,7 @@
 		s.ledFrom = s.w.now
 		s.w.deliverKept()
 	}
-	if strings.HasPrefix(p.key, wire.PartPrefix) && p.raw != nil {
+	if strings.HasPrefix(p.key, wire.ShardPrefix) && p.raw != nil {
 		s.claims++
 	}
 	s.log = append(s.log, change{p.key, p.raw, rev})
@@ -163,7 +163,7 @@
 func (s *store) moreKeys() int {
 	k := 0
 	for key := range s.keys {
-		if strings.HasPrefix(key, wire.ContinuationPrefix) {
+		if strings.HasPrefix(key, wire.OverflowPrefix) {
 			k++
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 	l := s.leases[id]
 	if l == nil {
-		return core.Missing, 0
+		return core.NotFound, 0
 	}
 	l.ends = s.w.now + l.ttl
 	return core.OK, 0
@@ -264,10 +264,10 @@
 			})
 			return
 		}
-		c := core.Changes{Reset: true, Rev: s.rev}
+		c := core.RecordsChanged{Reset: true, Revision: s.rev}
 		for _, k := range sortedKeys(s.keys) {
 			e := s.keys[k]
-			c.Events = append(c.Events, core.Event{Key: k, Rev: e.rev, Value: decode(k, e.raw)})
+			c.Events = append(c.Events, core.Event{Key: k, Revision: e.rev, Value: decode(k, e.raw)})
 		}
 		s.at[n.label] = len(s.log)
 		n.step(c)
@@ -283,9 +283,9 @@
 			if n.life != life || !n.up || s.refuses(n) || s.hung[n.label] > 0 || at < 0 || at >= len(s.log) {
 				return
 			}
-			c := core.Changes{Rev: s.log[len(s.log)-1].rev}
+			c := core.RecordsChanged{Revision: s.log[len(s.log)-1].rev}
 			for _, x := range s.log[at:] {
-				e := core.Event{Key: x.key, Rev: x.rev}
+				e := core.Event{Key: x.key, Revision: x.rev}
 				if x.raw != nil {
 					e.Value = decode(x.key, x.raw)
 				}
@@ -301,12 +301,12 @@
 type cloud struct {
 	w      *World
 	hires  map[string][]string
-	asked  map[string]wire.Hire
+	asked  map[string]wire.ProvisionRequest
 	hosts  map[string]*machine
 	count  int
 	outage bool
 	short  bool
-	flavor wire.Flavor
+	flavor wire.MachineType
 
 	returns int // machines that controllers have returned
 
@@ -315,54 +315,54 @@
 }
 
 type machine struct {
-	wire.Machine
+	wire.CloudMachine
 	born time.Duration
 	dead bool
 }
 
 func newCloud(w *World) *cloud {
-	return &cloud{w: w, hires: map[string][]string{}, asked: map[string]wire.Hire{}, hosts: map[string]*machine{},
-		flavor: wire.Flavor{Name: "g2", Cores: 16, Cards: 2, MemoryGB: 64, CacheGB: 60, FetchGBs: 0.5,
-			Price: 6, SpotPrice: 2, BootS: w.Boot.Seconds(), Zones: w.Zones}}
+	return &cloud{w: w, hires: map[string][]string{}, asked: map[string]wire.ProvisionRequest{}, hosts: map[string]*machine{},
+		flavor: wire.MachineType{Name: "g2", Cores: 16, GPUs: 2, MemoryGB: 64, ImageCacheGB: 60, FetchGBs: 0.5,
+			PricePerHour: 6, SpotPricePerHour: 2, BootS: w.Boot.Seconds(), Zones: w.Zones}}
 }
 
 // staleLeader tells whether a controller deals with the cloud long after
 // another has taken the lead: it would return machines that are in use.
 func (w *World) staleLeader(n *node) bool {
 	k := w.store.keys[wire.LeaderKey]
-	return k != nil && decode(wire.LeaderKey, k.raw).(*wire.Leader).Node != n.label && w.now-w.store.ledFrom > 6*time.Second
+	return k != nil && decode(wire.LeaderKey, k.raw).(*wire.Leader).Controller != n.label && w.now-w.store.ledFrom > 6*time.Second
 }
 
-func (c *cloud) call(q core.Cloud) core.Clouded {
-	r := core.Clouded{ID: q.ID, Outcome: core.OK}
+func (c *cloud) call(q core.CallCloud) core.CloudAnswered {
+	r := core.CloudAnswered{ID: q.ID, Outcome: core.OK}
 	switch {
-	case q.Flavors:
-		r.Flavors = []wire.Flavor{c.flavor}
-	case q.List:
+	case q.ListTypes:
+		r.MachineTypes = []wire.MachineType{c.flavor}
+	case q.ListMachines:
 		for _, name := range sortedKeys(c.hosts) {
 			m := c.hosts[name]
 			if age := c.w.now - m.born; !m.dead && age > 4*time.Second {
-				row := m.Machine
+				row := m.CloudMachine
 				row.AgeS = age.Seconds()
 				r.Machines = append(r.Machines, row)
 			}
 		}
-	case q.Hire != nil:
-		if got, known := c.hires[q.Hire.Name]; known {
-			if c.asked[q.Hire.Name] != *q.Hire {
-				c.w.broke("hire_reused", "%s for %+v and %+v", q.Hire.Name, c.asked[q.Hire.Name], *q.Hire)
+	case q.Provision != nil:
+		if got, known := c.hires[q.Provision.Name]; known {
+			if c.asked[q.Provision.Name] != *q.Provision {
+				c.w.broke("hire_reused", "%s for %+v and %+v", q.Provision.Name, c.asked[q.Provision.Name], *q.Provision)
 			}
-			r.Hosts = got
+			r.Names = got
 			break
 		}
-		r.Hosts = c.hire(q.Hire)
-		if len(r.Hosts) == 0 {
-			r.Outcome = core.Full
+		r.Names = c.hire(q.Provision)
+		if len(r.Names) == 0 {
+			r.Outcome = core.NoCapacity
 			break
 		}
-		c.hires[q.Hire.Name], c.asked[q.Hire.Name] = r.Hosts, *q.Hire
-	case q.Return != nil:
-		for _, name := range q.Return {
+		c.hires[q.Provision.Name], c.asked[q.Provision.Name] = r.Names, *q.Provision
+	case q.Deprovision != nil:
+		for _, name := range q.Deprovision {
 			c.returns++
 			c.kill(name)
 		}
@@ -381,7 +381,7 @@
 	return k
 }
 
-func (c *cloud) hire(h *wire.Hire) []string {
+func (c *cloud) hire(h *wire.ProvisionRequest) []string {
 	have := 0
 	for _, m := range c.hosts {
 		if !m.dead && m.Zone == h.Zone && m.Spot == h.Spot {
@@ -396,7 +396,7 @@
 		have++
 		name := fmt.Sprintf("vm-%06d", c.count)
 		c.count++
-		m := &machine{Machine: wire.Machine{Name: name, Addr: name + ":1", Rig: h.Rig, Zone: h.Zone, Spot: h.Spot, Status: wire.MachineBooting}, born: c.w.now}
+		m := &machine{CloudMachine: wire.CloudMachine{Name: name, Addr: name + ":1", MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Status: wire.MachineBooting}, born: c.w.now}
 		c.hosts[name] = m
 		out = append(out, name)
 		boot := time.Duration(float64(c.w.Boot) * (0.6 + 0.9*c.w.rng.Float64()))
--- a/internal/world/storm.go
+++ b/internal/world/storm.go
@@ -6,7 +6,7 @@
 	"micaport/internal/wire"
 )
 
-// hostOf finds the machine that a task is on.
+// machineNamed finds the machine that a task is on.
 func (w *World) hostOf(task string) *workerSim {
 	var found *workerSim
 	w.present(func(k *workerSim, t *taskSim) {
--- a/internal/world/takeover.go
+++ b/internal/world/takeover.go
@@ -54,20 +54,20 @@
 // to lead with it; one that leads already may claim anew to be fenced.
 func (t *takeoverWatch) claims(claim *wire.Leader, term uint64) bool {
 	holder := t.w.holder()
-	if holder != nil && *holder == (wire.Leader{Node: claim.Node, Life: claim.Life, Streak: holder.Streak}) {
+	if holder != nil && *holder == (wire.Leader{Controller: claim.Controller, Incarnation: claim.Incarnation, Streak: holder.Streak}) {
 		t.tenures[len(t.tenures)-1].term = term
 		return false
 	}
-	early := holder != nil && holder.Node != claim.Node
+	early := holder != nil && holder.Controller != claim.Controller
 	if early && (!holder.Fenced || claim.Streak == 0) {
-		t.w.broke("unfenced_takeover", "%s replaces %+v", claim.Node, holder)
+		t.w.broke("unfenced_takeover", "%s replaces %+v", claim.Controller, holder)
 	}
 	if t.endNext > 0 {
-		away, ix := t.endNext, slices.IndexFunc(t.w.nodes, func(n *node) bool { return n.label == claim.Node })
+		away, ix := t.endNext, slices.IndexFunc(t.w.nodes, func(n *node) bool { return n.label == claim.Controller })
 		t.endNext = 0
 		t.w.after(0, func() { t.w.Crash(ix, away) })
 	}
-	t.tenures = append(t.tenures, tenure{node: claim.Node, term: term, early: early, claimed: t.w.now, failedAt: t.failedAt})
+	t.tenures = append(t.tenures, tenure{node: claim.Controller, term: term, early: early, claimed: t.w.now, failedAt: t.failedAt})
 	t.failedAt = 0
 	return true
 }
@@ -92,8 +92,8 @@
 }
 
 // committed checks a transaction that has been carried out.
-func (t *takeoverWatch) committed(n *node, conds []core.Cond, puts []put) {
-	if len(t.tenures) == 0 || !slices.ContainsFunc(conds, func(c core.Cond) bool { return c.Key == wire.LeaderKey && c.Rev > 0 }) ||
+func (t *takeoverWatch) committed(n *node, conds []core.Condition, puts []put) {
+	if len(t.tenures) == 0 || !slices.ContainsFunc(conds, func(c core.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 }) ||
 		slices.ContainsFunc(puts, func(p put) bool { return p.key == wire.LeaderKey }) {
 		return
 	}
@@ -139,21 +139,21 @@
 }
 
 // heartbeat carries a leader's heartbeat to a peer.
-func (n *node) heartbeat(x core.Heartbeat) {
+func (n *node) heartbeat(x core.SendHeartbeat) {
 	w, t := n.w, n.w.takeovers
-	t.standby = x.Msg.Standby
+	t.standby = x.Message.Standby
 	t.heartbeats++
 	for _, m := range w.nodes {
 		if m.label != x.To || w.cut(n.label, n.zone, m.label, m.zone) || w.now < w.lossTo && t.rng.Float64() < w.loss {
 			continue
 		}
-		msg := *x.Msg
-		m.deliver(time.Millisecond+time.Duration(t.rng.IntN(6000))*time.Microsecond, core.HeartbeatReceived{Msg: &msg})
+		msg := *x.Message
+		m.deliver(time.Millisecond+time.Duration(t.rng.IntN(6000))*time.Microsecond, core.HeartbeatReceived{Message: &msg})
 	}
 }
 
 // sendLog carries a message of the decision log to the standby, and its answer back.
-func (n *node) sendLog(x core.SendLog) {
+func (n *node) sendLog(x core.SendDecisionLog) {
 	w, t := n.w, n.w.takeovers
 	delay := func() time.Duration { return time.Millisecond + time.Duration(t.rng.IntN(6000))*time.Microsecond }
 	lost := func(m *node) bool {
@@ -163,7 +163,7 @@
 		if m.label != x.To || lost(m) {
 			continue
 		}
-		t.logBytes += len(x.Msg.Facts)
+		t.logBytes += len(x.Message.Facts)
 		life, sender := m.life, n.life
 		w.after(delay(), func() {
 			if m.life != life || !m.up {
@@ -172,10 +172,10 @@
 			m.req++
 			m.wait[m.req] = func(r core.Reply) {
 				if n.life == sender && !lost(m) {
-					n.deliver(delay(), core.LogAcknowledged{Ack: r.Body.(wire.DecisionLogAck)})
+					n.deliver(delay(), core.DecisionLogAcknowledged{Ack: r.Body.(wire.DecisionLogAck)})
 				}
 			}
-			m.step(core.LogReceived{Req: m.req, Msg: x.Msg})
+			m.step(core.DecisionLogReceived{RequestID: m.req, Message: x.Message})
 		})
 	}
 }
--- a/internal/world/takeover_loopback_test.go
+++ b/internal/world/takeover_loopback_test.go
@@ -24,7 +24,7 @@
 // takeoverSite has five controllers and room for all that comes.
 func takeoverSite(workers int) Settings {
 	s := hammeredSite(workers)
-	s.Teams[0].Cards, s.Teams[0].CardsMax = float64(workers), float64(workers)
+	s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = float64(workers), float64(workers)
 	return s
 }
 
--- a/internal/world/takeover_test.go
+++ b/internal/world/takeover_test.go
@@ -67,7 +67,7 @@
 		if w.takeovers.lostClaims == 0 || w.takeovers.early() != 1 || len(w.Broken) > 0 {
 			t.Errorf("seed %d: %d claims lost, %d takeovers, %v", seed, w.takeovers.lostClaims, w.takeovers.early(), w.Broken)
 		}
-		if holder := w.holder(); holder == nil || holder.Node != w.nodes[first].label {
+		if holder := w.holder(); holder == nil || holder.Controller != w.nodes[first].label {
 			t.Errorf("seed %d: %+v leads, not %s", seed, holder, w.nodes[first].label)
 		}
 	}
@@ -117,7 +117,7 @@
 		leader = w.nodes[w.controller("leader")]
 		now, kept := decisionsOf(leader), false
 		for _, f := range now {
-			kept = kept || f.Kind == wire.FactKept
+			kept = kept || f.Kind == wire.FactReserved
 		}
 		if !maps.Equal(now, facts) {
 			facts, since = now, w.now
@@ -150,11 +150,11 @@
 			if !known && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptedAt) && f.At < w.now.Milliseconds() {
 				continue // over by now
 			}
-			if k := w.store.keys[wire.JobKey(f.Name)]; !known && k != nil && decode(wire.JobKey(f.Name), k.raw).(*wire.Job).State != wire.Live {
+			if k := w.store.keys[wire.JobKey(f.Name)]; !known && k != nil && decode(wire.JobKey(f.Name), k.raw).(*wire.Job).State != wire.JobLive {
 				continue // the job has ended meanwhile
 			}
-			if f.Kind == wire.FactKept {
-				first = f.Ref
+			if f.Kind == wire.FactReserved {
+				first = f.JobID
 			}
 			if off := got.At - f.At; !known || off < -50 || off > 50 {
 				t.Errorf("seed %d: %+v became %+v", seed, f, got)
@@ -172,7 +172,7 @@
 		}
 	}
 	t.Log("facts compared by kind:", compared)
-	for _, kind := range []wire.FactKind{wire.FactBoot, wire.FactBlocked, wire.FactKept, wire.FactBackoff} {
+	for _, kind := range []wire.FactKind{wire.FactBootTime, wire.FactWaitingSince, wire.FactReserved, wire.FactBackoff} {
 		if compared[kind] == 0 {
 			t.Errorf("no fact of kind %d was compared", kind)
 		}
--- a/internal/world/users.go
+++ b/internal/world/users.go
@@ -10,7 +10,7 @@
 // userSim is a user with one job.
 type userSim struct {
 	w         *World
-	spec      wire.Spec
+	spec      wire.JobSpec
 	run       time.Duration
 	fails     bool // a job submitted with a mistake
 	accepted  bool
@@ -31,9 +31,9 @@
 }
 
 // Submit has a user submit a job, repeatedly until it is accepted.
-func (w *World) Submit(s wire.Spec, run time.Duration, only int) {
+func (w *World) Submit(s wire.JobSpec, run time.Duration, only int) {
 	u := &userSim{w: w, spec: s, run: run, only: only, since: w.now}
-	w.users[s.Ref] = u
+	w.users[s.ID] = u
 	w.order = append(w.order, u)
 	u.submit(w.now)
 	w.every(5*time.Second, u.poll)
@@ -42,22 +42,22 @@
 func (u *userSim) body() []byte {
 	s := u.spec
 	m := map[string]any{
-		"ref": s.Ref, "job_class": s.Class, "studio": s.Team, "shape": s.Shape, "urgency": s.Urgency,
-		"frames": s.Frames, "cores": s.Cores, "cards": s.Cards, "memory_gb": s.MemoryGB, "toolkit": s.Image,
+		"ref": s.ID, "job_class": s.Class, "studio": s.Team, "shape": s.Shape, "urgency": s.Priority,
+		"frames": s.TaskCount, "cores": s.Cores, "cards": s.GPUs, "memory_gb": s.MemoryGB, "toolkit": s.Image,
 		"size_gb": s.ImageGB, "rigs": nil, "hall": nil, "same_place": s.SameZone, "spread": s.Spread,
-		"loaner": s.Spot, "expected_s": s.ExpectedS, "snapshot_every_s": s.CheckpointS, "snapshot_s": s.SaveS,
+		"loaner": s.AllowSpot, "expected_s": s.ExpectedS, "snapshot_every_s": s.CheckpointIntervalS, "snapshot_s": s.CheckpointTimeS,
 	}
 	if s.Zone != "" {
 		m["hall"] = s.Zone
 	}
-	if s.Rigs != nil {
-		m["rigs"] = s.Rigs
+	if s.MachineTypes != nil {
+		m["rigs"] = s.MachineTypes
 	}
-	if s.WaitsOn != nil {
-		m["waits_on"] = s.WaitsOn
+	if s.Dependencies != nil {
+		m["waits_on"] = s.Dependencies
 	}
-	if s.DueS > 0 {
-		m["due_s"] = s.DueS
+	if s.DeadlineS > 0 {
+		m["due_s"] = s.DeadlineS
 	}
 	b, err := wire.Encode(m)
 	must(err)
@@ -84,7 +84,9 @@
 	}
 	w.after(patience, func() { get(core.Reply{}) })
 	if n.up {
-		n.ask(func(req uint64) core.Input { return core.UserRequest{Req: req, Kind: kind, Ref: ref, Body: body} }, get)
+		n.ask(func(req uint64) core.Input {
+			return core.UserRequest{RequestID: req, Kind: kind, JobID: ref, Body: body}
+		}, get)
 	}
 }
 
@@ -92,7 +94,7 @@
 
 func (u *userSim) send(first time.Duration, body []byte) {
 	asked := u.w.now
-	u.w.at(wire.Submit, u.spec.Ref, body, 5*time.Second, func(r core.Reply) {
+	u.w.at(wire.RequestSubmit, u.spec.ID, body, 5*time.Second, func(r core.Reply) {
 		u.codes = append(u.codes, r.Status)
 		switch {
 		case r.Status == 200 || r.Status == 201:
@@ -101,7 +103,7 @@
 			u.hear(asked, r)
 		case r.Status == 400 || r.Status == 422:
 			if u.accepted {
-				u.w.broke("forgotten", "%s: repeat got %d", u.spec.Ref, r.Status)
+				u.w.broke("forgotten", "%s: repeat got %d", u.spec.ID, r.Status)
 			}
 		case u.w.now-first < 60*time.Second:
 			u.w.after(time.Second, func() { u.send(first, body) })
@@ -114,14 +116,14 @@
 		return
 	}
 	asked := u.w.now
-	u.w.at(wire.Poll, u.spec.Ref, nil, 2*time.Second, func(r core.Reply) {
+	u.w.at(wire.RequestStatus, u.spec.ID, nil, 2*time.Second, func(r core.Reply) {
 		u.lastCode = r.Status
 		switch r.Status {
 		case 200:
 			u.lastOK = u.w.now
 			u.hear(asked, r)
 		case 404:
-			u.w.broke("forgotten", "%s: 404 after it was accepted", u.spec.Ref)
+			u.w.broke("forgotten", "%s: 404 after it was accepted", u.spec.ID)
 		}
 	})
 }
@@ -139,24 +141,24 @@
 		return // asked before the last answer came; may be older
 	}
 	u.status = s
-	if final := s.Status == wire.StatusDone || s.Status == wire.StatusWithdrawn; u.told == "" || final && s.Status != u.told {
+	if final := s.Status == wire.StatusDone || s.Status == wire.StatusCancelled; u.told == "" || final && s.Status != u.told {
 		defer u.lookClosely()
 	}
-	if (u.told == wire.StatusDone || u.told == wire.StatusWithdrawn) && s.Status != u.told {
-		u.w.broke("went_back", "%s: %s after %s", u.spec.Ref, s.Status, u.told)
+	if (u.told == wire.StatusDone || u.told == wire.StatusCancelled) && s.Status != u.told {
+		u.w.broke("went_back", "%s: %s after %s", u.spec.ID, s.Status, u.told)
 	}
-	if s.Status == wire.StatusWithdrawn && !u.asked && u.above(func(a *userSim) bool { return a.asked }) == nil {
-		u.w.broke("went_back", "%s: withdrawn unasked", u.spec.Ref)
+	if s.Status == wire.StatusCancelled && !u.asked && u.above(func(a *userSim) bool { return a.asked }) == nil {
+		u.w.broke("went_back", "%s: withdrawn unasked", u.spec.ID)
 	}
-	if s.Status != wire.StatusDone && s.Status != wire.StatusWithdrawn {
+	if s.Status != wire.StatusDone && s.Status != wire.StatusCancelled {
 		if a := u.above(func(a *userSim) bool { return a.withdrawn > 0 && asked-a.withdrawn > u.w.Cancel }); a != nil {
-			u.w.broke("orphaned", "%s: %s, though %s was withdrawn %v ago", u.spec.Ref, s.Status, a.spec.Ref, u.w.now-a.withdrawn)
+			u.w.broke("orphaned", "%s: %s, though %s was withdrawn %v ago", u.spec.ID, s.Status, a.spec.ID, u.w.now-a.withdrawn)
 		}
 	}
 	if s.Status == wire.StatusDone {
-		for t := range u.spec.Frames {
-			if !u.w.done[wire.TaskName(u.spec.Ref, t)] {
-				u.w.broke("not_done", "%s: called done, task %d is not", u.spec.Ref, t)
+		for t := range u.spec.TaskCount {
+			if !u.w.done[wire.TaskName(u.spec.ID, t)] {
+				u.w.broke("not_done", "%s: called done, task %d is not", u.spec.ID, t)
 				break
 			}
 		}
@@ -169,13 +171,13 @@
 	u := w.users[ref]
 	u.asked = true
 	asked := w.now
-	w.at(wire.Withdraw, ref, nil, 5*time.Second, func(r core.Reply) {
+	w.at(wire.RequestCancel, ref, nil, 5*time.Second, func(r core.Reply) {
 		if r.Status != 200 {
 			w.after(time.Second, func() { w.Withdraw(ref) })
 			return
 		}
 		u.hear(asked, r)
-		if u.told == wire.StatusWithdrawn && u.withdrawn == 0 {
+		if u.told == wire.StatusCancelled && u.withdrawn == 0 {
 			u.withdrawn = w.now
 		}
 	})
--- a/internal/world/workers.go
+++ b/internal/world/workers.go
@@ -105,17 +105,17 @@
 	}
 }
 
-func (k *workerSim) snapshot() *wire.Report {
+func (k *workerSim) snapshot() *wire.WorkerHeartbeat {
 	k.seq++
-	r := &wire.Report{Host: k.m.Name, Addr: k.m.Addr, Rig: k.m.Rig, Zone: k.m.Zone, Spot: k.m.Spot,
-		Session: k.session, Seq: k.seq, Token: k.token}
+	r := &wire.WorkerHeartbeat{Machine: k.m.Name, Addr: k.m.Addr, MachineType: k.m.MachineType, Zone: k.m.Zone, Spot: k.m.Spot,
+		Epoch: k.session, Sequence: k.seq, Token: k.token}
 	if k.recallAt > 0 {
 		left := (k.recallAt - k.w.now).Seconds()
-		r.RecallS = &left
+		r.ReclaimS = &left
 	}
 	for _, name := range sortedKeys(k.tasks) {
 		t := k.tasks[name]
-		r.Tasks = append(r.Tasks, wire.Task{Task: wire.TaskName(t.ref, t.task), Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(t.ref, t.task), Attempt: t.attempt, State: t.state, ExitCause: t.cause, CheckpointSaved: t.saved})
 	}
 	return r
 }
@@ -127,7 +127,7 @@
 type pendingReport struct {
 	k       *workerSim
 	to      *node
-	message *wire.Report
+	message *wire.WorkerHeartbeat
 	ticket  int
 	session uint64
 	sent    time.Duration
@@ -162,7 +162,7 @@
 			m := w.someNode()
 			w.after(time.Second+time.Duration(w.rng.Int64N(int64(w.copyDelay))), func() { m.hearCopy(r.message) })
 		}
-		r.to.ask(func(req uint64) core.Input { return core.Reported{Req: req, Report: r.message} }, r.answered)
+		r.to.ask(func(req uint64) core.Input { return core.WorkerReported{RequestID: req, Heartbeat: r.message} }, r.answered)
 	}
 }
 
@@ -214,7 +214,7 @@
 	switch a.Status {
 	case 200:
 		k.busy = false
-		k.obey(a.Body.(wire.ReportReply), r.sent)
+		k.obey(a.Body.(wire.HeartbeatReply), r.sent)
 	case 421:
 		owner := a.Body.(wire.Redirect).Owner
 		for i, m := range w.nodes {
@@ -230,7 +230,7 @@
 }
 
 // obey carries out an accepted answer to a report sent at a time, which renews the lease.
-func (k *workerSim) obey(answer wire.ReportReply, sent time.Duration) {
+func (k *workerSim) obey(answer wire.HeartbeatReply, sent time.Duration) {
 	if answer.Token < k.token {
 		return
 	}
@@ -239,14 +239,14 @@
 		k.urgent = true
 	}
 	k.answered = sent
-	for _, o := range answer.Orders {
+	for _, o := range answer.Commands {
 		k.execute(o)
 	}
 }
 
 // take obeys orders that came to the worker's own address, once it runs and
 // nothing holds them back any more.
-func (k *workerSim) take(o wire.Orders, held func() bool, done func(core.Outcome)) {
+func (k *workerSim) take(o wire.CommandBatch, held func() bool, done func(core.Outcome)) {
 	if k.off {
 		return
 	}
@@ -255,12 +255,12 @@
 		return
 	}
 	k.lease()
-	if o.Token < k.token || o.Session != k.session {
+	if o.Token < k.token || o.Epoch != k.session {
 		done(core.Conflict)
 		return
 	}
 	k.token = o.Token
-	for _, x := range o.Orders {
+	for _, x := range o.Commands {
 		k.execute(x)
 	}
 	k.seq++ // its answer shows what it does, as a report would
@@ -268,17 +268,17 @@
 }
 
 // execute carries out one order.
-func (k *workerSim) execute(o wire.Order) {
-	ref, task, err := wire.SplitTask(o.Task)
+func (k *workerSim) execute(o wire.Command) {
+	ref, task, err := wire.SplitTaskName(o.Task)
 	must(err)
 	key := fmt.Sprintf("%s#%d", o.Task, o.Attempt)
 	t := k.tasks[key]
 	switch {
-	case o.Op == wire.OrderStart && t == nil:
+	case o.Op == wire.CommandStart && t == nil:
 		k.start(key, &taskSim{u: k.w.users[ref], k: k, ref: ref, task: task, attempt: o.Attempt, state: wire.TaskFetching, since: k.w.now})
-	case o.Op == wire.OrderKill && t != nil && t.state != wire.TaskEnded:
+	case o.Op == wire.CommandKill && t != nil && t.state != wire.TaskExited:
 		k.kill(t, o.GraceS)
-	case o.Op == wire.OrderClear && t != nil && t.state == wire.TaskEnded:
+	case o.Op == wire.CommandClear && t != nil && t.state == wire.TaskExited:
 		k.remove(key)
 		k.urgent = true
 	}
@@ -290,7 +290,7 @@
 	k.urgent = true
 	k.add(key, t)
 	if cause := k.refusal(t); cause != "" {
-		t.state, t.cause = wire.TaskEnded, cause
+		t.state, t.cause = wire.TaskExited, cause
 		return
 	}
 	w.started(k, t)
@@ -302,7 +302,7 @@
 		k.images[u.spec.Image] = true
 		t.since = w.now
 		if u.spec.Shape == wire.ShapeGang {
-			k.set(t, wire.TaskGathering)
+			k.set(t, wire.TaskWaitingForGang)
 			w.gather(t)
 			return
 		}
@@ -312,43 +312,43 @@
 
 // refusal is why a worker refuses a task, or "".
 func (k *workerSim) refusal(t *taskSim) string {
-	if t.u == nil || t.task >= t.u.spec.Frames {
-		return wire.CauseUnknown
+	if t.u == nil || t.task >= t.u.spec.TaskCount {
+		return wire.CauseUnknownJob
 	}
-	cores, cards, mem := t.u.spec.Cores, t.u.spec.Cards, t.u.spec.MemoryGB
+	cores, cards, mem := t.u.spec.Cores, t.u.spec.GPUs, t.u.spec.MemoryGB
 	for _, name := range sortedKeys(k.tasks) {
 		x := k.tasks[name]
-		if x == t || x.state == wire.TaskEnded {
+		if x == t || x.state == wire.TaskExited {
 			continue
 		}
 		if x.ref == t.ref && x.task == t.task {
-			return wire.CauseInUse
+			return wire.CauseDuplicate
 		}
 		cores += x.u.spec.Cores
-		cards += x.u.spec.Cards
+		cards += x.u.spec.GPUs
 		mem += x.u.spec.MemoryGB
 	}
 	f := k.w.cloud.flavor
-	if cores > f.Cores || cards > f.Cards || mem > f.MemoryGB {
-		return wire.CauseFull
+	if cores > f.Cores || cards > f.GPUs || mem > f.MemoryGB {
+		return wire.CauseNoCapacity
 	}
 	return ""
 }
 
 // kill stops a task, which saves first if it can in the time that it has.
 func (k *workerSim) kill(t *taskSim, graceS float64) {
-	if t.state == wire.TaskRunning && t.u.spec.CheckpointS > 0 && graceS >= t.u.spec.SaveS {
-		k.set(t, wire.TaskSaving)
-		k.then(t, time.Duration(t.u.spec.SaveS*float64(time.Second)), func() {
+	if t.state == wire.TaskRunning && t.u.spec.CheckpointIntervalS > 0 && graceS >= t.u.spec.CheckpointTimeS {
+		k.set(t, wire.TaskCheckpointing)
+		k.then(t, time.Duration(t.u.spec.CheckpointTimeS*float64(time.Second)), func() {
 			t.saved = true
-			k.end(t, wire.CauseHalted)
+			k.end(t, wire.CauseStopped)
 		})
 		return
 	}
-	if t.state == wire.TaskSaving && graceS > 0 {
+	if t.state == wire.TaskCheckpointing && graceS > 0 {
 		return
 	}
-	k.end(t, wire.CauseHalted)
+	k.end(t, wire.CauseStopped)
 }
 
 // then acts on a task after a while unless something else becomes of it.
@@ -374,7 +374,7 @@
 func (k *workerSim) end(t *taskSim, cause string) {
 	t.gen++
 	t.cause = cause
-	k.set(t, wire.TaskEnded)
+	k.set(t, wire.TaskExited)
 }
 
 func (k *workerSim) begin(t *taskSim) {
@@ -394,7 +394,7 @@
 		k.then(t, t.u.run, func() {
 			k.w.done[name] = true
 			if t.u.spec.Shape == wire.ShapeGang {
-				for i := range t.u.spec.Frames {
+				for i := range t.u.spec.TaskCount {
 					k.w.done[wire.TaskName(t.ref, i)] = true
 				}
 			}
@@ -408,11 +408,11 @@
 func (w *World) gather(t *taskSim) {
 	var all []*taskSim
 	for _, x := range t.u.on {
-		if x.attempt == t.attempt && x.state == wire.TaskGathering && !x.k.off && !x.k.hung {
+		if x.attempt == t.attempt && x.state == wire.TaskWaitingForGang && !x.k.off && !x.k.hung {
 			all = append(all, x)
 		}
 	}
-	if len(all) < t.u.spec.Frames {
+	if len(all) < t.u.spec.TaskCount {
 		return
 	}
 	for _, x := range all {
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -53,8 +53,8 @@
 	return Settings{
 		Seed: 1, Nodes: []string{"a", "b", "a"}, Zones: []string{"a", "b"},
 		Teams: []core.Team{
-			{Name: "red", Cards: 4, CardsMax: 8}, {Name: "blue", Cards: 4, CardsMax: 8}, {Name: "wide", CardsMax: 1000}, {Name: "huge", CardsMax: 10000},
-			{Name: "vast", CardsMax: 20000}, {Name: "pool", Cards: 24, CardsMax: 32},
+			{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "wide", MaxGPUs: 1000}, {Name: "huge", MaxGPUs: 10000},
+			{Name: "vast", MaxGPUs: 20000}, {Name: "pool", GuaranteedGPUs: 24, MaxGPUs: 32},
 		},
 		Report: 3 * time.Second, Lease: 30 * time.Second, GangWait: 35 * time.Second,
 		GangPeer: 8 * time.Second, Cancel: 55 * time.Second,
@@ -99,7 +99,7 @@
 	Starts  map[string]int
 	bulk    int
 	meter   meter
-	stashed *wire.Report
+	stashed *wire.WorkerHeartbeat
 	trace   func(string, ...any)
 	observe effectObserver
 }
