--- a/cmd/micaport/main.go
+++ b/cmd/micaport/main.go
@@ -14,10 +14,10 @@
 	"github.com/alecthomas/kong"
 
 	"micaport/internal/config"
-	"micaport/internal/leadership"
-	"micaport/internal/limits"
-	"micaport/internal/node"
+	"micaport/internal/failoverctl"
 	"micaport/internal/peer"
+	"micaport/internal/quotactl"
+	"micaport/internal/server"
 	"micaport/internal/store"
 )
 
@@ -77,7 +77,7 @@
 	// One thread runs at a time on the platform's machines; more would only
 	// take turns.
 	runtime.GOMAXPROCS(1)
-	return node.Run(context.Background(), settings, operator, logger())
+	return server.Run(context.Background(), settings, operator, logger())
 }
 
 // showLimits prints accounts.
@@ -91,15 +91,15 @@
 	if err != nil {
 		return err
 	}
-	site := limits.SiteOf(settings, operator)
-	accounts, err := limits.Read(store.NewAdminClient(settings.External.State), site)
+	site := quotactl.SiteOf(settings, operator)
+	accounts, err := quotactl.Read(store.NewAdminClient(settings.External.State), site)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return limits.PrintJSON(out, accounts)
+		return quotactl.PrintJSON(out, accounts)
 	}
-	return limits.PrintTable(out, site, accounts)
+	return quotactl.PrintTable(out, site, accounts)
 }
 
 // applyLimits changes accounts.
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	if err := limits.Apply(store.NewAdminClient(settings.External.State), limits.SiteOf(settings, operator), changes, c.Check); err != nil {
+	if err := quotactl.Apply(store.NewAdminClient(settings.External.State), quotactl.SiteOf(settings, operator), changes, c.Check); err != nil {
 		return err
 	}
 	if c.Check {
@@ -140,11 +140,11 @@
 	if err != nil {
 		return err
 	}
-	overview := leadership.Read(settings, store.NewAdminClient(settings.External.State), peer.QueryLeadership)
+	overview := failoverctl.Read(settings, store.NewAdminClient(settings.External.State), peer.QueryLeadership)
 	if c.JSON {
-		return leadership.PrintJSON(out, overview)
+		return failoverctl.PrintJSON(out, overview)
 	}
-	return leadership.PrintTable(out, overview)
+	return failoverctl.PrintTable(out, overview)
 }
 
 func main() {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -25,7 +25,7 @@
 	limit *rate.Limiter
 	post  func(core.Input)
 
-	urgentCalls atomic.Int32 // hires and returns on their way or waiting
+	urgentCalls atomic.Int32 // provisioning and deprovisioning calls on their way or waiting
 	permission  atomic.Pointer[callPermission]
 }
 
@@ -48,13 +48,13 @@
 	until time.Time
 }
 
-// Allow lets hires and returns of a term be begun until a time, those that wait for their
+// Allow lets provisioning and deprovisioning calls of a term be begun until a time, those that wait for their
 // turn included, and those of no other term.
 func (c *Client) Allow(term uint64, until time.Time) {
 	c.permission.Store(&callPermission{term, until})
 }
 
-// deadline is until when a hire or return may be begun.
+// deadline is until when such a call may be begun.
 func (c *Client) deadline(q core.CallCloud, decided time.Time) time.Time {
 	if q.Term == 0 {
 		return decided.Add(q.ValidFor)
@@ -115,7 +115,7 @@
 	}()
 }
 
-// yieldToUrgent lets hires and returns go before a list, for a while: a list only
+// yieldToUrgent lets provisioning and deprovisioning calls go before a list, for a while: a list only
 // tells of machines that nobody knows.
 func (c *Client) yieldToUrgent(ctx context.Context) {
 	for i := 0; i < 20 && c.urgentCalls.Load() > 0 && ctx.Err() == nil; i++ {
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -36,7 +36,7 @@
 }
 
 // "no capacity" says to try another pool, trouble to try again, and no answer
-// that the hire may have been carried out.
+// that the request may have been carried out.
 func TestHireOutcomes(t *testing.T) {
 	hire := core.CallCloud{ID: 4, ValidFor: time.Minute, Provision: &wire.ProvisionRequest{Name: "r-1-1", MachineType: "g2", Zone: "a", Count: 2}}
 	for _, c := range []struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 
 	"gopkg.in/ini.v1"
 
-	"micaport/internal/standby"
+	"micaport/internal/failover"
 )
 
 // Peer is another controller.
@@ -126,7 +126,7 @@
 func (s *Settings) CheckOperator(op OperatorSettings) error {
 	// Until a leader that replaced another early may call the cloud, nobody returns a
 	// machine. That must not outlast the leases of the workers.
-	least := LeaderLease + standby.CloudFenceTime(LeaderLease)
+	least := LeaderLease + failover.CloudFenceTime(LeaderLease)
 	if lease := Seconds(s.Deployment.Workers.LeaseS); op.Takeover == TakeoverEarly && lease <= least {
 		return fmt.Errorf("takeover = %s needs workers.lease_s above %v, not %v", TakeoverEarly, least, lease)
 	}
@@ -233,7 +233,7 @@
 func Margin(d time.Duration) time.Duration { return d/1000 + time.Second }
 
 // Validity is how long an owner may act on its last proven renewal. After a
-// withdrawal that the owner can't hear of, the last report that it answers was
+// cancellation that the owner can't hear of, the last report that it answers was
 // sent before this has passed, and a worker lease later its tasks are gone,
 // which must stay below cancel_s. Within that it is as long as can be: a zone
 // that is cut off with its controller keeps its tasks for validity and a lease.
@@ -276,7 +276,7 @@
 	minMemoryMB      = 24
 )
 
-// A grant of a gang across parts changes two keys; a record needs a few hundred bytes
+// A grant of a gang across shards changes two keys; a record needs a few hundred bytes
 // before it lists any task.
 const (
 	minTransactionOps = 2
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -10,7 +10,7 @@
 )
 
 // Work that owners admit by themselves, within the shares of the teams' limits that the
-// leader has dealt to their parts. See docs/team-limits.md.
+// leader has distributed to their shards. See docs/team-limits.md.
 
 // Admission says what owners admit without asking the leader.
 type Admission int
@@ -27,19 +27,19 @@
 	// something every second, before owners admit work in its place.
 	leaderTimeout = 2500 * time.Millisecond
 	// ownerFirstTime is for how long the leader leaves a new job to the owner of its home
-	// part: some passes of the owner, and the time that its write takes.
+	// shard: some passes of the owner, and the time that its write takes.
 	ownerFirstTime = 500 * time.Millisecond
 	// admissionInterval lies between two passes over the queues in an owner, as between
 	// those of a leader.
 	admissionInterval = 120 * time.Millisecond
-	// homeShardTurn is how long a job that waits is left to one part before the next part
+	// homeShardTurn is how long a job that waits is left to one shard before the next shard
 	// has its turn: two owners that write the same record keep each other from it.
 	homeShardTurn = 2 * second
 )
 
 // admission is what a pass of an owner has admitted so far.
 type admission struct {
-	admitted [][]quota.Amount // by team and part
+	admitted [][]quota.Amount // by team and shard
 }
 
 // makeLedger makes the ledger of the teams' accounts, which begins with the settings.
@@ -64,14 +64,14 @@
 	}
 	was := n.ledger.Quota(team)
 	if err := n.ledger.SetRecord(team, account, rev); err != nil {
-		n.log(LogError, "the account of a team is damaged: nothing is admitted from it", "team", name, "error", err)
+		n.log(LogError, "invalid team account, admitting nothing from it", "team", name, "error", err)
 		return
 	}
 	if now := n.ledger.Quota(team); now != was {
 		t := &n.quotas[team]
 		t.MaxCores, t.MaxGPUs = now.Limit.Decimal()
 		t.GuaranteedCores, t.GuaranteedGPUs = now.Guarantee.Decimal()
-		n.log(LogInfo, "limits of a team have changed", "team", name, "cores", t.MaxCores, "cards", t.MaxGPUs)
+		n.log(LogInfo, "team quota changed", "team", name, "max_cores", t.MaxCores, "max_gpus", t.MaxGPUs)
 	}
 }
 
@@ -105,7 +105,7 @@
 	return p.hasQuota(j, tasks)
 }
 
-// mayAdmit tells whether we may admit tasks of a job in a part of ours.
+// mayAdmit tells whether we may admit tasks of a job in a shard of ours.
 func (p *schedulingPass) mayAdmit(j *job, tasks, part int) bool {
 	if j.team < 0 || !p.node.mayActAsOwner(p.node.shards[part]) {
 		return false
@@ -132,7 +132,7 @@
 	}
 }
 
-// admitWork admits waiting work in our parts, within their shares.
+// admitWork admits waiting work in our shards, within their shares.
 func (n *Node) admitWork(w *writer, room *lazySlots) {
 	if n.cfg.Admission == AdmitNothing || !n.writesTeamAccounts() || n.now < n.admissionAt || n.offeredTypes == nil ||
 		n.holdsLeaderClaim() || n.leader.batch.active || n.revision == 0 {
@@ -179,13 +179,13 @@
 	return p == nil || n.now-p.heardAt > leaderTimeout || !p.message.StoreOK
 }
 
-// isHomeShardOwned tells whether it is the turn of one of our parts to admit a job.
+// isHomeShardOwned tells whether it is the turn of one of our shards to admit a job.
 func (n *Node) isHomeShardOwned(j *job) bool {
 	part := n.homeShard(j)
 	return part != nil && n.mayActAsOwner(part)
 }
 
-// homeShard is the part whose turn it is to admit a job: chosen by hash among those whose
+// homeShard is the shard whose turn it is to admit a job: chosen by hash among those whose
 // owner is heard, and after a while the next. Controllers need not agree on it: two that
 // admit the same job at once write the same record, and one of them fails.
 func (n *Node) homeShard(j *job) *shard {
@@ -204,7 +204,7 @@
 	return owned[(int(f.Sum32()>>1)+int(waited/homeShardTurn))%len(owned)]
 }
 
-// hearsOwner tells whether a part is ours, or its owner has been heard lately.
+// hearsOwner tells whether a shard is ours, or its owner has been heard lately.
 func (n *Node) hearsOwner(p *shard) bool {
 	if p.record == nil {
 		return false
@@ -214,7 +214,7 @@
 }
 
 // defersToOwner tells whether we, as the leader, leave a new job to the owner of its home
-// part for a moment. A job that the owner does not admit is ours after that.
+// shard for a moment. A job that the owner does not admit is ours after that.
 func (n *Node) defersToOwner(j *job) bool {
 	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() || !n.writesTeamAccounts() || n.now-j.changedAt >= ownerFirstTime ||
 		j.record.NextAttempt != 1 || len(j.record.ActiveTasks) > 0 || !j.withinGuarantee {
@@ -224,7 +224,7 @@
 	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.ledger.MayAdmit(j.team, part.index, j.demand(1), n.revision)
 }
 
-// admitGang admits a gang as a whole in one of our parts.
+// admitGang admits a gang as a whole in one of our shards.
 func (p *schedulingPass) admitGang(w *queuedJob) {
 	tasks := len(w.tasks)
 	for _, x := range p.node.shards {
--- a/internal/core/reserve.go
+++ b/internal/core/arrival_reserve.go
@@ -113,9 +113,9 @@
 	return mean, variance
 }
 
-// planReserve plans room for what will come before a machine hired then could
+// planReserve plans room for what will come before a machine provisioned then could
 // be up: idle machines that it uses don't go back, and what is missing is
-// hired. It comes last and grants nothing, so any real task can have the room.
+// provisioned. It comes last and grants nothing, so any real task can have the room.
 func (p *schedulingPass) planReserve() {
 	n := p.node
 	for _, a := range n.arrivals {
@@ -151,8 +151,8 @@
 	}
 }
 
-// fitsBesideGPUWork tells whether a job's tasks need no cards where all machines that they
-// may run on have some: they find room beside work that does, and machines with cards
+// fitsBesideGPUWork tells whether a job's tasks need no GPUs where all machines that they
+// may run on have some: they find room beside work that does, and machines with GPUs
 // need not stand idle for them.
 func (n *Node) fitsBesideGPUWork(j *job) bool {
 	if j.record.Spec.GPUs > 0 {
--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -5,7 +5,7 @@
 // Backfill is work of low urgency of teams without a guarantee. It runs on capacity that
 // is paid for and unused anyway.
 
-// isBackfill tells whether a job is backfill. Ordinary machines are neither hired for it
+// isBackfill tells whether a job is backfill. Ordinary machines are neither provisioned for it
 // nor given to it while idle, unless it has waited for long with nothing started.
 func (p *schedulingPass) isBackfill(w *queuedJob) bool {
 	j := w.job
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -9,7 +9,7 @@
 )
 
 // batch is a commit of several records that is retried until its outcome is
-// certain. Until then, and until our copy of the records has caught up with
+// certain. Until then, and until the replica has caught up with
 // it, no other batch of the same role is made; so a late copy of it can never
 // add to what a later one decides.
 type batch struct {
@@ -20,7 +20,7 @@
 	conditions      []Condition
 	writes          []Write
 	linkedWrites    []Write // writes that belong together with others of the batch
-	awaitedRevision uint64  // revision that our copy must reach
+	awaitedRevision uint64  // revision that the replica must reach
 	retryAt         Time
 	onCommitted     func()
 	generation      uint64
@@ -41,7 +41,7 @@
 			return
 		}
 		b.inFlight = false
-		n.log(LogDebug, "wrote", "role", b.role, "puts", len(b.writes), "outcome", int(c.Outcome))
+		n.log(LogDebug, "batch committed", "role", b.role, "writes", len(b.writes), "outcome", int(c.Outcome))
 		switch c.Outcome {
 		case OK:
 			if b.onCommitted != nil && len(b.writes) > 0 {
@@ -49,7 +49,7 @@
 			}
 			b.awaitedRevision = max(c.Revision, 1)
 		case Conflict:
-			n.log(LogDebug, "commit lost a race", "role", b.role, "rev", c.Revision)
+			n.log(LogDebug, "commit conflict", "role", b.role, "revision", c.Revision)
 			if b.removeConflicts(c.Failed) {
 				b.send(n)
 				return
@@ -78,7 +78,7 @@
 	})
 }
 
-// settle ends the batch once our copy shows its outcome.
+// settle ends the batch once the replica shows its outcome.
 func (b *batch) settle(n *Node) {
 	if b.active && b.awaitedRevision > 0 && n.revision >= b.awaitedRevision {
 		b.active = false
@@ -110,7 +110,7 @@
 		}
 	}
 	b.conditions = slices.DeleteFunc(b.conditions, func(c Condition) bool { return slices.Contains(failed, c.Key) })
-	// With a record go its further keys: written without it, under no condition any
+	// With a record go its overflow keys: written without it, under no condition any
 	// more, they would lose tasks that are running.
 	b.writes = slices.DeleteFunc(b.writes, func(w Write) bool { return slices.Contains(failed, recordOf(w.Key)) })
 	return len(b.writes) > 0
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -44,7 +44,7 @@
 	workCount uint64 // machines looked at so far
 }
 
-// recordReplica is our copy of the records.
+// recordReplica is the replica.
 type recordReplica struct {
 	loaded   bool   // the first listing has been taken in
 	revision uint64 // how far the copy goes
@@ -54,10 +54,10 @@
 	live     []int // jobs that are unfinished or still have tasks on machines
 	gangs    map[string]*gang
 
-	overflow map[string]map[int]wire.ActiveTasks // active tasks in further keys, by job
-	// Parts of lists of needs, by job and key, while the job's record is not taken in.
+	overflow map[string]map[int]wire.ActiveTasks // active tasks in overflow keys, by job
+	// Shards of lists of needs, by job and key, while the job's record is not taken in.
 	dependencyLists      map[string]map[string][]string
-	derivedCancellations []int // jobs below a withdrawn one, not yet recorded as such
+	derivedCancellations []int // jobs below a cancelled one, not yet recorded as such
 	recordsFit           bool  // no record is larger than the limits to come
 
 	ledger *quota.Ledger // of the teams' accounts and what is charged to them
@@ -88,7 +88,7 @@
 	machines     []*machine
 }
 
-// shardRange is a run of neighbours among the parts.
+// shardRange is a run of neighbours among the shards.
 type shardRange struct{ first, count int }
 
 // storeState is how we stand with the state service.
@@ -121,7 +121,7 @@
 	mailboxAt    Time
 }
 
-// ownerState is what we remember as the owner of parts.
+// ownerState is what we remember as the owner of shards.
 type ownerState struct {
 	heldReplies   []heldReply
 	heldRepliesAt Time
@@ -147,7 +147,7 @@
 	broken    bool   // our connection to it has broken since
 }
 
-// New makes a node. Its parts follow from the settings alone.
+// New makes a node. Its shards follow from the settings alone.
 func New(cfg Config) *Node {
 	n := &Node{
 		cfg:     cfg,
@@ -300,7 +300,7 @@
 			n.budget.noteRefusal(n.now)
 		}
 		if c.Outcome == TooLarge {
-			n.log(LogError, "a transaction is beyond the state service's limits", "writes", len(writes), "conditions", len(conds))
+			n.log(LogError, "transaction exceeds the limits of the state service", "writes", len(writes), "conditions", len(conds))
 		}
 		f(c)
 	})
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -96,7 +96,7 @@
 	return facts
 }
 
-// poolFact is a fact about a pool, or a machine or hire of it.
+// poolFact is a fact about a pool, or a machine or request of it.
 func (n *Node) poolFact(kind wire.FactKind, name string, x machinePool, at Time) wire.Fact {
 	f := wire.Fact{Kind: kind, Name: name, At: factTime(at), MachineType: n.typeNames.Name(x.machineType), Zone: n.zoneNames.Name(x.zone), Spot: x.spot}
 	if name == "" {
@@ -171,7 +171,7 @@
 	}
 	c := &n.leader.autoscaler
 	slices.SortFunc(c.recentBoots, func(a, b boot) int { return cmp.Compare(a.provisionedAt, b.provisionedAt) })
-	n.log(LogInfo, "going on from the last leader's decisions", "term", term, "facts", len(facts), "adopted", adopted)
+	n.log(LogInfo, "adopted decision log of previous leader", "term", term, "facts", len(facts), "adopted", adopted)
 }
 
 // adoptFact takes in one fact, unless it is contradicted.
@@ -185,7 +185,7 @@
 	return n.adoptMachineFact(f)
 }
 
-// adoptPoolFact takes in a fact about a pool or a hire. A hire under way is repeated under its
+// adoptPoolFact takes in a fact about a pool or a provisioning request. A request under way is repeated under its
 // own name, which the cloud answers as it did the first time.
 func (n *Node) adoptPoolFact(f *wire.Fact) bool {
 	c := &n.leader.autoscaler
--- a/internal/core/chain.go
+++ b/internal/core/dependencies.go
@@ -8,14 +8,14 @@
 
 // dependencyLinks links a job to the jobs that it waits on and to those that wait on it. A job
 // may start only when all that it names are done, which is final. So no task of a job
-// below a withdrawn one has ever run, and that the job is withdrawn too follows from the
+// below a cancelled one has ever run, and that the job is cancelled too follows from the
 // records of its ancestors. Jobs without such links have no chain.
 type dependencyLinks struct {
 	dependencies      []int // jobs that it waits on and that were not done when it was submitted
 	dependents        []int // jobs that wait on it
 	openDependencies  int   // needs that are not done
-	ancestorCancelled bool  // a job that it needs, directly or through others, is withdrawn
-	readyAt           Time  // when our copy first showed all its needs done; 0: not yet
+	ancestorCancelled bool  // a job that it needs, directly or through others, is cancelled
+	readyAt           Time  // when the replica first showed all its needs done; 0: not yet
 	readyMS           int64 // the same as time of day
 	deadlineMS        int64 // when it should be done, so that what needs it can be in time; 0: no matter
 }
@@ -58,7 +58,7 @@
 		if !complete {
 			// The list is written before the record that names it, so this can't
 			// happen. If it does, the job must not start.
-			n.log(LogError, "a record lacks its list of needs", "job", j.id)
+			n.log(LogError, "dependency list missing", "job", j.id)
 			c.openDependencies++
 		}
 		for _, ref := range refs {
@@ -98,7 +98,7 @@
 // it may as well take in what else the same changes bring.
 const stageDelay = 20 * time.Millisecond
 
-// notifyDependents updates the jobs that wait on one that is done or withdrawn. Its cost
+// notifyDependents updates the jobs that wait on one that is done or cancelled. Its cost
 // is proportional to their number.
 func (n *Node) notifyDependents(j *job) {
 	c := j.links
@@ -119,7 +119,7 @@
 	j.links = nil // finished jobs are kept for ever, and are very many
 }
 
-// markCancelled marks a job and all its descendants, each of them once, as withdrawn with
+// markCancelled marks a job and all its descendants, each of them once, as cancelled with
 // an ancestor. It walks them with a list of its own: chains may be deep.
 func (n *Node) markCancelled(j *job) {
 	for list := []*job{j}; len(list) > 0; {
@@ -136,7 +136,7 @@
 	}
 }
 
-// recordCancellations writes the withdrawals that follow from other records, with writes
+// recordCancellations writes the cancellations that follow from other records, with writes
 // that nothing else needs. Answers to users don't depend on it; it lets controllers drop
 // the jobs from memory.
 func (n *Node) recordCancellations(w *writer) {
@@ -151,7 +151,7 @@
 				return
 			}
 			rec.State = wire.JobCancelled
-			n.derivedCancellations = append(n.derivedCancellations[1:], j.index) // until our copy shows it
+			n.derivedCancellations = append(n.derivedCancellations[1:], j.index) // until the replica shows it
 			if len(w.order) >= len(n.derivedCancellations) {
 				return
 			}
--- a/internal/core/chain_test.go
+++ b/internal/core/dependencies_test.go
@@ -74,8 +74,8 @@
 }
 
 // What a submission names: jobs that another controller accepted a moment ago are
-// read; what is done is left out, as it stays done; what is withdrawn takes the job
-// with it; and what was never accepted, or runs until it is withdrawn, is refused.
+// read; what is done is left out, as it stays done; what is cancelled takes the job
+// with it; and what was never accepted, or runs until it is cancelled, is refused.
 func TestSubmissionNamesJobs(t *testing.T) {
 	live := func(shape string) *wire.Job {
 		return &wire.Job{TaskCount: 1, Spec: &wire.JobSpec{ID: "x", Shape: shape}}
@@ -90,15 +90,15 @@
 		state  wire.JobState
 		stays  int
 	}{
-		{[]string{"wk-000001"}, 201, wire.JobLive, 1}, // in our copy
+		{[]string{"wk-000001"}, 201, wire.JobLive, 1}, // in the replica
 		{[]string{"wk-000002"}, 201, wire.JobLive, 0}, // done there
 		{[]string{"wk-000003"}, 201, wire.JobCancelled, 0},
-		{[]string{"wk-000004"}, 201, wire.JobCancelled, 0}, // below the withdrawn one, which its own record does not say
+		{[]string{"wk-000004"}, 201, wire.JobCancelled, 0}, // below the cancelled one, which its own record does not say
 		{[]string{"wk-000020", "wk-000001", "wk-000020"}, 201, wire.JobLive, 2},
 		{[]string{"wk-000021"}, 201, wire.JobLive, 0},
 		{[]string{"wk-000020", "wk-000022"}, 201, wire.JobCancelled, 0},
 		{[]string{"wk-000023"}, 422, 0, 0},
-		{[]string{"wk-000005"}, 422, 0, 0}, // a service in our copy
+		{[]string{"wk-000005"}, 422, 0, 0}, // a service in the replica
 		{[]string{"wk-000020", "wk-000099"}, 422, 0, 0},
 		{[]string{"wk-000100"}, 422, 0, 0}, // itself
 	} {
@@ -154,7 +154,7 @@
 	}
 }
 
-// A chain of ten thousand, and a job that as many wait on: a withdrawal at the top
+// A chain of ten thousand, and a job that as many wait on: a cancellation at the top
 // shows at the bottom at once, and an end at the top costs by what waits on it.
 func TestLongAndWideChains(t *testing.T) {
 	const many = 10_000
@@ -211,7 +211,7 @@
 	}
 }
 
-// Where our copy lags, a repeated submission of a job that its own record calls live
+// Where the replica lags, a repeated submission of a job that its own record calls live
 // is answered from those above it.
 func TestAnswerFromAbove(t *testing.T) {
 	n := chained()
@@ -238,7 +238,7 @@
 }
 
 // What is over keeps nothing of its chain: finished jobs are kept for ever. Those that
-// come later and name them, or were withdrawn before what they needed ended, do no harm.
+// come later and name them, or were cancelled before what they needed ended, do no harm.
 func TestFinishedJobsKeepNoChain(t *testing.T) {
 	n := chained()
 	see(n, 2, "wk-000001", wire.JobLive, nil)
--- a/internal/core/needs.go
+++ b/internal/core/dependency_list.go
@@ -10,7 +10,7 @@
 )
 
 // The jobs that a submission names, and how a record holds them. A few stand in the
-// record itself. A list that the record has no room for is written to further keys
+// record itself. A list that the record has no room for is written to overflow keys
 // first, in as many transactions as it takes, and the record that names it last; such
 // a list never changes. Its name follows from what it holds, so submitting the same
 // job again, at any controller, writes the same keys.
@@ -57,7 +57,7 @@
 	n.dependencyLists[ref][key] = needs.JobIDs
 }
 
-// dependenciesInRecord lists the jobs that a record names, in itself or in its further keys
+// dependenciesInRecord lists the jobs that a record names, in itself or in its overflow keys
 // as far as they are at hand, and tells whether those are complete.
 func (n *Node) dependenciesInRecord(ref string, rec *wire.Job) (refs []string, complete bool) {
 	if rec.DependencyList == "" {
@@ -74,7 +74,7 @@
 }
 
 // dependenciesOf lists the jobs that a job with a record that was read waits on. Those of a
-// list in further keys are known once our copy shows the job.
+// list in overflow keys are known once the replica shows the job.
 func (n *Node) dependenciesOf(ref string, rec *wire.Job) (refs []string, complete bool) {
 	j := n.jobNamed(ref)
 	if rec.DependencyList == "" || j == nil || j.record == nil || j.links == nil {
@@ -126,14 +126,14 @@
 type dependencyCheck struct {
 	jobIDs       []string                 // as submitted
 	readsPending int                      // reads under way
-	states       map[string]wire.JobState // of those that our copy did not have
+	states       map[string]wire.JobState // of those that the replica did not have
 	daemon       map[string]bool          // of those, services
 
 	writtenKeys map[int]bool // parts of the list of needs that the state service has
 }
 
 // findDependencies finds out about the jobs that a submission names, and calls create again
-// once it knows. Those that our copy does not show may have been accepted a moment
+// once it knows. Those that the replica does not show may have been accepted a moment
 // ago by another controller, so they are read.
 func (n *Node) findDependencies(op *pendingRequest) bool {
 	if op.dependencies == nil {
@@ -182,7 +182,7 @@
 }
 
 // settleDependencies takes what is done out of what a job waits on, and tells whether one
-// of the rest is withdrawn, or why the job can't be taken.
+// of the rest is cancelled, or why the job can't be taken.
 func (n *Node) settleDependencies(op *pendingRequest) (withdrawn bool, fault error) {
 	var rest []string
 	for _, ref := range op.spec.Dependencies {
@@ -198,7 +198,7 @@
 		case daemon && state == wire.JobLive:
 			return false, fmt.Errorf("waits on %s, which is a service", ref)
 		case state != wire.JobDone:
-			// Also what is withdrawn: the request may have to be made once more.
+			// Also what is cancelled: the request may have to be made once more.
 			withdrawn = withdrawn || state == wire.JobCancelled
 			rest = append(rest, ref)
 		}
@@ -207,7 +207,7 @@
 	return withdrawn, nil
 }
 
-// ancestorSearch reads the records above a job until one is found withdrawn or all are
+// ancestorSearch reads the records above a job until one is found cancelled or all are
 // known.
 type ancestorSearch struct {
 	n         *Node
@@ -218,7 +218,7 @@
 }
 
 // answerFromAncestors answers for a job that is live by its own record but waits on
-// others, of which our copy may lag: they are read, up the chain.
+// others, of which the replica may lag: they are read, up the chain.
 func (n *Node) answerFromAncestors(op *pendingRequest, rec *wire.Job) {
 	search := &ancestorSearch{n: n, op: op, record: rec, seen: map[string]bool{}}
 	if search.add(op.JobID, rec) {
--- a/internal/core/needs_test.go
+++ b/internal/core/dependency_list_test.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// A repeated submission of a job with a long list that our copy does not show can't be
+// A repeated submission of a job with a long list that the replica does not show can't be
 // answered from the jobs above: it is put off, not called pending.
 func TestUnknownListIsNotAnswered(t *testing.T) {
 	n := smallValues()
--- a/internal/core/direct.go
+++ b/internal/core/direct_start.go
@@ -3,16 +3,16 @@
 import "micaport/internal/wire"
 
 // A start that was sent to a worker's own address may be carried out at any time
-// while the worker's session and our term last, and so may a copy of it. Until
+// while the worker's epoch and our term last, and so may a copy of it. Until
 // then its task counts as there and, once it has ended, is not cleared. See
 // "Starts at a worker's own address" in docs/design.md.
 
-// maxDirectStarts bounds the starts of a machine's session that go to its own
+// maxDirectStarts bounds the starts of a machine's epoch that go to its own
 // address, as each leaves an ended task in its reports: a kilobyte in all. Work
 // of low urgency has none of them, as it comes in swarms of tiny tasks.
 const maxDirectStarts = 16
 
-// directStart is a start sent to a machine's own address in its present session
+// directStart is a start sent to a machine's own address in its present epoch
 // and our term.
 type directStart struct {
 	sentAt       Time
@@ -20,10 +20,10 @@
 }
 
 // mayStartTooLate tells whether a start that nobody has seen obeyed might still be
-// when its job has been withdrawn for cancel_s: it can be as long as the session
+// when its job has been cancelled for cancel_s: it can be as long as the epoch
 // lasts. A machine that goes on reporting is therefore answered no more from
-// half a validity after the withdrawal on, reckoned from before it was recorded, as
-// our copy may show it late, and its lease ends the session in time. For a job that is not withdrawn there is no need of it: answers repeat
+// half a validity after the cancellation on, reckoned from before it was recorded, as
+// the replica may show it late, and its lease ends the epoch in time. For a job that is not cancelled there is no need of it: answers repeat
 // the start, after which the worker knows the attempt.
 func (n *Node) mayStartTooLate(j *job, s directStart) bool {
 	return !s.acknowledged && j.record.State == wire.JobCancelled && n.now-j.closedAt > n.cfg.OwnerValidity/2
--- a/internal/core/direct_test.go
+++ b/internal/core/direct_start_test.go
@@ -15,7 +15,7 @@
 	now Time
 	rev uint64
 	out []Effect // effects that are not for the state service
-	lag bool     // the watch hangs: checks name a revision that our copy has not reached
+	lag bool     // the watch hangs: checks name a revision that the replica has not reached
 }
 
 func (d *drive) step(in Input) {
@@ -107,7 +107,7 @@
 }
 
 // A start that may still be on its way keeps its task's place in the record,
-// though the job is withdrawn and newer reports lack the task.
+// though the job is cancelled and newer reports lack the task.
 func TestDirectStartMayStillArrive(t *testing.T) {
 	for _, c := range []struct {
 		outcome Outcome
@@ -126,8 +126,8 @@
 	}
 }
 
-// A start that may still be obeyed must not be once its job has been withdrawn for
-// cancel_s. The machine is answered no more, so that its session ends before. A
+// A start that may still be obeyed must not be once its job has been cancelled for
+// cancel_s. The machine is answered no more, so that its epoch ends before. A
 // worker that has said that it obeyed knows the attempt and goes on.
 func TestDirectStartComesTooLate(t *testing.T) {
 	for _, c := range []struct {
@@ -151,8 +151,8 @@
 	}
 }
 
-// A watch that hangs for part of a validity shows the withdrawal late. The silence
-// counts from before it was recorded, else the machine's session would outlast
+// A watch that hangs for part of a validity shows the cancellation late. The silence
+// counts from before it was recorded, else the machine's epoch would outlast
 // cancel_s by as much.
 func TestDirectStartOfAJobWithdrawnUnseen(t *testing.T) {
 	d, job, o := placedDirectly(t)
--- a/internal/core/messages.go
+++ b/internal/core/effects.go
@@ -37,7 +37,7 @@
 // Classes, most pressing first.
 const (
 	ClassLease      RequestClass = iota // renewals and claims
-	ClassUser                           // submissions, withdrawals, polls
+	ClassUser                           // submissions, cancellations, polls
 	ClassBackground                     // everything else
 )
 
@@ -126,12 +126,12 @@
 		ListMachines bool
 		Provision    *wire.ProvisionRequest
 		Deprovision  []string
-		ValidFor     Time // how long after this a hire or return may be sent
+		ValidFor     Time // how long after this a provisioning or deprovisioning call may be sent
 		// Term, if not 0, is that of the claim under which the call was decided: it may be
 		// sent for as long as the last AllowCloudCalls says, also while it waits for its turn.
 		Term uint64
 	}
-	// AllowCloudCalls lets hires and returns of a term, and of no other, be sent until a time of
+	// AllowCloudCalls lets provisioning and deprovisioning calls of a term, and of no other, be sent until a time of
 	// the core's clock: a pause between the step and what carries this out prolongs nothing.
 	AllowCloudCalls struct {
 		Term  uint64
@@ -213,7 +213,7 @@
 		Limited  bool     // the service said that there were too many puts
 	}
 	// CommandsAnswered is the result of Direct: OK when the worker has carried the
-	// orders out, Conflict when it never will, as its session or token is
+	// orders out, Conflict when it never will, as its epoch or token is
 	// another, Refused when they were not sent.
 	CommandsAnswered struct {
 		ID      uint64
--- a/internal/core/takeover.go
+++ b/internal/core/failover.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"micaport/internal/standby"
+	"micaport/internal/failover"
 	"micaport/internal/wire"
 )
 
@@ -14,17 +14,17 @@
 
 // failoverState is this controller's part in the early replacement of leaders.
 type failoverState struct {
-	follower         *standby.Follower
-	fence            standby.Fence
-	takeover         standby.Takeover
+	follower         *failover.Follower
+	fence            failover.Fence
+	takeover         failover.Takeover
 	earlyClaimSeenAt Time // when a claim was last seen that may have replaced a live leader; 0: never
 	firstPassDone    bool // the present leadership of ours has made its first pass
 	standby          string
 	heartbeatAt      Time
-	takeovers        *wire.Takeovers // the record, as our copy has it
+	takeovers        *wire.Takeovers // the record, as the replica has it
 
-	publisher *standby.Publisher // our end of the decision log as the leader
-	replica   *standby.Replica   // our end of it as the standby
+	publisher *failover.Publisher // our end of the decision log as the leader
+	replica   *failover.Replica   // our end of it as the standby
 	publishAt Time
 }
 
@@ -32,13 +32,13 @@
 const maxRecordedTakeovers = 8
 
 func (n *Node) initFailover() {
-	cfg := standby.Config{Self: n.cfg.Self, Early: n.cfg.EarlyTakeover, LeaseTTL: n.cfg.LeaderLease}
+	cfg := failover.Config{Self: n.cfg.Self, Early: n.cfg.EarlyTakeover, LeaseTTL: n.cfg.LeaderLease}
 	for _, m := range n.cfg.Members {
 		cfg.Members = append(cfg.Members, m.Name)
 	}
 	slices.Sort(cfg.Members)
-	n.failover.follower = standby.NewFollower(cfg)
-	n.failover.publisher, n.failover.replica = standby.NewPublisher(), standby.NewReplica()
+	n.failover.follower = failover.NewFollower(cfg)
+	n.failover.publisher, n.failover.replica = failover.NewPublisher(), failover.NewReplica()
 }
 
 // writesEarlyFailover tells whether claims may say that they are fenced.
@@ -50,7 +50,7 @@
 // observeLeader takes in a change of the leader's record.
 func (n *Node) observeLeader() {
 	s, rec := &n.failover, n.leader.record
-	claim := standby.Claim{Term: n.leader.term}
+	claim := failover.Claim{Term: n.leader.term}
 	if rec != nil {
 		claim.Controller, claim.Incarnation, claim.Fenced, claim.Streak = rec.Controller, rec.Incarnation, rec.Fenced, rec.Streak
 	}
@@ -64,7 +64,7 @@
 		return
 	}
 	s.fence.Begin(n.now, n.cfg.LeaderLease, n.cloudOpensAt())
-	s.takeover.Reach(standby.Seen, n.now)
+	s.takeover.Reach(failover.Seen, n.now)
 }
 
 // cloudOpensAt is when no leader that was replaced early can call the cloud any more.
@@ -72,7 +72,7 @@
 	if n.failover.earlyClaimSeenAt == 0 {
 		return 0
 	}
-	return n.failover.earlyClaimSeenAt + standby.CloudFenceTime(n.cfg.LeaderLease)
+	return n.failover.earlyClaimSeenAt + failover.CloudFenceTime(n.cfg.LeaderLease)
 }
 
 // putTakeovers takes in the record of the last takeovers. One that is listed when we
@@ -97,14 +97,14 @@
 	s := &n.failover
 	suspected := s.follower.SuspectedAt() > 0
 	advice := s.follower.Advise(n.now)
-	if advice == standby.Follow {
+	if advice == failover.Follow {
 		return
 	}
 	if !suspected {
-		n.log(LogInfo, "the leader is suspected", "leader", n.leader.record.Controller, "silence", s.follower.Silence(n.now))
+		n.log(LogInfo, "leader suspected", "leader", n.leader.record.Controller, "silence", s.follower.Silence(n.now))
 		n.sendGossip(true) // the peers are to know at once
 	}
-	if n.now-n.leaderLease.sentAt > standby.MaxLeaseAge/2 {
+	if n.now-n.leaderLease.sentAt > failover.MaxLeaseAge/2 {
 		n.leaderLease.renewAt = min(n.leaderLease.renewAt, n.now)
 	}
 }
@@ -123,7 +123,7 @@
 	s := &n.failover
 	replaced, evidence := n.leader.record.Controller, s.follower.Evidence(n.now)
 	s.takeover.Begin(n.now, replaced, s.follower.SuspectedAt(), evidence)
-	n.log(LogInfo, "replacing the leader", "leader", replaced, "silence", evidence.Silence, "broken", evidence.Broken,
+	n.log(LogInfo, "claiming leadership early", "leader", replaced, "silence", evidence.Silence, "broken", evidence.Broken,
 		"suspecting", evidence.Suspecting, "hearing", evidence.Hearing, "members", evidence.Members)
 	record := n.withTakeover(wire.Takeover{
 		From: replaced, To: n.cfg.Self, Replaced: n.leader.term, At: n.cfg.WallClockMS(), SilenceMS: evidence.Silence.Milliseconds(), Broken: evidence.Broken,
@@ -148,7 +148,7 @@
 // stagesMS are the times of the stages of our takeover so far.
 func (n *Node) stagesMS() []int64 {
 	var stages []int64
-	for stage := standby.Suspected; stage <= standby.Decided && n.failover.takeover.Reached(stage); stage++ {
+	for stage := failover.Suspected; stage <= failover.Decided && n.failover.takeover.Reached(stage); stage++ {
 		stages = append(stages, n.failover.takeover.After(stage).Milliseconds())
 	}
 	return stages
@@ -184,7 +184,7 @@
 	})
 }
 
-// settleProofs lets those proofs count whose revision our copy has reached, and extends
+// settleProofs lets those proofs count whose revision the replica has reached, and extends
 // the right of the calls that wait for their turn.
 func (n *Node) settleProofs() {
 	s := &n.failover
@@ -195,7 +195,7 @@
 	}
 }
 
-// cloudCallTime is for how much longer the cloud may be asked to hire or return.
+// cloudCallTime is for how much longer the cloud may be asked to provision or return.
 func (n *Node) cloudCallTime() Time {
 	if !n.fenced() {
 		return n.cfg.LeaderLease
@@ -213,7 +213,7 @@
 	if !s.fence.CaughtUp() || !s.firstPassDone && n.batch.active && n.batch.outcomeUnknown {
 		return false
 	}
-	s.takeover.Reach(standby.CaughtUp, n.now)
+	s.takeover.Reach(failover.CaughtUp, n.now)
 	return true
 }
 
@@ -224,10 +224,10 @@
 		return
 	}
 	s.firstPassDone = true
-	if !s.takeover.Reach(standby.Decided, n.now) {
+	if !s.takeover.Reach(failover.Decided, n.now) {
 		return
 	}
-	n.log(LogInfo, "took over", "from", s.takeover.From, "stages_ms", fmt.Sprint(n.stagesMS()))
+	n.log(LogInfo, "failover completed", "previous_leader", s.takeover.From, "stages_ms", fmt.Sprint(n.stagesMS()))
 	n.recordStages()
 	s.takeover.End()
 }
@@ -252,10 +252,10 @@
 	if !n.fenced() || n.now < s.heartbeatAt {
 		return
 	}
-	s.heartbeatAt = n.now + standby.HeartbeatInterval
-	if elected := standby.Elect(s.standby, n.candidates()); elected != s.standby {
+	s.heartbeatAt = n.now + failover.HeartbeatInterval
+	if elected := failover.Elect(s.standby, n.candidates()); elected != s.standby {
 		s.standby = elected
-		n.log(LogInfo, "standby", "controller", elected)
+		n.log(LogInfo, "standby elected", "controller", elected)
 	}
 	for _, m := range n.cfg.Members {
 		if m.Name != n.cfg.Self {
@@ -265,11 +265,11 @@
 }
 
 // candidates are the peers that may stand by.
-func (n *Node) candidates() []standby.Candidate {
-	var list []standby.Candidate
+func (n *Node) candidates() []failover.Candidate {
+	var list []failover.Candidate
 	for _, m := range n.cfg.Members {
 		if p := n.peers[m.Name]; p != nil && m.Name != n.cfg.Self && !p.byMailbox && !p.broken {
-			list = append(list, standby.Candidate{Name: m.Name, Silence: n.now - p.heardAt, StoreOK: p.message.StoreOK, CutOff: p.message.CutOff})
+			list = append(list, failover.Candidate{Name: m.Name, Silence: n.now - p.heardAt, StoreOK: p.message.StoreOK, CutOff: p.message.CutOff})
 		}
 	}
 	return list
@@ -302,7 +302,7 @@
 // receiveLeaderView takes in what a peer tells of the leader.
 func (n *Node) receiveLeaderView(from string, v *wire.LeaderView) {
 	if v != nil {
-		n.failover.follower.ReceiveOpinion(n.now, from, standby.Opinion{
+		n.failover.follower.ReceiveOpinion(n.now, from, failover.Opinion{
 			Term: v.Term, Silence: Time(v.SilenceMS) * time.Millisecond, Broken: v.Broken, Suspected: v.Suspected,
 		})
 	}
--- a/internal/core/takeover_test.go
+++ b/internal/core/failover_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"micaport/internal/standby"
+	"micaport/internal/failover"
 	"micaport/internal/wire"
 )
 
@@ -148,7 +148,7 @@
 	return m, proofs[0]
 }
 
-// submitOne lets a job be accepted that only a hire can serve.
+// submitOne lets a job be accepted that only a new machine can serve.
 func (m *member) submitOne() {
 	m.rev++
 	job := lowJob(wire.JobLive)
@@ -156,7 +156,7 @@
 	m.step(RecordsChanged{Revision: m.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Revision: m.rev, Value: job}}})
 }
 
-// calls gives the hires and returns that the cloud was asked for.
+// calls gives the provisioning and deprovisioning calls that the cloud was asked for.
 func (m *member) calls() int {
 	return len(slices.DeleteFunc(slices.Clone(m.clouds), func(c CallCloud) bool { return c.Provision == nil && c.Deprovision == nil }))
 }
@@ -175,7 +175,7 @@
 	if !m.n.failover.firstPassDone {
 		t.Error("no pass was made with a proof")
 	}
-	for m.now < m.n.failover.earlyClaimSeenAt+standby.CloudFenceTime(5*second) {
+	for m.now < m.n.failover.earlyClaimSeenAt+failover.CloudFenceTime(5*second) {
 		if m.calls() > 0 {
 			t.Fatalf("the cloud was called %v after the claim", m.now-m.n.failover.earlyClaimSeenAt)
 		}
@@ -189,7 +189,7 @@
 		t.Error("the cloud was not called")
 	}
 	for _, c := range m.clouds {
-		if c.Provision != nil && c.ValidFor > standby.ProofValidity(5*second) {
+		if c.Provision != nil && c.ValidFor > failover.ProofValidity(5*second) {
 			t.Errorf("a call may be sent for %v", c.ValidFor)
 		}
 	}
@@ -270,7 +270,7 @@
 }
 
 // A leader that claims anew to be fenced goes on with what it knows: machines on their way
-// are not hired again.
+// are not provisioned again.
 func TestFencingKeepsWhatTheLeaderKnows(t *testing.T) {
 	m := newMember(t)
 	m.wait(2*second, 0) // it has a lease and claims
@@ -297,7 +297,7 @@
 	}
 	fresh := New(m.n.cfg)
 	fresh.Step(second, RecordsChanged{Reset: true, Revision: 5, Events: []Event{{Key: wire.TakeoversKey, Revision: 4, Value: &wire.Takeovers{}}}})
-	if want := second + standby.CloudFenceTime(5*second); fresh.cloudOpensAt() != want {
+	if want := second + failover.CloudFenceTime(5*second); fresh.cloudOpensAt() != want {
 		t.Errorf("it opens at %v, not %v", fresh.cloudOpensAt(), want)
 	}
 }
@@ -315,7 +315,7 @@
 	hear := func() {
 		m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true}})
 	}
-	m.wait(standby.CloudFenceTime(5*second)-100*time.Millisecond, 0)
+	m.wait(failover.CloudFenceTime(5*second)-100*time.Millisecond, 0)
 	if hear(); !h.draining {
 		t.Error("the owner may place on a machine that the replaced leader may return")
 	}
@@ -335,7 +335,7 @@
 	return &wire.DecisionLog{From: "n0", Life: "x", Term: term, Sequence: sequence, Reset: true, NowMS: now.Milliseconds(), Facts: raw, Checksum: crc32.ChecksumIEEE(raw)}
 }
 
-// What the last leader has told is gone on from, a hire under its own name, but for what
+// What the last leader has told is gone on from, a provisioning request under its own name, but for what
 // the records and owners contradict; what an earlier leader told is not.
 func TestDecisionsAreAdopted(t *testing.T) {
 	for _, ofLast := range []bool{true, false} {
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -8,7 +8,7 @@
 )
 
 // At a large site an owner may have more grants than any fixed memory waiting for room.
-// Each of them runs out of patience in its time: with a memory of 4,096 that was cleared
+// Each of them runs out of timeout in its time: with a memory of 4,096 that was cleared
 // when full, none ever did.
 func TestEachOfManyGrantsRunsOutOfPatience(t *testing.T) {
 	const grants = 12_000
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -8,10 +8,10 @@
 // never goes back. See "Two versions side by side" in docs/design.md.
 
 // formatDelay is how long a controller waits before it leaves its record by itself:
-// it goes with the claim of a part, if there is one to be claimed.
+// it goes with the claim of a shard, if there is one to be claimed.
 const formatDelay = 2 * second
 
-// formatWrites is the record of what we read, until our copy shows it.
+// formatWrites is the record of what we read, until the replica shows it.
 func (n *Node) formatWrites() []Write {
 	if n.cfg.Format < wire.FormatDependencies || n.formats[n.cfg.Self] >= n.cfg.Format {
 		return nil
@@ -44,7 +44,7 @@
 		return
 	}
 	n.agreedFormat = agreed
-	n.log(LogInfo, "all controllers read a format", "format", agreed)
+	n.log(LogInfo, "record format agreed", "format", agreed)
 	for _, jx := range n.live {
 		if j := n.jobs[jx]; j.record.Spec != nil {
 			n.measureRecord(j)
@@ -53,12 +53,12 @@
 }
 
 // writesDependencies tells whether records may hold what jobs wait on, and go on in
-// further keys.
+// overflow keys.
 func (n *Node) writesDependencies() bool { return n.agreedFormat >= wire.FormatDependencies }
 
 // writesTeamAccounts tells whether teams may have accounts, and owners admit work within
 // their shares.
 func (n *Node) writesTeamAccounts() bool { return n.agreedFormat >= wire.FormatTeamAccounts }
 
-// writesDependencyLists tells whether what jobs wait on may stand in further keys.
+// writesDependencyLists tells whether what jobs wait on may stand in overflow keys.
 func (n *Node) writesDependencyLists() bool { return n.agreedFormat >= wire.FormatDependencyLists }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -8,7 +8,7 @@
 	"micaport/internal/wire"
 )
 
-// gang is our copy of the record of a gang attempt that spans parts.
+// gang is the replica of the record of a gang attempt that spans shards.
 type gang struct {
 	key      string
 	jobID    string
@@ -17,7 +17,7 @@
 	seenAt   Time
 	// As an owner: the room held for each task, until the record settles.
 	held map[int]*machine
-	// As the leader: the parts that agreed.
+	// As the leader: the shards that agreed.
 	agreed map[int]bool
 	denied bool
 }
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// placeGang places a gang that fits this part as a whole, and holds room for
+// placeGang places a gang that fits this shard as a whole, and holds room for
 // our share of a larger one.
 func (n *Node) placeGang(w *writer, j *job, slots *slotSet) {
 	var mine []wire.ActiveTask
@@ -255,7 +255,7 @@
 
 // expireGangHolds lets a pending hold cancel itself: at its deadline the owner
 // marks the record dropped, conditional on nobody having confirmed it, and
-// only when our copy shows it dropped does the hold go.
+// only when the replica shows it dropped does the hold go.
 func (n *Node) expireGangHolds(w *writer) {
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
--- a/internal/core/gang_placement.go
+++ b/internal/core/gang_placement.go
@@ -15,7 +15,7 @@
 	}
 	if !p.hasQuota(j, len(w.tasks)) {
 		// Its team's smaller jobs would take what becomes free of the limit
-		// for ever: after its patience the limit is kept for it.
+		// for ever: after its timeout the limit is kept for it.
 		p.noteWaiting(j)
 		if j.team >= 0 && p.node.now-j.waitingSince > gangStarvationTime {
 			p.charge(j, len(w.tasks))
@@ -50,7 +50,7 @@
 	p.reserveGangRoom(w)
 }
 
-// chooseGangSlots chooses machines for a gang: from one part if any has the room,
+// chooseGangSlots chooses machines for a gang: from one shard if any has the room,
 // else from one zone, else from anywhere unless the zone has to be one.
 func (p *schedulingPass) chooseGangSlots(w *queuedJob) []*slot {
 	var best []*slot
@@ -142,7 +142,7 @@
 }
 
 // reserveGangRoom makes room for a gang that does not fit yet, in the zone where
-// that costs least: it keeps what is free, about to be free or booting, hires,
+// that costs least: it keeps what is free, about to be free or booting, provisions,
 // stops work that it may stop, and as the last resort keeps machines from
 // being filled again until what runs there has ended.
 func (p *schedulingPass) reserveGangRoom(w *queuedJob) {
@@ -193,7 +193,7 @@
 	bootingCost    = 15   // a machine that is on its way
 	preemptionCost = 10   // stopping less urgent tasks, besides what they lose
 	drainCost      = 60   // waiting for the tasks on a machine to end
-	provisionCost  = 30   // a machine to be hired
+	provisionCost  = 30   // a machine to be provisioned
 	noCapacityCost = 1000 // where none can be had
 	sameZoneBonus  = 10   // going on where room is being made already
 )
@@ -293,7 +293,7 @@
 	}
 }
 
-// choose takes the cheapest sources, and machines to be hired for the rest.
+// choose takes the cheapest sources, and machines to be provisioned for the rest.
 func (g *roomSearch) choose(canHire bool) *gangRoom {
 	tasks := len(g.queued.tasks)
 	c := &gangRoom{zone: g.zone, sources: g.sources[:min(len(g.sources), tasks)]}
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -64,7 +64,7 @@
 const minGossipInterval = 150 * time.Millisecond
 
 // versionSeenBy is how far a peer has taken in what we tell of our machines. A peer
-// that says nothing of this life of ours is told everything.
+// that says nothing of this incarnation of ours is told everything.
 func (n *Node) versionSeenBy(label string) uint64 {
 	if p := n.peers[label]; p != nil {
 		if s := p.message.Seen[n.cfg.Self]; s.Life == n.cfg.Incarnation {
@@ -154,7 +154,7 @@
 			case silent > 2*n.cfg.HeartbeatInterval:
 				v.missedHeartbeats = 1
 			}
-			// Machines could not report to us before we could answer. A deaf
+			// Machines could not report to us before we could answer. A unresponsive
 			// one is as good as lost: all it does ends with its lease.
 			v.unreachable = h.unresponsive || n.isUnreachable(h, min(silent, n.now-p.validSince), 2*fresh > all)
 			if v != h.view || h.viewTerm != p.term {
@@ -201,7 +201,7 @@
 	}
 	n.receiveGangHolds(m.Holds)
 	n.receiveLeaderView(m.From, m.Leader)
-	// A newer term than our copy shows means that we have lost the part and
+	// A newer term than the replica shows means that we have lost the shard and
 	// can't see it: we are refused by the state service.
 	for i, ix := range m.Parts {
 		if ix >= 0 && ix < len(n.shards) && i < len(m.Terms) && m.Terms[i] > n.shards[ix].term {
@@ -230,7 +230,7 @@
 		if n.owns(n.shards[part]) {
 			continue // we know better
 		}
-		// One that has lost the part without having seen it finds its machines
+		// One that has lost the shard without having seen it finds its machines
 		// silent; heeded, they were returned with all that ran on them.
 		term := uint64(0)
 		for k, ix := range m.Parts {
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -6,7 +6,7 @@
 	"micaport/internal/wire"
 )
 
-// job is our copy of a job's record, with what follows from it.
+// job is the replica of a job's record, with what follows from it.
 type job struct {
 	index        int
 	id           string
@@ -32,8 +32,8 @@
 	retryAt         Time
 	errorsSeen      int
 	suspect         bool             // failed wherever it ran: rather the job's fault than the machines'
-	changedAt       Time             // when our copy last changed
-	closedAt        Time             // it was recorded as done or withdrawn at this time or later
+	changedAt       Time             // when the replica last changed
+	closedAt        Time             // it was recorded as done or cancelled at this time or later
 	grantedAt       Time             // when we, as the leader, last granted anything of it
 	withinGuarantee bool             // inside its team's guarantee
 	links           *dependencyLinks // what it waits on and what waits on it; nil: nothing
@@ -51,7 +51,7 @@
 	return 0
 }
 
-// putJob takes a record, or its absence, into our copy.
+// putJob takes a record, or its absence, into the replica.
 func (n *Node) putJob(ref string, rec *wire.Job, rev uint64) {
 	j := n.ensureJob(ref)
 	if rev <= j.revision {
@@ -111,7 +111,7 @@
 	}
 }
 
-// noteClosed notes since when a job is recorded as done or withdrawn. Our copy may have
+// noteClosed notes since when a job is recorded as done or cancelled. The replica may have
 // lagged behind. What it knew at the last proof that has settled did not hold this
 // change, so it was made after that was sent.
 func (n *Node) noteClosed(j *job) {
--- a/internal/core/bulk.go
+++ b/internal/core/large_array.go
@@ -2,7 +2,7 @@
 
 import "micaport/internal/wire"
 
-// An array with more tasks than a record can hold one by one is *bulk*: many
+// An array with more tasks than a record can hold one by one is a large array: many
 // small tasks that fill what is spare. What limits it is the size of its record
 // and the number of puts, so its tasks are granted and placed in runs, as many
 // neighbours on a machine as fit, which take a record no more than one entry,
@@ -30,7 +30,7 @@
 	return active.Cost() + taskRangeBytes*len(done)
 }
 
-// listCapacity is what the lists of a bulk job may take, in all its keys. In each some
+// listCapacity is what the lists of a large array may take, in all its keys. In each some
 // room is left that no run fits.
 func (n *Node) listCapacity(j *job) int {
 	return max(100, n.valueBytes()-j.baseBytes+n.overflowKeys()*(n.cfg.MaxValueBytes-overflowFrameBytes-2*n.taskRunBytes()))
@@ -51,7 +51,7 @@
 
 // outcomeDelayFor is how long a result waits for others of the same job when puts
 // are scarce: one put serves them all, and the tasks of a gang end together.
-// The ends of a bulk job come many a second. What fills spare room can wait for
+// The ends of a large array come many a second. What fills spare room can wait for
 // longer than work that somebody needs soon.
 func (n *Node) outcomeDelayFor(j *job) Time {
 	pause := Time(float64(outcomeDelay) * n.writeScarcity())
@@ -73,7 +73,7 @@
 	return max(outcomeDelay, Time(j.record.Spec.ExpectedS*float64(second)/4))
 }
 
-// recordRoom is the room that is left in the records of bulk jobs while an owner
+// recordRoom is the room that is left in the records of large arrays while an owner
 // changes them. Taking single tasks out of runs can only make a record larger:
 // when there is no room for that, ends wait until the whole run has ended.
 type recordRoom struct {
@@ -121,7 +121,7 @@
 	return true
 }
 
-// recordable is what of a result a record takes. The done tasks of a bulk job are a
+// recordable is what of a result a record takes. The done tasks of a large array are a
 // few ranges, as the lowest are granted first; should they not be, a task is
 // rather started again, which its machine answers with done at once, than a
 // record made too large to be written ever again.
@@ -148,7 +148,7 @@
 // maxRunLength bounds a run: the tasks of one machine.
 const maxRunLength = 256
 
-// remainingRuns is how many runs the leader may still grant to a bulk job. What is
+// remainingRuns is how many runs the leader may still grant to a large array. What is
 // granted but not placed counts by the machines that the grants had in mind.
 // An eighth is left for runs that their owners have to split.
 func (n *Node) remainingRuns(j *job) int {
@@ -178,8 +178,8 @@
 const maxGrantDelay = 4 * second
 
 // grantDelay is how long the leader gathers what it grants to an array that
-// fills spare room or is bulk. It counts from the last grant: the record of a
-// bulk job changes all the time.
+// fills spare room or is a large array. It counts from the last grant: the record of a
+// large array changes all the time.
 func (n *Node) grantDelay(j *job) Time {
 	if len(j.record.ActiveTasks) == 0 || j.record.Spec.Shape != wire.ShapeArray || j.priority > 0 && !j.largeArray {
 		return 0
--- a/internal/core/leader.go
+++ b/internal/core/leader_state.go
@@ -22,8 +22,8 @@
 	grantHints     map[taskKey]*machine // the machine that a grant had in mind
 	hintsCleanupAt Time
 
-	sharesDistributedAt []Time             // when the shares of each team's limit were last dealt
-	sharesReclaimed     []bool             // by team: the last that was dealt was to gather all shares
+	sharesDistributedAt []Time             // when the shares of each team's limit were last distributed
+	sharesReclaimed     []bool             // by team: the last that was distributed was to gather all shares
 	excessAt            Time               // when teams beyond their limits are reported next
 	pendingPlacements   []pendingPlacement // what the batch under way places on machines of our own
 
@@ -113,7 +113,7 @@
 	n.reportExcess()
 	n.recordCancellations(w)
 	n.budget.pendingGrants = len(w.order) + left
-	n.log(LogDebug, "planned", "machines", n.machineCount(), "changed", len(w.order), "left", left)
+	n.log(LogDebug, "scheduling pass", "machines", n.machineCount(), "changed_jobs", len(w.order), "unwritten_grants", left)
 	w.send(&l.batch, nil)
 	n.notePlanned()
 }
@@ -135,7 +135,7 @@
 	return c
 }
 
-// revokeUnownedGrants takes back grants to parts that have had no owner for a while.
+// revokeUnownedGrants takes back grants to shards that have had no owner for a while.
 func (n *Node) revokeUnownedGrants(w *writer) {
 	for _, jx := range n.live {
 		j := n.jobs[jx]
@@ -166,7 +166,7 @@
 	}
 }
 
-// ownerIsHeard tells whether a part has an owner that can be heard.
+// ownerIsHeard tells whether a shard has an owner that can be heard.
 func (n *Node) ownerIsHeard(p *shard) bool {
 	if p.record == nil {
 		return false
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_state_test.go
@@ -8,7 +8,7 @@
 
 // A leader that resigned while the outcome of a commit was unknown kept that commit
 // in mind for ever when another led. Its owner's side leaves records alone that
-// the leader's is about to change, so what the next leader granted to its parts
+// the leader's is about to change, so what the next leader granted to its shards
 // was never placed.
 func TestResignedLeaderForgetsItsBatch(t *testing.T) {
 	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}, {"n1", "a"}}, Zones: []string{"a"},
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"micaport/internal/standby"
+	"micaport/internal/failover"
 	"micaport/internal/wire"
 )
 
@@ -38,29 +38,29 @@
 	n.leader.record, n.leader.term = rec, rev
 	n.observeLeader()
 	if continues && n.isLeader() {
-		n.log(LogInfo, "leading on", "term", rev)
+		n.log(LogInfo, "leadership reclaimed", "term", rev)
 		return
 	}
 	n.leader.since = n.now
 	if n.isLeader() {
 		n.leader.reset()
-		n.log(LogInfo, "leading", "term", rev)
+		n.log(LogInfo, "leadership acquired", "term", rev)
 		n.adoptDecisions(before)
 	} else if led {
 		n.leader.reset()
-		n.log(LogInfo, "no longer leading")
+		n.log(LogInfo, "leadership lost")
 	}
 }
 
 func (n *Node) isLeader() bool { return n.holdsLeaderClaim() && n.leader.term != n.abandonedTerm }
 
-// holdsLeaderClaim tells whether our copy shows a claim of ours, abandoned or not.
+// holdsLeaderClaim tells whether the replica shows a claim of ours, abandoned or not.
 func (n *Node) holdsLeaderClaim() bool {
 	r := n.leader.record
 	return r != nil && r.Controller == n.cfg.Self && r.Incarnation == n.cfg.Incarnation
 }
 
-// claimLeader takes the leadership when nobody has it, when an earlier life of ours had
+// claimLeader takes the leadership when nobody has it, when an earlier incarnation of ours had
 // it, or early when a quorum suspects the leader.
 func (n *Node) claimLeader() {
 	l := &n.leader
@@ -74,7 +74,7 @@
 		}
 	case l.record.Controller == n.cfg.Self:
 		n.sendClaim(n.newClaim(l.record.Streak), l.term)
-	case n.failover.follower.Advise(n.now) == standby.Replace && n.now-n.leaderLease.sentAt <= standby.MaxLeaseAge:
+	case n.failover.follower.Advise(n.now) == failover.Replace && n.now-n.leaderLease.sentAt <= failover.MaxLeaseAge:
 		n.claimEarly()
 	}
 }
@@ -113,10 +113,10 @@
 	})
 }
 
-// unseenClaimTimeout is how long a claim may be ours before our copy shows it.
+// unseenClaimTimeout is how long a claim may be ours before the replica shows it.
 const unseenClaimTimeout = 2 * second
 
-// dropUnseenClaim gives up a claim that our copy does not show: our watch hangs. Kept
+// dropUnseenClaim gives up a claim that the replica does not show: our watch hangs. Kept
 // alive by our renewals, it would leave the site without a leader that decides.
 func (n *Node) dropUnseenClaim() {
 	if n.acceptedTerm <= n.revision || n.now-n.acceptedAt < unseenClaimTimeout || !n.cfg.EarlyTakeover {
@@ -124,7 +124,7 @@
 	}
 	term := n.acceptedTerm
 	n.acceptedTerm, n.nextClaimAt = 0, n.now+10*second
-	n.log(LogInfo, "giving the leadership up: the watch does not show it", "term", term)
+	n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
 	n.commit(ClassLease, []Condition{{wire.LeaderKey, term}}, []Write{{Key: wire.LeaderKey}}, func(Committed) {})
 }
 
@@ -163,7 +163,7 @@
 	for _, p := range n.peers {
 		if n.now-p.heardAt < 8*second && p.message.StoreOK && !p.message.CutOff {
 			n.nextResignAt = n.now + 10*second
-			n.log(LogInfo, "giving the leadership up: cut off")
+			n.log(LogInfo, "resigning leadership", "reason", "isolated", "term", n.leader.term)
 			// From here on we don't lead, even if our watch hangs and never
 			// shows it; only a refusal says that we still do.
 			n.abandonedTerm = n.leader.term
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -19,7 +19,7 @@
 }
 
 // ownershipCheck is a compare-only commit that proves what we held when it was sent,
-// once our copy of the records has reached its revision.
+// once the replica has reached its revision.
 type ownershipCheck struct {
 	sentAt   Time
 	revision uint64
@@ -123,9 +123,9 @@
 	}
 }
 
-// settleOwnershipChecks lets proofs count whose revision our copy has reached. Without
+// settleOwnershipChecks lets proofs count whose revision the replica has reached. Without
 // this wait an owner whose watch hangs could go on keeping tasks alive whose
-// withdrawal it has not seen.
+// cancellation it has not seen.
 func (n *Node) settleOwnershipChecks() {
 	n.ownershipChecks = slices.DeleteFunc(n.ownershipChecks, func(c ownershipCheck) bool {
 		if c.revision > n.revision {
--- a/internal/core/host.go
+++ b/internal/core/machine.go
@@ -14,7 +14,7 @@
 	zone        int
 	spot        bool
 	shard       int
-	placements  []placement // tasks that our copy of the records puts on it
+	placements  []placement // tasks that the replica puts on it
 
 	used           resourceUse // what they take; good while usedKnown
 	usedKnown      bool
@@ -34,7 +34,7 @@
 	reportedTasks   map[taskKey]string
 	startSentAt     map[taskKey]uint64 // report that was last answered with the start
 	directStarts    map[taskKey]directStart
-	leaseExpiring   bool // no longer answered, so that its session ends
+	leaseExpiring   bool // no longer answered, so that its epoch ends
 	address         string
 	heldReplies     int          // answers to it that wait
 	unstartedListed bool         // among those with a task that they have not shown
--- a/internal/core/continuation.go
+++ b/internal/core/overflow.go
@@ -6,16 +6,16 @@
 	"micaport/internal/wire"
 )
 
-// Where values are small a record's active tasks go on in further keys, which are
+// Where values are small a record's active tasks go on in overflow keys, which are
 // only ever changed together with the record itself: its revision stands for all,
 // so conditions, quota and proofs are the same as with one key.
 
-// maxListBytes is what the lists of a job may take in all. A further key costs a put
+// maxListBytes is what the lists of a job may take in all. A overflow key costs a put
 // for each change, so there are no more than make this much; it is what one value
 // holds at sites whose arrays have up to a hundred tasks.
 const maxListBytes = 8 << 10
 
-// overflowKeys is how many further keys the leader plans with. A grant changes the
+// overflowKeys is how many overflow keys the leader plans with. A grant changes the
 // record, the key of a gang perhaps, and these.
 func (n *Node) overflowKeys() int {
 	if !n.writesDependencies() {
@@ -24,7 +24,7 @@
 	return max(0, min(maxListBytes/n.cfg.MaxValueBytes-1, n.cfg.MaxTransactionOps-2))
 }
 
-// overflowFrameBytes bounds what a further key's value takes besides its lists.
+// overflowFrameBytes bounds what a overflow key's value takes besides its lists.
 const overflowFrameBytes = 16
 
 // valueBytes is what a value may take now. While controllers of the earlier version
@@ -37,7 +37,7 @@
 	return n.cfg.MaxValueBytes
 }
 
-// putOverflow keeps the further active tasks of a job until its record is taken in.
+// putOverflow keeps the overflow tasks of a job until its record is taken in.
 func (n *Node) putOverflow(key string, m *wire.Overflow) {
 	ref, k := wire.SplitOverflowKey(key)
 	if m == nil {
@@ -84,8 +84,8 @@
 	record    *wire.Job
 	baseBytes int              // bytes of the record without its lists
 	was       wire.ActiveTasks // the tasks as they stand in the keys now
-	wasKeys   int              // the further keys that there are now
-	// The first further keys that are left alone: their tasks are not in rec.
+	wasKeys   int              // the overflow keys that there are now
+	// The first overflow keys that are left alone: their tasks are not in rec.
 	unknownKeys int
 	cost        map[int]int // bytes of the tasks in each key
 }
@@ -109,7 +109,7 @@
 	return x.writes()
 }
 
-// ownKey is the place of tasks that stand in the record itself; the further keys are
+// ownKey is the place of tasks that stand in the record itself; the overflow keys are
 // counted from the next number on.
 const ownKey = 1
 
@@ -169,7 +169,7 @@
 
 func (x *recordSplit) isUnknown(key int) bool { return key > ownKey && key <= x.unknownKeys+1 }
 
-// writes gives the record and the further keys that change.
+// writes gives the record and the overflow keys that change.
 func (x *recordSplit) writes() []Write {
 	own := *x.record
 	own.OverflowKeys = x.unknownKeys
@@ -204,7 +204,7 @@
 	})
 }
 
-// writesAhead gives the writes of further keys that the record does not name yet, as
+// writesAhead gives the writes of overflow keys that the record does not name yet, as
 // many as one transaction takes. Nobody minds them until it does, which the last of
 // the transactions brings; a record far too large for one so gets within the limits
 // without any task being out of it in between.
@@ -245,7 +245,7 @@
 const recordSlackBytes = 120
 
 // measureRecord works out how large a job's record is without its lists, and with it
-// whether the job is bulk.
+// whether the job is a large array.
 func (n *Node) measureRecord(j *job) {
 	j.baseBytes = n.recordBaseBytes(j.record)
 	j.largeArray = j.record.Spec.Shape == wire.ShapeArray && j.record.Spec.TaskCount > n.maxSingleTasks()
--- a/internal/core/continuation_test.go
+++ b/internal/core/overflow_test.go
@@ -23,7 +23,7 @@
 	}
 	const ref = "wk-000001"
 	rec := &wire.Job{Spec: &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 200, Image: "img"}, TaskCount: 200, NextAttempt: 1}
-	kept := map[int]wire.ActiveTasks{} // further keys as stored
+	kept := map[int]wire.ActiveTasks{} // overflow keys as stored
 	most := 0
 	for step := range 400 {
 		was, wasMore := slices.Clone(rec.ActiveTasks), rec.OverflowKeys
@@ -159,7 +159,7 @@
 	}
 }
 
-// A withdrawal reads and writes the job's own record: what is in further keys stays
+// A cancellation reads and writes the job's own record: what is in overflow keys stays
 // there, and with it the specification, which says what the tasks charge.
 func TestWithdrawalLeavesFurtherKeys(t *testing.T) {
 	n := chained()
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -37,7 +37,7 @@
 	case wire.CauseNoCapacity:
 		h.noCapacityUntil = n.now + 2*n.cfg.HeartbeatInterval
 	}
-	n.log(LogDebug, "task ended", "job", j.id, "task", k.task, "attempt", k.attempt, "host", h.name, "cause", t.ExitCause)
+	n.log(LogDebug, "task exited", "job", j.id, "task", k.task, "attempt", k.attempt, "machine", h.name, "cause", t.ExitCause)
 }
 
 // failedJobCount counts the jobs that failed on a machine since something last succeeded
@@ -111,7 +111,7 @@
 			k := h.placements[i].taskKey
 			if _, known := n.outcomes[k]; !known && h.placements[i].shard == p.index {
 				n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
-				n.log(LogInfo, "task lost with its machine", "job", n.jobs[k.job].id, "task", k.task, "host", h.name)
+				n.log(LogInfo, "task lost", "job", n.jobs[k.job].id, "task", k.task, "machine", h.name)
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 }
 
 // awaitsNewEpoch tells whether a lost task should wait a moment for its machine: one
-// that has lost its session is the best place for the same task, as it has the image,
+// that has lost its epoch is the best place for the same task, as it has the image,
 // once it has shown that it knows our term.
 func (n *Node) awaitsNewEpoch(res taskOutcome) bool {
 	h := n.machineNamed(res.machine)
@@ -209,7 +209,7 @@
 }
 
 // replaceLostTask gives a task that its machine has lost another machine of the same
-// part: the grant stands, only the choice of the machine is the owner's. It
+// shard: the grant stands, only the choice of the machine is the owner's. It
 // saves two puts, and when a whole zone has lost its tasks that is most of the
 // time it takes to have them back.
 func (n *Node) replaceLostTask(w *writer, rec *wire.Job, was wire.ActiveTask, res taskOutcome, room *lazySlots) {
@@ -224,7 +224,7 @@
 	}
 	s.take(rec.Spec)
 	rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: was.Task, Attempt: w.attempt(j, rec), Shard: was.Shard, Machine: s.machine.name, Epoch: s.machine.epoch, Admitted: was.Admitted})
-	n.log(LogDebug, "placed anew", "job", j.id, "task", was.Task, "host", s.machine.name)
+	n.log(LogDebug, "task replaced", "job", j.id, "task", was.Task, "machine", s.machine.name)
 }
 
 // removeExitedTask takes a task that is gone out of its record.
@@ -352,7 +352,7 @@
 	return slots
 }
 
-// placeGranted chooses machines for the tasks granted to our parts.
+// placeGranted chooses machines for the tasks granted to our shards.
 func (n *Node) placeGranted(w *writer, room *lazySlots) {
 	for _, jx := range n.live {
 		j := n.jobs[jx]
@@ -422,7 +422,7 @@
 	}
 }
 
-// revokeUnplaced removes the grants to our parts that were never placed.
+// revokeUnplaced removes the grants to our shards that were never placed.
 func (n *Node) revokeUnplaced(w *writer, rec *wire.Job) {
 	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
 		mine := a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard])
@@ -436,7 +436,7 @@
 // forgetPlacedGrants drops what is remembered of grants that have been placed or given
 // back. It is called now and then; the memory is bounded by the grants that wait. A bound
 // on their number would be one on the site: when it was reached everything was forgotten,
-// so that with more grants waiting than it no grant ever ran out of patience.
+// so that with more grants waiting than it no grant ever ran out of timeout.
 func (n *Node) forgetPlacedGrants() {
 	for k := range n.grantSeenAt {
 		if !n.jobs[k.job].awaitsPlacement(k) {
--- a/internal/core/guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -8,7 +8,7 @@
 	"micaport/internal/wire"
 )
 
-// owner is a controller alone that owns its part and has heard a machine with its
+// owner is a controller alone that owns its shard and has heard a machine with its
 // term, in a report with the given number.
 func owner(t *testing.T) (d *drive, term uint64) {
 	t.Helper()
--- a/internal/core/hire.go
+++ b/internal/core/provision.go
@@ -77,7 +77,7 @@
 }
 
 // runCloudCalls keeps the machine types and the machine list up to date, and
-// sends hires.
+// sends provisioning requests.
 func (n *Node) runCloudCalls() {
 	c := &n.leader.autoscaler
 	tenure := n.leader.tenure
@@ -165,7 +165,7 @@
 		if len(r.Names) < h.request.Count {
 			c.retryAt[h.pool], c.shortageAt[h.pool] = n.now+noCapacityDelay, n.now
 		}
-		n.log(LogInfo, "hired", "rig", h.request.MachineType, "zone", h.request.Zone, "spot", h.request.Spot, "wanted", h.request.Count, "got", len(r.Names))
+		n.log(LogInfo, "machines provisioned", "machine_type", h.request.MachineType, "zone", h.request.Zone, "spot", h.request.Spot, "requested", h.request.Count, "received", len(r.Names))
 	case NoCapacity:
 		c.retryAt[h.pool], c.shortageAt[h.pool] = n.now+noCapacityDelay, n.now
 	case Refused:
@@ -340,7 +340,7 @@
 // shortageTime is how long a pool without machines is not counted on.
 const shortageTime = 60 * second
 
-// provisionFor adds a machine to be hired for a task, if there may be one.
+// provisionFor adds a machine to be provisioned for a task, if there may be one.
 func (p *schedulingPass) provisionFor(w *queuedJob, ok func(*slot) bool) *slot {
 	n := p.node
 	if w.job.suspect || n.cfg.MaxMachines > 0 && len(p.available.all)+len(p.expected.all) >= n.cfg.MaxMachines {
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -17,7 +17,7 @@
 	withinGuarantee bool  // inside the team's guarantee, with the jobs before it
 	// What was found out for an earlier task of the job holds for the rest.
 	noFreeRoom, noReleasingRoom, noExpectedRoom bool
-	shardTasks                                  []int // its tasks by part, as planned so far
+	shardTasks                                  []int // its tasks by shard, as planned so far
 	runBudget                                   int   // how many runs of tasks its record has room for
 	latestStartMS                               int64 // by when it has to begin, see Node.latestStartMS
 	avoidsIdle                                  bool  // its next task keeps off idle ordinary machines
@@ -153,7 +153,7 @@
 // that the other needs.
 const gangStarvationTime = 75 * second
 
-// serveStarvedGang lets the gang that has waited longest beyond its patience
+// serveStarvedGang lets the gang that has waited longest beyond its timeout
 // gather room.
 func (p *schedulingPass) serveStarvedGang(qs []*teamQueue) {
 	var first *queuedJob
@@ -244,7 +244,7 @@
 	}
 }
 
-// serveTask grants the next tasks of an array or daemon, one or, of a bulk job, as many
+// serveTask grants the next tasks of an array or daemon, one or, of a large array, as many
 // as fit a machine, and tells whether to go on with the job.
 func (p *schedulingPass) serveTask(w *queuedJob) bool {
 	if w.runBudget <= 0 || p.admission == nil && !p.hasQuota(w.job, 1) {
@@ -266,7 +266,7 @@
 	return p.planOnReleasing(w, fits) || p.planOnExpected(w, fits)
 }
 
-// countTasks counts a job's tasks by zone and by part.
+// countTasks counts a job's tasks by zone and by shard.
 func (p *schedulingPass) countTasks(w *queuedJob) {
 	w.zoneTasks = p.node.zoneTasks(p.record(w.job))
 	w.shardTasks = make([]int, len(p.node.shards))
@@ -282,7 +282,7 @@
 	w.avoidsIdle = p.avoidsIdleOnDemand(w)
 	return func(s *slot) bool {
 		// Machines to come are no different: planned on ordinary ones that it
-		// would not take, it would wait for them while no spot machine is hired.
+		// would not take, it would wait for them while no spot machine is provisioned.
 		if w.avoidsIdle && !s.spot && s.isIdle() {
 			return false
 		}
@@ -301,7 +301,7 @@
 }
 
 // shardPenalty gives what it counts, in seconds, to put the next task of a job on a
-// machine, by the machine's part.
+// machine, by the machine's shard.
 func (p *schedulingPass) shardPenalty(w *queuedJob) func(*slot) float64 {
 	j, scarcity := w.job, p.node.writeScarcity()
 	started := len(j.record.ActiveTasks) > 0 || p.writer.records[j.index] != nil
@@ -314,7 +314,7 @@
 			return 0
 		case started && w.shardTasks[s.shard] == 0:
 			return newShardPenalty * scarcity
-		case j.largeArray: // begun in different parts, several don't meet
+		case j.largeArray: // begun in different shards, several don't meet
 			return foreignShardPenalty * float64(boolToInt(!started && s.shard != j.index%len(p.node.shards)))
 		case !started && j.priority == 0 && !p.node.owns(p.node.shards[s.shard]):
 			return foreignShardPenalty * scarcity
@@ -379,7 +379,7 @@
 }
 
 // planOnReleasing plans the next task of a job on room that is about to be free, or that is
-// made for it. A bulk job takes such room when it is there.
+// made for it. A large array takes such room when it is there.
 func (p *schedulingPass) planOnReleasing(w *queuedJob, fits func(*slot) bool) bool {
 	if w.noReleasingRoom || w.job.largeArray {
 		return false
@@ -399,7 +399,7 @@
 }
 
 // planOnExpected plans the next tasks of a job on a machine that is to come, or is now to be
-// hired. Later passes grant them for real.
+// provisioned. Later passes grant them for real.
 func (p *schedulingPass) planOnExpected(w *queuedJob, fits func(*slot) bool) bool {
 	j := w.job
 	var s *slot
@@ -413,16 +413,16 @@
 	if s == nil {
 		return false
 	}
-	// Their use counts, so that no more is hired than the team may use.
+	// Their use counts, so that no more is provisioned than the team may use.
 	tasks := p.runLengthOn(w, s)
 	p.charge(j, tasks)
 	w.assigned(s, tasks)
 	return true
 }
 
-// newShardPenalty is what it counts, in seconds, to spread a job over one more part
-// when puts are scarce: each part's owner has to write the job's record. foreignShardPenalty
-// is what it counts to begin work of low urgency in a part that is not the
+// newShardPenalty is what it counts, in seconds, to spread a job over one more shard
+// when puts are scarce: each shard's owner has to write the job's record. foreignShardPenalty
+// is what it counts to begin work of low urgency in a shard that is not the
 // leader's own, where the grant chooses the machine and saves a put.
 const (
 	newShardPenalty     = 8
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -8,7 +8,7 @@
 
 // What a report says of tasks, held against the records.
 
-// activeTask finds a placed task in our copy of the records.
+// activeTask finds a placed task in the replica.
 func (n *Node) activeTask(k taskKey, hostName string) *wire.ActiveTask {
 	if at := n.activeTaskIndex(k, hostName); at >= 0 {
 		return &n.jobs[k.job].record.ActiveTasks[at]
@@ -30,11 +30,11 @@
 	return -1
 }
 
-// epochDelay is how long a task that was lost with its machine's session
+// epochDelay is how long a task that was lost with its machine's epoch
 // waits for the machine to take our term. It reports again after half a second.
 const epochDelay = 1200 * time.Millisecond
 
-// shardTerm is the term of the part that the machine belongs to.
+// shardTerm is the term of the shard that the machine belongs to.
 func (h *machine) shardTerm(n *Node) uint64 { return n.shards[h.shard].term }
 
 // outcomeDelay is how long a result waits for others of the same job when puts
@@ -78,7 +78,7 @@
 	x.commands = append(x.commands, wire.Command{Op: op, Task: task, Attempt: attempt, GraceS: graceS})
 }
 
-// reportedTask deals with a task that the report shows.
+// reportedTask distributes with a task that the report shows.
 func (x *reconciliation) reportedTask(t *wire.TaskStatus) {
 	n, h := x.node, x.machine
 	ref, task, err := wire.SplitTaskName(t.Task)
@@ -99,7 +99,7 @@
 	h.reportedTasks[k] = t.State
 	j := n.jobs[k.job]
 	if x.previousStates[k] != t.State {
-		n.log(LogDebug, "task state", "job", j.id, "class", j.record.Spec.Class, "task", task, "attempt", t.Attempt, "host", h.name, "state", t.State)
+		n.log(LogDebug, "task state changed", "job", j.id, "class", j.record.Spec.Class, "task", task, "attempt", t.Attempt, "machine", h.name, "state", t.State)
 	}
 	if t.State != wire.TaskFetching {
 		h.images.add(j.image)
@@ -109,7 +109,7 @@
 	}
 }
 
-// exitedTask deals with a task that the report shows as ended; a is its entry in the
+// exitedTask distributes with a task that the report shows as ended; a is its entry in the
 // record, or nil.
 func (x *reconciliation) exitedTask(t *wire.TaskStatus, k taskKey, a *wire.ActiveTask) {
 	if a != nil {
@@ -127,7 +127,7 @@
 	x.command(wire.CommandClear, t.Task, t.Attempt, 0)
 }
 
-// missingTask deals with a task that a record puts on the machine and the report lacks.
+// missingTask distributes with a task that a record puts on the machine and the report lacks.
 func (x *reconciliation) missingTask(on *placement) {
 	n, h := x.node, x.machine
 	k, j := on.taskKey, n.jobs[on.job]
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -6,9 +6,9 @@
 	"micaport/internal/wire"
 )
 
-// Our copy of the records, as the watch of the state service shows them.
+// the replica, as the watch of the state service shows them.
 
-// recordsChanged takes events of the watch into our copy of the records.
+// recordsChanged takes events of the watch into the replica.
 func (n *Node) recordsChanged(c RecordsChanged) {
 	if c.Reset {
 		n.deleteUnlisted(c)
@@ -61,7 +61,7 @@
 	}
 }
 
-// assumeRecentOwners takes it that each part was taken over from an owner that lives, as
+// assumeRecentOwners takes it that each shard was taken over from an owner that lives, as
 // what happened before a listing is not known.
 func (n *Node) assumeRecentOwners() {
 	for _, p := range n.shards {
--- a/internal/core/returns.go
+++ b/internal/core/scale_in.go
@@ -4,7 +4,7 @@
 
 // Machines that are no longer needed go back to the cloud.
 
-// scaleIn picks machines that stood idle, are sick or are lost, and gives
+// scaleIn picks machines that stood idle, are unhealthy or are lost, and gives
 // them back once their owner has let go of them.
 func (n *Node) scaleIn(p *schedulingPass, idle map[*slot]bool) {
 	n.drainIdle(p, idle)
@@ -50,7 +50,7 @@
 // faultyIdleTimeout is how long a machine that has failed a job may stand idle.
 const faultyIdleTimeout = 10 * second
 
-// drainUnhealthy marks machines that are lost, or sick and empty, and keeps those on which
+// drainUnhealthy marks machines that are lost, or unhealthy and empty, and keeps those on which
 // their owners have placed something meanwhile.
 func (n *Node) drainUnhealthy() {
 	c := &n.leader.autoscaler
@@ -117,7 +117,7 @@
 			delete(c.unreportedSince, name)
 			n.leader.returned = append(n.leader.returned, returnedMachine{name, n.now})
 		}
-		n.log(LogInfo, "returned", "hosts", give)
+		n.log(LogInfo, "machines deprovisioned", "machines", give)
 		n.sendGossip(true)
 	})
 }
--- a/internal/core/plan.go
+++ b/internal/core/scheduling_pass.go
@@ -20,7 +20,7 @@
 	node          *Node
 	writer        *writer
 	available     *slotSet       // machines up
-	expected      *slotSet       // machines booting, hired or to be hired
+	expected      *slotSet       // machines booting, provisioned or to be provisioned
 	used          []usage        // by team, with what the pass adds
 	added         []quota.Amount // by team, what the pass adds
 	atLimit       []bool         // by team: the limit alone kept something waiting
@@ -36,8 +36,8 @@
 	unplacedTasks int // tasks for which there was no room
 }
 
-// runSchedulingPass grants waiting tasks to parts, in the order of the queue, and works
-// out what to hire, stop and return. It tells how many jobs were left for want
+// runSchedulingPass grants waiting tasks to shards, in the order of the queue, and works
+// out what to provision, stop and return. It tells how many jobs were left for want
 // of puts.
 func (n *Node) runSchedulingPass(w *writer) int {
 	p := n.newSchedulingPass(w)
@@ -111,7 +111,7 @@
 			spot++
 		}
 	}
-	n.log(LogDebug, "room", "up", len(p.available.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", half, "coming", len(p.expected.all), "hires", len(n.leader.autoscaler.provisions), "blocked", p.unplacedTasks)
+	n.log(LogDebug, "utilization", "machines", len(p.available.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", half, "expected", len(p.expected.all), "provisioning_requests", len(n.leader.autoscaler.provisions), "unplaced_tasks", p.unplacedTasks)
 }
 
 // backfillShare is how many grants of backfill without a write left count as one pending
@@ -202,7 +202,7 @@
 	return idle
 }
 
-// grant writes tasks of a job to parts, as one attempt.
+// grant writes tasks of a job to shards, as one attempt.
 func (p *schedulingPass) grant(j *job, tasks []int, slots []*slot) bool {
 	n := p.node
 	rec := p.writer.job(j)
@@ -251,12 +251,12 @@
 	p.charge(j, len(tasks))
 	p.addAccountCondition(j, slots)
 	j.grantedAt = n.now
-	n.log(LogDebug, "granted", "job", j.id, "attempt", attempt, "tasks", len(tasks), "part", n.shards[slots[0].shard].name)
+	n.log(LogDebug, "tasks granted", "job", j.id, "attempt", attempt, "tasks", len(tasks), "shard", n.shards[slots[0].shard].name)
 	return true
 }
 
 // mayAssignMachine tells whether the leader may choose the machine in the grant, since it
-// owns the part as well: one put does for both. The commit then rests on both
+// owns the shard as well: one put does for both. The commit then rests on both
 // keys. While our own owner's batch is under way, what that places is not known
 // here yet.
 func (n *Node) mayAssignMachine(s *slot) bool {
--- a/internal/core/part.go
+++ b/internal/core/shard.go
@@ -19,9 +19,9 @@
 	term           uint64 // of the claim: the term and the workers' token
 
 	machines           []*machine // machines that may still be there
-	changedAt          Time       // when our copy last saw it change hands
+	changedAt          Time       // when the replica last saw it change hands
 	claimCheckedAt     Time       // when we last asked ourselves whether to claim it
-	claimableSince     Time       // when our copy last saw it change hands or go
+	claimableSince     Time       // when the replica last saw it change hands or go
 	proven             bool       // a check has covered this term
 	validFrom          Time       // our validity counts from here
 	validSince         Time       // since when we could answer without a break
@@ -29,11 +29,11 @@
 	previousOwnerUntil Time       // no owner before the present one answers after this
 }
 
-// ShardID names a part: the zone whose machines it holds, and the controller that is
+// ShardID names a shard: the zone whose machines it holds, and the controller that is
 // meant to own it, which is "" in a zone without one.
 type ShardID struct{ Zone, Home string }
 
-// Name is the part's name in records.
+// Name is the shard's name in records.
 func (p ShardID) Name() string {
 	if p.Home == "" {
 		return p.Zone + "/-"
@@ -41,7 +41,7 @@
 	return p.Zone + "/" + p.Home
 }
 
-// Shards lists the parts of a deployment in the order in which records number them.
+// Shards lists the shards of a deployment in the order in which records number them.
 func Shards(zones []string, members []Member) []ShardID {
 	members = slices.Clone(members)
 	sort.Slice(members, func(i, k int) bool { return members[i].Name < members[k].Name })
@@ -73,7 +73,7 @@
 	}
 }
 
-// shardOf hashes a machine to a part of its zone, or gives -1.
+// shardOf hashes a machine to a shard of its zone, or gives -1.
 func (n *Node) shardOf(zone int, name string) int {
 	if zone < 0 || zone >= len(n.zoneShards) {
 		return -1
@@ -108,28 +108,28 @@
 	p.record, p.term, p.claimableSince, p.changedAt = rec, rev, n.now, n.now
 	if was != nil && rec != nil && was.Owner != rec.Owner {
 		// Taken over while it lived: it may answer until its validity has run out,
-		// whoever takes the part next, and when. It once was forgotten by an owner
-		// that took a part, ended, and came back.
+		// whoever takes the shard next, and when. It once was forgotten by an owner
+		// that took a shard, ended, and came back.
 		p.previousOwnerUntil = n.now + n.cfg.OwnerValidity
 	}
 	p.proven, p.validFrom = false, 0
 	// What machines did under the last owner says nothing about this one.
-	// Kept, it made two peers take the part from each other in turns.
+	// Kept, it made two peers take the shard from each other in turns.
 	p.forgetBounces()
 	n.discardOutcomes(p)
 	if rec != nil && rec.Owner == n.cfg.Self && rec.Incarnation == n.cfg.Incarnation {
 		// An owner whose key went with its lease had stopped before, and an
-		// earlier life of ours is dead; but who was taken over lately may still
+		// earlier incarnation of ours is dead; but who was taken over lately may still
 		// answer.
 		p.ownedSince = max(n.now, p.previousOwnerUntil)
 		n.ownershipCheckAt = 0
-		n.log(LogInfo, "part claimed", "part", p.name, "term", rev)
+		n.log(LogInfo, "shard claimed", "shard", p.name, "term", rev)
 	} else if was != nil && was.Owner == n.cfg.Self && was.Incarnation == n.cfg.Incarnation {
-		n.log(LogInfo, "part lost", "part", p.name)
+		n.log(LogInfo, "shard lost", "shard", p.name)
 	}
 }
 
-// discardOutcomes drops what was found out about the tasks of a part in a term
+// discardOutcomes drops what was found out about the tasks of a shard in a term
 // that has ended and could not be written in it. Another owner may have served
 // the machines since; applied in a later term, it would put tasks on a second
 // machine that have run on all the while.
@@ -147,7 +147,7 @@
 	}
 }
 
-// owns tells whether our copy says that the part is ours.
+// owns tells whether the replica says that the shard is ours.
 func (n *Node) owns(p *shard) bool {
 	return p.record != nil && p.record.Owner == n.cfg.Self && p.record.Incarnation == n.cfg.Incarnation
 }
@@ -157,7 +157,7 @@
 	return n.owns(p) && p.proven && n.now < p.validFrom+n.cfg.OwnerValidity
 }
 
-// claimShards takes parts that nobody holds, and those whose owner can't serve
+// claimShards takes shards that nobody holds, and those whose owner can't serve
 // their workers.
 func (n *Node) claimShards() {
 	if n.shardLease.id == 0 || n.now-n.shardLease.sentAt > n.shardLease.ttl/2 {
@@ -187,7 +187,7 @@
 	}
 }
 
-// claimAt spaces claims of one part.
+// claimAt spaces claims of one shard.
 func (p *shard) claimAt() Time { return p.claimableSince + 300*time.Millisecond }
 
 func (n *Node) mayClaim(p *shard) bool {
@@ -202,10 +202,10 @@
 		return waited > 4*second+Time(n.rank())*second
 	}
 	if p.record.Owner == n.cfg.Self {
-		return true // an earlier life of ours
+		return true // an earlier incarnation of ours
 	}
 	// Its workers come here although we send them to their owner. A single
-	// machine among many may be deaf or cut off by itself, which says nothing
+	// machine among many may be unresponsive or cut off by itself, which says nothing
 	// about the owner.
 	var first Time
 	bounced, known := 0, 0
@@ -233,13 +233,13 @@
 	}
 	switch {
 	case bounced >= need && n.now-first > 2*second+wait && waited > 10*second:
-		n.log(LogInfo, "taking part over: its workers can't reach its owner", "part", p.name, "owner", p.record.Owner)
+		n.log(LogInfo, "taking over shard", "reason", "workers cannot reach the owner", "shard", p.name, "owner", p.record.Owner)
 		return true
 	case deaf && bounced >= 1 && waited > 5*second+wait:
-		n.log(LogInfo, "taking part over: owner is silent", "part", p.name, "owner", p.record.Owner)
+		n.log(LogInfo, "taking over shard", "reason", "owner is silent", "shard", p.name, "owner", p.record.Owner)
 		return true
 	case refused && n.storeOK && n.now-n.storeAnsweredAt < 2*second && n.peerRefusedFor(p.record.Owner) > 4*second+wait:
-		n.log(LogInfo, "taking part over: owner is refused by the state service", "part", p.name, "owner", p.record.Owner)
+		n.log(LogInfo, "taking over shard", "reason", "state service refuses the owner", "shard", p.name, "owner", p.record.Owner)
 		return true
 	}
 	// The home controller is back and well: it stands beside the workers.
--- a/internal/core/part_test.go
+++ b/internal/core/shard_test.go
@@ -8,7 +8,7 @@
 )
 
 // Machines are named in order of their creation; a weak hash put runs of
-// neighbours into one part and left the other without work.
+// neighbours into one shard and left the other without work.
 func TestPartsShareNeighbours(t *testing.T) {
 	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}, {"n1", "a"}, {"n2", "b"}}, Zones: []string{"a", "b"}})
 	for start := 0; start < 200; start += 20 {
@@ -46,9 +46,9 @@
 	}
 }
 
-// Who takes a part over counts in the validity of every owner before it that may
+// Who takes a shard over counts in the validity of every owner before it that may
 // live: not only of the last, whose claim may have gone with its lease or be that of
-// an earlier life of its own; and what a process that has just started can't know
+// an earlier incarnation of its own; and what a process that has just started can't know
 // counts as a takeover of a moment ago.
 func TestBoundCountsEveryOwnerBefore(t *testing.T) {
 	const validity = 20 * second
--- a/internal/core/shares.go
+++ b/internal/core/share_distribution.go
@@ -7,14 +7,14 @@
 	"micaport/internal/wire"
 )
 
-// The leader's side of the teams' accounts: dealing shares to the parts. See package
-// quota for what is dealt and docs/team-limits.md for why.
+// The leader's side of the teams' accounts: distributing shares to the shards. See package
+// quota for what is distributed and docs/team-limits.md for why.
 
 const (
 	// shareInterval lies between two writes of a team's account, so that shares which follow
 	// the load cost a tenth of a put a second for each team at most.
 	shareInterval = 10 * second
-	// reclaimInterval is that for withdrawing shares that somebody waits for.
+	// reclaimInterval is that for revoking shares that somebody waits for.
 	reclaimInterval = second
 	// redistributeInterval is that after shares have been gathered. A leader that takes over finds
 	// a backlog and gathers for it; were the owners then left without shares for long,
@@ -45,7 +45,7 @@
 		key := wire.AccountKey(n.cfg.Teams[team].Name)
 		if p.writer.addWrite(Write{Key: key, Value: account}, Condition{key, n.ledger.Revision(team)}) {
 			n.leader.sharesDistributedAt[team], n.leader.sharesReclaimed[team] = n.now, reason == quota.Reclaimed
-			n.log(LogDebug, "shares dealt", "team", n.cfg.Teams[team].Name, "reason", int(reason), "shares", len(account.Shares))
+			n.log(LogDebug, "quota shares distributed", "team", n.cfg.Teams[team].Name, "reason", int(reason), "shares", len(account.Shares))
 		}
 		return
 	}
@@ -64,7 +64,7 @@
 	return pause + Time(p.node.writeScarcity()*float64(shareInterval-pause))
 }
 
-// shareDemand is what the shares of a team are to be dealt by.
+// shareDemand is what the shares of a team are to be distributed by.
 func (p *schedulingPass) shareDemand(team int) quota.Demand {
 	n := p.node
 	d := quota.Demand{
@@ -87,13 +87,13 @@
 	for team := range n.cfg.Teams {
 		if excess := n.ledger.Excess(team); excess != (quota.Amount{}) {
 			cores, cards := excess.Decimal()
-			n.log(LogInfo, "a team uses more than its limit", "team", n.cfg.Teams[team].Name, "cores", cores, "cards", cards)
+			n.log(LogInfo, "team exceeds its quota", "team", n.cfg.Teams[team].Name, "excess_cores", cores, "excess_gpus", cards)
 			n.leader.excessAt = n.now + excessReportInterval
 		}
 	}
 }
 
-// neverDistributed are when a leader last dealt the shares of each team: at first, never.
+// neverDistributed are when a leader last distributed the shares of each team: at first, never.
 func neverDistributed(teams int) []Time {
 	times := make([]Time, teams)
 	for i := range times {
--- a/internal/core/place_test.go
+++ b/internal/core/slot_search_test.go
@@ -6,8 +6,8 @@
 	"micaport/internal/wire"
 )
 
-// Tasks that need no card go beside those that use all cards of a machine, rather
-// than to one with free cards, which then neither goes back nor has room for
+// Tasks that need no GPU go beside those that use all GPUs of a machine, rather
+// than to one with free GPUs, which then neither goes back nor has room for
 // whole-machine work; tasks that need one never look there.
 func TestCardlessTasksGoBesideOthers(t *testing.T) {
 	n := chained()
@@ -27,7 +27,7 @@
 		{"with two and more cores than any has", 30, 2, -1},
 	} {
 		set := newSlotSet(n)
-		free := [][2]float64{{24, 2}, {4, 0}, {12, 1}} // cores and cards
+		free := [][2]float64{{24, 2}, {4, 0}, {12, 1}} // cores and GPUs
 		var slots []*slot
 		for _, f := range free {
 			s := n.newSlot(machinePool{n.typeNames.Find("g"), 0, true})
@@ -42,7 +42,7 @@
 	}
 }
 
-// Machines with cards don't stand idle for what may come without cards; where there
+// Machines with GPUs don't stand idle for what may come without GPUs; where there
 // are machines without, those do.
 func TestReserveBesideOthers(t *testing.T) {
 	n := chained()
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -8,7 +8,7 @@
 
 // slot is a machine, present or hoped for, with the room left on it.
 type slot struct {
-	machine                          *machine // nil for a machine that is booting or not yet hired
+	machine                          *machine // nil for a machine that is booting or not yet provisioned
 	shard                            int      // -1 while unknown
 	zone, machineType                int
 	spot                             bool
@@ -90,7 +90,7 @@
 type slotClass struct {
 	shard, zone, machineType, gpus int
 	spot, idle, daemon, faulty     bool
-	noGPU                          bool // no card is free, not even part of one
+	noGPU                          bool // no GPU is free, not even part of one
 }
 
 func (s *slot) classify() slotClass {
@@ -110,7 +110,7 @@
 	byImage    map[imageList][]*slot
 }
 
-// imageList names a list of slots that have an image: those with a free card, or
+// imageList names a list of slots that have an image: those with a free GPU, or
 // for tasks that need none, all that have room.
 type imageList struct {
 	image      int
@@ -132,9 +132,9 @@
 }
 
 // isFull tells whether there is nothing on the machine to be had, by a task that
-// needs cards or by one that does not: what is left of a machine whose cards are all
+// needs GPUs or by one that does not: what is left of a machine whose GPUs are all
 // in use is of use to the latter. Before this such tasks kept to machines with free
-// cards, which then neither went back nor had room for whole-machine work.
+// GPUs, which then neither went back nor had room for whole-machine work.
 func (s *slot) isFull(cardless bool) bool {
 	return s.cores <= epsilon || !cardless && s.typeInfo.GPUs > 0 && s.gpus <= epsilon
 }
--- a/internal/core/stage.go
+++ b/internal/core/stage_planning.go
@@ -7,7 +7,7 @@
 )
 
 // The leader plans room for the next stage of a chain while the jobs that it waits on
-// are about to end, so that what has to be hired for it is up in time. Nothing is
+// are about to end, so that what has to be provisioned for it is up in time. Nothing is
 // granted ahead, and images can't be fetched ahead: a machine fetches only what a
 // started task waits for. See "Chained jobs" in docs/design.md.
 
@@ -67,7 +67,7 @@
 }
 
 // planNextStages plans room for jobs whose last needs will probably end before a machine
-// hired now is up.
+// provisioned now is up.
 func (p *schedulingPass) planNextStages() {
 	for _, index := range p.node.live {
 		j := p.node.jobs[index]
@@ -108,7 +108,7 @@
 }
 
 // planStage takes room for the tasks of a job, as far as its team's limit goes, and
-// has machines hired for what finds none.
+// has machines provisioned for what finds none.
 func (p *schedulingPass) planStage(j *job) {
 	spec := j.record.Spec
 	zones := make([]int, p.node.zoneNames.Len())
--- a/internal/core/stage_test.go
+++ b/internal/core/stage_planning_test.go
@@ -50,7 +50,7 @@
 	n.jobNamed(ref).grantedAt = n.now
 }
 
-// planned is how many machines a pass that plans stages only wants to hire.
+// planned is how many machines a pass that plans stages only wants to provision.
 func planned(n *Node) (machines int) {
 	p := n.newSchedulingPass(newWriter(n))
 	p.planNextStages()
@@ -64,7 +64,7 @@
 }
 
 // Room for a stage is planned from when what it needs will probably end before a
-// machine hired now is up, and not before; nor for one that will never run.
+// machine provisioned now is up, and not before; nor for one that will never run.
 func TestStageIsPlannedAhead(t *testing.T) {
 	wide := func(s *wire.JobSpec) { s.Cores, s.TaskCount = 8, 3 }
 	for name, c := range map[string]struct {
--- a/internal/core/pause.go
+++ b/internal/core/stall.go
@@ -7,13 +7,13 @@
 const stallThreshold = 1500 * time.Millisecond
 
 // resumeAfterStall discards what a pause of the process has made stale, while the clocks
-// ran on. Machines and peers that could not reach us seem silent, and parts may have been
+// ran on. Machines and peers that could not reach us seem silent, and shards may have been
 // taken over. Before this, a controller that resumed within its validity had all its
 // machines returned as dead. As an owner we now act only after a proof that was sent
 // after the pause, as the leader only after peers have had the time to report; silence of
 // machines, and reports of theirs to other controllers, are counted anew.
 func (n *Node) resumeAfterStall(gap Time) {
-	n.log(LogInfo, "stood still", "for", gap)
+	n.log(LogInfo, "process stalled", "duration", gap)
 	n.resumedAt, n.ownershipChecks, n.ownershipCheckAt = n.now, nil, 0
 	for _, p := range n.shards {
 		p.proven = false
--- a/internal/core/silence.go
+++ b/internal/core/unreachable.go
@@ -32,7 +32,7 @@
 }
 
 // isUnreachable tells whether a silent machine is dead or hangs, rather than cut from
-// us or deaf for a moment: it has not turned to any peer, and its neighbours
+// us or unresponsive for a moment: it has not turned to any peer, and its neighbours
 // still report or it has had the time to try one.
 func (n *Node) isUnreachable(h *machine, silent Time, neighbours bool) bool {
 	if silent < 3*n.cfg.HeartbeatInterval+second {
@@ -53,6 +53,6 @@
 		}
 	}
 	// A worker that can't reach us has tried a peer by now: a report, its
-	// patience of 4 s, a pause, and the peer's next message.
+	// timeout of 4 s, a pause, and the peer's next message.
 	return neighbours || heard && silent > 2*n.cfg.HeartbeatInterval+7*second
 }
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -19,10 +19,10 @@
 	revisionAsked  bool
 	expireAt       Time // when requests that waited for too long are next looked for
 	revisionAskAt  Time
-	answerable     []statusBatch // know it, and wait for our copy to get there
+	answerable     []statusBatch // know it, and wait for the replica to get there
 }
 
-// statusBatch is a number of polls that our copy may answer once it has reached
+// statusBatch is a number of polls that the replica may answer once it has reached
 // a revision that the state service named after they had come.
 type statusBatch struct {
 	revision uint64
@@ -70,7 +70,7 @@
 		n.answer(op, 404, wire.Error{Error: "no such request"})
 		return
 	}
-	// A final state never changes, so our copy may answer for it.
+	// A final state never changes, so the replica may answer for it.
 	ix := n.jobIDs.Find(op.JobID)
 	if ix >= 0 && n.jobs[ix].record != nil && n.jobs[ix].state() != wire.JobLive {
 		n.answer(op, 200, n.reply(op, n.jobs[ix].record))
@@ -103,7 +103,7 @@
 	return min(pause, 500*time.Millisecond)
 }
 
-// askRevision asks how far the records go. What our copy shows once it has got
+// askRevision asks how far the records go. What the replica shows once it has got
 // there is at least as new as anything that anyone was told before the polls
 // came, so answers from it never go back.
 func (n *Node) askRevision() {
@@ -130,7 +130,7 @@
 	})
 }
 
-// answerStatusRequests answers the polls that our copy has caught up with. When it
+// answerStatusRequests answers the polls that the replica has caught up with. When it
 // lags, the records are read one by one.
 func (n *Node) answerStatusRequests() {
 	u := &n.users
@@ -158,9 +158,9 @@
 	u.answerable = rest
 }
 
-// reply is the body of a 200. Withdrawals and submissions leave out counts.
+// reply is the body of a 200. Cancellations and submissions leave out counts.
 func (n *Node) reply(op *pendingRequest, r *wire.Job) any {
-	// What our copy shows of the jobs above is final.
+	// What the replica shows of the jobs above is final.
 	if j := n.jobNamed(op.JobID); r.State == wire.JobLive && j != nil && j.record != nil && j.state() == wire.JobCancelled {
 		return wire.JobStatus{JobID: op.JobID, Status: wire.StatusCancelled}
 	}
@@ -282,7 +282,7 @@
 	rec := n.newRecord(s)
 	status := wire.StatusPending
 	if withdrawn {
-		// Withdrawn with what it names, before it could start.
+		// Cancelled with what it names, before it could start.
 		rec.State, status = wire.JobCancelled, wire.StatusCancelled
 		compactRecord(rec)
 	} else if !n.fitJobRecord(op, rec) {
@@ -292,7 +292,7 @@
 	n.commit(ClassUser, []Condition{{key, 0}}, []Write{{Key: key, Value: rec}}, func(c Committed) {
 		switch c.Outcome {
 		case OK:
-			n.log(LogDebug, "accepted", "job", s.ID, "class", s.Class, "team", s.Team, "frames", s.TaskCount, "image", s.Image, "gb", s.ImageGB, "expected_s", s.ExpectedS)
+			n.log(LogDebug, "job accepted", "job", s.ID, "class", s.Class, "team", s.Team, "tasks", s.TaskCount, "image", s.Image, "image_gb", s.ImageGB, "expected_s", s.ExpectedS)
 			n.answer(op, 201, wire.JobStatus{JobID: s.ID, Status: status})
 		case Conflict:
 			n.readJob(op)
@@ -310,7 +310,7 @@
 }
 
 // fitJobRecord makes a new job's record fit a value, if need be by writing what it waits
-// on to further keys first.
+// on to overflow keys first.
 func (n *Node) fitJobRecord(op *pendingRequest, rec *wire.Job) bool {
 	if n.jobRecordFits(rec) {
 		return true
@@ -379,7 +379,7 @@
 	rec := cloneRecord(g.Job)
 	rec.State = wire.JobCancelled
 	compactRecord(rec)
-	// What its further keys hold is not known here and stays.
+	// What its overflow keys hold is not known here and stays.
 	for i := range rec.ActiveTasks {
 		rec.ActiveTasks[i].StoredIn = 1
 	}
--- a/internal/core/report.go
+++ b/internal/core/worker_heartbeat.go
@@ -80,14 +80,14 @@
 	n.ownViewAt = 0
 }
 
-// noteSession forgets what was sent to a machine in its last session.
+// noteSession forgets what was sent to a machine in its last epoch.
 func (n *Node) noteSession(h *machine, r *wire.WorkerHeartbeat) {
 	if h.epoch == r.Epoch {
 		return
 	}
 	// Its lease ran out although we answered it a short while ago: our answers don't
 	// reach it. Only reports that show our term tell so: what was held back in a cut
-	// arrives together with the next session.
+	// arrives together with the next epoch.
 	if h.tokenConfirmed && h.heartbeats > 1 && h.answeredAt > 0 && n.now-h.answeredAt < n.cfg.WorkerLease*3/4 {
 		h.ignoredReplies = maxIgnoredReplies
 	}
@@ -125,7 +125,7 @@
 		return
 	}
 	if deaf && !h.unresponsive {
-		n.log(LogInfo, "machine does not hear us", "host", h.name)
+		n.log(LogInfo, "machine unresponsive", "machine", h.name)
 	}
 	h.unresponsive, n.ownViewAt = deaf, 0
 }
@@ -138,10 +138,10 @@
 }
 
 // maxIgnoredReplies is how many answers in a row may be without effect before a
-// machine counts as deaf. One or two are lost now and then.
+// machine counts as unresponsive. One or two are lost now and then.
 const maxIgnoredReplies = 3
 
-// manyUnresponsive tells whether so many machines seem deaf that the fault is rather
+// manyUnresponsive tells whether so many machines seem unresponsive that the fault is rather
 // ours: answers that come too late are dropped as well.
 func (n *Node) manyUnresponsive(p *shard) bool {
 	all, deaf := 0, 0
--- a/internal/core/answers.go
+++ b/internal/core/worker_reply.go
@@ -135,7 +135,7 @@
 
 // ownerHearsMachine tells whether an owner that can be heard says that it hears a
 // machine: then what comes here in its name is a late copy, or the machine is
-// deaf to the answers. When copies counted, two controllers took parts from
+// unreachable for the answers. When copies counted, two controllers took shards from
 // each other for as long as they came.
 func (n *Node) ownerHearsMachine(p *shard, h *machine) bool {
 	owner := n.peers[p.record.Owner]
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -3,7 +3,7 @@
 import "time"
 
 // writeBudget limits our writes to the state service, which allows few a second for all
-// controllers together. A tenth is left for claims, submissions and withdrawals, which
+// controllers together. A tenth is left for claims, submissions and cancellations, which
 // can't wait. The rest is shared in proportion to need: each controller reports how many
 // records it has to write and takes the share that follows. So what is decided is written
 // at once, before others change the records that the decision is based on.
@@ -17,7 +17,7 @@
 	measuredAt     Time
 	writesPerS     float64 // of all controllers, as a moving average
 
-	seenUserWrites int     // submissions and withdrawals among those
+	seenUserWrites int     // submissions and cancellations among those
 	userWritesPerS float64 // the same as a moving average
 	reducedUntil   Time    // until then the service's next rate is kept to
 	reducedFor     Time    // for how long that was last
@@ -44,7 +44,7 @@
 }
 
 // backgroundShare is the part of the writes that is shared in proportion to need: nine tenths,
-// and less where users submit and withdraw a lot, as they would be refused otherwise.
+// and less where users submit and cancel a lot, as they would be refused otherwise.
 func (n *Node) backgroundShare() float64 {
 	return max(0.5, min(0.9, 0.95-1.25*n.budget.userWritesPerS/n.writeRPS()))
 }
@@ -107,7 +107,7 @@
 }
 
 // countPendingRecords counts the records that wait to be written by us: of tasks that
-// have ended, of grants to our parts, and of grants yet to be made.
+// have ended, of grants to our shards, and of grants yet to be made.
 func (n *Node) countPendingRecords() int {
 	seen := map[int]bool{}
 	for k, res := range n.outcomes {
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -13,7 +13,7 @@
 	bytes              int
 	maxWrites          int // puts
 	exitedTasks        map[taskKey]bool
-	writeOverflowFirst bool           // further keys may be written before the record names them
+	writeOverflowFirst bool           // overflow keys may be written before the record names them
 	attempts           map[int]uint64 // the attempt number of what is granted or placed anew here, by job
 }
 
@@ -63,7 +63,7 @@
 }
 
 // send commits the changes, each conditional on its record's revision, and
-// all on the terms of the parts they speak for.
+// all on the terms of the shards they speak for.
 func (w *writer) send(b *batch, onOK func()) {
 	if len(w.order)+len(w.linkedWrites) == 0 {
 		return
--- a/internal/standby/detector.go
+++ b/internal/failover/detector.go
@@ -1,4 +1,4 @@
-package standby
+package failover
 
 import "time"
 
--- a/internal/standby/follower.go
+++ b/internal/failover/follower.go
@@ -2,7 +2,7 @@
 // detector, the election of a standby, the quorum that confirms a failure, the fence
 // round the cloud, and the stages of a takeover. It is a state machine without input or
 // output; times are those of the steady clock of the process. See docs/standby.md.
-package standby
+package failover
 
 import "time"
 
--- a/internal/leadership/leadership.go
+++ b/internal/failoverctl/status.go
@@ -1,6 +1,6 @@
 // Package leadership serves the operators' command that shows who leads, who stands by,
 // how far each controller's copy of the records is behind, and the last takeovers.
-package leadership
+package failoverctl
 
 import (
 	"sync"
@@ -19,7 +19,7 @@
 // Ask asks the controller at an address for its view.
 type Ask func(address string, patience time.Duration) (wire.LeadershipStatus, error)
 
-// patience is how long a controller has for its answer.
+// timeout is how long a controller has for its answer.
 const patience = 2 * time.Second
 
 // Controller is what one controller answered.
--- a/internal/leadership/leadership_test.go
+++ b/internal/failoverctl/status_test.go
@@ -1,4 +1,4 @@
-package leadership
+package failoverctl
 
 import (
 	"bytes"
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -88,7 +88,7 @@
 
 // idleTimeoutConn is a connection that ends when nothing has come for a while. A peer
 // speaks every second; what is left of one that has gone without a word must
-// not take the place of its next life.
+// not take the place of its next incarnation.
 type idleTimeoutConn struct{ net.Conn }
 
 const peerIdleTimeout = 20 * time.Second
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -32,7 +32,7 @@
 	ErrNothingToChange = errors.New("the change names no amount")
 )
 
-// Validate checks a record of an account for a site with a number of parts.
+// Validate checks a record of an account for a site with a number of shards.
 func Validate(a *wire.Account, parts int) error {
 	if a.Unreadable {
 		return ErrUnreadable
@@ -97,7 +97,7 @@
 
 // Apply gives the account that follows from a change. The account that it is based on is
 // what the record holds, or what the settings say where there is no record yet. Shares
-// that the new limit has no room for are withdrawn in the same write, so that the shares
+// that the new limit has no room for are cancelled in the same write, so that the shares
 // are within the limit in every revision; what has been admitted within them stays
 // charged.
 func (c *Change) Apply(now *wire.Account) (*wire.Account, error) {
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -1,20 +1,20 @@
 // Package quota keeps every team's limit while several controllers admit work at once.
 //
 // It is an escrow: the record of a team's account holds its limit and how much of it each
-// part of the site may admit by itself. The owner of a part admits within the part's share
+// shard of the site may admit by itself. The owner of a shard admits within the shard's share
 // without asking anyone, the leader within what no share holds. The package has no input
 // or output: it is told of records and charges and says what may be admitted and how the
-// shares should be dealt. docs/team-limits.md weighs the ways and argues why the limit
+// shares should be distributed. docs/team-limits.md weighs the ways and argues why the limit
 // can't be exceeded.
 package quota
 
 import "math"
 
-// Amount is a quantity of cores and cards. It is kept in whole billionths, so that
+// Amount is a quantity of cores and GPUs. It is kept in whole billionths, so that
 // adding and removing the same charges any number of times leaves nothing behind.
 type Amount struct{ Cores, GPUs int64 }
 
-// unit is one core or card.
+// unit is one core or GPU.
 const unit = 1_000_000_000
 
 // tolerance is by how much the sum of rounded charges may exceed a limit: a millionth.
@@ -61,7 +61,7 @@
 	return b.Cores <= a.Cores+tolerance && b.GPUs <= a.GPUs+tolerance
 }
 
-// whole rounds down to whole cores and cards: a fraction of one admits hardly any task.
+// whole rounds down to whole cores and GPUs: a fraction of one admits hardly any task.
 func (a Amount) whole() Amount { return Amount{a.Cores / unit * unit, a.GPUs / unit * unit} }
 
 // dividedBy gives an equal part of the amount.
--- a/internal/quota/deal.go
+++ b/internal/quota/distribute.go
@@ -4,13 +4,13 @@
 
 // Demand is what the dealing of a team's shares goes by.
 type Demand struct {
-	Owned   []bool // by part: it has an owner that may admit
+	Owned   []bool // by shard: it has an owner that may admit
 	Blocked bool   // the leader has work for which only the limit leaves no room
 	Granted Amount // by the leader in the same write
-	Enabled bool   // shares are dealt at all; otherwise they are withdrawn
+	Enabled bool   // shares are distributed at all; otherwise they are cancelled
 }
 
-// Reason says why shares are dealt anew.
+// Reason says why shares are distributed anew.
 type Reason int
 
 // Reasons, those that can't wait first.
@@ -25,9 +25,9 @@
 // Distribute gives the account as it should be written next, or no reason to write it.
 //
 // Shares are lowered to what is used of them at once, but raised only from what no share
-// holds as the record stands: what is being withdrawn from one share may have been spent
+// holds as the record stands: what is being cancelled from one share may have been spent
 // by its holder in this moment, and is known to be free only when the copy has reached
-// the revision of the withdrawal.
+// the revision of the cancellation.
 func (l *Ledger) Distribute(team int, d Demand) (*wire.Account, Reason) {
 	t := &l.teams[team]
 	if t.record == nil && !d.Enabled || t.err != nil {
@@ -66,7 +66,7 @@
 	return account
 }
 
-// shardShare is the share of one part.
+// shardShare is the share of one shard.
 type shardShare struct {
 	shard  int
 	amount Amount
@@ -84,7 +84,7 @@
 	shares     []shardShare
 }
 
-// distributedFraction is the part of what is free that is dealt out: half, so that the leader,
+// distributedFraction is the part of what is free that is distributed out: half, so that the leader,
 // which serves whatever no share has room for, keeps as much as all owners together.
 const distributedFraction = 2
 
@@ -120,7 +120,7 @@
 	}
 }
 
-// distributeTo deals one part's share and gives how much of its present share is idle.
+// distributeTo distributes one shard's share and gives how much of its present share is idle.
 func (x *distribution) distributeTo(part int, headroom Amount) Amount {
 	admitted := x.account.admitted[part]
 	share, open := x.account.share(part)
@@ -157,7 +157,7 @@
 	}
 }
 
-// differs tells whether the shares dealt are other than those of the record.
+// differs tells whether the shares distributed are other than those of the record.
 func (x *distribution) differs() bool {
 	if x.account.record == nil || len(x.shares) != len(x.account.record.Shares) {
 		return true
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -17,10 +17,10 @@
 	err      error // why the record can't be used
 
 	byLeader Amount   // charged to what no share holds
-	admitted []Amount // charged to the shares, by part
+	admitted []Amount // charged to the shares, by shard
 }
 
-// NewLedger makes a ledger for teams, by index, at a site with a number of parts.
+// NewLedger makes a ledger for teams, by index, at a site with a number of shards.
 func NewLedger(teams []Quota, parts int) *Ledger {
 	l := &Ledger{shards: parts, teams: make([]teamAccount, len(teams))}
 	for i, terms := range teams {
@@ -48,7 +48,7 @@
 	t.byLeader = t.byLeader.Plus(a)
 }
 
-// ChargeShare adds to what is charged to the share of a part.
+// ChargeShare adds to what is charged to the share of a shard.
 func (l *Ledger) ChargeShare(team, part int, a Amount) {
 	t := &l.teams[team]
 	t.admitted[part] = t.admitted[part].Plus(a)
@@ -87,7 +87,7 @@
 // Fault is why a team's record can't be used, or nil.
 func (l *Ledger) Fault(team int) error { return l.teams[team].err }
 
-// share is what a part may hold by itself, and whether it may admit at all.
+// share is what a shard may hold by itself, and whether it may admit at all.
 func (t *teamAccount) share(part int) (Amount, bool) {
 	if t.record == nil || t.err != nil {
 		return Amount{}, false
@@ -101,7 +101,7 @@
 }
 
 // reserved is what the shares hold or have admitted, whichever is more of each. An owner
-// may have admitted up to its share without our copy showing it yet; and what it admitted
+// may have admitted up to its share without the replica showing it yet; and what it admitted
 // before its share was reduced stays charged until it is gone.
 func (t *teamAccount) reserved() Amount {
 	sum := Amount{}
@@ -132,7 +132,7 @@
 	return !t.record.Unreadable && validateQuota(t.record.Limit, t.record.Guarantee) == nil
 }
 
-// MayAdmit tells whether the owner of a part may charge more to the part's share.
+// MayAdmit tells whether the owner of a shard may charge more to the shard's share.
 func (l *Ledger) MayAdmit(team, part int, more Amount, copyRev uint64) bool {
 	t := &l.teams[team]
 	share, open := t.share(part)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -54,7 +54,7 @@
 	busy   bool
 }
 
-// model is a site with one team: a store, a leader, and the owner of each part.
+// model is a site with one team: a store, a leader, and the owner of each shard.
 type model struct {
 	missing    guard
 	choose     func(name string, below int) int
@@ -167,7 +167,7 @@
 	m.flying = append(m.flying, c)
 }
 
-// raiseAll deals all that seems free, as a dealer would that trusts its copy.
+// raiseAll distributes all that seems free, as a dealer would that trusts its copy.
 func raiseAll(l *Ledger, account *wire.Account) {
 	_, free := l.Quota(0).Limit.Minus(l.Used(0)).max(Amount{}).Decimal()
 	for i := range account.Shares {
@@ -273,7 +273,7 @@
 
 const modelSteps = 120
 
-// Whatever is admitted, ended, dealt, withdrawn, changed by operators, lost, late or
+// Whatever is admitted, ended, distributed, cancelled, changed by operators, lost, late or
 // restarted, and in whatever order, no revision charges the team more than its limit.
 func TestNoInterleavingExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/limits/limits.go
+++ b/internal/quotactl/accounts.go
@@ -1,6 +1,6 @@
 // Package limits serves the operators' commands on the limits of teams: it shows the
 // accounts with what is used of them, and changes their terms while the controllers serve.
-package limits
+package quotactl
 
 import (
 	"errors"
@@ -49,7 +49,7 @@
 // Usage is what a team's active tasks take.
 type Usage struct {
 	Granted  wire.Resources         `json:"granted"`  // by the leader
-	Admitted map[int]wire.Resources `json:"admitted"` // by owners, by part
+	Admitted map[int]wire.Resources `json:"admitted"` // by owners, by shard
 }
 
 // Account is the state of a team's account.
--- a/internal/limits/limits_test.go
+++ b/internal/quotactl/accounts_test.go
@@ -1,4 +1,4 @@
-package limits
+package quotactl
 
 import (
 	"bytes"
@@ -129,7 +129,7 @@
 	if accounts, _ = Read(s, site); accounts[0].Error != "" || accounts[0].Limit.GPUs != 8 || accounts[0].Guarantee.GPUs != 4 {
 		t.Errorf("%+v", accounts[0])
 	}
-	// A share of a part that does not exist goes with the next change.
+	// A share of a shard that does not exist goes with the next change.
 	s.put(wire.AccountKey("red"), &wire.Account{Version: 5, Limit: wire.Resources{GPUs: 8}, Shares: []wire.Share{{Shard: 7, GPUs: 1}}})
 	if err := Apply(s, site, []quota.Change{{Team: "red", Version: 5, GPUsLimit: number(9)}}, false); err != nil {
 		t.Fatal(err)
--- a/internal/limits/print.go
+++ b/internal/quotactl/print.go
@@ -1,4 +1,4 @@
-package limits
+package quotactl
 
 import (
 	"encoding/json"
@@ -18,7 +18,7 @@
 }
 
 // PrintTable writes accounts as a table, a line for each team and below it one for each
-// part that holds a share or has admitted tasks.
+// shard that holds a share or has admitted tasks.
 func PrintTable(out io.Writer, site *Site, accounts []Account) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TEAM\tVERSION\tGUARANTEE\tLIMIT\tGRANTED\tADMITTED\tFAULT")
@@ -41,7 +41,7 @@
 	return table.Flush()
 }
 
-// shareOf is the share of a part.
+// shareOf is the share of a shard.
 func (a *Account) shareOf(part int) (wire.Resources, bool) {
 	for _, s := range a.Shares {
 		if s.Shard == part {
--- a/internal/node/node.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
 // Package node wires the core to its adapters. The core is owned by one
 // goroutine, which takes inputs from a channel and carries out the effects.
-package node
+package server
 
 import (
 	"context"
--- a/internal/node/node_test.go
+++ b/internal/server/server_test.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"context"
--- a/internal/world/accounting.go
+++ b/internal/simulation/accounting.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"errors"
@@ -31,7 +31,7 @@
 	team     string
 	each     wire.Resources
 	byLeader int
-	admitted map[int]int // by part
+	admitted map[int]int // by shard
 	placed   bool        // a task has a machine
 }
 
@@ -89,7 +89,7 @@
 
 // checkFence checks that a commit which charges more to a team, or to its shares, was
 // conditional on the team's account, if there is one: without that it could come after
-// the limit was lowered, or the share withdrawn.
+// the limit was lowered, or the share cancelled.
 func (a *accounting) checkFence(conds []core.Condition, ref string, was jobCharge) {
 	now := a.jobs[ref]
 	if now.byLeader <= was.byLeader && now.countAdmitted() <= was.countAdmitted() {
@@ -124,7 +124,7 @@
 	}
 }
 
-// job takes in a job's record and its further keys.
+// job takes in a job's record and its overflow keys.
 func (a *accounting) job(ref string) {
 	before := a.jobs[ref]
 	a.apply(before, -1)
@@ -191,7 +191,7 @@
 	return wire.Resources{Cores: a.Cores + b.Cores*float64(count), GPUs: a.GPUs + b.GPUs*float64(count)}
 }
 
-// total is what a team is charged: what the leader has granted, and of each part the
+// total is what a team is charged: what the leader has granted, and of each shard the
 // share or what was admitted, whichever is more. What nobody uses of a share counts too,
 // since its holder may admit within it at any moment.
 func (t *teamCharge) total() wire.Resources {
@@ -209,7 +209,7 @@
 	return sum
 }
 
-// openShares counts the shares that are dealt.
+// openShares counts the shares that are distributed.
 func (a *accounting) openShares() int {
 	count := 0
 	for _, t := range a.teams {
--- a/internal/world/accounting_test.go
+++ b/internal/simulation/accounting_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"strings"
@@ -8,7 +8,7 @@
 	"micaport/internal/wire"
 )
 
-// plantedCommit is a commit on a store with one team of 8 cards, of which part 0 holds a
+// plantedCommit is a commit on a store with one team of 8 GPUs, of which shard 0 holds a
 // share of 3; by the leader unless admitted.
 type plantedCommit struct {
 	tasks    int
@@ -58,7 +58,7 @@
 	}
 }
 
-// carryOut commits a job of its own with so many tasks of one card.
+// carryOut commits a job of its own with so many tasks of one GPU.
 func (x plantedCommit) carryOut(t *testing.T, w *World, i int) {
 	t.Helper()
 	ref := []string{"wk-000001", "wk-000002"}[i]
--- a/internal/world/controllers.go
+++ b/internal/simulation/controllers.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"fmt"
@@ -158,7 +158,7 @@
 	})
 }
 
-// deliver gives an input to the same life of the controller after a delay.
+// deliver gives an input to the same incarnation of the controller after a delay.
 func (n *node) deliver(d time.Duration, in core.Input) {
 	life := n.life
 	n.w.after(d, func() {
--- a/internal/world/effects.go
+++ b/internal/simulation/effects.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"time"
@@ -26,7 +26,7 @@
 	return w.latency(), true, true
 }
 
-// patience is how long a controller waits for the state service or the cloud.
+// timeout is how long a controller waits for the state service or the cloud.
 const patience = 1500 * time.Millisecond
 
 // call runs a request of a controller against a service.
--- a/internal/world/effects_test.go
+++ b/internal/simulation/effects_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"bytes"
@@ -26,7 +26,7 @@
 // The digests of all effects show whether a change that is meant to keep the behaviour
 // does so. To compare two versions, write the digests with each and diff the files:
 //
-//	go test ./internal/world -run TestEffectsAreRepeatable -effects.digests /tmp/after.txt
+//	go test ./internal/simulation -run TestEffectsAreRepeatable -effects.digests /tmp/after.txt
 //
 // Where they differ, -effects.dump DIR writes the effects themselves, a file for each
 // scenario and seed of those that -effects.only selects, for another diff.
@@ -226,7 +226,7 @@
 	case wire.DecisionLog:
 		v = reflect.ValueOf(orderedFacts(value))
 	case wire.UserCall:
-		// The stand-in users write the fields of a submission in any order.
+		// The simulated users write the fields of a submission in any order.
 		var body map[string]any
 		if wire.Decode(value.Body, &body) == nil {
 			value.Body = fmt.Append(nil, body)
--- a/internal/world/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"flag"
@@ -34,7 +34,7 @@
 	s.Report, s.Lease, s.Cancel = time.Second, 12*time.Second, 24*time.Second
 	s.Boot, s.Idle = 300*time.Millisecond, time.Minute
 	s.Capacity, s.WriteRPS = workers/4, 400
-	limit := float64(workers) / 2 // a quarter of the cards that there are
+	limit := float64(workers) / 2 // a quarter of the GPUs that there are
 	s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = limit/2, limit
 	s.Teams[1].GuaranteedGPUs, s.Teams[1].MaxGPUs = limit/4, limit/2
 	return s
--- a/internal/world/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -1,6 +1,6 @@
 //go:build measure
 
-package world
+package simulation
 
 import (
 	"fmt"
--- a/internal/world/meetings.go
+++ b/internal/simulation/meetings.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"fmt"
@@ -32,7 +32,7 @@
 	cancelAtEndTo time.Duration
 	closeLooksTo  time.Duration
 	odd           int // odd requests made so far
-	lateStarts    int // starts carried out after the user was told that the job is withdrawn
+	lateStarts    int // starts carried out after the user was told that the job is cancelled
 }
 
 // storeFate is fate for a request to the state service.
@@ -59,7 +59,7 @@
 }
 
 // controller finds one by its number, as the one that leads now ("leader"), as the
-// next after that ("other") or as the one whose claim of a part stands ("owner:PART").
+// next after that ("other") or as the one whose claim of a shard stands ("owner:PART").
 func (w *World) controller(arg string) int {
 	leader := 0
 	if k := w.store.keys[wire.LeaderKey]; k != nil {
--- a/internal/world/rules.go
+++ b/internal/simulation/rules.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"fmt"
@@ -140,7 +140,7 @@
 
 // served checks what is checked at the end of a day: at least half of every
 // class, of every team and of the largest jobs of each class has begun, the
-// largest in time. Jobs that came too late to be judged, that were withdrawn
+// largest in time. Jobs that came too late to be judged, that were cancelled
 // or that can't run are left out.
 func (w *World) served() []string {
 	type share struct{ begun, all int }
--- a/internal/world/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"strings"
@@ -36,7 +36,7 @@
 	return t
 }
 
-// TestChecksFire shows for each check of the stand-in world that it sees what it
+// TestChecksFire shows for each check of the simulation that it sees what it
 // is there for, and that it is quiet where nothing is wrong.
 func TestChecksFire(t *testing.T) {
 	answer := func(status string) core.Reply {
@@ -123,7 +123,7 @@
 }
 
 // TestLateStartsAreCounted: a start that a worker carries out after its user was
-// told that the job is withdrawn is within the rules for cancel_s, and counted.
+// told that the job is cancelled is within the rules for cancel_s, and counted.
 func TestLateStartsAreCounted(t *testing.T) {
 	w, u, k := still(wire.ShapeArray, 1)
 	u.asked, u.withdrawn = true, w.now-time.Second
--- a/internal/world/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"fmt"
@@ -175,9 +175,9 @@
 }
 
 // counts are the numbers that a script can bound with NAME<=N and NAME>=N: machines,
-// returned and waiting ones, leaders and claims of parts so far, tasks that owners have
-// admitted, shares that are dealt, further keys of records, starts that workers carried
-// out after the user was told that the job is withdrawn (late_starts), leaders replaced
+// returned and waiting ones, leaders and claims of shards so far, tasks that owners have
+// admitted, shares that are distributed, overflow keys of records, starts that workers carried
+// out after the user was told that the job is cancelled (late_starts), leaders replaced
 // before their lease ended (early), the time from a failure until the slowest of these
 // decided (takeover_ms), heartbeats of leaders; and since the last "meter": refused
 // commits, looks at machines by all controllers for each report, and bytes a second
@@ -223,7 +223,7 @@
 	return true, err
 }
 
-// expectWorld checks counts, sick=0 and deaf=0 machines, and
+// expectWorld checks counts, unhealthy=0 and unresponsive=0 machines, and
 // owner=PART:CONTROLLER|CONTROLLER.
 func (w *World) expectWorld(what string) (string, bool, error) {
 	if known, err := w.bounded(what); known {
@@ -259,7 +259,7 @@
 	return count
 }
 
-// owner names the controller whose claim of a part stands.
+// owner names the controller whose claim of a shard stands.
 func (w *World) owner(part string) string {
 	k := w.store.keys[wire.ShardKey(part)]
 	if k == nil {
--- a/internal/world/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"os"
--- a/internal/world/script.go
+++ b/internal/simulation/script.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"errors"
@@ -105,7 +105,7 @@
 			})
 		}
 	}),
-	// COUNT jobs, one a second, each withdrawn SECONDS later if not 0, attributes
+	// COUNT jobs, one a second, each cancelled SECONDS later if not 0, attributes
 	"bulk": always(func(w *World, a arguments) {
 		for i := range int(a.num(0)) {
 			ref := w.nextBulkRef()
@@ -116,7 +116,7 @@
 			})
 		}
 	}),
-	// jobs a second, seconds, share withdrawn, attributes
+	// jobs a second, seconds, share cancelled, attributes
 	"stream": always(func(w *World, a arguments) {
 		every := secs(1 / a.num(0))
 		for i := range int(a.num(0) * a.num(1)) {
@@ -130,7 +130,7 @@
 	}),
 	// REF waits on COUNT small jobs, which come first; with attributes
 	"fan-in": func(w *World, a arguments) error { return w.fanIn(a.word(0), int(a.num(1)), a[2:]) },
-	// a second, seconds, share withdrawn, share whose last job comes when the rest is over
+	// a second, seconds, share cancelled, share whose last job comes when the rest is over
 	"pipelines": always(func(w *World, a arguments) {
 		every := secs(1 / a.num(0))
 		for i := range int(a.num(0) * a.num(1)) {
@@ -144,7 +144,7 @@
 	// seconds
 	"close-looks":  always(func(w *World, a arguments) { w.closeLooksTo = w.now + a.dur(0) }),
 	"odd-requests": always(func(w *World, a arguments) { w.oddRequests(w.now + a.dur(0)) }),
-	// TEAM cards=N, cores=N, guarantee=N: an operator changes a team's limit
+	// TEAM GPUs=N, cores=N, guarantee=N: an operator changes a team's limit
 	"limit": func(w *World, a arguments) error { return w.changeLimit(a.word(0), a[1:]) },
 	// TEAM: the record of its account can't be read any more
 	"damage": always(func(w *World, a arguments) { w.store.overwrite(wire.AccountKey(a.word(0)), []byte{0xc1}) }),
--- a/internal/world/services.go
+++ b/internal/simulation/services.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"encoding/json"
@@ -22,7 +22,7 @@
 	outage  bool
 	ledFrom time.Duration // when the leadership was last claimed
 	leaders int           // claims of leadership so far
-	claims  int           // claims of parts so far
+	claims  int           // claims of shards so far
 	refuse  map[string]int
 	hung    map[string]int // controllers whose watch hangs
 	log     []change
@@ -159,7 +159,7 @@
 	s.log = append(s.log, change{p.key, p.raw, rev})
 }
 
-// moreKeys counts the further keys of records.
+// moreKeys counts the overflow keys of records.
 func (s *store) moreKeys() int {
 	k := 0
 	for key := range s.keys {
@@ -310,7 +310,7 @@
 
 	returns int // machines that controllers have returned
 
-	lateTo      time.Duration // until when what is hired boots late or never
+	lateTo      time.Duration // until when what is provisioned boots late or never
 	late, never float64
 }
 
@@ -326,7 +326,7 @@
 			PricePerHour: 6, SpotPricePerHour: 2, BootS: w.Boot.Seconds(), Zones: w.Zones}}
 }
 
-// staleLeader tells whether a controller deals with the cloud long after
+// staleLeader tells whether a controller distributes with the cloud long after
 // another has taken the lead: it would return machines that are in use.
 func (w *World) staleLeader(n *node) bool {
 	k := w.store.keys[wire.LeaderKey]
--- a/internal/world/takeover.go
+++ b/internal/simulation/takeover.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"math/rand/v2"
@@ -113,7 +113,7 @@
 	}
 }
 
-// calls checks that a controller may have the cloud hire or return.
+// calls checks that a controller may have the cloud provision or return.
 func (t *takeoverWatch) calls(n *node) {
 	latest := -1
 	for i := range t.tenures {
--- a/internal/world/users.go
+++ b/internal/simulation/users.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"time"
@@ -17,7 +17,7 @@
 	told      string        // the last status heard
 	toldAt    time.Duration // when
 	withdrawn time.Duration // when told; 0 if not
-	asked     bool          // the user has asked to withdraw
+	asked     bool          // the user has asked to cancel
 	status    wire.JobStatus
 	lastCode  int
 	lastOK    time.Duration
@@ -166,7 +166,7 @@
 	u.told, u.toldAt = s.Status, u.w.now
 }
 
-// Withdraw has a job's user withdraw it, repeatedly until told so.
+// Withdraw has a job's user cancel it, repeatedly until told so.
 func (w *World) Withdraw(ref string) {
 	u := w.users[ref]
 	u.asked = true
--- a/internal/world/world.go
+++ b/internal/simulation/world.go
@@ -1,9 +1,9 @@
-// Package world is a stand-in for everything around the controllers: the
+// Package world is a simulated for everything around the controllers: the
 // state service, the cloud, the workers, the users and the network between
 // them. It runs any number of controller cores in simulated time, drops,
 // delays, repeats and reorders what passes between them under a seed, and
 // checks the rules of the protocol after every step. Only tests use it.
-package world
+package simulation
 
 import (
 	"container/heap"
--- a/internal/wire/account.go
+++ b/internal/wire/account.go
@@ -2,13 +2,13 @@
 
 import "net/url"
 
-// Resources are quantities of cores and cards.
+// Resources are quantities of cores and GPUs.
 type Resources struct {
 	Cores float64 `msgpack:"c,omitempty" json:"Cores"`
 	GPUs  float64 `msgpack:"g,omitempty" json:"Cards"` // the name in printed JSON stays
 }
 
-// Account is the record of a team's limit and of how it is shared among the parts of the
+// Account is the record of a team's limit and of how it is shared among the shards of the
 // site; format 4. What no share holds is the leader's to grant.
 type Account struct {
 	Version   uint64    `msgpack:"v,omitempty"` // operators' changes so far; 0: the terms are those of the settings
@@ -20,7 +20,7 @@
 	Unreadable bool `msgpack:"-"`
 }
 
-// Share is how much of a team's limit a part may admit by itself.
+// Share is how much of a team's limit a shard may admit by itself.
 type Share struct {
 	Shard int     `msgpack:"p"`
 	Cores float64 `msgpack:"c,omitempty" json:"Cores"`
--- a/internal/wire/active.go
+++ b/internal/wire/active_task.go
@@ -6,7 +6,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ActiveTask is a task that has been granted to a part and, once Host is set,
+// ActiveTask is a task that has been granted to a shard and, once Machine is set,
 // placed on a machine. It charges its team until it is removed, and it is
 // removed only on proof that the task is gone.
 type ActiveTask struct {
@@ -16,7 +16,7 @@
 	Machine string
 	Epoch   uint64
 	Stop    StopRequest
-	// Admitted says that the owner of the part has admitted the task within the part's
+	// Admitted says that the owner of the shard has admitted the task within the shard's
 	// share of the team's limit; otherwise the leader has granted it. Format 4.
 	Admitted bool
 	// StoredIn says which key holds it: 1 the job's own record, 2 the first of the
@@ -25,11 +25,11 @@
 }
 
 // ActiveTasks are the active tasks of a job. Neighbours that differ in their number
-// only are encoded as one run, and runs are listed by part, session and mark: an
+// only are encoded as one run, and runs are listed by shard, epoch and mark: an
 // array of many small tasks has a dozen of them on each machine, and only so do
 // as many as its machines can run fit a value.
 //
-//	[[part, session, stop, [task, attempt, host, count, ...]], ...]
+//	[[shard, epoch, stop, [task, attempt, machine, count, ...]], ...]
 type ActiveTasks []ActiveTask
 
 // follows tells whether the entry continues the run that another one ends.
--- a/internal/wire/decision_log.go
+++ b/internal/wire/decision_log.go
@@ -14,7 +14,7 @@
 // Kinds of facts. Their numbers stay: other versions read them.
 const (
 	FactBooting          FactKind = 1  // a machine rented and not up; At: when it was rented
-	FactProvisioning     FactKind = 2  // a hire under way, by the name of its request; At: when it was decided
+	FactProvisioning     FactKind = 2  // a provisioning request under way, by the name of its request; At: when it was decided
 	FactBootTime         FactKind = 3  // a machine that came up; At: when it was rented, Ratio: to its type's boot time
 	FactBackoff          FactKind = 4  // a pool that is left alone until At
 	FactCapacityShortage FactKind = 5  // a pool that had too few machines at At
--- a/internal/wire/gossip.go
+++ b/internal/wire/gossip.go
@@ -1,6 +1,6 @@
 package wire
 
-// MachineInfo is what the owner of a part tells the others about a machine. Names
+// MachineInfo is what the owner of a shard tells the others about a machine. Names
 // other than its own are places in the message's list.
 type MachineInfo struct {
 	//lint:ignore U1000 the MessagePack library reads the options in its tag
@@ -19,7 +19,7 @@
 	FlagReclaimed   // recalled, or about to be returned
 	FlagDraining    // its owner places nothing on it any more; it may be returned
 	FlagUnhealthy   // fails jobs
-	FlagUnreachable // silent while its neighbours report, or deaf to answers
+	FlagUnreachable // silent while its neighbours report, or unreachable for answers
 	FlagUnconfirmed // has not yet shown that it knows its owner's term
 )
 
@@ -52,7 +52,7 @@
 	Ref      string
 }
 
-// SeenVersion says how far a controller has taken in what another life tells of its
+// SeenVersion says how far a controller has taken in what another incarnation tells of its
 // machines.
 type SeenVersion struct {
 	Life string
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -69,7 +69,7 @@
 	CheckpointIntervalS float64  `msgpack:"snapshot_every_s"`
 	CheckpointTimeS     float64  `msgpack:"snapshot_s"`
 	DeadlineS           float64  `msgpack:"due_s,omitempty"`
-	NoMachineTypes      bool     `msgpack:"none,omitempty"` // rigs was an empty list: no type allowed
+	NoMachineTypes      bool     `msgpack:"none,omitempty"` // machine types was an empty list: no type allowed
 	// Dependencies are the jobs that have to be done before any task starts. A record
 	// holds those that were not done when it was submitted. Format 2.
 	Dependencies []string `msgpack:"waits_on,omitempty"`
@@ -122,7 +122,7 @@
 	Commands []Command `msgpack:"orders"`
 }
 
-// CommandBatch goes to a worker's own address. It is obeyed only in the session that
+// CommandBatch goes to a worker's own address. It is obeyed only in the epoch that
 // it names and under no lower token than the worker has seen.
 type CommandBatch struct {
 	Token    uint64    `msgpack:"mandate"`
@@ -152,7 +152,7 @@
 	Zones            []string `msgpack:"halls"`
 }
 
-// MachineTypeList is the answer of GET /flavors.
+// MachineTypeList is the answer of GET /machine types.
 type MachineTypeList struct {
 	MachineTypes []MachineType `msgpack:"rigs"`
 }
@@ -166,7 +166,7 @@
 	Count       int    `msgpack:"count"`
 }
 
-// MachineNames is a list of host names.
+// MachineNames is a list of machine names.
 type MachineNames struct {
 	Names []string `msgpack:"hosts"`
 }
@@ -182,7 +182,7 @@
 	AgeS        float64 `msgpack:"age_s"`
 }
 
-// MachineList is the answer of GET /hosts.
+// MachineList is the answer of GET /machines.
 type MachineList struct {
 	Machines []CloudMachine `msgpack:"hosts"`
 	HasNext  bool           `msgpack:"has_next"`
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -36,8 +36,8 @@
 // Formats of the records. What a format adds is written only once every controller
 // reads it: see "Two versions side by side" in docs/design.md.
 const (
-	FormatDependencies    = 2 // jobs that wait on others; further keys for active tasks
-	FormatDependencyLists = 3 // further keys for the jobs that a job waits on
+	FormatDependencies    = 2 // jobs that wait on others; overflow keys for active tasks
+	FormatDependencyLists = 3 // overflow keys for the jobs that a job waits on
 	FormatTeamAccounts    = 4 // accounts of teams, and tasks that owners have admitted
 	FormatEarlyFailover   = 5 // leaders that may be replaced before their lease ends, heartbeats, takeovers
 	Format                = FormatEarlyFailover
@@ -91,10 +91,10 @@
 	ActiveTasks       ActiveTasks `msgpack:"ac,omitempty"`
 	ConsecutiveErrors int         `msgpack:"er,omitempty"` // errors in a row, for back-off
 	FailedMachines    []string    `msgpack:"av,omitempty"` // the last machines it failed on
-	OverflowKeys      int         `msgpack:"mo,omitempty"` // further keys that hold active tasks, from 1 on; format 2
+	OverflowKeys      int         `msgpack:"mo,omitempty"` // overflow keys that hold active tasks, from 1 on; format 2
 
 	// Where the record has no room for the jobs that it waits on, they stand in
-	// further keys, which are complete before the record is written and never change.
+	// overflow keys, which are complete before the record is written and never change.
 	DependencyList     string `msgpack:"nl,omitempty"` // the name of the list in their keys; format 3
 	DependencyListKeys int    `msgpack:"nk,omitempty"` // how many keys, from 1 on; format 3
 }
@@ -121,10 +121,10 @@
 	Format int `msgpack:"v"`
 }
 
-// Shard is the claim of a part. Its term is the revision of the claim.
+// Shard is the claim of a shard. Its term is the revision of the claim.
 type Shard struct {
 	Owner       string `msgpack:"o"`
-	Incarnation string `msgpack:"b"` // the claiming process, told apart from its earlier lives
+	Incarnation string `msgpack:"b"` // the claiming process, told apart from its earlier incarnations
 }
 
 // Leader is the claim of leadership. Its term is the revision of the claim.
@@ -149,14 +149,14 @@
 	GangDropped   GangState = 2
 )
 
-// Gang is the record of one attempt of a gang that spans parts.
+// Gang is the record of one attempt of a gang that spans shards.
 type Gang struct {
 	Attempt uint64    `msgpack:"t"`
 	State   GangState `msgpack:"st"`
 	Shards  []int     `msgpack:"p"`
 }
 
-// ImageCache says which machines of a controller's parts have which images, so
+// ImageCache says which machines of a controller's shards have which images, so
 // that the knowledge outlives the process.
 type ImageCache struct {
 	Names    []string         `msgpack:"n"` // of the images
@@ -172,10 +172,10 @@
 // JobKey is the key of a job's record.
 func JobKey(ref string) string { return JobPrefix + ref }
 
-// ShardKey is the key of a part's claim.
+// ShardKey is the key of a shard's claim.
 func ShardKey(name string) string { return ShardPrefix + name }
 
-// OverflowKey is the key of a job's further active tasks.
+// OverflowKey is the key of a job's overflow tasks.
 func OverflowKey(ref string, k int) string {
 	return OverflowPrefix + ref + "/" + strconv.Itoa(k)
 }
