--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -42,61 +42,6 @@
 	admitted [][]quota.Amount // by team and shard
 }
 
-// makeLedger makes the ledger of the teams' accounts, which begins with the settings.
-func (n *Node) makeLedger() {
-	terms := make([]quota.Quota, len(n.cfg.Teams))
-	for i := range n.cfg.Teams {
-		t := &n.cfg.Teams[i]
-		terms[i] = quota.Quota{Limit: quota.Of(t.MaxCores, t.MaxGPUs), Guarantee: quota.Of(t.GuaranteedCores, t.GuaranteedGPUs)}
-	}
-	n.ledger = quota.NewLedger(terms, len(n.shards))
-	n.quotas = slices.Clone(n.cfg.Teams)
-}
-
-// teamQuota are a team's guarantee and limit as they are in force.
-func (n *Node) teamQuota(team int) *Team { return &n.quotas[team] }
-
-// putAccount takes in the record of a team's account.
-func (n *Node) putAccount(name string, account *wire.Account, rev uint64) {
-	team := n.teamNames.Find(name)
-	if team < 0 {
-		return
-	}
-	was := n.ledger.Quota(team)
-	if err := n.ledger.SetRecord(team, account, rev); err != nil {
-		n.log(LogError, "invalid team account, admitting nothing from it", "team", name, "error", err)
-		return
-	}
-	if now := n.ledger.Quota(team); now != was {
-		t := &n.quotas[team]
-		t.MaxCores, t.MaxGPUs = now.Limit.Decimal()
-		t.GuaranteedCores, t.GuaranteedGPUs = now.Guarantee.Decimal()
-		n.log(LogInfo, "team quota changed", "team", name, "max_cores", t.MaxCores, "max_gpus", t.MaxGPUs)
-	}
-}
-
-// demand is what a number of the job's tasks are charged.
-func (j *job) demand(tasks int) quota.Amount {
-	return quota.Of(j.record.Spec.Cores, j.record.Spec.GPUs).Times(tasks)
-}
-
-// chargeJob adds the active tasks of a record to what its team is charged, or removes
-// them with sign -1.
-func (n *Node) chargeJob(j *job, sign int) {
-	if j.record == nil || j.record.Spec == nil || j.team < 0 {
-		return
-	}
-	byLeader := 0
-	for i := range j.record.ActiveTasks {
-		if a := &j.record.ActiveTasks[i]; a.Admitted {
-			n.ledger.ChargeShare(j.team, a.Shard, j.demand(sign))
-		} else {
-			byLeader++
-		}
-	}
-	n.ledger.ChargeLeader(j.team, j.demand(sign*byLeader))
-}
-
 // mayCharge tells whether a team's limit has room for tasks on a machine.
 func (p *schedulingPass) mayCharge(j *job, tasks int, s *slot) bool {
 	if p.admission != nil {
@@ -107,11 +52,11 @@
 
 // mayAdmit tells whether we may admit tasks of a job in a shard of ours.
 func (p *schedulingPass) mayAdmit(j *job, tasks, part int) bool {
-	if j.team < 0 || !p.node.mayActAsOwner(p.node.shards[part]) {
+	if j.Team < 0 || !p.node.mayActAsOwner(p.node.shards[part]) {
 		return false
 	}
-	more := p.admission.admitted[j.team][part].Plus(j.demand(tasks))
-	return p.node.ledger.MayAdmit(j.team, part, more, p.node.revision)
+	more := p.admission.admitted[j.Team][part].Plus(j.Demand(tasks))
+	return p.node.replica.Ledger().MayAdmit(j.Team, part, more, p.node.replica.Revision())
 }
 
 // addAccountCondition makes the commit rest on the account of a job's team, so that it fails
@@ -119,14 +64,14 @@
 func (p *schedulingPass) addAccountCondition(j *job, slots []*slot) {
 	if p.admission != nil {
 		for _, s := range slots {
-			more := &p.admission.admitted[j.team][s.shard]
-			*more = more.Plus(j.demand(1))
+			more := &p.admission.admitted[j.Team][s.shard]
+			*more = more.Plus(j.Demand(1))
 		}
 	}
-	if !p.node.writesTeamAccounts() {
+	if !p.node.replica.WritesTeamAccounts() {
 		return
 	}
-	cond := Condition{wire.AccountKey(p.node.cfg.Teams[j.team].Name), p.node.ledger.Revision(j.team)}
+	cond := Condition{Key: wire.AccountKey(p.node.cfg.Teams[j.Team].Name), Revision: p.node.replica.Ledger().Revision(j.Team)}
 	if !slices.Contains(p.writer.conditions, cond) {
 		p.writer.conditions = append(p.writer.conditions, cond)
 	}
@@ -134,15 +79,15 @@
 
 // admitWork admits waiting work in our shards, within their shares.
 func (n *Node) admitWork(w *writer, room *lazySlots) {
-	if n.cfg.Admission == AdmitNothing || !n.writesTeamAccounts() || n.now < n.admissionAt || n.offeredTypes == nil ||
-		n.holdsLeaderClaim() || n.leader.batch.active || n.revision == 0 {
+	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.admissionAt || n.offeredTypes == nil ||
+		n.holdsLeaderClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
 		return
 	}
 	leaderless := n.leaderIsSilent()
 	if !leaderless && n.cfg.Admission != AdmitGuaranteed {
 		return
 	}
-	n.admissionAt = n.now + admissionInterval + Time(len(n.live))*50*time.Microsecond
+	n.admissionAt = n.now + admissionInterval + Time(len(n.replica.Live()))*50*time.Microsecond
 	queues := n.queues()
 	waiting := false
 	for _, q := range queues {
@@ -155,7 +100,7 @@
 		return
 	}
 	p := n.newSchedulingPass(w)
-	p.admission = &admission{admitted: make([][]quota.Amount, n.teamNames.Len())}
+	p.admission = &admission{admitted: make([][]quota.Amount, n.names.Teams.Len())}
 	for team := range p.admission.admitted {
 		p.admission.admitted[team] = make([]quota.Amount, len(n.shards))
 	}
@@ -166,7 +111,7 @@
 
 // isNewWithinGuarantee tells whether a job has just come and its team's guarantee covers it.
 func (w *queuedJob) isNewWithinGuarantee() bool {
-	return w.withinGuarantee && w.job.record.NextAttempt == 1 && len(w.job.record.ActiveTasks) == 0
+	return w.withinGuarantee && w.job.Record.NextAttempt == 1 && len(w.job.Record.ActiveTasks) == 0
 }
 
 // leaderIsSilent tells whether there is no leader, or none that can be heard to work.
@@ -191,7 +136,7 @@
 func (n *Node) homeShard(j *job) *shard {
 	var owned []*shard
 	for _, p := range n.shards {
-		if (j.zone < 0 || j.zone == p.zone) && n.hearsOwner(p) {
+		if (j.Zone < 0 || j.Zone == p.zone) && n.hearsOwner(p) {
 			owned = append(owned, p)
 		}
 	}
@@ -199,8 +144,8 @@
 		return nil
 	}
 	f := fnv.New32a()
-	f.Write([]byte(j.id))
-	waited := max(0, Time(n.cfg.WallClockMS()-j.runnableSinceMS())*time.Millisecond)
+	f.Write([]byte(j.ID))
+	waited := max(0, Time(n.cfg.WallClockMS()-j.RunnableSinceMS())*time.Millisecond)
 	return owned[(int(f.Sum32()>>1)+int(waited/homeShardTurn))%len(owned)]
 }
 
@@ -216,12 +161,12 @@
 // defersToOwner tells whether we, as the leader, leave a new job to the owner of its home
 // shard for a moment. A job that the owner does not admit is ours after that.
 func (n *Node) defersToOwner(j *job) bool {
-	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() || !n.writesTeamAccounts() || n.now-j.changedAt >= ownerFirstTime ||
-		j.record.NextAttempt != 1 || len(j.record.ActiveTasks) > 0 || !j.withinGuarantee {
+	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() || !n.replica.WritesTeamAccounts() || n.now-j.ChangedAt >= ownerFirstTime ||
+		j.Record.NextAttempt != 1 || len(j.Record.ActiveTasks) > 0 || !j.withinGuarantee {
 		return false
 	}
 	part := n.homeShard(j)
-	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.ledger.MayAdmit(j.team, part.index, j.demand(1), n.revision)
+	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.replica.Ledger().MayAdmit(j.Team, part.index, j.Demand(1), n.replica.Revision())
 }
 
 // admitGang admits a gang as a whole in one of our shards.
@@ -237,7 +182,7 @@
 			continue
 		}
 		for _, s := range chosen {
-			s.take(w.job.record.Spec)
+			s.take(w.job.Record.Spec)
 		}
 		return
 	}
--- a/internal/core/arrival_reserve.go
+++ b/internal/core/arrival_reserve.go
@@ -37,7 +37,7 @@
 // nothing is up yet is a backlog and says nothing about the rate. Every
 // controller counts, so that a new leader knows what the last one did.
 func (n *Node) countsArrivals() bool {
-	if n.countedFrom == 0 && n.loaded && n.anyMachineUp() {
+	if n.countedFrom == 0 && n.replica.Loaded() && n.anyMachineUp() {
 		n.countedFrom = n.now
 	}
 	return n.countedFrom > 0
@@ -48,15 +48,15 @@
 	if !n.countsArrivals() {
 		return
 	}
-	class := j.record.Spec.Class
-	if t := j.team; t >= 0 && (n.cfg.Teams[t].GuaranteedGPUs > 0 || n.cfg.Teams[t].GuaranteedCores > 0) && len(n.arrivals) < maxClasses &&
+	class := j.Record.Spec.Class
+	if t := j.Team; t >= 0 && (n.cfg.Teams[t].GuaranteedGPUs > 0 || n.cfg.Teams[t].GuaranteedCores > 0) && len(n.arrivals) < maxClasses &&
 		!slices.ContainsFunc(n.arrivals, func(a *classArrivals) bool { return a.class == class }) {
 		n.arrivals = append(n.arrivals, &classArrivals{class: class, backfillGuard: true})
 	}
 	for _, a := range n.arrivals {
 		if a.class == class {
 			a.sample = j
-			a.jobs = append(a.dropOld(n.now).jobs, arrival{n.now, min(j.record.TaskCount, n.maxSingleTasks())})
+			a.jobs = append(a.dropOld(n.now).jobs, arrival{n.now, min(j.Record.TaskCount, n.replica.MaxSingleTasks())})
 		}
 	}
 }
@@ -146,7 +146,7 @@
 			if s == nil {
 				break
 			}
-			s.take(j.record.Spec)
+			s.take(j.Record.Spec)
 		}
 	}
 }
@@ -155,11 +155,11 @@
 // may run on have some: they find room beside work that does, and machines with GPUs
 // need not stand idle for them.
 func (n *Node) fitsBesideGPUWork(j *job) bool {
-	if j.record.Spec.GPUs > 0 {
+	if j.Record.Spec.GPUs > 0 {
 		return false
 	}
 	for ix, r := range n.machineTypes {
-		if r != nil && r.GPUs == 0 && (j.anyType || j.machineTypes.has(ix)) && fitsType(j.record.Spec, r) {
+		if r != nil && r.GPUs == 0 && (j.AnyType || j.MachineTypes.Has(ix)) && fitsType(j.Record.Spec, r) {
 			return false
 		}
 	}
@@ -172,11 +172,11 @@
 // sampleOf is the newest job of the class that still has its specification, or
 // nil: a finished record has dropped it.
 func (n *Node) sampleOf(a *classArrivals) *job {
-	usable := func(j *job) bool { return j != nil && j.record != nil && j.record.Spec != nil && j.team >= 0 }
+	usable := func(j *job) bool { return j != nil && j.Record != nil && j.Record.Spec != nil && j.Team >= 0 }
 	if !usable(a.sample) {
 		a.sample = nil
-		for _, jx := range n.live {
-			if j := n.jobs[jx]; usable(j) && j.record.Spec.Class == a.class {
+		for _, jx := range n.replica.Live() {
+			if j := n.jobs[jx]; usable(j) && j.Record.Spec.Class == a.class {
 				a.sample = j
 			}
 		}
@@ -189,7 +189,7 @@
 func (n *Node) provisionTime(j *job) Time {
 	best := 0.0
 	for ix, r := range n.machineTypes {
-		if r != nil && (j.anyType || j.machineTypes.has(ix)) && fitsType(j.record.Spec, r) && (best == 0 || r.BootS < best) {
+		if r != nil && (j.AnyType || j.MachineTypes.Has(ix)) && fitsType(j.Record.Spec, r) && (best == 0 || r.BootS < best) {
 			best = r.BootS
 		}
 	}
@@ -200,12 +200,12 @@
 func (n *Node) imageFetchTime(j *job) Time {
 	rate := 0.0
 	for ix, r := range n.machineTypes {
-		if r != nil && (j.anyType || j.machineTypes.has(ix)) {
+		if r != nil && (j.AnyType || j.MachineTypes.Has(ix)) {
 			rate = max(rate, r.FetchGBs)
 		}
 	}
 	if rate <= 0 {
 		return 0
 	}
-	return Time(j.record.Spec.ImageGB / rate * float64(second))
+	return Time(j.Record.Spec.ImageGB / rate * float64(second))
 }
--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -9,11 +9,11 @@
 // nor given to it while idle, unless it has waited for long with nothing started.
 func (p *schedulingPass) isBackfill(w *queuedJob) bool {
 	j := w.job
-	t := p.node.teamQuota(j.team)
-	if j.priority > 0 || t.GuaranteedGPUs > 0 || t.GuaranteedCores > 0 {
+	t := p.node.replica.Quota(j.Team)
+	if j.Priority > 0 || t.GuaranteedGPUs > 0 || t.GuaranteedCores > 0 {
 		return false
 	}
-	return len(j.record.ActiveTasks) > 0 || j.record.NextAttempt > 1 || j.waitingSince == 0 || p.node.now-j.waitingSince < backfillWaitTime
+	return len(j.Record.ActiveTasks) > 0 || j.Record.NextAttempt > 1 || j.waitingSince == 0 || p.node.now-j.waitingSince < backfillWaitTime
 }
 
 // splitBackfill takes backfill out of the queues. It is served after room has been set
@@ -47,6 +47,6 @@
 		if s == nil {
 			return
 		}
-		s.take(j.record.Spec)
+		s.take(j.Record.Spec)
 	}
 }
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -80,7 +80,7 @@
 
 // settle ends the batch once the replica shows its outcome.
 func (b *batch) settle(n *Node) {
-	if b.active && b.awaitedRevision > 0 && n.revision >= b.awaitedRevision {
+	if b.active && b.awaitedRevision > 0 && n.replica.Revision() >= b.awaitedRevision {
 		b.active = false
 	}
 }
@@ -131,7 +131,7 @@
 	if !b.active {
 		return false
 	}
-	key := wire.JobKey(j.id)
+	key := wire.JobKey(j.ID)
 	return slices.ContainsFunc(b.writes, func(w Write) bool { return w.Key == key })
 }
 
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -1,6 +1,10 @@
 package core
 
-import "time"
+import (
+	"time"
+
+	"micaport/internal/replica"
+)
 
 // Time is the steady clock, counted from the start of the process.
 type Time = time.Duration
@@ -12,11 +16,7 @@
 }
 
 // Team is a team's guarantee and limit; 0 means none.
-type Team struct {
-	Name                            string
-	GuaranteedCores, GuaranteedGPUs float64
-	MaxCores, MaxGPUs               float64
-}
+type Team = replica.Team
 
 // Config is what the core needs of the settings.
 type Config struct {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"micaport/internal/quota"
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -23,7 +23,11 @@
 	nextID  uint64
 	pending map[uint64]func(Result) // what to do with the results of requests, by their ids
 
-	recordReplica
+	names   *replica.Names
+	replica *replica.Replica
+	jobs    []*job // by index of their id, as in the replica
+	gangs   map[string]*gang
+
 	topology
 	storeState
 	gossipState
@@ -44,48 +48,16 @@
 	workCount uint64 // machines looked at so far
 }
 
-// recordReplica is the replica.
-type recordReplica struct {
-	loaded   bool   // the first listing has been taken in
-	revision uint64 // how far the copy goes
-	jobs     []*job
-	jobIDs   wire.Interner // of jobs
-	finished map[finishedKind]*wire.Job
-	live     []int // jobs that are unfinished or still have tasks on machines
-	gangs    map[string]*gang
-
-	overflow map[string]map[int]wire.ActiveTasks // active tasks in overflow keys, by job
-	// Shards of lists of needs, by job and key, while the job's record is not taken in.
-	dependencyLists      map[string]map[string][]string
-	derivedCancellations []int // jobs below a cancelled one, not yet recorded as such
-	recordsFit           bool  // no record is larger than the limits to come
-
-	ledger *quota.Ledger // of the teams' accounts and what is charged to them
-	quotas []Team        // the teams' guarantees and limits that are in force
-
-	formats      map[string]int // the format that each controller reads
-	agreedFormat int            // the newest format that all controllers read
-	formatAt     Time           // when we leave our own record of it, if it is not there
-
-	offeredTypes   []wire.MachineType
-	typesFetchedAt Time   // when the cloud last told of the machine types
-	typesRevision  uint64 // of the stored machine types
-}
-
-// finishedKind is what tells finished jobs apart that have nothing left on machines.
-type finishedKind struct {
-	state     wire.JobState
-	taskCount int
-}
-
 // topology is what there is at the site. Names are mapped to indices where they come in.
 type topology struct {
-	zoneNames, teamNames, typeNames, imageNames, machineNames wire.Interner
+	offeredTypes   []wire.MachineType
+	typesFetchedAt Time                // when the cloud last told of the machine types
+	typesRevision  uint64              // of the stored machine types
+	machineTypes   []*wire.MachineType // by index of their name; nil: not on offer
 
-	machineTypes []*wire.MachineType // by index of their name; nil: not on offer
-	shards       []*shard
-	zoneShards   []shardRange // by zone
-	machines     []*machine
+	shards     []*shard
+	zoneShards []shardRange // by zone
+	machines   []*machine
 }
 
 // shardRange is a run of neighbours among the shards.
@@ -102,6 +74,7 @@
 	ownershipCheckAt Time
 	ownershipChecks  []ownershipCheck
 	provenAt         Time // when the last check that has settled was sent
+	formatAt         Time // when our record of the formats that we read is written, if it is not there
 }
 
 // gossipState is what we tell the other controllers and hear of them.
@@ -151,14 +124,9 @@
 func New(cfg Config) *Node {
 	n := &Node{
 		cfg:     cfg,
+		names:   &replica.Names{},
 		pending: map[uint64]func(Result){},
-		recordReplica: recordReplica{
-			finished:        map[finishedKind]*wire.Job{},
-			gangs:           map[string]*gang{},
-			overflow:        map[string]map[int]wire.ActiveTasks{},
-			dependencyLists: map[string]map[string][]string{},
-			formats:         map[string]int{},
-		},
+		gangs:   map[string]*gang{},
 		gossipState: gossipState{
 			peers:            map[string]*peer{},
 			reservedMachines: map[int]int{},
@@ -175,14 +143,14 @@
 	}
 	n.shardLease.ttl = cfg.OwnerValidity
 	n.leaderLease.ttl = cfg.LeaderLease
-	for _, z := range slices.Sorted(slices.Values(cfg.Zones)) {
-		n.zoneNames.Of(z)
+	for _, zone := range slices.Sorted(slices.Values(cfg.Zones)) {
+		n.names.Zones.Of(zone)
 	}
 	for i := range cfg.Teams {
-		n.teamNames.Of(cfg.Teams[i].Name)
+		n.names.Teams.Of(cfg.Teams[i].Name)
 	}
 	n.makeShards()
-	n.makeLedger()
+	n.initReplica()
 	n.initFailover()
 	for _, o := range cfg.StartObjectives {
 		at := slices.IndexFunc(n.arrivals, func(a *classArrivals) bool { return a.class == o.Class })
@@ -206,6 +174,7 @@
 		n.resumeAfterStall(gap)
 	}
 	n.now = max(n.now, now)
+	n.replica.SetTime(n.now)
 	switch x := in.(type) {
 	case Tick:
 	case WorkerReported:
@@ -246,7 +215,7 @@
 // runTimers does whatever is due. It is cheap when nothing is.
 func (n *Node) runTimers() {
 	n.renewLeases()
-	if !n.loaded {
+	if !n.replica.Loaded() {
 		return
 	}
 	n.writeFormat()
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -31,7 +31,7 @@
 		return
 	}
 	facts := n.leaderFacts()
-	s.publishAt = n.now + publishInterval + Time(len(n.live)+len(facts))*publishIntervalPerFact
+	s.publishAt = n.now + publishInterval + Time(len(n.replica.Live())+len(facts))*publishIntervalPerFact
 	s.publisher.Publish(facts)
 	if to, m := s.publisher.Next(n.now, n.cfg.Self, n.cfg.Incarnation); m != nil {
 		n.emit(SendDecisionLog{To: to, Message: m})
@@ -64,7 +64,7 @@
 			facts = append(facts, wire.Fact{Kind: wire.FactReturned, Name: r.name, At: factTime(r.at)})
 		}
 	}
-	for _, index := range n.live {
+	for _, index := range n.replica.Live() {
 		facts = n.jobFacts(facts, n.jobs[index])
 	}
 	return facts
@@ -82,23 +82,23 @@
 // jobFacts adds what only the leader knows of a job.
 func (n *Node) jobFacts(facts []wire.Fact, j *job) []wire.Fact {
 	if j.waitingSince != 0 { // it may be before the start of this process
-		facts = append(facts, wire.Fact{Kind: wire.FactWaitingSince, Name: j.id, At: cmp.Or(j.waitingSince.Milliseconds(), -1)})
+		facts = append(facts, wire.Fact{Kind: wire.FactWaitingSince, Name: j.ID, At: cmp.Or(j.waitingSince.Milliseconds(), -1)})
 	}
 	if j.gangZone >= 0 && j.waitingSince != 0 {
-		facts = append(facts, wire.Fact{Kind: wire.FactGangZone, Name: j.id, Zone: n.zoneNames.Name(j.gangZone)})
+		facts = append(facts, wire.Fact{Kind: wire.FactGangZone, Name: j.ID, Zone: n.names.Zones.Name(j.gangZone)})
 	}
 	if j.queuePosition.waitingSince != 0 {
-		facts = append(facts, wire.Fact{Kind: wire.FactQueuePosition, Name: j.id, At: cmp.Or(j.queuePosition.waitingSince.Milliseconds(), -1), Count: j.queuePosition.droppedAttempts})
+		facts = append(facts, wire.Fact{Kind: wire.FactQueuePosition, Name: j.ID, At: cmp.Or(j.queuePosition.waitingSince.Milliseconds(), -1), Count: j.queuePosition.droppedAttempts})
 	}
 	if j.preemptAt > n.now {
-		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.id, At: factTime(j.preemptAt)})
+		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.preemptAt)})
 	}
 	return facts
 }
 
 // poolFact is a fact about a pool, or a machine or request of it.
 func (n *Node) poolFact(kind wire.FactKind, name string, x machinePool, at Time) wire.Fact {
-	f := wire.Fact{Kind: kind, Name: name, At: factTime(at), MachineType: n.typeNames.Name(x.machineType), Zone: n.zoneNames.Name(x.zone), Spot: x.spot}
+	f := wire.Fact{Kind: kind, Name: name, At: factTime(at), MachineType: n.names.MachineTypes.Name(x.machineType), Zone: n.names.Zones.Name(x.zone), Spot: x.spot}
 	if name == "" {
 		f.Name = f.MachineType + "/" + f.Zone
 		if x.spot {
@@ -110,7 +110,7 @@
 
 // poolOf is the pool of a fact, if it is one of ours.
 func (n *Node) poolOf(f *wire.Fact) (x machinePool, known bool) {
-	x = machinePool{n.typeNames.Find(f.MachineType), n.zoneNames.Find(f.Zone), f.Spot}
+	x = machinePool{n.names.MachineTypes.Find(f.MachineType), n.names.Zones.Find(f.Zone), f.Spot}
 	return x, x.machineType >= 0 && x.zone >= 0
 }
 
@@ -160,7 +160,7 @@
 		return
 	}
 	slices.SortFunc(facts, func(a, b wire.Fact) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
-	for _, index := range n.live {
+	for _, index := range n.replica.Live() {
 		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // noted when we last led
 	}
 	adopted := 0
@@ -210,8 +210,8 @@
 
 // adoptJobFact takes in a fact about a job that still waits.
 func (n *Node) adoptJobFact(f *wire.Fact) bool {
-	index := n.jobIDs.Find(f.Name)
-	if index < 0 || n.jobs[index].record == nil || n.jobs[index].record.State != wire.JobLive {
+	index := n.names.Jobs.Find(f.Name)
+	if index < 0 || n.jobs[index].Record == nil || n.jobs[index].Record.State != wire.JobLive {
 		return false
 	}
 	j := n.jobs[index]
@@ -219,7 +219,7 @@
 	case wire.FactWaitingSince:
 		j.waitingSince = cmp.Or(timeOf(f), -1)
 	case wire.FactGangZone:
-		zone := n.zoneNames.Find(f.Zone)
+		zone := n.names.Zones.Find(f.Zone)
 		if zone < 0 {
 			return false
 		}
@@ -236,7 +236,7 @@
 func (n *Node) adoptMachineFact(f *wire.Fact) bool {
 	c := &n.leader.autoscaler
 	var h *machine
-	if index := n.machineNames.Find(f.Name); index >= 0 {
+	if index := n.names.Machines.Find(f.Name); index >= 0 {
 		h = n.machines[index]
 	}
 	switch f.Kind {
@@ -271,7 +271,7 @@
 		}
 		c.unreportedSince[f.Name] = timeOf(f)
 	case wire.FactReserved:
-		if n.jobIDs.Find(f.JobID) < 0 || h == nil {
+		if n.names.Jobs.Find(f.JobID) < 0 || h == nil {
 			return false
 		}
 		n.leader.reservations = append(n.leader.reservations, wire.Reservation{Host: f.Name, Ref: f.JobID})
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -8,13 +8,18 @@
 )
 
 // chained is a controller alone, after its upgrade, that knows a machine type.
-func chained(members ...Member) *Node {
+func chained(members ...Member) *Node { return chainedWith(func(*Config) {}, members...) }
+
+// chainedWith is chained with a changed configuration.
+func chainedWith(change func(*Config), members ...Member) *Node {
 	if members == nil {
 		members = []Member{{"n0", "a"}}
 	}
-	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []Team{{Name: "t"}},
+	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []Team{{Name: "t"}},
 		HeartbeatInterval: 4 * second, WorkerLease: 30 * second, OwnerValidity: 23 * second, LeaderLease: 5 * second, MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8,
-		WallClockMS: func() int64 { return 1_000_000 }})
+		WallClockMS: func() int64 { return 1_000_000 }}
+	change(&cfg)
+	n := New(cfg)
 	n.Step(second, RecordsChanged{Reset: true, Revision: 1, Events: []Event{{Key: wire.FormatPrefix + "n0", Revision: 1, Value: &wire.SupportedFormat{Format: wire.Format}}}})
 	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 	return n
@@ -64,7 +69,7 @@
 				if x.Class == ClassUser && len(x.Writes) > 0 {
 					wrote = append(wrote, x.Writes...)
 				}
-				inputs = append(inputs, Committed{ID: x.ID, Outcome: OK, Revision: n.revision})
+				inputs = append(inputs, Committed{ID: x.ID, Outcome: OK, Revision: n.replica.Revision()})
 			case Reply:
 				reply = &x
 			}
@@ -131,7 +136,7 @@
 	n := chained(Member{"n0", "a"}, Member{"n1", "a"})
 	see(n, 2, "wk-000001", wire.JobLive, nil)
 	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", "wk-000001")}, nil)
-	if r == nil || r.Status != 503 || r.RetryAfterS == 0 || len(wrote) > 0 || n.overflowKeys() > 0 {
+	if r == nil || r.Status != 503 || r.RetryAfterS == 0 || len(wrote) > 0 || n.replica.OverflowKeys() > 0 {
 		t.Errorf("answered with %+v, wrote %+v", r, wrote)
 	}
 	// Nor is it handed to a peer, which may be of the version before.
@@ -149,7 +154,7 @@
 	}
 	// It never goes back.
 	n.Step(n.now+1, RecordsChanged{Revision: 10, Events: []Event{{Key: wire.FormatPrefix + "n1", Revision: 10, Value: &wire.SupportedFormat{Format: 1}}}})
-	if !n.writesDependencies() {
+	if !n.replica.WritesDependencies() {
 		t.Error("went back to the format before")
 	}
 }
@@ -169,8 +174,8 @@
 	}
 	n.leader.record = nil
 	see(n, 5*many, name(0), wire.JobCancelled, nil)
-	if len(n.derivedCancellations) != 2*many-2 {
-		t.Errorf("%d jobs were touched, not %d once each", len(n.derivedCancellations), 2*many-2)
+	if n.replica.UnrecordedCancellations() != 2*many-2 {
+		t.Errorf("%d jobs were touched, not %d once each", n.replica.UnrecordedCancellations(), 2*many-2)
 	}
 	for _, i := range []int{1, many - 1, many + 1, 2*many - 1} {
 		r, _ := settle(n, UserRequest{RequestID: uint64(i), Kind: wire.RequestStatus, JobID: name(i)}, nil)
@@ -190,14 +195,14 @@
 	see(n, 5, "wk-000004", wire.JobLive, func(s *wire.JobSpec) { s.Priority, s.DeadlineS = "high", 100 }, "wk-000002", "wk-000003")
 	due := int64(1_000_000 + 100_000)
 	for i, want := range []int64{due - 2*14_000, due - 14_000, due - 14_000, due} {
-		if j := n.jobs[i]; j.links.deadlineMS != want || j.priority != 2 {
-			t.Errorf("%s is due at %d with priority %d, not %d", j.id, j.links.deadlineMS, j.priority, want)
+		if j := n.jobs[i]; j.Links.DeadlineMS != want || j.Priority != 2 {
+			t.Errorf("%s is due at %d with priority %d, not %d", j.ID, j.Links.DeadlineMS, j.Priority, want)
 		}
 	}
 	queued := func() (out []string) {
 		for _, q := range n.queues() {
 			for _, w := range q.jobs {
-				out = append(out, w.job.id)
+				out = append(out, w.job.ID)
 			}
 		}
 		return out
@@ -250,11 +255,11 @@
 	see(n, 8, "wk-000004", wire.JobLive, nil, "wk-000001")
 	see(n, 9, "wk-000005", wire.JobLive, nil, "wk-000002")
 	for i := range 3 {
-		if n.jobs[i].links != nil {
-			t.Errorf("%s keeps %+v", n.jobs[i].id, n.jobs[i].links)
+		if n.jobs[i].Links != nil {
+			t.Errorf("%s keeps %+v", n.jobs[i].ID, n.jobs[i].Links)
 		}
 	}
-	if n.jobs[3].isWaiting() || !n.jobs[4].isWaiting() || n.jobs[4].state() != wire.JobCancelled {
-		t.Errorf("%+v, %+v", n.jobs[3].links, n.jobs[4].links)
+	if n.jobs[3].IsWaiting() || !n.jobs[4].IsWaiting() || n.jobs[4].State() != wire.JobCancelled {
+		t.Errorf("%+v, %+v", n.jobs[3].Links, n.jobs[4].Links)
 	}
 }
--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -1,103 +1,27 @@
 package core
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
-	"strings"
 
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
-// The jobs that a submission names, and how a record holds them. A few stand in the
-// record itself. A list that the record has no room for is written to overflow keys
-// first, in as many transactions as it takes, and the record that names it last; such
-// a list never changes. Its name follows from what it holds, so submitting the same
-// job again, at any controller, writes the same keys.
-
-// dependencyListNameBytes is how much of the hash of a list its name keeps.
-const dependencyListNameBytes = 16
-
-// dependencyListFrameBytes bounds what a part of a list takes besides the names in it.
-const dependencyListFrameBytes = 24
-
-// dependencyListName gives the name of a list of jobs.
-func dependencyListName(refs []string) string {
-	sum := sha256.Sum256([]byte(strings.Join(refs, " ")))
-	return hex.EncodeToString(sum[:dependencyListNameBytes])
-}
-
-// splitDependencyList shares a list out to values of at most a number of bytes.
-func splitDependencyList(refs []string, valueBytes int) [][]string {
-	const quotesAndComma = 3
-	var parts [][]string
-	size := valueBytes
-	for _, ref := range refs {
-		cost := len(ref) + quotesAndComma
-		if size+cost > valueBytes {
-			parts = append(parts, nil)
-			size = dependencyListFrameBytes
-		}
-		last := len(parts) - 1
-		parts[last] = append(parts[last], ref)
-		size += cost
-	}
-	return parts
-}
-
-// putDependencyList keeps a part of a list until the record of its job is taken in.
-func (n *Node) putDependencyList(key string, needs *wire.DependencyList) {
-	ref := wire.DependencyListJob(key)
-	if j := n.jobNamed(ref); j != nil && j.record != nil {
-		return
-	}
-	if n.dependencyLists[ref] == nil {
-		n.dependencyLists[ref] = map[string][]string{}
-	}
-	n.dependencyLists[ref][key] = needs.JobIDs
-}
-
-// dependenciesInRecord lists the jobs that a record names, in itself or in its overflow keys
-// as far as they are at hand, and tells whether those are complete.
-func (n *Node) dependenciesInRecord(ref string, rec *wire.Job) (refs []string, complete bool) {
-	if rec.DependencyList == "" {
-		return rec.Spec.Dependencies, true
-	}
-	for part := 1; part <= rec.DependencyListKeys; part++ {
-		some, known := n.dependencyLists[ref][wire.DependencyListKey(ref, rec.DependencyList, part)]
-		if !known {
-			return refs, false
-		}
-		refs = append(refs, some...)
-	}
-	return refs, true
-}
-
-// dependenciesOf lists the jobs that a job with a record that was read waits on. Those of a
-// list in overflow keys are known once the replica shows the job.
-func (n *Node) dependenciesOf(ref string, rec *wire.Job) (refs []string, complete bool) {
-	j := n.jobNamed(ref)
-	if rec.DependencyList == "" || j == nil || j.record == nil || j.links == nil {
-		return n.dependenciesInRecord(ref, rec)
-	}
-	for _, index := range j.links.dependencies {
-		refs = append(refs, n.jobs[index].id)
-	}
-	return refs, true
-}
+// The dependencies that a submission names: whether each was ever accepted, and how the new
+// record holds them.
 
 // writeDependencyList writes the list of a submission whose record has no room for it, as many
 // parts at once as a transaction takes, and calls create again after each. It tells
 // whether all parts are written, and names the list in the record.
 func (n *Node) writeDependencyList(op *pendingRequest, rec *wire.Job) bool {
-	list := dependencyListName(op.dependencies.jobIDs)
-	parts := splitDependencyList(op.dependencies.jobIDs, n.cfg.MaxValueBytes)
+	list := replica.DependencyListName(op.dependencies.jobIDs)
+	parts := replica.SplitDependencyList(op.dependencies.jobIDs, n.cfg.MaxValueBytes)
 	var writes []Write
 	var numbers []int
 	most := max(1, min(n.cfg.MaxTransactionOps, maxTransactionBytes/n.cfg.MaxValueBytes))
 	for i, refs := range parts {
 		key := wire.DependencyListKey(op.JobID, list, i+1)
-		if _, known := n.dependencyLists[op.JobID][key]; known || op.dependencies.writtenKeys[i+1] || len(writes) == most {
+		if n.replica.HasDependencyList(op.JobID, key) || op.dependencies.writtenKeys[i+1] || len(writes) == most {
 			continue
 		}
 		writes = append(writes, Write{Key: key, Value: &wire.DependencyList{JobIDs: refs}})
@@ -140,7 +64,7 @@
 		op.dependencies = &dependencyCheck{jobIDs: op.spec.Dependencies, states: map[string]wire.JobState{}, daemon: map[string]bool{}, writtenKeys: map[int]bool{}}
 	}
 	for _, ref := range op.spec.Dependencies {
-		if j := n.jobNamed(ref); j != nil && j.record != nil {
+		if j := n.jobNamed(ref); j != nil && j.Record != nil {
 			continue
 		}
 		if _, read := op.dependencies.states[ref]; read {
@@ -188,9 +112,9 @@
 	for _, ref := range op.spec.Dependencies {
 		state, known := op.dependencies.states[ref]
 		daemon := op.dependencies.daemon[ref]
-		if j := n.jobNamed(ref); j != nil && j.record != nil {
-			state, known = j.state(), true
-			daemon = j.record.Spec != nil && j.record.Spec.Shape == wire.ShapeDaemon
+		if j := n.jobNamed(ref); j != nil && j.Record != nil {
+			state, known = j.State(), true
+			daemon = j.Record.Spec != nil && j.Record.Spec.Shape == wire.ShapeDaemon
 		}
 		switch {
 		case !known || state == jobNeverAccepted:
@@ -228,7 +152,7 @@
 
 // add takes in what a job waits on, or answers the request where that is not known.
 func (s *ancestorSearch) add(ref string, rec *wire.Job) bool {
-	refs, complete := s.n.dependenciesOf(ref, rec)
+	refs, complete := s.n.replica.Dependencies(ref, rec)
 	if !complete {
 		s.n.answerUnavailable(s.op, "the records of the jobs that it waits on are not known yet")
 		return false
@@ -249,16 +173,16 @@
 		ref := s.unvisited[len(s.unvisited)-1]
 		s.unvisited = s.unvisited[:len(s.unvisited)-1]
 		j := n.jobNamed(ref)
-		if j == nil || j.record == nil || j.state() == wire.JobLive {
+		if j == nil || j.Record == nil || j.State() == wire.JobLive {
 			s.read(ref)
 			return
 		}
-		if j.state() == wire.JobCancelled {
+		if j.State() == wire.JobCancelled {
 			s.answerCancelled()
 			return
 		}
 	}
-	n.answer(s.op, 200, jobStatus(s.op.JobID, s.record))
+	n.answer(s.op, 200, replica.JobStatus(s.op.JobID, s.record))
 }
 
 // read reads the record of a job above.
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -9,9 +9,7 @@
 
 // smallValues is a controller whose records hold few names.
 func smallValues(members ...Member) *Node {
-	n := chained(members...)
-	n.cfg.MaxValueBytes, n.cfg.MaxTransactionOps = 2048, 4
-	return n
+	return chainedWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
 }
 
 // manyNeeds makes jobs that a submission names, and shows them to a controller.
@@ -60,17 +58,17 @@
 		manyNeeds(other, count)
 		other.Step(other.now+1, changesOf(2000, order))
 		j := other.jobNamed("wk-000100")
-		if j.links == nil || j.links.openDependencies != count || len(other.dependencyLists) > 0 {
-			t.Fatalf("%s: %d needs are open, %d lists are kept", name, j.links.openDependencies, len(other.dependencyLists))
+		if j.Links == nil || j.Links.Open != count || other.replica.StagedDependencyLists() > 0 {
+			t.Fatalf("%s: %d needs are open, %d lists are kept", name, j.Links.Open, other.replica.StagedDependencyLists())
 		}
 		for i, ref := range refs[:count-1] {
 			see(other, 3000+i, ref, wire.JobDone, nil)
 		}
-		if !j.isWaiting() {
+		if !j.IsWaiting() {
 			t.Errorf("%s: it waits no more though one need is not done", name)
 		}
 		see(other, 5000, refs[count-1], wire.JobCancelled, nil)
-		if j.state() != wire.JobCancelled {
+		if j.State() != wire.JobCancelled {
 			t.Errorf("%s: it goes on below a withdrawn job", name)
 		}
 	}
@@ -192,7 +190,7 @@
 		{Key: wire.DependencyListKey("wk-000100", "x", 1), Revision: 10, Value: &wire.DependencyList{JobIDs: []string{"wk-000001"}}},
 		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: rec},
 	}})
-	if !n.jobNamed("wk-000100").isWaiting() {
+	if !n.jobNamed("wk-000100").IsWaiting() {
 		t.Error("a job without all its needs may start")
 	}
 }
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -26,7 +26,7 @@
 // the replica may show it late, and its lease ends the epoch in time. For a job that is not cancelled there is no need of it: answers repeat
 // the start, after which the worker knows the attempt.
 func (n *Node) mayStartTooLate(j *job, s directStart) bool {
-	return !s.acknowledged && j.record.State == wire.JobCancelled && n.now-j.closedAt > n.cfg.OwnerValidity/2
+	return !s.acknowledged && j.Record.State == wire.JobCancelled && n.now-j.closedAt > n.cfg.OwnerValidity/2
 }
 
 // noteUnstarted remembers a machine of ours on which a task has been placed.
@@ -75,14 +75,14 @@
 		_, over := n.outcomes[k]
 		_, sent := h.directStarts[k]
 		if there || over || sent || h.startSentAt[k] > 0 || x.epoch != h.epoch || x.stop != wire.StopNone ||
-			j.record.State != wire.JobLive || j.priority == 0 || len(h.directStarts)+len(orders) >= maxDirectStarts {
+			j.Record.State != wire.JobLive || j.Priority == 0 || len(h.directStarts)+len(orders) >= maxDirectStarts {
 			continue
 		}
 		a := n.activeTask(k, h.name)
 		if a == nil || n.delaysGangStart(j, a) {
 			continue
 		}
-		orders = append(orders, wire.Command{Op: wire.CommandStart, Task: wire.TaskName(j.id, k.task), Attempt: k.attempt})
+		orders = append(orders, wire.Command{Op: wire.CommandStart, Task: wire.TaskName(j.ID, k.task), Attempt: k.attempt})
 		keys = append(keys, k)
 	}
 	if len(orders) == 0 {
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -115,12 +116,12 @@
 	}{{Unknown, false}, {OK, false}, {Refused, true}, {Conflict, true}} {
 		d, job, o := placedDirectly(t)
 		d.step(CommandsAnswered{ID: o.ID, Outcome: c.outcome})
-		gone := cloneRecord(job)
+		gone := replica.CloneRecord(job)
 		gone.State = wire.JobCancelled
 		d.put(gone)
 		d.report(9, o.Batch.Token)
 		d.wait(3 * second)
-		if got := len(d.n.jobs[0].record.ActiveTasks) == 0; got != c.gone {
+		if got := len(d.n.jobs[0].Record.ActiveTasks) == 0; got != c.gone {
 			t.Errorf("outcome %d: counted as gone: %v", c.outcome, got)
 		}
 	}
@@ -136,7 +137,7 @@
 	}{{Unknown, 503}, {OK, 200}, {Refused, 200}} {
 		d, job, o := placedDirectly(t)
 		d.step(CommandsAnswered{ID: o.ID, Outcome: c.outcome})
-		gone := cloneRecord(job)
+		gone := replica.CloneRecord(job)
 		gone.State = wire.JobCancelled
 		d.put(gone)
 		for seq := uint64(9); seq < 13; seq++ {
@@ -160,7 +161,7 @@
 	d.lag = true
 	d.wait(11 * second)
 	d.lag = false
-	gone := cloneRecord(job)
+	gone := replica.CloneRecord(job)
 	gone.State = wire.JobCancelled
 	d.put(gone)
 	d.wait(4 * second)
@@ -179,7 +180,7 @@
 	ended := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.CauseError}
 	d.report(9, o.Batch.Token, ended)
 	d.wait(second)
-	if len(d.n.jobs[0].record.ActiveTasks) != 0 {
+	if len(d.n.jobs[0].Record.ActiveTasks) != 0 {
 		t.Fatal("the end was not written")
 	}
 	d.report(10, o.Batch.Token, ended)
@@ -197,7 +198,7 @@
 func TestForgottenMachineReportsAgain(t *testing.T) {
 	d, job, o := placedDirectly(t)
 	d.step(CommandsAnswered{ID: o.ID, Outcome: Conflict})
-	rec := cloneRecord(job)
+	rec := replica.CloneRecord(job)
 	rec.ActiveTasks = nil
 	d.put(rec)
 	d.wait(4 * d.n.cfg.WorkerLease)
@@ -207,7 +208,7 @@
 	term := o.Batch.Token
 	d.report(50, term)
 	d.report(51, term)
-	again := cloneRecord(job)
+	again := replica.CloneRecord(job)
 	again.ActiveTasks = []wire.ActiveTask{{Attempt: 2, Machine: "vm-1", Epoch: 1}}
 	d.put(again)
 	d.report(52, term)
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -1,36 +1,34 @@
 package core
 
-import "micaport/internal/wire"
+import (
+	"micaport/internal/kv"
+	"micaport/internal/wire"
+)
 
-// Outcome of a request to the state service or the cloud.
-type Outcome int
+// Types of requests to the state service and of what is known of them.
+type (
+	// Condition demands that a key is at a revision.
+	Condition = kv.Condition
+	// Write puts or deletes a key.
+	Write = kv.Write
+	// Event is a change of a key.
+	Event = kv.Event
+	// Outcome is what is known of a request.
+	Outcome = kv.Outcome
+)
 
-// Outcomes. Only OK, Conflict and Missing say for certain what happened;
-// Refused says that nothing did.
+// Outcomes; see package kv.
 const (
-	OK Outcome = iota
-	Conflict
-	NotFound
-	Refused
-	Unknown
-	LeaseExpired
-	NoCapacity // the cloud has no capacity
-	TooLarge   // a value or a transaction beyond the limits: not carried out, ever
+	OK           = kv.OK
+	Conflict     = kv.Conflict
+	NotFound     = kv.NotFound
+	Refused      = kv.Refused
+	Unknown      = kv.Unknown
+	LeaseExpired = kv.LeaseExpired
+	NoCapacity   = kv.NoCapacity
+	TooLarge     = kv.TooLarge
 )
 
-// Condition demands that a key is at a revision; 0 means absent.
-type Condition struct {
-	Key      string
-	Revision uint64
-}
-
-// Write puts or drops a key. Value is a record of package wire.
-type Write struct {
-	Key     string
-	Value   wire.Record // nil drops the key
-	LeaseID uint64
-}
-
 // RequestClass orders requests when the budget is short.
 type RequestClass int
 
@@ -264,10 +262,3 @@
 	// StatusRequest asks who leads and who stands by; Reply has a wire.LeadershipStatus.
 	StatusRequest struct{ RequestID uint64 }
 )
-
-// Event is a change of a key; Value is nil when it was dropped.
-type Event struct {
-	Key      string
-	Revision uint64
-	Value    wire.Record
-}
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -41,9 +41,6 @@
 	n.failover.publisher, n.failover.replica = failover.NewPublisher(), failover.NewReplica()
 }
 
-// writesEarlyFailover tells whether claims may say that they are fenced.
-func (n *Node) writesEarlyFailover() bool { return n.agreedFormat >= wire.FormatEarlyFailover }
-
 // fenced tells whether we lead under a claim that may be replaced early.
 func (n *Node) fenced() bool { return n.isLeader() && n.leader.record.Fenced }
 
@@ -79,7 +76,7 @@
 // start may have been made a moment ago.
 func (n *Node) putTakeovers(record *wire.Takeovers) {
 	n.failover.takeovers = record
-	if !n.loaded {
+	if !n.replica.Loaded() {
 		n.failover.earlyClaimSeenAt = n.now
 	}
 }
@@ -157,7 +154,7 @@
 // fenceClaim makes a new claim of ours once all controllers read that it is fenced. It
 // waits for what was decided under the old one.
 func (n *Node) fenceClaim() {
-	if !n.cfg.EarlyTakeover || !n.writesEarlyFailover() || n.leader.record.Fenced || n.leader.batch.active || n.now < n.nextClaimAt ||
+	if !n.cfg.EarlyTakeover || !n.replica.WritesEarlyFailover() || n.leader.record.Fenced || n.leader.batch.active || n.now < n.nextClaimAt ||
 		n.leaderLease.id != n.claimLeaseID || n.now-n.leaderLease.sentAt > n.leaderLease.ttl/2 {
 		return
 	}
@@ -172,7 +169,7 @@
 		return
 	}
 	sent := n.now
-	n.commit(ClassLease, []Condition{{wire.LeaderKey, term}}, nil, func(c Committed) {
+	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: term}}, nil, func(c Committed) {
 		switch {
 		case n.leader.term != term:
 		case c.Outcome == Conflict:
@@ -189,7 +186,7 @@
 func (n *Node) settleProofs() {
 	s := &n.failover
 	before := s.fence.RemainingCallTime(n.now)
-	s.fence.Settle(n.revision)
+	s.fence.Settle(n.replica.Revision())
 	if right := s.fence.RemainingCallTime(n.now); n.fenced() && right > before { // before it opens, nothing is to be sent
 		n.emit(AllowCloudCalls{Term: n.leader.term, Until: n.now + right})
 	}
@@ -243,7 +240,7 @@
 		return
 	}
 	last.StagesMS = n.stagesMS()
-	n.commit(ClassBackground, []Condition{{wire.LeaderKey, n.leader.term}}, []Write{{Key: wire.TakeoversKey, Value: record}}, func(Committed) {})
+	n.commit(ClassBackground, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, []Write{{Key: wire.TakeoversKey, Value: record}}, func(Committed) {})
 }
 
 // sendHeartbeats tells the peers that we lead, and who is to take over first.
@@ -312,7 +309,7 @@
 func (n *Node) leadershipStatus() wire.LeadershipStatus {
 	s := &n.failover
 	status := wire.LeadershipStatus{
-		Controller: n.cfg.Self, Term: n.leader.term, Revision: n.revision, Agreed: n.agreedFormat, Served: n.storeOK, Early: n.cfg.EarlyTakeover,
+		Controller: n.cfg.Self, Term: n.leader.term, Revision: n.replica.Revision(), Agreed: n.replica.AgreedFormat(), Served: n.storeOK, Early: n.cfg.EarlyTakeover,
 		Standby: s.follower.Standby(), PauseMS: s.follower.MinTenure().Milliseconds(),
 	}
 	if n.leader.record == nil {
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -103,7 +103,7 @@
 	m.suspect(term)
 	m.wait(300*time.Millisecond, 0)
 	claims := m.take()
-	if len(claims) != 1 || !slices.Equal(claims[0].Conditions, []Condition{{wire.LeaderKey, term}}) || len(claims[0].Writes) != 2 {
+	if len(claims) != 1 || !slices.Equal(claims[0].Conditions, []Condition{{Key: wire.LeaderKey, Revision: term}}) || len(claims[0].Writes) != 2 {
 		t.Fatalf("claims %+v", claims)
 	}
 	claim, record := claims[0].Writes[0].Value.(*wire.Leader), claims[0].Writes[1].Value.(*wire.Takeovers)
@@ -262,7 +262,7 @@
 	m.step(Committed{ID: claims[0].ID, Outcome: OK, Revision: m.rev + 9})
 	m.wait(3*second, 0)
 	for _, c := range m.take() {
-		if slices.Equal(c.Conditions, []Condition{{wire.LeaderKey, m.rev + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
+		if slices.Equal(c.Conditions, []Condition{{Key: wire.LeaderKey, Revision: m.rev + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
 			return
 		}
 	}
@@ -279,7 +279,7 @@
 	m.wait(500*time.Millisecond, 0)
 	claims := m.take()
 	last := claims[len(claims)-1]
-	if !slices.Equal(last.Conditions, []Condition{{wire.LeaderKey, term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
+	if !slices.Equal(last.Conditions, []Condition{{Key: wire.LeaderKey, Revision: term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
 		t.Fatalf("claims %+v", claims)
 	}
 	tenure := m.n.leader.tenure
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -17,7 +18,7 @@
 	for task := range grants {
 		rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1})
 	}
-	n.putJob("wk-1", rec, 1)
+	n.replica.PutJob("wk-1", rec, 1)
 	ask := func() int {
 		over := 0
 		for task := range grants {
@@ -35,11 +36,11 @@
 	if over := ask(); over != grants {
 		t.Errorf("%d of %d grants have run out of patience", over, grants)
 	}
-	placed := cloneRecord(rec)
+	placed := replica.CloneRecord(rec)
 	for i := range placed.ActiveTasks {
 		placed.ActiveTasks[i].Machine = "vm-000001"
 	}
-	n.putJob("wk-1", placed, 2)
+	n.replica.PutJob("wk-1", placed, 2)
 	n.forgetPlacedGrants()
 	if len(n.grantSeenAt) != 0 {
 		t.Errorf("%d grants are remembered that have been placed", len(n.grantSeenAt))
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -84,19 +84,19 @@
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
 		j := n.jobNamed(g.jobID)
-		if j == nil || j.record == nil || j.record.Spec == nil {
+		if j == nil || j.Record == nil || j.Record.Spec == nil {
 			continue
 		}
 		for _, task := range slices.Sorted(maps.Keys(g.held)) {
 			h := g.held[task]
-			if slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool {
+			if slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
 				return a.Task == task && a.Attempt == g.record.Attempt && a.Machine != ""
 			}) {
 				continue // placed: counted by its record
 			}
 			for _, s := range slots.all {
 				if s.machine == h {
-					s.take(j.record.Spec)
+					s.take(j.Record.Spec)
 				}
 			}
 		}
@@ -104,7 +104,7 @@
 }
 
 func (n *Node) jobNamed(ref string) *job {
-	if ix := n.jobIDs.Find(ref); ix >= 0 {
+	if ix := n.names.Jobs.Find(ref); ix >= 0 {
 		return n.jobs[ix]
 	}
 	return nil
@@ -115,19 +115,19 @@
 func (n *Node) placeGang(w *writer, j *job, slots *slotSet) {
 	var mine []wire.ActiveTask
 	attempt := uint64(0)
-	for _, a := range j.record.ActiveTasks {
+	for _, a := range j.Record.ActiveTasks {
 		if a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard]) {
 			mine = append(mine, a)
 			attempt = a.Attempt
 		}
 	}
-	g := n.gangs[wire.GangKey(j.id, attempt)]
+	g := n.gangs[wire.GangKey(j.ID, attempt)]
 	if g != nil {
 		n.advanceOwnedGang(w, j, g, mine, slots)
 		return
 	}
-	whole := !slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool { return a.Shard != mine[0].Shard || a.Machine != "" })
-	k := taskKey{j.index, mine[0].Task, attempt}
+	whole := !slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool { return a.Shard != mine[0].Shard || a.Machine != "" })
+	k := taskKey{j.Index, mine[0].Task, attempt}
 	if !whole {
 		// Its record is not known here yet, or has been settled and removed.
 		if n.grantTimedOut(k) {
@@ -152,7 +152,7 @@
 		return
 	}
 	for i := range mine {
-		chosen[i].take(j.record.Spec)
+		chosen[i].take(j.Record.Spec)
 		assignMachine(rec, &mine[i], chosen[i].machine)
 	}
 }
@@ -160,7 +160,7 @@
 // chooseAll finds machines for all the tasks or for none.
 func (n *Node) chooseAll(j *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
 	var chosen []*slot
-	sp := j.record.Spec
+	sp := j.Record.Spec
 	for _, a := range tasks {
 		s := slots.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil)
 		if s == nil {
@@ -203,7 +203,7 @@
 	g.held = map[int]*machine{}
 	g.denied = false
 	for i, s := range chosen {
-		s.take(j.record.Spec)
+		s.take(j.Record.Spec)
 		g.held[mine[i].Task] = s.machine
 	}
 	n.sendGossip(true)
@@ -216,11 +216,11 @@
 	if hosts == nil {
 		g.held = nil
 		for _, s := range n.chooseAll(j, mine, slots) {
-			s.take(j.record.Spec)
+			s.take(j.Record.Spec)
 			hosts = append(hosts, s.machine)
 		}
 	}
-	if hosts == nil && !n.grantTimedOut(taskKey{j.index, mine[0].Task, g.record.Attempt}) {
+	if hosts == nil && !n.grantTimedOut(taskKey{j.Index, mine[0].Task, g.record.Attempt}) {
 		return
 	}
 	rec := w.job(j)
@@ -266,7 +266,7 @@
 			if n.now-g.seenAt > 3*n.cfg.HeartbeatInterval && slices.ContainsFunc(g.record.Shards, func(p int) bool { return n.mayActAsOwner(n.shards[p]) }) {
 				rec := *g.record
 				rec.State = wire.GangDropped
-				w.addWrite(Write{Key: g.key, Value: &rec}, Condition{g.key, g.revision})
+				w.addWrite(Write{Key: g.key, Value: &rec}, Condition{Key: g.key, Revision: g.revision})
 			}
 		}
 	}
@@ -310,7 +310,7 @@
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
 		j := n.jobNamed(g.jobID)
-		unplaced := j != nil && j.record != nil && slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool {
+		unplaced := j != nil && j.Record != nil && slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
 			return a.Attempt == g.record.Attempt && a.Machine == ""
 		})
 		switch g.record.State {
@@ -321,14 +321,14 @@
 			}
 			rec := *g.record
 			switch {
-			case all && unplaced && j.record.State == wire.JobLive:
+			case all && unplaced && j.Record.State == wire.JobLive:
 				rec.State = wire.GangConfirmed
 			case g.denied || !unplaced || n.now-g.seenAt > 4*n.cfg.HeartbeatInterval:
 				rec.State = wire.GangDropped
 			default:
 				continue
 			}
-			w.addWrite(Write{Key: g.key, Value: &rec}, Condition{g.key, g.revision})
+			w.addWrite(Write{Key: g.key, Value: &rec}, Condition{Key: g.key, Revision: g.revision})
 		case wire.GangDropped:
 			if unplaced {
 				rec := w.job(j)
@@ -340,13 +340,13 @@
 				})
 				j.restorePosition()
 			}
-			w.addWrite(Write{Key: g.key}, Condition{g.key, g.revision})
+			w.addWrite(Write{Key: g.key}, Condition{Key: g.key, Revision: g.revision})
 		case wire.GangConfirmed:
 			if !unplaced {
 				if j != nil {
 					j.queuePosition = queuePosition{}
 				}
-				w.addWrite(Write{Key: g.key}, Condition{g.key, g.revision})
+				w.addWrite(Write{Key: g.key}, Condition{Key: g.key, Revision: g.revision})
 			}
 		}
 	}
--- a/internal/core/gang_placement.go
+++ b/internal/core/gang_placement.go
@@ -8,7 +8,7 @@
 
 // serveGang grants a whole gang or nothing.
 func (p *schedulingPass) serveGang(w *queuedJob) {
-	j, sp := w.job, w.job.record.Spec
+	j, sp := w.job, w.job.Record.Spec
 	if p.admission != nil {
 		p.admitGang(w)
 		return
@@ -17,7 +17,7 @@
 		// Its team's smaller jobs would take what becomes free of the limit
 		// for ever: after its timeout the limit is kept for it.
 		p.noteWaiting(j)
-		if j.team >= 0 && p.node.now-j.waitingSince > gangStarvationTime {
+		if j.Team >= 0 && p.node.now-j.waitingSince > gangStarvationTime {
 			p.charge(j, len(w.tasks))
 		}
 		return
@@ -70,10 +70,10 @@
 	if best != nil && len(w.tasks) == 1 {
 		return best
 	}
-	for z := range p.node.zoneNames.Len() {
+	for z := range p.node.names.Zones.Len() {
 		try(func(part, zone int) bool { return zone == z && part >= 0 }, 10)
 	}
-	if !w.job.record.Spec.SameZone {
+	if !w.job.Record.Spec.SameZone {
 		try(func(part, _ int) bool { return part >= 0 }, 20)
 	}
 	return best
@@ -81,9 +81,9 @@
 
 // capacityFor bounds how many tasks of a job find room, from above.
 func (x *slotSet) capacityFor(j *job, in func(part, zone int) bool) int {
-	sp, sum := j.record.Spec, 0
+	sp, sum := j.Record.Spec, 0
 	for _, c := range x.classOrder {
-		if !in(c.shard, c.zone) || !j.allows(c.machineType, c.zone, c.spot) {
+		if !in(c.shard, c.zone) || !j.Allows(c.machineType, c.zone, c.spot) {
 			continue
 		}
 		each := 1 << 10
@@ -100,10 +100,10 @@
 
 // pickSlots chooses greedily and undoes its taking.
 func (p *schedulingPass) pickSlots(w *queuedJob, ok func(*slot) bool) ([]*slot, float64) {
-	sp := w.job.record.Spec
+	sp := w.job.Record.Spec
 	var chosen []*slot
 	worst := 0.0
-	zones := make([]int, p.node.zoneNames.Len())
+	zones := make([]int, p.node.names.Zones.Len())
 	for range w.tasks {
 		s := p.available.best(w.job, func(s *slot) bool {
 			return ok(s) && !(sp.Spread && zones[s.zone] >= zoneLimit(sp))
@@ -146,23 +146,23 @@
 // stops work that it may stop, and as the last resort keeps machines from
 // being filled again until what runs there has ended.
 func (p *schedulingPass) reserveGangRoom(w *queuedJob) {
-	sp := w.job.record.Spec
+	sp := w.job.Record.Spec
 	mayEvict := p.mayPreempt(w)
 	var best *gangRoom
-	if sp.SameZone && w.job.zone < 0 {
-		for z := range p.node.zoneNames.Len() {
+	if sp.SameZone && w.job.Zone < 0 {
+		for z := range p.node.names.Zones.Len() {
 			if c := p.searchRoom(w, z, mayEvict); best == nil || c.cost < best.cost {
 				best = c
 			}
 		}
 	} else {
-		best = p.searchRoom(w, w.job.zone, mayEvict)
+		best = p.searchRoom(w, w.job.Zone, mayEvict)
 	}
 	w.job.gangZone = best.zone
 	stopped := false
 	for _, x := range best.sources {
 		if w == p.starved && x.slot.machine != nil {
-			p.reservations = append(p.reservations, wire.Reservation{Host: x.slot.machine.name, Ref: w.job.id})
+			p.reservations = append(p.reservations, wire.Reservation{Host: x.slot.machine.name, Ref: w.job.ID})
 		}
 		switch {
 		case len(x.victims) > 0:
@@ -232,7 +232,7 @@
 
 // add takes in a machine with free room, once for each task that it has room for.
 func (g *roomSearch) add(s *slot, cost float64) {
-	spec := g.queued.job.record.Spec
+	spec := g.queued.job.Record.Spec
 	if s.reserved || g.seen[s] || g.elsewhere(s) || !s.accepts(g.queued.job) || !s.fitsAfterRelease(spec) {
 		return
 	}
@@ -249,7 +249,7 @@
 func (g *roomSearch) addFree() {
 	p := g.pass
 	for _, k := range p.available.classOrder {
-		if (g.zone < 0 || k.zone == g.zone) && g.queued.job.allows(k.machineType, k.zone, k.spot) {
+		if (g.zone < 0 || k.zone == g.zone) && g.queued.job.Allows(k.machineType, k.zone, k.spot) {
 			for _, s := range *p.available.open[k] {
 				p.node.workCount++
 				g.add(s, 0)
@@ -275,7 +275,7 @@
 			continue
 		}
 		p.node.workCount++
-		if mayEvict && s.machine.lowestPriority <= w.job.priority {
+		if mayEvict && s.machine.lowestPriority <= w.job.Priority {
 			if victims, ok := p.victimsOn(w, s, false); ok {
 				cost := float64(preemptionCost)
 				for _, x := range victims {
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -110,12 +110,12 @@
 			m.Ver = c.version - 1
 			break
 		}
-		i := wire.MachineInfo{Name: h.name, Zone: names.Of(n.zoneNames.Name(h.zone)), Errors: h.view.errors,
+		i := wire.MachineInfo{Name: h.name, Zone: names.Of(n.names.Zones.Name(h.zone)), Errors: h.view.errors,
 			Flags: wire.Flags(h.spot, h.view.reclaimed, h.view.draining, h.view.unhealthy, h.view.unreachable, h.view.unconfirmed) + h.view.missedHeartbeats<<8}
 		if h.machineType >= 0 {
-			i.Rig = names.Of(n.typeNames.Name(h.machineType))
+			i.Rig = names.Of(n.names.MachineTypes.Name(h.machineType))
 		}
-		h.images.each(func(im int) { i.Images = append(i.Images, names.Of(n.imageNames.Name(im))) })
+		h.images.Each(func(im int) { i.Images = append(i.Images, names.Of(n.names.Images.Name(im))) })
 		m.Hosts = append(m.Hosts, i)
 	}
 	for i := range names.Len() {
@@ -222,7 +222,7 @@
 	for i := range m.Hosts {
 		n.workCount++
 		info := &m.Hosts[i]
-		part := n.shardOf(n.zoneNames.Find(name(info.Zone)), info.Name)
+		part := n.shardOf(n.names.Zones.Find(name(info.Zone)), info.Name)
 		if part < 0 {
 			continue
 		}
@@ -243,7 +243,7 @@
 		}
 		n.setShard(h, part)
 		if rig := name(info.Rig); rig != "" {
-			h.machineType = n.typeNames.Of(rig)
+			h.machineType = n.names.MachineTypes.Of(rig)
 		}
 		f := info.Flags
 		h.spot = f&wire.FlagSpot != 0
@@ -255,7 +255,7 @@
 			h.bouncedAt = 0 // it has reached its owner
 		}
 		for _, im := range info.Images {
-			h.images.add(n.imageNames.Of(name(im)))
+			h.images.Add(n.names.Images.Of(name(im)))
 		}
 	}
 	n.leader.planNeeded = n.leader.planNeeded || len(m.Hosts) > 0
@@ -267,7 +267,7 @@
 		return
 	}
 	for _, name := range m.Returned {
-		if ix := n.machineNames.Find(name); ix >= 0 {
+		if ix := n.names.Machines.Find(name); ix >= 0 {
 			n.machines[ix].returned = true
 		}
 	}
@@ -276,14 +276,14 @@
 	clear(n.reservedMachines)
 	n.reservedMachinesAt = n.now
 	for _, k := range m.Kept {
-		if h, j := n.machineNames.Find(k.Host), n.jobIDs.Find(k.Ref); h >= 0 && j >= 0 {
+		if h, j := n.names.Machines.Find(k.Host), n.names.Jobs.Find(k.Ref); h >= 0 && j >= 0 {
 			n.reservedMachines[h] = j
 		}
 	}
 	asked := make(map[string]bool, len(m.Retire))
 	for _, name := range m.Retire {
 		asked[name] = true
-		if ix := n.machineNames.Find(name); ix >= 0 {
+		if ix := n.names.Machines.Find(name); ix >= 0 {
 			h := n.machines[ix]
 			if h.shard >= 0 && n.owns(n.shards[h.shard]) && len(h.placements) == 0 && len(h.reportedTasks) == 0 && !h.draining {
 				h.draining = true
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -11,7 +11,7 @@
 
 func (n *Node) imageCount(h *machine) int {
 	c := 0
-	h.images.each(func(int) { c++ })
+	h.images.Each(func(int) { c++ })
 	return c
 }
 
@@ -41,8 +41,8 @@
 			if room -= len(h.name) + 6; room < 0 {
 				break
 			}
-			h.images.each(func(im int) {
-				name := n.imageNames.Name(im)
+			h.images.Each(func(im int) {
+				name := n.names.Images.Name(im)
 				if names.Find(name) < 0 {
 					room -= len(name) + 3
 				}
@@ -66,13 +66,13 @@
 // putImageCache learns from what was written down.
 func (n *Node) putImageCache(rec *wire.ImageCache) {
 	for _, name := range slices.Sorted(maps.Keys(rec.Machines)) {
-		if n.machineNames.Find(name) < 0 && n.loaded {
+		if n.names.Machines.Find(name) < 0 && n.replica.Loaded() {
 			continue // a machine that nobody has spoken of since is gone
 		}
 		h := n.machineNamed(name)
 		for _, im := range rec.Machines[name] {
 			if im >= 0 && im < len(rec.Names) {
-				h.images.add(n.imageNames.Of(rec.Names[im]))
+				h.images.Add(n.names.Images.Of(rec.Names[im]))
 			}
 		}
 	}
@@ -83,15 +83,15 @@
 	sum := 0.0
 	for i := range h.placements {
 		j := n.jobs[h.placements[i].job]
-		if j.record.Spec == nil || h.images.has(j.image) {
+		if j.Record.Spec == nil || h.images.Has(j.Image) {
 			continue
 		}
 		twice := false
 		for k := range i {
-			twice = twice || n.jobs[h.placements[k].job].image == j.image
+			twice = twice || n.jobs[h.placements[k].job].Image == j.Image
 		}
 		if !twice {
-			sum += j.record.Spec.ImageGB
+			sum += j.Record.Spec.ImageGB
 		}
 	}
 	return sum
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -1,6 +1,9 @@
 package core
 
-import "micaport/internal/wire"
+import (
+	"micaport/internal/replica"
+	"micaport/internal/wire"
+)
 
 // An array with more tasks than a record can hold one by one is a large array: many
 // small tasks that fill what is spare. What limits it is the size of its record
@@ -11,34 +14,25 @@
 // maxActiveTasks bounds the active tasks of a job.
 func (n *Node) maxActiveTasks(j *job) int {
 	switch {
-	case j.largeArray:
-		return max(n.maxSingleTasks(), n.cfg.MaxBulkTasks)
-	case j.record.Spec != nil && j.record.Spec.Shape == wire.ShapeGang:
-		return j.record.TaskCount // all or none
-	case j.record.Spec != nil && j.record.Spec.Shape == wire.ShapeDaemon:
-		return max(n.maxSingleTasks(), n.plannableListCapacity(j)*7/8/n.taskRunBytes())
-	}
-	return n.maxSingleTasks()
-}
-
-// taskRangeBytes is what a range of done tasks takes at most in the form in which
-// values are measured.
-const taskRangeBytes = 16
-
-// taskListBytes bounds the size of the lists in a job's record.
-func taskListBytes(active wire.ActiveTasks, done wire.TaskSet) int {
-	return active.Cost() + taskRangeBytes*len(done)
+	case j.LargeArray:
+		return max(n.replica.MaxSingleTasks(), n.cfg.MaxBulkTasks)
+	case j.Record.Spec != nil && j.Record.Spec.Shape == wire.ShapeGang:
+		return j.Record.TaskCount // all or none
+	case j.Record.Spec != nil && j.Record.Spec.Shape == wire.ShapeDaemon:
+		return max(n.replica.MaxSingleTasks(), n.plannableListCapacity(j)*7/8/n.taskRunBytes())
+	}
+	return n.replica.MaxSingleTasks()
 }
 
 // listCapacity is what the lists of a large array may take, in all its keys. In each some
 // room is left that no run fits.
 func (n *Node) listCapacity(j *job) int {
-	return max(100, n.valueBytes()-j.baseBytes+n.overflowKeys()*(n.cfg.MaxValueBytes-overflowFrameBytes-2*n.taskRunBytes()))
+	return max(100, n.replica.ValueBytes()-j.BaseBytes+n.replica.OverflowKeys()*(n.cfg.MaxValueBytes-replica.OverflowFrameBytes-2*n.taskRunBytes()))
 }
 
 // plannableListCapacity is that for what is yet to be granted, by the limits that hold at all times.
 func (n *Node) plannableListCapacity(j *job) int {
-	return max(100, n.listCapacity(j)-n.valueBytes()+n.cfg.MaxValueBytes)
+	return max(100, n.listCapacity(j)-n.replica.ValueBytes()+n.cfg.MaxValueBytes)
 }
 
 // taskRunBytes is what one more run on some machine takes.
@@ -55,13 +49,13 @@
 // longer than work that somebody needs soon.
 func (n *Node) outcomeDelayFor(j *job) Time {
 	pause := Time(float64(outcomeDelay) * n.writeScarcity())
-	if j.record == nil || j.record.Spec == nil || j.record.State != wire.JobLive || j.record.Spec.Shape != wire.ShapeArray || len(j.record.ActiveTasks) < 2 {
+	if j.Record == nil || j.Record.Spec == nil || j.Record.State != wire.JobLive || j.Record.Spec.Shape != wire.ShapeArray || len(j.Record.ActiveTasks) < 2 {
 		return pause
 	}
-	if j.priority == 0 {
+	if j.Priority == 0 {
 		pause *= 8
 	}
-	if j.largeArray {
+	if j.LargeArray {
 		pause = max(pause, outcomeDelay)
 	}
 	return min(pause, maxBatchingDelay(j))
@@ -70,7 +64,7 @@
 // maxBatchingDelay bounds what is gathered for a job's tasks by a quarter of the time that
 // they are said to take.
 func maxBatchingDelay(j *job) Time {
-	return max(outcomeDelay, Time(j.record.Spec.ExpectedS*float64(second)/4))
+	return max(outcomeDelay, Time(j.Record.Spec.ExpectedS*float64(second)/4))
 }
 
 // recordRoom is the room that is left in the records of large arrays while an owner
@@ -85,14 +79,14 @@
 func newRecordRoom(n *Node, w *writer) *recordRoom { return &recordRoom{n, w, map[int]int{}} }
 
 func (x *recordRoom) remaining(j *job) int {
-	left, known := x.left[j.index]
+	left, known := x.left[j.Index]
 	if !known {
-		rec := j.record
-		if changed := x.writer.records[j.index]; changed != nil {
+		rec := j.Record
+		if changed := x.writer.records[j.Index]; changed != nil {
 			rec = changed
 		}
-		left = x.node.listCapacity(j) - taskListBytes(rec.ActiveTasks, rec.DoneTasks)
-		x.left[j.index] = left
+		left = x.node.listCapacity(j) - replica.TaskListBytes(rec.ActiveTasks, rec.DoneTasks)
+		x.left[j.Index] = left
 	}
 	return left
 }
@@ -100,20 +94,20 @@
 // mayRemove tells whether the end of a task may be written.
 func (x *recordRoom) mayRemove(k taskKey, host string) bool {
 	j := x.node.jobs[k.job]
-	if !j.largeArray || j.record.State != wire.JobLive {
+	if !j.LargeArray || j.Record.State != wire.JobLive {
 		return true
 	}
-	if room, cost := x.remaining(j), wire.RunCost(host)+taskRangeBytes; room > 2*cost {
-		x.left[j.index] = room - cost
+	if room, cost := x.remaining(j), wire.RunCost(host)+replica.TaskRangeBytes; room > 2*cost {
+		x.left[j.Index] = room - cost
 		return true
 	}
 	at := x.node.activeTaskIndex(k, host)
 	if at < 0 {
 		return true
 	}
-	from, to := j.record.ActiveTasks.Run(at)
+	from, to := j.Record.ActiveTasks.Run(at)
 	for i := from; i < to; i++ {
-		b := &j.record.ActiveTasks[i]
+		b := &j.Record.ActiveTasks[i]
 		if _, over := x.node.outcomes[taskKey{k.job, b.Task, b.Attempt}]; !over {
 			return false
 		}
@@ -126,7 +120,7 @@
 // rather started again, which its machine answers with done at once, than a
 // record made too large to be written ever again.
 func (x *recordRoom) recordable(j *job, rec *wire.Job, k taskKey, res taskOutcome) taskOutcome {
-	if j.largeArray && res.cause == wire.CauseDone && len(rec.DoneTasks) > x.node.listCapacity(j)/(2*taskRangeBytes) &&
+	if j.LargeArray && res.cause == wire.CauseDone && len(rec.DoneTasks) > x.node.listCapacity(j)/(2*replica.TaskRangeBytes) &&
 		!rec.DoneTasks.Has(k.task-1) && !rec.DoneTasks.Has(k.task+1) {
 		res.cause = causeLost
 	}
@@ -135,11 +129,11 @@
 
 // mayAdd tells whether one more run may be put into a record.
 func (x *recordRoom) mayAdd(j *job) bool {
-	if !j.largeArray {
+	if !j.LargeArray {
 		return true
 	}
 	if room, cost := x.remaining(j), x.node.taskRunBytes(); room > 2*cost {
-		x.left[j.index] = room - cost
+		x.left[j.Index] = room - cost
 		return true
 	}
 	return false
@@ -152,11 +146,11 @@
 // granted but not placed counts by the machines that the grants had in mind.
 // An eighth is left for runs that their owners have to split.
 func (n *Node) remainingRuns(j *job) int {
-	cost, each := taskListBytes(j.record.ActiveTasks, j.record.DoneTasks), n.taskRunBytes()
+	cost, each := replica.TaskListBytes(j.Record.ActiveTasks, j.Record.DoneTasks), n.taskRunBytes()
 	var last *machine
-	for i := range j.record.ActiveTasks {
-		if a := &j.record.ActiveTasks[i]; a.Machine == "" {
-			if h := n.leader.grantHints[taskKey{j.index, a.Task, a.Attempt}]; h != last {
+	for i := range j.Record.ActiveTasks {
+		if a := &j.Record.ActiveTasks[i]; a.Machine == "" {
+			if h := n.leader.grantHints[taskKey{j.Index, a.Task, a.Attempt}]; h != last {
 				cost, last = cost+each, h
 			}
 		}
@@ -181,11 +175,11 @@
 // fills spare room or is a large array. It counts from the last grant: the record of a
 // large array changes all the time.
 func (n *Node) grantDelay(j *job) Time {
-	if len(j.record.ActiveTasks) == 0 || j.record.Spec.Shape != wire.ShapeArray || j.priority > 0 && !j.largeArray {
+	if len(j.Record.ActiveTasks) == 0 || j.Record.Spec.Shape != wire.ShapeArray || j.Priority > 0 && !j.LargeArray {
 		return 0
 	}
 	pause := Time(float64(maxGrantDelay) * n.writeScarcity())
-	if j.largeArray {
+	if j.LargeArray {
 		pause = max(pause, outcomeDelay)
 	}
 	return min(pause, maxBatchingDelay(j))
--- a/internal/core/leader_state.go
+++ b/internal/core/leader_state.go
@@ -28,6 +28,7 @@
 	pendingPlacements   []pendingPlacement // what the batch under way places on machines of our own
 
 	autoscaler autoscaler
+	recordsFit bool // no record is larger than the limits to come; see shrinkRecords
 	// Machines that the cloud has confirmed gone, for the owners to hear.
 	returned     []returnedMachine
 	reservations []wire.Reservation // machines kept for the gang that has waited longest
@@ -100,10 +101,10 @@
 	}
 	// A pass looks at every unfinished job and every machine, if briefly; with
 	// thousands of them the share of a core that we have allows fewer passes.
-	l.planAt = n.now + 120*time.Millisecond + Time(len(n.live))*300*time.Microsecond + Time(n.machineCount())*100*time.Microsecond
+	l.planAt = n.now + 120*time.Millisecond + Time(len(n.replica.Live()))*300*time.Microsecond + Time(n.machineCount())*100*time.Microsecond
 	l.planNeeded, l.pendingPlacements = false, nil
 	w := newWriter(n)
-	w.conditions = append(w.conditions, Condition{wire.LeaderKey, l.term})
+	w.conditions = append(w.conditions, Condition{Key: wire.LeaderKey, Revision: l.term})
 	n.cleanUpHints()
 	n.shrinkRecords(w)
 	n.advanceGangs(w)
@@ -137,12 +138,12 @@
 
 // revokeUnownedGrants takes back grants to shards that have had no owner for a while.
 func (n *Node) revokeUnownedGrants(w *writer) {
-	for _, jx := range n.live {
+	for _, jx := range n.replica.Live() {
 		j := n.jobs[jx]
-		if j.unplaced == 0 {
+		if j.Unplaced == 0 {
 			continue
 		}
-		for _, a := range j.record.ActiveTasks {
+		for _, a := range j.Record.ActiveTasks {
 			if a.Machine != "" {
 				continue
 			}
@@ -151,7 +152,7 @@
 			if n.ownerIsHeard(n.shards[a.Shard]) {
 				wait = 40 * second
 			}
-			if n.now-j.changedAt < wait || n.gangs[wire.GangKey(j.id, a.Attempt)] != nil {
+			if n.now-j.ChangedAt < wait || n.gangs[wire.GangKey(j.ID, a.Attempt)] != nil {
 				continue
 			}
 			rec := w.job(j)
--- a/internal/core/leader_state_test.go
+++ b/internal/core/leader_state_test.go
@@ -19,7 +19,7 @@
 	n.putLeader(&wire.Leader{Controller: "n0", Incarnation: "x"}, 5)
 	d.put(&wire.Job{TaskCount: 1, NextAttempt: 1, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, TaskCount: 1, Image: "i"}})
 	j := n.jobNamed("wk-000001")
-	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []Write{{Key: wire.JobKey(j.id), Value: j.record}}}
+	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []Write{{Key: wire.JobKey(j.ID), Value: j.Record}}}
 	if !n.leader.batch.changes(j) || !n.isLeader() {
 		t.Fatal("the leader's commit is not under way")
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -91,7 +91,7 @@
 // newClaim is the record of a claim of ours.
 func (n *Node) newClaim(streak int) *wire.Leader {
 	claim := &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}
-	if n.writesEarlyFailover() {
+	if n.replica.WritesEarlyFailover() {
 		claim.Fenced, claim.Streak = n.cfg.EarlyTakeover, streak
 	}
 	return claim
@@ -103,7 +103,7 @@
 	n.nextClaimAt = n.now + 500*time.Millisecond
 	n.claimLeaseID = n.leaderLease.id
 	writes := []Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leaderLease.id}}
-	n.commit(ClassLease, []Condition{{wire.LeaderKey, rev}}, append(writes, more...), func(c Committed) {
+	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: rev}}, append(writes, more...), func(c Committed) {
 		switch c.Outcome {
 		case LeaseExpired:
 			n.leaderLease.id, n.leaderLease.renewAt = 0, n.now
@@ -119,13 +119,13 @@
 // dropUnseenClaim gives up a claim that the replica does not show: our watch hangs. Kept
 // alive by our renewals, it would leave the site without a leader that decides.
 func (n *Node) dropUnseenClaim() {
-	if n.acceptedTerm <= n.revision || n.now-n.acceptedAt < unseenClaimTimeout || !n.cfg.EarlyTakeover {
+	if n.acceptedTerm <= n.replica.Revision() || n.now-n.acceptedAt < unseenClaimTimeout || !n.cfg.EarlyTakeover {
 		return
 	}
 	term := n.acceptedTerm
 	n.acceptedTerm, n.nextClaimAt = 0, n.now+10*second
 	n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
-	n.commit(ClassLease, []Condition{{wire.LeaderKey, term}}, []Write{{Key: wire.LeaderKey}}, func(Committed) {})
+	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: term}}, []Write{{Key: wire.LeaderKey}}, func(Committed) {})
 }
 
 // isolated tells whether we can't reach the cloud, or no other controller.
@@ -167,7 +167,7 @@
 			// From here on we don't lead, even if our watch hangs and never
 			// shows it; only a refusal says that we still do.
 			n.abandonedTerm = n.leader.term
-			n.commit(ClassLease, []Condition{{wire.LeaderKey, n.leader.term}}, []Write{{Key: wire.LeaderKey}}, func(c Committed) {
+			n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, []Write{{Key: wire.LeaderKey}}, func(c Committed) {
 				if c.Outcome == Refused {
 					n.abandonedTerm = 0
 				}
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -62,7 +62,7 @@
 
 // anotherLeads tells whether the records name another controller as the leader.
 func (n *Node) anotherLeads() bool {
-	return n.loaded && !n.isLeader() && n.leader.record != nil && n.leader.record.Controller != n.cfg.Self
+	return n.replica.Loaded() && !n.isLeader() && n.leader.record != nil && n.leader.record.Controller != n.cfg.Self
 }
 
 // sendRenewal extends a lease, or makes one.
@@ -98,7 +98,7 @@
 	held := map[int]uint64{}
 	for i, p := range n.shards {
 		if n.owns(p) {
-			conds = append(conds, Condition{wire.ShardKey(p.name), p.term})
+			conds = append(conds, Condition{Key: wire.ShardKey(p.name), Revision: p.term})
 			held[i] = p.term
 		}
 	}
@@ -128,7 +128,7 @@
 // cancellation it has not seen.
 func (n *Node) settleOwnershipChecks() {
 	n.ownershipChecks = slices.DeleteFunc(n.ownershipChecks, func(c ownershipCheck) bool {
-		if c.revision > n.revision {
+		if c.revision > n.replica.Revision() {
 			return false
 		}
 		n.provenAt = max(n.provenAt, c.sentAt)
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"micaport/internal/indexset"
 	"micaport/internal/wire"
 )
 
@@ -44,7 +45,7 @@
 	draining        bool
 	noCapacityUntil Time
 
-	images indexSet
+	images indexset.Set
 
 	// As seen from anywhere.
 	view             machineView
@@ -89,7 +90,7 @@
 }
 
 func (n *Node) machineNamed(name string) *machine {
-	ix := n.machineNames.Of(name)
+	ix := n.names.Machines.Of(name)
 	if ix == len(n.machines) {
 		n.machines = append(n.machines, &machine{index: ix, name: name, shard: -1, machineType: -1, zone: -1})
 	}
@@ -131,7 +132,7 @@
 	for i := range h.placements {
 		p := &h.placements[i]
 		j := n.jobs[p.job]
-		sp := j.record.Spec
+		sp := j.Record.Spec
 		if sp == nil {
 			continue
 		}
@@ -140,12 +141,12 @@
 		t.gpus += sp.GPUs
 		t.memoryGB += sp.MemoryGB
 		t.daemon = t.daemon || sp.Shape == wire.ShapeDaemon
-		if p.stop != wire.StopNone || j.record.State != wire.JobLive {
+		if p.stop != wire.StopNone || j.Record.State != wire.JobLive {
 			t.releasingCores += sp.Cores
 			t.releasingGPUs += sp.GPUs
 			t.releasingMemoryGB += sp.MemoryGB
 		} else if sp.Shape != wire.ShapeDaemon {
-			h.lowestPriority = min(h.lowestPriority, j.priority)
+			h.lowestPriority = min(h.lowestPriority, j.Priority)
 		}
 	}
 	return &h.used
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -20,24 +20,24 @@
 	switch t.ExitCause {
 	case wire.CauseDone:
 		h.failedJobs, h.unhealthy = nil, false
-		h.images.add(j.image)
+		h.images.Add(j.Image)
 	case wire.CauseError:
 		if h.failedJobs == nil {
 			h.failedJobs = map[int]bool{}
 		}
-		if j.record.ConsecutiveErrors < 3 {
+		if j.Record.ConsecutiveErrors < 3 {
 			h.failedJobs[k.job] = true
 		}
 		// Two jobs failing here, or one that runs elsewhere, speak against
 		// the machine rather than the job.
-		if n.failedJobCount(h) >= 2 || j.record.DoneTasks.Count() > 0 {
+		if n.failedJobCount(h) >= 2 || j.Record.DoneTasks.Count() > 0 {
 			h.unhealthy = true
 		}
 		n.ownViewAt = 0 // before more is granted to it
 	case wire.CauseNoCapacity:
 		h.noCapacityUntil = n.now + 2*n.cfg.HeartbeatInterval
 	}
-	n.log(LogDebug, "task exited", "job", j.id, "task", k.task, "attempt", k.attempt, "machine", h.name, "cause", t.ExitCause)
+	n.log(LogDebug, "task exited", "job", j.ID, "task", k.task, "attempt", k.attempt, "machine", h.name, "cause", t.ExitCause)
 }
 
 // failedJobCount counts the jobs that failed on a machine since something last succeeded
@@ -67,7 +67,7 @@
 	if n.now < n.placementAt {
 		return
 	}
-	n.placementAt = n.now + 60*time.Millisecond + Time(len(n.live))*20*time.Microsecond
+	n.placementAt = n.now + 60*time.Millisecond + Time(len(n.replica.Live()))*20*time.Microsecond
 	anyValid := false
 	for _, p := range n.shards {
 		if n.mayActAsOwner(p) {
@@ -111,7 +111,7 @@
 			k := h.placements[i].taskKey
 			if _, known := n.outcomes[k]; !known && h.placements[i].shard == p.index {
 				n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
-				n.log(LogInfo, "task lost", "job", n.jobs[k.job].id, "task", k.task, "machine", h.name)
+				n.log(LogInfo, "task lost", "job", n.jobs[k.job].ID, "task", k.task, "machine", h.name)
 			}
 		}
 	}
@@ -144,10 +144,10 @@
 // the time its turn comes, one put often serves several.
 func (n *Node) isUrgentOutcome(k taskKey, res taskOutcome) bool {
 	j := n.jobs[k.job]
-	if j.record == nil || j.record.State != wire.JobLive {
+	if j.Record == nil || j.Record.State != wire.JobLive {
 		return false
 	}
-	return j.record.Spec.Shape != wire.ShapeArray || res.cause != wire.CauseDone || len(j.record.ActiveTasks) == 1
+	return j.Record.Spec.Shape != wire.ShapeArray || res.cause != wire.CauseDone || len(j.Record.ActiveTasks) == 1
 }
 
 // applyOutcomes writes what became of tasks, either what presses or the rest.
@@ -224,7 +224,7 @@
 	}
 	s.take(rec.Spec)
 	rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: was.Task, Attempt: w.attempt(j, rec), Shard: was.Shard, Machine: s.machine.name, Epoch: s.machine.epoch, Admitted: was.Admitted})
-	n.log(LogDebug, "task replaced", "job", j.id, "task", was.Task, "machine", s.machine.name)
+	n.log(LogDebug, "task replaced", "job", j.ID, "task", was.Task, "machine", s.machine.name)
 }
 
 // removeExitedTask takes a task that is gone out of its record.
@@ -279,7 +279,7 @@
 	slices.Sort(list)
 	for _, jx := range list {
 		j := n.jobs[jx]
-		if j.record == nil || j.record.State != wire.JobLive || !slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool { return a.Stop == wire.StopNone }) {
+		if j.Record == nil || j.Record.State != wire.JobLive || !slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool { return a.Stop == wire.StopNone }) {
 			delete(n.gangsToStop, jx)
 			continue
 		}
@@ -328,8 +328,8 @@
 					// What is proven gone leaves its room, though its record
 					// still shows it; the new placing goes into the same put.
 					for i := range h.placements {
-						if _, over := n.outcomes[h.placements[i].taskKey]; over && n.jobs[h.placements[i].job].record.Spec != nil {
-							s.release(n.jobs[h.placements[i].job].record.Spec, 1)
+						if _, over := n.outcomes[h.placements[i].taskKey]; over && n.jobs[h.placements[i].job].Record.Spec != nil {
+							s.release(n.jobs[h.placements[i].job].Record.Spec, 1)
 						}
 					}
 					slots.add(s)
@@ -354,9 +354,9 @@
 
 // placeGranted chooses machines for the tasks granted to our shards.
 func (n *Node) placeGranted(w *writer, room *lazySlots) {
-	for _, jx := range n.live {
+	for _, jx := range n.replica.Live() {
 		j := n.jobs[jx]
-		if j.unplaced == 0 || n.leader.batch.changes(j) || !slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool {
+		if j.Unplaced == 0 || n.leader.batch.changes(j) || !slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
 			return a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard])
 		}) {
 			continue
@@ -370,8 +370,8 @@
 const grantTimeout = 2500 * time.Millisecond
 
 func (n *Node) placeJob(w *writer, j *job, slots *slotSet) {
-	sp := j.record.Spec
-	if j.record.State != wire.JobLive {
+	sp := j.Record.Spec
+	if j.Record.State != wire.JobLive {
 		if rec := w.job(j); rec != nil {
 			n.revokeUnplaced(w, rec)
 		}
@@ -383,17 +383,17 @@
 	}
 	slack := newRecordRoom(n, w)
 	var s *slot
-	for i := range j.record.ActiveTasks {
-		a := &j.record.ActiveTasks[i]
+	for i := range j.Record.ActiveTasks {
+		a := &j.Record.ActiveTasks[i]
 		if a.Machine != "" || !n.mayActAsOwner(n.shards[a.Shard]) {
 			continue
 		}
-		if !j.largeArray || s == nil || s.shard != a.Shard || !s.fits(sp) {
+		if !j.LargeArray || s == nil || s.shard != a.Shard || !s.fits(sp) {
 			if s = slots.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil); s != nil && !slack.mayAdd(j) {
 				s = nil
 			}
 		}
-		k := taskKey{j.index, a.Task, a.Attempt}
+		k := taskKey{j.Index, a.Task, a.Attempt}
 		if s == nil && !n.grantTimedOut(k) {
 			continue
 		}
@@ -447,7 +447,7 @@
 
 // awaitsPlacement tells whether the record holds a grant that has no machine yet.
 func (j *job) awaitsPlacement(k taskKey) bool {
-	return j.record != nil && j.unplaced > 0 && slices.ContainsFunc(j.record.ActiveTasks, func(a wire.ActiveTask) bool {
+	return j.Record != nil && j.Unplaced > 0 && slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
 		return a.Task == k.task && a.Attempt == k.attempt && a.Machine == ""
 	})
 }
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -12,9 +12,17 @@
 // term, in a report with the given number.
 func owner(t *testing.T) (d *drive, term uint64) {
 	t.Helper()
-	d = &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"},
+	return ownerWith(t, func(*Config) {})
+}
+
+// ownerWith is owner with a changed configuration.
+func ownerWith(t *testing.T, change func(*Config)) (d *drive, term uint64) {
+	t.Helper()
+	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"},
 		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
-		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
+		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }}
+	change(&cfg)
+	d = &drive{rev: 1, n: New(cfg)}
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	d.wait(2 * second)
 	term = d.n.shards[0].term
@@ -44,7 +52,7 @@
 		}
 		d.report(9, token)
 		d.wait(3 * second)
-		if gone := len(d.n.jobs[0].record.ActiveTasks) == 0; gone != c.gone {
+		if gone := len(d.n.jobs[0].Record.ActiveTasks) == 0; gone != c.gone {
 			t.Errorf("our own term in the report: %v; taken as gone: %v", c.own, gone)
 		}
 	}
@@ -58,7 +66,7 @@
 	d.put(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 	d.report(9, term)
 	d.wait(second)
-	if len(d.n.jobs[0].record.ActiveTasks) == 0 {
+	if len(d.n.jobs[0].Record.ActiveTasks) == 0 {
 		t.Error("a copy proved a task gone")
 	}
 	if !slices.ContainsFunc(d.out, func(e Effect) bool { r, is := e.(Reply); return is && r.Status == 503 }) {
@@ -101,7 +109,7 @@
 			if !is || len(c.Writes) == 0 || c.Writes[0].Key != wire.JobKey("wk-000001") {
 				continue
 			}
-			if !slices.Contains(c.Conditions, Condition{wire.LeaderKey, n.leader.term}) || !slices.Contains(c.Conditions, Condition{wire.JobKey("wk-000001"), d.rev}) {
+			if !slices.Contains(c.Conditions, Condition{Key: wire.LeaderKey, Revision: n.leader.term}) || !slices.Contains(c.Conditions, Condition{Key: wire.JobKey("wk-000001"), Revision: d.rev}) {
 				t.Errorf("granted under %+v", c.Conditions)
 			}
 			return
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -18,14 +18,14 @@
 func (p *schedulingPass) mayPreempt(w *queuedJob) bool {
 	n := p.node
 	return n.cfg.Preempt && p.preemptions < 8 && n.now-w.job.waitingSince >= second && n.now >= w.job.preemptAt &&
-		(w.job.priority >= 2 || w.withinGuarantee)
+		(w.job.Priority >= 2 || w.withinGuarantee)
 }
 
 // victimsOn lists the tasks to be stopped on a machine so that a task of w
 // fits, cheapest first. With all set it asks instead whether the machine could
 // take the task once everything but daemons has ended.
 func (p *schedulingPass) victimsOn(w *queuedJob, s *slot, all bool) ([]victim, bool) {
-	n, sp := p.node, w.job.record.Spec
+	n, sp := p.node, w.job.Record.Spec
 	if s.machine == nil {
 		return nil, false
 	}
@@ -33,18 +33,18 @@
 	for i := range s.machine.placements {
 		x := &s.machine.placements[i]
 		v := n.jobs[x.job]
-		if v == w.job || x.stop != wire.StopNone || v.record.State != wire.JobLive || v.record.Spec.Shape == wire.ShapeDaemon {
+		if v == w.job || x.stop != wire.StopNone || v.Record.State != wire.JobLive || v.Record.Spec.Shape == wire.ShapeDaemon {
 			continue
 		}
 		if !all && (p.writer.records[x.job] != nil || !p.mayPreemptJob(w, v)) {
 			continue
 		}
-		cost := v.record.Spec.CheckpointTimeS + float64(20*v.priority)
-		if v.record.Spec.CheckpointIntervalS == 0 {
+		cost := v.Record.Spec.CheckpointTimeS + float64(20*v.Priority)
+		if v.Record.Spec.CheckpointIntervalS == 0 {
 			cost += 100
 		}
-		if v.record.Spec.Shape == wire.ShapeGang {
-			cost += 30 * float64(len(v.record.ActiveTasks)-1)
+		if v.Record.Spec.Shape == wire.ShapeGang {
+			cost += 30 * float64(len(v.Record.ActiveTasks)-1)
 		}
 		list = append(list, victim{v, x.taskKey, cost})
 	}
@@ -57,7 +57,7 @@
 			break
 		}
 		chosen = append(chosen, v)
-		room.release(v.job.record.Spec, 1)
+		room.release(v.job.Record.Spec, 1)
 	}
 	return chosen, len(chosen) > 0 && room.fitsAfterRelease(sp)
 }
@@ -72,7 +72,7 @@
 	var room *slot
 	bestCost := 0.0
 	for _, s := range p.available.all {
-		if s.machine.lowestPriority > w.job.priority || s.reserved || !s.accepts(w.job) || !ok(s) {
+		if s.machine.lowestPriority > w.job.Priority || s.reserved || !s.accepts(w.job) || !ok(s) {
 			continue
 		}
 		p.node.workCount++
@@ -92,7 +92,7 @@
 		w.job.preemptAt = p.node.now + second // no need to look again at every pass
 		return nil
 	}
-	w.job.preemptAt = p.node.now + 3*p.node.cfg.HeartbeatInterval + Time(best[0].job.record.Spec.CheckpointTimeS*float64(second))
+	w.job.preemptAt = p.node.now + 3*p.node.cfg.HeartbeatInterval + Time(best[0].job.Record.Spec.CheckpointTimeS*float64(second))
 	return room
 }
 
@@ -103,7 +103,7 @@
 		if rec == nil {
 			return false
 		}
-		if v.job.record.Spec.Shape == wire.ShapeGang {
+		if v.job.Record.Spec.Shape == wire.ShapeGang {
 			preemptAll(rec)
 		} else {
 			for i := range rec.ActiveTasks {
@@ -112,7 +112,7 @@
 				}
 			}
 		}
-		p.node.log(LogInfo, "preempting", "job", v.job.id, "task", v.key.task, "for", w.job.id)
+		p.node.log(LogInfo, "preempting", "job", v.job.ID, "task", v.key.task, "for", w.job.ID)
 	}
 	p.preemptions++
 	return true
@@ -122,8 +122,8 @@
 // comes first in the queue as well: otherwise what was stopped would get its
 // place back and be stopped again.
 func (p *schedulingPass) mayPreemptJob(w *queuedJob, v *job) bool {
-	if v.priority < w.job.priority {
+	if v.Priority < w.job.Priority {
 		return true
 	}
-	return v.priority == w.job.priority && w.withinGuarantee && !v.withinGuarantee && v.team != w.job.team
+	return v.Priority == w.job.Priority && w.withinGuarantee && !v.withinGuarantee && v.Team != w.job.Team
 }
--- a/internal/core/provision.go
+++ b/internal/core/provision.go
@@ -126,7 +126,7 @@
 func (n *Node) setMachineTypes(f []wire.MachineType) {
 	n.offeredTypes = f
 	for i := range f {
-		ix := n.typeNames.Of(f[i].Name)
+		ix := n.names.MachineTypes.Of(f[i].Name)
 		for len(n.machineTypes) <= ix {
 			n.machineTypes = append(n.machineTypes, nil)
 		}
@@ -146,7 +146,7 @@
 		for len(f) > 1 && !n.valueFits(&wire.MachineTypeCache{Types: f}) {
 			f = f[:len(f)-1] // better some than none
 		}
-		n.commit(ClassBackground, []Condition{{wire.LeaderKey, n.leader.term}},
+		n.commit(ClassBackground, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}},
 			[]Write{{Key: wire.MachineTypesKey, Value: &wire.MachineTypeCache{Types: f}}}, func(Committed) {})
 	}
 }
@@ -189,12 +189,12 @@
 	for i := range list {
 		m := &list[i]
 		listed[m.Name] = true
-		ix := n.machineNames.Find(m.Name)
+		ix := n.names.Machines.Find(m.Name)
 		known := ix >= 0 && n.machines[ix].view.known
 		if ix >= 0 && n.machines[ix].returned {
 			continue
 		}
-		r := n.typeAt(n.typeNames.Find(m.MachineType))
+		r := n.typeAt(n.names.MachineTypes.Find(m.MachineType))
 		switch {
 		case m.Status == wire.MachineFailed:
 			back = append(back, m.Name)
@@ -204,7 +204,7 @@
 		case m.Status == wire.MachineBooting:
 			b := c.booting[m.Name]
 			if b == nil {
-				b = &bootingMachine{pool: machinePool{n.typeNames.Of(m.MachineType), n.zoneNames.Of(m.Zone), m.Spot}, provisionedAt: n.now - Time(m.AgeS*float64(second))}
+				b = &bootingMachine{pool: machinePool{n.names.MachineTypes.Of(m.MachineType), n.names.Zones.Of(m.Zone), m.Spot}, provisionedAt: n.now - Time(m.AgeS*float64(second))}
 				c.booting[m.Name] = b
 			}
 			b.listed = true
@@ -242,7 +242,7 @@
 	sort.Strings(names)
 	for _, name := range names {
 		b := c.booting[name]
-		if ix := n.machineNames.Find(name); ix >= 0 && n.machines[ix].view.known {
+		if ix := n.names.Machines.Find(name); ix >= 0 && n.machines[ix].view.known {
 			c.noteBooted(n, name)
 			continue
 		}
@@ -292,21 +292,21 @@
 
 // pools lists the pools that a job's tasks may be put on, cheapest first.
 func (p *schedulingPass) pools(j *job) []pricedPool {
-	n, sp := p.node, j.record.Spec
+	n, sp := p.node, j.Record.Spec
 	list := make([]pricedPool, 0, 8)
 	for ix, r := range n.machineTypes {
 		if r == nil || !fitsType(sp, r) {
 			continue
 		}
 		for _, name := range r.Zones {
-			z := n.zoneNames.Find(name)
+			z := n.names.Zones.Find(name)
 			if z < 0 || n.shardOf(z, "") < 0 {
 				continue
 			}
-			if r.SpotPricePerHour > 0 && j.allows(ix, z, true) {
+			if r.SpotPricePerHour > 0 && j.Allows(ix, z, true) {
 				list = append(list, pricedPool{machinePool{ix, z, true}, r.SpotPricePerHour})
 			}
-			if j.allows(ix, z, false) {
+			if j.Allows(ix, z, false) {
 				list = append(list, pricedPool{machinePool{ix, z, false}, r.PricePerHour})
 			}
 		}
@@ -393,7 +393,7 @@
 		}
 		k := min(p.provisions[x], 50)
 		c.provisions = append(c.provisions, &provisioning{pool: x, decidedAt: n.now,
-			request: wire.ProvisionRequest{Name: n.provisionName(), MachineType: n.typeNames.Name(x.machineType), Zone: n.zoneNames.Name(x.zone), Spot: x.spot, Count: k}})
+			request: wire.ProvisionRequest{Name: n.provisionName(), MachineType: n.names.MachineTypes.Name(x.machineType), Zone: n.names.Zones.Name(x.zone), Spot: x.spot, Count: k}})
 		if p.provisions[x] -= k; p.provisions[x] == 0 {
 			ask = ask[1:]
 		} else {
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -35,22 +35,22 @@
 	for i := range queues {
 		queues[i] = &teamQueue{team: i}
 	}
-	used := make([]usage, n.teamNames.Len())
+	used := make([]usage, n.names.Teams.Len())
 	for _, index := range n.jobsByAge() {
 		j := n.jobs[index]
-		if j.record.State != wire.JobLive || j.record.Spec == nil || j.team < 0 || j.isWaiting() {
+		if j.Record.State != wire.JobLive || j.Record.Spec == nil || j.Team < 0 || j.IsWaiting() {
 			continue
 		}
-		used[j.team].add(j.record.Spec, float64(j.record.TaskCount-j.record.DoneTasks.Count()))
-		j.withinGuarantee = n.teamQuota(j.team).guarantees(used[j.team])
+		used[j.Team].add(j.Record.Spec, float64(j.Record.TaskCount-j.Record.DoneTasks.Count()))
+		j.withinGuarantee = guarantees(n.replica.Quota(j.Team), used[j.Team])
 		if n.isDeferred(j) {
 			continue
 		}
-		if j.record.Spec.Shape == wire.ShapeGang && len(j.record.ActiveTasks) > 0 {
+		if j.Record.Spec.Shape == wire.ShapeGang && len(j.Record.ActiveTasks) > 0 {
 			continue // the old attempt is not gone yet
 		}
 		if w := n.queuedTasks(j); len(w.tasks) > 0 {
-			queues[j.team].jobs = append(queues[j.team].jobs, w)
+			queues[j.Team].jobs = append(queues[j.Team].jobs, w)
 		} else {
 			j.waitingSince = 0
 		}
@@ -63,16 +63,16 @@
 
 // jobsByAge lists the live jobs, those first that have been able to run for longest.
 func (n *Node) jobsByAge() []int {
-	order := slices.Clone(n.live)
+	order := slices.Clone(n.replica.Live())
 	slices.SortFunc(order, func(a, b int) int {
 		x, y := n.jobs[a], n.jobs[b]
-		return cmp.Or(cmp.Compare(x.runnableSinceMS(), y.runnableSinceMS()), cmp.Compare(x.id, y.id))
+		return cmp.Or(cmp.Compare(x.RunnableSinceMS(), y.RunnableSinceMS()), cmp.Compare(x.ID, y.ID))
 	})
 	return order
 }
 
 // guarantees tells whether a team has a guarantee that covers a use.
-func (t *Team) guarantees(used usage) bool {
+func guarantees(t *Team, used usage) bool {
 	return (t.GuaranteedGPUs > 0 || t.GuaranteedCores > 0) && !exceeds(used.cards, t.GuaranteedGPUs) && !exceeds(used.cores, t.GuaranteedCores)
 }
 
@@ -82,27 +82,27 @@
 	if n.now < j.retryAt || n.batch.changes(j) || n.defersToOwner(j) {
 		return true
 	}
-	placing := j.unplaced > 0 && n.now-j.changedAt < Time(float64(ownerPlacementTime)*n.writeScarcity())
-	return placing && (!j.largeArray || n.now-j.grantedAt < ownerPlacementTime)
+	placing := j.Unplaced > 0 && n.now-j.ChangedAt < Time(float64(ownerPlacementTime)*n.writeScarcity())
+	return placing && (!j.LargeArray || n.now-j.grantedAt < ownerPlacementTime)
 }
 
 // queuedTasks lists the tasks of a job that may be granted now; none where the job has
 // to wait for its own earlier tasks.
 func (n *Node) queuedTasks(j *job) *queuedJob {
-	w := &queuedJob{job: j, withinGuarantee: j.withinGuarantee, latestStartMS: n.latestStart(j), runBudget: len(j.record.ActiveTasks) + j.record.TaskCount}
-	if j.record.Spec.Shape == wire.ShapeGang {
-		w.tasks = n.waitingTasks(j, j.record.TaskCount)
+	w := &queuedJob{job: j, withinGuarantee: j.withinGuarantee, latestStartMS: n.latestStart(j), runBudget: len(j.Record.ActiveTasks) + j.Record.TaskCount}
+	if j.Record.Spec.Shape == wire.ShapeGang {
+		w.tasks = n.waitingTasks(j, j.Record.TaskCount)
 		return w
 	}
-	w.tasks = n.waitingTasks(j, n.maxActiveTasks(j)-len(j.record.ActiveTasks))
-	if j.largeArray {
+	w.tasks = n.waitingTasks(j, n.maxActiveTasks(j)-len(j.Record.ActiveTasks))
+	if j.LargeArray {
 		w.runBudget = n.remainingRuns(j)
 	}
 	if w.runBudget <= 0 || n.now-j.grantedAt < n.grantDelay(j) {
 		w.tasks = nil
 	}
 	if j.suspect { // one task shows as much as many
-		w.tasks = w.tasks[:min(len(w.tasks), boolToInt(len(j.record.ActiveTasks) == 0))]
+		w.tasks = w.tasks[:min(len(w.tasks), boolToInt(len(j.Record.ActiveTasks) == 0))]
 	}
 	return w
 }
@@ -112,7 +112,7 @@
 // job's turn comes seldom and takes one put; behind a swarm of small jobs, which need
 // one each, it would never come.
 func compareUrgency(a, b *queuedJob) int {
-	return cmp.Or(b.rank()-a.rank(), cmp.Compare(a.latestStartMS, b.latestStartMS), boolToInt(b.job.largeArray)-boolToInt(a.job.largeArray))
+	return cmp.Or(b.rank()-a.rank(), cmp.Compare(a.latestStartMS, b.latestStartMS), boolToInt(b.job.LargeArray)-boolToInt(a.job.LargeArray))
 }
 
 // latestStart is by when a job of a chain has to begin to be in time, as time of day in
@@ -132,11 +132,11 @@
 // rank puts urgent work first, and among equals work within a guarantee
 // before borrowed. It must agree with mayPreemptJob: if what was stopped came before
 // what it was stopped for, the two would take turns.
-func (w *queuedJob) rank() int { return 2*w.job.priority + boolToInt(w.withinGuarantee) }
+func (w *queuedJob) rank() int { return 2*w.job.Priority + boolToInt(w.withinGuarantee) }
 
 // shareUsed is how much of its guarantee a team uses; less is served first.
 func (p *schedulingPass) shareUsed(team int) float64 {
-	u, t := p.used[team], p.node.teamQuota(team)
+	u, t := p.used[team], p.node.replica.Quota(team)
 	switch {
 	case t.GuaranteedGPUs > 0:
 		return u.cards / t.GuaranteedGPUs
@@ -160,10 +160,10 @@
 	for _, q := range qs {
 		for _, w := range q.jobs {
 			j := w.job
-			if j.record.Spec.Shape != wire.ShapeGang || j.waitingSince == 0 || p.node.now-j.waitingSince < gangStarvationTime {
+			if j.Record.Spec.Shape != wire.ShapeGang || j.waitingSince == 0 || p.node.now-j.waitingSince < gangStarvationTime {
 				continue
 			}
-			if first == nil || j.waitingSince < first.job.waitingSince || j.waitingSince == first.job.waitingSince && j.id < first.job.id {
+			if first == nil || j.waitingSince < first.job.waitingSince || j.waitingSince == first.job.waitingSince && j.ID < first.job.ID {
 				first = w
 			}
 		}
@@ -198,7 +198,7 @@
 		}
 		w := pick.jobs[0]
 		more := false
-		if w.job.record.Spec.Shape == wire.ShapeGang {
+		if w.job.Record.Spec.Shape == wire.ShapeGang {
 			p.serveGang(w)
 		} else {
 			more = p.serveTask(w)
@@ -211,10 +211,10 @@
 
 // record is the job's record with what this pass has added.
 func (p *schedulingPass) record(j *job) *wire.Job {
-	if r := p.writer.records[j.index]; r != nil {
+	if r := p.writer.records[j.Index]; r != nil {
 		return r
 	}
-	return j.record
+	return j.Record
 }
 
 // unmetDemand is a demand for which there was no free room in this pass.
@@ -227,10 +227,10 @@
 // isUnmet tells whether a demand that asked for no more, at no fewer places,
 // has found no room already: then there is no need to look again.
 func (p *schedulingPass) isUnmet(j *job, partly bool) bool {
-	sp := j.record.Spec
+	sp := j.Record.Spec
 	for i := range p.unmetDemands {
 		m := &p.unmetDemands[i]
-		if m.any && (m.zone < 0 || m.zone == j.zone) && (m.spot || !j.allowSpot) && (!m.avoidsIdle || partly) &&
+		if m.any && (m.zone < 0 || m.zone == j.Zone) && (m.spot || !j.AllowSpot) && (!m.avoidsIdle || partly) &&
 			m.cores <= sp.Cores+epsilon && m.cards <= sp.GPUs+epsilon && m.mem <= sp.MemoryGB+epsilon {
 			return true
 		}
@@ -239,8 +239,8 @@
 }
 
 func (p *schedulingPass) noteUnmet(j *job, partly bool) {
-	if sp := j.record.Spec; len(j.record.FailedMachines) == 0 && len(p.unmetDemands) < 16 {
-		p.unmetDemands = append(p.unmetDemands, unmetDemand{sp.Cores, sp.GPUs, sp.MemoryGB, j.zone, j.anyType, j.allowSpot, partly})
+	if sp := j.Record.Spec; len(j.Record.FailedMachines) == 0 && len(p.unmetDemands) < 16 {
+		p.unmetDemands = append(p.unmetDemands, unmetDemand{sp.Cores, sp.GPUs, sp.MemoryGB, j.Zone, j.AnyType, j.AllowSpot, partly})
 	}
 }
 
@@ -270,15 +270,15 @@
 func (p *schedulingPass) countTasks(w *queuedJob) {
 	w.zoneTasks = p.node.zoneTasks(p.record(w.job))
 	w.shardTasks = make([]int, len(p.node.shards))
-	for i := range w.job.record.ActiveTasks {
-		w.shardTasks[w.job.record.ActiveTasks[i].Shard]++
+	for i := range w.job.Record.ActiveTasks {
+		w.shardTasks[w.job.Record.ActiveTasks[i].Shard]++
 	}
 }
 
 // placementRule gives the test whether the next task of a job may be planned on a machine,
 // up or to come, by its place and kind.
 func (p *schedulingPass) placementRule(w *queuedJob) func(*slot) bool {
-	spec, zones := w.job.record.Spec, w.zoneTasks
+	spec, zones := w.job.Record.Spec, w.zoneTasks
 	w.avoidsIdle = p.avoidsIdleOnDemand(w)
 	return func(s *slot) bool {
 		// Machines to come are no different: planned on ordinary ones that it
@@ -304,8 +304,8 @@
 // machine, by the machine's shard.
 func (p *schedulingPass) shardPenalty(w *queuedJob) func(*slot) float64 {
 	j, scarcity := w.job, p.node.writeScarcity()
-	started := len(j.record.ActiveTasks) > 0 || p.writer.records[j.index] != nil
-	if j.largeArray {
+	started := len(j.Record.ActiveTasks) > 0 || p.writer.records[j.Index] != nil
+	if j.LargeArray {
 		scarcity = 2 // its owners and the leader would keep each other from writing its record
 	}
 	return func(s *slot) float64 {
@@ -314,9 +314,9 @@
 			return 0
 		case started && w.shardTasks[s.shard] == 0:
 			return newShardPenalty * scarcity
-		case j.largeArray: // begun in different shards, several don't meet
-			return foreignShardPenalty * float64(boolToInt(!started && s.shard != j.index%len(p.node.shards)))
-		case !started && j.priority == 0 && !p.node.owns(p.node.shards[s.shard]):
+		case j.LargeArray: // begun in different shards, several don't meet
+			return foreignShardPenalty * float64(boolToInt(!started && s.shard != j.Index%len(p.node.shards)))
+		case !started && j.Priority == 0 && !p.node.owns(p.node.shards[s.shard]):
 			return foreignShardPenalty * scarcity
 		}
 		return 0
@@ -326,15 +326,15 @@
 // hasNoZoneRule tells whether it makes no difference to a job's tasks where the others are,
 // so that what was found out for one holds for the rest.
 func (w *queuedJob) hasNoZoneRule() bool {
-	return !w.job.record.Spec.Spread && !w.job.record.Spec.SameZone
+	return !w.job.Record.Spec.Spread && !w.job.Record.Spec.SameZone
 }
 
 // runLengthOn is how many of a job's next tasks a machine takes at once.
 func (p *schedulingPass) runLengthOn(w *queuedJob, s *slot) int {
-	if !w.job.largeArray {
+	if !w.job.LargeArray {
 		return 1
 	}
-	tasks := min(s.capacityFor(w.job.record.Spec), len(w.tasks), maxRunLength)
+	tasks := min(s.capacityFor(w.job.Record.Spec), len(w.tasks), maxRunLength)
 	for tasks > 1 && !p.mayCharge(w.job, tasks, s) {
 		tasks--
 	}
@@ -345,7 +345,7 @@
 // machine still to come will take count in their zone too, else all would be planned
 // for the same one.
 func (w *queuedJob) assigned(s *slot, tasks int) {
-	s.release(w.job.record.Spec, -tasks)
+	s.release(w.job.Record.Spec, -tasks)
 	w.zoneTasks[s.zone] += tasks
 	w.tasks = w.tasks[tasks:]
 	w.runBudget--
@@ -381,11 +381,11 @@
 // planOnReleasing plans the next task of a job on room that is about to be free, or that is
 // made for it. A large array takes such room when it is there.
 func (p *schedulingPass) planOnReleasing(w *queuedJob, fits func(*slot) bool) bool {
-	if w.noReleasingRoom || w.job.largeArray {
+	if w.noReleasingRoom || w.job.LargeArray {
 		return false
 	}
 	for _, s := range p.available.releasing {
-		if s.accepts(w.job) && s.fitsAfterRelease(w.job.record.Spec) && fits(s) {
+		if s.accepts(w.job) && s.fitsAfterRelease(w.job.Record.Spec) && fits(s) {
 			w.assigned(s, 1)
 			return true
 		}
@@ -433,15 +433,15 @@
 // rather wait for one than break into an ordinary machine that nothing uses:
 // those are for whole-machine gangs and daemons, and cost several times more.
 func (p *schedulingPass) avoidsIdleOnDemand(w *queuedJob) bool {
-	j, sp := w.job, w.job.record.Spec
+	j, sp := w.job, w.job.Record.Spec
 	if p.isBackfill(w) {
 		return true
 	}
-	if !sp.AllowSpot || j.priority >= 2 || j.waitingSince != 0 && p.node.now-j.waitingSince > spotWaitTime {
+	if !sp.AllowSpot || j.Priority >= 2 || j.waitingSince != 0 && p.node.now-j.waitingSince > spotWaitTime {
 		return false
 	}
 	for _, c := range p.expected.classOrder {
-		if c.spot && float64(c.gpus) >= sp.GPUs && len(*p.expected.open[c]) > 0 && j.allows(c.machineType, c.zone, true) {
+		if c.spot && float64(c.gpus) >= sp.GPUs && len(*p.expected.open[c]) > 0 && j.Allows(c.machineType, c.zone, true) {
 			return true
 		}
 	}
@@ -465,10 +465,10 @@
 	}
 	j.waitingSince = p.node.now
 	switch {
-	case j.record.NextAttempt == 1 && j.links != nil && len(j.links.dependencies) > 0:
-		j.waitingSince = j.links.readyAt
-	case j.record.NextAttempt == 1:
-		j.waitingSince -= max(0, Time(p.node.cfg.WallClockMS()-j.record.AcceptedAtMS)*time.Millisecond)
+	case j.Record.NextAttempt == 1 && j.Links != nil && len(j.Links.Dependencies) > 0:
+		j.waitingSince = j.Links.ReadyAt
+	case j.Record.NextAttempt == 1:
+		j.waitingSince -= max(0, Time(p.node.cfg.WallClockMS()-j.Record.AcceptedAtMS)*time.Millisecond)
 	}
 	if j.waitingSince == 0 {
 		j.waitingSince = -1
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -11,14 +11,14 @@
 // activeTask finds a placed task in the replica.
 func (n *Node) activeTask(k taskKey, hostName string) *wire.ActiveTask {
 	if at := n.activeTaskIndex(k, hostName); at >= 0 {
-		return &n.jobs[k.job].record.ActiveTasks[at]
+		return &n.jobs[k.job].Record.ActiveTasks[at]
 	}
 	return nil
 }
 
 // activeTaskIndex gives a placed task's place in its record, or -1.
 func (n *Node) activeTaskIndex(k taskKey, hostName string) int {
-	ix := n.machineNames.Find(hostName)
+	ix := n.names.Machines.Find(hostName)
 	if k.job < 0 || ix < 0 {
 		return -1
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return
 	}
-	k := taskKey{n.jobIDs.Find(ref), task, t.Attempt}
+	k := taskKey{n.names.Jobs.Find(ref), task, t.Attempt}
 	x.reported[k] = true
 	a := n.activeTask(k, h.name)
 	switch {
@@ -99,10 +99,10 @@
 	h.reportedTasks[k] = t.State
 	j := n.jobs[k.job]
 	if x.previousStates[k] != t.State {
-		n.log(LogDebug, "task state changed", "job", j.id, "class", j.record.Spec.Class, "task", task, "attempt", t.Attempt, "machine", h.name, "state", t.State)
+		n.log(LogDebug, "task state changed", "job", j.ID, "class", j.Record.Spec.Class, "task", task, "attempt", t.Attempt, "machine", h.name, "state", t.State)
 	}
 	if t.State != wire.TaskFetching {
-		h.images.add(j.image)
+		h.images.Add(j.Image)
 	}
 	if grace, kill := n.stopGrace(h, j, a, t); kill {
 		x.command(wire.CommandKill, t.Task, t.Attempt, grace)
@@ -143,7 +143,7 @@
 	switch {
 	case x.heartbeat.Epoch > on.epoch:
 		n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
-	case j.record.State != wire.JobLive || on.stop != wire.StopNone || h.reclaimAt > 0:
+	case j.Record.State != wire.JobLive || on.stop != wire.StopNone || h.reclaimAt > 0:
 		if gone {
 			n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
 		} else if direct && n.mayStartTooLate(j, viaAddr) {
@@ -158,7 +158,7 @@
 		n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
 	case n.delaysGangStart(j, n.activeTask(k, h.name)):
 	default:
-		x.command(wire.CommandStart, wire.TaskName(j.id, k.task), k.attempt, 0)
+		x.command(wire.CommandStart, wire.TaskName(j.ID, k.task), k.attempt, 0)
 		h.startSentAt[k] = x.heartbeat.Sequence
 	}
 }
@@ -166,11 +166,11 @@
 // stopGrace decides whether a task on the machine has to stop, and with how
 // much time to save.
 func (n *Node) stopGrace(h *machine, j *job, a *wire.ActiveTask, t *wire.TaskStatus) (float64, bool) {
-	sp := j.record.Spec
+	sp := j.Record.Spec
 	switch {
-	case j.record.State == wire.JobCancelled, a.Stop == wire.StopAbandon:
+	case j.Record.State == wire.JobCancelled, a.Stop == wire.StopAbandon:
 		return 0, true
-	case j.record.State != wire.JobLive:
+	case j.Record.State != wire.JobLive:
 		return 0, false
 	case t.State == wire.TaskCheckpointing:
 		return 0, false
@@ -183,7 +183,7 @@
 	switch {
 	case sp.Shape == wire.ShapeGang && sp.TaskCount > 1:
 		// All tasks have to be told, so the record says it.
-		n.gangsToStop[j.index] = true
+		n.gangsToStop[j.Index] = true
 		return 0, false
 	case sp.Shape == wire.ShapeDaemon || sp.CheckpointIntervalS == 0:
 		return 0, left < 2.5*n.cfg.HeartbeatInterval.Seconds()
@@ -195,7 +195,7 @@
 // until those that fetch it are nearly there: a task waits for the others no
 // longer than gang_wait_s, which a fetch can exceed.
 func (n *Node) delaysGangStart(j *job, a *wire.ActiveTask) bool {
-	sp := j.record.Spec
+	sp := j.Record.Spec
 	if sp.Shape != wire.ShapeGang || sp.TaskCount < 2 {
 		return false
 	}
@@ -206,16 +206,16 @@
 		1.5*sp.ImageGB/r.FetchGBs < (n.cfg.GangWait-2*n.cfg.HeartbeatInterval).Seconds() {
 		return false
 	}
-	if !n.machineNamed(a.Machine).images.has(j.image) {
+	if !n.machineNamed(a.Machine).images.Has(j.Image) {
 		return false
 	}
-	for i := range j.record.ActiveTasks {
-		b := &j.record.ActiveTasks[i]
+	for i := range j.Record.ActiveTasks {
+		b := &j.Record.ActiveTasks[i]
 		if b.Attempt != a.Attempt || b.Machine == "" {
 			continue
 		}
 		hb := n.machineNamed(b.Machine)
-		if hb.images.has(j.image) || n.shards[b.Shard].record == nil || !n.mayActAsOwner(n.shards[b.Shard]) {
+		if hb.images.Has(j.Image) || n.shards[b.Shard].record == nil || !n.mayActAsOwner(n.shards[b.Shard]) {
 			continue
 		}
 		return true
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -36,8 +36,8 @@
 	if each > 450 {
 		t.Errorf("a finished job keeps %d bytes", each)
 	}
-	if len(n.live) != 0 {
-		t.Errorf("%d finished jobs count as live", len(n.live))
+	if len(n.replica.Live()) != 0 {
+		t.Errorf("%d finished jobs count as live", len(n.replica.Live()))
 	}
 	out := n.Step(second, UserRequest{RequestID: 1, Kind: wire.RequestStatus, JobID: "wk-000007"})
 	if len(out) == 0 || out[0].(Reply).Body.(wire.JobStatus).Status != wire.StatusDone {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -12,7 +12,6 @@
 func (n *Node) recordsChanged(c RecordsChanged) {
 	if c.Reset {
 		n.deleteUnlisted(c)
-		clear(n.overflow) // the listing holds all there are
 	}
 	n.applyEvents(c.Events)
 	if c.Reset {
@@ -20,8 +19,7 @@
 	} else {
 		n.countWrites(len(c.Events))
 	}
-	n.loaded = n.loaded || c.Reset
-	n.revision = max(n.revision, c.Revision)
+	n.replica.Reached(c.Revision, c.Reset)
 	n.leader.planNeeded = true
 	n.settleOwnershipChecks()
 	n.settleProofs()
@@ -36,11 +34,7 @@
 	for _, e := range listing.Events {
 		listed[e.Key] = true
 	}
-	for _, j := range n.jobs {
-		if j.record != nil && !listed[wire.JobKey(j.id)] {
-			n.putJob(j.id, nil, listing.Revision)
-		}
-	}
+	n.replica.DeleteUnlisted(listed, listing.Revision)
 	for _, p := range n.shards {
 		if p.record != nil && !listed[wire.ShardKey(p.name)] {
 			n.putShard(p, nil, listing.Revision)
@@ -51,11 +45,6 @@
 			delete(n.gangs, key)
 		}
 	}
-	for i := range n.cfg.Teams {
-		if name := n.cfg.Teams[i].Name; !listed[wire.AccountKey(name)] {
-			n.putAccount(name, nil, listing.Revision)
-		}
-	}
 	if !listed[wire.LeaderKey] {
 		n.putLeader(nil, listing.Revision)
 	}
@@ -75,13 +64,13 @@
 	var last map[string]int
 	for i, e := range events {
 		if needs, is := e.Value.(*wire.DependencyList); is {
-			n.putDependencyList(e.Key, needs) // in a listing it comes after the record
+			n.replica.PutDependencyList(e.Key, needs) // in a listing it comes after the record
 		}
 		if !strings.HasPrefix(e.Key, wire.OverflowPrefix) {
 			continue
 		}
 		m, _ := e.Value.(*wire.Overflow)
-		n.putOverflow(e.Key, m)
+		n.replica.PutOverflow(e.Key, m)
 		if last == nil {
 			last = map[string]int{}
 			for k, e := range events {
@@ -101,11 +90,9 @@
 func (n *Node) applyEvent(e Event) {
 	switch v := e.Value.(type) {
 	case *wire.SupportedFormat:
-		n.putFormat(e.Key[len(wire.FormatPrefix):], v)
+		n.replica.PutFormat(e.Key[len(wire.FormatPrefix):], v)
 	case *wire.Job:
-		ref := e.Key[len(wire.JobPrefix):]
-		n.putJob(ref, v, e.Revision)
-		delete(n.dependencyLists, ref)
+		n.replica.PutJob(e.Key[len(wire.JobPrefix):], v, e.Revision)
 	case *wire.Shard:
 		if p := n.shardWithKey(e.Key); p != nil {
 			n.putShard(p, v, e.Revision)
@@ -115,11 +102,11 @@
 	case *wire.Takeovers:
 		n.putTakeovers(v)
 	case *wire.Account:
-		n.putAccount(wire.AccountTeam(e.Key), v, e.Revision)
+		n.replica.PutAccount(wire.AccountTeam(e.Key), v, e.Revision)
 	case *wire.Gang:
 		n.putGang(e.Key, v, e.Revision)
 	case *wire.Gossip:
-		if n.loaded { // a listing's may be of long ago
+		if n.replica.Loaded() { // a listing's may be of long ago
 			n.readMailbox(v)
 		}
 	case *wire.ImageCache:
@@ -143,7 +130,7 @@
 	case strings.HasPrefix(e.Key, wire.GangPrefix):
 		delete(n.gangs, e.Key)
 	case strings.HasPrefix(e.Key, wire.AccountPrefix):
-		n.putAccount(wire.AccountTeam(e.Key), nil, e.Revision)
+		n.replica.PutAccount(wire.AccountTeam(e.Key), nil, e.Revision)
 	}
 }
 
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -73,7 +73,7 @@
 func (n *Node) drainedMachines() (give []string) {
 	c := &n.leader.autoscaler
 	for name := range c.draining {
-		if index := n.machineNames.Find(name); index >= 0 {
+		if index := n.names.Machines.Find(name); index >= 0 {
 			h := n.machines[index]
 			if h.returned {
 				delete(c.draining, name)
--- a/internal/core/scheduling_pass.go
+++ b/internal/core/scheduling_pass.go
@@ -66,7 +66,7 @@
 func (n *Node) newSchedulingPass(w *writer) *schedulingPass {
 	return &schedulingPass{
 		node: n, writer: w, available: newSlotSet(n), expected: newSlotSet(n),
-		used: make([]usage, n.teamNames.Len()), added: make([]quota.Amount, n.teamNames.Len()), atLimit: make([]bool, n.teamNames.Len()), provisions: map[machinePool]int{}, poolSizes: map[machinePool]int{},
+		used: make([]usage, n.names.Teams.Len()), added: make([]quota.Amount, n.names.Teams.Len()), atLimit: make([]bool, n.names.Teams.Len()), provisions: map[machinePool]int{}, poolSizes: map[machinePool]int{},
 	}
 }
 
@@ -86,14 +86,14 @@
 // chargeTeams takes what every team is charged: each active task, whatever its job's state.
 func (p *schedulingPass) chargeTeams() {
 	for team := range p.used {
-		p.used[team].cores, p.used[team].cards = p.node.ledger.Used(team).Decimal()
+		p.used[team].cores, p.used[team].cards = p.node.replica.Ledger().Used(team).Decimal()
 	}
 }
 
 // charge counts tasks of a job against its team for the rest of the pass.
 func (p *schedulingPass) charge(j *job, tasks int) {
-	p.used[j.team].add(j.record.Spec, float64(tasks))
-	p.added[j.team] = p.added[j.team].Plus(j.demand(tasks))
+	p.used[j.Team].add(j.Record.Spec, float64(tasks))
+	p.added[j.Team] = p.added[j.Team].Plus(j.Demand(tasks))
 }
 
 // logUtilization logs how much of the site is in use, for debugging.
@@ -122,9 +122,9 @@
 func (p *schedulingPass) chargeGrants() {
 	n := p.node
 	var byHost map[*machine]*slot
-	for _, jx := range n.live {
+	for _, jx := range n.replica.Live() {
 		j := n.jobs[jx]
-		if j.record.Spec == nil || j.unplaced == 0 {
+		if j.Record.Spec == nil || j.Unplaced == 0 {
 			continue
 		}
 		if byHost == nil {
@@ -133,16 +133,16 @@
 				byHost[s.machine] = s
 			}
 		}
-		for _, a := range j.record.ActiveTasks {
+		for _, a := range j.Record.ActiveTasks {
 			if a.Machine != "" {
 				continue
 			}
-			s := byHost[n.leader.grantHints[taskKey{j.index, a.Task, a.Attempt}]]
+			s := byHost[n.leader.grantHints[taskKey{j.Index, a.Task, a.Attempt}]]
 			if s == nil {
 				s = p.available.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil)
 			}
 			if s != nil {
-				s.take(j.record.Spec)
+				s.take(j.Record.Spec)
 			}
 		}
 	}
@@ -229,7 +229,7 @@
 				n.leader.pendingPlacements = append(n.leader.pendingPlacements, pendingPlacement{s.machine, rec.Spec})
 			}
 		} else {
-			n.leader.grantHints[taskKey{j.index, t, attempt}] = s.machine
+			n.leader.grantHints[taskKey{j.Index, t, attempt}] = s.machine
 		}
 		rec.ActiveTasks = append(rec.ActiveTasks, a)
 	}
@@ -240,10 +240,10 @@
 				g.Shards = append(g.Shards, ix)
 			}
 		}
-		key := wire.GangKey(j.id, attempt)
-		if !p.writer.addWrite(Write{Key: key, Value: g}, Condition{key, 0}) {
+		key := wire.GangKey(j.ID, attempt)
+		if !p.writer.addWrite(Write{Key: key, Value: g}, Condition{Key: key, Revision: 0}) {
 			rec.ActiveTasks, rec.NextAttempt = rec.ActiveTasks[:len(rec.ActiveTasks)-len(tasks)], was
-			delete(p.writer.attempts, j.index)
+			delete(p.writer.attempts, j.Index)
 			p.ungranted = min(p.ungranted+1, 50)
 			return false
 		}
@@ -251,7 +251,7 @@
 	p.charge(j, len(tasks))
 	p.addAccountCondition(j, slots)
 	j.grantedAt = n.now
-	n.log(LogDebug, "tasks granted", "job", j.id, "attempt", attempt, "tasks", len(tasks), "shard", n.shards[slots[0].shard].name)
+	n.log(LogDebug, "tasks granted", "job", j.ID, "attempt", attempt, "tasks", len(tasks), "shard", n.shards[slots[0].shard].name)
 	return true
 }
 
@@ -265,7 +265,7 @@
 
 // withinLimit tells whether a team's limit leaves the leader room for more tasks.
 func (p *schedulingPass) withinLimit(j *job, tasks int) bool {
-	return j.team >= 0 && p.node.ledger.MayGrant(j.team, p.added[j.team].Plus(j.demand(tasks)), p.node.revision)
+	return j.Team >= 0 && p.node.replica.Ledger().MayGrant(j.Team, p.added[j.Team].Plus(j.Demand(tasks)), p.node.replica.Revision())
 }
 
 // hasQuota tells whether the limit has room for tasks that wait, and notes where it has not.
@@ -273,10 +273,10 @@
 	if p.withinLimit(j, tasks) {
 		return true
 	}
-	if j.team < 0 {
+	if j.Team < 0 {
 		return false
 	}
 	// A job that the limit has no room for at all is not worth gathering shares for.
-	p.atLimit[j.team] = p.atLimit[j.team] || p.node.ledger.Fits(j.team, j.demand(tasks))
+	p.atLimit[j.Team] = p.atLimit[j.Team] || p.node.replica.Ledger().Fits(j.Team, j.Demand(tasks))
 	return false
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -62,9 +62,9 @@
 
 // makeShards splits the machines of each zone among its controllers.
 func (n *Node) makeShards() {
-	n.zoneShards = make([]shardRange, n.zoneNames.Len())
+	n.zoneShards = make([]shardRange, n.names.Zones.Len())
 	for ix, id := range Shards(n.cfg.Zones, n.cfg.Members) {
-		zone := n.zoneNames.Find(id.Zone)
+		zone := n.names.Zones.Find(id.Zone)
 		n.shards = append(n.shards, &shard{index: ix, name: id.Name(), zone: zone, homeController: id.Home})
 		if n.zoneShards[zone].count == 0 {
 			n.zoneShards[zone].first = ix
@@ -178,7 +178,7 @@
 		}
 		key := wire.ShardKey(p.name)
 		claim := []Write{{Key: key, Value: &wire.Shard{Owner: n.cfg.Self, Incarnation: n.cfg.Incarnation}, LeaseID: n.shardLease.id}}
-		n.commit(ClassLease, []Condition{{key, rev}}, append(claim, n.formatWrites()...),
+		n.commit(ClassLease, []Condition{{Key: key, Revision: rev}}, append(claim, n.replica.SupportedFormatWrites()...),
 			func(c Committed) {
 				if c.Outcome == LeaseExpired {
 					n.shardLease.id, n.shardLease.renewAt = 0, n.now
@@ -196,7 +196,7 @@
 		switch {
 		case p.homeController == n.cfg.Self:
 			return true
-		case n.zoneNames.Name(p.zone) == n.cfg.Zone:
+		case n.names.Zones.Name(p.zone) == n.cfg.Zone:
 			return waited > 2*second
 		}
 		return waited > 4*second+Time(n.rank())*second
@@ -228,7 +228,7 @@
 	deaf := owner == nil || n.now-owner.heardAt > 5*second
 	refused := owner != nil && !deaf && !owner.message.StoreOK
 	wait := 0 * second
-	if n.zoneNames.Name(p.zone) != n.cfg.Zone {
+	if n.names.Zones.Name(p.zone) != n.cfg.Zone {
 		wait = 4 * second
 	}
 	switch {
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -14,18 +14,18 @@
 	for start := 0; start < 200; start += 20 {
 		count := map[int]int{}
 		for i := range 20 {
-			count[n.shardOf(n.zoneNames.Find("a"), fmt.Sprintf("vm-%06d", start+i))]++
+			count[n.shardOf(n.names.Zones.Find("a"), fmt.Sprintf("vm-%06d", start+i))]++
 		}
 		if len(count) != 2 {
 			t.Errorf("machines %d on: parts %v", start, count)
 		}
 		for p, c := range count {
-			if c < 4 || n.shards[p].zone != n.zoneNames.Find("a") {
+			if c < 4 || n.shards[p].zone != n.names.Zones.Find("a") {
 				t.Errorf("machines %d on: part %d of zone %d has %d of 20", start, p, n.shards[p].zone, c)
 			}
 		}
 	}
-	if p := n.shardOf(n.zoneNames.Find("elsewhere"), "vm-000001"); p != -1 {
+	if p := n.shardOf(n.names.Zones.Find("elsewhere"), "vm-000001"); p != -1 {
 		t.Errorf("a machine in an unknown zone went to part %d", p)
 	}
 }
@@ -67,7 +67,7 @@
 	} {
 		n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, OwnerValidity: validity})
 		p := n.shards[0]
-		n.loaded = true
+		n.replica.Reached(0, true)
 		rev := uint64(1)
 		for _, rec := range append(c.steps, claim("n0", "x")) {
 			n.putShard(p, rec, rev)
--- a/internal/core/share_distribution.go
+++ b/internal/core/share_distribution.go
@@ -28,14 +28,14 @@
 // in a commit. It comes last, so that it takes no write that a grant needs.
 func (p *schedulingPass) distributeShares() {
 	n := p.node
-	if !n.writesTeamAccounts() {
+	if !n.replica.WritesTeamAccounts() {
 		return
 	}
 	for team := range n.cfg.Teams {
 		if n.now-n.leader.sharesDistributedAt[team] < p.shareIntervalFor(team) {
 			continue
 		}
-		account, reason := n.ledger.Distribute(team, p.shareDemand(team))
+		account, reason := n.replica.Ledger().Distribute(team, p.shareDemand(team))
 		if reason == quota.Unchanged || !n.valueFits(account) {
 			continue
 		}
@@ -43,7 +43,7 @@
 			return
 		}
 		key := wire.AccountKey(n.cfg.Teams[team].Name)
-		if p.writer.addWrite(Write{Key: key, Value: account}, Condition{key, n.ledger.Revision(team)}) {
+		if p.writer.addWrite(Write{Key: key, Value: account}, Condition{Key: key, Revision: n.replica.Ledger().Revision(team)}) {
 			n.leader.sharesDistributedAt[team], n.leader.sharesReclaimed[team] = n.now, reason == quota.Reclaimed
 			n.log(LogDebug, "quota shares distributed", "team", n.cfg.Teams[team].Name, "reason", int(reason), "shares", len(account.Shares))
 		}
@@ -85,7 +85,7 @@
 		return
 	}
 	for team := range n.cfg.Teams {
-		if excess := n.ledger.Excess(team); excess != (quota.Amount{}) {
+		if excess := n.replica.Ledger().Excess(team); excess != (quota.Amount{}) {
 			cores, cards := excess.Decimal()
 			n.log(LogInfo, "team exceeds its quota", "team", n.cfg.Teams[team].Name, "excess_cores", cores, "excess_gpus", cards)
 			n.leader.excessAt = n.now + excessReportInterval
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -50,8 +50,8 @@
 
 // compareWithImage compares machines that have the job's image.
 func (s *slotSearch) compareWithImage() {
-	spec := s.job.record.Spec
-	key := imageList{s.job.image, spec.GPUs <= 0}
+	spec := s.job.Record.Spec
+	key := imageList{s.job.Image, spec.GPUs <= 0}
 	list := s.set.withImage(key)
 	kept := list[:0]
 	fits := 0
@@ -75,16 +75,16 @@
 
 // mayFit tells whether machines of a class can have room for the task.
 func (s *slotSearch) mayFit(c slotClass) bool {
-	cards := s.job.record.Spec.GPUs
+	cards := s.job.Record.Spec.GPUs
 	if c.noGPU && cards > 0 && s.set.node.machineTypes[c.machineType].GPUs > 0 {
 		return false
 	}
-	return float64(c.gpus)+1 >= cards && s.job.allows(c.machineType, c.zone, c.spot)
+	return float64(c.gpus)+1 >= cards && s.job.Allows(c.machineType, c.zone, c.spot)
 }
 
 // compareInClass compares a few machines of a class.
 func (s *slotSearch) compareInClass(c slotClass) {
-	spec, list := s.job.record.Spec, s.set.open[c]
+	spec, list := s.job.Record.Spec, s.set.open[c]
 	fits, looked := 0, 0
 	for i := 0; i < len(*list); {
 		candidate := (*list)[i]
@@ -113,7 +113,7 @@
 
 // fetchSeconds is how long the image of a job would take to reach the machine.
 func (n *Node) fetchSeconds(j *job, s *slot) float64 {
-	if s.images.has(j.image) {
+	if s.images.Has(j.Image) {
 		return 0
 	}
 	rate := 0.1
@@ -121,8 +121,8 @@
 		rate = s.typeInfo.FetchGBs
 	}
 	// Whether images share the rate differs from site to site.
-	t := (j.record.Spec.ImageGB + s.fetchGB/3) / rate
-	if s.machine != nil && n.usesImage(s.machine, j.image) {
+	t := (j.Record.Spec.ImageGB + s.fetchGB/3) / rate
+	if s.machine != nil && n.usesImage(s.machine, j.Image) {
 		return t / 2 // on its way already
 	}
 	return t
@@ -131,7 +131,7 @@
 // score ranks a machine for a task; lower is better. It is in seconds of
 // waiting that a choice costs, roughly.
 func (n *Node) score(j *job, s *slot) float64 {
-	sp := j.record.Spec
+	sp := j.Record.Spec
 	v := n.fetchSeconds(j, s)
 	v += 3 * (s.gpus - sp.GPUs) // pack
 	if sp.AllowSpot && !s.spot && s.isIdle() {
@@ -144,7 +144,7 @@
 		v += 5 // it stays long: better two on one machine than half of two
 	}
 	v += 100 * float64(s.errors)
-	if s.machine != nil && len(j.record.FailedMachines) > 0 && slices.Contains(j.record.FailedMachines, s.machine.name) {
+	if s.machine != nil && len(j.Record.FailedMachines) > 0 && slices.Contains(j.Record.FailedMachines, s.machine.name) {
 		v += 500
 	}
 	return v
@@ -153,7 +153,7 @@
 // zoneTasks counts a job's active tasks in each zone. Tasks of old attempts
 // count until they are proven gone.
 func (n *Node) zoneTasks(r *wire.Job) []int {
-	m := make([]int, n.zoneNames.Len())
+	m := make([]int, n.names.Zones.Len())
 	for i := range r.ActiveTasks {
 		m[n.shards[r.ActiveTasks[i].Shard].zone]++
 	}
--- a/internal/core/slot_search_test.go
+++ b/internal/core/slot_search_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -13,7 +14,7 @@
 	n := chained()
 	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 24, GPUs: 2, MemoryGB: 96, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 	job := func(cores, cards float64) *job {
-		return &job{record: &wire.Job{Spec: &wire.JobSpec{Cores: cores, GPUs: cards, Shape: wire.ShapeArray, AllowSpot: true}}, zone: -1, anyType: true, allowSpot: true}
+		return &job{Job: &replica.Job{Record: &wire.Job{Spec: &wire.JobSpec{Cores: cores, GPUs: cards, Shape: wire.ShapeArray, AllowSpot: true}}, Zone: -1, AnyType: true, AllowSpot: true}}
 	}
 	for _, c := range []struct {
 		what         string
@@ -30,7 +31,7 @@
 		free := [][2]float64{{24, 2}, {4, 0}, {12, 1}} // cores and GPUs
 		var slots []*slot
 		for _, f := range free {
-			s := n.newSlot(machinePool{n.typeNames.Find("g"), 0, true})
+			s := n.newSlot(machinePool{n.names.MachineTypes.Find("g"), 0, true})
 			s.cores, s.gpus = f[0], f[1]
 			set.add(s)
 			slots = append(slots, s)
@@ -46,15 +47,15 @@
 // are machines without, those do.
 func TestReserveBesideOthers(t *testing.T) {
 	n := chained()
-	job := &job{record: &wire.Job{Spec: &wire.JobSpec{Cores: 1}}, anyType: true}
+	job := &job{Job: &replica.Job{Record: &wire.Job{Spec: &wire.JobSpec{Cores: 1}}, AnyType: true}}
 	if !n.fitsBesideGPUWork(job) {
 		t.Error("a task without cards has no room beside others")
 	}
-	job.record.Spec.GPUs = 1
+	job.Record.Spec.GPUs = 1
 	if n.fitsBesideGPUWork(job) {
 		t.Error("a task with a card has")
 	}
-	job.record.Spec.GPUs = 0
+	job.Record.Spec.GPUs = 0
 	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64}, {Name: "c", Cores: 8, MemoryGB: 64}})
 	if n.fitsBesideGPUWork(job) {
 		t.Error("where there are machines without cards")
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"micaport/internal/indexset"
 	"micaport/internal/wire"
 )
 
@@ -19,7 +20,7 @@
 	daemon                           bool // a daemon keeps the machine up anyway
 	reserved                         bool // kept for a gang that still waits for more machines
 	reservedFor                      int  // one more than the only job that it is for; 0: any
-	images                           indexSet
+	images                           indexset.Set
 	fetchGB                          float64 // being fetched: images share the rate
 	errors                           int
 
@@ -30,8 +31,8 @@
 
 // noteFetch notes that a task's image will be fetched here.
 func (s *slot) noteFetch(j *job) {
-	if !s.images.has(j.image) {
-		s.fetchGB += j.record.Spec.ImageGB
+	if !s.images.Has(j.Image) {
+		s.fetchGB += j.Record.Spec.ImageGB
 	}
 }
 
@@ -64,13 +65,13 @@
 // failed the job is not tried again before others have failed it too, and it
 // is the job that is at fault.
 func (s *slot) accepts(j *job) bool {
-	if s.reservedFor > 0 && s.reservedFor != j.index+1 {
+	if s.reservedFor > 0 && s.reservedFor != j.Index+1 {
 		return false
 	}
-	if s.machine != nil && len(j.record.FailedMachines) > 0 && len(j.record.FailedMachines) < 3 && slices.Contains(j.record.FailedMachines, s.machine.name) {
+	if s.machine != nil && len(j.Record.FailedMachines) > 0 && len(j.Record.FailedMachines) < 3 && slices.Contains(j.Record.FailedMachines, s.machine.name) {
 		return false
 	}
-	return j.allows(s.machineType, s.zone, s.spot)
+	return j.Allows(s.machineType, s.zone, s.spot)
 }
 
 // slotOf is the room on a machine.
@@ -166,7 +167,7 @@
 	l, built := x.byImage[k]
 	if !built {
 		for _, s := range x.all {
-			if !s.isFull(k.withoutGPU) && (s.images.has(k.image) || s.machine != nil && x.node.usesImage(s.machine, k.image)) {
+			if !s.isFull(k.withoutGPU) && (s.images.Has(k.image) || s.machine != nil && x.node.usesImage(s.machine, k.image)) {
 				l = append(l, s)
 			}
 		}
@@ -178,7 +179,7 @@
 // usesImage tells whether a task on the machine uses an image.
 func (n *Node) usesImage(h *machine, image int) bool {
 	for i := range h.placements {
-		if n.jobs[h.placements[i].job].image == image {
+		if n.jobs[h.placements[i].job].Image == image {
 			return true
 		}
 	}
--- a/internal/core/stage_planning.go
+++ b/internal/core/stage_planning.go
@@ -69,9 +69,9 @@
 // planNextStages plans room for jobs whose last needs will probably end before a machine
 // provisioned now is up.
 func (p *schedulingPass) planNextStages() {
-	for _, index := range p.node.live {
+	for _, index := range p.node.replica.Live() {
 		j := p.node.jobs[index]
-		if j.record.Spec != nil && j.team >= 0 && j.isWaiting() && p.node.endsBefore(j, p.node.now+p.node.provisionTime(j)) {
+		if j.Record.Spec != nil && j.Team >= 0 && j.IsWaiting() && p.node.endsBefore(j, p.node.now+p.node.provisionTime(j)) {
 			p.planStage(j)
 		}
 	}
@@ -80,45 +80,37 @@
 // endsBefore tells whether all that a job still waits on will probably be done by a
 // time.
 func (n *Node) endsBefore(j *job, at Time) bool {
-	if j.links.ancestorCancelled {
+	if j.Links.AncestorCancelled {
 		return false
 	}
-	for _, index := range j.links.dependencies {
+	for _, index := range j.Links.Dependencies {
 		need := n.jobs[index]
-		if need.record == nil {
+		if need.Record == nil {
 			return false // not seen yet, or only for a moment
 		}
-		if need.record.State == wire.JobDone {
+		if need.Record.State == wire.JobDone {
 			continue
 		}
-		granted := len(need.record.ActiveTasks) > 0 && len(n.waitingTasks(need, 1)) == 0
-		if need.record.Spec == nil || !granted || max(need.grantedAt, need.readySince())+n.runTime(need.record.Spec) > at {
+		granted := len(need.Record.ActiveTasks) > 0 && len(n.waitingTasks(need, 1)) == 0
+		if need.Record.Spec == nil || !granted || max(need.grantedAt, need.ReadySince())+n.runTime(need.Record.Spec) > at {
 			return false
 		}
 	}
 	return true
 }
 
-// readySince is since when a job of a chain could run; 0 where it waited on nothing.
-func (j *job) readySince() Time {
-	if j.links == nil {
-		return 0
-	}
-	return j.links.readyAt
-}
-
 // planStage takes room for the tasks of a job, as far as its team's limit goes, and
 // has machines provisioned for what finds none.
 func (p *schedulingPass) planStage(j *job) {
-	spec := j.record.Spec
-	zones := make([]int, p.node.zoneNames.Len())
+	spec := j.Record.Spec
+	zones := make([]int, p.node.names.Zones.Len())
 	allowed := func(s *slot) bool {
 		if spec.Spread && zones[s.zone] >= zoneLimit(spec) {
 			return false
 		}
 		return !spec.SameZone || !slices.ContainsFunc(otherZones(zones, s.zone), func(tasks int) bool { return tasks > 0 })
 	}
-	for range min(j.record.TaskCount, p.node.maxActiveTasks(j)) {
+	for range min(j.Record.TaskCount, p.node.maxActiveTasks(j)) {
 		if !p.withinLimit(j, 1) {
 			return
 		}
--- a/internal/core/stage_planning_test.go
+++ b/internal/core/stage_planning_test.go
@@ -83,9 +83,9 @@
 		granted(n, 2000, "wk-000001", c.expectedS)
 		see(n, 2001, "wk-000002", wire.JobLive, nil)
 		see(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
-		n.jobNamed("wk-000003").record.TaskCount = 3
+		n.jobNamed("wk-000003").Record.TaskCount = 3
 		if c.withdrawn {
-			n.markCancelled(n.jobNamed("wk-000003"))
+			n.jobNamed("wk-000003").Links.AncestorCancelled = true
 		}
 		n.now += c.after
 		if got := planned(n); got != c.want {
@@ -112,7 +112,7 @@
 	see(n, 2, "wk-000001", wire.JobLive, nil)
 	see(n, 3, "wk-000002", wire.JobLive, func(s *wire.JobSpec) { s.DeadlineS = 100 }, "wk-000001")
 	const estimateMS, reportMS, due = 10_000, 4_000, 1_100_000
-	if got, want := n.jobNamed("wk-000001").links.deadlineMS, int64(due-3*estimateMS-reportMS); got != want {
+	if got, want := n.jobNamed("wk-000001").Links.DeadlineMS, int64(due-3*estimateMS-reportMS); got != want {
 		t.Errorf("due at %d, not %d", got, want)
 	}
 	if got, want := n.latestStart(n.jobNamed("wk-000002")), int64(due-3*estimateMS); got != want {
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -71,19 +72,19 @@
 		return
 	}
 	// A final state never changes, so the replica may answer for it.
-	ix := n.jobIDs.Find(op.JobID)
-	if ix >= 0 && n.jobs[ix].record != nil && n.jobs[ix].state() != wire.JobLive {
-		n.answer(op, 200, n.reply(op, n.jobs[ix].record))
+	ix := n.names.Jobs.Find(op.JobID)
+	if ix >= 0 && n.jobs[ix].Record != nil && n.jobs[ix].State() != wire.JobLive {
+		n.answer(op, 200, n.reply(op, n.jobs[ix].Record))
 		return
 	}
 	if n.forwardToPeer(op) {
 		return
 	}
-	if op.Kind == wire.RequestSubmit && op.err == nil && (ix < 0 || n.jobs[ix].record == nil) {
+	if op.Kind == wire.RequestSubmit && op.err == nil && (ix < 0 || n.jobs[ix].Record == nil) {
 		n.createJob(op)
 		return
 	}
-	if op.Kind == wire.RequestStatus && n.loaded {
+	if op.Kind == wire.RequestStatus && n.replica.Loaded() {
 		n.users.statusRequests = append(n.users.statusRequests, op)
 		n.askRevision()
 		return
@@ -114,7 +115,7 @@
 	ops := u.statusRequests
 	u.statusRequests, u.revisionAsked, u.revisionAskAt = nil, true, n.now+n.statusInterval()
 	// Equal or not, the answer names the present revision.
-	n.commit(ClassUser, []Condition{{wire.LeaderKey, n.leader.term}}, nil, func(c Committed) {
+	n.commit(ClassUser, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, nil, func(c Committed) {
 		u.revisionAsked = false
 		switch c.Outcome {
 		case OK, Conflict:
@@ -137,10 +138,10 @@
 	var rest []statusBatch
 	for _, b := range u.answerable {
 		switch {
-		case n.revision >= b.revision:
+		case n.replica.Revision() >= b.revision:
 			for _, op := range b.requests {
-				if ix := n.jobIDs.Find(op.JobID); ix >= 0 && n.jobs[ix].record != nil {
-					n.answer(op, 200, n.reply(op, n.jobs[ix].record))
+				if ix := n.names.Jobs.Find(op.JobID); ix >= 0 && n.jobs[ix].Record != nil {
+					n.answer(op, 200, n.reply(op, n.jobs[ix].Record))
 				} else {
 					n.answer(op, 404, wire.Error{Error: "no such job"})
 				}
@@ -161,10 +162,10 @@
 // reply is the body of a 200. Cancellations and submissions leave out counts.
 func (n *Node) reply(op *pendingRequest, r *wire.Job) any {
 	// What the replica shows of the jobs above is final.
-	if j := n.jobNamed(op.JobID); r.State == wire.JobLive && j != nil && j.record != nil && j.state() == wire.JobCancelled {
+	if j := n.jobNamed(op.JobID); r.State == wire.JobLive && j != nil && j.Record != nil && j.State() == wire.JobCancelled {
 		return wire.JobStatus{JobID: op.JobID, Status: wire.StatusCancelled}
 	}
-	return jobStatus(op.JobID, r)
+	return replica.JobStatus(op.JobID, r)
 }
 
 func (n *Node) answer(op *pendingRequest, status int, body any) {
@@ -211,9 +212,9 @@
 // one that reads format 2 answers 422 to names that its record has no room for.
 func (n *Node) peersMayMisread(spec *wire.JobSpec) bool {
 	switch {
-	case spec == nil || len(spec.Dependencies) == 0 || n.writesDependencyLists():
+	case spec == nil || len(spec.Dependencies) == 0 || n.replica.WritesDependencyLists():
 		return false
-	case !n.writesDependencies():
+	case !n.replica.WritesDependencies():
 		return true
 	}
 	return !n.jobRecordFits(n.newRecord(spec))
@@ -262,7 +263,7 @@
 		n.readJob(op)
 		return
 	}
-	if len(s.Dependencies) > 0 && !n.writesDependencies() {
+	if len(s.Dependencies) > 0 && !n.replica.WritesDependencies() {
 		n.answerUnavailable(op, notUpgraded)
 		return
 	}
@@ -278,18 +279,18 @@
 	}
 	// Types that nobody offers can't be had; leaving them out bounds the size
 	// of the record whatever the user sends.
-	s.MachineTypes = slices.DeleteFunc(s.MachineTypes, func(name string) bool { return n.typeAt(n.typeNames.Find(name)) == nil })
+	s.MachineTypes = slices.DeleteFunc(s.MachineTypes, func(name string) bool { return n.typeAt(n.names.MachineTypes.Find(name)) == nil })
 	rec := n.newRecord(s)
 	status := wire.StatusPending
 	if withdrawn {
 		// Cancelled with what it names, before it could start.
 		rec.State, status = wire.JobCancelled, wire.StatusCancelled
-		compactRecord(rec)
+		replica.CompactRecord(rec)
 	} else if !n.fitJobRecord(op, rec) {
 		return // answered, or it comes back here
 	}
 	key := wire.JobKey(s.ID)
-	n.commit(ClassUser, []Condition{{key, 0}}, []Write{{Key: key, Value: rec}}, func(c Committed) {
+	n.commit(ClassUser, []Condition{{Key: key, Revision: 0}}, []Write{{Key: key, Value: rec}}, func(c Committed) {
 		switch c.Outcome {
 		case OK:
 			n.log(LogDebug, "job accepted", "job", s.ID, "class", s.Class, "team", s.Team, "tasks", s.TaskCount, "image", s.Image, "image_gb", s.ImageGB, "expected_s", s.ExpectedS)
@@ -318,13 +319,13 @@
 	bare := *rec.Spec
 	bare.Dependencies = nil
 	named := *rec
-	named.Spec, named.DependencyList, named.DependencyListKeys = &bare, dependencyListName(nil), wire.MaxTasks
+	named.Spec, named.DependencyList, named.DependencyListKeys = &bare, replica.DependencyListName(nil), wire.MaxTasks
 	switch {
 	case !n.jobRecordFits(&named):
 		op.err = errors.New("its names are too long to be recorded")
 		n.readJob(op)
 		return false
-	case !n.writesDependencyLists():
+	case !n.replica.WritesDependencyLists():
 		n.answerUnavailable(op, notUpgraded)
 		return false
 	}
@@ -334,7 +335,7 @@
 // jobRecordFits tells whether a value holds a record and a few lists of active tasks.
 func (n *Node) jobRecordFits(rec *wire.Job) bool {
 	const lists = 2
-	return n.recordBaseBytes(rec)+lists*(n.taskRunBytes()+wire.GroupCost+taskRangeBytes) <= n.cfg.MaxValueBytes
+	return replica.BaseBytes(rec)+lists*(n.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= n.cfg.MaxValueBytes
 }
 
 // readJob reads the record and goes on by the kind of request.
@@ -376,15 +377,15 @@
 // cancelJob marks the record; from this commit on no owner can place a task of
 // the job, as each placing is conditional on the record's revision.
 func (n *Node) cancelJob(op *pendingRequest, g JobRead) {
-	rec := cloneRecord(g.Job)
+	rec := replica.CloneRecord(g.Job)
 	rec.State = wire.JobCancelled
-	compactRecord(rec)
+	replica.CompactRecord(rec)
 	// What its overflow keys hold is not known here and stays.
 	for i := range rec.ActiveTasks {
 		rec.ActiveTasks[i].StoredIn = 1
 	}
-	writes := n.splitRecord(op.JobID, rec.ActiveTasks, rec.OverflowKeys, rec.OverflowKeys, rec)
-	n.commit(ClassUser, []Condition{{wire.JobKey(op.JobID), g.Revision}}, writes, func(c Committed) {
+	writes := n.replica.SplitRecord(op.JobID, replica.StoredRecord{Tasks: rec.ActiveTasks, OverflowKeys: rec.OverflowKeys, UnknownKeys: rec.OverflowKeys}, rec)
+	n.commit(ClassUser, []Condition{{Key: wire.JobKey(op.JobID), Revision: g.Revision}}, writes, func(c Committed) {
 		switch c.Outcome {
 		case OK:
 			n.answer(op, 200, wire.JobStatus{JobID: op.JobID, Status: wire.StatusCancelled, Done: rec.DoneTasks.Count()})
@@ -420,11 +421,11 @@
 
 // rejectReason says why a job can never run, or "".
 func (n *Node) rejectReason(s *wire.JobSpec) string {
-	index := n.teamNames.Find(s.Team)
+	index := n.names.Teams.Find(s.Team)
 	if index < 0 {
 		return "unknown team"
 	}
-	team := n.teamQuota(index)
+	team := n.replica.Quota(index)
 	fits := false
 	for i := range n.offeredTypes {
 		if r := &n.offeredTypes[i]; typeAllowed(s, r.Name) && fitsType(s, r) && (s.Zone == "" || slices.Contains(r.Zones, s.Zone)) {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -7,7 +7,7 @@
 // workerHeartbeat answers a worker.
 func (n *Node) workerHeartbeat(in WorkerReported) {
 	r := in.Heartbeat
-	pi := n.shardOf(n.zoneNames.Find(r.Zone), r.Machine)
+	pi := n.shardOf(n.names.Zones.Find(r.Zone), r.Machine)
 	if pi < 0 || r.Machine == "" {
 		n.emit(Reply{RequestID: in.RequestID, Status: 503, Body: wire.Error{Error: "unknown zone"}})
 		return
@@ -20,8 +20,8 @@
 		return
 	}
 	n.setShard(h, pi)
-	h.machineType, h.spot, h.address = n.typeNames.Of(r.MachineType), r.Spot, r.Addr
-	if !n.loaded || !n.mayActAsOwner(p) || r.Token > p.term {
+	h.machineType, h.spot, h.address = n.names.MachineTypes.Of(r.MachineType), r.Spot, r.Addr
+	if !n.replica.Loaded() || !n.mayActAsOwner(p) || r.Token > p.term {
 		n.redirect(in.RequestID, p, h, h.isStrayCopy(r))
 		return
 	}
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -108,7 +108,7 @@
 }
 
 func (n *Node) redirect(req uint64, p *shard, h *machine, late bool) {
-	if n.loaded && p.record != nil && p.record.Owner != n.cfg.Self {
+	if n.replica.Loaded() && p.record != nil && p.record.Owner != n.cfg.Self {
 		// It was sent to its owner and is back, or its owner has told us that
 		// it hears nothing from it: it can't reach its owner.
 		back := n.now - h.redirectedAt
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -115,13 +115,13 @@
 			seen[k.job] = true
 		}
 	}
-	for _, jx := range n.live {
+	for _, jx := range n.replica.Live() {
 		j := n.jobs[jx]
-		if j.unplaced == 0 {
+		if j.Unplaced == 0 {
 			continue
 		}
-		for i := range j.record.ActiveTasks {
-			if a := &j.record.ActiveTasks[i]; a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard]) {
+		for i := range j.Record.ActiveTasks {
+			if a := &j.Record.ActiveTasks[i]; a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard]) {
 				seen[jx] = true
 				break
 			}
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -1,6 +1,9 @@
 package core
 
-import "micaport/internal/wire"
+import (
+	"micaport/internal/replica"
+	"micaport/internal/wire"
+)
 
 // writer gathers changed records for one commit.
 type writer struct {
@@ -28,28 +31,28 @@
 
 // job gives a copy of the record to change, or nil when the commit is full.
 func (w *writer) job(j *job) *wire.Job {
-	if r := w.records[j.index]; r != nil {
+	if r := w.records[j.Index]; r != nil {
 		return r
 	}
-	size := max(900, j.baseBytes) + taskListBytes(j.record.ActiveTasks, j.record.DoneTasks)
+	size := max(900, j.BaseBytes) + replica.TaskListBytes(j.Record.ActiveTasks, j.Record.DoneTasks)
 	if len(w.order)+len(w.linkedWrites) >= w.maxWrites || w.bytes+size > maxTransactionBytes {
 		return nil
 	}
 	w.bytes += size
-	w.records[j.index] = cloneRecord(j.record)
-	w.order = append(w.order, j.index)
-	return w.records[j.index]
+	w.records[j.Index] = replica.CloneRecord(j.Record)
+	w.order = append(w.order, j.Index)
+	return w.records[j.Index]
 }
 
 // attempt gives the number for what this commit starts of a job: one for all of
 // its tasks, since a task is started once in a commit and the next commit takes
 // the next number. Tasks that begin together are so told in one run.
 func (w *writer) attempt(j *job, rec *wire.Job) uint64 {
-	if _, taken := w.attempts[j.index]; !taken {
-		w.attempts[j.index] = rec.NextAttempt
+	if _, taken := w.attempts[j.Index]; !taken {
+		w.attempts[j.Index] = rec.NextAttempt
 		rec.NextAttempt++
 	}
-	return w.attempts[j.index]
+	return w.attempts[j.Index]
 }
 
 // addWrite adds a write of another key under a condition.
@@ -71,22 +74,22 @@
 	conds := w.conditions
 	for i, p := range w.node.shards {
 		if w.shards[i] {
-			conds = append(conds, Condition{wire.ShardKey(p.name), p.term})
+			conds = append(conds, Condition{Key: wire.ShardKey(p.name), Revision: p.term})
 		}
 	}
 	writes := w.linkedWrites
 	for _, jx := range w.order {
 		j, rec := w.node.jobs[jx], w.records[jx]
 		rec.OverflowKeys = 0
-		compactRecord(rec)
-		changed := w.node.splitRecord(j.id, j.record.ActiveTasks, j.record.OverflowKeys, 0, rec)
+		replica.CompactRecord(rec)
+		changed := w.node.replica.SplitRecord(j.ID, replica.StoredRecord{Tasks: j.Record.ActiveTasks, OverflowKeys: j.Record.OverflowKeys}, rec)
 		if len(changed) > w.node.cfg.MaxTransactionOps && w.writeOverflowFirst && len(writes) == 0 {
-			changed = writesAhead(changed, j.record.OverflowKeys, w.node.cfg.MaxTransactionOps)
+			changed = replica.WritesAhead(changed, j.Record.OverflowKeys, w.node.cfg.MaxTransactionOps)
 		}
 		if len(writes)+len(changed) > w.node.cfg.MaxTransactionOps {
 			continue // it is decided again
 		}
-		conds = append(conds, Condition{wire.JobKey(j.id), j.revision})
+		conds = append(conds, Condition{Key: wire.JobKey(j.ID), Revision: j.Revision})
 		writes = append(writes, changed...)
 	}
 	if len(writes) == 0 {
--- /dev/null
+++ b/internal/indexset/indexset.go
@@ -0,0 +1,30 @@
+// Package indexset holds sets of small non-negative integers as bit masks.
+package indexset
+
+import "math/bits"
+
+// Set is a set of indices. The zero value is empty.
+type Set []uint64
+
+func (s Set) Has(i int) bool { return i >= 0 && i/64 < len(s) && s[i/64]&(1<<(i%64)) != 0 }
+
+// Add puts an index in and tells whether it is new.
+func (s *Set) Add(i int) bool {
+	if i < 0 || s.Has(i) {
+		return false
+	}
+	for len(*s) <= i/64 {
+		*s = append(*s, 0)
+	}
+	(*s)[i/64] |= 1 << (i % 64)
+	return true
+}
+
+// Each calls f with the members in order.
+func (s Set) Each(f func(int)) {
+	for w, word := range s {
+		for ; word != 0; word &= word - 1 {
+			f(w*64 + bits.TrailingZeros64(word))
+		}
+	}
+}
--- /dev/null
+++ b/internal/replica/overflow_test.go
@@ -0,0 +1,124 @@
+package replica
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"micaport/internal/wire"
+)
+
+// ignoreChanges observes a replica without doing anything.
+type ignoreChanges struct{}
+
+func (ignoreChanges) JobAdded(*Job)               {}
+func (ignoreChanges) JobChanging(*Job, *wire.Job) {}
+func (ignoreChanges) JobChanged(*Job)             {}
+func (ignoreChanges) JobReady(*Job)               {}
+func (ignoreChanges) JobArrived(*Job)             {}
+func (ignoreChanges) PriorityRaised(*Job)         {}
+func (ignoreChanges) DependencyListMissing(*Job)  {}
+func (ignoreChanges) FormatAgreed(int)            {}
+func (ignoreChanges) QuotaChanged(int)            {}
+func (ignoreChanges) AccountInvalid(int, error)   {}
+
+// newSmallValues is a replica where values are small, after the upgrade.
+func newSmallValues() *Replica {
+	r := New(Config{Self: "n0", Controllers: []string{"n0"}, Format: wire.Format, MaxTransactionOps: 4, MaxValueBytes: 2048, CurrentValueBytes: 8192,
+		WallClockMS: func() int64 { return 0 }}, &Names{}, ignoreChanges{})
+	r.PutFormat("n0", &wire.SupportedFormat{Format: wire.Format})
+	return r
+}
+
+// A record's active tasks are shared out to its keys so that each value is within
+// the limit, all together are what they were, and what did not change is not
+// written again.
+func TestSplitKeepsAllTasks(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 4))
+	r := newSmallValues()
+	if r.OverflowKeys() != 2 {
+		t.Fatalf("%d further keys, not 2", r.OverflowKeys())
+	}
+	const ref = "wk-000001"
+	rec := &wire.Job{Spec: &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 200, Image: "img"}, TaskCount: 200, NextAttempt: 1}
+	kept := map[int]wire.ActiveTasks{} // overflow keys as stored
+	most := 0
+	for step := range 400 {
+		was, wasMore := slices.Clone(rec.ActiveTasks), rec.OverflowKeys
+		next := CloneRecord(rec)
+		for range 1 + rng.IntN(3) { // ends
+			if len(next.ActiveTasks) > 0 && rng.IntN(2) == 0 {
+				i := rng.IntN(len(next.ActiveTasks))
+				next.ActiveTasks = slices.Delete(next.ActiveTasks, i, i+1)
+			}
+		}
+		for range rng.IntN(8) { // grants
+			if len(next.ActiveTasks) < 110 && step < 300 {
+				next.ActiveTasks = append(next.ActiveTasks, wire.ActiveTask{Task: step*10 + rng.IntN(10), Attempt: uint64(step), Machine: fmt.Sprintf("vm-%06d", rng.IntN(200)), Epoch: 1, Shard: rng.IntN(3)})
+			}
+		}
+		writes := r.SplitRecord(ref, StoredRecord{Tasks: was, OverflowKeys: wasMore}, next)
+		if len(writes) > r.cfg.MaxTransactionOps+1 {
+			t.Fatalf("step %d: %d writes", step, len(writes))
+		}
+		for _, w := range writes {
+			if w.Value != nil {
+				if size, err := wire.JSONSize(w.Value); err != nil || size > r.cfg.MaxValueBytes {
+					t.Fatalf("step %d: %s has %d bytes, %v", step, w.Key, size, err)
+				}
+			}
+			switch v := w.Value.(type) {
+			case *wire.Job:
+				rec = v
+			case *wire.Overflow:
+				_, k := wire.SplitOverflowKey(w.Key)
+				if slices.Equal(kept[k], v.ActiveTasks) && len(v.ActiveTasks) > 0 {
+					t.Errorf("step %d: %s is written again unchanged", step, w.Key)
+				}
+				kept[k] = v.ActiveTasks
+			case nil:
+				_, k := wire.SplitOverflowKey(w.Key)
+				delete(kept, k)
+			}
+		}
+		for k, l := range kept {
+			r.PutOverflow(wire.OverflowKey(ref, k), &wire.Overflow{ActiveTasks: slices.Clone(l)})
+		}
+		if len(kept) != rec.OverflowKeys {
+			t.Fatalf("step %d: %d further keys are stored, the record names %d", step, len(kept), rec.OverflowKeys)
+		}
+		most = max(most, rec.OverflowKeys)
+		rec = CloneRecord(rec)
+		r.assemble(ref, rec)
+		byTask := func(a, b wire.ActiveTask) int { return (a.Task-b.Task)*1e6 + int(a.Attempt) - int(b.Attempt) }
+		got, want := slices.Clone(rec.ActiveTasks), slices.Clone(next.ActiveTasks)
+		slices.SortStableFunc(got, byTask)
+		slices.SortStableFunc(want, byTask)
+		if !slices.Equal(got, want) {
+			t.Fatalf("step %d: %d tasks became %d", step, len(want), len(got))
+		}
+	}
+	if most < 2 || rec.OverflowKeys != 0 {
+		t.Errorf("%d further keys at most, %d in the end", most, rec.OverflowKeys)
+	}
+}
+
+// A record that the earlier version left larger than a value may be is written in
+// several keys in one transaction.
+func TestSplitOfALargeRecord(t *testing.T) {
+	r := newSmallValues()
+	rec := &wire.Job{Spec: &wire.JobSpec{ID: "wk-000001", TaskCount: 100}, TaskCount: 100, NextAttempt: 101}
+	for i := range 100 {
+		rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: i, Attempt: uint64(i + 1), Machine: fmt.Sprintf("vm-%06d", i), Epoch: 1, StoredIn: 1})
+	}
+	writes := r.SplitRecord("wk-000001", StoredRecord{Tasks: slices.Clone(rec.ActiveTasks)}, rec)
+	if len(writes) > r.cfg.MaxTransactionOps {
+		t.Errorf("%d writes", len(writes))
+	}
+	for _, w := range writes {
+		if size, err := wire.JSONSize(w.Value); err != nil || size > r.cfg.MaxValueBytes {
+			t.Errorf("%s has %d bytes, %v", w.Key, size, err)
+		}
+	}
+}
