--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -136,7 +136,7 @@
 func (n *Node) homeShard(j *job) *shard {
 	var owned []*shard
 	for _, p := range n.shards {
-		if (j.Zone < 0 || j.Zone == p.zone) && n.hearsOwner(p) {
+		if (j.Zone < 0 || j.Zone == p.Zone) && n.hearsOwner(p) {
 			owned = append(owned, p)
 		}
 	}
@@ -151,10 +151,10 @@
 
 // hearsOwner tells whether a shard is ours, or its owner has been heard lately.
 func (n *Node) hearsOwner(p *shard) bool {
-	if p.record == nil {
+	if p.Record == nil {
 		return false
 	}
-	owner := n.peers[p.record.Owner]
+	owner := n.peers[p.Record.Owner]
 	return n.owns(p) || owner != nil && n.now-owner.heardAt < leaderTimeout
 }
 
@@ -166,18 +166,18 @@
 		return false
 	}
 	part := n.homeShard(j)
-	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.replica.Ledger().MayAdmit(j.Team, part.index, j.Demand(1), n.replica.Revision())
+	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.replica.Ledger().MayAdmit(j.Team, part.Index, j.Demand(1), n.replica.Revision())
 }
 
 // admitGang admits a gang as a whole in one of our shards.
 func (p *schedulingPass) admitGang(w *queuedJob) {
 	tasks := len(w.tasks)
 	for _, x := range p.node.shards {
-		here := func(part, _ int) bool { return part == x.index }
-		if !p.node.mayActAsOwner(x) || !p.mayAdmit(w.job, tasks, x.index) || p.available.capacityFor(w.job, here) < tasks {
+		here := func(part, _ int) bool { return part == x.Index }
+		if !p.node.mayActAsOwner(x) || !p.mayAdmit(w.job, tasks, x.Index) || p.available.capacityFor(w.job, here) < tasks {
 			continue
 		}
-		chosen, _ := p.pickSlots(w, func(s *slot) bool { return s.shard == x.index })
+		chosen, _ := p.pickSlots(w, func(s *slot) bool { return s.shard == x.Index })
 		if chosen == nil || !p.grant(w.job, w.tasks, chosen) {
 			continue
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,7 +21,7 @@
 	out []Effect // effects of the present step
 
 	nextID  uint64
-	pending map[uint64]func(Result) // what to do with the results of requests, by their ids
+	pending map[uint64]continuation // requests under way, by id
 
 	names   *replica.Names
 	replica *replica.Replica
@@ -125,7 +125,7 @@
 	n := &Node{
 		cfg:     cfg,
 		names:   &replica.Names{},
-		pending: map[uint64]func(Result){},
+		pending: map[uint64]continuation{},
 		gangs:   map[string]*gang{},
 		gossipState: gossipState{
 			peers:            map[string]*peer{},
@@ -141,8 +141,8 @@
 	if n.cfg.Format == 0 {
 		n.cfg.Format = wire.Format
 	}
-	n.shardLease.ttl = cfg.OwnerValidity
-	n.leaderLease.ttl = cfg.LeaderLease
+	n.shardLease.TTL = cfg.OwnerValidity
+	n.leaderLease.TTL = cfg.LeaderLease
 	for _, zone := range slices.Sorted(slices.Values(cfg.Zones)) {
 		n.names.Zones.Of(zone)
 	}
@@ -248,37 +248,6 @@
 	n.emit(Log{Level: level, Text: text, Args: args})
 }
 
-func (n *Node) onResult(f func(Result)) uint64 {
-	n.nextID++
-	n.pending[n.nextID] = f
-	return n.nextID
-}
-
-func (n *Node) deliverResult(id uint64, in Result) {
-	if f := n.pending[id]; f != nil {
-		delete(n.pending, id)
-		f(in)
-	}
-}
-
-func (n *Node) commit(class RequestClass, conds []Condition, writes []Write, f func(Committed)) {
-	id := n.onResult(func(in Result) {
-		c := in.(Committed)
-		n.noteStoreOutcome(c.Outcome)
-		if c.Limited && len(writes) > 0 {
-			n.budget.noteRefusal(n.now)
-		}
-		if c.Outcome == TooLarge {
-			n.log(LogError, "transaction exceeds the limits of the state service", "writes", len(writes), "conditions", len(conds))
-		}
-		f(c)
-	})
-	if class == ClassBackground {
-		n.budget.available -= float64(len(writes))
-	}
-	n.emit(Commit{ID: id, Conditions: conds, Writes: writes, Class: class})
-}
-
 // noteStoreOutcome notes whether the state service serves us.
 func (n *Node) noteStoreOutcome(o Outcome) {
 	switch o {
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -61,7 +61,7 @@
 // of its reports waits for an answer.
 func (n *Node) acceptsCommands(h *machine) bool {
 	p := n.shards[h.shard]
-	return n.mayActAsOwner(p) && h.term == p.term && h.tokenConfirmed && h.heldReplies == 0 && h.ignoredReplies == 0 && !h.unresponsive && !h.returned &&
+	return n.mayActAsOwner(p) && h.term == p.Term && h.tokenConfirmed && h.heldReplies == 0 && h.ignoredReplies == 0 && !h.unresponsive && !h.returned &&
 		h.reclaimAt == 0 && h.address != "" && n.now-h.heartbeatAt < 2*n.cfg.HeartbeatInterval
 }
 
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -76,7 +76,7 @@
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	d.wait(2 * second)
-	term := d.n.shards[0].term
+	term := d.n.shards[0].Term
 	d.report(1, 0)
 	d.report(2, term)
 	d.wait(4 * second) // its answer no longer waits
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -101,8 +101,8 @@
 		n.log(LogInfo, "leader suspected", "leader", n.leader.record.Controller, "silence", s.follower.Silence(n.now))
 		n.sendGossip(true) // the peers are to know at once
 	}
-	if n.now-n.leaderLease.sentAt > failover.MaxLeaseAge/2 {
-		n.leaderLease.renewAt = min(n.leaderLease.renewAt, n.now)
+	if n.now-n.leaderLease.SentAt > failover.MaxLeaseAge/2 {
+		n.leaderLease.RenewAt = min(n.leaderLease.RenewAt, n.now)
 	}
 }
 
@@ -155,7 +155,7 @@
 // waits for what was decided under the old one.
 func (n *Node) fenceClaim() {
 	if !n.cfg.EarlyTakeover || !n.replica.WritesEarlyFailover() || n.leader.record.Fenced || n.leader.batch.active || n.now < n.nextClaimAt ||
-		n.leaderLease.id != n.claimLeaseID || n.now-n.leaderLease.sentAt > n.leaderLease.ttl/2 {
+		n.leaderLease.ID != n.claimLeaseID || n.now-n.leaderLease.SentAt > n.leaderLease.TTL/2 {
 		return
 	}
 	n.sendClaim(n.newClaim(0), n.leader.term)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -126,7 +126,7 @@
 	m.suspect(term)
 	m.wait(300*time.Millisecond, 0)
 	if claims := m.take(); len(claims) > 0 {
-		t.Errorf("claimed under a lease renewed %v ago", m.now-m.n.leaderLease.sentAt)
+		t.Errorf("claimed under a lease renewed %v ago", m.now-m.n.leaderLease.SentAt)
 	}
 }
 
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -10,16 +10,16 @@
 
 // gang is the replica of the record of a gang attempt that spans shards.
 type gang struct {
-	key      string
-	jobID    string
-	record   *wire.Gang
-	revision uint64
-	seenAt   Time
+	Key      string
+	JobID    string
+	Record   *wire.Gang
+	Revision uint64
+	SeenAt   Time
 	// As an owner: the room held for each task, until the record settles.
 	held map[int]*machine
 	// As the leader: the shards that agreed.
-	agreed map[int]bool
-	denied bool
+	Agreed map[int]bool
+	Denied bool
 }
 
 // queuePosition is the place among those that wait of a gang whose attempt is being tried.
@@ -62,11 +62,11 @@
 				break
 			}
 		}
-		g = &gang{key: key, jobID: ref, seenAt: n.now, agreed: map[int]bool{}}
+		g = &gang{Key: key, JobID: ref, SeenAt: n.now, Agreed: map[int]bool{}}
 		n.gangs[key] = g
 	}
-	if rev > g.revision {
-		g.record, g.revision = rec, rev
+	if rev > g.Revision {
+		g.Record, g.Revision = rec, rev
 	}
 }
 
@@ -83,14 +83,14 @@
 func (n *Node) subtractHolds(slots *slotSet) {
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
-		j := n.jobNamed(g.jobID)
+		j := n.jobNamed(g.JobID)
 		if j == nil || j.Record == nil || j.Record.Spec == nil {
 			continue
 		}
 		for _, task := range slices.Sorted(maps.Keys(g.held)) {
 			h := g.held[task]
 			if slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
-				return a.Task == task && a.Attempt == g.record.Attempt && a.Machine != ""
+				return a.Task == task && a.Attempt == g.Record.Attempt && a.Machine != ""
 			}) {
 				continue // placed: counted by its record
 			}
@@ -180,7 +180,7 @@
 
 // advanceOwnedGang plays the owner's side of try, confirm and cancel.
 func (n *Node) advanceOwnedGang(w *writer, j *job, g *gang, mine []wire.ActiveTask, slots *slotSet) {
-	switch g.record.State {
+	switch g.Record.State {
 	case wire.GangTrying:
 		if g.held == nil {
 			n.holdForGang(j, g, mine, slots)
@@ -194,14 +194,14 @@
 func (n *Node) holdForGang(j *job, g *gang, mine []wire.ActiveTask, slots *slotSet) {
 	chosen := n.chooseAll(j, mine, slots)
 	if chosen == nil {
-		if !g.denied {
-			g.denied = true
+		if !g.Denied {
+			g.Denied = true
 			n.sendGossip(true)
 		}
 		return
 	}
 	g.held = map[int]*machine{}
-	g.denied = false
+	g.Denied = false
 	for i, s := range chosen {
 		s.take(j.Record.Spec)
 		g.held[mine[i].Task] = s.machine
@@ -220,7 +220,7 @@
 			hosts = append(hosts, s.machine)
 		}
 	}
-	if hosts == nil && !n.grantTimedOut(taskKey{j.Index, mine[0].Task, g.record.Attempt}) {
+	if hosts == nil && !n.grantTimedOut(taskKey{j.Index, mine[0].Task, g.Record.Attempt}) {
 		return
 	}
 	rec := w.job(j)
@@ -232,7 +232,7 @@
 	}
 	if hosts == nil {
 		n.revokeUnplaced(w, rec)
-		abandonGang(rec, g.record.Attempt)
+		abandonGang(rec, g.Record.Attempt)
 		return
 	}
 	for i := range mine {
@@ -259,14 +259,14 @@
 func (n *Node) expireGangHolds(w *writer) {
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
-		switch g.record.State {
+		switch g.Record.State {
 		case wire.GangDropped:
 			g.held = nil
 		case wire.GangTrying:
-			if n.now-g.seenAt > 3*n.cfg.HeartbeatInterval && slices.ContainsFunc(g.record.Shards, func(p int) bool { return n.mayActAsOwner(n.shards[p]) }) {
-				rec := *g.record
+			if n.now-g.SeenAt > 3*n.cfg.HeartbeatInterval && slices.ContainsFunc(g.Record.Shards, func(p int) bool { return n.mayActAsOwner(n.shards[p]) }) {
+				rec := *g.Record
 				rec.State = wire.GangDropped
-				w.addWrite(Write{Key: g.key, Value: &rec}, Condition{Key: g.key, Revision: g.revision})
+				w.addWrite(Write{Key: g.Key, Value: &rec}, Condition{Key: g.Key, Revision: g.Revision})
 			}
 		}
 	}
@@ -277,12 +277,12 @@
 	var out []wire.GangHold
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
-		if g.record.State != wire.GangTrying || (g.held == nil && !g.denied) {
+		if g.Record.State != wire.GangTrying || (g.held == nil && !g.Denied) {
 			continue
 		}
-		for _, p := range g.record.Shards {
+		for _, p := range g.Record.Shards {
 			if n.mayActAsOwner(n.shards[p]) {
-				out = append(out, wire.GangHold{Ref: g.jobID, Attempt: g.record.Attempt, Part: p, OK: g.held != nil})
+				out = append(out, wire.GangHold{Ref: g.JobID, Attempt: g.Record.Attempt, Part: p, OK: g.held != nil})
 			}
 		}
 	}
@@ -292,11 +292,11 @@
 // receiveGangHolds takes owners' answers; only the leader acts on them.
 func (n *Node) receiveGangHolds(holds []wire.GangHold) {
 	for _, h := range holds {
-		if g := n.gangs[wire.GangKey(h.Ref, h.Attempt)]; g != nil && g.record.State == wire.GangTrying {
+		if g := n.gangs[wire.GangKey(h.Ref, h.Attempt)]; g != nil && g.Record.State == wire.GangTrying {
 			if h.OK {
-				g.agreed[h.Part] = true
+				g.Agreed[h.Part] = true
 			} else {
-				g.denied = true
+				g.Denied = true
 			}
 			n.leader.planNeeded = true
 		}
@@ -309,26 +309,26 @@
 	n.receiveGangHolds(n.gangHolds())
 	for _, key := range n.gangKeys() {
 		g := n.gangs[key]
-		j := n.jobNamed(g.jobID)
+		j := n.jobNamed(g.JobID)
 		unplaced := j != nil && j.Record != nil && slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
-			return a.Attempt == g.record.Attempt && a.Machine == ""
+			return a.Attempt == g.Record.Attempt && a.Machine == ""
 		})
-		switch g.record.State {
+		switch g.Record.State {
 		case wire.GangTrying:
 			all := true
-			for _, p := range g.record.Shards {
-				all = all && g.agreed[p]
+			for _, p := range g.Record.Shards {
+				all = all && g.Agreed[p]
 			}
-			rec := *g.record
+			rec := *g.Record
 			switch {
 			case all && unplaced && j.Record.State == wire.JobLive:
 				rec.State = wire.GangConfirmed
-			case g.denied || !unplaced || n.now-g.seenAt > 4*n.cfg.HeartbeatInterval:
+			case g.Denied || !unplaced || n.now-g.SeenAt > 4*n.cfg.HeartbeatInterval:
 				rec.State = wire.GangDropped
 			default:
 				continue
 			}
-			w.addWrite(Write{Key: g.key, Value: &rec}, Condition{Key: g.key, Revision: g.revision})
+			w.addWrite(Write{Key: g.Key, Value: &rec}, Condition{Key: g.Key, Revision: g.Revision})
 		case wire.GangDropped:
 			if unplaced {
 				rec := w.job(j)
@@ -336,17 +336,17 @@
 					return
 				}
 				rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
-					return a.Attempt == g.record.Attempt && a.Machine == ""
+					return a.Attempt == g.Record.Attempt && a.Machine == ""
 				})
 				j.restorePosition()
 			}
-			w.addWrite(Write{Key: g.key}, Condition{Key: g.key, Revision: g.revision})
+			w.addWrite(Write{Key: g.Key}, Condition{Key: g.Key, Revision: g.Revision})
 		case wire.GangConfirmed:
 			if !unplaced {
 				if j != nil {
 					j.queuePosition = queuePosition{}
 				}
-				w.addWrite(Write{Key: g.key}, Condition{Key: g.key, Revision: g.revision})
+				w.addWrite(Write{Key: g.Key}, Condition{Key: g.Key, Revision: g.Revision})
 			}
 		}
 	}
--- a/internal/core/gang_placement.go
+++ b/internal/core/gang_placement.go
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, x := range p.node.shards {
-		try(func(part, _ int) bool { return part == x.index }, 0)
+		try(func(part, _ int) bool { return part == x.Index }, 0)
 	}
 	if best != nil && len(w.tasks) == 1 {
 		return best
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -26,8 +26,8 @@
 	}
 	for _, p := range n.shards {
 		if n.mayActAsOwner(p) {
-			m.Parts = append(m.Parts, p.index)
-			m.Terms = append(m.Terms, p.term)
+			m.Parts = append(m.Parts, p.Index)
+			m.Terms = append(m.Terms, p.Term)
 		}
 	}
 	for label, p := range n.peers {
@@ -38,8 +38,8 @@
 		m.Returned = n.leader.recentlyReturned(n)
 		m.Kept = n.leader.reservations
 		for _, key := range n.gangKeys() {
-			if g := n.gangs[key]; g.record.State != wire.GangDropped {
-				m.Tries = append(m.Tries, wire.GangHold{Ref: g.jobID, Attempt: g.record.Attempt, OK: g.record.State == wire.GangConfirmed})
+			if g := n.gangs[key]; g.Record.State != wire.GangDropped {
+				m.Tries = append(m.Tries, wire.GangHold{Ref: g.JobID, Attempt: g.Record.Attempt, OK: g.Record.State == wire.GangConfirmed})
 			}
 		}
 		n.followLeader(&m)
@@ -132,7 +132,7 @@
 		}
 		fresh, all := 0, 0
 		for _, h := range p.machines {
-			if h.term == p.term && !h.returned {
+			if h.term == p.Term && !h.returned {
 				all++
 				if n.now-h.heartbeatAt < 2*n.cfg.HeartbeatInterval {
 					fresh++
@@ -141,7 +141,7 @@
 		}
 		for _, h := range p.machines {
 			n.workCount++
-			if h.term != p.term {
+			if h.term != p.Term {
 				continue
 			}
 			silent := n.now - h.heartbeatAt
@@ -156,9 +156,9 @@
 			}
 			// Machines could not report to us before we could answer. A unresponsive
 			// one is as good as lost: all it does ends with its lease.
-			v.unreachable = h.unresponsive || n.isUnreachable(h, min(silent, n.now-p.validSince), 2*fresh > all)
-			if v != h.view || h.viewTerm != p.term {
-				n.setView(h, v, p.term)
+			v.unreachable = h.unresponsive || n.isUnreachable(h, min(silent, n.now-p.ValidSince), 2*fresh > all)
+			if v != h.view || h.viewTerm != p.Term {
+				n.setView(h, v, p.Term)
 				n.noteViewChange(h)
 				n.leader.planNeeded = true
 			}
@@ -204,7 +204,7 @@
 	// A newer term than the replica shows means that we have lost the shard and
 	// can't see it: we are refused by the state service.
 	for i, ix := range m.Parts {
-		if ix >= 0 && ix < len(n.shards) && i < len(m.Terms) && m.Terms[i] > n.shards[ix].term {
+		if ix >= 0 && ix < len(n.shards) && i < len(m.Terms) && m.Terms[i] > n.shards[ix].Term {
 			n.putShard(n.shards[ix], &wire.Shard{Owner: m.From, Incarnation: m.Life}, m.Terms[i])
 		}
 	}
@@ -238,7 +238,7 @@
 				term = m.Terms[k]
 			}
 		}
-		if term < n.shards[part].term {
+		if term < n.shards[part].Term {
 			continue
 		}
 		n.setShard(h, part)
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		for _, h := range p.machines {
-			if h.returned || h.term != p.term || len(h.images) == 0 {
+			if h.returned || h.term != p.Term || len(h.images) == 0 {
 				continue
 			}
 			if room -= len(h.name) + 6; room < 0 {
--- a/internal/core/leader_state.go
+++ b/internal/core/leader_state.go
@@ -79,7 +79,7 @@
 	// Refused by the state service, we may have lost the lead without seeing
 	// it. Commits would fail, but the cloud would go on obeying us.
 	// Nor does a new lease renew what was claimed under one that has ended.
-	if n.now-n.leaderLease.sentAt > n.leaderLease.ttl || n.leaderLease.id != n.claimLeaseID {
+	if n.now-n.leaderLease.SentAt > n.leaderLease.TTL || n.leaderLease.ID != n.claimLeaseID {
 		return
 	}
 	if n.resumedAt > 0 && n.now-n.resumedAt < 2*second {
@@ -169,10 +169,10 @@
 
 // ownerIsHeard tells whether a shard has an owner that can be heard.
 func (n *Node) ownerIsHeard(p *shard) bool {
-	if p.record == nil {
+	if p.Record == nil {
 		return false
 	}
-	owner := n.peers[p.record.Owner]
+	owner := n.peers[p.Record.Owner]
 	return n.owns(p) || owner != nil && n.now-owner.heardAt < 5*second
 }
 
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -64,7 +64,7 @@
 // it, or early when a quorum suspects the leader.
 func (n *Node) claimLeader() {
 	l := &n.leader
-	if n.isLeader() || n.leaderLease.id == 0 || n.now-n.leaderLease.sentAt > n.leaderLease.ttl/2 || n.now < n.nextClaimAt {
+	if n.isLeader() || n.leaderLease.ID == 0 || n.now-n.leaderLease.SentAt > n.leaderLease.TTL/2 || n.now < n.nextClaimAt {
 		return
 	}
 	switch {
@@ -74,7 +74,7 @@
 		}
 	case l.record.Controller == n.cfg.Self:
 		n.sendClaim(n.newClaim(l.record.Streak), l.term)
-	case n.failover.follower.Advise(n.now) == failover.Replace && n.now-n.leaderLease.sentAt <= failover.MaxLeaseAge:
+	case n.failover.follower.Advise(n.now) == failover.Replace && n.now-n.leaderLease.SentAt <= failover.MaxLeaseAge:
 		n.claimEarly()
 	}
 }
@@ -101,12 +101,12 @@
 // nobody has it.
 func (n *Node) sendClaim(claim *wire.Leader, rev uint64, more ...Write) {
 	n.nextClaimAt = n.now + 500*time.Millisecond
-	n.claimLeaseID = n.leaderLease.id
-	writes := []Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leaderLease.id}}
+	n.claimLeaseID = n.leaderLease.ID
+	writes := []Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leaderLease.ID}}
 	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: rev}}, append(writes, more...), func(c Committed) {
 		switch c.Outcome {
 		case LeaseExpired:
-			n.leaderLease.id, n.leaderLease.renewAt = 0, n.now
+			n.leaderLease.ID, n.leaderLease.RenewAt = 0, n.now
 		case OK:
 			n.acceptedTerm, n.acceptedAt = c.Revision, n.now
 		}
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -11,10 +11,10 @@
 
 // lease is one lease on the state service.
 type lease struct {
-	id       uint64
-	ttl      Time
-	sentAt   Time // when the last successful renewal was sent
-	renewAt  Time
+	ID       uint64
+	TTL      Time
+	SentAt   Time // when the last successful renewal was sent
+	RenewAt  Time
 	renewing bool
 }
 
@@ -49,8 +49,8 @@
 		if n.anotherLeads() && !n.needsLeaderLease() {
 			// There is nothing to claim; requests are scarce. By the time it is needed
 			// the old one may have ended.
-			if n.now-l.sentAt > l.ttl/2 {
-				l.id = 0
+			if n.now-l.SentAt > l.TTL/2 {
+				l.ID = 0
 			}
 			return
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (n *Node) renewalDue(l *lease) bool { return !l.renewing && n.now >= l.renewAt }
+func (n *Node) renewalDue(l *lease) bool { return !l.renewing && n.now >= l.RenewAt }
 
 // anotherLeads tells whether the records name another controller as the leader.
 func (n *Node) anotherLeads() bool {
@@ -68,24 +68,24 @@
 // sendRenewal extends a lease, or makes one.
 func (n *Node) sendRenewal(l *lease) {
 	l.renewing = true
-	sent, was := n.now, l.id
+	sent, was := n.now, l.ID
 	id := n.onResult(func(in Result) {
 		r := in.(LeaseAnswered)
 		n.noteStoreOutcome(r.Outcome)
 		l.renewing = false
-		l.renewAt = n.now + renewalRetryDelay
+		l.RenewAt = n.now + renewalRetryDelay
 		switch r.Outcome {
 		case OK:
 			if was == 0 {
-				l.id = r.LeaseID
+				l.ID = r.LeaseID
 			}
-			l.sentAt = sent
-			l.renewAt = sent + min(l.ttl/4, n.proofInterval())
+			l.SentAt = sent
+			l.RenewAt = sent + min(l.TTL/4, n.proofInterval())
 		case NotFound:
-			l.id, l.renewAt = 0, n.now
+			l.ID, l.RenewAt = 0, n.now
 		}
 	})
-	n.emit(RenewLease{ID: id, LeaseID: was, TTL: l.ttl})
+	n.emit(RenewLease{ID: id, LeaseID: was, TTL: l.TTL})
 }
 
 // checkOwnership proves every couple of seconds that we still hold what we act on.
@@ -98,8 +98,8 @@
 	held := map[int]uint64{}
 	for i, p := range n.shards {
 		if n.owns(p) {
-			conds = append(conds, Condition{Key: wire.ShardKey(p.name), Revision: p.term})
-			held[i] = p.term
+			conds = append(conds, Condition{Key: wire.ShardKey(p.Name), Revision: p.Term})
+			held[i] = p.Term
 		}
 	}
 	if len(conds) == 0 {
@@ -110,7 +110,7 @@
 	for _, some := range slices.Collect(slices.Chunk(conds, max(1, most))) {
 		parts := map[int]uint64{}
 		for i, p := range n.shards {
-			if slices.ContainsFunc(some, func(c Condition) bool { return c.Key == wire.ShardKey(p.name) }) {
+			if slices.ContainsFunc(some, func(c Condition) bool { return c.Key == wire.ShardKey(p.Name) }) {
 				parts[i] = held[i]
 			}
 		}
@@ -133,11 +133,11 @@
 		}
 		n.provenAt = max(n.provenAt, c.sentAt)
 		for i, term := range c.terms {
-			if p := n.shards[i]; p.term == term {
+			if p := n.shards[i]; p.Term == term {
 				if !n.mayActAsOwner(p) {
-					p.validSince = n.now
+					p.ValidSince = n.now
 				}
-				p.validFrom = max(p.validFrom, min(c.sentAt, n.shardLease.sentAt))
+				p.validFrom = max(p.validFrom, min(c.sentAt, n.shardLease.SentAt))
 				p.proven = true
 			}
 		}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -110,7 +110,7 @@
 		}
 	}
 	if part >= 0 {
-		h.zone = n.shards[part].zone
+		h.zone = n.shards[part].Zone
 	}
 }
 
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	p := n.shards[h.shard]
-	return h.term == p.term && (h.tokenConfirmed || h.newlyBooted) && h.ignoredReplies == 0 && n.now-h.heartbeatAt < 3*n.cfg.HeartbeatInterval && h.reclaimAt == 0 &&
+	return h.term == p.Term && (h.tokenConfirmed || h.newlyBooted) && h.ignoredReplies == 0 && n.now-h.heartbeatAt < 3*n.cfg.HeartbeatInterval && h.reclaimAt == 0 &&
 		!h.unhealthy && !h.draining && !h.returned && n.now >= h.noCapacityUntil
 }
 
@@ -100,8 +100,8 @@
 		if len(h.placements) == 0 {
 			continue
 		}
-		last := p.ownedSince
-		if h.term == p.term {
+		last := p.OwnedSince
+		if h.term == p.Term {
 			last = max(last, h.answeredAt)
 		}
 		if !h.returned && n.now-last <= limit {
@@ -109,7 +109,7 @@
 		}
 		for i := range h.placements {
 			k := h.placements[i].taskKey
-			if _, known := n.outcomes[k]; !known && h.placements[i].shard == p.index {
+			if _, known := n.outcomes[k]; !known && h.placements[i].shard == p.Index {
 				n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
 				n.log(LogInfo, "task lost", "job", n.jobs[k.job].ID, "task", k.task, "machine", h.name)
 			}
@@ -128,8 +128,8 @@
 	for _, p := range n.shards {
 		for i := len(p.machines) - 1; i >= 0; i-- {
 			h := p.machines[i]
-			silent := n.mayActAsOwner(p) && h.term == p.term && n.now-h.heartbeatAt > 3*n.cfg.WorkerLease
-			if len(h.placements) == 0 && (h.returned || silent || h.view.unreachable && !n.owns(p) && n.now-p.changedAt > 3*n.cfg.WorkerLease) {
+			silent := n.mayActAsOwner(p) && h.term == p.Term && n.now-h.heartbeatAt > 3*n.cfg.WorkerLease
+			if len(h.placements) == 0 && (h.returned || silent || h.view.unreachable && !n.owns(p) && n.now-p.ChangedAt > 3*n.cfg.WorkerLease) {
 				n.setShard(h, -1)
 				h.view, h.reportedTasks, h.startSentAt, h.directStarts, h.failedJobs, h.images = machineView{}, nil, nil, nil, nil, nil
 				h.term = 0 // if it reports again, it is learnt anew
@@ -169,7 +169,7 @@
 			continue
 		}
 		a := n.activeTask(k, res.machine)
-		if a == nil || !n.mayActAsOwner(n.shards[a.Shard]) || n.shards[a.Shard].term != res.term {
+		if a == nil || !n.mayActAsOwner(n.shards[a.Shard]) || n.shards[a.Shard].Term != res.term {
 			delete(n.outcomes, k) // written, or found out in a term that is over
 			continue
 		}
@@ -204,7 +204,7 @@
 // once it has shown that it knows our term.
 func (n *Node) awaitsNewEpoch(res taskOutcome) bool {
 	h := n.machineNamed(res.machine)
-	return res.cause == causeLost && h.shard >= 0 && n.now-res.at < epochDelay && h.term == n.shards[h.shard].term &&
+	return res.cause == causeLost && h.shard >= 0 && n.now-res.at < epochDelay && h.term == n.shards[h.shard].Term &&
 		!h.tokenConfirmed && n.now-h.heartbeatAt < epochDelay
 }
 
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -25,7 +25,7 @@
 	d = &drive{rev: 1, n: New(cfg)}
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	d.wait(2 * second)
-	term = d.n.shards[0].term
+	term = d.n.shards[0].Term
 	d.report(1, 0)
 	d.report(2, term)
 	d.wait(4 * second)
@@ -79,7 +79,7 @@
 	d, _ := owner(t)
 	d.put(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 	k := taskKey{0, 0, 1}
-	d.n.outcomes[k] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].term}
+	d.n.outcomes[k] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].Term}
 	d.n.putShard(d.n.shards[0], &wire.Shard{Owner: "n0", Incarnation: "x"}, d.rev+5)
 	if len(d.n.outcomes) != 0 {
 		t.Error("a finding outlived its term")
@@ -96,7 +96,7 @@
 		t.Fatal("does not lead")
 	}
 	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
-	d.report(20, n.shards[0].term)
+	d.report(20, n.shards[0].Term)
 	d.rev++
 	j := lowJob(wire.JobLive)
 	j.Spec.Priority = "high"
--- a/internal/core/provision.go
+++ b/internal/core/provision.go
@@ -277,8 +277,8 @@
 	}
 	part := -1
 	for _, y := range n.shards {
-		if y.zone == x.zone {
-			part = y.index
+		if y.Zone == x.zone {
+			part = y.Index
 			break
 		}
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -35,7 +35,7 @@
 const epochDelay = 1200 * time.Millisecond
 
 // shardTerm is the term of the shard that the machine belongs to.
-func (h *machine) shardTerm(n *Node) uint64 { return n.shards[h.shard].term }
+func (h *machine) shardTerm(n *Node) uint64 { return n.shards[h.shard].Term }
 
 // outcomeDelay is how long a result waits for others of the same job when puts
 // are scarce: one put serves them all, and the tasks of a gang end together.
@@ -58,7 +58,7 @@
 // reconcile compares a report with the records and gives the orders that
 // bring the machine in line.
 func (n *Node) reconcile(p *shard, h *machine, r *wire.WorkerHeartbeat) []wire.Command {
-	x := &reconciliation{node: n, machine: h, heartbeat: r, tokenCurrent: r.Token == p.term, reported: make(map[taskKey]bool, len(r.Tasks)), previousStates: h.reportedTasks}
+	x := &reconciliation{node: n, machine: h, heartbeat: r, tokenCurrent: r.Token == p.Term, reported: make(map[taskKey]bool, len(r.Tasks)), previousStates: h.reportedTasks}
 	h.reportedTasks, h.unclearedTasks = make(map[taskKey]string, len(r.Tasks)), 0
 	for i := range r.Tasks {
 		x.reportedTask(&r.Tasks[i])
@@ -215,7 +215,7 @@
 			continue
 		}
 		hb := n.machineNamed(b.Machine)
-		if hb.images.Has(j.Image) || n.shards[b.Shard].record == nil || !n.mayActAsOwner(n.shards[b.Shard]) {
+		if hb.images.Has(j.Image) || n.shards[b.Shard].Record == nil || !n.mayActAsOwner(n.shards[b.Shard]) {
 			continue
 		}
 		return true
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -36,7 +36,7 @@
 	}
 	n.replica.DeleteUnlisted(listed, listing.Revision)
 	for _, p := range n.shards {
-		if p.record != nil && !listed[wire.ShardKey(p.name)] {
+		if p.Record != nil && !listed[wire.ShardKey(p.Name)] {
 			n.putShard(p, nil, listing.Revision)
 		}
 	}
@@ -54,7 +54,7 @@
 // what happened before a listing is not known.
 func (n *Node) assumeRecentOwners() {
 	for _, p := range n.shards {
-		p.previousOwnerUntil = n.now + n.cfg.OwnerValidity
+		p.PreviousOwnerUntil = n.now + n.cfg.OwnerValidity
 	}
 }
 
--- a/internal/core/scheduling_pass.go
+++ b/internal/core/scheduling_pass.go
@@ -176,14 +176,14 @@
 		return nil
 	}
 	p := n.shards[h.shard]
-	if p.record == nil {
+	if p.Record == nil {
 		return nil
 	}
-	if owner := n.peers[p.record.Owner]; p.record.Owner != n.cfg.Self && (owner == nil || n.now-owner.heardAt > 5*second) {
-		if owner != nil && n.now-owner.heardAt > 3*n.cfg.WorkerLease || n.now-p.changedAt > 3*n.cfg.WorkerLease && h.viewTerm != p.term {
+	if owner := n.peers[p.Record.Owner]; p.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.heardAt > 5*second) {
+		if owner != nil && n.now-owner.heardAt > 3*n.cfg.WorkerLease || n.now-p.ChangedAt > 3*n.cfg.WorkerLease && h.viewTerm != p.Term {
 			return nil
 		}
-	} else if v.missedHeartbeats > 1 || h.viewTerm != p.term && n.now-p.changedAt > 4*n.cfg.HeartbeatInterval {
+	} else if v.missedHeartbeats > 1 || h.viewTerm != p.Term && n.now-p.ChangedAt > 4*n.cfg.HeartbeatInterval {
 		return nil
 	}
 	if n.leader.autoscaler.draining[h.name] {
@@ -251,7 +251,7 @@
 	p.charge(j, len(tasks))
 	p.addAccountCondition(j, slots)
 	j.grantedAt = n.now
-	n.log(LogDebug, "tasks granted", "job", j.ID, "attempt", attempt, "tasks", len(tasks), "shard", n.shards[slots[0].shard].name)
+	n.log(LogDebug, "tasks granted", "job", j.ID, "attempt", attempt, "tasks", len(tasks), "shard", n.shards[slots[0].shard].Name)
 	return true
 }
 
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -11,22 +11,22 @@
 
 // shard is a share of a zone's machines.
 type shard struct {
-	index          int
-	name           string
-	zone           int
-	homeController string // the controller meant to own it; "" in a zone without one
-	record         *wire.Shard
-	term           uint64 // of the claim: the term and the workers' token
+	Index          int
+	Name           string
+	Zone           int
+	HomeController string // the controller meant to own it; "" in a zone without one
+	Record         *wire.Shard
+	Term           uint64 // of the claim: the term and the workers' token
 
 	machines           []*machine // machines that may still be there
-	changedAt          Time       // when the replica last saw it change hands
+	ChangedAt          Time       // when the replica last saw it change hands
 	claimCheckedAt     Time       // when we last asked ourselves whether to claim it
-	claimableSince     Time       // when the replica last saw it change hands or go
+	ClaimableSince     Time       // when the replica last saw it change hands or go
 	proven             bool       // a check has covered this term
 	validFrom          Time       // our validity counts from here
-	validSince         Time       // since when we could answer without a break
-	ownedSince         Time       // no earlier owner can have answered a report sent after this
-	previousOwnerUntil Time       // no owner before the present one answers after this
+	ValidSince         Time       // since when we could answer without a break
+	OwnedSince         Time       // no earlier owner can have answered a report sent after this
+	PreviousOwnerUntil Time       // no owner before the present one answers after this
 }
 
 // ShardID names a shard: the zone whose machines it holds, and the controller that is
@@ -65,7 +65,7 @@
 	n.zoneShards = make([]shardRange, n.names.Zones.Len())
 	for ix, id := range Shards(n.cfg.Zones, n.cfg.Members) {
 		zone := n.names.Zones.Find(id.Zone)
-		n.shards = append(n.shards, &shard{index: ix, name: id.Name(), zone: zone, homeController: id.Home})
+		n.shards = append(n.shards, &shard{Index: ix, Name: id.Name(), Zone: zone, HomeController: id.Home})
 		if n.zoneShards[zone].count == 0 {
 			n.zoneShards[zone].first = ix
 		}
@@ -93,7 +93,7 @@
 
 func (n *Node) shardWithKey(key string) *shard {
 	for _, p := range n.shards {
-		if wire.ShardKey(p.name) == key {
+		if wire.ShardKey(p.Name) == key {
 			return p
 		}
 	}
@@ -101,16 +101,16 @@
 }
 
 func (n *Node) putShard(p *shard, rec *wire.Shard, rev uint64) {
-	if rev <= p.term {
+	if rev <= p.Term {
 		return
 	}
-	was := p.record
-	p.record, p.term, p.claimableSince, p.changedAt = rec, rev, n.now, n.now
+	was := p.Record
+	p.Record, p.Term, p.ClaimableSince, p.ChangedAt = rec, rev, n.now, n.now
 	if was != nil && rec != nil && was.Owner != rec.Owner {
 		// Taken over while it lived: it may answer until its validity has run out,
 		// whoever takes the shard next, and when. It once was forgotten by an owner
 		// that took a shard, ended, and came back.
-		p.previousOwnerUntil = n.now + n.cfg.OwnerValidity
+		p.PreviousOwnerUntil = n.now + n.cfg.OwnerValidity
 	}
 	p.proven, p.validFrom = false, 0
 	// What machines did under the last owner says nothing about this one.
@@ -121,11 +121,11 @@
 		// An owner whose key went with its lease had stopped before, and an
 		// earlier incarnation of ours is dead; but who was taken over lately may still
 		// answer.
-		p.ownedSince = max(n.now, p.previousOwnerUntil)
+		p.OwnedSince = max(n.now, p.PreviousOwnerUntil)
 		n.ownershipCheckAt = 0
-		n.log(LogInfo, "shard claimed", "shard", p.name, "term", rev)
+		n.log(LogInfo, "shard claimed", "shard", p.Name, "term", rev)
 	} else if was != nil && was.Owner == n.cfg.Self && was.Incarnation == n.cfg.Incarnation {
-		n.log(LogInfo, "shard lost", "shard", p.name)
+		n.log(LogInfo, "shard lost", "shard", p.Name)
 	}
 }
 
@@ -135,7 +135,7 @@
 // machine that have run on all the while.
 func (n *Node) discardOutcomes(p *shard) {
 	for k, res := range n.outcomes {
-		if a := n.activeTask(k, res.machine); a == nil || a.Shard == p.index {
+		if a := n.activeTask(k, res.machine); a == nil || a.Shard == p.Index {
 			delete(n.outcomes, k)
 		}
 	}
@@ -149,7 +149,7 @@
 
 // owns tells whether the replica says that the shard is ours.
 func (n *Node) owns(p *shard) bool {
-	return p.record != nil && p.record.Owner == n.cfg.Self && p.record.Incarnation == n.cfg.Incarnation
+	return p.Record != nil && p.Record.Owner == n.cfg.Self && p.Record.Incarnation == n.cfg.Incarnation
 }
 
 // mayActAsOwner tells whether we may act as the owner now.
@@ -160,7 +160,7 @@
 // claimShards takes shards that nobody holds, and those whose owner can't serve
 // their workers.
 func (n *Node) claimShards() {
-	if n.shardLease.id == 0 || n.now-n.shardLease.sentAt > n.shardLease.ttl/2 {
+	if n.shardLease.ID == 0 || n.now-n.shardLease.SentAt > n.shardLease.TTL/2 {
 		return
 	}
 	for _, p := range n.shards {
@@ -171,37 +171,37 @@
 		if !n.mayClaim(p) {
 			continue
 		}
-		p.claimableSince = max(p.claimableSince, n.now) // wait before the next try
-		rev := p.term
-		if p.record == nil {
+		p.ClaimableSince = max(p.ClaimableSince, n.now) // wait before the next try
+		rev := p.Term
+		if p.Record == nil {
 			rev = 0
 		}
-		key := wire.ShardKey(p.name)
-		claim := []Write{{Key: key, Value: &wire.Shard{Owner: n.cfg.Self, Incarnation: n.cfg.Incarnation}, LeaseID: n.shardLease.id}}
+		key := wire.ShardKey(p.Name)
+		claim := []Write{{Key: key, Value: &wire.Shard{Owner: n.cfg.Self, Incarnation: n.cfg.Incarnation}, LeaseID: n.shardLease.ID}}
 		n.commit(ClassLease, []Condition{{Key: key, Revision: rev}}, append(claim, n.replica.SupportedFormatWrites()...),
 			func(c Committed) {
 				if c.Outcome == LeaseExpired {
-					n.shardLease.id, n.shardLease.renewAt = 0, n.now
+					n.shardLease.ID, n.shardLease.RenewAt = 0, n.now
 				}
 			})
 	}
 }
 
 // claimAt spaces claims of one shard.
-func (p *shard) claimAt() Time { return p.claimableSince + 300*time.Millisecond }
+func (p *shard) claimAt() Time { return p.ClaimableSince + 300*time.Millisecond }
 
 func (n *Node) mayClaim(p *shard) bool {
-	waited := n.now - p.claimableSince
-	if p.record == nil {
+	waited := n.now - p.ClaimableSince
+	if p.Record == nil {
 		switch {
-		case p.homeController == n.cfg.Self:
+		case p.HomeController == n.cfg.Self:
 			return true
-		case n.names.Zones.Name(p.zone) == n.cfg.Zone:
+		case n.names.Zones.Name(p.Zone) == n.cfg.Zone:
 			return waited > 2*second
 		}
 		return waited > 4*second+Time(n.rank())*second
 	}
-	if p.record.Owner == n.cfg.Self {
+	if p.Record.Owner == n.cfg.Self {
 		return true // an earlier incarnation of ours
 	}
 	// Its workers come here although we send them to their owner. A single
@@ -224,26 +224,26 @@
 		}
 	}
 	need := max(1, min(known, max(2, min(known/8, 12))))
-	owner := n.peers[p.record.Owner]
+	owner := n.peers[p.Record.Owner]
 	deaf := owner == nil || n.now-owner.heardAt > 5*second
 	refused := owner != nil && !deaf && !owner.message.StoreOK
 	wait := 0 * second
-	if n.names.Zones.Name(p.zone) != n.cfg.Zone {
+	if n.names.Zones.Name(p.Zone) != n.cfg.Zone {
 		wait = 4 * second
 	}
 	switch {
 	case bounced >= need && n.now-first > 2*second+wait && waited > 10*second:
-		n.log(LogInfo, "taking over shard", "reason", "workers cannot reach the owner", "shard", p.name, "owner", p.record.Owner)
+		n.log(LogInfo, "taking over shard", "reason", "workers cannot reach the owner", "shard", p.Name, "owner", p.Record.Owner)
 		return true
 	case deaf && bounced >= 1 && waited > 5*second+wait:
-		n.log(LogInfo, "taking over shard", "reason", "owner is silent", "shard", p.name, "owner", p.record.Owner)
+		n.log(LogInfo, "taking over shard", "reason", "owner is silent", "shard", p.Name, "owner", p.Record.Owner)
 		return true
-	case refused && n.storeOK && n.now-n.storeAnsweredAt < 2*second && n.peerRefusedFor(p.record.Owner) > 4*second+wait:
-		n.log(LogInfo, "taking over shard", "reason", "state service refuses the owner", "shard", p.name, "owner", p.record.Owner)
+	case refused && n.storeOK && n.now-n.storeAnsweredAt < 2*second && n.peerRefusedFor(p.Record.Owner) > 4*second+wait:
+		n.log(LogInfo, "taking over shard", "reason", "state service refuses the owner", "shard", p.Name, "owner", p.Record.Owner)
 		return true
 	}
 	// The home controller is back and well: it stands beside the workers.
-	home := p.homeController == n.cfg.Self && waited > 60*second && n.storeOK
+	home := p.HomeController == n.cfg.Self && waited > 60*second && n.storeOK
 	return home && owner != nil && !deaf
 }
 
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -20,8 +20,8 @@
 			t.Errorf("machines %d on: parts %v", start, count)
 		}
 		for p, c := range count {
-			if c < 4 || n.shards[p].zone != n.names.Zones.Find("a") {
-				t.Errorf("machines %d on: part %d of zone %d has %d of 20", start, p, n.shards[p].zone, c)
+			if c < 4 || n.shards[p].Zone != n.names.Zones.Find("a") {
+				t.Errorf("machines %d on: part %d of zone %d has %d of 20", start, p, n.shards[p].Zone, c)
 			}
 		}
 	}
@@ -74,14 +74,14 @@
 			rev++
 			n.now += second
 		}
-		if p.ownedSince != c.bound {
-			t.Errorf("%s: bound %v, not %v", c.name, p.ownedSince, c.bound)
+		if p.OwnedSince != c.bound {
+			t.Errorf("%s: bound %v, not %v", c.name, p.OwnedSince, c.bound)
 		}
 	}
 	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 5})
 	n.putShard(n.shards[0], claim("n0", "x"), 6)
-	if b := n.shards[0].ownedSince; b != second+validity {
+	if b := n.shards[0].OwnedSince; b != second+validity {
 		t.Errorf("just started: bound %v", b)
 	}
 }
--- a/internal/core/share_distribution.go
+++ b/internal/core/share_distribution.go
@@ -73,7 +73,7 @@
 	}
 	for i, part := range n.shards {
 		// What we own ourselves needs no share: we grant there as the leader.
-		d.Owned[i] = part.record != nil && !n.owns(part) && n.ownerIsHeard(part)
+		d.Owned[i] = part.Record != nil && !n.owns(part) && n.ownerIsHeard(part)
 	}
 	return d
 }
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -155,7 +155,7 @@
 func (n *Node) zoneTasks(r *wire.Job) []int {
 	m := make([]int, n.names.Zones.Len())
 	for i := range r.ActiveTasks {
-		m[n.shards[r.ActiveTasks[i].Shard].zone]++
+		m[n.shards[r.ActiveTasks[i].Shard].Zone]++
 	}
 	return m
 }
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -21,7 +21,7 @@
 	}
 	n.setShard(h, pi)
 	h.machineType, h.spot, h.address = n.names.MachineTypes.Of(r.MachineType), r.Spot, r.Addr
-	if !n.replica.Loaded() || !n.mayActAsOwner(p) || r.Token > p.term {
+	if !n.replica.Loaded() || !n.mayActAsOwner(p) || r.Token > p.Term {
 		n.redirect(in.RequestID, p, h, h.isStrayCopy(r))
 		return
 	}
@@ -47,7 +47,7 @@
 	}
 	n.noteResponsiveness(p, h, was)
 	if pause := n.replyDelayFor(h, r, orders); pause > 0 {
-		n.heldReplies = append(n.heldReplies, heldReply{WorkerReported: in, shard: p, machine: h, term: p.term, until: n.now + pause})
+		n.heldReplies = append(n.heldReplies, heldReply{WorkerReported: in, shard: p, machine: h, term: p.Term, until: n.now + pause})
 		h.heldReplies++
 		return
 	}
@@ -67,11 +67,11 @@
 // noteNewTerm begins anew with a machine that is heard for the first time in our term.
 func (n *Node) noteNewTerm(p *shard, h *machine, r *wire.WorkerHeartbeat) {
 	firstReports := r.Epoch == 1 && r.Sequence <= 2
-	if h.term == p.term {
+	if h.term == p.Term {
 		h.newlyBooted = h.newlyBooted && firstReports
 		return
 	}
-	h.term, h.answeredAt, h.heartbeats, h.tokenConfirmed, h.ignoredReplies, h.unresponsive = p.term, 0, 0, false, 0, false
+	h.term, h.answeredAt, h.heartbeats, h.tokenConfirmed, h.ignoredReplies, h.unresponsive = p.Term, 0, 0, false, 0, false
 	h.leaseExpiring = false
 	h.startSentAt, h.directStarts = map[taskKey]uint64{}, map[taskKey]directStart{}
 	// The first report of a machine's life, of which nobody has heard: it can't know
@@ -99,8 +99,8 @@
 // noteToken notes whether a machine has taken our term, and counts answers after which
 // it still has not.
 func (n *Node) noteToken(p *shard, h *machine, r *wire.WorkerHeartbeat) {
-	if h.tokenConfirmed != (r.Token == p.term) {
-		h.tokenConfirmed, h.ignoredReplies = r.Token == p.term, 0
+	if h.tokenConfirmed != (r.Token == p.Term) {
+		h.tokenConfirmed, h.ignoredReplies = r.Token == p.Term, 0
 		n.ownViewAt = 0
 	} else if h.heartbeats > 0 && !h.tokenConfirmed && n.replyLikelyLost(h) {
 		h.ignoredReplies++
@@ -146,7 +146,7 @@
 func (n *Node) manyUnresponsive(p *shard) bool {
 	all, deaf := 0, 0
 	for _, h := range p.machines {
-		if h.term == p.term && !h.returned {
+		if h.term == p.Term && !h.returned {
 			all++
 			if h.ignoredReplies >= maxIgnoredReplies-1 {
 				deaf++
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -11,7 +11,7 @@
 
 func (n *Node) answerWorker(req uint64, p *shard, h *machine, orders []wire.Command) {
 	h.answeredAt = n.now
-	n.emit(Reply{RequestID: req, Status: 200, Body: wire.HeartbeatReply{Token: p.term, Commands: orders}})
+	n.emit(Reply{RequestID: req, Status: 200, Body: wire.HeartbeatReply{Token: p.Term, Commands: orders}})
 }
 
 // replyDelay is how long an answer may wait for the records to be written
@@ -79,7 +79,7 @@
 	n.heldRepliesAt = n.now + 40*time.Millisecond
 	n.heldReplies = slices.DeleteFunc(n.heldReplies, func(q heldReply) bool {
 		p, h := q.shard, q.machine
-		if p.term != q.term || !n.mayActAsOwner(p) || h.epoch != q.Heartbeat.Epoch || h.sequence != q.Heartbeat.Sequence {
+		if p.Term != q.term || !n.mayActAsOwner(p) || h.epoch != q.Heartbeat.Epoch || h.sequence != q.Heartbeat.Sequence {
 			h.heldReplies--
 			n.redirect(q.RequestID, p, h, false)
 			return true
@@ -108,7 +108,7 @@
 }
 
 func (n *Node) redirect(req uint64, p *shard, h *machine, late bool) {
-	if n.replica.Loaded() && p.record != nil && p.record.Owner != n.cfg.Self {
+	if n.replica.Loaded() && p.Record != nil && p.Record.Owner != n.cfg.Self {
 		// It was sent to its owner and is back, or its owner has told us that
 		// it hears nothing from it: it can't reach its owner.
 		back := n.now - h.redirectedAt
@@ -127,7 +127,7 @@
 			h.strayListed = true
 			n.strayMachines = append(n.strayMachines, h.index)
 		}
-		n.emit(Reply{RequestID: req, Status: 421, Body: wire.Redirect{Owner: p.record.Owner}})
+		n.emit(Reply{RequestID: req, Status: 421, Body: wire.Redirect{Owner: p.Record.Owner}})
 		return
 	}
 	n.emit(Reply{RequestID: req, Status: 503, Body: wire.Error{Error: "no owner"}})
@@ -138,12 +138,12 @@
 // unreachable for the answers. When copies counted, two controllers took shards from
 // each other for as long as they came.
 func (n *Node) ownerHearsMachine(p *shard, h *machine) bool {
-	owner := n.peers[p.record.Owner]
+	owner := n.peers[p.Record.Owner]
 	if owner == nil || n.now-owner.heardAt > 3*second {
 		return false
 	}
-	if h.viewTerm != p.term {
-		return n.now-p.changedAt < 3*n.cfg.HeartbeatInterval // it has not had the time to hear it
+	if h.viewTerm != p.Term {
+		return n.now-p.ChangedAt < 3*n.cfg.HeartbeatInterval // it has not had the time to hear it
 	}
 	return h.view.missedHeartbeats == 0
 }
@@ -152,7 +152,7 @@
 // hears nothing of a machine. One that has just come back does not know of it
 // yet, which proves nothing.
 func (n *Node) ownerMissesMachine(p *shard, h *machine) bool {
-	owner := n.peers[p.record.Owner]
+	owner := n.peers[p.Record.Owner]
 	return owner != nil && n.now-owner.heardAt < 3*second && owner.message.UpS >= 4*n.cfg.HeartbeatInterval.Seconds() &&
-		h.viewTerm == p.term && h.view.missedHeartbeats > 0
+		h.viewTerm == p.Term && h.view.missedHeartbeats > 0
 }
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -74,7 +74,7 @@
 	conds := w.conditions
 	for i, p := range w.node.shards {
 		if w.shards[i] {
-			conds = append(conds, Condition{Key: wire.ShardKey(p.name), Revision: p.term})
+			conds = append(conds, Condition{Key: wire.ShardKey(p.Name), Revision: p.Term})
 		}
 	}
 	writes := w.linkedWrites
