--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -43,42 +43,42 @@
 }
 
 // mayCharge tells whether a team's limit has room for tasks on a machine.
-func (p *schedulingPass) mayCharge(j *job, tasks int, s *slot) bool {
-	if p.admission != nil {
-		return p.mayAdmit(j, tasks, s.shard)
+func (pass *schedulingPass) mayCharge(job *job, tasks int, slot *slot) bool {
+	if pass.admission != nil {
+		return pass.mayAdmit(job, tasks, slot.shard)
 	}
-	return p.hasQuota(j, tasks)
+	return pass.hasQuota(job, tasks)
 }
 
 // mayAdmit tells whether we may admit tasks of a job in a shard of ours.
-func (p *schedulingPass) mayAdmit(j *job, tasks, part int) bool {
-	if j.Team < 0 || !p.node.mayActAsOwner(p.node.shards[part]) {
+func (pass *schedulingPass) mayAdmit(job *job, tasks, part int) bool {
+	if job.Team < 0 || !pass.node.mayActAsOwner(pass.node.shards[part]) {
 		return false
 	}
-	more := p.admission.admitted[j.Team][part].Plus(j.Demand(tasks))
-	return p.node.replica.Ledger().MayAdmit(j.Team, part, more, p.node.replica.Revision())
+	more := pass.admission.admitted[job.Team][part].Plus(job.Demand(tasks))
+	return pass.node.replica.Ledger().MayAdmit(job.Team, part, more, pass.node.replica.Revision())
 }
 
 // addAccountCondition makes the commit rest on the account of a job's team, so that it fails
 // if the limit or a share has changed meanwhile. What is admitted counts for the pass.
-func (p *schedulingPass) addAccountCondition(j *job, slots []*slot) {
-	if p.admission != nil {
-		for _, s := range slots {
-			more := &p.admission.admitted[j.Team][s.shard]
-			*more = more.Plus(j.Demand(1))
+func (pass *schedulingPass) addAccountCondition(job *job, slots []*slot) {
+	if pass.admission != nil {
+		for _, slot := range slots {
+			more := &pass.admission.admitted[job.Team][slot.shard]
+			*more = more.Plus(job.Demand(1))
 		}
 	}
-	if !p.node.replica.WritesTeamAccounts() {
+	if !pass.node.replica.WritesTeamAccounts() {
 		return
 	}
-	cond := Condition{Key: wire.AccountKey(p.node.cfg.Teams[j.Team].Name), Revision: p.node.replica.Ledger().Revision(j.Team)}
-	if !slices.Contains(p.writer.conditions, cond) {
-		p.writer.conditions = append(p.writer.conditions, cond)
+	cond := Condition{Key: wire.AccountKey(pass.node.cfg.Teams[job.Team].Name), Revision: pass.node.replica.Ledger().Revision(job.Team)}
+	if !slices.Contains(pass.writer.conditions, cond) {
+		pass.writer.conditions = append(pass.writer.conditions, cond)
 	}
 }
 
 // admitWork admits waiting work in our shards, within their shares.
-func (n *Node) admitWork(w *writer, room *lazySlots) {
+func (n *Node) admitWork(writer *writer, room *lazySlots) {
 	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.admissionAt || n.offeredTypes == nil ||
 		n.holdsLeaderClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
 		return
@@ -90,28 +90,28 @@
 	n.admissionAt = n.now + admissionInterval + Time(len(n.replica.Live()))*50*time.Microsecond
 	queues := n.queues()
 	waiting := false
-	for _, q := range queues {
-		q.jobs = slices.DeleteFunc(q.jobs, func(x *queuedJob) bool {
+	for _, queue := range queues {
+		queue.jobs = slices.DeleteFunc(queue.jobs, func(x *queuedJob) bool {
 			return !n.isHomeShardOwned(x.job) || !leaderless && !x.isNewWithinGuarantee()
 		})
-		waiting = waiting || len(q.jobs) > 0
+		waiting = waiting || len(queue.jobs) > 0
 	}
 	if !waiting {
 		return
 	}
-	p := n.newSchedulingPass(w)
-	p.admission = &admission{admitted: make([][]quota.Amount, n.names.Teams.Len())}
-	for team := range p.admission.admitted {
-		p.admission.admitted[team] = make([]quota.Amount, len(n.shards))
+	pass := n.newSchedulingPass(writer)
+	pass.admission = &admission{admitted: make([][]quota.Amount, n.names.Teams.Len())}
+	for team := range pass.admission.admitted {
+		pass.admission.admitted[team] = make([]quota.Amount, len(n.shards))
 	}
-	p.available = room.slots(n)
-	p.chargeTeams()
-	p.serveQueues(queues)
+	pass.available = room.slots(n)
+	pass.chargeTeams()
+	pass.serveQueues(queues)
 }
 
 // isNewWithinGuarantee tells whether a job has just come and its team's guarantee covers it.
-func (w *queuedJob) isNewWithinGuarantee() bool {
-	return w.withinGuarantee && w.job.Record.NextAttempt == 1 && len(w.job.Record.ActiveTasks) == 0
+func (queued *queuedJob) isNewWithinGuarantee() bool {
+	return queued.withinGuarantee && queued.job.Record.NextAttempt == 1 && len(queued.job.Record.ActiveTasks) == 0
 }
 
 // leaderIsSilent tells whether there is no leader, or none that can be heard to work.
@@ -125,18 +125,18 @@
 }
 
 // isHomeShardOwned tells whether it is the turn of one of our shards to admit a job.
-func (n *Node) isHomeShardOwned(j *job) bool {
-	part := n.homeShard(j)
+func (n *Node) isHomeShardOwned(job *job) bool {
+	part := n.homeShard(job)
 	return part != nil && n.mayActAsOwner(part)
 }
 
 // homeShard is the shard whose turn it is to admit a job: chosen by hash among those whose
 // owner is heard, and after a while the next. Controllers need not agree on it: two that
 // admit the same job at once write the same record, and one of them fails.
-func (n *Node) homeShard(j *job) *shard {
+func (n *Node) homeShard(job *job) *shard {
 	var owned []*shard
 	for _, p := range n.shards {
-		if (j.Zone < 0 || j.Zone == p.Zone) && n.hearsOwner(p) {
+		if (job.Zone < 0 || job.Zone == p.Zone) && n.hearsOwner(p) {
 			owned = append(owned, p)
 		}
 	}
@@ -144,45 +144,45 @@
 		return nil
 	}
 	f := fnv.New32a()
-	f.Write([]byte(j.ID))
-	waited := max(0, Time(n.cfg.WallClockMS()-j.RunnableSinceMS())*time.Millisecond)
+	f.Write([]byte(job.ID))
+	waited := max(0, Time(n.cfg.WallClockMS()-job.RunnableSinceMS())*time.Millisecond)
 	return owned[(int(f.Sum32()>>1)+int(waited/homeShardTurn))%len(owned)]
 }
 
 // hearsOwner tells whether a shard is ours, or its owner has been heard lately.
-func (n *Node) hearsOwner(p *shard) bool {
-	if p.Record == nil {
+func (n *Node) hearsOwner(shard *shard) bool {
+	if shard.Record == nil {
 		return false
 	}
-	owner := n.peers[p.Record.Owner]
-	return n.owns(p) || owner != nil && n.now-owner.heardAt < leaderTimeout
+	owner := n.peers[shard.Record.Owner]
+	return n.owns(shard) || owner != nil && n.now-owner.heardAt < leaderTimeout
 }
 
 // defersToOwner tells whether we, as the leader, leave a new job to the owner of its home
 // shard for a moment. A job that the owner does not admit is ours after that.
-func (n *Node) defersToOwner(j *job) bool {
-	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() || !n.replica.WritesTeamAccounts() || n.now-j.ChangedAt >= ownerFirstTime ||
-		j.Record.NextAttempt != 1 || len(j.Record.ActiveTasks) > 0 || !j.withinGuarantee {
+func (n *Node) defersToOwner(job *job) bool {
+	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() || !n.replica.WritesTeamAccounts() || n.now-job.ChangedAt >= ownerFirstTime ||
+		job.Record.NextAttempt != 1 || len(job.Record.ActiveTasks) > 0 || !job.withinGuarantee {
 		return false
 	}
-	part := n.homeShard(j)
-	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.replica.Ledger().MayAdmit(j.Team, part.Index, j.Demand(1), n.replica.Revision())
+	part := n.homeShard(job)
+	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.replica.Ledger().MayAdmit(job.Team, part.Index, job.Demand(1), n.replica.Revision())
 }
 
 // admitGang admits a gang as a whole in one of our shards.
-func (p *schedulingPass) admitGang(w *queuedJob) {
-	tasks := len(w.tasks)
-	for _, x := range p.node.shards {
-		here := func(part, _ int) bool { return part == x.Index }
-		if !p.node.mayActAsOwner(x) || !p.mayAdmit(w.job, tasks, x.Index) || p.available.capacityFor(w.job, here) < tasks {
+func (pass *schedulingPass) admitGang(queued *queuedJob) {
+	tasks := len(queued.tasks)
+	for _, shard := range pass.node.shards {
+		here := func(part, _ int) bool { return part == shard.Index }
+		if !pass.node.mayActAsOwner(shard) || !pass.mayAdmit(queued.job, tasks, shard.Index) || pass.available.capacityFor(queued.job, here) < tasks {
 			continue
 		}
-		chosen, _ := p.pickSlots(w, func(s *slot) bool { return s.shard == x.Index })
-		if chosen == nil || !p.grant(w.job, w.tasks, chosen) {
+		chosen, _ := pass.pickSlots(queued, func(s *slot) bool { return s.shard == shard.Index })
+		if chosen == nil || !pass.grant(queued.job, queued.tasks, chosen) {
 			continue
 		}
 		for _, s := range chosen {
-			s.take(w.job.Record.Spec)
+			s.take(queued.job.Record.Spec)
 		}
 		return
 	}
--- a/internal/core/arrival_reserve.go
+++ b/internal/core/arrival_reserve.go
@@ -44,19 +44,19 @@
 }
 
 // noteArrival counts a new job of a class that is to start at once.
-func (n *Node) noteArrival(j *job) {
+func (n *Node) noteArrival(job *job) {
 	if !n.countsArrivals() {
 		return
 	}
-	class := j.Record.Spec.Class
-	if t := j.Team; t >= 0 && (n.cfg.Teams[t].GuaranteedGPUs > 0 || n.cfg.Teams[t].GuaranteedCores > 0) && len(n.arrivals) < maxClasses &&
+	class := job.Record.Spec.Class
+	if t := job.Team; t >= 0 && (n.cfg.Teams[t].GuaranteedGPUs > 0 || n.cfg.Teams[t].GuaranteedCores > 0) && len(n.arrivals) < maxClasses &&
 		!slices.ContainsFunc(n.arrivals, func(a *classArrivals) bool { return a.class == class }) {
 		n.arrivals = append(n.arrivals, &classArrivals{class: class, backfillGuard: true})
 	}
 	for _, a := range n.arrivals {
 		if a.class == class {
-			a.sample = j
-			a.jobs = append(a.dropOld(n.now).jobs, arrival{n.now, min(j.Record.TaskCount, n.replica.MaxSingleTasks())})
+			a.sample = job
+			a.jobs = append(a.dropOld(n.now).jobs, arrival{n.now, min(job.Record.TaskCount, n.replica.MaxSingleTasks())})
 		}
 	}
 }
@@ -66,16 +66,16 @@
 	if !n.countsArrivals() || was.Spec == nil || was.State != wire.JobLive {
 		return
 	}
-	for _, a := range n.arrivals {
-		if a.class == was.Spec.Class {
-			a.completions = append(a.dropOld(n.now).completions, arrival{n.now, len(was.ActiveTasks)})
+	for _, class := range n.arrivals {
+		if class.class == was.Spec.Class {
+			class.completions = append(class.dropOld(n.now).completions, arrival{n.now, len(was.ActiveTasks)})
 		}
 	}
 }
 
 func (n *Node) anyMachineUp() bool {
-	for _, p := range n.shards {
-		if len(p.machines) > 0 {
+	for _, shard := range n.shards {
+		if len(shard.machines) > 0 {
 			return true
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // dropOld drops what came before the window.
-func (a *classArrivals) dropOld(now Time) *classArrivals {
+func (class *classArrivals) dropOld(now Time) *classArrivals {
 	old := func(x arrival) bool { return now-x.at > arrivalWindow }
-	a.jobs, a.completions = slices.DeleteFunc(a.jobs, old), slices.DeleteFunc(a.completions, old)
-	return a
+	class.jobs, class.completions = slices.DeleteFunc(class.jobs, old), slices.DeleteFunc(class.completions, old)
+	return class
 }
 
 // reserve is how many tasks of a class will probably come while a machine
@@ -94,12 +94,12 @@
 // standard deviation more, as jobs come and go by chance and in different
 // sizes. It is never more than may come: where nothing comes any more, what
 // ends needs no room. lead is how long a machine takes.
-func (a *classArrivals) reserve(now, since, lead Time) int {
-	a.dropOld(now)
+func (class *classArrivals) reserve(now, since, lead Time) int {
+	class.dropOld(now)
 	window := max(60*second, min(arrivalWindow, now-since))
 	part := lead.Seconds() / window.Seconds()
-	come, comeVar := meanAndVariance(a.jobs, part)
-	end, endVar := meanAndVariance(a.completions, part)
+	come, comeVar := meanAndVariance(class.jobs, part)
+	end, endVar := meanAndVariance(class.completions, part)
 	net := max(0, come-end) + math.Sqrt(comeVar+endVar)
 	return int(math.Round(min(net, come+math.Sqrt(comeVar))))
 }
@@ -116,37 +116,37 @@
 // planReserve plans room for what will come before a machine provisioned then could
 // be up: idle machines that it uses don't go back, and what is missing is
 // provisioned. It comes last and grants nothing, so any real task can have the room.
-func (p *schedulingPass) planReserve() {
-	n := p.node
-	for _, a := range n.arrivals {
-		j := n.sampleOf(a)
-		if j == nil {
+func (pass *schedulingPass) planReserve() {
+	n := pass.node
+	for _, class := range n.arrivals {
+		job := n.sampleOf(class)
+		if job == nil {
 			continue
 		}
-		lead := n.provisionTime(j)
-		if a.backfillGuard {
-			if p.hasBackfill {
-				p.reserveRoom(j, a.reserve(n.now, n.countedFrom, 2*n.cfg.HeartbeatInterval+second))
+		lead := n.provisionTime(job)
+		if class.backfillGuard {
+			if pass.hasBackfill {
+				pass.reserveRoom(job, class.reserve(n.now, n.countedFrom, 2*n.cfg.HeartbeatInterval+second))
 			}
 			continue
 		}
 		// Where an image alone takes longer, a machine that is up is no help;
 		// where a boot is quick enough, there is no need of one.
-		if lead == 0 || lead+n.imageFetchTime(j) < a.startWithin || n.fitsBesideGPUWork(j) {
+		if lead == 0 || lead+n.imageFetchTime(job) < class.startWithin || n.fitsBesideGPUWork(job) {
 			continue
 		}
-		for range a.reserve(n.now, n.countedFrom, lead) {
-			s := p.available.best(j, nil, nil)
+		for range class.reserve(n.now, n.countedFrom, lead) {
+			s := pass.available.best(job, nil, nil)
 			if s == nil {
-				s = p.expected.best(j, nil, nil)
+				s = pass.expected.best(job, nil, nil)
 			}
 			if s == nil {
-				s = p.provisionFor(&queuedJob{job: j}, func(*slot) bool { return true })
+				s = pass.provisionFor(&queuedJob{job: job}, func(*slot) bool { return true })
 			}
 			if s == nil {
 				break
 			}
-			s.take(j.Record.Spec)
+			s.take(job.Record.Spec)
 		}
 	}
 }
@@ -154,12 +154,12 @@
 // fitsBesideGPUWork tells whether a job's tasks need no GPUs where all machines that they
 // may run on have some: they find room beside work that does, and machines with GPUs
 // need not stand idle for them.
-func (n *Node) fitsBesideGPUWork(j *job) bool {
-	if j.Record.Spec.GPUs > 0 {
+func (n *Node) fitsBesideGPUWork(job *job) bool {
+	if job.Record.Spec.GPUs > 0 {
 		return false
 	}
-	for ix, r := range n.machineTypes {
-		if r != nil && r.GPUs == 0 && (j.AnyType || j.MachineTypes.Has(ix)) && fitsType(j.Record.Spec, r) {
+	for index, machineType := range n.machineTypes {
+		if machineType != nil && machineType.GPUs == 0 && (job.AnyType || job.MachineTypes.Has(index)) && fitsType(job.Record.Spec, machineType) {
 			return false
 		}
 	}
@@ -171,41 +171,41 @@
 
 // sampleOf is the newest job of the class that still has its specification, or
 // nil: a finished record has dropped it.
-func (n *Node) sampleOf(a *classArrivals) *job {
+func (n *Node) sampleOf(class *classArrivals) *job {
 	usable := func(j *job) bool { return j != nil && j.Record != nil && j.Record.Spec != nil && j.Team >= 0 }
-	if !usable(a.sample) {
-		a.sample = nil
-		for _, jx := range n.replica.Live() {
-			if j := n.jobs[jx]; usable(j) && j.Record.Spec.Class == a.class {
-				a.sample = j
+	if !usable(class.sample) {
+		class.sample = nil
+		for _, index := range n.replica.Live() {
+			if j := n.jobs[index]; usable(j) && j.Record.Spec.Class == class.class {
+				class.sample = j
 			}
 		}
 	}
-	return a.sample
+	return class.sample
 }
 
 // provisionTime is how long it takes from the wish for a machine until it reports, in
 // most cases; 0 if no type fits.
-func (n *Node) provisionTime(j *job) Time {
+func (n *Node) provisionTime(job *job) Time {
 	best := 0.0
-	for ix, r := range n.machineTypes {
-		if r != nil && (j.AnyType || j.MachineTypes.Has(ix)) && fitsType(j.Record.Spec, r) && (best == 0 || r.BootS < best) {
-			best = r.BootS
+	for index, machineType := range n.machineTypes {
+		if machineType != nil && (job.AnyType || job.MachineTypes.Has(index)) && fitsType(job.Record.Spec, machineType) && (best == 0 || machineType.BootS < best) {
+			best = machineType.BootS
 		}
 	}
 	return Time(best * 1.3 * float64(second))
 }
 
 // imageFetchTime is how long a job's image takes at the nominal rate.
-func (n *Node) imageFetchTime(j *job) Time {
+func (n *Node) imageFetchTime(job *job) Time {
 	rate := 0.0
-	for ix, r := range n.machineTypes {
-		if r != nil && (j.AnyType || j.MachineTypes.Has(ix)) {
-			rate = max(rate, r.FetchGBs)
+	for index, machineType := range n.machineTypes {
+		if machineType != nil && (job.AnyType || job.MachineTypes.Has(index)) {
+			rate = max(rate, machineType.FetchGBs)
 		}
 	}
 	if rate <= 0 {
 		return 0
 	}
-	return Time(j.Record.Spec.ImageGB / rate * float64(second))
+	return Time(job.Record.Spec.ImageGB / rate * float64(second))
 }
--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -7,30 +7,30 @@
 
 // isBackfill tells whether a job is backfill. Ordinary machines are neither provisioned for it
 // nor given to it while idle, unless it has waited for long with nothing started.
-func (p *schedulingPass) isBackfill(w *queuedJob) bool {
-	j := w.job
-	t := p.node.replica.Quota(j.Team)
-	if j.Priority > 0 || t.GuaranteedGPUs > 0 || t.GuaranteedCores > 0 {
+func (pass *schedulingPass) isBackfill(queued *queuedJob) bool {
+	job := queued.job
+	t := pass.node.replica.Quota(job.Team)
+	if job.Priority > 0 || t.GuaranteedGPUs > 0 || t.GuaranteedCores > 0 {
 		return false
 	}
-	return len(j.Record.ActiveTasks) > 0 || j.Record.NextAttempt > 1 || j.waitingSince == 0 || p.node.now-j.waitingSince < backfillWaitTime
+	return len(job.Record.ActiveTasks) > 0 || job.Record.NextAttempt > 1 || job.waitingSince == 0 || pass.node.now-job.waitingSince < backfillWaitTime
 }
 
 // splitBackfill takes backfill out of the queues. It is served after room has been set
 // aside for what others will need at once.
-func (p *schedulingPass) splitBackfill(qs []*teamQueue) (rest, backfill []*teamQueue) {
-	for _, q := range qs {
-		if slices.ContainsFunc(q.jobs, p.isBackfill) {
-			x := &teamQueue{team: q.team}
-			q.jobs = slices.DeleteFunc(q.jobs, func(w *queuedJob) bool {
-				if p.isBackfill(w) {
-					x.jobs = append(x.jobs, w)
+func (pass *schedulingPass) splitBackfill(qs []*teamQueue) (rest, backfill []*teamQueue) {
+	for _, queue := range qs {
+		if slices.ContainsFunc(queue.jobs, pass.isBackfill) {
+			x := &teamQueue{team: queue.team}
+			queue.jobs = slices.DeleteFunc(queue.jobs, func(queued *queuedJob) bool {
+				if pass.isBackfill(queued) {
+					x.jobs = append(x.jobs, queued)
 					return true
 				}
 				return false
 			})
 			backfill = append(backfill, x)
-			p.hasBackfill = true
+			pass.hasBackfill = true
 		}
 	}
 	return qs, backfill
@@ -41,12 +41,12 @@
 
 // reserveRoom keeps free room from backfill for tasks that will probably come before
 // backfill could be stopped for them, which takes two reports of a machine.
-func (p *schedulingPass) reserveRoom(j *job, tasks int) {
+func (pass *schedulingPass) reserveRoom(job *job, tasks int) {
 	for range tasks {
-		s := p.available.best(j, nil, nil)
-		if s == nil {
+		slot := pass.available.best(job, nil, nil)
+		if slot == nil {
 			return
 		}
-		s.take(j.Record.Spec)
+		slot.take(job.Record.Spec)
 	}
 }
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -36,25 +36,25 @@
 func (b *batch) send(n *Node) {
 	b.inFlight = true
 	gen := b.generation
-	n.commit(ClassBackground, b.conditions, b.writes, func(c Committed) {
+	n.commit(ClassBackground, b.conditions, b.writes, func(result Committed) {
 		if gen != b.generation || !b.active {
 			return
 		}
 		b.inFlight = false
-		n.log(LogDebug, "batch committed", "role", b.role, "writes", len(b.writes), "outcome", int(c.Outcome))
-		switch c.Outcome {
+		n.log(LogDebug, "batch committed", "role", b.role, "writes", len(b.writes), "outcome", int(result.Outcome))
+		switch result.Outcome {
 		case OK:
 			if b.onCommitted != nil && len(b.writes) > 0 {
 				b.onCommitted()
 			}
-			b.awaitedRevision = max(c.Revision, 1)
+			b.awaitedRevision = max(result.Revision, 1)
 		case Conflict:
-			n.log(LogDebug, "commit conflict", "role", b.role, "revision", c.Revision)
-			if b.removeConflicts(c.Failed) {
+			n.log(LogDebug, "commit conflict", "role", b.role, "revision", result.Revision)
+			if b.removeConflicts(result.Failed) {
 				b.send(n)
 				return
 			}
-			b.awaitedRevision = max(c.Revision, 1)
+			b.awaitedRevision = max(result.Revision, 1)
 		case TooLarge:
 			// Never sent again as it is. Whether an earlier sending, before the
 			// limits fell, was carried out is told by its conditions alone.
@@ -121,17 +121,17 @@
 	if !strings.HasPrefix(key, wire.OverflowPrefix) {
 		return key
 	}
-	ref, _ := wire.SplitOverflowKey(key)
-	return wire.JobKey(ref)
+	id, _ := wire.SplitOverflowKey(key)
+	return wire.JobKey(id)
 }
 
 // changes tells whether the batch is about to change a record: what another role
 // of ours decides on the copy that we have would lose against it.
-func (b *batch) changes(j *job) bool {
+func (b *batch) changes(job *job) bool {
 	if !b.active {
 		return false
 	}
-	key := wire.JobKey(j.ID)
+	key := wire.JobKey(job.ID)
 	return slices.ContainsFunc(b.writes, func(w Write) bool { return w.Key == key })
 }
 
--- a/internal/core/boot_times.go
+++ b/internal/core/boot_times.go
@@ -33,26 +33,26 @@
 }
 
 // noteBooted notes that a machine that was awaited is up.
-func (c *autoscaler) noteBooted(n *Node, name string) {
-	b := c.booting[name]
-	if b == nil {
+func (scaler *autoscaler) noteBooted(n *Node, name string) {
+	booting := scaler.booting[name]
+	if booting == nil {
 		return
 	}
-	delete(c.booting, name)
-	if r := n.typeAt(b.pool.machineType); r != nil && r.BootS > 0 {
-		c.recentBoots = append(c.recentBoots, boot{name, b.provisionedAt, (n.now - b.provisionedAt).Seconds() / r.BootS})
-		c.recentBoots = c.recentBoots[max(0, len(c.recentBoots)-maxRecentBoots):]
+	delete(scaler.booting, name)
+	if machineType := n.typeAt(booting.pool.machineType); machineType != nil && machineType.BootS > 0 {
+		scaler.recentBoots = append(scaler.recentBoots, boot{name, booting.provisionedAt, (n.now - booting.provisionedAt).Seconds() / machineType.BootS})
+		scaler.recentBoots = scaler.recentBoots[max(0, len(scaler.recentBoots)-maxRecentBoots):]
 	}
 }
 
 // bootSlowdown is how many times longer than usual machines have taken lately: the
 // upper fifth, as the usual spread is no slowness.
-func (c *autoscaler) bootSlowdown() float64 {
-	if len(c.recentBoots) == 0 {
+func (scaler *autoscaler) bootSlowdown() float64 {
+	if len(scaler.recentBoots) == 0 {
 		return 1
 	}
 	var all []float64
-	for _, b := range c.recentBoots {
+	for _, b := range scaler.recentBoots {
 		all = append(all, b.ratio)
 	}
 	slices.Sort(all)
@@ -61,11 +61,11 @@
 
 // overdue tells whether a machine that was rented some time ago is late, and
 // whether it should go back.
-func (n *Node) overdue(r *wire.MachineType, rented Time) (late, giveUp bool) {
-	c := &n.leader.autoscaler
-	age, slow := (n.now - rented).Seconds(), c.bootSlowdown()
-	if !slices.ContainsFunc(c.recentBoots, func(b boot) bool { return b.provisionedAt >= rented-second }) {
-		return age > 2*lateBootFactor*slow*r.BootS+3, age > maxBootFactor*slow*r.BootS+5
+func (n *Node) overdue(machineType *wire.MachineType, rented Time) (late, giveUp bool) {
+	scaler := &n.leader.autoscaler
+	age, slow := (n.now - rented).Seconds(), scaler.bootSlowdown()
+	if !slices.ContainsFunc(scaler.recentBoots, func(b boot) bool { return b.provisionedAt >= rented-second }) {
+		return age > 2*lateBootFactor*slow*machineType.BootS+3, age > maxBootFactor*slow*machineType.BootS+5
 	}
-	return age > lateBootFactor*slow*r.BootS+3, age > giveUpBootFactor*slow*r.BootS+5
+	return age > lateBootFactor*slow*machineType.BootS+3, age > giveUpBootFactor*slow*machineType.BootS+5
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -153,7 +153,7 @@
 	n.initReplica()
 	n.initFailover()
 	for _, o := range cfg.StartObjectives {
-		at := slices.IndexFunc(n.arrivals, func(a *classArrivals) bool { return a.class == o.Class })
+		at := slices.IndexFunc(n.arrivals, func(class *classArrivals) bool { return class.class == o.Class })
 		if at < 0 {
 			n.arrivals = append(n.arrivals, &classArrivals{class: o.Class, startWithin: o.Within})
 		} else {
@@ -249,15 +249,15 @@
 }
 
 // noteStoreOutcome notes whether the state service serves us.
-func (n *Node) noteStoreOutcome(o Outcome) {
-	switch o {
+func (n *Node) noteStoreOutcome(outcome Outcome) {
+	switch outcome {
 	case OK, Conflict, NotFound, LeaseExpired, TooLarge:
 		if !n.storeOK {
 			// In an outage owners run out of validity and their workers go
 			// round in vain. That says nothing about the owners afterwards.
 			n.storeOKSince = n.now
-			for _, p := range n.shards {
-				p.forgetBounces()
+			for _, shard := range n.shards {
+				shard.forgetBounces()
 			}
 		}
 		n.storeOK, n.storeAnsweredAt = true, n.now
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -80,28 +80,28 @@
 }
 
 // jobFacts adds what only the leader knows of a job.
-func (n *Node) jobFacts(facts []wire.Fact, j *job) []wire.Fact {
-	if j.waitingSince != 0 { // it may be before the start of this process
-		facts = append(facts, wire.Fact{Kind: wire.FactWaitingSince, Name: j.ID, At: cmp.Or(j.waitingSince.Milliseconds(), -1)})
+func (n *Node) jobFacts(facts []wire.Fact, job *job) []wire.Fact {
+	if job.waitingSince != 0 { // it may be before the start of this process
+		facts = append(facts, wire.Fact{Kind: wire.FactWaitingSince, Name: job.ID, At: cmp.Or(job.waitingSince.Milliseconds(), -1)})
 	}
-	if j.gangZone >= 0 && j.waitingSince != 0 {
-		facts = append(facts, wire.Fact{Kind: wire.FactGangZone, Name: j.ID, Zone: n.names.Zones.Name(j.gangZone)})
+	if job.gangZone >= 0 && job.waitingSince != 0 {
+		facts = append(facts, wire.Fact{Kind: wire.FactGangZone, Name: job.ID, Zone: n.names.Zones.Name(job.gangZone)})
 	}
-	if j.queuePosition.waitingSince != 0 {
-		facts = append(facts, wire.Fact{Kind: wire.FactQueuePosition, Name: j.ID, At: cmp.Or(j.queuePosition.waitingSince.Milliseconds(), -1), Count: j.queuePosition.droppedAttempts})
+	if job.queuePosition.waitingSince != 0 {
+		facts = append(facts, wire.Fact{Kind: wire.FactQueuePosition, Name: job.ID, At: cmp.Or(job.queuePosition.waitingSince.Milliseconds(), -1), Count: job.queuePosition.droppedAttempts})
 	}
-	if j.preemptAt > n.now {
-		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.preemptAt)})
+	if job.preemptAt > n.now {
+		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: job.ID, At: factTime(job.preemptAt)})
 	}
 	return facts
 }
 
 // poolFact is a fact about a pool, or a machine or request of it.
-func (n *Node) poolFact(kind wire.FactKind, name string, x machinePool, at Time) wire.Fact {
-	f := wire.Fact{Kind: kind, Name: name, At: factTime(at), MachineType: n.names.MachineTypes.Name(x.machineType), Zone: n.names.Zones.Name(x.zone), Spot: x.spot}
+func (n *Node) poolFact(kind wire.FactKind, name string, pool machinePool, at Time) wire.Fact {
+	f := wire.Fact{Kind: kind, Name: name, At: factTime(at), MachineType: n.names.MachineTypes.Name(pool.machineType), Zone: n.names.Zones.Name(pool.zone), Spot: pool.spot}
 	if name == "" {
 		f.Name = f.MachineType + "/" + f.Zone
-		if x.spot {
+		if pool.spot {
 			f.Name += "/spot"
 		}
 	}
@@ -109,45 +109,45 @@
 }
 
 // poolOf is the pool of a fact, if it is one of ours.
-func (n *Node) poolOf(f *wire.Fact) (x machinePool, known bool) {
-	x = machinePool{n.names.MachineTypes.Find(f.MachineType), n.names.Zones.Find(f.Zone), f.Spot}
-	return x, x.machineType >= 0 && x.zone >= 0
+func (n *Node) poolOf(f *wire.Fact) (pool machinePool, known bool) {
+	pool = machinePool{n.names.MachineTypes.Find(f.MachineType), n.names.Zones.Find(f.Zone), f.Spot}
+	return pool, pool.machineType >= 0 && pool.zone >= 0
 }
 
 // cloudFacts lists the leader's dealings with the cloud.
 func (n *Node) cloudFacts() []wire.Fact {
-	c := &n.leader.autoscaler
+	scaler := &n.leader.autoscaler
 	var facts []wire.Fact
-	for name, b := range c.booting {
-		f := n.poolFact(wire.FactBooting, name, b.pool, b.provisionedAt)
-		f.Seen = b.listed
+	for name, booting := range scaler.booting {
+		f := n.poolFact(wire.FactBooting, name, booting.pool, booting.provisionedAt)
+		f.Seen = booting.listed
 		facts = append(facts, f)
 	}
-	for _, h := range c.provisions {
-		f := n.poolFact(wire.FactProvisioning, h.request.Name, h.pool, h.decidedAt)
-		f.Count = h.request.Count
+	for _, provisioning := range scaler.provisions {
+		f := n.poolFact(wire.FactProvisioning, provisioning.request.Name, provisioning.pool, provisioning.decidedAt)
+		f.Count = provisioning.request.Count
 		facts = append(facts, f)
 	}
-	for _, b := range c.recentBoots {
+	for _, b := range scaler.recentBoots {
 		facts = append(facts, wire.Fact{Kind: wire.FactBootTime, Name: b.name, At: factTime(b.provisionedAt), Ratio: b.ratio})
 	}
-	for x, at := range c.retryAt {
+	for pool, at := range scaler.retryAt {
 		if at > n.now {
-			facts = append(facts, n.poolFact(wire.FactBackoff, "", x, at))
+			facts = append(facts, n.poolFact(wire.FactBackoff, "", pool, at))
 		}
 	}
-	for x, at := range c.shortageAt {
+	for pool, at := range scaler.shortageAt {
 		if n.now-at < shortageTime {
-			facts = append(facts, n.poolFact(wire.FactCapacityShortage, "", x, at))
+			facts = append(facts, n.poolFact(wire.FactCapacityShortage, "", pool, at))
 		}
 	}
-	for name, at := range c.idleSince {
+	for name, at := range scaler.idleSince {
 		facts = append(facts, wire.Fact{Kind: wire.FactIdle, Name: name, At: factTime(at)})
 	}
-	for name := range c.draining {
+	for name := range scaler.draining {
 		facts = append(facts, wire.Fact{Kind: wire.FactDraining, Name: name})
 	}
-	for name, at := range c.unreportedSince {
+	for name, at := range scaler.unreportedSince {
 		facts = append(facts, wire.Fact{Kind: wire.FactUnreported, Name: name, At: factTime(at)})
 	}
 	return facts
@@ -169,8 +169,8 @@
 			adopted++
 		}
 	}
-	c := &n.leader.autoscaler
-	slices.SortFunc(c.recentBoots, func(a, b boot) int { return cmp.Compare(a.provisionedAt, b.provisionedAt) })
+	scaler := &n.leader.autoscaler
+	slices.SortFunc(scaler.recentBoots, func(a, b boot) int { return cmp.Compare(a.provisionedAt, b.provisionedAt) })
 	n.log(LogInfo, "adopted decision log of previous leader", "term", term, "facts", len(facts), "adopted", adopted)
 }
 
@@ -188,8 +188,8 @@
 // adoptPoolFact takes in a fact about a pool or a provisioning request. A request under way is repeated under its
 // own name, which the cloud answers as it did the first time.
 func (n *Node) adoptPoolFact(f *wire.Fact) bool {
-	c := &n.leader.autoscaler
-	x, known := n.poolOf(f)
+	scaler := &n.leader.autoscaler
+	pool, known := n.poolOf(f)
 	if !known {
 		return false
 	}
@@ -198,12 +198,12 @@
 		if f.Count <= 0 {
 			return false
 		}
-		c.provisions = append(c.provisions, &provisioning{pool: x, decidedAt: timeOf(f), sendAt: n.now,
+		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: timeOf(f), sendAt: n.now,
 			request: wire.ProvisionRequest{Name: f.Name, MachineType: f.MachineType, Zone: f.Zone, Spot: f.Spot, Count: f.Count}})
 	case wire.FactBackoff:
-		c.retryAt[x] = timeOf(f)
+		scaler.retryAt[pool] = timeOf(f)
 	case wire.FactCapacityShortage:
-		c.shortageAt[x] = timeOf(f)
+		scaler.shortageAt[pool] = timeOf(f)
 	}
 	return true
 }
@@ -214,34 +214,34 @@
 	if index < 0 || n.jobs[index].Record == nil || n.jobs[index].Record.State != wire.JobLive {
 		return false
 	}
-	j := n.jobs[index]
+	job := n.jobs[index]
 	switch f.Kind {
 	case wire.FactWaitingSince:
-		j.waitingSince = cmp.Or(timeOf(f), -1)
+		job.waitingSince = cmp.Or(timeOf(f), -1)
 	case wire.FactGangZone:
 		zone := n.names.Zones.Find(f.Zone)
 		if zone < 0 {
 			return false
 		}
-		j.gangZone = zone
+		job.gangZone = zone
 	case wire.FactQueuePosition:
-		j.queuePosition = queuePosition{cmp.Or(timeOf(f), -1), f.Count}
+		job.queuePosition = queuePosition{cmp.Or(timeOf(f), -1), f.Count}
 	case wire.FactPreemptedAt:
-		j.preemptAt = timeOf(f)
+		job.preemptAt = timeOf(f)
 	}
 	return true
 }
 
 // adoptMachineFact takes in a fact about a machine that is not known to be gone.
 func (n *Node) adoptMachineFact(f *wire.Fact) bool {
-	c := &n.leader.autoscaler
+	scaler := &n.leader.autoscaler
 	var h *machine
 	if index := n.names.Machines.Find(f.Name); index >= 0 {
 		h = n.machines[index]
 	}
 	switch f.Kind {
 	case wire.FactBootTime:
-		c.recentBoots = append(c.recentBoots, boot{f.Name, timeOf(f), f.Ratio})
+		scaler.recentBoots = append(scaler.recentBoots, boot{f.Name, timeOf(f), f.Ratio})
 		return true
 	case wire.FactReturned:
 		n.machineNamed(f.Name).returned = true
@@ -253,23 +253,23 @@
 	}
 	switch f.Kind {
 	case wire.FactBooting:
-		x, known := n.poolOf(f)
+		pool, known := n.poolOf(f)
 		if !known || h != nil && h.view.known {
 			return false
 		}
-		c.booting[f.Name] = &bootingMachine{pool: x, provisionedAt: timeOf(f), listed: f.Seen}
+		scaler.booting[f.Name] = &bootingMachine{pool: pool, provisionedAt: timeOf(f), listed: f.Seen}
 	case wire.FactIdle:
-		c.idleSince[f.Name] = timeOf(f)
+		scaler.idleSince[f.Name] = timeOf(f)
 	case wire.FactDraining:
 		if h != nil && len(h.placements) > 0 {
 			return false
 		}
-		c.draining[f.Name] = true
+		scaler.draining[f.Name] = true
 	case wire.FactUnreported:
 		if h != nil && h.view.known {
 			return false
 		}
-		c.unreportedSince[f.Name] = timeOf(f)
+		scaler.unreportedSince[f.Name] = timeOf(f)
 	case wire.FactReserved:
 		if n.names.Jobs.Find(f.JobID) < 0 || h == nil {
 			return false
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -13,32 +13,32 @@
 // recordCancellations writes the cancellations that follow from other records, with writes
 // that nothing else needs. Answers to users don't depend on it; it lets controllers drop
 // the jobs from memory.
-func (n *Node) recordCancellations(w *writer) {
+func (n *Node) recordCancellations(writer *writer) {
 	for n.replica.UnrecordedCancellations() > 0 {
-		j := n.jobs[n.replica.FirstUnrecorded().Index]
-		if j.Record == nil {
+		job := n.jobs[n.replica.FirstUnrecorded().Index]
+		if job.Record == nil {
 			return
 		}
-		if j.Record.State != wire.JobLive {
+		if job.Record.State != wire.JobLive {
 			n.replica.DropFirstUnrecorded()
 			continue
 		}
-		record := w.job(j)
+		record := writer.job(job)
 		if record == nil {
 			return
 		}
 		record.State = wire.JobCancelled
 		n.replica.RequeueFirstUnrecorded() // until the replica shows it
-		if len(w.order) >= n.replica.UnrecordedCancellations() {
+		if len(writer.order) >= n.replica.UnrecordedCancellations() {
 			return
 		}
 	}
 }
 
 // latestStartMS is by when a job of a chain has to begin to be in time; 0: no matter.
-func (n *Node) latestStartMS(j *job) int64 {
-	if j.Links == nil || j.Links.DeadlineMS == 0 {
+func (n *Node) latestStartMS(job *job) int64 {
+	if job.Links == nil || job.Links.DeadlineMS == 0 {
 		return 0
 	}
-	return j.Links.DeadlineMS - n.runTime(j.Record.Spec).Milliseconds()
+	return job.Links.DeadlineMS - n.runTime(job.Record.Spec).Milliseconds()
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -25,20 +25,20 @@
 	return n
 }
 
-func see(n *Node, rev int, ref string, state wire.JobState, mod func(*wire.JobSpec), needs ...string) {
-	sp := &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: needs}
+func see(n *Node, rev int, id string, state wire.JobState, mod func(*wire.JobSpec), needs ...string) {
+	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: needs}
 	if mod != nil {
-		mod(sp)
+		mod(spec)
 	}
-	rec := &wire.Job{Spec: sp, TaskCount: 1, State: state, AcceptedAtMS: 1_000_000, NextAttempt: 1}
+	record := &wire.Job{Spec: spec, TaskCount: 1, State: state, AcceptedAtMS: 1_000_000, NextAttempt: 1}
 	if state != wire.JobLive {
-		rec.Spec = nil
+		record.Spec = nil
 	}
-	n.Step(n.now+1, RecordsChanged{Revision: uint64(rev), Events: []Event{{Key: wire.JobKey(ref), Revision: uint64(rev), Value: rec}}})
+	n.Step(n.now+1, RecordsChanged{Revision: uint64(rev), Events: []Event{{Key: wire.JobKey(id), Revision: uint64(rev), Value: record}}})
 }
 
-func submission(ref string, needs ...string) []byte {
-	m := map[string]any{"ref": ref, "job_class": "c", "studio": "t", "shape": "array", "urgency": "low", "frames": 1, "cores": 1.0, "cards": 0.0,
+func submission(id string, needs ...string) []byte {
+	m := map[string]any{"ref": id, "job_class": "c", "studio": "t", "shape": "array", "urgency": "low", "frames": 1, "cores": 1.0, "cards": 0.0,
 		"memory_gb": 1.0, "toolkit": "i", "size_gb": 1.0, "same_place": false, "spread": false, "loaner": true, "expected_s": 10.0,
 		"snapshot_every_s": 0.0, "snapshot_s": 0.0}
 	if needs != nil {
@@ -112,7 +112,7 @@
 		see(n, 3, "wk-000002", wire.JobDone, nil)
 		see(n, 4, "wk-000003", wire.JobCancelled, nil)
 		see(n, 5, "wk-000004", wire.JobLive, nil, "wk-000003")
-		see(n, 6, "wk-000005", wire.JobLive, func(s *wire.JobSpec) { s.Shape = wire.ShapeDaemon })
+		see(n, 6, "wk-000005", wire.JobLive, func(spec *wire.JobSpec) { spec.Shape = wire.ShapeDaemon })
 		r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", c.needs...)}, stored)
 		if r == nil || r.Status != c.status {
 			t.Errorf("%v: answered with %+v", c.needs, r)
@@ -192,16 +192,16 @@
 	see(n, 2, "wk-000001", wire.JobLive, nil)
 	see(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
 	see(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001")
-	see(n, 5, "wk-000004", wire.JobLive, func(s *wire.JobSpec) { s.Priority, s.DeadlineS = "high", 100 }, "wk-000002", "wk-000003")
+	see(n, 5, "wk-000004", wire.JobLive, func(spec *wire.JobSpec) { spec.Priority, spec.DeadlineS = "high", 100 }, "wk-000002", "wk-000003")
 	due := int64(1_000_000 + 100_000)
 	for i, want := range []int64{due - 2*14_000, due - 14_000, due - 14_000, due} {
-		if j := n.jobs[i]; j.Links.DeadlineMS != want || j.Priority != 2 {
-			t.Errorf("%s is due at %d with priority %d, not %d", j.ID, j.Links.DeadlineMS, j.Priority, want)
+		if job := n.jobs[i]; job.Links.DeadlineMS != want || job.Priority != 2 {
+			t.Errorf("%s is due at %d with priority %d, not %d", job.ID, job.Links.DeadlineMS, job.Priority, want)
 		}
 	}
 	queued := func() (out []string) {
-		for _, q := range n.queues() {
-			for _, w := range q.jobs {
+		for _, queue := range n.queues() {
+			for _, w := range queue.jobs {
 				out = append(out, w.job.ID)
 			}
 		}
@@ -225,19 +225,19 @@
 		"wk-000001": {State: wire.JobCancelled, TaskCount: 1}, "wk-000002": {TaskCount: 1, Spec: spec("wk-000001")},
 		"wk-000003": {TaskCount: 1, Spec: spec("wk-000002")}, "wk-000005": {TaskCount: 1, Spec: spec()}, "wk-000006": {TaskCount: 1, Spec: spec("wk-000005")},
 	}
-	for i, ref := range []string{"wk-000001", "wk-000002", "wk-000003", "wk-000005", "wk-000006"} {
-		j := stored[ref]
-		see(n, 2+i, ref, wire.JobLive, nil, func() []string {
+	for i, id := range []string{"wk-000001", "wk-000002", "wk-000003", "wk-000005", "wk-000006"} {
+		j := stored[id]
+		see(n, 2+i, id, wire.JobLive, nil, func() []string {
 			if j.Spec == nil {
 				return nil
 			}
 			return j.Spec.Dependencies
 		}()...)
 	}
-	for ref, want := range map[string]string{"wk-000003": wire.StatusCancelled, "wk-000006": wire.StatusPending} {
-		got, wrote := settle(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submission(ref)}, stored)
+	for id, want := range map[string]string{"wk-000003": wire.StatusCancelled, "wk-000006": wire.StatusPending} {
+		got, wrote := settle(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submission(id)}, stored)
 		if got == nil || got.Status != 200 || got.Body.(wire.JobStatus).Status != want || len(wrote) > 0 {
-			t.Errorf("%s: %+v", ref, got)
+			t.Errorf("%s: %+v", id, got)
 		}
 	}
 }
--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -13,36 +13,36 @@
 // writeDependencyList writes the list of a submission whose record has no room for it, as many
 // parts at once as a transaction takes, and calls create again after each. It tells
 // whether all parts are written, and names the list in the record.
-func (n *Node) writeDependencyList(op *pendingRequest, rec *wire.Job) bool {
-	list := replica.DependencyListName(op.dependencies.jobIDs)
-	parts := replica.SplitDependencyList(op.dependencies.jobIDs, n.cfg.MaxValueBytes)
+func (n *Node) writeDependencyList(request *pendingRequest, record *wire.Job) bool {
+	list := replica.DependencyListName(request.dependencies.jobIDs)
+	parts := replica.SplitDependencyList(request.dependencies.jobIDs, n.cfg.MaxValueBytes)
 	var writes []Write
 	var numbers []int
 	most := max(1, min(n.cfg.MaxTransactionOps, maxTransactionBytes/n.cfg.MaxValueBytes))
-	for i, refs := range parts {
-		key := wire.DependencyListKey(op.JobID, list, i+1)
-		if n.replica.HasDependencyList(op.JobID, key) || op.dependencies.writtenKeys[i+1] || len(writes) == most {
+	for i, ids := range parts {
+		key := wire.DependencyListKey(request.JobID, list, i+1)
+		if n.replica.HasDependencyList(request.JobID, key) || request.dependencies.writtenKeys[i+1] || len(writes) == most {
 			continue
 		}
-		writes = append(writes, Write{Key: key, Value: &wire.DependencyList{JobIDs: refs}})
+		writes = append(writes, Write{Key: key, Value: &wire.DependencyList{JobIDs: ids}})
 		numbers = append(numbers, i+1)
 	}
 	if len(writes) > 0 {
-		n.commit(ClassUser, nil, writes, func(c Committed) {
-			if c.Outcome == OK {
+		n.commit(ClassUser, nil, writes, func(result Committed) {
+			if result.Outcome == OK {
 				for _, number := range numbers {
-					op.dependencies.writtenKeys[number] = true
+					request.dependencies.writtenKeys[number] = true
 				}
-			} else if !n.mayRetry(op, c.Outcome) {
+			} else if !n.mayRetry(request, result.Outcome) {
 				return
 			}
-			n.createJob(op)
+			n.createJob(request)
 		})
 		return false
 	}
-	spec := *rec.Spec
+	spec := *record.Spec
 	spec.Dependencies = nil
-	rec.Spec, rec.DependencyList, rec.DependencyListKeys = &spec, list, len(parts)
+	record.Spec, record.DependencyList, record.DependencyListKeys = &spec, list, len(parts)
 	return true
 }
 
@@ -59,47 +59,47 @@
 // findDependencies finds out about the jobs that a submission names, and calls create again
 // once it knows. Those that the replica does not show may have been accepted a moment
 // ago by another controller, so they are read.
-func (n *Node) findDependencies(op *pendingRequest) bool {
-	if op.dependencies == nil {
-		op.dependencies = &dependencyCheck{jobIDs: op.spec.Dependencies, states: map[string]wire.JobState{}, daemon: map[string]bool{}, writtenKeys: map[int]bool{}}
+func (n *Node) findDependencies(request *pendingRequest) bool {
+	if request.dependencies == nil {
+		request.dependencies = &dependencyCheck{jobIDs: request.spec.Dependencies, states: map[string]wire.JobState{}, daemon: map[string]bool{}, writtenKeys: map[int]bool{}}
 	}
-	for _, ref := range op.spec.Dependencies {
-		if j := n.jobNamed(ref); j != nil && j.Record != nil {
+	for _, id := range request.spec.Dependencies {
+		if job := n.jobNamed(id); job != nil && job.Record != nil {
 			continue
 		}
-		if _, read := op.dependencies.states[ref]; read {
+		if _, read := request.dependencies.states[id]; read {
 			continue
 		}
-		n.readDependency(op, ref)
+		n.readDependency(request, id)
 	}
-	return op.dependencies.readsPending == 0
+	return request.dependencies.readsPending == 0
 }
 
 // jobNeverAccepted marks a job that was never accepted.
 const jobNeverAccepted wire.JobState = -1
 
-func (n *Node) readDependency(op *pendingRequest, ref string) {
-	op.dependencies.readsPending++
-	op.dependencies.states[ref] = wire.JobLive
+func (n *Node) readDependency(request *pendingRequest, ref string) {
+	request.dependencies.readsPending++
+	request.dependencies.states[ref] = wire.JobLive
 	id := n.onResult(func(in Result) {
-		g := in.(JobRead)
-		n.noteStoreOutcome(g.Outcome)
-		op.dependencies.readsPending--
-		switch g.Outcome {
+		read := in.(JobRead)
+		n.noteStoreOutcome(read.Outcome)
+		request.dependencies.readsPending--
+		switch read.Outcome {
 		case OK:
-			op.dependencies.states[ref] = g.Job.State
-			op.dependencies.daemon[ref] = g.Job.Spec != nil && g.Job.Spec.Shape == wire.ShapeDaemon
+			request.dependencies.states[ref] = read.Job.State
+			request.dependencies.daemon[ref] = read.Job.Spec != nil && read.Job.Spec.Shape == wire.ShapeDaemon
 		case NotFound:
-			op.dependencies.states[ref] = jobNeverAccepted
+			request.dependencies.states[ref] = jobNeverAccepted
 		default:
-			delete(op.dependencies.states, ref)
-			if n.mayRetry(op, g.Outcome) {
-				n.readDependency(op, ref)
+			delete(request.dependencies.states, ref)
+			if n.mayRetry(request, read.Outcome) {
+				n.readDependency(request, ref)
 			}
 			return
 		}
-		if _, open := n.users.requests[op.RequestID]; open && op.dependencies.readsPending == 0 {
-			n.createJob(op)
+		if _, open := n.users.requests[request.RequestID]; open && request.dependencies.readsPending == 0 {
+			n.createJob(request)
 		}
 	})
 	n.emit(ReadJob{ID: id, JobID: ref})
@@ -107,27 +107,27 @@
 
 // settleDependencies takes what is done out of what a job waits on, and tells whether one
 // of the rest is cancelled, or why the job can't be taken.
-func (n *Node) settleDependencies(op *pendingRequest) (withdrawn bool, fault error) {
+func (n *Node) settleDependencies(request *pendingRequest) (withdrawn bool, fault error) {
 	var rest []string
-	for _, ref := range op.spec.Dependencies {
-		state, known := op.dependencies.states[ref]
-		daemon := op.dependencies.daemon[ref]
-		if j := n.jobNamed(ref); j != nil && j.Record != nil {
-			state, known = j.State(), true
-			daemon = j.Record.Spec != nil && j.Record.Spec.Shape == wire.ShapeDaemon
+	for _, id := range request.spec.Dependencies {
+		state, known := request.dependencies.states[id]
+		daemon := request.dependencies.daemon[id]
+		if job := n.jobNamed(id); job != nil && job.Record != nil {
+			state, known = job.State(), true
+			daemon = job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeDaemon
 		}
 		switch {
 		case !known || state == jobNeverAccepted:
-			return false, fmt.Errorf("waits on %s, which was never accepted", ref)
+			return false, fmt.Errorf("waits on %s, which was never accepted", id)
 		case daemon && state == wire.JobLive:
-			return false, fmt.Errorf("waits on %s, which is a service", ref)
+			return false, fmt.Errorf("waits on %s, which is a service", id)
 		case state != wire.JobDone:
 			// Also what is cancelled: the request may have to be made once more.
 			withdrawn = withdrawn || state == wire.JobCancelled
-			rest = append(rest, ref)
+			rest = append(rest, id)
 		}
 	}
-	op.spec.Dependencies = rest
+	request.spec.Dependencies = rest
 	return withdrawn, nil
 }
 
@@ -143,21 +143,21 @@
 
 // answerFromAncestors answers for a job that is live by its own record but waits on
 // others, of which the replica may lag: they are read, up the chain.
-func (n *Node) answerFromAncestors(op *pendingRequest, rec *wire.Job) {
-	search := &ancestorSearch{n: n, op: op, record: rec, seen: map[string]bool{}}
-	if search.add(op.JobID, rec) {
+func (n *Node) answerFromAncestors(request *pendingRequest, record *wire.Job) {
+	search := &ancestorSearch{n: n, op: request, record: record, seen: map[string]bool{}}
+	if search.add(request.JobID, record) {
 		search.next()
 	}
 }
 
 // add takes in what a job waits on, or answers the request where that is not known.
-func (s *ancestorSearch) add(ref string, rec *wire.Job) bool {
-	refs, complete := s.n.replica.Dependencies(ref, rec)
+func (s *ancestorSearch) add(id string, record *wire.Job) bool {
+	ids, complete := s.n.replica.Dependencies(id, record)
 	if !complete {
 		s.n.answerUnavailable(s.op, "the records of the jobs that it waits on are not known yet")
 		return false
 	}
-	for _, need := range refs {
+	for _, need := range ids {
 		if !s.seen[need] {
 			s.seen[need] = true
 			s.unvisited = append(s.unvisited, need)
@@ -170,14 +170,14 @@
 func (s *ancestorSearch) next() {
 	n := s.n
 	for len(s.unvisited) > 0 {
-		ref := s.unvisited[len(s.unvisited)-1]
+		id := s.unvisited[len(s.unvisited)-1]
 		s.unvisited = s.unvisited[:len(s.unvisited)-1]
-		j := n.jobNamed(ref)
-		if j == nil || j.Record == nil || j.State() == wire.JobLive {
-			s.read(ref)
+		job := n.jobNamed(id)
+		if job == nil || job.Record == nil || job.State() == wire.JobLive {
+			s.read(id)
 			return
 		}
-		if j.State() == wire.JobCancelled {
+		if job.State() == wire.JobCancelled {
 			s.answerCancelled()
 			return
 		}
@@ -189,18 +189,18 @@
 func (s *ancestorSearch) read(ref string) {
 	n := s.n
 	id := n.onResult(func(in Result) {
-		g := in.(JobRead)
-		n.noteStoreOutcome(g.Outcome)
+		read := in.(JobRead)
+		n.noteStoreOutcome(read.Outcome)
 		switch {
-		case g.Outcome == OK && g.Job.State == wire.JobCancelled:
+		case read.Outcome == OK && read.Job.State == wire.JobCancelled:
 			s.answerCancelled()
-		case g.Outcome == OK && g.Job.State == wire.JobLive && g.Job.HasDependencies():
-			if s.add(ref, g.Job) {
+		case read.Outcome == OK && read.Job.State == wire.JobLive && read.Job.HasDependencies():
+			if s.add(ref, read.Job) {
 				s.next()
 			}
-		case g.Outcome == OK:
+		case read.Outcome == OK:
 			s.next()
-		case n.mayRetry(s.op, g.Outcome):
+		case n.mayRetry(s.op, read.Outcome):
 			s.unvisited = append(s.unvisited, ref)
 			s.next()
 		}
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -13,13 +13,13 @@
 }
 
 // manyNeeds makes jobs that a submission names, and shows them to a controller.
-func manyNeeds(n *Node, count int) (refs []string) {
+func manyNeeds(n *Node, count int) (ids []string) {
 	for i := range count {
-		ref := fmt.Sprintf("wk-%06d", 1000+i)
-		see(n, 10+i, ref, wire.JobLive, nil)
-		refs = append(refs, ref)
+		id := fmt.Sprintf("wk-%06d", 1000+i)
+		see(n, 10+i, id, wire.JobLive, nil)
+		ids = append(ids, id)
 	}
-	return refs
+	return ids
 }
 
 // changesOf makes the events by which a watch shows writes.
@@ -37,8 +37,8 @@
 func TestLongListOfNeeds(t *testing.T) {
 	const count = 900
 	n := smallValues()
-	refs := manyNeeds(n, count)
-	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", refs...)}, nil)
+	ids := manyNeeds(n, count)
+	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", ids...)}, nil)
 	if r == nil || r.Status != 201 {
 		t.Fatalf("answered with %+v", r)
 	}
@@ -57,18 +57,18 @@
 		other := smallValues()
 		manyNeeds(other, count)
 		other.Step(other.now+1, changesOf(2000, order))
-		j := other.jobNamed("wk-000100")
-		if j.Links == nil || j.Links.Open != count || other.replica.StagedDependencyLists() > 0 {
-			t.Fatalf("%s: %d needs are open, %d lists are kept", name, j.Links.Open, other.replica.StagedDependencyLists())
+		job := other.jobNamed("wk-000100")
+		if job.Links == nil || job.Links.Open != count || other.replica.StagedDependencyLists() > 0 {
+			t.Fatalf("%s: %d needs are open, %d lists are kept", name, job.Links.Open, other.replica.StagedDependencyLists())
 		}
-		for i, ref := range refs[:count-1] {
-			see(other, 3000+i, ref, wire.JobDone, nil)
+		for i, id := range ids[:count-1] {
+			see(other, 3000+i, id, wire.JobDone, nil)
 		}
-		if !j.IsWaiting() {
+		if !job.IsWaiting() {
 			t.Errorf("%s: it waits no more though one need is not done", name)
 		}
-		see(other, 5000, refs[count-1], wire.JobCancelled, nil)
-		if j.State() != wire.JobCancelled {
+		see(other, 5000, ids[count-1], wire.JobCancelled, nil)
+		if job.State() != wire.JobCancelled {
 			t.Errorf("%s: it goes on below a withdrawn job", name)
 		}
 	}
@@ -78,9 +78,9 @@
 // when the user submits again, and nothing is accepted before it is complete.
 func TestLongListIsContinued(t *testing.T) {
 	n := smallValues()
-	refs := manyNeeds(n, 900)
+	ids := manyNeeds(n, 900)
 	submit := func(req uint64, allowed int) (reply *Reply, wrote []Write) {
-		inputs := []Input{UserRequest{RequestID: req, Kind: wire.RequestSubmit, Body: submission("wk-000100", refs...)}}
+		inputs := []Input{UserRequest{RequestID: req, Kind: wire.RequestSubmit, Body: submission("wk-000100", ids...)}}
 		for len(inputs) > 0 {
 			in := inputs[0]
 			inputs = inputs[1:]
@@ -135,8 +135,8 @@
 	}
 	reads(5, "n0", wire.Format)
 	reads(6, "n1", wire.FormatDependencies)
-	refs := manyNeeds(n, 300)
-	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", refs...)}, nil)
+	ids := manyNeeds(n, 300)
+	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", ids...)}, nil)
 	if r == nil || r.Status != 503 || r.RetryAfterS == 0 || len(wrote) > 0 {
 		t.Errorf("answered with %+v, wrote %d", r, len(wrote))
 	}
@@ -151,19 +151,19 @@
 		}
 		return count
 	}
-	if forwards(11, refs...) > 0 {
+	if forwards(11, ids...) > 0 {
 		t.Error("a long list is handed on before all read it")
 	}
-	if forwards(12, refs[:5]...) != 1 {
+	if forwards(12, ids[:5]...) != 1 {
 		t.Error("a short list is not handed on")
 	}
 	n.storeOK = true
-	r, wrote = settle(n, UserRequest{RequestID: 2, Kind: wire.RequestSubmit, Body: submission("wk-000101", refs[:5]...)}, nil)
+	r, wrote = settle(n, UserRequest{RequestID: 2, Kind: wire.RequestSubmit, Body: submission("wk-000101", ids[:5]...)}, nil)
 	if r == nil || r.Status != 201 || len(wrote) != 1 {
 		t.Errorf("answered with %+v, wrote %d", r, len(wrote))
 	}
 	reads(2000, "n1", wire.Format)
-	if r, _ = settle(n, UserRequest{RequestID: 3, Kind: wire.RequestSubmit, Body: submission("wk-000100", refs...)}, nil); r == nil || r.Status != 201 {
+	if r, _ = settle(n, UserRequest{RequestID: 3, Kind: wire.RequestSubmit, Body: submission("wk-000100", ids...)}, nil); r == nil || r.Status != 201 {
 		t.Errorf("answered with %+v", r)
 	}
 }
@@ -184,11 +184,11 @@
 func TestIncompleteListDoesNotStart(t *testing.T) {
 	n := smallValues()
 	spec := &wire.JobSpec{ID: "wk-000100", Team: "t", Shape: wire.ShapeArray, TaskCount: 1}
-	rec := &wire.Job{Spec: spec, TaskCount: 1, NextAttempt: 1, DependencyList: "x", DependencyListKeys: 2}
+	record := &wire.Job{Spec: spec, TaskCount: 1, NextAttempt: 1, DependencyList: "x", DependencyListKeys: 2}
 	see(n, 9, "wk-000001", wire.JobDone, nil)
 	n.Step(n.now+1, RecordsChanged{Revision: 11, Events: []Event{
 		{Key: wire.DependencyListKey("wk-000100", "x", 1), Revision: 10, Value: &wire.DependencyList{JobIDs: []string{"wk-000001"}}},
-		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: rec},
+		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: record},
 	}})
 	if !n.jobNamed("wk-000100").IsWaiting() {
 		t.Error("a job without all its needs may start")
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -25,18 +25,18 @@
 // half a validity after the cancellation on, reckoned from before it was recorded, as
 // the replica may show it late, and its lease ends the epoch in time. For a job that is not cancelled there is no need of it: answers repeat
 // the start, after which the worker knows the attempt.
-func (n *Node) mayStartTooLate(j *job, s directStart) bool {
-	return !s.acknowledged && j.Record.State == wire.JobCancelled && n.now-j.closedAt > n.cfg.OwnerValidity/2
+func (n *Node) mayStartTooLate(job *job, s directStart) bool {
+	return !s.acknowledged && job.Record.State == wire.JobCancelled && n.now-job.closedAt > n.cfg.OwnerValidity/2
 }
 
 // noteUnstarted remembers a machine of ours on which a task has been placed.
-func (n *Node) noteUnstarted(h *machine, k taskKey) {
-	if h.unstartedListed || h.shard < 0 || !n.owns(n.shards[h.shard]) {
+func (n *Node) noteUnstarted(machine *machine, key taskKey) {
+	if machine.unstartedListed || machine.shard < 0 || !n.owns(n.shards[machine.shard]) {
 		return
 	}
-	if _, there := h.reportedTasks[k]; !there {
-		h.unstartedListed = true
-		n.unstarted = append(n.unstarted, h.index)
+	if _, there := machine.reportedTasks[key]; !there {
+		machine.unstartedListed = true
+		n.unstarted = append(n.unstarted, machine.index)
 	}
 }
 
@@ -48,66 +48,66 @@
 	}
 	list := n.unstarted
 	n.unstarted = nil
-	for _, ix := range list {
-		h := n.machines[ix]
-		h.unstartedListed = false
-		if h.shard >= 0 && n.acceptsCommands(h) {
-			n.sendStartsTo(h)
+	for _, index := range list {
+		machine := n.machines[index]
+		machine.unstartedListed = false
+		if machine.shard >= 0 && n.acceptsCommands(machine) {
+			n.sendStartsTo(machine)
 		}
 	}
 }
 
 // acceptsCommands tells whether a machine does what the present owner says, and none
 // of its reports waits for an answer.
-func (n *Node) acceptsCommands(h *machine) bool {
-	p := n.shards[h.shard]
-	return n.mayActAsOwner(p) && h.term == p.Term && h.tokenConfirmed && h.heldReplies == 0 && h.ignoredReplies == 0 && !h.unresponsive && !h.returned &&
-		h.reclaimAt == 0 && h.address != "" && n.now-h.heartbeatAt < 2*n.cfg.HeartbeatInterval
+func (n *Node) acceptsCommands(machine *machine) bool {
+	shard := n.shards[machine.shard]
+	return n.mayActAsOwner(shard) && machine.term == shard.Term && machine.tokenConfirmed && machine.heldReplies == 0 && machine.ignoredReplies == 0 && !machine.unresponsive && !machine.returned &&
+		machine.reclaimAt == 0 && machine.address != "" && n.now-machine.heartbeatAt < 2*n.cfg.HeartbeatInterval
 }
 
-func (n *Node) sendStartsTo(h *machine) {
+func (n *Node) sendStartsTo(machine *machine) {
 	var orders []wire.Command
 	var keys []taskKey
-	for i := range h.placements {
-		x := &h.placements[i]
-		k, j := x.taskKey, n.jobs[x.job]
-		_, there := h.reportedTasks[k]
-		_, over := n.outcomes[k]
-		_, sent := h.directStarts[k]
-		if there || over || sent || h.startSentAt[k] > 0 || x.epoch != h.epoch || x.stop != wire.StopNone ||
-			j.Record.State != wire.JobLive || j.Priority == 0 || len(h.directStarts)+len(orders) >= maxDirectStarts {
+	for i := range machine.placements {
+		x := &machine.placements[i]
+		key, job := x.taskKey, n.jobs[x.job]
+		_, there := machine.reportedTasks[key]
+		_, over := n.outcomes[key]
+		_, sent := machine.directStarts[key]
+		if there || over || sent || machine.startSentAt[key] > 0 || x.epoch != machine.epoch || x.stop != wire.StopNone ||
+			job.Record.State != wire.JobLive || job.Priority == 0 || len(machine.directStarts)+len(orders) >= maxDirectStarts {
 			continue
 		}
-		a := n.activeTask(k, h.name)
-		if a == nil || n.delaysGangStart(j, a) {
+		task := n.activeTask(key, machine.name)
+		if task == nil || n.delaysGangStart(job, task) {
 			continue
 		}
-		orders = append(orders, wire.Command{Op: wire.CommandStart, Task: wire.TaskName(j.ID, k.task), Attempt: k.attempt})
-		keys = append(keys, k)
+		orders = append(orders, wire.Command{Op: wire.CommandStart, Task: wire.TaskName(job.ID, key.task), Attempt: key.attempt})
+		keys = append(keys, key)
 	}
 	if len(orders) == 0 {
 		return
 	}
-	for _, k := range keys {
-		h.directStarts[k] = directStart{sentAt: n.now}
+	for _, key := range keys {
+		machine.directStarts[key] = directStart{sentAt: n.now}
 	}
-	term, session := h.term, h.epoch
+	term, session := machine.term, machine.epoch
 	id := n.onResult(func(in Result) {
-		if h.term != term || h.epoch != session {
+		if machine.term != term || machine.epoch != session {
 			return
 		}
-		for _, k := range keys {
-			switch s, there := h.directStarts[k]; in.(CommandsAnswered).Outcome {
+		for _, key := range keys {
+			switch s, there := machine.directStarts[key]; in.(CommandsAnswered).Outcome {
 			case OK:
 				if there {
 					s.acknowledged = true
-					h.directStarts[k] = s
+					machine.directStarts[key] = s
 				}
 			case Refused, Conflict:
 				// Certainly not carried out, now or later: its reports will do.
-				delete(h.directStarts, k)
+				delete(machine.directStarts, key)
 			}
 		}
 	})
-	n.emit(SendCommands{ID: id, Address: h.address, Batch: wire.CommandBatch{Token: term, Epoch: session, Commands: orders}})
+	n.emit(SendCommands{ID: id, Address: machine.address, Batch: wire.CommandBatch{Token: term, Epoch: session, Commands: orders}})
 }
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -198,9 +198,9 @@
 func TestForgottenMachineReportsAgain(t *testing.T) {
 	d, job, o := placedDirectly(t)
 	d.step(CommandsAnswered{ID: o.ID, Outcome: Conflict})
-	rec := replica.CloneRecord(job)
-	rec.ActiveTasks = nil
-	d.put(rec)
+	record := replica.CloneRecord(job)
+	record.ActiveTasks = nil
+	d.put(record)
 	d.wait(4 * d.n.cfg.WorkerLease)
 	if len(d.n.shards[0].machines) != 0 {
 		t.Fatal("the machine was not forgotten")
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -169,13 +169,13 @@
 		return
 	}
 	sent := n.now
-	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: term}}, nil, func(c Committed) {
+	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: term}}, nil, func(result Committed) {
 		switch {
 		case n.leader.term != term:
-		case c.Outcome == Conflict:
+		case result.Outcome == Conflict:
 			n.abandonedTerm = term // replaced, though our watch does not show it yet
-		case c.Outcome == OK && sent >= n.resumedAt:
-			fence.AddProof(sent, c.Revision)
+		case result.Outcome == OK && sent >= n.resumedAt:
+			fence.AddProof(sent, result.Revision)
 			n.settleProofs()
 		}
 	})
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -308,19 +308,19 @@
 	m := newMember(t)
 	term := m.lead("n0", "x", true, 0)
 	m.wait(10*second, term)
-	h := m.n.machineNamed("vm-1")
-	h.draining = true
-	m.n.draining = []int{h.index}
+	machine := m.n.machineNamed("vm-1")
+	machine.draining = true
+	m.n.draining = []int{machine.index}
 	m.lead("n2", "z", true, 1)
 	hear := func() {
 		m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true}})
 	}
 	m.wait(failover.CloudFenceTime(5*second)-100*time.Millisecond, 0)
-	if hear(); !h.draining {
+	if hear(); !machine.draining {
 		t.Error("the owner may place on a machine that the replaced leader may return")
 	}
 	m.wait(200*time.Millisecond, 0)
-	if hear(); h.draining {
+	if hear(); machine.draining {
 		t.Error("the machine is kept empty for ever")
 	}
 }
@@ -358,18 +358,18 @@
 			m.lead("n2", "z", true, 1)
 		}
 		m.lead("n1", "y", true, 2)
-		c := &m.n.leader.autoscaler
+		scaler := &m.n.leader.autoscaler
 		if !ofLast {
-			if len(c.booting)+len(c.provisions)+len(c.draining) > 0 {
-				t.Errorf("adopted of an earlier leader: %+v", c)
+			if len(scaler.booting)+len(scaler.provisions)+len(scaler.draining) > 0 {
+				t.Errorf("adopted of an earlier leader: %+v", scaler)
 			}
 			continue
 		}
-		if len(c.booting) != 1 || c.booting["vm-3"] == nil || m.now-c.booting["vm-3"].provisionedAt != second || len(c.draining) != 1 || !c.draining["vm-6"] {
-			t.Errorf("booting %v, retiring %v", c.booting, c.draining)
+		if len(scaler.booting) != 1 || scaler.booting["vm-3"] == nil || m.now-scaler.booting["vm-3"].provisionedAt != second || len(scaler.draining) != 1 || !scaler.draining["vm-6"] {
+			t.Errorf("booting %v, retiring %v", scaler.booting, scaler.draining)
 		}
-		if len(c.provisions) != 1 || c.provisions[0].sent || c.provisions[0].request != (wire.ProvisionRequest{Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3}) {
-			t.Errorf("hires %+v", c.provisions)
+		if len(scaler.provisions) != 1 || scaler.provisions[0].sent || scaler.provisions[0].request != (wire.ProvisionRequest{Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3}) {
+			t.Errorf("hires %+v", scaler.provisions)
 		}
 	}
 }
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -14,11 +14,11 @@
 func TestEachOfManyGrantsRunsOutOfPatience(t *testing.T) {
 	const grants = 12_000
 	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
-	rec := &wire.Job{Spec: &wire.JobSpec{ID: "wk-1", Shape: wire.ShapeArray, TaskCount: grants}, TaskCount: grants, NextAttempt: 2}
+	record := &wire.Job{Spec: &wire.JobSpec{ID: "wk-1", Shape: wire.ShapeArray, TaskCount: grants}, TaskCount: grants, NextAttempt: 2}
 	for task := range grants {
-		rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1})
+		record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1})
 	}
-	n.replica.PutJob("wk-1", rec, 1)
+	n.replica.PutJob("wk-1", record, 1)
 	ask := func() int {
 		over := 0
 		for task := range grants {
@@ -36,7 +36,7 @@
 	if over := ask(); over != grants {
 		t.Errorf("%d of %d grants have run out of patience", over, grants)
 	}
-	placed := replica.CloneRecord(rec)
+	placed := replica.CloneRecord(record)
 	for i := range placed.ActiveTasks {
 		placed.ActiveTasks[i].Machine = "vm-000001"
 	}
@@ -55,18 +55,18 @@
 		MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
 	n.now = 100 * second
 	for i := range machines {
-		h := n.machineNamed(fmt.Sprintf("vm-%06d", i))
-		h.redirectedAt, h.strayListed, h.view.missedHeartbeats = n.now, true, 2
-		n.strayMachines = append(n.strayMachines, h.index)
+		machine := n.machineNamed(fmt.Sprintf("vm-%06d", i))
+		machine.redirectedAt, machine.strayListed, machine.view.missedHeartbeats = n.now, true, 2
+		n.strayMachines = append(n.strayMachines, machine.index)
 	}
 	strays := n.strayMachineNames()
 	if len(strays) != machines {
 		t.Fatalf("%d of %d machines are named", len(strays), machines)
 	}
 	n.peers["n1"] = &peer{heardAt: n.now, message: &wire.Gossip{From: "n1", Strays: strays}}
-	for _, h := range n.machines {
-		if n.isUnreachable(h, 4*n.cfg.HeartbeatInterval, true) {
-			t.Fatalf("%s counts as lost though it has turned to a peer", h.name)
+	for _, machine := range n.machines {
+		if n.isUnreachable(machine, 4*n.cfg.HeartbeatInterval, true) {
+			t.Fatalf("%s counts as lost though it has turned to a peer", machine.name)
 		}
 	}
 }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -35,34 +35,34 @@
 const maxDroppedAttempts = 3
 
 // rememberPosition remembers since when a gang that is granted now has waited.
-func (j *job) rememberPosition() {
-	if j.waitingSince != 0 {
-		j.queuePosition.waitingSince = j.waitingSince
+func (job *job) rememberPosition() {
+	if job.waitingSince != 0 {
+		job.queuePosition.waitingSince = job.waitingSince
 	}
-	j.waitingSince = 0
+	job.waitingSince = 0
 }
 
 // restorePosition lets a gang whose attempt was dropped wait on from when it had waited.
 // Before this, a gang that had waited longest was overtaken by the next one, which was
 // given the same machines half a second later.
-func (j *job) restorePosition() {
-	if j.waitingSince == 0 && j.queuePosition.waitingSince != 0 && j.queuePosition.droppedAttempts < maxDroppedAttempts {
-		j.queuePosition.droppedAttempts++
-		j.waitingSince = j.queuePosition.waitingSince
+func (job *job) restorePosition() {
+	if job.waitingSince == 0 && job.queuePosition.waitingSince != 0 && job.queuePosition.droppedAttempts < maxDroppedAttempts {
+		job.queuePosition.droppedAttempts++
+		job.waitingSince = job.queuePosition.waitingSince
 	}
 }
 
 func (n *Node) putGang(key string, rec *wire.Gang, rev uint64) {
 	g := n.gangs[key]
 	if g == nil {
-		ref := key[len(wire.GangPrefix):]
-		for i := len(ref) - 1; i >= 0; i-- {
-			if ref[i] == '/' {
-				ref = ref[:i]
+		id := key[len(wire.GangPrefix):]
+		for i := len(id) - 1; i >= 0; i-- {
+			if id[i] == '/' {
+				id = id[:i]
 				break
 			}
 		}
-		g = &gang{Key: key, JobID: ref, SeenAt: n.now, Agreed: map[int]bool{}}
+		g = &gang{Key: key, JobID: id, SeenAt: n.now, Agreed: map[int]bool{}}
 		n.gangs[key] = g
 	}
 	if rev > g.Revision {
@@ -82,95 +82,95 @@
 // subtractHolds subtracts the room that is pending for gangs.
 func (n *Node) subtractHolds(slots *slotSet) {
 	for _, key := range n.gangKeys() {
-		g := n.gangs[key]
-		j := n.jobNamed(g.JobID)
-		if j == nil || j.Record == nil || j.Record.Spec == nil {
+		gang := n.gangs[key]
+		job := n.jobNamed(gang.JobID)
+		if job == nil || job.Record == nil || job.Record.Spec == nil {
 			continue
 		}
-		for _, task := range slices.Sorted(maps.Keys(g.held)) {
-			h := g.held[task]
-			if slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
-				return a.Task == task && a.Attempt == g.Record.Attempt && a.Machine != ""
+		for _, task := range slices.Sorted(maps.Keys(gang.held)) {
+			machine := gang.held[task]
+			if slices.ContainsFunc(job.Record.ActiveTasks, func(a wire.ActiveTask) bool {
+				return a.Task == task && a.Attempt == gang.Record.Attempt && a.Machine != ""
 			}) {
 				continue // placed: counted by its record
 			}
-			for _, s := range slots.all {
-				if s.machine == h {
-					s.take(j.Record.Spec)
+			for _, slot := range slots.all {
+				if slot.machine == machine {
+					slot.take(job.Record.Spec)
 				}
 			}
 		}
 	}
 }
 
-func (n *Node) jobNamed(ref string) *job {
-	if ix := n.names.Jobs.Find(ref); ix >= 0 {
-		return n.jobs[ix]
+func (n *Node) jobNamed(id string) *job {
+	if index := n.names.Jobs.Find(id); index >= 0 {
+		return n.jobs[index]
 	}
 	return nil
 }
 
 // placeGang places a gang that fits this shard as a whole, and holds room for
 // our share of a larger one.
-func (n *Node) placeGang(w *writer, j *job, slots *slotSet) {
+func (n *Node) placeGang(writer *writer, job *job, slots *slotSet) {
 	var mine []wire.ActiveTask
 	attempt := uint64(0)
-	for _, a := range j.Record.ActiveTasks {
-		if a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard]) {
-			mine = append(mine, a)
-			attempt = a.Attempt
+	for _, task := range job.Record.ActiveTasks {
+		if task.Machine == "" && n.mayActAsOwner(n.shards[task.Shard]) {
+			mine = append(mine, task)
+			attempt = task.Attempt
 		}
 	}
-	g := n.gangs[wire.GangKey(j.ID, attempt)]
-	if g != nil {
-		n.advanceOwnedGang(w, j, g, mine, slots)
+	gang := n.gangs[wire.GangKey(job.ID, attempt)]
+	if gang != nil {
+		n.advanceOwnedGang(writer, job, gang, mine, slots)
 		return
 	}
-	whole := !slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool { return a.Shard != mine[0].Shard || a.Machine != "" })
-	k := taskKey{j.Index, mine[0].Task, attempt}
+	whole := !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Shard != mine[0].Shard || task.Machine != "" })
+	key := taskKey{job.Index, mine[0].Task, attempt}
 	if !whole {
 		// Its record is not known here yet, or has been settled and removed.
-		if n.grantTimedOut(k) {
-			if rec := w.job(j); rec != nil {
-				n.revokeUnplaced(w, rec)
-				abandonGang(rec, attempt)
+		if n.grantTimedOut(key) {
+			if record := writer.job(job); record != nil {
+				n.revokeUnplaced(writer, record)
+				abandonGang(record, attempt)
 			}
 		}
 		return
 	}
-	chosen := n.chooseAll(j, mine, slots)
-	if chosen == nil && !n.grantTimedOut(k) {
+	chosen := n.chooseAll(job, mine, slots)
+	if chosen == nil && !n.grantTimedOut(key) {
 		return
 	}
-	rec := w.job(j)
-	if rec == nil {
+	record := writer.job(job)
+	if record == nil {
 		return
 	}
-	w.shards[mine[0].Shard] = true
+	writer.shards[mine[0].Shard] = true
 	if chosen == nil {
-		n.revokeUnplaced(w, rec)
+		n.revokeUnplaced(writer, record)
 		return
 	}
 	for i := range mine {
-		chosen[i].take(j.Record.Spec)
-		assignMachine(rec, &mine[i], chosen[i].machine)
+		chosen[i].take(job.Record.Spec)
+		assignMachine(record, &mine[i], chosen[i].machine)
 	}
 }
 
 // chooseAll finds machines for all the tasks or for none.
-func (n *Node) chooseAll(j *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
+func (n *Node) chooseAll(job *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
 	var chosen []*slot
-	sp := j.Record.Spec
-	for _, a := range tasks {
-		s := slots.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil)
+	spec := job.Record.Spec
+	for _, task := range tasks {
+		s := slots.best(job, func(s *slot) bool { return s.shard == task.Shard }, nil)
 		if s == nil {
 			break
 		}
-		s.take(sp)
+		s.take(spec)
 		chosen = append(chosen, s)
 	}
 	for _, s := range chosen {
-		s.release(sp, 1)
+		s.release(spec, 1)
 	}
 	if len(chosen) < len(tasks) {
 		return nil
@@ -179,72 +179,72 @@
 }
 
 // advanceOwnedGang plays the owner's side of try, confirm and cancel.
-func (n *Node) advanceOwnedGang(w *writer, j *job, g *gang, mine []wire.ActiveTask, slots *slotSet) {
-	switch g.Record.State {
+func (n *Node) advanceOwnedGang(writer *writer, job *job, gang *gang, mine []wire.ActiveTask, slots *slotSet) {
+	switch gang.Record.State {
 	case wire.GangTrying:
-		if g.held == nil {
-			n.holdForGang(j, g, mine, slots)
+		if gang.held == nil {
+			n.holdForGang(job, gang, mine, slots)
 		}
 	case wire.GangConfirmed:
-		n.placeConfirmedGang(w, j, g, mine, slots)
+		n.placeConfirmedGang(writer, job, gang, mine, slots)
 	}
 }
 
 // holdForGang holds room for our share of a gang, or denies it.
-func (n *Node) holdForGang(j *job, g *gang, mine []wire.ActiveTask, slots *slotSet) {
-	chosen := n.chooseAll(j, mine, slots)
+func (n *Node) holdForGang(job *job, gang *gang, mine []wire.ActiveTask, slots *slotSet) {
+	chosen := n.chooseAll(job, mine, slots)
 	if chosen == nil {
-		if !g.Denied {
-			g.Denied = true
+		if !gang.Denied {
+			gang.Denied = true
 			n.sendGossip(true)
 		}
 		return
 	}
-	g.held = map[int]*machine{}
-	g.Denied = false
-	for i, s := range chosen {
-		s.take(j.Record.Spec)
-		g.held[mine[i].Task] = s.machine
+	gang.held = map[int]*machine{}
+	gang.Denied = false
+	for i, slot := range chosen {
+		slot.take(job.Record.Spec)
+		gang.held[mine[i].Task] = slot.machine
 	}
 	n.sendGossip(true)
 }
 
 // placeConfirmedGang places our share of a confirmed gang on the machines that were held for
 // it, or on others where a hold went with its machine or its owner.
-func (n *Node) placeConfirmedGang(w *writer, j *job, g *gang, mine []wire.ActiveTask, slots *slotSet) {
-	hosts := n.heldMachines(g, mine)
+func (n *Node) placeConfirmedGang(writer *writer, job *job, gang *gang, mine []wire.ActiveTask, slots *slotSet) {
+	hosts := n.heldMachines(gang, mine)
 	if hosts == nil {
-		g.held = nil
-		for _, s := range n.chooseAll(j, mine, slots) {
-			s.take(j.Record.Spec)
-			hosts = append(hosts, s.machine)
+		gang.held = nil
+		for _, slot := range n.chooseAll(job, mine, slots) {
+			slot.take(job.Record.Spec)
+			hosts = append(hosts, slot.machine)
 		}
 	}
-	if hosts == nil && !n.grantTimedOut(taskKey{j.Index, mine[0].Task, g.Record.Attempt}) {
+	if hosts == nil && !n.grantTimedOut(taskKey{job.Index, mine[0].Task, gang.Record.Attempt}) {
 		return
 	}
-	rec := w.job(j)
-	if rec == nil {
+	record := writer.job(job)
+	if record == nil {
 		return
 	}
-	for _, a := range mine {
-		w.shards[a.Shard] = true
+	for _, task := range mine {
+		writer.shards[task.Shard] = true
 	}
 	if hosts == nil {
-		n.revokeUnplaced(w, rec)
-		abandonGang(rec, g.Record.Attempt)
+		n.revokeUnplaced(writer, record)
+		abandonGang(record, gang.Record.Attempt)
 		return
 	}
 	for i := range mine {
-		assignMachine(rec, &mine[i], hosts[i])
+		assignMachine(record, &mine[i], hosts[i])
 	}
 }
 
 // heldMachines gives the machines held for the tasks of a gang, or nil unless all are usable.
-func (n *Node) heldMachines(g *gang, mine []wire.ActiveTask) []*machine {
+func (n *Node) heldMachines(gang *gang, mine []wire.ActiveTask) []*machine {
 	hosts := make([]*machine, len(mine))
-	for i, a := range mine {
-		h := g.held[a.Task]
+	for i, task := range mine {
+		h := gang.held[task.Task]
 		if h == nil || !n.acceptsTasks(h) {
 			return nil
 		}
@@ -256,17 +256,17 @@
 // expireGangHolds lets a pending hold cancel itself: at its deadline the owner
 // marks the record dropped, conditional on nobody having confirmed it, and
 // only when the replica shows it dropped does the hold go.
-func (n *Node) expireGangHolds(w *writer) {
+func (n *Node) expireGangHolds(writer *writer) {
 	for _, key := range n.gangKeys() {
-		g := n.gangs[key]
-		switch g.Record.State {
+		gang := n.gangs[key]
+		switch gang.Record.State {
 		case wire.GangDropped:
-			g.held = nil
+			gang.held = nil
 		case wire.GangTrying:
-			if n.now-g.SeenAt > 3*n.cfg.HeartbeatInterval && slices.ContainsFunc(g.Record.Shards, func(p int) bool { return n.mayActAsOwner(n.shards[p]) }) {
-				rec := *g.Record
+			if n.now-gang.SeenAt > 3*n.cfg.HeartbeatInterval && slices.ContainsFunc(gang.Record.Shards, func(p int) bool { return n.mayActAsOwner(n.shards[p]) }) {
+				rec := *gang.Record
 				rec.State = wire.GangDropped
-				w.addWrite(Write{Key: g.Key, Value: &rec}, Condition{Key: g.Key, Revision: g.Revision})
+				writer.addWrite(Write{Key: gang.Key, Value: &rec}, Condition{Key: gang.Key, Revision: gang.Revision})
 			}
 		}
 	}
@@ -276,13 +276,13 @@
 func (n *Node) gangHolds() []wire.GangHold {
 	var out []wire.GangHold
 	for _, key := range n.gangKeys() {
-		g := n.gangs[key]
-		if g.Record.State != wire.GangTrying || (g.held == nil && !g.Denied) {
+		gang := n.gangs[key]
+		if gang.Record.State != wire.GangTrying || (gang.held == nil && !gang.Denied) {
 			continue
 		}
-		for _, p := range g.Record.Shards {
+		for _, p := range gang.Record.Shards {
 			if n.mayActAsOwner(n.shards[p]) {
-				out = append(out, wire.GangHold{Ref: g.JobID, Attempt: g.Record.Attempt, Part: p, OK: g.held != nil})
+				out = append(out, wire.GangHold{Ref: gang.JobID, Attempt: gang.Record.Attempt, Part: p, OK: gang.held != nil})
 			}
 		}
 	}
@@ -292,11 +292,11 @@
 // receiveGangHolds takes owners' answers; only the leader acts on them.
 func (n *Node) receiveGangHolds(holds []wire.GangHold) {
 	for _, h := range holds {
-		if g := n.gangs[wire.GangKey(h.Ref, h.Attempt)]; g != nil && g.Record.State == wire.GangTrying {
+		if gang := n.gangs[wire.GangKey(h.Ref, h.Attempt)]; gang != nil && gang.Record.State == wire.GangTrying {
 			if h.OK {
-				g.Agreed[h.Part] = true
+				gang.Agreed[h.Part] = true
 			} else {
-				g.Denied = true
+				gang.Denied = true
 			}
 			n.leader.planNeeded = true
 		}
@@ -305,48 +305,48 @@
 
 // advanceGangs confirms gangs whose owners all agree, drops those that one
 // denies, and removes the records of settled ones.
-func (n *Node) advanceGangs(w *writer) {
+func (n *Node) advanceGangs(writer *writer) {
 	n.receiveGangHolds(n.gangHolds())
 	for _, key := range n.gangKeys() {
-		g := n.gangs[key]
-		j := n.jobNamed(g.JobID)
-		unplaced := j != nil && j.Record != nil && slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
-			return a.Attempt == g.Record.Attempt && a.Machine == ""
+		gang := n.gangs[key]
+		job := n.jobNamed(gang.JobID)
+		unplaced := job != nil && job.Record != nil && slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool {
+			return task.Attempt == gang.Record.Attempt && task.Machine == ""
 		})
-		switch g.Record.State {
+		switch gang.Record.State {
 		case wire.GangTrying:
 			all := true
-			for _, p := range g.Record.Shards {
-				all = all && g.Agreed[p]
+			for _, p := range gang.Record.Shards {
+				all = all && gang.Agreed[p]
 			}
-			rec := *g.Record
+			rec := *gang.Record
 			switch {
-			case all && unplaced && j.Record.State == wire.JobLive:
+			case all && unplaced && job.Record.State == wire.JobLive:
 				rec.State = wire.GangConfirmed
-			case g.Denied || !unplaced || n.now-g.SeenAt > 4*n.cfg.HeartbeatInterval:
+			case gang.Denied || !unplaced || n.now-gang.SeenAt > 4*n.cfg.HeartbeatInterval:
 				rec.State = wire.GangDropped
 			default:
 				continue
 			}
-			w.addWrite(Write{Key: g.Key, Value: &rec}, Condition{Key: g.Key, Revision: g.Revision})
+			writer.addWrite(Write{Key: gang.Key, Value: &rec}, Condition{Key: gang.Key, Revision: gang.Revision})
 		case wire.GangDropped:
 			if unplaced {
-				rec := w.job(j)
-				if rec == nil {
+				record := writer.job(job)
+				if record == nil {
 					return
 				}
-				rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
-					return a.Attempt == g.Record.Attempt && a.Machine == ""
+				record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
+					return task.Attempt == gang.Record.Attempt && task.Machine == ""
 				})
-				j.restorePosition()
+				job.restorePosition()
 			}
-			w.addWrite(Write{Key: g.Key}, Condition{Key: g.Key, Revision: g.Revision})
+			writer.addWrite(Write{Key: gang.Key}, Condition{Key: gang.Key, Revision: gang.Revision})
 		case wire.GangConfirmed:
 			if !unplaced {
-				if j != nil {
-					j.queuePosition = queuePosition{}
+				if job != nil {
+					job.queuePosition = queuePosition{}
 				}
-				w.addWrite(Write{Key: g.Key}, Condition{Key: g.Key, Revision: g.Revision})
+				writer.addWrite(Write{Key: gang.Key}, Condition{Key: gang.Key, Revision: gang.Revision})
 			}
 		}
 	}
--- a/internal/core/gang_placement.go
+++ b/internal/core/gang_placement.go
@@ -7,119 +7,119 @@
 )
 
 // serveGang grants a whole gang or nothing.
-func (p *schedulingPass) serveGang(w *queuedJob) {
-	j, sp := w.job, w.job.Record.Spec
-	if p.admission != nil {
-		p.admitGang(w)
+func (pass *schedulingPass) serveGang(queued *queuedJob) {
+	job, spec := queued.job, queued.job.Record.Spec
+	if pass.admission != nil {
+		pass.admitGang(queued)
 		return
 	}
-	if !p.hasQuota(j, len(w.tasks)) {
+	if !pass.hasQuota(job, len(queued.tasks)) {
 		// Its team's smaller jobs would take what becomes free of the limit
 		// for ever: after its timeout the limit is kept for it.
-		p.noteWaiting(j)
-		if j.Team >= 0 && p.node.now-j.waitingSince > gangStarvationTime {
-			p.charge(j, len(w.tasks))
+		pass.noteWaiting(job)
+		if job.Team >= 0 && pass.node.now-job.waitingSince > gangStarvationTime {
+			pass.charge(job, len(queued.tasks))
 		}
 		return
 	}
-	if chosen := p.chooseGangSlots(w); chosen != nil {
-		if !p.grant(j, w.tasks, chosen) {
-			p.charge(j, len(w.tasks))
+	if chosen := pass.chooseGangSlots(queued); chosen != nil {
+		if !pass.grant(job, queued.tasks, chosen) {
+			pass.charge(job, len(queued.tasks))
 		}
 		for _, s := range chosen {
-			s.noteFetch(j)
-			s.take(sp)
+			s.noteFetch(job)
+			s.take(spec)
 		}
-		j.rememberPosition()
+		job.rememberPosition()
 		return
 	}
-	p.noteWaiting(j)
-	p.unplacedTasks += len(w.tasks)
-	if len(w.tasks) == 1 {
-		for _, s := range p.available.releasing {
-			if s.accepts(j) && s.fitsAfterRelease(sp) {
-				s.take(sp)
+	pass.noteWaiting(job)
+	pass.unplacedTasks += len(queued.tasks)
+	if len(queued.tasks) == 1 {
+		for _, s := range pass.available.releasing {
+			if s.accepts(job) && s.fitsAfterRelease(spec) {
+				s.take(spec)
 				return
 			}
 		}
-		if s := p.preempt(w, func(*slot) bool { return true }); s != nil {
-			s.take(sp)
+		if s := pass.preempt(queued, func(*slot) bool { return true }); s != nil {
+			s.take(spec)
 			return
 		}
 	}
-	p.reserveGangRoom(w)
+	pass.reserveGangRoom(queued)
 }
 
 // chooseGangSlots chooses machines for a gang: from one shard if any has the room,
 // else from one zone, else from anywhere unless the zone has to be one.
-func (p *schedulingPass) chooseGangSlots(w *queuedJob) []*slot {
+func (pass *schedulingPass) chooseGangSlots(queued *queuedJob) []*slot {
 	var best []*slot
 	bestScore := 0.0
 	try := func(in func(part, zone int) bool, penalty float64) {
-		if p.available.capacityFor(w.job, in) < len(w.tasks) {
+		if pass.available.capacityFor(queued.job, in) < len(queued.tasks) {
 			return
 		}
-		chosen, score := p.pickSlots(w, func(s *slot) bool { return in(s.shard, s.zone) })
+		chosen, score := pass.pickSlots(queued, func(s *slot) bool { return in(s.shard, s.zone) })
 		if chosen != nil && (best == nil || score+penalty < bestScore) {
 			best, bestScore = chosen, score+penalty
 		}
 	}
-	for _, x := range p.node.shards {
-		try(func(part, _ int) bool { return part == x.Index }, 0)
+	for _, shard := range pass.node.shards {
+		try(func(part, _ int) bool { return part == shard.Index }, 0)
 	}
-	if best != nil && len(w.tasks) == 1 {
+	if best != nil && len(queued.tasks) == 1 {
 		return best
 	}
-	for z := range p.node.names.Zones.Len() {
+	for z := range pass.node.names.Zones.Len() {
 		try(func(part, zone int) bool { return zone == z && part >= 0 }, 10)
 	}
-	if !w.job.Record.Spec.SameZone {
+	if !queued.job.Record.Spec.SameZone {
 		try(func(part, _ int) bool { return part >= 0 }, 20)
 	}
 	return best
 }
 
 // capacityFor bounds how many tasks of a job find room, from above.
-func (x *slotSet) capacityFor(j *job, in func(part, zone int) bool) int {
-	sp, sum := j.Record.Spec, 0
-	for _, c := range x.classOrder {
-		if !in(c.shard, c.zone) || !j.Allows(c.machineType, c.zone, c.spot) {
+func (set *slotSet) capacityFor(job *job, in func(part, zone int) bool) int {
+	spec, sum := job.Record.Spec, 0
+	for _, class := range set.classOrder {
+		if !in(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
 			continue
 		}
 		each := 1 << 10
-		if sp.GPUs >= 1 {
-			each = (c.gpus + 1) / int(sp.GPUs)
-			if float64(c.gpus)+1 < sp.GPUs+epsilon {
-				each = c.gpus / int(sp.GPUs)
+		if spec.GPUs >= 1 {
+			each = (class.gpus + 1) / int(spec.GPUs)
+			if float64(class.gpus)+1 < spec.GPUs+epsilon {
+				each = class.gpus / int(spec.GPUs)
 			}
 		}
-		sum += each * len(*x.open[c])
+		sum += each * len(*set.open[class])
 	}
 	return sum
 }
 
 // pickSlots chooses greedily and undoes its taking.
-func (p *schedulingPass) pickSlots(w *queuedJob, ok func(*slot) bool) ([]*slot, float64) {
-	sp := w.job.Record.Spec
+func (pass *schedulingPass) pickSlots(queued *queuedJob, ok func(*slot) bool) ([]*slot, float64) {
+	spec := queued.job.Record.Spec
 	var chosen []*slot
 	worst := 0.0
-	zones := make([]int, p.node.names.Zones.Len())
-	for range w.tasks {
-		s := p.available.best(w.job, func(s *slot) bool {
-			return ok(s) && !(sp.Spread && zones[s.zone] >= zoneLimit(sp))
+	zones := make([]int, pass.node.names.Zones.Len())
+	for range queued.tasks {
+		s := pass.available.best(queued.job, func(s *slot) bool {
+			return ok(s) && !(spec.Spread && zones[s.zone] >= zoneLimit(spec))
 		}, nil)
 		if s == nil {
 			break
 		}
-		worst = max(worst, p.node.score(w.job, s))
-		s.take(sp)
+		worst = max(worst, pass.node.score(queued.job, s))
+		s.take(spec)
 		zones[s.zone]++
 		chosen = append(chosen, s)
 	}
 	for _, s := range chosen {
-		s.release(sp, 1)
+		s.release(spec, 1)
 	}
-	if len(chosen) < len(w.tasks) {
+	if len(chosen) < len(queued.tasks) {
 		return nil, 0
 	}
 	return chosen, worst
@@ -145,46 +145,46 @@
 // that costs least: it keeps what is free, about to be free or booting, provisions,
 // stops work that it may stop, and as the last resort keeps machines from
 // being filled again until what runs there has ended.
-func (p *schedulingPass) reserveGangRoom(w *queuedJob) {
-	sp := w.job.Record.Spec
-	mayEvict := p.mayPreempt(w)
+func (pass *schedulingPass) reserveGangRoom(queued *queuedJob) {
+	spec := queued.job.Record.Spec
+	mayEvict := pass.mayPreempt(queued)
 	var best *gangRoom
-	if sp.SameZone && w.job.Zone < 0 {
-		for z := range p.node.names.Zones.Len() {
-			if c := p.searchRoom(w, z, mayEvict); best == nil || c.cost < best.cost {
+	if spec.SameZone && queued.job.Zone < 0 {
+		for z := range pass.node.names.Zones.Len() {
+			if c := pass.searchRoom(queued, z, mayEvict); best == nil || c.cost < best.cost {
 				best = c
 			}
 		}
 	} else {
-		best = p.searchRoom(w, w.job.Zone, mayEvict)
+		best = pass.searchRoom(queued, queued.job.Zone, mayEvict)
 	}
-	w.job.gangZone = best.zone
+	queued.job.gangZone = best.zone
 	stopped := false
 	for _, x := range best.sources {
-		if w == p.starved && x.slot.machine != nil {
-			p.reservations = append(p.reservations, wire.Reservation{Host: x.slot.machine.name, Ref: w.job.ID})
+		if queued == pass.starved && x.slot.machine != nil {
+			pass.reservations = append(pass.reservations, wire.Reservation{Host: x.slot.machine.name, Ref: queued.job.ID})
 		}
 		switch {
 		case len(x.victims) > 0:
-			if p.stopVictims(w, x.victims) {
+			if pass.stopVictims(queued, x.victims) {
 				stopped = true
 			}
 			x.slot.reserved = true
 		case x.drain:
 			x.slot.reserved = true
 		default:
-			x.slot.take(sp)
+			x.slot.take(spec)
 		}
 	}
 	if stopped {
-		w.job.preemptAt = p.node.now + 3*p.node.cfg.HeartbeatInterval
+		queued.job.preemptAt = pass.node.now + 3*pass.node.cfg.HeartbeatInterval
 	}
 	for range best.provision {
-		s := p.provisionFor(w, func(s *slot) bool { return best.zone < 0 || s.zone == best.zone })
+		s := pass.provisionFor(queued, func(s *slot) bool { return best.zone < 0 || s.zone == best.zone })
 		if s == nil {
 			return
 		}
-		s.take(sp)
+		s.take(spec)
 	}
 }
 
@@ -211,12 +211,12 @@
 func (g *roomSearch) enough() bool { return len(g.sources) >= 4*len(g.queued.tasks) }
 
 // elsewhere tells whether a machine is not in the zone.
-func (g *roomSearch) elsewhere(s *slot) bool { return g.zone >= 0 && s.zone != g.zone }
+func (g *roomSearch) elsewhere(slot *slot) bool { return g.zone >= 0 && slot.zone != g.zone }
 
 // searchRoom works out what a gang's room in a zone would cost.
-func (p *schedulingPass) searchRoom(w *queuedJob, zone int, mayEvict bool) *gangRoom {
-	g := &roomSearch{pass: p, queued: w, zone: zone, seen: map[*slot]bool{}}
-	canHire := p.canProvision(w.job, zone)
+func (pass *schedulingPass) searchRoom(queued *queuedJob, zone int, mayEvict bool) *gangRoom {
+	g := &roomSearch{pass: pass, queued: queued, zone: zone, seen: map[*slot]bool{}}
+	canHire := pass.canProvision(queued.job, zone)
 	g.addFree()
 	if mayEvict || !canHire {
 		g.addOccupied(mayEvict, !canHire)
@@ -231,63 +231,63 @@
 }
 
 // add takes in a machine with free room, once for each task that it has room for.
-func (g *roomSearch) add(s *slot, cost float64) {
+func (g *roomSearch) add(slot *slot, cost float64) {
 	spec := g.queued.job.Record.Spec
-	if s.reserved || g.seen[s] || g.elsewhere(s) || !s.accepts(g.queued.job) || !s.fitsAfterRelease(spec) {
+	if slot.reserved || g.seen[slot] || g.elsewhere(slot) || !slot.accepts(g.queued.job) || !slot.fitsAfterRelease(spec) {
 		return
 	}
-	g.seen[s] = true
+	g.seen[slot] = true
 	// What it can take is worked out on a copy.
-	for room := *s; room.fitsAfterRelease(spec) && !g.enough(); {
+	for room := *slot; room.fitsAfterRelease(spec) && !g.enough(); {
 		room.set = nil
 		room.take(spec)
-		g.sources = append(g.sources, roomSource{slot: s, cost: cost})
+		g.sources = append(g.sources, roomSource{slot: slot, cost: cost})
 	}
 }
 
 // addFree takes in room that is free, about to be free, or on its way.
 func (g *roomSearch) addFree() {
-	p := g.pass
-	for _, k := range p.available.classOrder {
+	pass := g.pass
+	for _, k := range pass.available.classOrder {
 		if (g.zone < 0 || k.zone == g.zone) && g.queued.job.Allows(k.machineType, k.zone, k.spot) {
-			for _, s := range *p.available.open[k] {
-				p.node.workCount++
-				g.add(s, 0)
+			for _, slot := range *pass.available.open[k] {
+				pass.node.workCount++
+				g.add(slot, 0)
 			}
 		}
 	}
-	for _, s := range p.available.releasing {
-		g.add(s, 0)
+	for _, slot := range pass.available.releasing {
+		g.add(slot, 0)
 	}
-	for _, s := range p.expected.all {
+	for _, slot := range pass.expected.all {
 		if g.enough() {
 			break
 		}
-		g.add(s, bootingCost)
+		g.add(slot, bootingCost)
 	}
 }
 
 // addOccupied takes in machines whose tasks could be stopped or waited for.
 func (g *roomSearch) addOccupied(mayEvict, mayDrain bool) {
-	p, w := g.pass, g.queued
-	for _, s := range p.available.all {
-		if g.elsewhere(s) || s.reserved || g.seen[s] || s.machine.lowestPriority == noPriority || !s.accepts(w.job) {
+	pass, queued := g.pass, g.queued
+	for _, slot := range pass.available.all {
+		if g.elsewhere(slot) || slot.reserved || g.seen[slot] || slot.machine.lowestPriority == noPriority || !slot.accepts(queued.job) {
 			continue
 		}
-		p.node.workCount++
-		if mayEvict && s.machine.lowestPriority <= w.job.Priority {
-			if victims, ok := p.victimsOn(w, s, false); ok {
+		pass.node.workCount++
+		if mayEvict && slot.machine.lowestPriority <= queued.job.Priority {
+			if victims, ok := pass.victimsOn(queued, slot, false); ok {
 				cost := float64(preemptionCost)
 				for _, x := range victims {
 					cost += x.cost / 4
 				}
-				g.sources = append(g.sources, roomSource{slot: s, victims: victims, cost: cost})
+				g.sources = append(g.sources, roomSource{slot: slot, victims: victims, cost: cost})
 				continue
 			}
 		}
 		if mayDrain {
-			if _, ok := p.victimsOn(w, s, true); ok {
-				g.sources = append(g.sources, roomSource{slot: s, drain: true, cost: drainCost})
+			if _, ok := pass.victimsOn(queued, slot, true); ok {
+				g.sources = append(g.sources, roomSource{slot: slot, drain: true, cost: drainCost})
 			}
 		}
 	}
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -24,10 +24,10 @@
 		Holds: n.gangHolds(), Strays: n.strayMachineNames(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
 		Leader: n.leaderView(),
 	}
-	for _, p := range n.shards {
-		if n.mayActAsOwner(p) {
-			m.Parts = append(m.Parts, p.Index)
-			m.Terms = append(m.Terms, p.Term)
+	for _, shard := range n.shards {
+		if n.mayActAsOwner(shard) {
+			m.Parts = append(m.Parts, shard.Index)
+			m.Terms = append(m.Terms, shard.Term)
 		}
 	}
 	for label, p := range n.peers {
@@ -38,8 +38,8 @@
 		m.Returned = n.leader.recentlyReturned(n)
 		m.Kept = n.leader.reservations
 		for _, key := range n.gangKeys() {
-			if g := n.gangs[key]; g.Record.State != wire.GangDropped {
-				m.Tries = append(m.Tries, wire.GangHold{Ref: g.JobID, Attempt: g.Record.Attempt, OK: g.Record.State == wire.GangConfirmed})
+			if gang := n.gangs[key]; gang.Record.State != wire.GangDropped {
+				m.Tries = append(m.Tries, wire.GangHold{Ref: gang.JobID, Attempt: gang.Record.Attempt, OK: gang.Record.State == wire.GangConfirmed})
 			}
 		}
 		n.followLeader(&m)
@@ -76,10 +76,10 @@
 
 // noteViewChange puts a change of our own view of a machine on the list that the peers
 // get.
-func (n *Node) noteViewChange(h *machine) {
+func (n *Node) noteViewChange(machine *machine) {
 	n.version++
-	h.viewVersion = n.version
-	n.changeLog = append(n.changeLog, viewChange{n.version, h.index})
+	machine.viewVersion = n.version
+	n.changeLog = append(n.changeLog, viewChange{n.version, machine.index})
 	if len(n.changeLog) > 2*len(n.machines)+64 {
 		n.changeLog = slices.DeleteFunc(n.changeLog, func(c viewChange) bool { return n.machines[c.machine].viewVersion != c.version })
 	}
@@ -101,21 +101,21 @@
 	var names wire.Interner
 	at := sort.Search(len(n.changeLog), func(i int) bool { return n.changeLog[i].version > base })
 	for _, c := range n.changeLog[at:] {
-		h := n.machines[c.machine]
+		machine := n.machines[c.machine]
 		n.workCount++
-		if h.viewVersion != c.version || h.shard < 0 || !n.mayActAsOwner(n.shards[h.shard]) || !h.view.known {
+		if machine.viewVersion != c.version || machine.shard < 0 || !n.mayActAsOwner(n.shards[machine.shard]) || !machine.view.known {
 			continue
 		}
 		if len(m.Hosts) >= limit {
 			m.Ver = c.version - 1
 			break
 		}
-		i := wire.MachineInfo{Name: h.name, Zone: names.Of(n.names.Zones.Name(h.zone)), Errors: h.view.errors,
-			Flags: wire.Flags(h.spot, h.view.reclaimed, h.view.draining, h.view.unhealthy, h.view.unreachable, h.view.unconfirmed) + h.view.missedHeartbeats<<8}
-		if h.machineType >= 0 {
-			i.Rig = names.Of(n.names.MachineTypes.Name(h.machineType))
+		i := wire.MachineInfo{Name: machine.name, Zone: names.Of(n.names.Zones.Name(machine.zone)), Errors: machine.view.errors,
+			Flags: wire.Flags(machine.spot, machine.view.reclaimed, machine.view.draining, machine.view.unhealthy, machine.view.unreachable, machine.view.unconfirmed) + machine.view.missedHeartbeats<<8}
+		if machine.machineType >= 0 {
+			i.Rig = names.Of(n.names.MachineTypes.Name(machine.machineType))
 		}
-		h.images.Each(func(im int) { i.Images = append(i.Images, names.Of(n.names.Images.Name(im))) })
+		machine.images.Each(func(im int) { i.Images = append(i.Images, names.Of(n.names.Images.Name(im))) })
 		m.Hosts = append(m.Hosts, i)
 	}
 	for i := range names.Len() {
@@ -126,28 +126,28 @@
 
 // updateOwnViews brings our view of our own machines up to date.
 func (n *Node) updateOwnViews() {
-	for _, p := range n.shards {
-		if !n.mayActAsOwner(p) {
+	for _, shard := range n.shards {
+		if !n.mayActAsOwner(shard) {
 			continue
 		}
 		fresh, all := 0, 0
-		for _, h := range p.machines {
-			if h.term == p.Term && !h.returned {
+		for _, machine := range shard.machines {
+			if machine.term == shard.Term && !machine.returned {
 				all++
-				if n.now-h.heartbeatAt < 2*n.cfg.HeartbeatInterval {
+				if n.now-machine.heartbeatAt < 2*n.cfg.HeartbeatInterval {
 					fresh++
 				}
 			}
 		}
-		for _, h := range p.machines {
+		for _, machine := range shard.machines {
 			n.workCount++
-			if h.term != p.Term {
+			if machine.term != shard.Term {
 				continue
 			}
-			silent := n.now - h.heartbeatAt
-			h.unhealthy = h.unhealthy && n.failedJobCount(h) > 0 // the jobs may have turned out to be at fault
-			v := machineView{known: true, reclaimed: h.reclaimAt > 0, draining: h.draining, unhealthy: h.unhealthy, unconfirmed: !h.tokenConfirmed && !h.newlyBooted,
-				errors: n.failedJobCount(h), images: n.imageCount(h)}
+			silent := n.now - machine.heartbeatAt
+			machine.unhealthy = machine.unhealthy && n.failedJobCount(machine) > 0 // the jobs may have turned out to be at fault
+			v := machineView{known: true, reclaimed: machine.reclaimAt > 0, draining: machine.draining, unhealthy: machine.unhealthy, unconfirmed: !machine.tokenConfirmed && !machine.newlyBooted,
+				errors: n.failedJobCount(machine), images: n.imageCount(machine)}
 			switch {
 			case silent > 3*n.cfg.HeartbeatInterval:
 				v.missedHeartbeats = 2
@@ -156,10 +156,10 @@
 			}
 			// Machines could not report to us before we could answer. A unresponsive
 			// one is as good as lost: all it does ends with its lease.
-			v.unreachable = h.unresponsive || n.isUnreachable(h, min(silent, n.now-p.ValidSince), 2*fresh > all)
-			if v != h.view || h.viewTerm != p.Term {
-				n.setView(h, v, p.Term)
-				n.noteViewChange(h)
+			v.unreachable = machine.unresponsive || n.isUnreachable(machine, min(silent, n.now-shard.ValidSince), 2*fresh > all)
+			if v != machine.view || machine.viewTerm != shard.Term {
+				n.setView(machine, v, shard.Term)
+				n.noteViewChange(machine)
 				n.leader.planNeeded = true
 			}
 		}
@@ -167,137 +167,137 @@
 }
 
 // setView takes what the owner of a machine says of it.
-func (n *Node) setView(h *machine, v machineView, term uint64) {
-	if v.unconfirmed && (!h.view.unconfirmed || h.viewTerm != term) {
-		h.unconfirmedSince = n.now
+func (n *Node) setView(machine *machine, v machineView, term uint64) {
+	if v.unconfirmed && (!machine.view.unconfirmed || machine.viewTerm != term) {
+		machine.unconfirmedSince = n.now
 	}
-	h.view, h.viewTerm = v, term
+	machine.view, machine.viewTerm = v, term
 }
 
 // gossipReceived takes a peer's message.
-func (n *Node) gossipReceived(m *wire.Gossip) {
-	if m == nil || !slices.ContainsFunc(n.cfg.Members, func(x Member) bool { return x.Name == m.From }) || m.From == n.cfg.Self {
+func (n *Node) gossipReceived(message *wire.Gossip) {
+	if message == nil || !slices.ContainsFunc(n.cfg.Members, func(x Member) bool { return x.Name == message.From }) || message.From == n.cfg.Self {
 		return
 	}
-	was := n.peers[m.From]
-	if !m.StoreOK && (was == nil || was.message.StoreOK) {
-		n.refusedSince[m.From] = n.now
+	was := n.peers[message.From]
+	if !message.StoreOK && (was == nil || was.message.StoreOK) {
+		n.refusedSince[message.From] = n.now
 	}
-	if !slices.IsSorted(m.Strays) { // from a version that tells them as they came
-		m.Strays = slices.Sorted(slices.Values(m.Strays))
+	if !slices.IsSorted(message.Strays) { // from a version that tells them as they came
+		message.Strays = slices.Sorted(slices.Values(message.Strays))
 	}
-	p := &peer{heardAt: n.now, message: m}
-	if was != nil && was.message.Life == m.Life {
-		if p.version = was.version; m.UpS < was.message.UpS {
+	p := &peer{heardAt: n.now, message: message}
+	if was != nil && was.message.Life == message.Life {
+		if p.version = was.version; message.UpS < was.message.UpS {
 			return // overtaken by a newer one
 		}
 	}
-	n.peers[m.From] = p
+	n.peers[message.From] = p
 	// Changes after a version that we have not reached leave a gap: what we
 	// say we have seen makes the peer tell it again.
-	if m.Since <= p.version && m.Ver >= p.version {
-		p.version = m.Ver
-		n.receiveMachines(m)
+	if message.Since <= p.version && message.Ver >= p.version {
+		p.version = message.Ver
+		n.receiveMachines(message)
 	}
-	n.receiveGangHolds(m.Holds)
-	n.receiveLeaderView(m.From, m.Leader)
+	n.receiveGangHolds(message.Holds)
+	n.receiveLeaderView(message.From, message.Leader)
 	// A newer term than the replica shows means that we have lost the shard and
 	// can't see it: we are refused by the state service.
-	for i, ix := range m.Parts {
-		if ix >= 0 && ix < len(n.shards) && i < len(m.Terms) && m.Terms[i] > n.shards[ix].Term {
-			n.putShard(n.shards[ix], &wire.Shard{Owner: m.From, Incarnation: m.Life}, m.Terms[i])
+	for i, index := range message.Parts {
+		if index >= 0 && index < len(n.shards) && i < len(message.Terms) && message.Terms[i] > n.shards[index].Term {
+			n.putShard(n.shards[index], &wire.Shard{Owner: message.From, Incarnation: message.Life}, message.Terms[i])
 		}
 	}
-	n.followLeader(m)
+	n.followLeader(message)
 }
 
 // receiveMachines takes what a peer says of its machines.
-func (n *Node) receiveMachines(m *wire.Gossip) {
+func (n *Node) receiveMachines(message *wire.Gossip) {
 	name := func(i int) string {
-		if i < 0 || i >= len(m.Names) {
+		if i < 0 || i >= len(message.Names) {
 			return ""
 		}
-		return m.Names[i]
+		return message.Names[i]
 	}
-	for i := range m.Hosts {
+	for i := range message.Hosts {
 		n.workCount++
-		info := &m.Hosts[i]
+		info := &message.Hosts[i]
 		part := n.shardOf(n.names.Zones.Find(name(info.Zone)), info.Name)
 		if part < 0 {
 			continue
 		}
-		h := n.machineNamed(info.Name)
+		machine := n.machineNamed(info.Name)
 		if n.owns(n.shards[part]) {
 			continue // we know better
 		}
 		// One that has lost the shard without having seen it finds its machines
 		// silent; heeded, they were returned with all that ran on them.
 		term := uint64(0)
-		for k, ix := range m.Parts {
-			if ix == part && k < len(m.Terms) {
-				term = m.Terms[k]
+		for k, index := range message.Parts {
+			if index == part && k < len(message.Terms) {
+				term = message.Terms[k]
 			}
 		}
 		if term < n.shards[part].Term {
 			continue
 		}
-		n.setShard(h, part)
+		n.setShard(machine, part)
 		if rig := name(info.Rig); rig != "" {
-			h.machineType = n.names.MachineTypes.Of(rig)
+			machine.machineType = n.names.MachineTypes.Of(rig)
 		}
 		f := info.Flags
-		h.spot = f&wire.FlagSpot != 0
+		machine.spot = f&wire.FlagSpot != 0
 		v := machineView{known: true, reclaimed: f&wire.FlagReclaimed != 0, draining: f&wire.FlagDraining != 0, unhealthy: f&wire.FlagUnhealthy != 0,
 			unreachable: f&wire.FlagUnreachable != 0, unconfirmed: f&wire.FlagUnconfirmed != 0, missedHeartbeats: f >> 8, errors: info.Errors}
-		n.setView(h, v, term)
-		h.draining = h.view.draining
-		if h.view.missedHeartbeats == 0 {
-			h.bouncedAt = 0 // it has reached its owner
+		n.setView(machine, v, term)
+		machine.draining = machine.view.draining
+		if machine.view.missedHeartbeats == 0 {
+			machine.bouncedAt = 0 // it has reached its owner
 		}
 		for _, im := range info.Images {
-			h.images.Add(n.names.Images.Of(name(im)))
+			machine.images.Add(n.names.Images.Of(name(im)))
 		}
 	}
-	n.leader.planNeeded = n.leader.planNeeded || len(m.Hosts) > 0
+	n.leader.planNeeded = n.leader.planNeeded || len(message.Hosts) > 0
 }
 
 // followLeader does what the leader asks of owners.
-func (n *Node) followLeader(m *wire.Gossip) {
-	if n.leader.record == nil || n.leader.record.Controller != m.From {
+func (n *Node) followLeader(message *wire.Gossip) {
+	if n.leader.record == nil || n.leader.record.Controller != message.From {
 		return
 	}
-	for _, name := range m.Returned {
-		if ix := n.names.Machines.Find(name); ix >= 0 {
-			n.machines[ix].returned = true
+	for _, name := range message.Returned {
+		if index := n.names.Machines.Find(name); index >= 0 {
+			n.machines[index].returned = true
 		}
 	}
 	// Owners choose the machines. Without knowing which ones the leader keeps
 	// for a gang they filled them again as soon as a task on them had ended.
 	clear(n.reservedMachines)
 	n.reservedMachinesAt = n.now
-	for _, k := range m.Kept {
+	for _, k := range message.Kept {
 		if h, j := n.names.Machines.Find(k.Host), n.names.Jobs.Find(k.Ref); h >= 0 && j >= 0 {
 			n.reservedMachines[h] = j
 		}
 	}
-	asked := make(map[string]bool, len(m.Retire))
-	for _, name := range m.Retire {
+	asked := make(map[string]bool, len(message.Retire))
+	for _, name := range message.Retire {
 		asked[name] = true
-		if ix := n.names.Machines.Find(name); ix >= 0 {
-			h := n.machines[ix]
-			if h.shard >= 0 && n.owns(n.shards[h.shard]) && len(h.placements) == 0 && len(h.reportedTasks) == 0 && !h.draining {
-				h.draining = true
-				n.draining = append(n.draining, h.index)
+		if index := n.names.Machines.Find(name); index >= 0 {
+			machine := n.machines[index]
+			if machine.shard >= 0 && n.owns(n.shards[machine.shard]) && len(machine.placements) == 0 && len(machine.reportedTasks) == 0 && !machine.draining {
+				machine.draining = true
+				n.draining = append(n.draining, machine.index)
 				n.sendGossip(true)
 			}
 		}
 	}
-	n.draining = slices.DeleteFunc(n.draining, func(ix int) bool {
-		h := n.machines[ix]
+	n.draining = slices.DeleteFunc(n.draining, func(index int) bool {
+		machine := n.machines[index]
 		// A leader that was replaced early may still return what it had asked for.
-		if h.draining && !asked[h.name] && n.now >= n.cloudOpensAt() {
-			h.draining = false
+		if machine.draining && !asked[machine.name] && n.now >= n.cloudOpensAt() {
+			machine.draining = false
 		}
-		return !h.draining || h.returned
+		return !machine.draining || machine.returned
 	})
 }
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -9,9 +9,9 @@
 
 // Which machines have which images, kept so that the knowledge outlives the process.
 
-func (n *Node) imageCount(h *machine) int {
+func (n *Node) imageCount(machine *machine) int {
 	c := 0
-	h.images.Each(func(int) { c++ })
+	machine.images.Each(func(int) { c++ })
 	return c
 }
 
@@ -30,24 +30,24 @@
 	count := 0
 	room := n.cfg.MaxValueBytes * 3 / 4 // in bytes, which the sums below stay well within
 	var names wire.Interner
-	for _, p := range n.shards {
-		if !n.mayActAsOwner(p) {
+	for _, shard := range n.shards {
+		if !n.mayActAsOwner(shard) {
 			continue
 		}
-		for _, h := range p.machines {
-			if h.returned || h.term != p.Term || len(h.images) == 0 {
+		for _, machine := range shard.machines {
+			if machine.returned || machine.term != shard.Term || len(machine.images) == 0 {
 				continue
 			}
-			if room -= len(h.name) + 6; room < 0 {
+			if room -= len(machine.name) + 6; room < 0 {
 				break
 			}
-			h.images.Each(func(im int) {
+			machine.images.Each(func(im int) {
 				name := n.names.Images.Name(im)
 				if names.Find(name) < 0 {
 					room -= len(name) + 3
 				}
 				if room -= 4; room > 0 {
-					rec.Machines[h.name] = append(rec.Machines[h.name], names.Of(name))
+					rec.Machines[machine.name] = append(rec.Machines[machine.name], names.Of(name))
 					count++
 				}
 			})
@@ -69,29 +69,29 @@
 		if n.names.Machines.Find(name) < 0 && n.replica.Loaded() {
 			continue // a machine that nobody has spoken of since is gone
 		}
-		h := n.machineNamed(name)
+		machine := n.machineNamed(name)
 		for _, im := range rec.Machines[name] {
 			if im >= 0 && im < len(rec.Names) {
-				h.images.Add(n.names.Images.Of(rec.Names[im]))
+				machine.images.Add(n.names.Images.Of(rec.Names[im]))
 			}
 		}
 	}
 }
 
 // pendingFetchGB sums the images that a machine is fetching, or about to.
-func (n *Node) pendingFetchGB(h *machine) float64 {
+func (n *Node) pendingFetchGB(machine *machine) float64 {
 	sum := 0.0
-	for i := range h.placements {
-		j := n.jobs[h.placements[i].job]
-		if j.Record.Spec == nil || h.images.Has(j.Image) {
+	for i := range machine.placements {
+		job := n.jobs[machine.placements[i].job]
+		if job.Record.Spec == nil || machine.images.Has(job.Image) {
 			continue
 		}
 		twice := false
 		for k := range i {
-			twice = twice || n.jobs[h.placements[k].job].Image == j.Image
+			twice = twice || n.jobs[machine.placements[k].job].Image == job.Image
 		}
 		if !twice {
-			sum += j.Record.Spec.ImageGB
+			sum += job.Record.Spec.ImageGB
 		}
 	}
 	return sum
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -29,32 +29,32 @@
 
 // countJobChange takes a change of a job's record into the statistics: of users'
 // writes, of what ends, and of how long jobs take.
-func (n *Node) countJobChange(j *job, rec *wire.Job) {
-	was := j.Record
-	if n.replica.Loaded() && rec != nil && (was == nil || was.State == wire.JobLive && rec.State == wire.JobCancelled) {
+func (n *Node) countJobChange(job *job, record *wire.Job) {
+	was := job.Record
+	if n.replica.Loaded() && record != nil && (was == nil || was.State == wire.JobLive && record.State == wire.JobCancelled) {
 		n.budget.seenUserWrites++
 	}
 	if was == nil {
 		return
 	}
-	if rec == nil || rec.State != wire.JobLive {
+	if record == nil || record.State != wire.JobLive {
 		n.noteCompletion(was)
 	}
-	if rec != nil && rec.State == wire.JobDone && was.State == wire.JobLive {
-		n.noteRunTime(j, was)
+	if record != nil && record.State == wire.JobDone && was.State == wire.JobLive {
+		n.noteRunTime(job, was)
 	}
 }
 
 // noteClosed notes since when a job is recorded as done or cancelled. The replica may have
 // lagged behind. What it knew at the last proof that has settled did not hold this
 // change, so it was made after that was sent.
-func (n *Node) noteClosed(j *job) {
-	if j.Record.State == wire.JobLive || j.closedAt != 0 {
+func (n *Node) noteClosed(job *job) {
+	if job.Record.State == wire.JobLive || job.closedAt != 0 {
 		return
 	}
-	j.closedAt = n.now
+	job.closedAt = n.now
 	if n.provenAt > 0 {
-		j.closedAt = n.provenAt
+		job.closedAt = n.provenAt
 	}
 }
 
@@ -69,67 +69,67 @@
 
 // noteErrors makes a job that fails everywhere wait, longer each time, and suspects the
 // job rather than the machines.
-func (n *Node) noteErrors(j *job) {
-	rec := j.Record
-	if rec.ConsecutiveErrors > j.errorsSeen && rec.ConsecutiveErrors >= errorsBeforePause {
-		doublings := min(rec.ConsecutiveErrors-errorsBeforePause, maxPauseDoublings)
-		j.retryAt = n.now + min(firstErrorPause<<doublings, longestErrorPause)
+func (n *Node) noteErrors(job *job) {
+	record := job.Record
+	if record.ConsecutiveErrors > job.errorsSeen && record.ConsecutiveErrors >= errorsBeforePause {
+		doublings := min(record.ConsecutiveErrors-errorsBeforePause, maxPauseDoublings)
+		job.retryAt = n.now + min(firstErrorPause<<doublings, longestErrorPause)
 	}
-	j.errorsSeen = rec.ConsecutiveErrors
-	if rec.ConsecutiveErrors >= errorsBeforePause && len(rec.FailedMachines) >= errorsBeforePause && len(rec.DoneTasks) == 0 {
-		j.suspect = true
-	} else if rec.State == wire.JobDone || len(rec.DoneTasks) > 0 {
-		j.suspect = false
+	job.errorsSeen = record.ConsecutiveErrors
+	if record.ConsecutiveErrors >= errorsBeforePause && len(record.FailedMachines) >= errorsBeforePause && len(record.DoneTasks) == 0 {
+		job.suspect = true
+	} else if record.State == wire.JobDone || len(record.DoneTasks) > 0 {
+		job.suspect = false
 	}
 }
 
 // indexPlacements keeps, for every machine, the tasks that records put on it.
-func (n *Node) indexPlacements(j *job) {
-	for i := range j.Record.ActiveTasks {
-		a := &j.Record.ActiveTasks[i]
-		if a.Machine == "" {
+func (n *Node) indexPlacements(job *job) {
+	for i := range job.Record.ActiveTasks {
+		task := &job.Record.ActiveTasks[i]
+		if task.Machine == "" {
 			continue
 		}
-		h := n.machineNamed(a.Machine)
-		n.setShard(h, a.Shard)
-		at := len(h.placements)
-		for at > 0 && h.placements[at-1].job > j.Index {
+		machine := n.machineNamed(task.Machine)
+		n.setShard(machine, task.Shard)
+		at := len(machine.placements)
+		for at > 0 && machine.placements[at-1].job > job.Index {
 			at--
 		}
-		h.placements = slices.Insert(h.placements, at, placement{shard: a.Shard, stop: a.Stop, epoch: a.Epoch, activeIndex: i, taskKey: taskKey{j.Index, a.Task, a.Attempt}})
-		h.usedKnown = false
-		n.noteUnstarted(h, taskKey{j.Index, a.Task, a.Attempt})
+		machine.placements = slices.Insert(machine.placements, at, placement{shard: task.Shard, stop: task.Stop, epoch: task.Epoch, activeIndex: i, taskKey: taskKey{job.Index, task.Task, task.Attempt}})
+		machine.usedKnown = false
+		n.noteUnstarted(machine, taskKey{job.Index, task.Task, task.Attempt})
 	}
 }
 
-func (n *Node) unindexPlacements(j *job) {
+func (n *Node) unindexPlacements(job *job) {
 	last := ""
-	for i := range j.Record.ActiveTasks {
-		if a := &j.Record.ActiveTasks[i]; a.Machine != last && a.Machine != "" {
-			last = a.Machine
-			h := n.machineNamed(a.Machine)
-			h.placements = slices.DeleteFunc(h.placements, func(p placement) bool { return p.job == j.Index })
-			h.usedKnown = false
+	for i := range job.Record.ActiveTasks {
+		if task := &job.Record.ActiveTasks[i]; task.Machine != last && task.Machine != "" {
+			last = task.Machine
+			machine := n.machineNamed(task.Machine)
+			machine.placements = slices.DeleteFunc(machine.placements, func(p placement) bool { return p.job == job.Index })
+			machine.usedKnown = false
 		}
 	}
 }
 
 // waitingTasks lists up to limit tasks that wait to be granted.
-func (n *Node) waitingTasks(j *job, limit int) []int {
-	if !j.pendingKnown {
-		j.pending, j.pendingKnown = replica.PendingTasks(j.Record, n.maxActiveTasks(j)), true
+func (n *Node) waitingTasks(job *job, limit int) []int {
+	if !job.pendingKnown {
+		job.pending, job.pendingKnown = replica.PendingTasks(job.Record, n.maxActiveTasks(job)), true
 	}
-	return j.pending[:max(0, min(limit, len(j.pending)))]
+	return job.pending[:max(0, min(limit, len(job.pending)))]
 }
 
 // usageChanged forgets what was worked out for the machines that a job is on.
-func (n *Node) usageChanged(j *job) {
-	if j.Record == nil {
+func (n *Node) usageChanged(job *job) {
+	if job.Record == nil {
 		return
 	}
-	for i := range j.Record.ActiveTasks {
-		if a := &j.Record.ActiveTasks[i]; a.Machine != "" {
-			n.machineNamed(a.Machine).usedKnown = false
+	for i := range job.Record.ActiveTasks {
+		if task := &job.Record.ActiveTasks[i]; task.Machine != "" {
+			n.machineNamed(task.Machine).usedKnown = false
 		}
 	}
 }
--- a/internal/core/leader_state.go
+++ b/internal/core/leader_state.go
@@ -50,29 +50,29 @@
 
 // recentlyReturned names the machines that went back a short while ago. An owner
 // that misses it finds them silent.
-func (l *leaderState) recentlyReturned(n *Node) []string {
-	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > returnedAnnounceTime })
+func (leader *leaderState) recentlyReturned(n *Node) []string {
+	leader.returned = slices.DeleteFunc(leader.returned, func(r returnedMachine) bool { return n.now-r.at > returnedAnnounceTime })
 	var out []string
-	for _, r := range l.returned {
+	for _, r := range leader.returned {
 		out = append(out, r.name)
 	}
 	return out
 }
 
-func (l *leaderState) reset() {
-	l.tenure++
-	l.batch = batch{role: "leader", generation: l.batch.generation + 1}
-	l.grantHints, l.pendingPlacements = map[taskKey]*machine{}, nil
-	l.autoscaler = newAutoscaler()
-	l.returned, l.reservations = nil, nil
-	l.sharesDistributedAt = neverDistributed(len(l.sharesDistributedAt))
-	l.sharesReclaimed = make([]bool, len(l.sharesDistributedAt))
-	l.planNeeded = true
+func (leader *leaderState) reset() {
+	leader.tenure++
+	leader.batch = batch{role: "leader", generation: leader.batch.generation + 1}
+	leader.grantHints, leader.pendingPlacements = map[taskKey]*machine{}, nil
+	leader.autoscaler = newAutoscaler()
+	leader.returned, leader.reservations = nil, nil
+	leader.sharesDistributedAt = neverDistributed(len(leader.sharesDistributedAt))
+	leader.sharesReclaimed = make([]bool, len(leader.sharesDistributedAt))
+	leader.planNeeded = true
 }
 
 // runLeader plans and grants.
 func (n *Node) runLeader() {
-	l := &n.leader
+	leader := &n.leader
 	if !n.isLeader() || n.resign() {
 		return
 	}
@@ -89,33 +89,33 @@
 		return
 	}
 	n.runCloudCalls()
-	if n.now < l.planAt || (!l.planNeeded && n.now < l.planAt+second) || n.offeredTypes == nil {
+	if n.now < leader.planAt || (!leader.planNeeded && n.now < leader.planAt+second) || n.offeredTypes == nil {
 		return
 	}
 	// First hear from the owners what there is.
-	if n.now-l.since < 700*time.Millisecond {
+	if n.now-leader.since < 700*time.Millisecond {
 		return
 	}
-	if !l.batch.ready(n) {
+	if !leader.batch.ready(n) {
 		return
 	}
 	// A pass looks at every unfinished job and every machine, if briefly; with
 	// thousands of them the share of a core that we have allows fewer passes.
-	l.planAt = n.now + 120*time.Millisecond + Time(len(n.replica.Live()))*300*time.Microsecond + Time(n.machineCount())*100*time.Microsecond
-	l.planNeeded, l.pendingPlacements = false, nil
-	w := newWriter(n)
-	w.conditions = append(w.conditions, Condition{Key: wire.LeaderKey, Revision: l.term})
+	leader.planAt = n.now + 120*time.Millisecond + Time(len(n.replica.Live()))*300*time.Microsecond + Time(n.machineCount())*100*time.Microsecond
+	leader.planNeeded, leader.pendingPlacements = false, nil
+	writer := newWriter(n)
+	writer.conditions = append(writer.conditions, Condition{Key: wire.LeaderKey, Revision: leader.term})
 	n.cleanUpHints()
-	n.shrinkRecords(w)
-	n.advanceGangs(w)
-	n.revokeUnownedGrants(w)
+	n.shrinkRecords(writer)
+	n.advanceGangs(writer)
+	n.revokeUnownedGrants(writer)
 	n.updateOwnViews()
-	left := n.runSchedulingPass(w)
+	left := n.runSchedulingPass(writer)
 	n.reportExcess()
-	n.recordCancellations(w)
-	n.budget.pendingGrants = len(w.order) + left
-	n.log(LogDebug, "scheduling pass", "machines", n.machineCount(), "changed_jobs", len(w.order), "unwritten_grants", left)
-	w.send(&l.batch, nil)
+	n.recordCancellations(writer)
+	n.budget.pendingGrants = len(writer.order) + left
+	n.log(LogDebug, "scheduling pass", "machines", n.machineCount(), "changed_jobs", len(writer.order), "unwritten_grants", left)
+	writer.send(&leader.batch, nil)
 	n.notePlanned()
 }
 
@@ -130,50 +130,50 @@
 // machineCount counts those that we know and that may still be there.
 func (n *Node) machineCount() int {
 	c := 0
-	for _, p := range n.shards {
-		c += len(p.machines)
+	for _, shard := range n.shards {
+		c += len(shard.machines)
 	}
 	return c
 }
 
 // revokeUnownedGrants takes back grants to shards that have had no owner for a while.
-func (n *Node) revokeUnownedGrants(w *writer) {
-	for _, jx := range n.replica.Live() {
-		j := n.jobs[jx]
-		if j.Unplaced == 0 {
+func (n *Node) revokeUnownedGrants(writer *writer) {
+	for _, index := range n.replica.Live() {
+		job := n.jobs[index]
+		if job.Unplaced == 0 {
 			continue
 		}
-		for _, a := range j.Record.ActiveTasks {
-			if a.Machine != "" {
+		for _, task := range job.Record.ActiveTasks {
+			if task.Machine != "" {
 				continue
 			}
 			// An owner that is there may just be waiting for its turn to write.
 			wait := 8 * second
-			if n.ownerIsHeard(n.shards[a.Shard]) {
+			if n.ownerIsHeard(n.shards[task.Shard]) {
 				wait = 40 * second
 			}
-			if n.now-j.ChangedAt < wait || n.gangs[wire.GangKey(j.ID, a.Attempt)] != nil {
+			if n.now-job.ChangedAt < wait || n.gangs[wire.GangKey(job.ID, task.Attempt)] != nil {
 				continue
 			}
-			rec := w.job(j)
-			if rec == nil {
+			record := writer.job(job)
+			if record == nil {
 				return
 			}
 			// Never placed, so nothing can have started; an owner that
 			// places it at this moment changes the record and we lose.
-			rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(b wire.ActiveTask) bool { return b.Machine == "" })
+			record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(other wire.ActiveTask) bool { return other.Machine == "" })
 			break
 		}
 	}
 }
 
 // ownerIsHeard tells whether a shard has an owner that can be heard.
-func (n *Node) ownerIsHeard(p *shard) bool {
-	if p.Record == nil {
+func (n *Node) ownerIsHeard(shard *shard) bool {
+	if shard.Record == nil {
 		return false
 	}
-	owner := n.peers[p.Record.Owner]
-	return n.owns(p) || owner != nil && n.now-owner.heardAt < 5*second
+	owner := n.peers[shard.Record.Owner]
+	return n.owns(shard) || owner != nil && n.now-owner.heardAt < 5*second
 }
 
 // provisionName is unique for ever: no two leaders share a term.
--- a/internal/core/leader_state_test.go
+++ b/internal/core/leader_state_test.go
@@ -18,14 +18,14 @@
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	n.putLeader(&wire.Leader{Controller: "n0", Incarnation: "x"}, 5)
 	d.put(&wire.Job{TaskCount: 1, NextAttempt: 1, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, TaskCount: 1, Image: "i"}})
-	j := n.jobNamed("wk-000001")
-	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []Write{{Key: wire.JobKey(j.ID), Value: j.Record}}}
-	if !n.leader.batch.changes(j) || !n.isLeader() {
+	job := n.jobNamed("wk-000001")
+	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []Write{{Key: wire.JobKey(job.ID), Value: job.Record}}}
+	if !n.leader.batch.changes(job) || !n.isLeader() {
 		t.Fatal("the leader's commit is not under way")
 	}
 	n.abandonedTerm = n.leader.term
 	n.putLeader(&wire.Leader{Controller: "n1", Incarnation: "y"}, 9)
-	if n.leader.batch.changes(j) {
+	if n.leader.batch.changes(job) {
 		t.Error("the commit of a leader that has resigned still holds the record")
 	}
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -63,17 +63,17 @@
 // claimLeader takes the leadership when nobody has it, when an earlier incarnation of ours had
 // it, or early when a quorum suspects the leader.
 func (n *Node) claimLeader() {
-	l := &n.leader
+	leader := &n.leader
 	if n.isLeader() || n.leaderLease.ID == 0 || n.now-n.leaderLease.SentAt > n.leaderLease.TTL/2 || n.now < n.nextClaimAt {
 		return
 	}
 	switch {
-	case l.record == nil:
-		if n.now-l.since >= n.claimDelay() {
+	case leader.record == nil:
+		if n.now-leader.since >= n.claimDelay() {
 			n.sendClaim(n.newClaim(0), 0)
 		}
-	case l.record.Controller == n.cfg.Self:
-		n.sendClaim(n.newClaim(l.record.Streak), l.term)
+	case leader.record.Controller == n.cfg.Self:
+		n.sendClaim(n.newClaim(leader.record.Streak), leader.term)
 	case n.failover.follower.Advise(n.now) == failover.Replace && n.now-n.leaderLease.SentAt <= failover.MaxLeaseAge:
 		n.claimEarly()
 	}
@@ -103,12 +103,12 @@
 	n.nextClaimAt = n.now + 500*time.Millisecond
 	n.claimLeaseID = n.leaderLease.ID
 	writes := []Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leaderLease.ID}}
-	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: rev}}, append(writes, more...), func(c Committed) {
-		switch c.Outcome {
+	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: rev}}, append(writes, more...), func(result Committed) {
+		switch result.Outcome {
 		case LeaseExpired:
 			n.leaderLease.ID, n.leaderLease.RenewAt = 0, n.now
 		case OK:
-			n.acceptedTerm, n.acceptedAt = c.Revision, n.now
+			n.acceptedTerm, n.acceptedAt = result.Revision, n.now
 		}
 	})
 }
@@ -167,8 +167,8 @@
 			// From here on we don't lead, even if our watch hangs and never
 			// shows it; only a refusal says that we still do.
 			n.abandonedTerm = n.leader.term
-			n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, []Write{{Key: wire.LeaderKey}}, func(c Committed) {
-				if c.Outcome == Refused {
+			n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, []Write{{Key: wire.LeaderKey}}, func(result Committed) {
+				if result.Outcome == Refused {
 					n.abandonedTerm = 0
 				}
 			})
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -96,10 +96,10 @@
 	n.ownershipCheckAt = n.now + min(n.cfg.OwnerValidity/8, n.proofInterval())
 	var conds []Condition
 	held := map[int]uint64{}
-	for i, p := range n.shards {
-		if n.owns(p) {
-			conds = append(conds, Condition{Key: wire.ShardKey(p.Name), Revision: p.Term})
-			held[i] = p.Term
+	for i, shard := range n.shards {
+		if n.owns(shard) {
+			conds = append(conds, Condition{Key: wire.ShardKey(shard.Name), Revision: shard.Term})
+			held[i] = shard.Term
 		}
 	}
 	if len(conds) == 0 {
@@ -109,14 +109,14 @@
 	sent, most := n.now, 4*n.cfg.MaxTransactionOps
 	for _, some := range slices.Collect(slices.Chunk(conds, max(1, most))) {
 		parts := map[int]uint64{}
-		for i, p := range n.shards {
-			if slices.ContainsFunc(some, func(c Condition) bool { return c.Key == wire.ShardKey(p.Name) }) {
+		for i, shard := range n.shards {
+			if slices.ContainsFunc(some, func(c Condition) bool { return c.Key == wire.ShardKey(shard.Name) }) {
 				parts[i] = held[i]
 			}
 		}
-		n.commit(ClassLease, some, nil, func(c Committed) {
-			if c.Outcome == OK && sent >= n.resumedAt {
-				n.ownershipChecks = append(n.ownershipChecks, ownershipCheck{sentAt: sent, revision: c.Revision, terms: parts})
+		n.commit(ClassLease, some, nil, func(result Committed) {
+			if result.Outcome == OK && sent >= n.resumedAt {
+				n.ownershipChecks = append(n.ownershipChecks, ownershipCheck{sentAt: sent, revision: result.Revision, terms: parts})
 				n.settleOwnershipChecks()
 			}
 		})
@@ -133,12 +133,12 @@
 		}
 		n.provenAt = max(n.provenAt, c.sentAt)
 		for i, term := range c.terms {
-			if p := n.shards[i]; p.Term == term {
-				if !n.mayActAsOwner(p) {
-					p.ValidSince = n.now
+			if shard := n.shards[i]; shard.Term == term {
+				if !n.mayActAsOwner(shard) {
+					shard.ValidSince = n.now
 				}
-				p.validFrom = max(p.validFrom, min(c.sentAt, n.shardLease.SentAt))
-				p.proven = true
+				shard.validFrom = max(shard.validFrom, min(c.sentAt, n.shardLease.SentAt))
+				shard.proven = true
 			}
 		}
 		return true
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -90,19 +90,19 @@
 }
 
 func (n *Node) machineNamed(name string) *machine {
-	ix := n.names.Machines.Of(name)
-	if ix == len(n.machines) {
-		n.machines = append(n.machines, &machine{index: ix, name: name, shard: -1, machineType: -1, zone: -1})
+	index := n.names.Machines.Of(name)
+	if index == len(n.machines) {
+		n.machines = append(n.machines, &machine{index: index, name: name, shard: -1, machineType: -1, zone: -1})
 	}
-	return n.machines[ix]
+	return n.machines[index]
 }
 
 // setShard notes whose machine it is.
 func (n *Node) setShard(h *machine, part int) {
 	if h.shard != part {
 		if h.shard >= 0 {
-			p := n.shards[h.shard]
-			p.machines = slices.DeleteFunc(p.machines, func(x *machine) bool { return x == h })
+			shard := n.shards[h.shard]
+			shard.machines = slices.DeleteFunc(shard.machines, func(x *machine) bool { return x == h })
 		}
 		h.shard = part
 		if part >= 0 {
@@ -124,32 +124,32 @@
 
 // usageOf computes what the records place on a machine: it is there until it
 // is proven gone.
-func (n *Node) usageOf(h *machine) *resourceUse {
-	if h.usedKnown {
-		return &h.used
+func (n *Node) usageOf(machine *machine) *resourceUse {
+	if machine.usedKnown {
+		return &machine.used
 	}
-	h.used, h.usedKnown, h.lowestPriority = resourceUse{}, true, noPriority
-	for i := range h.placements {
-		p := &h.placements[i]
-		j := n.jobs[p.job]
-		sp := j.Record.Spec
-		if sp == nil {
+	machine.used, machine.usedKnown, machine.lowestPriority = resourceUse{}, true, noPriority
+	for i := range machine.placements {
+		p := &machine.placements[i]
+		job := n.jobs[p.job]
+		spec := job.Record.Spec
+		if spec == nil {
 			continue
 		}
-		t := &h.used
-		t.cores += sp.Cores
-		t.gpus += sp.GPUs
-		t.memoryGB += sp.MemoryGB
-		t.daemon = t.daemon || sp.Shape == wire.ShapeDaemon
-		if p.stop != wire.StopNone || j.Record.State != wire.JobLive {
-			t.releasingCores += sp.Cores
-			t.releasingGPUs += sp.GPUs
-			t.releasingMemoryGB += sp.MemoryGB
-		} else if sp.Shape != wire.ShapeDaemon {
-			h.lowestPriority = min(h.lowestPriority, j.Priority)
+		t := &machine.used
+		t.cores += spec.Cores
+		t.gpus += spec.GPUs
+		t.memoryGB += spec.MemoryGB
+		t.daemon = t.daemon || spec.Shape == wire.ShapeDaemon
+		if p.stop != wire.StopNone || job.Record.State != wire.JobLive {
+			t.releasingCores += spec.Cores
+			t.releasingGPUs += spec.GPUs
+			t.releasingMemoryGB += spec.MemoryGB
+		} else if spec.Shape != wire.ShapeDaemon {
+			machine.lowestPriority = min(machine.lowestPriority, job.Priority)
 		}
 	}
-	return &h.used
+	return &machine.used
 }
 
 const noPriority = 99
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -66,12 +66,12 @@
 
 // readMailbox takes a message left with the state service, unless the
 // peer can be heard directly or the message is an old one.
-func (n *Node) readMailbox(m *wire.Gossip) {
-	if p := n.peers[m.From]; p != nil && (!p.byMailbox && n.now-p.heardAt < 3*second || p.message.Life == m.Life && m.UpS <= p.message.UpS) {
+func (n *Node) readMailbox(message *wire.Gossip) {
+	if p := n.peers[message.From]; p != nil && (!p.byMailbox && n.now-p.heardAt < 3*second || p.message.Life == message.Life && message.UpS <= p.message.UpS) {
 		return
 	}
-	n.gossipReceived(m)
-	if p := n.peers[m.From]; p != nil && p.message == m {
+	n.gossipReceived(message)
+	if p := n.peers[message.From]; p != nil && p.message == message {
 		p.byMailbox = true
 	}
 }
--- a/internal/core/overflow.go
+++ b/internal/core/overflow.go
@@ -4,19 +4,19 @@
 
 // shrinkRecords rewrites what the earlier version has left larger than the limits
 // that are to come, while it still can be written at all.
-func (n *Node) shrinkRecords(w *writer) {
+func (n *Node) shrinkRecords(writer *writer) {
 	if !n.replica.WritesDependencies() || n.leader.recordsFit {
 		return
 	}
 	n.leader.recordsFit = true
-	for _, jx := range n.replica.Live() {
-		j := n.jobs[jx]
-		if j.Record.Spec == nil || j.Record.OverflowKeys > 0 || j.BaseBytes+replica.TaskListBytes(j.Record.ActiveTasks, j.Record.DoneTasks) <= n.cfg.MaxValueBytes {
+	for _, index := range n.replica.Live() {
+		job := n.jobs[index]
+		if job.Record.Spec == nil || job.Record.OverflowKeys > 0 || job.BaseBytes+replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks) <= n.cfg.MaxValueBytes {
 			continue
 		}
 		n.leader.recordsFit = false
-		w.writeOverflowFirst = true
-		if w.job(j) == nil {
+		writer.writeOverflowFirst = true
+		if writer.job(job) == nil {
 			return
 		}
 	}
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -68,12 +68,12 @@
 func TestWithdrawalLeavesFurtherKeys(t *testing.T) {
 	n := chainedWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 })
 	for _, own := range []int{0, 2} {
-		rec := lowJob(wire.JobLive)
-		rec.OverflowKeys, rec.TaskCount = 1, 9
+		record := lowJob(wire.JobLive)
+		record.OverflowKeys, record.TaskCount = 1, 9
 		for i := range own {
-			rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: i, Attempt: 1, Machine: "vm-1", Epoch: 1})
+			record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: i, Attempt: 1, Machine: "vm-1", Epoch: 1})
 		}
-		r, wrote := settle(n, UserRequest{RequestID: uint64(own + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": rec})
+		r, wrote := settle(n, UserRequest{RequestID: uint64(own + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": record})
 		if r == nil || r.Status != 200 || len(wrote) != 1 {
 			t.Fatalf("answered with %+v, wrote %+v", r, wrote)
 		}
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -11,55 +11,55 @@
 
 // noteTaskExit notes the end of a task for its record and what it says of the
 // machine.
-func (n *Node) noteTaskExit(h *machine, k taskKey, t *wire.TaskStatus) {
-	if _, known := n.outcomes[k]; known {
+func (n *Node) noteTaskExit(machine *machine, key taskKey, t *wire.TaskStatus) {
+	if _, known := n.outcomes[key]; known {
 		return
 	}
-	n.outcomes[k] = taskOutcome{h.name, t.ExitCause, n.now, h.shardTerm(n)}
-	j := n.jobs[k.job]
+	n.outcomes[key] = taskOutcome{machine.name, t.ExitCause, n.now, machine.shardTerm(n)}
+	job := n.jobs[key.job]
 	switch t.ExitCause {
 	case wire.CauseDone:
-		h.failedJobs, h.unhealthy = nil, false
-		h.images.Add(j.Image)
+		machine.failedJobs, machine.unhealthy = nil, false
+		machine.images.Add(job.Image)
 	case wire.CauseError:
-		if h.failedJobs == nil {
-			h.failedJobs = map[int]bool{}
+		if machine.failedJobs == nil {
+			machine.failedJobs = map[int]bool{}
 		}
-		if j.Record.ConsecutiveErrors < 3 {
-			h.failedJobs[k.job] = true
+		if job.Record.ConsecutiveErrors < 3 {
+			machine.failedJobs[key.job] = true
 		}
 		// Two jobs failing here, or one that runs elsewhere, speak against
 		// the machine rather than the job.
-		if n.failedJobCount(h) >= 2 || j.Record.DoneTasks.Count() > 0 {
-			h.unhealthy = true
+		if n.failedJobCount(machine) >= 2 || job.Record.DoneTasks.Count() > 0 {
+			machine.unhealthy = true
 		}
 		n.ownViewAt = 0 // before more is granted to it
 	case wire.CauseNoCapacity:
-		h.noCapacityUntil = n.now + 2*n.cfg.HeartbeatInterval
+		machine.noCapacityUntil = n.now + 2*n.cfg.HeartbeatInterval
 	}
-	n.log(LogDebug, "task exited", "job", j.ID, "task", k.task, "attempt", k.attempt, "machine", h.name, "cause", t.ExitCause)
+	n.log(LogDebug, "task exited", "job", job.ID, "task", key.task, "attempt", key.attempt, "machine", machine.name, "cause", t.ExitCause)
 }
 
 // failedJobCount counts the jobs that failed on a machine since something last succeeded
 // there. A job that has failed on three machines and never succeeded says nothing
 // against them: a few such jobs once put one sound machine after the other under
 // quarantine, until their users withdrew them.
-func (n *Node) failedJobCount(h *machine) int {
+func (n *Node) failedJobCount(machine *machine) int {
 	c := 0
-	for jx := range h.failedJobs {
-		c += boolToInt(!n.jobs[jx].suspect)
+	for index := range machine.failedJobs {
+		c += boolToInt(!n.jobs[index].suspect)
 	}
 	return c
 }
 
 // acceptsTasks tells whether an owner may place tasks on a machine of its own.
-func (n *Node) acceptsTasks(h *machine) bool {
-	if h.shard < 0 {
+func (n *Node) acceptsTasks(machine *machine) bool {
+	if machine.shard < 0 {
 		return false
 	}
-	p := n.shards[h.shard]
-	return h.term == p.Term && (h.tokenConfirmed || h.newlyBooted) && h.ignoredReplies == 0 && n.now-h.heartbeatAt < 3*n.cfg.HeartbeatInterval && h.reclaimAt == 0 &&
-		!h.unhealthy && !h.draining && !h.returned && n.now >= h.noCapacityUntil
+	shard := n.shards[machine.shard]
+	return machine.term == shard.Term && (machine.tokenConfirmed || machine.newlyBooted) && machine.ignoredReplies == 0 && n.now-machine.heartbeatAt < 3*n.cfg.HeartbeatInterval && machine.reclaimAt == 0 &&
+		!machine.unhealthy && !machine.draining && !machine.returned && n.now >= machine.noCapacityUntil
 }
 
 // runOwner writes what has become of tasks, and places granted ones.
@@ -69,10 +69,10 @@
 	}
 	n.placementAt = n.now + 60*time.Millisecond + Time(len(n.replica.Live()))*20*time.Microsecond
 	anyValid := false
-	for _, p := range n.shards {
-		if n.mayActAsOwner(p) {
+	for _, shard := range n.shards {
+		if n.mayActAsOwner(shard) {
 			anyValid = true
-			n.expireSilentMachines(p)
+			n.expireSilentMachines(shard)
 		}
 	}
 	if !anyValid {
@@ -82,36 +82,36 @@
 	if !n.batch.ready(n) {
 		return
 	}
-	w := newWriter(n)
+	writer := newWriter(n)
 	var room lazySlots
-	n.applyOutcomes(w, &room, true)
-	n.stopReclaimedGangs(w)
-	n.expireGangHolds(w)
-	n.placeGranted(w, &room)
-	n.applyOutcomes(w, &room, false)
-	n.admitWork(w, &room)
-	w.send(&n.batch, nil)
+	n.applyOutcomes(writer, &room, true)
+	n.stopReclaimedGangs(writer)
+	n.expireGangHolds(writer)
+	n.placeGranted(writer, &room)
+	n.applyOutcomes(writer, &room, false)
+	n.admitWork(writer, &room)
+	writer.send(&n.batch, nil)
 }
 
 // expireSilentMachines gives up the tasks of machines whose lease must have run out.
-func (n *Node) expireSilentMachines(p *shard) {
+func (n *Node) expireSilentMachines(shard *shard) {
 	limit := n.cfg.WorkerLease + n.cfg.WorkerLease/1000 + second
-	for _, h := range p.machines {
-		if len(h.placements) == 0 {
+	for _, machine := range shard.machines {
+		if len(machine.placements) == 0 {
 			continue
 		}
-		last := p.OwnedSince
-		if h.term == p.Term {
-			last = max(last, h.answeredAt)
+		last := shard.OwnedSince
+		if machine.term == shard.Term {
+			last = max(last, machine.answeredAt)
 		}
-		if !h.returned && n.now-last <= limit {
+		if !machine.returned && n.now-last <= limit {
 			continue
 		}
-		for i := range h.placements {
-			k := h.placements[i].taskKey
-			if _, known := n.outcomes[k]; !known && h.placements[i].shard == p.Index {
-				n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
-				n.log(LogInfo, "task lost", "job", n.jobs[k.job].ID, "task", k.task, "machine", h.name)
+		for i := range machine.placements {
+			key := machine.placements[i].taskKey
+			if _, known := n.outcomes[key]; !known && machine.placements[i].shard == shard.Index {
+				n.outcomes[key] = taskOutcome{machine.name, causeLost, n.now, machine.shardTerm(n)}
+				n.log(LogInfo, "task lost", "job", n.jobs[key.job].ID, "task", key.task, "machine", machine.name)
 			}
 		}
 	}
@@ -125,14 +125,14 @@
 	}
 	n.cleanupAt = n.now + 5*second
 	n.forgetPlacedGrants()
-	for _, p := range n.shards {
-		for i := len(p.machines) - 1; i >= 0; i-- {
-			h := p.machines[i]
-			silent := n.mayActAsOwner(p) && h.term == p.Term && n.now-h.heartbeatAt > 3*n.cfg.WorkerLease
-			if len(h.placements) == 0 && (h.returned || silent || h.view.unreachable && !n.owns(p) && n.now-p.ChangedAt > 3*n.cfg.WorkerLease) {
-				n.setShard(h, -1)
-				h.view, h.reportedTasks, h.startSentAt, h.directStarts, h.failedJobs, h.images = machineView{}, nil, nil, nil, nil, nil
-				h.term = 0 // if it reports again, it is learnt anew
+	for _, shard := range n.shards {
+		for i := len(shard.machines) - 1; i >= 0; i-- {
+			machine := shard.machines[i]
+			silent := n.mayActAsOwner(shard) && machine.term == shard.Term && n.now-machine.heartbeatAt > 3*n.cfg.WorkerLease
+			if len(machine.placements) == 0 && (machine.returned || silent || machine.view.unreachable && !n.owns(shard) && n.now-shard.ChangedAt > 3*n.cfg.WorkerLease) {
+				n.setShard(machine, -1)
+				machine.view, machine.reportedTasks, machine.startSentAt, machine.directStarts, machine.failedJobs, machine.images = machineView{}, nil, nil, nil, nil, nil
+				machine.term = 0 // if it reports again, it is learnt anew
 			}
 		}
 	}
@@ -142,52 +142,52 @@
 // daemon or gang that is to start anew, a user who waits for the end of a job.
 // The end of one task of an array among others can wait behind placings; by
 // the time its turn comes, one put often serves several.
-func (n *Node) isUrgentOutcome(k taskKey, res taskOutcome) bool {
-	j := n.jobs[k.job]
-	if j.Record == nil || j.Record.State != wire.JobLive {
+func (n *Node) isUrgentOutcome(key taskKey, outcome taskOutcome) bool {
+	job := n.jobs[key.job]
+	if job.Record == nil || job.Record.State != wire.JobLive {
 		return false
 	}
-	return j.Record.Spec.Shape != wire.ShapeArray || res.cause != wire.CauseDone || len(j.Record.ActiveTasks) == 1
+	return job.Record.Spec.Shape != wire.ShapeArray || outcome.cause != wire.CauseDone || len(job.Record.ActiveTasks) == 1
 }
 
 // applyOutcomes writes what became of tasks, either what presses or the rest.
-func (n *Node) applyOutcomes(w *writer, room *lazySlots, pressing bool) {
+func (n *Node) applyOutcomes(writer *writer, room *lazySlots, pressing bool) {
 	keys := n.sortedOutcomes()
 	oldest := map[int]Time{}
-	for _, k := range keys {
-		if at, seen := oldest[k.job]; !seen || n.outcomes[k].at < at {
-			oldest[k.job] = n.outcomes[k].at
+	for _, key := range keys {
+		if at, seen := oldest[key.job]; !seen || n.outcomes[key].at < at {
+			oldest[key.job] = n.outcomes[key].at
 		}
 	}
-	slack := newRecordRoom(n, w)
-	for _, k := range keys {
-		res := n.outcomes[k]
-		if w.exitedTasks[k] || n.isUrgentOutcome(k, res) != pressing && w.records[k.job] == nil || n.leader.batch.changes(n.jobs[k.job]) {
+	slack := newRecordRoom(n, writer)
+	for _, key := range keys {
+		outcome := n.outcomes[key]
+		if writer.exitedTasks[key] || n.isUrgentOutcome(key, outcome) != pressing && writer.records[key.job] == nil || n.leader.batch.changes(n.jobs[key.job]) {
 			continue
 		}
-		if n.awaitsNewEpoch(res) || n.now-oldest[k.job] < n.outcomeDelayFor(n.jobs[k.job]) {
+		if n.awaitsNewEpoch(outcome) || n.now-oldest[key.job] < n.outcomeDelayFor(n.jobs[key.job]) {
 			continue
 		}
-		a := n.activeTask(k, res.machine)
-		if a == nil || !n.mayActAsOwner(n.shards[a.Shard]) || n.shards[a.Shard].Term != res.term {
-			delete(n.outcomes, k) // written, or found out in a term that is over
+		task := n.activeTask(key, outcome.machine)
+		if task == nil || !n.mayActAsOwner(n.shards[task.Shard]) || n.shards[task.Shard].Term != outcome.term {
+			delete(n.outcomes, key) // written, or found out in a term that is over
 			continue
 		}
-		if !slack.mayRemove(k, res.machine) {
+		if !slack.mayRemove(key, outcome.machine) {
 			continue
 		}
-		rec := w.job(n.jobs[k.job])
-		if rec == nil {
+		record := writer.job(n.jobs[key.job])
+		if record == nil {
 			return
 		}
 		// Once: an end that is applied twice would count an error twice and
 		// put two tasks where one was.
-		w.exitedTasks[k] = true
-		w.shards[a.Shard] = true
-		was := *a
-		removeExitedTask(rec, k, slack.recordable(n.jobs[k.job], rec, k, res))
-		if slack.mayAdd(n.jobs[k.job]) {
-			n.replaceLostTask(w, rec, was, res, room)
+		writer.exitedTasks[key] = true
+		writer.shards[task.Shard] = true
+		was := *task
+		removeExitedTask(record, key, slack.recordable(n.jobs[key.job], record, key, outcome))
+		if slack.mayAdd(n.jobs[key.job]) {
+			n.replaceLostTask(writer, record, was, outcome, room)
 		}
 	}
 }
@@ -202,101 +202,101 @@
 // awaitsNewEpoch tells whether a lost task should wait a moment for its machine: one
 // that has lost its epoch is the best place for the same task, as it has the image,
 // once it has shown that it knows our term.
-func (n *Node) awaitsNewEpoch(res taskOutcome) bool {
-	h := n.machineNamed(res.machine)
-	return res.cause == causeLost && h.shard >= 0 && n.now-res.at < epochDelay && h.term == n.shards[h.shard].Term &&
-		!h.tokenConfirmed && n.now-h.heartbeatAt < epochDelay
+func (n *Node) awaitsNewEpoch(outcome taskOutcome) bool {
+	machine := n.machineNamed(outcome.machine)
+	return outcome.cause == causeLost && machine.shard >= 0 && n.now-outcome.at < epochDelay && machine.term == n.shards[machine.shard].Term &&
+		!machine.tokenConfirmed && n.now-machine.heartbeatAt < epochDelay
 }
 
 // replaceLostTask gives a task that its machine has lost another machine of the same
 // shard: the grant stands, only the choice of the machine is the owner's. It
 // saves two puts, and when a whole zone has lost its tasks that is most of the
 // time it takes to have them back.
-func (n *Node) replaceLostTask(w *writer, rec *wire.Job, was wire.ActiveTask, res taskOutcome, room *lazySlots) {
-	if rec.State != wire.JobLive || rec.Spec.Shape == wire.ShapeGang || was.Stop != wire.StopNone ||
-		res.cause != causeLost && res.cause != wire.CauseStopped {
+func (n *Node) replaceLostTask(writer *writer, record *wire.Job, was wire.ActiveTask, outcome taskOutcome, room *lazySlots) {
+	if record.State != wire.JobLive || record.Spec.Shape == wire.ShapeGang || was.Stop != wire.StopNone ||
+		outcome.cause != causeLost && outcome.cause != wire.CauseStopped {
 		return
 	}
-	j := n.jobNamed(rec.Spec.ID)
-	s := room.slots(n).best(j, func(s *slot) bool { return s.shard == was.Shard }, nil)
+	job := n.jobNamed(record.Spec.ID)
+	s := room.slots(n).best(job, func(s *slot) bool { return s.shard == was.Shard }, nil)
 	if s == nil || s.machine.name == was.Machine && s.machine.epoch <= was.Epoch {
 		return
 	}
-	s.take(rec.Spec)
-	rec.ActiveTasks = append(rec.ActiveTasks, wire.ActiveTask{Task: was.Task, Attempt: w.attempt(j, rec), Shard: was.Shard, Machine: s.machine.name, Epoch: s.machine.epoch, Admitted: was.Admitted})
-	n.log(LogDebug, "task replaced", "job", j.ID, "task", was.Task, "machine", s.machine.name)
+	s.take(record.Spec)
+	record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: was.Task, Attempt: writer.attempt(job, record), Shard: was.Shard, Machine: s.machine.name, Epoch: s.machine.epoch, Admitted: was.Admitted})
+	n.log(LogDebug, "task replaced", "job", job.ID, "task", was.Task, "machine", s.machine.name)
 }
 
 // removeExitedTask takes a task that is gone out of its record.
-func removeExitedTask(rec *wire.Job, k taskKey, res taskOutcome) {
-	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
-		return a.Task == k.task && a.Attempt == k.attempt && a.Machine == res.machine
+func removeExitedTask(record *wire.Job, key taskKey, outcome taskOutcome) {
+	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
+		return task.Task == key.task && task.Attempt == key.attempt && task.Machine == outcome.machine
 	})
-	gang := rec.Spec.Shape == wire.ShapeGang
+	gang := record.Spec.Shape == wire.ShapeGang
 	switch {
-	case res.cause == wire.CauseDone && rec.State == wire.JobLive:
-		rec.ConsecutiveErrors, rec.FailedMachines = 0, nil
+	case outcome.cause == wire.CauseDone && record.State == wire.JobLive:
+		record.ConsecutiveErrors, record.FailedMachines = 0, nil
 		if gang {
 			// The tasks of a gang complete together.
-			rec.DoneTasks = wire.Range(0, rec.TaskCount)
-		} else if rec.Spec.Shape == wire.ShapeArray {
-			rec.DoneTasks = rec.DoneTasks.With(k.task)
+			record.DoneTasks = wire.Range(0, record.TaskCount)
+		} else if record.Spec.Shape == wire.ShapeArray {
+			record.DoneTasks = record.DoneTasks.With(key.task)
 		}
 		return
-	case res.cause == wire.CauseError:
-		rec.ConsecutiveErrors++
-		if !slices.Contains(rec.FailedMachines, res.machine) {
-			rec.FailedMachines = append(rec.FailedMachines, res.machine)
+	case outcome.cause == wire.CauseError:
+		record.ConsecutiveErrors++
+		if !slices.Contains(record.FailedMachines, outcome.machine) {
+			record.FailedMachines = append(record.FailedMachines, outcome.machine)
 		}
-		if len(rec.FailedMachines) > 4 {
-			rec.FailedMachines = rec.FailedMachines[1:]
+		if len(record.FailedMachines) > 4 {
+			record.FailedMachines = record.FailedMachines[1:]
 		}
 	}
-	if gang && rec.State == wire.JobLive {
-		abandonGang(rec, k.attempt)
+	if gang && record.State == wire.JobLive {
+		abandonGang(record, key.attempt)
 	}
 }
 
 // abandonGang stops what is left of a gang's attempt. Tasks that are saving on
 // order go on; those not yet placed are given up at once.
-func abandonGang(rec *wire.Job, attempt uint64) {
-	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
-		return a.Attempt == attempt && a.Machine == ""
+func abandonGang(record *wire.Job, attempt uint64) {
+	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
+		return task.Attempt == attempt && task.Machine == ""
 	})
-	for i := range rec.ActiveTasks {
-		if a := &rec.ActiveTasks[i]; a.Attempt == attempt && a.Stop == wire.StopNone {
-			a.Stop = wire.StopAbandon
+	for i := range record.ActiveTasks {
+		if task := &record.ActiveTasks[i]; task.Attempt == attempt && task.Stop == wire.StopNone {
+			task.Stop = wire.StopAbandon
 		}
 	}
 }
 
 // stopReclaimedGangs marks gangs that have to leave a machine for an orderly stop.
-func (n *Node) stopReclaimedGangs(w *writer) {
+func (n *Node) stopReclaimedGangs(writer *writer) {
 	var list []int
-	for jx := range n.gangsToStop {
-		list = append(list, jx)
+	for index := range n.gangsToStop {
+		list = append(list, index)
 	}
 	slices.Sort(list)
-	for _, jx := range list {
-		j := n.jobs[jx]
-		if j.Record == nil || j.Record.State != wire.JobLive || !slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool { return a.Stop == wire.StopNone }) {
-			delete(n.gangsToStop, jx)
+	for _, index := range list {
+		job := n.jobs[index]
+		if job.Record == nil || job.Record.State != wire.JobLive || !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Stop == wire.StopNone }) {
+			delete(n.gangsToStop, index)
 			continue
 		}
-		rec := w.job(j)
-		if rec == nil {
+		record := writer.job(job)
+		if record == nil {
 			return
 		}
-		preemptAll(rec)
+		preemptAll(record)
 	}
 }
 
 // preemptAll asks every task of a job to save and exit.
-func preemptAll(rec *wire.Job) {
-	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool { return a.Machine == "" })
-	for i := range rec.ActiveTasks {
-		if rec.ActiveTasks[i].Stop == wire.StopNone {
-			rec.ActiveTasks[i].Stop = wire.StopPreempt
+func preemptAll(record *wire.Job) {
+	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Machine == "" })
+	for i := range record.ActiveTasks {
+		if record.ActiveTasks[i].Stop == wire.StopNone {
+			record.ActiveTasks[i].Stop = wire.StopPreempt
 		}
 	}
 }
@@ -314,25 +314,25 @@
 // ownedSlots lists the room on the machines that we own, less what is held.
 func (n *Node) ownedSlots() *slotSet {
 	slots := newSlotSet(n)
-	for _, p := range n.shards {
-		if !n.mayActAsOwner(p) {
+	for _, shard := range n.shards {
+		if !n.mayActAsOwner(shard) {
 			continue
 		}
-		for _, h := range p.machines {
+		for _, h := range shard.machines {
 			n.workCount++
 			if n.acceptsTasks(h) {
-				if s := n.slotOf(h); s != nil {
+				if slot := n.slotOf(h); slot != nil {
 					if j, kept := n.reservedMachines[h.index]; kept && n.now-n.reservedMachinesAt < 5*second {
-						s.reservedFor = j + 1
+						slot.reservedFor = j + 1
 					}
 					// What is proven gone leaves its room, though its record
 					// still shows it; the new placing goes into the same put.
 					for i := range h.placements {
 						if _, over := n.outcomes[h.placements[i].taskKey]; over && n.jobs[h.placements[i].job].Record.Spec != nil {
-							s.release(n.jobs[h.placements[i].job].Record.Spec, 1)
+							slot.release(n.jobs[h.placements[i].job].Record.Spec, 1)
 						}
 					}
-					slots.add(s)
+					slots.add(slot)
 				}
 			}
 		}
@@ -343,9 +343,9 @@
 		for _, x := range n.leader.pendingPlacements {
 			taken[x.machine] = append(taken[x.machine], x.spec)
 		}
-		for _, s := range slots.all {
-			for _, sp := range taken[s.machine] {
-				s.take(sp)
+		for _, slot := range slots.all {
+			for _, spec := range taken[slot.machine] {
+				slot.take(spec)
 			}
 		}
 	}
@@ -353,15 +353,15 @@
 }
 
 // placeGranted chooses machines for the tasks granted to our shards.
-func (n *Node) placeGranted(w *writer, room *lazySlots) {
-	for _, jx := range n.replica.Live() {
-		j := n.jobs[jx]
-		if j.Unplaced == 0 || n.leader.batch.changes(j) || !slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
-			return a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard])
+func (n *Node) placeGranted(writer *writer, room *lazySlots) {
+	for _, index := range n.replica.Live() {
+		job := n.jobs[index]
+		if job.Unplaced == 0 || n.leader.batch.changes(job) || !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool {
+			return task.Machine == "" && n.mayActAsOwner(n.shards[task.Shard])
 		}) {
 			continue
 		}
-		n.placeJob(w, j, room.slots(n))
+		n.placeJob(writer, job, room.slots(n))
 	}
 }
 
@@ -369,65 +369,65 @@
 // gives it back.
 const grantTimeout = 2500 * time.Millisecond
 
-func (n *Node) placeJob(w *writer, j *job, slots *slotSet) {
-	sp := j.Record.Spec
-	if j.Record.State != wire.JobLive {
-		if rec := w.job(j); rec != nil {
-			n.revokeUnplaced(w, rec)
+func (n *Node) placeJob(writer *writer, job *job, slots *slotSet) {
+	spec := job.Record.Spec
+	if job.Record.State != wire.JobLive {
+		if record := writer.job(job); record != nil {
+			n.revokeUnplaced(writer, record)
 		}
 		return
 	}
-	if sp.Shape == wire.ShapeGang {
-		n.placeGang(w, j, slots)
+	if spec.Shape == wire.ShapeGang {
+		n.placeGang(writer, job, slots)
 		return
 	}
-	slack := newRecordRoom(n, w)
+	slack := newRecordRoom(n, writer)
 	var s *slot
-	for i := range j.Record.ActiveTasks {
-		a := &j.Record.ActiveTasks[i]
-		if a.Machine != "" || !n.mayActAsOwner(n.shards[a.Shard]) {
+	for i := range job.Record.ActiveTasks {
+		task := &job.Record.ActiveTasks[i]
+		if task.Machine != "" || !n.mayActAsOwner(n.shards[task.Shard]) {
 			continue
 		}
-		if !j.LargeArray || s == nil || s.shard != a.Shard || !s.fits(sp) {
-			if s = slots.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil); s != nil && !slack.mayAdd(j) {
+		if !job.LargeArray || s == nil || s.shard != task.Shard || !s.fits(spec) {
+			if s = slots.best(job, func(s *slot) bool { return s.shard == task.Shard }, nil); s != nil && !slack.mayAdd(job) {
 				s = nil
 			}
 		}
-		k := taskKey{j.Index, a.Task, a.Attempt}
-		if s == nil && !n.grantTimedOut(k) {
+		key := taskKey{job.Index, task.Task, task.Attempt}
+		if s == nil && !n.grantTimedOut(key) {
 			continue
 		}
-		rec := w.job(j)
-		if rec == nil {
+		record := writer.job(job)
+		if record == nil {
 			return
 		}
-		w.shards[a.Shard] = true
+		writer.shards[task.Shard] = true
 		if s == nil {
-			rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(b wire.ActiveTask) bool {
-				return b.Task == a.Task && b.Attempt == a.Attempt && b.Machine == ""
+			record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(other wire.ActiveTask) bool {
+				return other.Task == task.Task && other.Attempt == task.Attempt && other.Machine == ""
 			})
 			continue
 		}
-		s.take(sp)
-		assignMachine(rec, a, s.machine)
+		s.take(spec)
+		assignMachine(record, task, s.machine)
 	}
 }
 
-func assignMachine(rec *wire.Job, a *wire.ActiveTask, h *machine) {
-	for i := range rec.ActiveTasks {
-		if b := &rec.ActiveTasks[i]; b.Task == a.Task && b.Attempt == a.Attempt {
-			b.Machine, b.Epoch = h.name, h.epoch
+func assignMachine(record *wire.Job, task *wire.ActiveTask, machine *machine) {
+	for i := range record.ActiveTasks {
+		if other := &record.ActiveTasks[i]; other.Task == task.Task && other.Attempt == task.Attempt {
+			other.Machine, other.Epoch = machine.name, machine.epoch
 			return
 		}
 	}
 }
 
 // revokeUnplaced removes the grants to our shards that were never placed.
-func (n *Node) revokeUnplaced(w *writer, rec *wire.Job) {
-	rec.ActiveTasks = slices.DeleteFunc(rec.ActiveTasks, func(a wire.ActiveTask) bool {
-		mine := a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard])
+func (n *Node) revokeUnplaced(writer *writer, record *wire.Job) {
+	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
+		mine := task.Machine == "" && n.mayActAsOwner(n.shards[task.Shard])
 		if mine {
-			w.shards[a.Shard] = true
+			writer.shards[task.Shard] = true
 		}
 		return mine
 	})
@@ -438,25 +438,25 @@
 // on their number would be one on the site: when it was reached everything was forgotten,
 // so that with more grants waiting than it no grant ever ran out of timeout.
 func (n *Node) forgetPlacedGrants() {
-	for k := range n.grantSeenAt {
-		if !n.jobs[k.job].awaitsPlacement(k) {
-			delete(n.grantSeenAt, k)
+	for key := range n.grantSeenAt {
+		if !n.jobs[key.job].awaitsPlacement(key) {
+			delete(n.grantSeenAt, key)
 		}
 	}
 }
 
 // awaitsPlacement tells whether the record holds a grant that has no machine yet.
-func (j *job) awaitsPlacement(k taskKey) bool {
-	return j.Record != nil && j.Unplaced > 0 && slices.ContainsFunc(j.Record.ActiveTasks, func(a wire.ActiveTask) bool {
-		return a.Task == k.task && a.Attempt == k.attempt && a.Machine == ""
+func (job *job) awaitsPlacement(key taskKey) bool {
+	return job.Record != nil && job.Unplaced > 0 && slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool {
+		return task.Task == key.task && task.Attempt == key.attempt && task.Machine == ""
 	})
 }
 
 // grantTimedOut tells whether a grant has waited too long for room.
-func (n *Node) grantTimedOut(k taskKey) bool {
-	at, seen := n.grantSeenAt[k]
+func (n *Node) grantTimedOut(key taskKey) bool {
+	at, seen := n.grantSeenAt[key]
 	if !seen {
-		n.grantSeenAt[k] = n.now
+		n.grantSeenAt[key] = n.now
 		return false
 	}
 	return n.now-at > grantTimeout
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -78,8 +78,8 @@
 func TestFindingsEndWithTheirTerm(t *testing.T) {
 	d, _ := owner(t)
 	d.put(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
-	k := taskKey{0, 0, 1}
-	d.n.outcomes[k] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].Term}
+	key := taskKey{0, 0, 1}
+	d.n.outcomes[key] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].Term}
 	d.n.putShard(d.n.shards[0], &wire.Shard{Owner: "n0", Incarnation: "x"}, d.rev+5)
 	if len(d.n.outcomes) != 0 {
 		t.Error("a finding outlived its term")
--- a/internal/core/provision.go
+++ b/internal/core/provision.go
@@ -14,7 +14,7 @@
 	spot              bool
 }
 
-func (s *slot) pool() machinePool { return machinePool{s.machineType, s.zone, s.spot} }
+func (slot *slot) pool() machinePool { return machinePool{slot.machineType, slot.zone, slot.spot} }
 
 // autoscaler is the leader's dealings with the cloud.
 type autoscaler struct {
@@ -59,13 +59,13 @@
 
 func (n *Node) cloudCall(c CallCloud, f func(CloudAnswered)) {
 	c.ID = n.onResult(func(in Result) {
-		r := in.(CloudAnswered)
-		if r.Outcome != Unknown {
+		result := in.(CloudAnswered)
+		if result.Outcome != Unknown {
 			n.cloudUnreachableSince = 0
 		} else if n.cloudUnreachableSince == 0 {
 			n.cloudUnreachableSince = n.now
 		}
-		f(r)
+		f(result)
 	})
 	// A process that stood still must not send what it decided before: another
 	// leads by then, and the machines may be in use.
@@ -79,45 +79,45 @@
 // runCloudCalls keeps the machine types and the machine list up to date, and
 // sends provisioning requests.
 func (n *Node) runCloudCalls() {
-	c := &n.leader.autoscaler
+	scaler := &n.leader.autoscaler
 	tenure := n.leader.tenure
-	if n.now >= c.typesAt {
-		c.typesAt = n.now + 30*second
+	if n.now >= scaler.typesAt {
+		scaler.typesAt = n.now + 30*second
 		if n.offeredTypes == nil || n.typesFetchedAt == 0 {
-			c.typesAt = n.now + 2*second
+			scaler.typesAt = n.now + 2*second
 		}
-		n.cloudCall(CallCloud{ListTypes: true}, func(r CloudAnswered) {
-			if r.Outcome == OK && len(r.MachineTypes) > 0 {
-				n.updateMachineTypes(r.MachineTypes)
+		n.cloudCall(CallCloud{ListTypes: true}, func(result CloudAnswered) {
+			if result.Outcome == OK && len(result.MachineTypes) > 0 {
+				n.updateMachineTypes(result.MachineTypes)
 			}
 		})
 	}
-	if n.now >= c.listAt && !c.listing {
-		c.listing = true
-		n.cloudCall(CallCloud{ListMachines: true}, func(r CloudAnswered) {
+	if n.now >= scaler.listAt && !scaler.listing {
+		scaler.listing = true
+		n.cloudCall(CallCloud{ListMachines: true}, func(result CloudAnswered) {
 			if n.leader.tenure != tenure {
 				return
 			}
-			c.listing = false
+			scaler.listing = false
 			// A list of several pages may take a fifth of what the cloud
 			// allows; most of it is for renting and returning.
-			pages := Time(len(r.Machines)/500 + 1)
-			c.listAt = n.now + max(4*second, n.cfg.CloudListLag/2, Time(float64((pages-1)*5*second)/max(n.cfg.CloudRPS, 0.1)))
-			if r.Outcome == OK {
-				n.reconcileMachineList(r.Machines)
+			pages := Time(len(result.Machines)/500 + 1)
+			scaler.listAt = n.now + max(4*second, n.cfg.CloudListLag/2, Time(float64((pages-1)*5*second)/max(n.cfg.CloudRPS, 0.1)))
+			if result.Outcome == OK {
+				n.reconcileMachineList(result.Machines)
 			}
 		})
 	}
-	for _, h := range c.provisions {
-		if h.sent || n.now < h.sendAt || n.cloudCallTime() == 0 {
+	for _, provisioning := range scaler.provisions {
+		if provisioning.sent || n.now < provisioning.sendAt || n.cloudCallTime() == 0 {
 			continue
 		}
-		h.sent = true
-		n.cloudCall(CallCloud{Provision: &h.request}, func(r CloudAnswered) {
+		provisioning.sent = true
+		n.cloudCall(CallCloud{Provision: &provisioning.request}, func(result CloudAnswered) {
 			if n.leader.tenure != tenure {
 				return
 			}
-			n.provisionAnswered(h, r)
+			n.provisionAnswered(provisioning, result)
 		})
 	}
 }
@@ -126,11 +126,11 @@
 func (n *Node) setMachineTypes(f []wire.MachineType) {
 	n.offeredTypes = f
 	for i := range f {
-		ix := n.names.MachineTypes.Of(f[i].Name)
-		for len(n.machineTypes) <= ix {
+		index := n.names.MachineTypes.Of(f[i].Name)
+		for len(n.machineTypes) <= index {
 			n.machineTypes = append(n.machineTypes, nil)
 		}
-		n.machineTypes[ix] = &f[i]
+		n.machineTypes[index] = &f[i]
 	}
 	n.leader.planNeeded = true
 }
@@ -154,135 +154,135 @@
 // noCapacityDelay is how long a pool that had no more machines is left alone.
 const noCapacityDelay = 10 * second
 
-func (n *Node) provisionAnswered(h *provisioning, r CloudAnswered) {
-	c := &n.leader.autoscaler
+func (n *Node) provisionAnswered(h *provisioning, result CloudAnswered) {
+	scaler := &n.leader.autoscaler
 	done := true
-	switch r.Outcome {
+	switch result.Outcome {
 	case OK:
-		for _, name := range r.Names {
-			c.booting[name] = &bootingMachine{pool: h.pool, provisionedAt: n.now}
+		for _, name := range result.Names {
+			scaler.booting[name] = &bootingMachine{pool: h.pool, provisionedAt: n.now}
 		}
-		if len(r.Names) < h.request.Count {
-			c.retryAt[h.pool], c.shortageAt[h.pool] = n.now+noCapacityDelay, n.now
+		if len(result.Names) < h.request.Count {
+			scaler.retryAt[h.pool], scaler.shortageAt[h.pool] = n.now+noCapacityDelay, n.now
 		}
-		n.log(LogInfo, "machines provisioned", "machine_type", h.request.MachineType, "zone", h.request.Zone, "spot", h.request.Spot, "requested", h.request.Count, "received", len(r.Names))
+		n.log(LogInfo, "machines provisioned", "machine_type", h.request.MachineType, "zone", h.request.Zone, "spot", h.request.Spot, "requested", h.request.Count, "received", len(result.Names))
 	case NoCapacity:
-		c.retryAt[h.pool], c.shortageAt[h.pool] = n.now+noCapacityDelay, n.now
+		scaler.retryAt[h.pool], scaler.shortageAt[h.pool] = n.now+noCapacityDelay, n.now
 	case Refused:
-		c.retryAt[h.pool] = n.now + 2*second
+		scaler.retryAt[h.pool] = n.now + 2*second
 	default:
 		// It may have been carried out: only the same name tells.
 		h.sent, h.sendAt = false, n.now+second
 		done = n.now-h.decidedAt > 60*second
 	}
 	if done {
-		c.provisions = slices.DeleteFunc(c.provisions, func(x *provisioning) bool { return x == h })
+		scaler.provisions = slices.DeleteFunc(scaler.provisions, func(x *provisioning) bool { return x == h })
 	}
 	n.leader.planNeeded = true
 }
 
 // reconcileMachineList takes the cloud's machine list, which lags.
 func (n *Node) reconcileMachineList(list []wire.CloudMachine) {
-	c := &n.leader.autoscaler
+	scaler := &n.leader.autoscaler
 	listed := map[string]bool{}
 	var back []string
 	for i := range list {
 		m := &list[i]
 		listed[m.Name] = true
-		ix := n.names.Machines.Find(m.Name)
-		known := ix >= 0 && n.machines[ix].view.known
-		if ix >= 0 && n.machines[ix].returned {
+		index := n.names.Machines.Find(m.Name)
+		known := index >= 0 && n.machines[index].view.known
+		if index >= 0 && n.machines[index].returned {
 			continue
 		}
-		r := n.typeAt(n.names.MachineTypes.Find(m.MachineType))
+		machineType := n.typeAt(n.names.MachineTypes.Find(m.MachineType))
 		switch {
 		case m.Status == wire.MachineFailed:
 			back = append(back, m.Name)
 		case known:
-			c.noteBooted(n, m.Name)
-			delete(c.unreportedSince, m.Name)
+			scaler.noteBooted(n, m.Name)
+			delete(scaler.unreportedSince, m.Name)
 		case m.Status == wire.MachineBooting:
-			b := c.booting[m.Name]
-			if b == nil {
-				b = &bootingMachine{pool: machinePool{n.names.MachineTypes.Of(m.MachineType), n.names.Zones.Of(m.Zone), m.Spot}, provisionedAt: n.now - Time(m.AgeS*float64(second))}
-				c.booting[m.Name] = b
+			booting := scaler.booting[m.Name]
+			if booting == nil {
+				booting = &bootingMachine{pool: machinePool{n.names.MachineTypes.Of(m.MachineType), n.names.Zones.Of(m.Zone), m.Spot}, provisionedAt: n.now - Time(m.AgeS*float64(second))}
+				scaler.booting[m.Name] = booting
 			}
-			b.listed = true
-			if r != nil {
-				if _, giveUp := n.overdue(r, n.now-Time(m.AgeS*float64(second))); giveUp {
+			booting.listed = true
+			if machineType != nil {
+				if _, giveUp := n.overdue(machineType, n.now-Time(m.AgeS*float64(second))); giveUp {
 					back = append(back, m.Name)
 				}
 			}
 		default:
-			if c.unreportedSince[m.Name] == 0 {
-				c.unreportedSince[m.Name] = n.now
+			if scaler.unreportedSince[m.Name] == 0 {
+				scaler.unreportedSince[m.Name] = n.now
 			}
-			if n.now-c.unreportedSince[m.Name] > n.cfg.WorkerLease+10*second {
+			if n.now-scaler.unreportedSince[m.Name] > n.cfg.WorkerLease+10*second {
 				back = append(back, m.Name)
 			}
 		}
 	}
-	for name, b := range c.booting {
-		if !listed[name] && (b.listed || n.now-b.provisionedAt > 3*n.cfg.CloudListLag+10*second) {
-			delete(c.booting, name)
+	for name, booting := range scaler.booting {
+		if !listed[name] && (booting.listed || n.now-booting.provisionedAt > 3*n.cfg.CloudListLag+10*second) {
+			delete(scaler.booting, name)
 		}
 	}
 	for _, name := range back {
-		c.draining[name] = true
+		scaler.draining[name] = true
 	}
 }
 
 // addExpected adds machines that are on their way, as room to plan with.
-func (n *Node) addExpected(p *schedulingPass) {
-	c := &n.leader.autoscaler
-	names := make([]string, 0, len(c.booting))
-	for name := range c.booting {
+func (n *Node) addExpected(pass *schedulingPass) {
+	scaler := &n.leader.autoscaler
+	names := make([]string, 0, len(scaler.booting))
+	for name := range scaler.booting {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		b := c.booting[name]
-		if ix := n.names.Machines.Find(name); ix >= 0 && n.machines[ix].view.known {
-			c.noteBooted(n, name)
+		booting := scaler.booting[name]
+		if index := n.names.Machines.Find(name); index >= 0 && n.machines[index].view.known {
+			scaler.noteBooted(n, name)
 			continue
 		}
-		if r := n.typeAt(b.pool.machineType); r != nil {
-			if late, _ := n.overdue(r, b.provisionedAt); late {
+		if machineType := n.typeAt(booting.pool.machineType); machineType != nil {
+			if late, _ := n.overdue(machineType, booting.provisionedAt); late {
 				continue // plan without it
 			}
 		}
-		p.addExpectedMachine(b.pool)
+		pass.addExpectedMachine(booting.pool)
 	}
-	for _, h := range c.provisions {
-		for range h.request.Count {
-			p.addExpectedMachine(h.pool)
+	for _, provisioning := range scaler.provisions {
+		for range provisioning.request.Count {
+			pass.addExpectedMachine(provisioning.pool)
 		}
 	}
 }
 
 // addExpectedMachine adds a machine that is to come.
-func (p *schedulingPass) addExpectedMachine(x machinePool) *slot {
-	s := p.node.newSlot(x)
-	if s != nil {
-		p.expected.add(s)
-		p.poolSizes[x]++
+func (pass *schedulingPass) addExpectedMachine(pool machinePool) *slot {
+	slot := pass.node.newSlot(pool)
+	if slot != nil {
+		pass.expected.add(slot)
+		pass.poolSizes[pool]++
 	}
-	return s
+	return slot
 }
 
-func (n *Node) newSlot(x machinePool) *slot {
-	r := n.typeAt(x.machineType)
-	if r == nil {
+func (n *Node) newSlot(pool machinePool) *slot {
+	machineType := n.typeAt(pool.machineType)
+	if machineType == nil {
 		return nil
 	}
 	part := -1
-	for _, y := range n.shards {
-		if y.Zone == x.zone {
-			part = y.Index
+	for _, shard := range n.shards {
+		if shard.Zone == pool.zone {
+			part = shard.Index
 			break
 		}
 	}
-	return &slot{shard: part, zone: x.zone, machineType: x.machineType, spot: x.spot, typeInfo: r, cores: r.Cores, gpus: r.GPUs, memoryGB: r.MemoryGB}
+	return &slot{shard: part, zone: pool.zone, machineType: pool.machineType, spot: pool.spot, typeInfo: machineType, cores: machineType.Cores, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB}
 }
 
 type pricedPool struct {
@@ -291,23 +291,23 @@
 }
 
 // pools lists the pools that a job's tasks may be put on, cheapest first.
-func (p *schedulingPass) pools(j *job) []pricedPool {
-	n, sp := p.node, j.Record.Spec
+func (pass *schedulingPass) pools(job *job) []pricedPool {
+	n, spec := pass.node, job.Record.Spec
 	list := make([]pricedPool, 0, 8)
-	for ix, r := range n.machineTypes {
-		if r == nil || !fitsType(sp, r) {
+	for index, machineType := range n.machineTypes {
+		if machineType == nil || !fitsType(spec, machineType) {
 			continue
 		}
-		for _, name := range r.Zones {
+		for _, name := range machineType.Zones {
 			z := n.names.Zones.Find(name)
 			if z < 0 || n.shardOf(z, "") < 0 {
 				continue
 			}
-			if r.SpotPricePerHour > 0 && j.Allows(ix, z, true) {
-				list = append(list, pricedPool{machinePool{ix, z, true}, r.SpotPricePerHour})
+			if machineType.SpotPricePerHour > 0 && job.Allows(index, z, true) {
+				list = append(list, pricedPool{machinePool{index, z, true}, machineType.SpotPricePerHour})
 			}
-			if j.Allows(ix, z, false) {
-				list = append(list, pricedPool{machinePool{ix, z, false}, r.PricePerHour})
+			if job.Allows(index, z, false) {
+				list = append(list, pricedPool{machinePool{index, z, false}, machineType.PricePerHour})
 			}
 		}
 	}
@@ -315,22 +315,22 @@
 		if a.price != b.price {
 			return cmp.Compare(a.price, b.price)
 		}
-		return cmp.Compare(p.poolSizes[a.machinePool], p.poolSizes[b.machinePool])
+		return cmp.Compare(pass.poolSizes[a.machinePool], pass.poolSizes[b.machinePool])
 	})
 	return list
 }
 
-func (p *schedulingPass) mayProvision(x machinePool) bool {
-	return p.node.now >= p.node.leader.autoscaler.retryAt[x]
+func (pass *schedulingPass) mayProvision(pool machinePool) bool {
+	return pass.node.now >= pass.node.leader.autoscaler.retryAt[pool]
 }
 
 // canProvision tells whether machines for a job can be had. A pool that had none a
 // while ago is asked again and again, but not counted on: in the moment of each
 // try the room that is being gathered on machines in use would be let go.
-func (p *schedulingPass) canProvision(j *job, zone int) bool {
-	for _, x := range p.pools(j) {
-		at, short := p.node.leader.autoscaler.shortageAt[x.machinePool]
-		if (zone < 0 || x.zone == zone) && p.mayProvision(x.machinePool) && !(short && p.node.now-at < shortageTime) {
+func (pass *schedulingPass) canProvision(job *job, zone int) bool {
+	for _, x := range pass.pools(job) {
+		at, short := pass.node.leader.autoscaler.shortageAt[x.machinePool]
+		if (zone < 0 || x.zone == zone) && pass.mayProvision(x.machinePool) && !(short && pass.node.now-at < shortageTime) {
 			return true
 		}
 	}
@@ -341,18 +341,18 @@
 const shortageTime = 60 * second
 
 // provisionFor adds a machine to be provisioned for a task, if there may be one.
-func (p *schedulingPass) provisionFor(w *queuedJob, ok func(*slot) bool) *slot {
-	n := p.node
-	if w.job.suspect || n.cfg.MaxMachines > 0 && len(p.available.all)+len(p.expected.all) >= n.cfg.MaxMachines {
+func (pass *schedulingPass) provisionFor(queued *queuedJob, ok func(*slot) bool) *slot {
+	n := pass.node
+	if queued.job.suspect || n.cfg.MaxMachines > 0 && len(pass.available.all)+len(pass.expected.all) >= n.cfg.MaxMachines {
 		return nil
 	}
-	for _, x := range p.pools(w.job) {
-		if !p.mayProvision(x.machinePool) {
+	for _, x := range pass.pools(queued.job) {
+		if !pass.mayProvision(x.machinePool) {
 			continue
 		}
-		if s := n.newSlot(x.machinePool); s != nil && ok(s) {
-			p.provisions[x.machinePool]++
-			return p.addExpectedMachine(x.machinePool)
+		if slot := n.newSlot(x.machinePool); slot != nil && ok(slot) {
+			pass.provisions[x.machinePool]++
+			return pass.addExpectedMachine(x.machinePool)
 		}
 	}
 	return nil
@@ -360,15 +360,15 @@
 
 // scale sends what the plan asks for, and returns machines that are
 // not needed.
-func (n *Node) scale(p *schedulingPass, idle map[*slot]bool) {
-	c := &n.leader.autoscaler
+func (n *Node) scale(pass *schedulingPass, idle map[*slot]bool) {
+	scaler := &n.leader.autoscaler
 	var ask []machinePool
-	for x := range p.provisions {
-		ask = append(ask, x)
+	for pool := range pass.provisions {
+		ask = append(ask, pool)
 	}
 	sort.Slice(ask, func(a, b int) bool {
-		if p.provisions[ask[a]] != p.provisions[ask[b]] {
-			return p.provisions[ask[a]] > p.provisions[ask[b]] // a call rents 50 at most
+		if pass.provisions[ask[a]] != pass.provisions[ask[b]] {
+			return pass.provisions[ask[a]] > pass.provisions[ask[b]] // a call rents 50 at most
 		}
 		if ask[a].zone != ask[b].zone {
 			return ask[a].zone < ask[b].zone
@@ -380,29 +380,29 @@
 	})
 	// Calls are scarce: what waits for one is better planned anew and asked
 	// for in larger numbers.
-	room := max(2, int(2*n.cfg.CloudRPS)) - len(c.provisions)
+	room := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.provisions)
 	if n.cloudCallTime() == 0 {
 		room = 0 // what can't be sent yet is planned anew until it can
 	}
 	for ; room > 0 && len(ask) > 0; room-- {
-		x := ask[0]
-		if len(p.available.all) == 0 {
+		pool := ask[0]
+		if len(pass.available.all) == 0 {
 			// Nothing runs yet. Boot times differ by more than a factor of
 			// two, so some more machines mean that the first are up sooner.
-			p.provisions[x] += min((p.provisions[x]+1)/2, maxExtraMachines)
+			pass.provisions[pool] += min((pass.provisions[pool]+1)/2, maxExtraMachines)
 		}
-		k := min(p.provisions[x], 50)
-		c.provisions = append(c.provisions, &provisioning{pool: x, decidedAt: n.now,
-			request: wire.ProvisionRequest{Name: n.provisionName(), MachineType: n.names.MachineTypes.Name(x.machineType), Zone: n.names.Zones.Name(x.zone), Spot: x.spot, Count: k}})
-		if p.provisions[x] -= k; p.provisions[x] == 0 {
+		k := min(pass.provisions[pool], 50)
+		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: n.now,
+			request: wire.ProvisionRequest{Name: n.provisionName(), MachineType: n.names.MachineTypes.Name(pool.machineType), Zone: n.names.Zones.Name(pool.zone), Spot: pool.spot, Count: k}})
+		if pass.provisions[pool] -= k; pass.provisions[pool] == 0 {
 			ask = ask[1:]
 		} else {
-			ask = append(ask[1:], x)
+			ask = append(ask[1:], pool)
 		}
 	}
-	if n.now >= c.scaleInAt {
-		c.scaleInAt = n.now + second
-		n.scaleIn(p, idle)
+	if n.now >= scaler.scaleInAt {
+		scaler.scaleInAt = n.now + second
+		n.scaleIn(pass, idle)
 	}
 }
 
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -37,26 +37,26 @@
 	}
 	used := make([]usage, n.names.Teams.Len())
 	for _, index := range n.jobsByAge() {
-		j := n.jobs[index]
-		if j.Record.State != wire.JobLive || j.Record.Spec == nil || j.Team < 0 || j.IsWaiting() {
+		job := n.jobs[index]
+		if job.Record.State != wire.JobLive || job.Record.Spec == nil || job.Team < 0 || job.IsWaiting() {
 			continue
 		}
-		used[j.Team].add(j.Record.Spec, float64(j.Record.TaskCount-j.Record.DoneTasks.Count()))
-		j.withinGuarantee = guarantees(n.replica.Quota(j.Team), used[j.Team])
-		if n.isDeferred(j) {
+		used[job.Team].add(job.Record.Spec, float64(job.Record.TaskCount-job.Record.DoneTasks.Count()))
+		job.withinGuarantee = guarantees(n.replica.Quota(job.Team), used[job.Team])
+		if n.isDeferred(job) {
 			continue
 		}
-		if j.Record.Spec.Shape == wire.ShapeGang && len(j.Record.ActiveTasks) > 0 {
+		if job.Record.Spec.Shape == wire.ShapeGang && len(job.Record.ActiveTasks) > 0 {
 			continue // the old attempt is not gone yet
 		}
-		if w := n.queuedTasks(j); len(w.tasks) > 0 {
-			queues[j.Team].jobs = append(queues[j.Team].jobs, w)
+		if queued := n.queuedTasks(job); len(queued.tasks) > 0 {
+			queues[job.Team].jobs = append(queues[job.Team].jobs, queued)
 		} else {
-			j.waitingSince = 0
+			job.waitingSince = 0
 		}
 	}
-	for _, q := range queues {
-		slices.SortStableFunc(q.jobs, compareUrgency)
+	for _, queue := range queues {
+		slices.SortStableFunc(queue.jobs, compareUrgency)
 	}
 	return queues
 }
@@ -78,33 +78,33 @@
 
 // isDeferred tells whether a job is not to be granted anything now: it failed lately,
 // its record is being written, or its owners are about to place what was granted.
-func (n *Node) isDeferred(j *job) bool {
-	if n.now < j.retryAt || n.batch.changes(j) || n.defersToOwner(j) {
+func (n *Node) isDeferred(job *job) bool {
+	if n.now < job.retryAt || n.batch.changes(job) || n.defersToOwner(job) {
 		return true
 	}
-	placing := j.Unplaced > 0 && n.now-j.ChangedAt < Time(float64(ownerPlacementTime)*n.writeScarcity())
-	return placing && (!j.LargeArray || n.now-j.grantedAt < ownerPlacementTime)
+	placing := job.Unplaced > 0 && n.now-job.ChangedAt < Time(float64(ownerPlacementTime)*n.writeScarcity())
+	return placing && (!job.LargeArray || n.now-job.grantedAt < ownerPlacementTime)
 }
 
 // queuedTasks lists the tasks of a job that may be granted now; none where the job has
 // to wait for its own earlier tasks.
-func (n *Node) queuedTasks(j *job) *queuedJob {
-	w := &queuedJob{job: j, withinGuarantee: j.withinGuarantee, latestStartMS: n.latestStart(j), runBudget: len(j.Record.ActiveTasks) + j.Record.TaskCount}
-	if j.Record.Spec.Shape == wire.ShapeGang {
-		w.tasks = n.waitingTasks(j, j.Record.TaskCount)
-		return w
+func (n *Node) queuedTasks(job *job) *queuedJob {
+	queued := &queuedJob{job: job, withinGuarantee: job.withinGuarantee, latestStartMS: n.latestStart(job), runBudget: len(job.Record.ActiveTasks) + job.Record.TaskCount}
+	if job.Record.Spec.Shape == wire.ShapeGang {
+		queued.tasks = n.waitingTasks(job, job.Record.TaskCount)
+		return queued
 	}
-	w.tasks = n.waitingTasks(j, n.maxActiveTasks(j)-len(j.Record.ActiveTasks))
-	if j.LargeArray {
-		w.runBudget = n.remainingRuns(j)
+	queued.tasks = n.waitingTasks(job, n.maxActiveTasks(job)-len(job.Record.ActiveTasks))
+	if job.LargeArray {
+		queued.runBudget = n.remainingRuns(job)
 	}
-	if w.runBudget <= 0 || n.now-j.grantedAt < n.grantDelay(j) {
-		w.tasks = nil
+	if queued.runBudget <= 0 || n.now-job.grantedAt < n.grantDelay(job) {
+		queued.tasks = nil
 	}
-	if j.suspect { // one task shows as much as many
-		w.tasks = w.tasks[:min(len(w.tasks), boolToInt(len(j.Record.ActiveTasks) == 0))]
+	if job.suspect { // one task shows as much as many
+		queued.tasks = queued.tasks[:min(len(queued.tasks), boolToInt(len(job.Record.ActiveTasks) == 0))]
 	}
-	return w
+	return queued
 }
 
 // compareUrgency orders the jobs of a team's queue. Among equals the stages of a chain
@@ -117,8 +117,8 @@
 
 // latestStart is by when a job of a chain has to begin to be in time, as time of day in
 // milliseconds; what has no such time comes last.
-func (n *Node) latestStart(j *job) int64 {
-	if ms := n.latestStartMS(j); ms != 0 {
+func (n *Node) latestStart(job *job) int64 {
+	if ms := n.latestStartMS(job); ms != 0 {
 		return ms
 	}
 	return math.MaxInt64
@@ -132,11 +132,11 @@
 // rank puts urgent work first, and among equals work within a guarantee
 // before borrowed. It must agree with mayPreemptJob: if what was stopped came before
 // what it was stopped for, the two would take turns.
-func (w *queuedJob) rank() int { return 2*w.job.Priority + boolToInt(w.withinGuarantee) }
+func (queued *queuedJob) rank() int { return 2*queued.job.Priority + boolToInt(queued.withinGuarantee) }
 
 // shareUsed is how much of its guarantee a team uses; less is served first.
-func (p *schedulingPass) shareUsed(team int) float64 {
-	u, t := p.used[team], p.node.replica.Quota(team)
+func (pass *schedulingPass) shareUsed(team int) float64 {
+	u, t := pass.used[team], pass.node.replica.Quota(team)
 	switch {
 	case t.GuaranteedGPUs > 0:
 		return u.cards / t.GuaranteedGPUs
@@ -155,24 +155,24 @@
 
 // serveStarvedGang lets the gang that has waited longest beyond its timeout
 // gather room.
-func (p *schedulingPass) serveStarvedGang(qs []*teamQueue) {
+func (pass *schedulingPass) serveStarvedGang(qs []*teamQueue) {
 	var first *queuedJob
-	for _, q := range qs {
-		for _, w := range q.jobs {
-			j := w.job
-			if j.Record.Spec.Shape != wire.ShapeGang || j.waitingSince == 0 || p.node.now-j.waitingSince < gangStarvationTime {
+	for _, queue := range qs {
+		for _, queued := range queue.jobs {
+			job := queued.job
+			if job.Record.Spec.Shape != wire.ShapeGang || job.waitingSince == 0 || pass.node.now-job.waitingSince < gangStarvationTime {
 				continue
 			}
-			if first == nil || j.waitingSince < first.job.waitingSince || j.waitingSince == first.job.waitingSince && j.ID < first.job.ID {
-				first = w
+			if first == nil || job.waitingSince < first.job.waitingSince || job.waitingSince == first.job.waitingSince && job.ID < first.job.ID {
+				first = queued
 			}
 		}
 	}
 	if first != nil {
-		p.starved = first
-		p.serveGang(first)
-		for _, q := range qs {
-			q.jobs = slices.DeleteFunc(q.jobs, func(w *queuedJob) bool { return w == first })
+		pass.starved = first
+		pass.serveGang(first)
+		for _, queue := range qs {
+			queue.jobs = slices.DeleteFunc(queue.jobs, func(queued *queuedJob) bool { return queued == first })
 		}
 	}
 }
@@ -180,41 +180,41 @@
 // serveQueues takes the teams in turn: the most pressing head first, and
 // among equals the team that uses the least of its share. It tells how many
 // jobs it did not come to.
-func (p *schedulingPass) serveQueues(qs []*teamQueue) int {
-	p.serveStarvedGang(qs)
+func (pass *schedulingPass) serveQueues(qs []*teamQueue) int {
+	pass.serveStarvedGang(qs)
 	for {
 		var pick *teamQueue
-		for _, q := range qs {
-			if len(q.jobs) == 0 {
+		for _, queue := range qs {
+			if len(queue.jobs) == 0 {
 				continue
 			}
-			if pick == nil || q.jobs[0].rank() > pick.jobs[0].rank() ||
-				q.jobs[0].rank() == pick.jobs[0].rank() && p.shareUsed(q.team) < p.shareUsed(pick.team) {
-				pick = q
+			if pick == nil || queue.jobs[0].rank() > pick.jobs[0].rank() ||
+				queue.jobs[0].rank() == pick.jobs[0].rank() && pass.shareUsed(queue.team) < pass.shareUsed(pick.team) {
+				pick = queue
 			}
 		}
 		if pick == nil {
-			return p.ungranted
+			return pass.ungranted
 		}
-		w := pick.jobs[0]
+		queued := pick.jobs[0]
 		more := false
-		if w.job.Record.Spec.Shape == wire.ShapeGang {
-			p.serveGang(w)
+		if queued.job.Record.Spec.Shape == wire.ShapeGang {
+			pass.serveGang(queued)
 		} else {
-			more = p.serveTask(w)
+			more = pass.serveTask(queued)
 		}
-		if !more || len(w.tasks) == 0 {
+		if !more || len(queued.tasks) == 0 {
 			pick.jobs = pick.jobs[1:]
 		}
 	}
 }
 
 // record is the job's record with what this pass has added.
-func (p *schedulingPass) record(j *job) *wire.Job {
-	if r := p.writer.records[j.Index]; r != nil {
+func (pass *schedulingPass) record(job *job) *wire.Job {
+	if r := pass.writer.records[job.Index]; r != nil {
 		return r
 	}
-	return j.Record
+	return job.Record
 }
 
 // unmetDemand is a demand for which there was no free room in this pass.
@@ -226,64 +226,64 @@
 
 // isUnmet tells whether a demand that asked for no more, at no fewer places,
 // has found no room already: then there is no need to look again.
-func (p *schedulingPass) isUnmet(j *job, partly bool) bool {
-	sp := j.Record.Spec
-	for i := range p.unmetDemands {
-		m := &p.unmetDemands[i]
-		if m.any && (m.zone < 0 || m.zone == j.Zone) && (m.spot || !j.AllowSpot) && (!m.avoidsIdle || partly) &&
-			m.cores <= sp.Cores+epsilon && m.cards <= sp.GPUs+epsilon && m.mem <= sp.MemoryGB+epsilon {
+func (pass *schedulingPass) isUnmet(job *job, partly bool) bool {
+	spec := job.Record.Spec
+	for i := range pass.unmetDemands {
+		m := &pass.unmetDemands[i]
+		if m.any && (m.zone < 0 || m.zone == job.Zone) && (m.spot || !job.AllowSpot) && (!m.avoidsIdle || partly) &&
+			m.cores <= spec.Cores+epsilon && m.cards <= spec.GPUs+epsilon && m.mem <= spec.MemoryGB+epsilon {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *schedulingPass) noteUnmet(j *job, partly bool) {
-	if sp := j.Record.Spec; len(j.Record.FailedMachines) == 0 && len(p.unmetDemands) < 16 {
-		p.unmetDemands = append(p.unmetDemands, unmetDemand{sp.Cores, sp.GPUs, sp.MemoryGB, j.Zone, j.AnyType, j.AllowSpot, partly})
+func (pass *schedulingPass) noteUnmet(job *job, partly bool) {
+	if spec := job.Record.Spec; len(job.Record.FailedMachines) == 0 && len(pass.unmetDemands) < 16 {
+		pass.unmetDemands = append(pass.unmetDemands, unmetDemand{spec.Cores, spec.GPUs, spec.MemoryGB, job.Zone, job.AnyType, job.AllowSpot, partly})
 	}
 }
 
 // serveTask grants the next tasks of an array or daemon, one or, of a large array, as many
 // as fit a machine, and tells whether to go on with the job.
-func (p *schedulingPass) serveTask(w *queuedJob) bool {
-	if w.runBudget <= 0 || p.admission == nil && !p.hasQuota(w.job, 1) {
+func (pass *schedulingPass) serveTask(queued *queuedJob) bool {
+	if queued.runBudget <= 0 || pass.admission == nil && !pass.hasQuota(queued.job, 1) {
 		return false
 	}
-	if w.zoneTasks == nil {
-		p.countTasks(w)
+	if queued.zoneTasks == nil {
+		pass.countTasks(queued)
 	}
-	fits := p.placementRule(w)
-	if p.admission != nil {
-		return p.grantNow(w, func(s *slot) bool { return fits(s) && p.mayAdmit(w.job, 1, s.shard) })
+	fits := pass.placementRule(queued)
+	if pass.admission != nil {
+		return pass.grantNow(queued, func(s *slot) bool { return fits(s) && pass.mayAdmit(queued.job, 1, s.shard) })
 	}
-	if p.grantNow(w, fits) {
+	if pass.grantNow(queued, fits) {
 		return true
 	}
-	w.noFreeRoom = true
-	p.unplacedTasks++
-	p.noteWaiting(w.job)
-	return p.planOnReleasing(w, fits) || p.planOnExpected(w, fits)
+	queued.noFreeRoom = true
+	pass.unplacedTasks++
+	pass.noteWaiting(queued.job)
+	return pass.planOnReleasing(queued, fits) || pass.planOnExpected(queued, fits)
 }
 
 // countTasks counts a job's tasks by zone and by shard.
-func (p *schedulingPass) countTasks(w *queuedJob) {
-	w.zoneTasks = p.node.zoneTasks(p.record(w.job))
-	w.shardTasks = make([]int, len(p.node.shards))
-	for i := range w.job.Record.ActiveTasks {
-		w.shardTasks[w.job.Record.ActiveTasks[i].Shard]++
+func (pass *schedulingPass) countTasks(queued *queuedJob) {
+	queued.zoneTasks = pass.node.zoneTasks(pass.record(queued.job))
+	queued.shardTasks = make([]int, len(pass.node.shards))
+	for i := range queued.job.Record.ActiveTasks {
+		queued.shardTasks[queued.job.Record.ActiveTasks[i].Shard]++
 	}
 }
 
 // placementRule gives the test whether the next task of a job may be planned on a machine,
 // up or to come, by its place and kind.
-func (p *schedulingPass) placementRule(w *queuedJob) func(*slot) bool {
-	spec, zones := w.job.Record.Spec, w.zoneTasks
-	w.avoidsIdle = p.avoidsIdleOnDemand(w)
+func (pass *schedulingPass) placementRule(queued *queuedJob) func(*slot) bool {
+	spec, zones := queued.job.Record.Spec, queued.zoneTasks
+	queued.avoidsIdle = pass.avoidsIdleOnDemand(queued)
 	return func(s *slot) bool {
 		// Machines to come are no different: planned on ordinary ones that it
 		// would not take, it would wait for them while no spot machine is provisioned.
-		if w.avoidsIdle && !s.spot && s.isIdle() {
+		if queued.avoidsIdle && !s.spot && s.isIdle() {
 			return false
 		}
 		if spec.Spread && zones[s.zone] >= zoneLimit(spec) {
@@ -302,21 +302,21 @@
 
 // shardPenalty gives what it counts, in seconds, to put the next task of a job on a
 // machine, by the machine's shard.
-func (p *schedulingPass) shardPenalty(w *queuedJob) func(*slot) float64 {
-	j, scarcity := w.job, p.node.writeScarcity()
-	started := len(j.Record.ActiveTasks) > 0 || p.writer.records[j.Index] != nil
-	if j.LargeArray {
+func (pass *schedulingPass) shardPenalty(queued *queuedJob) func(*slot) float64 {
+	job, scarcity := queued.job, pass.node.writeScarcity()
+	started := len(job.Record.ActiveTasks) > 0 || pass.writer.records[job.Index] != nil
+	if job.LargeArray {
 		scarcity = 2 // its owners and the leader would keep each other from writing its record
 	}
 	return func(s *slot) float64 {
 		switch {
 		case s.shard < 0:
 			return 0
-		case started && w.shardTasks[s.shard] == 0:
+		case started && queued.shardTasks[s.shard] == 0:
 			return newShardPenalty * scarcity
-		case j.LargeArray: // begun in different shards, several don't meet
-			return foreignShardPenalty * float64(boolToInt(!started && s.shard != j.Index%len(p.node.shards)))
-		case !started && j.Priority == 0 && !p.node.owns(p.node.shards[s.shard]):
+		case job.LargeArray: // begun in different shards, several don't meet
+			return foreignShardPenalty * float64(boolToInt(!started && s.shard != job.Index%len(pass.node.shards)))
+		case !started && job.Priority == 0 && !pass.node.owns(pass.node.shards[s.shard]):
 			return foreignShardPenalty * scarcity
 		}
 		return 0
@@ -325,17 +325,17 @@
 
 // hasNoZoneRule tells whether it makes no difference to a job's tasks where the others are,
 // so that what was found out for one holds for the rest.
-func (w *queuedJob) hasNoZoneRule() bool {
-	return !w.job.Record.Spec.Spread && !w.job.Record.Spec.SameZone
+func (queued *queuedJob) hasNoZoneRule() bool {
+	return !queued.job.Record.Spec.Spread && !queued.job.Record.Spec.SameZone
 }
 
 // runLengthOn is how many of a job's next tasks a machine takes at once.
-func (p *schedulingPass) runLengthOn(w *queuedJob, s *slot) int {
-	if !w.job.LargeArray {
+func (pass *schedulingPass) runLengthOn(queued *queuedJob, slot *slot) int {
+	if !queued.job.LargeArray {
 		return 1
 	}
-	tasks := min(s.capacityFor(w.job.Record.Spec), len(w.tasks), maxRunLength)
-	for tasks > 1 && !p.mayCharge(w.job, tasks, s) {
+	tasks := min(slot.capacityFor(queued.job.Record.Spec), len(queued.tasks), maxRunLength)
+	for tasks > 1 && !pass.mayCharge(queued.job, tasks, slot) {
 		tasks--
 	}
 	return max(1, tasks)
@@ -344,79 +344,79 @@
 // assigned notes that the next tasks of a job are planned on a machine. Tasks that only a
 // machine still to come will take count in their zone too, else all would be planned
 // for the same one.
-func (w *queuedJob) assigned(s *slot, tasks int) {
-	s.release(w.job.Record.Spec, -tasks)
-	w.zoneTasks[s.zone] += tasks
-	w.tasks = w.tasks[tasks:]
-	w.runBudget--
+func (queued *queuedJob) assigned(slot *slot, tasks int) {
+	slot.release(queued.job.Record.Spec, -tasks)
+	queued.zoneTasks[slot.zone] += tasks
+	queued.tasks = queued.tasks[tasks:]
+	queued.runBudget--
 }
 
 // grantNow grants the next tasks of a job to the best machine with free room.
-func (p *schedulingPass) grantNow(w *queuedJob, fits func(*slot) bool) bool {
-	j := w.job
-	if w.noFreeRoom || p.isUnmet(j, w.avoidsIdle) {
+func (pass *schedulingPass) grantNow(queued *queuedJob, fits func(*slot) bool) bool {
+	job := queued.job
+	if queued.noFreeRoom || pass.isUnmet(job, queued.avoidsIdle) {
 		return false
 	}
-	s := p.available.best(j, fits, p.shardPenalty(w))
+	s := pass.available.best(job, fits, pass.shardPenalty(queued))
 	if s == nil {
-		if w.hasNoZoneRule() && p.admission == nil { // a share is not a place
-			p.noteUnmet(j, w.avoidsIdle)
+		if queued.hasNoZoneRule() && pass.admission == nil { // a share is not a place
+			pass.noteUnmet(job, queued.avoidsIdle)
 		}
 		return false
 	}
 	// Without a put left the room is kept for it all the same: it is neither to be
 	// taken by what comes later, nor to go back as idle.
-	tasks := p.runLengthOn(w, s)
-	if p.grant(j, w.tasks[:tasks], slices.Repeat([]*slot{s}, tasks)) {
-		w.shardTasks[s.shard] += tasks
+	tasks := pass.runLengthOn(queued, s)
+	if pass.grant(job, queued.tasks[:tasks], slices.Repeat([]*slot{s}, tasks)) {
+		queued.shardTasks[s.shard] += tasks
 	} else {
-		p.charge(j, tasks)
+		pass.charge(job, tasks)
 	}
-	s.noteFetch(j)
-	w.assigned(s, tasks)
-	j.waitingSince = 0
+	s.noteFetch(job)
+	queued.assigned(s, tasks)
+	job.waitingSince = 0
 	return true
 }
 
 // planOnReleasing plans the next task of a job on room that is about to be free, or that is
 // made for it. A large array takes such room when it is there.
-func (p *schedulingPass) planOnReleasing(w *queuedJob, fits func(*slot) bool) bool {
-	if w.noReleasingRoom || w.job.LargeArray {
+func (pass *schedulingPass) planOnReleasing(queued *queuedJob, fits func(*slot) bool) bool {
+	if queued.noReleasingRoom || queued.job.LargeArray {
 		return false
 	}
-	for _, s := range p.available.releasing {
-		if s.accepts(w.job) && s.fitsAfterRelease(w.job.Record.Spec) && fits(s) {
-			w.assigned(s, 1)
+	for _, slot := range pass.available.releasing {
+		if slot.accepts(queued.job) && slot.fitsAfterRelease(queued.job.Record.Spec) && fits(slot) {
+			queued.assigned(slot, 1)
 			return true
 		}
 	}
-	if s := p.preempt(w, fits); s != nil {
-		w.assigned(s, 1)
+	if slot := pass.preempt(queued, fits); slot != nil {
+		queued.assigned(slot, 1)
 		return true
 	}
-	w.noReleasingRoom = w.hasNoZoneRule()
+	queued.noReleasingRoom = queued.hasNoZoneRule()
 	return false
 }
 
 // planOnExpected plans the next tasks of a job on a machine that is to come, or is now to be
 // provisioned. Later passes grant them for real.
-func (p *schedulingPass) planOnExpected(w *queuedJob, fits func(*slot) bool) bool {
-	j := w.job
+func (pass *schedulingPass) planOnExpected(queued *queuedJob, fits func(*slot) bool) bool {
+	job := queued.job
 	var s *slot
-	if !w.noExpectedRoom {
-		s = p.expected.best(j, fits, nil)
-		w.noExpectedRoom = s == nil && w.hasNoZoneRule()
+	if !queued.noExpectedRoom {
+		s = pass.expected.best(job, fits, nil)
+		queued.noExpectedRoom = s == nil && queued.hasNoZoneRule()
 	}
 	if s == nil {
-		s = p.provisionFor(w, func(s *slot) bool { return fits(s) && (s.spot || !p.isBackfill(w)) })
+		s = pass.provisionFor(queued, func(s *slot) bool { return fits(s) && (s.spot || !pass.isBackfill(queued)) })
 	}
 	if s == nil {
 		return false
 	}
 	// Their use counts, so that no more is provisioned than the team may use.
-	tasks := p.runLengthOn(w, s)
-	p.charge(j, tasks)
-	w.assigned(s, tasks)
+	tasks := pass.runLengthOn(queued, s)
+	pass.charge(job, tasks)
+	queued.assigned(s, tasks)
 	return true
 }
 
@@ -432,21 +432,21 @@
 // avoidsIdleOnDemand tells whether a task that may run on spot machines should
 // rather wait for one than break into an ordinary machine that nothing uses:
 // those are for whole-machine gangs and daemons, and cost several times more.
-func (p *schedulingPass) avoidsIdleOnDemand(w *queuedJob) bool {
-	j, sp := w.job, w.job.Record.Spec
-	if p.isBackfill(w) {
+func (pass *schedulingPass) avoidsIdleOnDemand(queued *queuedJob) bool {
+	job, spec := queued.job, queued.job.Record.Spec
+	if pass.isBackfill(queued) {
 		return true
 	}
-	if !sp.AllowSpot || j.Priority >= 2 || j.waitingSince != 0 && p.node.now-j.waitingSince > spotWaitTime {
+	if !spec.AllowSpot || job.Priority >= 2 || job.waitingSince != 0 && pass.node.now-job.waitingSince > spotWaitTime {
 		return false
 	}
-	for _, c := range p.expected.classOrder {
-		if c.spot && float64(c.gpus) >= sp.GPUs && len(*p.expected.open[c]) > 0 && j.Allows(c.machineType, c.zone, true) {
+	for _, class := range pass.expected.classOrder {
+		if class.spot && float64(class.gpus) >= spec.GPUs && len(*pass.expected.open[class]) > 0 && job.Allows(class.machineType, class.zone, true) {
 			return true
 		}
 	}
-	for _, x := range p.pools(j) {
-		if x.spot && p.mayProvision(x.machinePool) {
+	for _, x := range pass.pools(job) {
+		if x.spot && pass.mayProvision(x.machinePool) {
 			return true
 		}
 	}
@@ -459,19 +459,19 @@
 // noteWaiting notes since when a job has waited. What was never granted has waited
 // since it was accepted: a new leader must not make it begin anew, or with a
 // leader that ends every minute a gang's turn to gather room never comes.
-func (p *schedulingPass) noteWaiting(j *job) {
-	if j.waitingSince != 0 {
+func (pass *schedulingPass) noteWaiting(job *job) {
+	if job.waitingSince != 0 {
 		return
 	}
-	j.waitingSince = p.node.now
+	job.waitingSince = pass.node.now
 	switch {
-	case j.Record.NextAttempt == 1 && j.Links != nil && len(j.Links.Dependencies) > 0:
-		j.waitingSince = j.Links.ReadyAt
-	case j.Record.NextAttempt == 1:
-		j.waitingSince -= max(0, Time(p.node.cfg.WallClockMS()-j.Record.AcceptedAtMS)*time.Millisecond)
+	case job.Record.NextAttempt == 1 && job.Links != nil && len(job.Links.Dependencies) > 0:
+		job.waitingSince = job.Links.ReadyAt
+	case job.Record.NextAttempt == 1:
+		job.waitingSince -= max(0, Time(pass.node.cfg.WallClockMS()-job.Record.AcceptedAtMS)*time.Millisecond)
 	}
-	if j.waitingSince == 0 {
-		j.waitingSince = -1
+	if job.waitingSince == 0 {
+		job.waitingSince = -1
 	}
 }
 
