--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -9,21 +9,21 @@
 // What a report says of tasks, held against the records.
 
 // activeTask finds a placed task in the replica.
-func (n *Node) activeTask(k taskKey, hostName string) *wire.ActiveTask {
-	if at := n.activeTaskIndex(k, hostName); at >= 0 {
-		return &n.jobs[k.job].Record.ActiveTasks[at]
+func (n *Node) activeTask(key taskKey, hostName string) *wire.ActiveTask {
+	if at := n.activeTaskIndex(key, hostName); at >= 0 {
+		return &n.jobs[key.job].Record.ActiveTasks[at]
 	}
 	return nil
 }
 
 // activeTaskIndex gives a placed task's place in its record, or -1.
-func (n *Node) activeTaskIndex(k taskKey, hostName string) int {
-	ix := n.names.Machines.Find(hostName)
-	if k.job < 0 || ix < 0 {
+func (n *Node) activeTaskIndex(key taskKey, hostName string) int {
+	index := n.names.Machines.Find(hostName)
+	if key.job < 0 || index < 0 {
 		return -1
 	}
-	for i := range n.machines[ix].placements {
-		if x := &n.machines[ix].placements[i]; x.taskKey == k {
+	for i := range n.machines[index].placements {
+		if x := &n.machines[index].placements[i]; x.taskKey == key {
 			return x.activeIndex
 		}
 	}
@@ -35,7 +35,7 @@
 const epochDelay = 1200 * time.Millisecond
 
 // shardTerm is the term of the shard that the machine belongs to.
-func (h *machine) shardTerm(n *Node) uint64 { return n.shards[h.shard].Term }
+func (machine *machine) shardTerm(n *Node) uint64 { return n.shards[machine.shard].Term }
 
 // outcomeDelay is how long a result waits for others of the same job when puts
 // are scarce: one put serves them all, and the tasks of a gang end together.
@@ -57,19 +57,19 @@
 
 // reconcile compares a report with the records and gives the orders that
 // bring the machine in line.
-func (n *Node) reconcile(p *shard, h *machine, r *wire.WorkerHeartbeat) []wire.Command {
-	x := &reconciliation{node: n, machine: h, heartbeat: r, tokenCurrent: r.Token == p.Term, reported: make(map[taskKey]bool, len(r.Tasks)), previousStates: h.reportedTasks}
-	h.reportedTasks, h.unclearedTasks = make(map[taskKey]string, len(r.Tasks)), 0
-	for i := range r.Tasks {
-		x.reportedTask(&r.Tasks[i])
-	}
-	for i := range h.placements {
-		if on := &h.placements[i]; !x.reported[on.taskKey] {
-			x.missingTask(on)
+func (n *Node) reconcile(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) []wire.Command {
+	x := &reconciliation{node: n, machine: machine, heartbeat: heartbeat, tokenCurrent: heartbeat.Token == shard.Term, reported: make(map[taskKey]bool, len(heartbeat.Tasks)), previousStates: machine.reportedTasks}
+	machine.reportedTasks, machine.unclearedTasks = make(map[taskKey]string, len(heartbeat.Tasks)), 0
+	for i := range heartbeat.Tasks {
+		x.reportedTask(&heartbeat.Tasks[i])
+	}
+	for i := range machine.placements {
+		if placed := &machine.placements[i]; !x.reported[placed.taskKey] {
+			x.missingTask(placed)
 		}
 	}
-	if x.startIgnored && n.replyLikelyLost(h) {
-		h.ignoredReplies++
+	if x.startIgnored && n.replyLikelyLost(machine) {
+		machine.ignoredReplies++
 	}
 	return x.commands
 }
@@ -80,43 +80,43 @@
 
 // reportedTask distributes with a task that the report shows.
 func (x *reconciliation) reportedTask(t *wire.TaskStatus) {
-	n, h := x.node, x.machine
-	ref, task, err := wire.SplitTaskName(t.Task)
+	n, machine := x.node, x.machine
+	id, task, err := wire.SplitTaskName(t.Task)
 	if err != nil {
 		return
 	}
-	k := taskKey{n.names.Jobs.Find(ref), task, t.Attempt}
-	x.reported[k] = true
-	a := n.activeTask(k, h.name)
+	key := taskKey{n.names.Jobs.Find(id), task, t.Attempt}
+	x.reported[key] = true
+	a := n.activeTask(key, machine.name)
 	switch {
 	case t.State == wire.TaskExited:
-		x.exitedTask(t, k, a)
+		x.exitedTask(t, key, a)
 		return
 	case a == nil:
 		x.command(wire.CommandKill, t.Task, t.Attempt, 0)
 		return
 	}
-	h.reportedTasks[k] = t.State
-	j := n.jobs[k.job]
-	if x.previousStates[k] != t.State {
-		n.log(LogDebug, "task state changed", "job", j.ID, "class", j.Record.Spec.Class, "task", task, "attempt", t.Attempt, "machine", h.name, "state", t.State)
+	machine.reportedTasks[key] = t.State
+	job := n.jobs[key.job]
+	if x.previousStates[key] != t.State {
+		n.log(LogDebug, "task state changed", "job", job.ID, "class", job.Record.Spec.Class, "task", task, "attempt", t.Attempt, "machine", machine.name, "state", t.State)
 	}
 	if t.State != wire.TaskFetching {
-		h.images.Add(j.Image)
+		machine.images.Add(job.Image)
 	}
-	if grace, kill := n.stopGrace(h, j, a, t); kill {
+	if grace, kill := n.stopGrace(machine, job, a, t); kill {
 		x.command(wire.CommandKill, t.Task, t.Attempt, grace)
 	}
 }
 
 // exitedTask distributes with a task that the report shows as ended; a is its entry in the
 // record, or nil.
-func (x *reconciliation) exitedTask(t *wire.TaskStatus, k taskKey, a *wire.ActiveTask) {
-	if a != nil {
-		x.node.noteTaskExit(x.machine, k, t)
+func (x *reconciliation) exitedTask(t *wire.TaskStatus, key taskKey, task *wire.ActiveTask) {
+	if task != nil {
+		x.node.noteTaskExit(x.machine, key, t)
 		return
 	}
-	if _, direct := x.machine.directStarts[k]; direct {
+	if _, direct := x.machine.directStarts[key]; direct {
 		// A late copy of its start may still come. As long as the worker knows the
 		// attempt that has no effect.
 		x.machine.unclearedTasks++
@@ -128,94 +128,94 @@
 }
 
 // missingTask distributes with a task that a record puts on the machine and the report lacks.
-func (x *reconciliation) missingTask(on *placement) {
-	n, h := x.node, x.machine
-	k, j := on.taskKey, n.jobs[on.job]
-	if _, known := n.outcomes[k]; known {
+func (x *reconciliation) missingTask(placed *placement) {
+	n, machine := x.node, x.machine
+	key, job := placed.taskKey, n.jobs[placed.job]
+	if _, known := n.outcomes[key]; known {
 		return
 	}
-	last, sent := h.startSentAt[k]
+	last, sent := machine.startSentAt[key]
 	// A start sent to the worker's own address may still be on its way, whatever its
 	// reports say.
-	viaAddr, direct := h.directStarts[k]
+	viaAddr, direct := machine.directStarts[key]
 	gone := x.tokenCurrent && x.heartbeat.Sequence > last && !direct
 	x.startIgnored = x.startIgnored || sent && gone
 	switch {
-	case x.heartbeat.Epoch > on.epoch:
-		n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
-	case j.Record.State != wire.JobLive || on.stop != wire.StopNone || h.reclaimAt > 0:
+	case x.heartbeat.Epoch > placed.epoch:
+		n.outcomes[key] = taskOutcome{machine.name, causeLost, n.now, machine.shardTerm(n)}
+	case job.Record.State != wire.JobLive || placed.stop != wire.StopNone || machine.reclaimAt > 0:
 		if gone {
-			n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
-		} else if direct && n.mayStartTooLate(j, viaAddr) {
-			h.ignoredReplies, h.leaseExpiring = maxIgnoredReplies, true
+			n.outcomes[key] = taskOutcome{machine.name, causeLost, n.now, machine.shardTerm(n)}
+		} else if direct && n.mayStartTooLate(job, viaAddr) {
+			machine.ignoredReplies, machine.leaseExpiring = maxIgnoredReplies, true
 		} else if direct && n.now-viaAddr.sentAt > 2*n.cfg.WorkerLease {
-			h.ignoredReplies = maxIgnoredReplies // it took a start and never showed it
+			machine.ignoredReplies = maxIgnoredReplies // it took a start and never showed it
 		}
-	case gone && sent && h.ignoredReplies >= maxIgnoredReplies-1:
+	case gone && sent && machine.ignoredReplies >= maxIgnoredReplies-1:
 		// It goes on reporting and does not do what it is told. The report is newer
 		// than the answer that ordered the start and lacks it; from here on it is not
 		// ordered again.
-		n.outcomes[k] = taskOutcome{h.name, causeLost, n.now, h.shardTerm(n)}
-	case n.delaysGangStart(j, n.activeTask(k, h.name)):
+		n.outcomes[key] = taskOutcome{machine.name, causeLost, n.now, machine.shardTerm(n)}
+	case n.delaysGangStart(job, n.activeTask(key, machine.name)):
 	default:
-		x.command(wire.CommandStart, wire.TaskName(j.ID, k.task), k.attempt, 0)
-		h.startSentAt[k] = x.heartbeat.Sequence
+		x.command(wire.CommandStart, wire.TaskName(job.ID, key.task), key.attempt, 0)
+		machine.startSentAt[key] = x.heartbeat.Sequence
 	}
 }
 
 // stopGrace decides whether a task on the machine has to stop, and with how
 // much time to save.
-func (n *Node) stopGrace(h *machine, j *job, a *wire.ActiveTask, t *wire.TaskStatus) (float64, bool) {
-	sp := j.Record.Spec
+func (n *Node) stopGrace(machine *machine, job *job, task *wire.ActiveTask, t *wire.TaskStatus) (float64, bool) {
+	spec := job.Record.Spec
 	switch {
-	case j.Record.State == wire.JobCancelled, a.Stop == wire.StopAbandon:
+	case job.Record.State == wire.JobCancelled, task.Stop == wire.StopAbandon:
 		return 0, true
-	case j.Record.State != wire.JobLive:
+	case job.Record.State != wire.JobLive:
 		return 0, false
 	case t.State == wire.TaskCheckpointing:
 		return 0, false
-	case a.Stop == wire.StopPreempt:
-		return sp.CheckpointTimeS + 5, true
-	case h.reclaimAt == 0:
+	case task.Stop == wire.StopPreempt:
+		return spec.CheckpointTimeS + 5, true
+	case machine.reclaimAt == 0:
 		return 0, false
 	}
-	left := (h.reclaimAt - n.now).Seconds()
+	left := (machine.reclaimAt - n.now).Seconds()
 	switch {
-	case sp.Shape == wire.ShapeGang && sp.TaskCount > 1:
+	case spec.Shape == wire.ShapeGang && spec.TaskCount > 1:
 		// All tasks have to be told, so the record says it.
-		n.gangsToStop[j.Index] = true
+		n.gangsToStop[job.Index] = true
 		return 0, false
-	case sp.Shape == wire.ShapeDaemon || sp.CheckpointIntervalS == 0:
+	case spec.Shape == wire.ShapeDaemon || spec.CheckpointIntervalS == 0:
 		return 0, left < 2.5*n.cfg.HeartbeatInterval.Seconds()
 	}
-	return max(sp.CheckpointTimeS+1, left-1), true
+	return max(spec.CheckpointTimeS+1, left-1), true
 }
 
 // delaysGangStart delays the start of a gang's tasks whose machines have the image
 // until those that fetch it are nearly there: a task waits for the others no
 // longer than gang_wait_s, which a fetch can exceed.
-func (n *Node) delaysGangStart(j *job, a *wire.ActiveTask) bool {
-	sp := j.Record.Spec
-	if sp.Shape != wire.ShapeGang || sp.TaskCount < 2 {
+func (n *Node) delaysGangStart(job *job, task *wire.ActiveTask) bool {
+	spec := job.Record.Spec
+	if spec.Shape != wire.ShapeGang || spec.TaskCount < 2 {
 		return false
 	}
 	// Images come at two thirds of the nominal rate at worst. A gang that is
 	// surely complete in time had better start with the last of them, not
 	// with the next report of a machine that was held back.
-	if r := n.typeAt(n.machineNamed(a.Machine).machineType); r != nil && r.FetchGBs > 0 &&
-		1.5*sp.ImageGB/r.FetchGBs < (n.cfg.GangWait-2*n.cfg.HeartbeatInterval).Seconds() {
+	if machineType := n.typeAt(n.machineNamed(task.Machine).machineType); machineType != nil && machineType.FetchGBs > 0 &&
+		1.5*spec.ImageGB/machineType.FetchGBs < (n.cfg.GangWait-2*n.cfg.HeartbeatInterval).Seconds() {
 		return false
 	}
-	if !n.machineNamed(a.Machine).images.Has(j.Image) {
+	if !n.machineNamed(task.Machine).images.Has(job.Image) {
 		return false
 	}
-	for i := range j.Record.ActiveTasks {
-		b := &j.Record.ActiveTasks[i]
-		if b.Attempt != a.Attempt || b.Machine == "" {
+	for i := range job.Record.ActiveTasks {
+		other := &job.Record.ActiveTasks[i]
+		if other.Attempt != task.Attempt || other.Machine == "" {
 			continue
 		}
-		hb := n.machineNamed(b.Machine)
-		if hb.images.Has(j.Image) || n.shards[b.Shard].Record == nil || !n.mayActAsOwner(n.shards[b.Shard]) {
+		hb := n.machineNamed(other.Machine)
+		if hb.images.Has(job.Image) || n.shards[other.Shard].Record == nil || !n.mayActAsOwner(n.shards[other.Shard]) {
 			continue
 		}
 		return true
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -24,11 +24,11 @@
 	const jobs = 100_000
 	before := heap()
 	for i := range jobs {
-		ref := fmt.Sprintf("wk-%06d", i)
-		spec := &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 3, Image: "img", MachineTypes: []string{"g2"}}
-		n.Step(second, RecordsChanged{Revision: uint64(2*i + 2), Events: []Event{{Key: wire.JobKey(ref), Revision: uint64(2*i + 2),
+		id := fmt.Sprintf("wk-%06d", i)
+		spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 3, Image: "img", MachineTypes: []string{"g2"}}
+		n.Step(second, RecordsChanged{Revision: uint64(2*i + 2), Events: []Event{{Key: wire.JobKey(id), Revision: uint64(2*i + 2),
 			Value: &wire.Job{Spec: spec, TaskCount: 3, NextAttempt: 4}}}})
-		n.Step(second, RecordsChanged{Revision: uint64(2*i + 3), Events: []Event{{Key: wire.JobKey(ref), Revision: uint64(2*i + 3),
+		n.Step(second, RecordsChanged{Revision: uint64(2*i + 3), Events: []Event{{Key: wire.JobKey(id), Revision: uint64(2*i + 3),
 			Value: &wire.Job{State: wire.JobDone, TaskCount: 3, NextAttempt: 4}}}})
 	}
 	each := (heap() - before) / jobs
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -35,9 +35,9 @@
 		listed[e.Key] = true
 	}
 	n.replica.DeleteUnlisted(listed, listing.Revision)
-	for _, p := range n.shards {
-		if p.Record != nil && !listed[wire.ShardKey(p.Name)] {
-			n.putShard(p, nil, listing.Revision)
+	for _, shard := range n.shards {
+		if shard.Record != nil && !listed[wire.ShardKey(shard.Name)] {
+			n.putShard(shard, nil, listing.Revision)
 		}
 	}
 	for key := range n.gangs {
@@ -53,8 +53,8 @@
 // assumeRecentOwners takes it that each shard was taken over from an owner that lives, as
 // what happened before a listing is not known.
 func (n *Node) assumeRecentOwners() {
-	for _, p := range n.shards {
-		p.PreviousOwnerUntil = n.now + n.cfg.OwnerValidity
+	for _, shard := range n.shards {
+		shard.PreviousOwnerUntil = n.now + n.cfg.OwnerValidity
 	}
 }
 
@@ -94,8 +94,8 @@
 	case *wire.Job:
 		n.replica.PutJob(e.Key[len(wire.JobPrefix):], v, e.Revision)
 	case *wire.Shard:
-		if p := n.shardWithKey(e.Key); p != nil {
-			n.putShard(p, v, e.Revision)
+		if shard := n.shardWithKey(e.Key); shard != nil {
+			n.putShard(shard, v, e.Revision)
 		}
 	case *wire.Leader:
 		n.putLeader(v, e.Revision)
@@ -124,8 +124,8 @@
 	case e.Key == wire.LeaderKey:
 		n.putLeader(nil, e.Revision)
 	case strings.HasPrefix(e.Key, wire.ShardPrefix):
-		if p := n.shardWithKey(e.Key); p != nil {
-			n.putShard(p, nil, e.Revision)
+		if shard := n.shardWithKey(e.Key); shard != nil {
+			n.putShard(shard, nil, e.Revision)
 		}
 	case strings.HasPrefix(e.Key, wire.GangPrefix):
 		delete(n.gangs, e.Key)
--- a/internal/core/replica_observer.go
+++ b/internal/core/replica_observer.go
@@ -29,20 +29,20 @@
 
 // JobChanging takes the job's tasks off their machines, and the change into the statistics.
 func (o *replicaObserver) JobChanging(changing *replica.Job, next *wire.Job) {
-	n, j := o.node, o.node.jobs[changing.Index]
-	n.countJobChange(j, next)
-	if j.Record != nil {
-		n.unindexPlacements(j)
+	n, job := o.node, o.node.jobs[changing.Index]
+	n.countJobChange(job, next)
+	if job.Record != nil {
+		n.unindexPlacements(job)
 	}
-	j.pendingKnown, j.pending = false, nil
+	job.pendingKnown, job.pending = false, nil
 }
 
 // JobChanged puts the job's tasks on their machines.
 func (o *replicaObserver) JobChanged(changed *replica.Job) {
-	n, j := o.node, o.node.jobs[changed.Index]
-	n.noteClosed(j)
-	n.noteErrors(j)
-	n.indexPlacements(j)
+	n, job := o.node, o.node.jobs[changed.Index]
+	n.noteClosed(job)
+	n.noteErrors(job)
+	n.indexPlacements(job)
 }
 
 // JobReady lets the leader look for work soon.
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -6,11 +6,11 @@
 
 // scaleIn picks machines that stood idle, are unhealthy or are lost, and gives
 // them back once their owner has let go of them.
-func (n *Node) scaleIn(p *schedulingPass, idle map[*slot]bool) {
-	n.drainIdle(p, idle)
+func (n *Node) scaleIn(pass *schedulingPass, idle map[*slot]bool) {
+	n.drainIdle(pass, idle)
 	n.drainUnhealthy()
-	c := &n.leader.autoscaler
-	if c.deprovisioning || n.now < c.deprovisionAt || n.cloudCallTime() == 0 {
+	scaler := &n.leader.autoscaler
+	if scaler.deprovisioning || n.now < scaler.deprovisionAt || n.cloudCallTime() == 0 {
 		return
 	}
 	if give := n.drainedMachines(); len(give) > 0 {
@@ -19,30 +19,30 @@
 }
 
 // drainIdle marks machines that have stood idle for long enough.
-func (n *Node) drainIdle(p *schedulingPass, idle map[*slot]bool) {
-	c := &n.leader.autoscaler
+func (n *Node) drainIdle(pass *schedulingPass, idle map[*slot]bool) {
+	scaler := &n.leader.autoscaler
 	spares := map[machinePool]int{}
-	for _, s := range p.available.all {
-		name := s.machine.name
-		if !idle[s] || !s.isIdle() || s.reserved {
-			delete(c.idleSince, name)
+	for _, slot := range pass.available.all {
+		name := slot.machine.name
+		if !idle[slot] || !slot.isIdle() || slot.reserved {
+			delete(scaler.idleSince, name)
 			continue
 		}
-		if _, seen := c.idleSince[name]; !seen {
-			c.idleSince[name] = n.now
+		if _, seen := scaler.idleSince[name]; !seen {
+			scaler.idleSince[name] = n.now
 		}
 		patience := n.cfg.IdleTimeout
-		if s.errors > 0 {
+		if slot.errors > 0 {
 			// It failed a job and nothing has succeeded since: no spare.
 			patience = min(faultyIdleTimeout, patience)
 		} else {
-			x := s.pool()
-			if spares[x]++; spares[x] <= n.cfg.SpareMachines {
+			pool := slot.pool()
+			if spares[pool]++; spares[pool] <= n.cfg.SpareMachines {
 				continue
 			}
 		}
-		if n.now-c.idleSince[name] > patience {
-			c.draining[name] = true
+		if n.now-scaler.idleSince[name] > patience {
+			scaler.draining[name] = true
 		}
 	}
 }
@@ -53,16 +53,16 @@
 // drainUnhealthy marks machines that are lost, or unhealthy and empty, and keeps those on which
 // their owners have placed something meanwhile.
 func (n *Node) drainUnhealthy() {
-	c := &n.leader.autoscaler
-	for _, y := range n.shards {
-		for _, h := range y.machines {
-			if h.returned || !h.view.known {
+	scaler := &n.leader.autoscaler
+	for _, shard := range n.shards {
+		for _, machine := range shard.machines {
+			if machine.returned || !machine.view.known {
 				continue
 			}
-			if h.view.unreachable || h.view.unhealthy && len(h.placements) == 0 {
-				c.draining[h.name] = true
-			} else if len(h.placements) > 0 && !h.draining {
-				delete(c.draining, h.name)
+			if machine.view.unreachable || machine.view.unhealthy && len(machine.placements) == 0 {
+				scaler.draining[machine.name] = true
+			} else if len(machine.placements) > 0 && !machine.draining {
+				delete(scaler.draining, machine.name)
 			}
 		}
 	}
@@ -71,15 +71,15 @@
 // drainedMachines lists machines that may go back now, as many as a call takes: their
 // owners have let go of them, or nobody has heard of them.
 func (n *Node) drainedMachines() (give []string) {
-	c := &n.leader.autoscaler
-	for name := range c.draining {
+	scaler := &n.leader.autoscaler
+	for name := range scaler.draining {
 		if index := n.names.Machines.Find(name); index >= 0 {
-			h := n.machines[index]
-			if h.returned {
-				delete(c.draining, name)
+			machine := n.machines[index]
+			if machine.returned {
+				delete(scaler.draining, name)
 				continue
 			}
-			if h.view.known && !h.view.unreachable && !(h.draining && len(h.placements) == 0) {
+			if machine.view.known && !machine.view.unreachable && !(machine.draining && len(machine.placements) == 0) {
 				continue
 			}
 		}
@@ -94,11 +94,11 @@
 
 // deprovision gives machines back to the cloud.
 func (n *Node) deprovision(give []string) {
-	c := &n.leader.autoscaler
-	c.deprovisioning = true
+	scaler := &n.leader.autoscaler
+	scaler.deprovisioning = true
 	tenure := n.leader.tenure
-	n.cloudCall(CallCloud{Deprovision: give}, func(r CloudAnswered) {
-		if r.Outcome == OK {
+	n.cloudCall(CallCloud{Deprovision: give}, func(result CloudAnswered) {
+		if result.Outcome == OK {
 			for _, name := range give {
 				n.machineNamed(name).returned = true
 			}
@@ -106,15 +106,15 @@
 		if n.leader.tenure != tenure {
 			return
 		}
-		c.deprovisioning = false
-		if r.Outcome != OK {
-			c.deprovisionAt = n.now + 2*second
+		scaler.deprovisioning = false
+		if result.Outcome != OK {
+			scaler.deprovisionAt = n.now + 2*second
 			return
 		}
 		for _, name := range give {
-			delete(c.draining, name)
-			delete(c.booting, name)
-			delete(c.unreportedSince, name)
+			delete(scaler.draining, name)
+			delete(scaler.booting, name)
+			delete(scaler.unreportedSince, name)
 			n.leader.returned = append(n.leader.returned, returnedMachine{name, n.now})
 		}
 		n.log(LogInfo, "machines deprovisioned", "machines", give)
@@ -123,9 +123,9 @@
 }
 
 // drainList names the machines that owners are to empty for return.
-func (l *leaderState) drainList(n *Node) []string {
+func (leader *leaderState) drainList(n *Node) []string {
 	var out []string
-	for name := range l.autoscaler.draining {
+	for name := range leader.autoscaler.draining {
 		out = append(out, name)
 	}
 	sort.Strings(out)
--- a/internal/core/scheduling_pass.go
+++ b/internal/core/scheduling_pass.go
@@ -10,9 +10,9 @@
 // usage is what a team's tasks take.
 type usage struct{ cores, cards float64 }
 
-func (u *usage) add(sp *wire.JobSpec, k float64) {
-	u.cores += sp.Cores * k
-	u.cards += sp.GPUs * k
+func (u *usage) add(spec *wire.JobSpec, k float64) {
+	u.cores += spec.Cores * k
+	u.cards += spec.GPUs * k
 }
 
 // schedulingPass holds the state of one planning pass.
@@ -39,79 +39,79 @@
 // runSchedulingPass grants waiting tasks to shards, in the order of the queue, and works
 // out what to provision, stop and return. It tells how many jobs were left for want
 // of puts.
-func (n *Node) runSchedulingPass(w *writer) int {
-	p := n.newSchedulingPass(w)
-	p.addMachines()
-	p.chargeTeams()
-	p.chargeGrants()
-	n.addExpected(p)
-	idle := p.idleSlots()
-	queues, backfill := p.splitBackfill(n.queues())
-	left := p.serveQueues(queues)
-	if !slices.Equal(p.reservations, n.leader.reservations) {
-		n.leader.reservations = p.reservations
+func (n *Node) runSchedulingPass(writer *writer) int {
+	pass := n.newSchedulingPass(writer)
+	pass.addMachines()
+	pass.chargeTeams()
+	pass.chargeGrants()
+	n.addExpected(pass)
+	idle := pass.idleSlots()
+	queues, backfill := pass.splitBackfill(n.queues())
+	left := pass.serveQueues(queues)
+	if !slices.Equal(pass.reservations, n.leader.reservations) {
+		n.leader.reservations = pass.reservations
 		n.sendGossip(true)
 	}
-	p.planNextStages()
-	p.planReserve()
+	pass.planNextStages()
+	pass.planReserve()
 	// Backfill must not claim the writes that others need.
-	left += (p.serveQueues(backfill) - left) / backfillShare
-	p.distributeShares()
-	p.logUtilization(idle)
-	n.scale(p, idle)
+	left += (pass.serveQueues(backfill) - left) / backfillShare
+	pass.distributeShares()
+	pass.logUtilization(idle)
+	n.scale(pass, idle)
 	return left
 }
 
 // newSchedulingPass begins a planning pass with nothing known.
-func (n *Node) newSchedulingPass(w *writer) *schedulingPass {
+func (n *Node) newSchedulingPass(writer *writer) *schedulingPass {
 	return &schedulingPass{
-		node: n, writer: w, available: newSlotSet(n), expected: newSlotSet(n),
+		node: n, writer: writer, available: newSlotSet(n), expected: newSlotSet(n),
 		used: make([]usage, n.names.Teams.Len()), added: make([]quota.Amount, n.names.Teams.Len()), atLimit: make([]bool, n.names.Teams.Len()), provisions: map[machinePool]int{}, poolSizes: map[machinePool]int{},
 	}
 }
 
 // addMachines takes in the machines that tasks may be granted to.
-func (p *schedulingPass) addMachines() {
-	for _, x := range p.node.shards {
-		for _, h := range x.machines {
-			p.node.workCount++
-			if s := p.node.grantableSlot(h); s != nil {
-				p.available.add(s)
-				p.poolSizes[s.pool()]++
+func (pass *schedulingPass) addMachines() {
+	for _, shard := range pass.node.shards {
+		for _, machine := range shard.machines {
+			pass.node.workCount++
+			if slot := pass.node.grantableSlot(machine); slot != nil {
+				pass.available.add(slot)
+				pass.poolSizes[slot.pool()]++
 			}
 		}
 	}
 }
 
 // chargeTeams takes what every team is charged: each active task, whatever its job's state.
-func (p *schedulingPass) chargeTeams() {
-	for team := range p.used {
-		p.used[team].cores, p.used[team].cards = p.node.replica.Ledger().Used(team).Decimal()
+func (pass *schedulingPass) chargeTeams() {
+	for team := range pass.used {
+		pass.used[team].cores, pass.used[team].cards = pass.node.replica.Ledger().Used(team).Decimal()
 	}
 }
 
 // charge counts tasks of a job against its team for the rest of the pass.
-func (p *schedulingPass) charge(j *job, tasks int) {
-	p.used[j.Team].add(j.Record.Spec, float64(tasks))
-	p.added[j.Team] = p.added[j.Team].Plus(j.Demand(tasks))
+func (pass *schedulingPass) charge(job *job, tasks int) {
+	pass.used[job.Team].add(job.Record.Spec, float64(tasks))
+	pass.added[job.Team] = pass.added[job.Team].Plus(job.Demand(tasks))
 }
 
 // logUtilization logs how much of the site is in use, for debugging.
-func (p *schedulingPass) logUtilization(idle map[*slot]bool) {
-	n := p.node
+func (pass *schedulingPass) logUtilization(idle map[*slot]bool) {
+	n := pass.node
 	idleSpot, spot, half := 0, 0, 0
-	for _, s := range p.available.all {
+	for _, slot := range pass.available.all {
 		switch {
-		case s.spot && idle[s]:
+		case slot.spot && idle[slot]:
 			idleSpot++
-		case !idle[s] && s.gpus >= 1:
+		case !idle[slot] && slot.gpus >= 1:
 			half++
 		}
-		if s.spot {
+		if slot.spot {
 			spot++
 		}
 	}
-	n.log(LogDebug, "utilization", "machines", len(p.available.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", half, "expected", len(p.expected.all), "provisioning_requests", len(n.leader.autoscaler.provisions), "unplaced_tasks", p.unplacedTasks)
+	n.log(LogDebug, "utilization", "machines", len(pass.available.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", half, "expected", len(pass.expected.all), "provisioning_requests", len(n.leader.autoscaler.provisions), "unplaced_tasks", pass.unplacedTasks)
 }
 
 // backfillShare is how many grants of backfill without a write left count as one pending
@@ -119,30 +119,30 @@
 const backfillShare = 3
 
 // chargeGrants takes room for grants that their owners have not placed yet.
-func (p *schedulingPass) chargeGrants() {
-	n := p.node
+func (pass *schedulingPass) chargeGrants() {
+	n := pass.node
 	var byHost map[*machine]*slot
-	for _, jx := range n.replica.Live() {
-		j := n.jobs[jx]
-		if j.Record.Spec == nil || j.Unplaced == 0 {
+	for _, index := range n.replica.Live() {
+		job := n.jobs[index]
+		if job.Record.Spec == nil || job.Unplaced == 0 {
 			continue
 		}
 		if byHost == nil {
-			byHost = make(map[*machine]*slot, len(p.available.all))
-			for _, s := range p.available.all {
+			byHost = make(map[*machine]*slot, len(pass.available.all))
+			for _, s := range pass.available.all {
 				byHost[s.machine] = s
 			}
 		}
-		for _, a := range j.Record.ActiveTasks {
-			if a.Machine != "" {
+		for _, task := range job.Record.ActiveTasks {
+			if task.Machine != "" {
 				continue
 			}
-			s := byHost[n.leader.grantHints[taskKey{j.Index, a.Task, a.Attempt}]]
+			s := byHost[n.leader.grantHints[taskKey{job.Index, task.Task, task.Attempt}]]
 			if s == nil {
-				s = p.available.best(j, func(s *slot) bool { return s.shard == a.Shard }, nil)
+				s = pass.available.best(job, func(s *slot) bool { return s.shard == task.Shard }, nil)
 			}
 			if s != nil {
-				s.take(j.Record.Spec)
+				s.take(job.Record.Spec)
 			}
 		}
 	}
@@ -151,9 +151,9 @@
 // forgetHints drops the machines that placed grants had in mind, so that the memory is
 // bounded by the grants that wait rather than by a number.
 func (n *Node) forgetHints() {
-	for k := range n.leader.grantHints {
-		if j := n.jobs[k.job]; !j.awaitsPlacement(k) && n.now-j.grantedAt > grantHintTime {
-			delete(n.leader.grantHints, k)
+	for key := range n.leader.grantHints {
+		if job := n.jobs[key.job]; !job.awaitsPlacement(key) && n.now-job.grantedAt > grantHintTime {
+			delete(n.leader.grantHints, key)
 		}
 	}
 }
@@ -170,31 +170,31 @@
 // grantableSlot is a machine that tasks may be granted to. Its owner's word is
 // used as long as it lasts; when the owner can be reached through the state
 // service only, what it said last has to do.
-func (n *Node) grantableSlot(h *machine) *slot {
-	v := &h.view
-	if h.returned || !v.known || v.reclaimed || v.unhealthy || v.unreachable || h.draining || v.unconfirmed && n.now-h.unconfirmedSince > unconfirmedTime {
+func (n *Node) grantableSlot(machine *machine) *slot {
+	v := &machine.view
+	if machine.returned || !v.known || v.reclaimed || v.unhealthy || v.unreachable || machine.draining || v.unconfirmed && n.now-machine.unconfirmedSince > unconfirmedTime {
 		return nil
 	}
-	p := n.shards[h.shard]
-	if p.Record == nil {
+	shard := n.shards[machine.shard]
+	if shard.Record == nil {
 		return nil
 	}
-	if owner := n.peers[p.Record.Owner]; p.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.heardAt > 5*second) {
-		if owner != nil && n.now-owner.heardAt > 3*n.cfg.WorkerLease || n.now-p.ChangedAt > 3*n.cfg.WorkerLease && h.viewTerm != p.Term {
+	if owner := n.peers[shard.Record.Owner]; shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.heardAt > 5*second) {
+		if owner != nil && n.now-owner.heardAt > 3*n.cfg.WorkerLease || n.now-shard.ChangedAt > 3*n.cfg.WorkerLease && machine.viewTerm != shard.Term {
 			return nil
 		}
-	} else if v.missedHeartbeats > 1 || h.viewTerm != p.Term && n.now-p.ChangedAt > 4*n.cfg.HeartbeatInterval {
+	} else if v.missedHeartbeats > 1 || machine.viewTerm != shard.Term && n.now-shard.ChangedAt > 4*n.cfg.HeartbeatInterval {
 		return nil
 	}
-	if n.leader.autoscaler.draining[h.name] {
+	if n.leader.autoscaler.draining[machine.name] {
 		return nil
 	}
-	return n.slotOf(h)
+	return n.slotOf(machine)
 }
 
-func (p *schedulingPass) idleSlots() map[*slot]bool {
+func (pass *schedulingPass) idleSlots() map[*slot]bool {
 	idle := map[*slot]bool{}
-	for _, s := range p.available.all {
+	for _, s := range pass.available.all {
 		if len(s.machine.placements) == 0 && s.isIdle() {
 			idle[s] = true
 		}
@@ -203,55 +203,55 @@
 }
 
 // grant writes tasks of a job to shards, as one attempt.
-func (p *schedulingPass) grant(j *job, tasks []int, slots []*slot) bool {
-	n := p.node
-	rec := p.writer.job(j)
-	if rec == nil {
-		p.ungranted = min(p.ungranted+1, 50)
+func (pass *schedulingPass) grant(job *job, tasks []int, slots []*slot) bool {
+	n := pass.node
+	record := pass.writer.job(job)
+	if record == nil {
+		pass.ungranted = min(pass.ungranted+1, 50)
 		return false
 	}
-	was := rec.NextAttempt
-	attempt := p.writer.attempt(j, rec)
+	was := record.NextAttempt
+	attempt := pass.writer.attempt(job, record)
 	parts := map[int]bool{}
 	own := true
-	for _, s := range slots {
-		parts[s.shard] = true
-		own = own && n.mayAssignMachine(s)
+	for _, slot := range slots {
+		parts[slot.shard] = true
+		own = own && n.mayAssignMachine(slot)
 	}
-	own = own && (len(parts) == 1 || rec.Spec.Shape != wire.ShapeGang)
+	own = own && (len(parts) == 1 || record.Spec.Shape != wire.ShapeGang)
 	for i, t := range tasks {
-		s := slots[i]
-		a := wire.ActiveTask{Task: t, Attempt: attempt, Shard: s.shard, Admitted: p.admission != nil}
+		slot := slots[i]
+		task := wire.ActiveTask{Task: t, Attempt: attempt, Shard: slot.shard, Admitted: pass.admission != nil}
 		if own {
-			a.Machine, a.Epoch = s.machine.name, s.machine.epoch
-			p.writer.shards[s.shard] = true
-			if p.admission == nil {
-				n.leader.pendingPlacements = append(n.leader.pendingPlacements, pendingPlacement{s.machine, rec.Spec})
+			task.Machine, task.Epoch = slot.machine.name, slot.machine.epoch
+			pass.writer.shards[slot.shard] = true
+			if pass.admission == nil {
+				n.leader.pendingPlacements = append(n.leader.pendingPlacements, pendingPlacement{slot.machine, record.Spec})
 			}
 		} else {
-			n.leader.grantHints[taskKey{j.Index, t, attempt}] = s.machine
+			n.leader.grantHints[taskKey{job.Index, t, attempt}] = slot.machine
 		}
-		rec.ActiveTasks = append(rec.ActiveTasks, a)
+		record.ActiveTasks = append(record.ActiveTasks, task)
 	}
-	if len(parts) > 1 && rec.Spec.Shape == wire.ShapeGang {
+	if len(parts) > 1 && record.Spec.Shape == wire.ShapeGang {
 		g := &wire.Gang{Attempt: attempt}
-		for ix := range n.shards {
-			if parts[ix] {
-				g.Shards = append(g.Shards, ix)
+		for index := range n.shards {
+			if parts[index] {
+				g.Shards = append(g.Shards, index)
 			}
 		}
-		key := wire.GangKey(j.ID, attempt)
-		if !p.writer.addWrite(Write{Key: key, Value: g}, Condition{Key: key, Revision: 0}) {
-			rec.ActiveTasks, rec.NextAttempt = rec.ActiveTasks[:len(rec.ActiveTasks)-len(tasks)], was
-			delete(p.writer.attempts, j.Index)
-			p.ungranted = min(p.ungranted+1, 50)
+		key := wire.GangKey(job.ID, attempt)
+		if !pass.writer.addWrite(Write{Key: key, Value: g}, Condition{Key: key, Revision: 0}) {
+			record.ActiveTasks, record.NextAttempt = record.ActiveTasks[:len(record.ActiveTasks)-len(tasks)], was
+			delete(pass.writer.attempts, job.Index)
+			pass.ungranted = min(pass.ungranted+1, 50)
 			return false
 		}
 	}
-	p.charge(j, len(tasks))
-	p.addAccountCondition(j, slots)
-	j.grantedAt = n.now
-	n.log(LogDebug, "tasks granted", "job", j.ID, "attempt", attempt, "tasks", len(tasks), "shard", n.shards[slots[0].shard].Name)
+	pass.charge(job, len(tasks))
+	pass.addAccountCondition(job, slots)
+	job.grantedAt = n.now
+	n.log(LogDebug, "tasks granted", "job", job.ID, "attempt", attempt, "tasks", len(tasks), "shard", n.shards[slots[0].shard].Name)
 	return true
 }
 
@@ -259,24 +259,24 @@
 // owns the shard as well: one put does for both. The commit then rests on both
 // keys. While our own owner's batch is under way, what that places is not known
 // here yet.
-func (n *Node) mayAssignMachine(s *slot) bool {
-	return s.machine != nil && n.mayActAsOwner(n.shards[s.shard]) && !n.batch.active && n.acceptsTasks(s.machine)
+func (n *Node) mayAssignMachine(slot *slot) bool {
+	return slot.machine != nil && n.mayActAsOwner(n.shards[slot.shard]) && !n.batch.active && n.acceptsTasks(slot.machine)
 }
 
 // withinLimit tells whether a team's limit leaves the leader room for more tasks.
-func (p *schedulingPass) withinLimit(j *job, tasks int) bool {
-	return j.Team >= 0 && p.node.replica.Ledger().MayGrant(j.Team, p.added[j.Team].Plus(j.Demand(tasks)), p.node.replica.Revision())
+func (pass *schedulingPass) withinLimit(job *job, tasks int) bool {
+	return job.Team >= 0 && pass.node.replica.Ledger().MayGrant(job.Team, pass.added[job.Team].Plus(job.Demand(tasks)), pass.node.replica.Revision())
 }
 
 // hasQuota tells whether the limit has room for tasks that wait, and notes where it has not.
-func (p *schedulingPass) hasQuota(j *job, tasks int) bool {
-	if p.withinLimit(j, tasks) {
+func (pass *schedulingPass) hasQuota(job *job, tasks int) bool {
+	if pass.withinLimit(job, tasks) {
 		return true
 	}
-	if j.Team < 0 {
+	if job.Team < 0 {
 		return false
 	}
 	// A job that the limit has no room for at all is not worth gathering shares for.
-	p.atLimit[j.Team] = p.atLimit[j.Team] || p.node.replica.Ledger().Fits(j.Team, j.Demand(tasks))
+	pass.atLimit[job.Team] = pass.atLimit[job.Team] || pass.node.replica.Ledger().Fits(job.Team, job.Demand(tasks))
 	return false
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -63,11 +63,11 @@
 // makeShards splits the machines of each zone among its controllers.
 func (n *Node) makeShards() {
 	n.zoneShards = make([]shardRange, n.names.Zones.Len())
-	for ix, id := range Shards(n.cfg.Zones, n.cfg.Members) {
+	for index, id := range Shards(n.cfg.Zones, n.cfg.Members) {
 		zone := n.names.Zones.Find(id.Zone)
-		n.shards = append(n.shards, &shard{Index: ix, Name: id.Name(), Zone: zone, HomeController: id.Home})
+		n.shards = append(n.shards, &shard{Index: index, Name: id.Name(), Zone: zone, HomeController: id.Home})
 		if n.zoneShards[zone].count == 0 {
-			n.zoneShards[zone].first = ix
+			n.zoneShards[zone].first = index
 		}
 		n.zoneShards[zone].count++
 	}
@@ -92,40 +92,40 @@
 }
 
 func (n *Node) shardWithKey(key string) *shard {
-	for _, p := range n.shards {
-		if wire.ShardKey(p.Name) == key {
-			return p
+	for _, shard := range n.shards {
+		if wire.ShardKey(shard.Name) == key {
+			return shard
 		}
 	}
 	return nil
 }
 
-func (n *Node) putShard(p *shard, rec *wire.Shard, rev uint64) {
-	if rev <= p.Term {
+func (n *Node) putShard(shard *shard, rec *wire.Shard, rev uint64) {
+	if rev <= shard.Term {
 		return
 	}
-	was := p.Record
-	p.Record, p.Term, p.ClaimableSince, p.ChangedAt = rec, rev, n.now, n.now
+	was := shard.Record
+	shard.Record, shard.Term, shard.ClaimableSince, shard.ChangedAt = rec, rev, n.now, n.now
 	if was != nil && rec != nil && was.Owner != rec.Owner {
 		// Taken over while it lived: it may answer until its validity has run out,
 		// whoever takes the shard next, and when. It once was forgotten by an owner
 		// that took a shard, ended, and came back.
-		p.PreviousOwnerUntil = n.now + n.cfg.OwnerValidity
+		shard.PreviousOwnerUntil = n.now + n.cfg.OwnerValidity
 	}
-	p.proven, p.validFrom = false, 0
+	shard.proven, shard.validFrom = false, 0
 	// What machines did under the last owner says nothing about this one.
 	// Kept, it made two peers take the shard from each other in turns.
-	p.forgetBounces()
-	n.discardOutcomes(p)
+	shard.forgetBounces()
+	n.discardOutcomes(shard)
 	if rec != nil && rec.Owner == n.cfg.Self && rec.Incarnation == n.cfg.Incarnation {
 		// An owner whose key went with its lease had stopped before, and an
 		// earlier incarnation of ours is dead; but who was taken over lately may still
 		// answer.
-		p.OwnedSince = max(n.now, p.PreviousOwnerUntil)
+		shard.OwnedSince = max(n.now, shard.PreviousOwnerUntil)
 		n.ownershipCheckAt = 0
-		n.log(LogInfo, "shard claimed", "shard", p.Name, "term", rev)
+		n.log(LogInfo, "shard claimed", "shard", shard.Name, "term", rev)
 	} else if was != nil && was.Owner == n.cfg.Self && was.Incarnation == n.cfg.Incarnation {
-		n.log(LogInfo, "shard lost", "shard", p.Name)
+		n.log(LogInfo, "shard lost", "shard", shard.Name)
 	}
 }
 
@@ -133,28 +133,28 @@
 // that has ended and could not be written in it. Another owner may have served
 // the machines since; applied in a later term, it would put tasks on a second
 // machine that have run on all the while.
-func (n *Node) discardOutcomes(p *shard) {
-	for k, res := range n.outcomes {
-		if a := n.activeTask(k, res.machine); a == nil || a.Shard == p.Index {
-			delete(n.outcomes, k)
+func (n *Node) discardOutcomes(shard *shard) {
+	for key, outcome := range n.outcomes {
+		if task := n.activeTask(key, outcome.machine); task == nil || task.Shard == shard.Index {
+			delete(n.outcomes, key)
 		}
 	}
 }
 
-func (p *shard) forgetBounces() {
-	for _, h := range p.machines {
-		h.redirectedAt, h.bouncedAt = 0, 0
+func (shard *shard) forgetBounces() {
+	for _, machine := range shard.machines {
+		machine.redirectedAt, machine.bouncedAt = 0, 0
 	}
 }
 
 // owns tells whether the replica says that the shard is ours.
-func (n *Node) owns(p *shard) bool {
-	return p.Record != nil && p.Record.Owner == n.cfg.Self && p.Record.Incarnation == n.cfg.Incarnation
+func (n *Node) owns(shard *shard) bool {
+	return shard.Record != nil && shard.Record.Owner == n.cfg.Self && shard.Record.Incarnation == n.cfg.Incarnation
 }
 
 // mayActAsOwner tells whether we may act as the owner now.
-func (n *Node) mayActAsOwner(p *shard) bool {
-	return n.owns(p) && p.proven && n.now < p.validFrom+n.cfg.OwnerValidity
+func (n *Node) mayActAsOwner(shard *shard) bool {
+	return n.owns(shard) && shard.proven && n.now < shard.validFrom+n.cfg.OwnerValidity
 }
 
 // claimShards takes shards that nobody holds, and those whose owner can't serve
@@ -163,24 +163,24 @@
 	if n.shardLease.ID == 0 || n.now-n.shardLease.SentAt > n.shardLease.TTL/2 {
 		return
 	}
-	for _, p := range n.shards {
-		if n.owns(p) || n.now < p.claimAt() || n.now < p.claimCheckedAt+200*time.Millisecond {
+	for _, shard := range n.shards {
+		if n.owns(shard) || n.now < shard.claimAt() || n.now < shard.claimCheckedAt+200*time.Millisecond {
 			continue
 		}
-		p.claimCheckedAt = n.now
-		if !n.mayClaim(p) {
+		shard.claimCheckedAt = n.now
+		if !n.mayClaim(shard) {
 			continue
 		}
-		p.ClaimableSince = max(p.ClaimableSince, n.now) // wait before the next try
-		rev := p.Term
-		if p.Record == nil {
+		shard.ClaimableSince = max(shard.ClaimableSince, n.now) // wait before the next try
+		rev := shard.Term
+		if shard.Record == nil {
 			rev = 0
 		}
-		key := wire.ShardKey(p.Name)
+		key := wire.ShardKey(shard.Name)
 		claim := []Write{{Key: key, Value: &wire.Shard{Owner: n.cfg.Self, Incarnation: n.cfg.Incarnation}, LeaseID: n.shardLease.ID}}
 		n.commit(ClassLease, []Condition{{Key: key, Revision: rev}}, append(claim, n.replica.SupportedFormatWrites()...),
-			func(c Committed) {
-				if c.Outcome == LeaseExpired {
+			func(result Committed) {
+				if result.Outcome == LeaseExpired {
 					n.shardLease.ID, n.shardLease.RenewAt = 0, n.now
 				}
 			})
@@ -188,20 +188,20 @@
 }
 
 // claimAt spaces claims of one shard.
-func (p *shard) claimAt() Time { return p.ClaimableSince + 300*time.Millisecond }
+func (shard *shard) claimAt() Time { return shard.ClaimableSince + 300*time.Millisecond }
 
-func (n *Node) mayClaim(p *shard) bool {
-	waited := n.now - p.ClaimableSince
-	if p.Record == nil {
+func (n *Node) mayClaim(shard *shard) bool {
+	waited := n.now - shard.ClaimableSince
+	if shard.Record == nil {
 		switch {
-		case p.HomeController == n.cfg.Self:
+		case shard.HomeController == n.cfg.Self:
 			return true
-		case n.names.Zones.Name(p.Zone) == n.cfg.Zone:
+		case n.names.Zones.Name(shard.Zone) == n.cfg.Zone:
 			return waited > 2*second
 		}
 		return waited > 4*second+Time(n.rank())*second
 	}
-	if p.Record.Owner == n.cfg.Self {
+	if shard.Record.Owner == n.cfg.Self {
 		return true // an earlier incarnation of ours
 	}
 	// Its workers come here although we send them to their owner. A single
@@ -209,41 +209,41 @@
 	// about the owner.
 	var first Time
 	bounced, known := 0, 0
-	for _, h := range p.machines {
-		if h.returned || h.view.unreachable {
+	for _, machine := range shard.machines {
+		if machine.returned || machine.view.unreachable {
 			continue
 		}
-		if h.view.known && h.view.missedHeartbeats < 2 {
+		if machine.view.known && machine.view.missedHeartbeats < 2 {
 			known++
 		}
-		if h.bouncedAt > 0 && n.now-h.bouncedAt < 12*second {
+		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < 12*second {
 			bounced++
-			if first == 0 || h.bouncingSince < first {
-				first = h.bouncingSince
+			if first == 0 || machine.bouncingSince < first {
+				first = machine.bouncingSince
 			}
 		}
 	}
 	need := max(1, min(known, max(2, min(known/8, 12))))
-	owner := n.peers[p.Record.Owner]
+	owner := n.peers[shard.Record.Owner]
 	deaf := owner == nil || n.now-owner.heardAt > 5*second
 	refused := owner != nil && !deaf && !owner.message.StoreOK
 	wait := 0 * second
-	if n.names.Zones.Name(p.Zone) != n.cfg.Zone {
+	if n.names.Zones.Name(shard.Zone) != n.cfg.Zone {
 		wait = 4 * second
 	}
 	switch {
 	case bounced >= need && n.now-first > 2*second+wait && waited > 10*second:
-		n.log(LogInfo, "taking over shard", "reason", "workers cannot reach the owner", "shard", p.Name, "owner", p.Record.Owner)
+		n.log(LogInfo, "taking over shard", "reason", "workers cannot reach the owner", "shard", shard.Name, "owner", shard.Record.Owner)
 		return true
 	case deaf && bounced >= 1 && waited > 5*second+wait:
-		n.log(LogInfo, "taking over shard", "reason", "owner is silent", "shard", p.Name, "owner", p.Record.Owner)
+		n.log(LogInfo, "taking over shard", "reason", "owner is silent", "shard", shard.Name, "owner", shard.Record.Owner)
 		return true
-	case refused && n.storeOK && n.now-n.storeAnsweredAt < 2*second && n.peerRefusedFor(p.Record.Owner) > 4*second+wait:
-		n.log(LogInfo, "taking over shard", "reason", "state service refuses the owner", "shard", p.Name, "owner", p.Record.Owner)
+	case refused && n.storeOK && n.now-n.storeAnsweredAt < 2*second && n.peerRefusedFor(shard.Record.Owner) > 4*second+wait:
+		n.log(LogInfo, "taking over shard", "reason", "state service refuses the owner", "shard", shard.Name, "owner", shard.Record.Owner)
 		return true
 	}
 	// The home controller is back and well: it stands beside the workers.
-	home := p.HomeController == n.cfg.Self && waited > 60*second && n.storeOK
+	home := shard.HomeController == n.cfg.Self && waited > 60*second && n.storeOK
 	return home && owner != nil && !deaf
 }
 
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -66,16 +66,16 @@
 		{"a peer took it and its claim went", []*wire.Shard{claim("n1", "a"), claim("n2", "b"), nil}, 1*second + validity},
 	} {
 		n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, OwnerValidity: validity})
-		p := n.shards[0]
+		shard := n.shards[0]
 		n.replica.Reached(0, true)
 		rev := uint64(1)
 		for _, rec := range append(c.steps, claim("n0", "x")) {
-			n.putShard(p, rec, rev)
+			n.putShard(shard, rec, rev)
 			rev++
 			n.now += second
 		}
-		if p.OwnedSince != c.bound {
-			t.Errorf("%s: bound %v, not %v", c.name, p.OwnedSince, c.bound)
+		if shard.OwnedSince != c.bound {
+			t.Errorf("%s: bound %v, not %v", c.name, shard.OwnedSince, c.bound)
 		}
 	}
 	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
--- a/internal/core/share_distribution.go
+++ b/internal/core/share_distribution.go
@@ -26,24 +26,24 @@
 
 // distributeShares writes the account of a team whose shares should be other ones, at most one
 // in a commit. It comes last, so that it takes no write that a grant needs.
-func (p *schedulingPass) distributeShares() {
-	n := p.node
+func (pass *schedulingPass) distributeShares() {
+	n := pass.node
 	if !n.replica.WritesTeamAccounts() {
 		return
 	}
 	for team := range n.cfg.Teams {
-		if n.now-n.leader.sharesDistributedAt[team] < p.shareIntervalFor(team) {
+		if n.now-n.leader.sharesDistributedAt[team] < pass.shareIntervalFor(team) {
 			continue
 		}
-		account, reason := n.replica.Ledger().Distribute(team, p.shareDemand(team))
+		account, reason := n.replica.Ledger().Distribute(team, pass.shareDemand(team))
 		if reason == quota.Unchanged || !n.valueFits(account) {
 			continue
 		}
-		if p.ungranted > 0 && reason != quota.Reclaimed {
+		if pass.ungranted > 0 && reason != quota.Reclaimed {
 			return
 		}
 		key := wire.AccountKey(n.cfg.Teams[team].Name)
-		if p.writer.addWrite(Write{Key: key, Value: account}, Condition{Key: key, Revision: n.replica.Ledger().Revision(team)}) {
+		if pass.writer.addWrite(Write{Key: key, Value: account}, Condition{Key: key, Revision: n.replica.Ledger().Revision(team)}) {
 			n.leader.sharesDistributedAt[team], n.leader.sharesReclaimed[team] = n.now, reason == quota.Reclaimed
 			n.log(LogDebug, "quota shares distributed", "team", n.cfg.Teams[team].Name, "reason", int(reason), "shares", len(account.Shares))
 		}
@@ -53,22 +53,22 @@
 
 // shareIntervalFor is how long a team's account is left alone after it was written. All pauses
 // are the longest where puts are scarce.
-func (p *schedulingPass) shareIntervalFor(team int) Time {
+func (pass *schedulingPass) shareIntervalFor(team int) Time {
 	pause := shareInterval
 	switch {
-	case p.atLimit[team]:
+	case pass.atLimit[team]:
 		pause = reclaimInterval
-	case p.node.leader.sharesReclaimed[team]:
+	case pass.node.leader.sharesReclaimed[team]:
 		pause = redistributeInterval
 	}
-	return pause + Time(p.node.writeScarcity()*float64(shareInterval-pause))
+	return pause + Time(pass.node.writeScarcity()*float64(shareInterval-pause))
 }
 
 // shareDemand is what the shares of a team are to be distributed by.
-func (p *schedulingPass) shareDemand(team int) quota.Demand {
-	n := p.node
+func (pass *schedulingPass) shareDemand(team int) quota.Demand {
+	n := pass.node
 	d := quota.Demand{
-		Owned: make([]bool, len(n.shards)), Blocked: p.atLimit[team], Granted: p.added[team],
+		Owned: make([]bool, len(n.shards)), Blocked: pass.atLimit[team], Granted: pass.added[team],
 		Enabled: n.cfg.Admission != AdmitNothing,
 	}
 	for i, part := range n.shards {
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -26,12 +26,12 @@
 
 // best chooses the machine for a task, or nil. What ok says of a slot must
 // hold for its whole class, and so must what extra adds to its score.
-func (x *slotSet) best(j *job, ok func(*slot) bool, extra func(*slot) float64) *slot {
-	s := &slotSearch{set: x, job: j, accept: ok, penalty: extra}
+func (set *slotSet) best(job *job, ok func(*slot) bool, extra func(*slot) float64) *slot {
+	s := &slotSearch{set: set, job: job, accept: ok, penalty: extra}
 	s.compareWithImage()
-	for _, c := range x.classOrder {
-		if s.mayFit(c) {
-			s.compareInClass(c)
+	for _, class := range set.classOrder {
+		if s.mayFit(class) {
+			s.compareInClass(class)
 		}
 	}
 	return s.best
@@ -74,23 +74,23 @@
 }
 
 // mayFit tells whether machines of a class can have room for the task.
-func (s *slotSearch) mayFit(c slotClass) bool {
+func (s *slotSearch) mayFit(class slotClass) bool {
 	cards := s.job.Record.Spec.GPUs
-	if c.noGPU && cards > 0 && s.set.node.machineTypes[c.machineType].GPUs > 0 {
+	if class.noGPU && cards > 0 && s.set.node.machineTypes[class.machineType].GPUs > 0 {
 		return false
 	}
-	return float64(c.gpus)+1 >= cards && s.job.Allows(c.machineType, c.zone, c.spot)
+	return float64(class.gpus)+1 >= cards && s.job.Allows(class.machineType, class.zone, class.spot)
 }
 
 // compareInClass compares a few machines of a class.
-func (s *slotSearch) compareInClass(c slotClass) {
-	spec, list := s.job.Record.Spec, s.set.open[c]
+func (s *slotSearch) compareInClass(class slotClass) {
+	spec, list := s.job.Record.Spec, s.set.open[class]
 	fits, looked := 0, 0
 	for i := 0; i < len(*list); {
 		candidate := (*list)[i]
 		s.set.node.workCount++
-		if candidate.class != c || candidate.isFull(true) { // moved on
-			candidate.listedIn = slices.DeleteFunc(candidate.listedIn, func(y slotClass) bool { return y == c })
+		if candidate.class != class || candidate.isFull(true) { // moved on
+			candidate.listedIn = slices.DeleteFunc(candidate.listedIn, func(y slotClass) bool { return y == class })
 			last := len(*list) - 1
 			(*list)[i] = (*list)[last]
 			*list = (*list)[:last]
@@ -112,17 +112,17 @@
 }
 
 // fetchSeconds is how long the image of a job would take to reach the machine.
-func (n *Node) fetchSeconds(j *job, s *slot) float64 {
-	if s.images.Has(j.Image) {
+func (n *Node) fetchSeconds(job *job, slot *slot) float64 {
+	if slot.images.Has(job.Image) {
 		return 0
 	}
 	rate := 0.1
-	if s.typeInfo != nil && s.typeInfo.FetchGBs > 0 {
-		rate = s.typeInfo.FetchGBs
+	if slot.typeInfo != nil && slot.typeInfo.FetchGBs > 0 {
+		rate = slot.typeInfo.FetchGBs
 	}
 	// Whether images share the rate differs from site to site.
-	t := (j.Record.Spec.ImageGB + s.fetchGB/3) / rate
-	if s.machine != nil && n.usesImage(s.machine, j.Image) {
+	t := (job.Record.Spec.ImageGB + slot.fetchGB/3) / rate
+	if slot.machine != nil && n.usesImage(slot.machine, job.Image) {
 		return t / 2 // on its way already
 	}
 	return t
@@ -130,21 +130,21 @@
 
 // score ranks a machine for a task; lower is better. It is in seconds of
 // waiting that a choice costs, roughly.
-func (n *Node) score(j *job, s *slot) float64 {
-	sp := j.Record.Spec
-	v := n.fetchSeconds(j, s)
-	v += 3 * (s.gpus - sp.GPUs) // pack
-	if sp.AllowSpot && !s.spot && s.isIdle() {
+func (n *Node) score(job *job, slot *slot) float64 {
+	spec := job.Record.Spec
+	v := n.fetchSeconds(job, slot)
+	v += 3 * (slot.gpus - spec.GPUs) // pack
+	if spec.AllowSpot && !slot.spot && slot.isIdle() {
 		v += 40
 	}
-	if sp.AllowSpot && !s.spot && !s.isIdle() {
+	if spec.AllowSpot && !slot.spot && !slot.isIdle() {
 		v -= 4 // the machine stays anyway; a spot machine may go back
 	}
-	if sp.Shape == wire.ShapeDaemon && !s.daemon {
+	if spec.Shape == wire.ShapeDaemon && !slot.daemon {
 		v += 5 // it stays long: better two on one machine than half of two
 	}
-	v += 100 * float64(s.errors)
-	if s.machine != nil && len(j.Record.FailedMachines) > 0 && slices.Contains(j.Record.FailedMachines, s.machine.name) {
+	v += 100 * float64(slot.errors)
+	if slot.machine != nil && len(job.Record.FailedMachines) > 0 && slices.Contains(job.Record.FailedMachines, slot.machine.name) {
 		v += 500
 	}
 	return v
@@ -161,9 +161,9 @@
 }
 
 // zoneLimit is how many tasks of a job one zone may hold.
-func zoneLimit(sp *wire.JobSpec) int {
-	if sp.Spread {
-		return (sp.TaskCount + 1) / 2
+func zoneLimit(spec *wire.JobSpec) int {
+	if spec.Spread {
+		return (spec.TaskCount + 1) / 2
 	}
-	return sp.TaskCount
+	return spec.TaskCount
 }
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -30,61 +30,61 @@
 }
 
 // noteFetch notes that a task's image will be fetched here.
-func (s *slot) noteFetch(j *job) {
-	if !s.images.Has(j.Image) {
-		s.fetchGB += j.Record.Spec.ImageGB
+func (slot *slot) noteFetch(job *job) {
+	if !slot.images.Has(job.Image) {
+		slot.fetchGB += job.Record.Spec.ImageGB
 	}
 }
 
-func (s *slot) fits(sp *wire.JobSpec) bool {
-	return !s.reserved && sp.Cores <= s.cores+epsilon && sp.GPUs <= s.gpus+epsilon && sp.MemoryGB <= s.memoryGB+epsilon
+func (slot *slot) fits(spec *wire.JobSpec) bool {
+	return !slot.reserved && spec.Cores <= slot.cores+epsilon && spec.GPUs <= slot.gpus+epsilon && spec.MemoryGB <= slot.memoryGB+epsilon
 }
 
-func (s *slot) fitsAfterRelease(sp *wire.JobSpec) bool {
-	return !s.reserved && sp.Cores <= s.cores+s.releasingCores+epsilon && sp.GPUs <= s.gpus+s.releasingGPUs+epsilon && sp.MemoryGB <= s.memoryGB+s.releasingMemoryGB+epsilon
+func (slot *slot) fitsAfterRelease(spec *wire.JobSpec) bool {
+	return !slot.reserved && spec.Cores <= slot.cores+slot.releasingCores+epsilon && spec.GPUs <= slot.gpus+slot.releasingGPUs+epsilon && spec.MemoryGB <= slot.memoryGB+slot.releasingMemoryGB+epsilon
 }
 
-func (s *slot) take(sp *wire.JobSpec) { s.release(sp, -1) }
+func (slot *slot) take(spec *wire.JobSpec) { slot.release(spec, -1) }
 
 // release returns what k tasks have taken.
-func (s *slot) release(sp *wire.JobSpec, k int) {
-	s.cores += sp.Cores * float64(k)
-	s.gpus += sp.GPUs * float64(k)
-	s.memoryGB += sp.MemoryGB * float64(k)
-	if s.set != nil {
-		s.set.reclassify(s)
+func (slot *slot) release(spec *wire.JobSpec, k int) {
+	slot.cores += spec.Cores * float64(k)
+	slot.gpus += spec.GPUs * float64(k)
+	slot.memoryGB += spec.MemoryGB * float64(k)
+	if slot.set != nil {
+		slot.set.reclassify(slot)
 	}
 }
 
 // isIdle tells whether nothing runs on the machine.
-func (s *slot) isIdle() bool {
-	return s.cores > s.typeInfo.Cores-epsilon && s.gpus > s.typeInfo.GPUs-epsilon
+func (slot *slot) isIdle() bool {
+	return slot.cores > slot.typeInfo.Cores-epsilon && slot.gpus > slot.typeInfo.GPUs-epsilon
 }
 
 // accepts tells whether a job's tasks may go to the machine at all. One that
 // failed the job is not tried again before others have failed it too, and it
 // is the job that is at fault.
-func (s *slot) accepts(j *job) bool {
-	if s.reservedFor > 0 && s.reservedFor != j.Index+1 {
+func (slot *slot) accepts(job *job) bool {
+	if slot.reservedFor > 0 && slot.reservedFor != job.Index+1 {
 		return false
 	}
-	if s.machine != nil && len(j.Record.FailedMachines) > 0 && len(j.Record.FailedMachines) < 3 && slices.Contains(j.Record.FailedMachines, s.machine.name) {
+	if slot.machine != nil && len(job.Record.FailedMachines) > 0 && len(job.Record.FailedMachines) < 3 && slices.Contains(job.Record.FailedMachines, slot.machine.name) {
 		return false
 	}
-	return j.Allows(s.machineType, s.zone, s.spot)
+	return job.Allows(slot.machineType, slot.zone, slot.spot)
 }
 
 // slotOf is the room on a machine.
-func (n *Node) slotOf(h *machine) *slot {
-	r := n.typeAt(h.machineType)
-	if r == nil {
+func (n *Node) slotOf(machine *machine) *slot {
+	machineType := n.typeAt(machine.machineType)
+	if machineType == nil {
 		return nil
 	}
-	t := n.usageOf(h)
-	return &slot{machine: h, shard: h.shard, zone: h.zone, machineType: h.machineType, spot: h.spot, typeInfo: r,
-		cores: r.Cores - t.cores, gpus: r.GPUs - t.gpus, memoryGB: r.MemoryGB - t.memoryGB,
+	t := n.usageOf(machine)
+	return &slot{machine: machine, shard: machine.shard, zone: machine.zone, machineType: machine.machineType, spot: machine.spot, typeInfo: machineType,
+		cores: machineType.Cores - t.cores, gpus: machineType.GPUs - t.gpus, memoryGB: machineType.MemoryGB - t.memoryGB,
 		releasingCores: t.releasingCores, releasingGPUs: t.releasingGPUs, releasingMemoryGB: t.releasingMemoryGB, daemon: t.daemon,
-		images: h.images, errors: h.view.errors, fetchGB: n.pendingFetchGB(h)}
+		images: machine.images, errors: machine.view.errors, fetchGB: n.pendingFetchGB(machine)}
 }
 
 // slotClass is what slots have in common for a choice among them.
@@ -94,9 +94,9 @@
 	noGPU                          bool // no GPU is free, not even part of one
 }
 
-func (s *slot) classify() slotClass {
-	return slotClass{shard: s.shard, zone: s.zone, machineType: s.machineType, gpus: int(s.gpus + epsilon), noGPU: s.gpus <= epsilon, spot: s.spot,
-		idle: s.isIdle(), daemon: s.daemon, faulty: s.errors > 0}
+func (slot *slot) classify() slotClass {
+	return slotClass{shard: slot.shard, zone: slot.zone, machineType: slot.machineType, gpus: int(slot.gpus + epsilon), noGPU: slot.gpus <= epsilon, spot: slot.spot,
+		idle: slot.isIdle(), daemon: slot.daemon, faulty: slot.errors > 0}
 }
 
 // slotSet holds slots with an index by place, kind, free room and image, so
@@ -122,64 +122,64 @@
 	return &slotSet{node: n, open: map[slotClass]*[]*slot{}, byImage: map[imageList][]*slot{}}
 }
 
-func (x *slotSet) add(s *slot) {
-	s.set = x
-	x.all = append(x.all, s)
-	if s.releasingCores > 0 || s.releasingGPUs > 0 {
-		x.releasing = append(x.releasing, s)
+func (set *slotSet) add(slot *slot) {
+	slot.set = set
+	set.all = append(set.all, slot)
+	if slot.releasingCores > 0 || slot.releasingGPUs > 0 {
+		set.releasing = append(set.releasing, slot)
 	}
-	s.class = s.classify()
-	x.addToClass(s)
+	slot.class = slot.classify()
+	set.addToClass(slot)
 }
 
 // isFull tells whether there is nothing on the machine to be had, by a task that
 // needs GPUs or by one that does not: what is left of a machine whose GPUs are all
 // in use is of use to the latter. Before this such tasks kept to machines with free
 // GPUs, which then neither went back nor had room for whole-machine work.
-func (s *slot) isFull(cardless bool) bool {
-	return s.cores <= epsilon || !cardless && s.typeInfo.GPUs > 0 && s.gpus <= epsilon
+func (slot *slot) isFull(cardless bool) bool {
+	return slot.cores <= epsilon || !cardless && slot.typeInfo.GPUs > 0 && slot.gpus <= epsilon
 }
 
-func (x *slotSet) addToClass(s *slot) {
+func (set *slotSet) addToClass(s *slot) {
 	if s.isFull(true) || slices.Contains(s.listedIn, s.class) {
 		return
 	}
 	s.listedIn = append(s.listedIn, s.class)
-	l := x.open[s.class]
+	l := set.open[s.class]
 	if l == nil {
 		l = new([]*slot)
-		x.open[s.class] = l
-		x.classOrder = append(x.classOrder, s.class)
+		set.open[s.class] = l
+		set.classOrder = append(set.classOrder, s.class)
 	}
 	*l = append(*l, s)
 }
 
-func (x *slotSet) reclassify(s *slot) {
-	c := s.classify()
-	if c != s.class {
-		s.class = c
-		x.addToClass(s)
+func (set *slotSet) reclassify(slot *slot) {
+	class := slot.classify()
+	if class != slot.class {
+		slot.class = class
+		set.addToClass(slot)
 	}
 }
 
 // compareWithImage lists the slots with room that have an image or are fetching it.
-func (x *slotSet) withImage(k imageList) []*slot {
-	l, built := x.byImage[k]
+func (set *slotSet) withImage(k imageList) []*slot {
+	l, built := set.byImage[k]
 	if !built {
-		for _, s := range x.all {
-			if !s.isFull(k.withoutGPU) && (s.images.Has(k.image) || s.machine != nil && x.node.usesImage(s.machine, k.image)) {
-				l = append(l, s)
+		for _, slot := range set.all {
+			if !slot.isFull(k.withoutGPU) && (slot.images.Has(k.image) || slot.machine != nil && set.node.usesImage(slot.machine, k.image)) {
+				l = append(l, slot)
 			}
 		}
-		x.byImage[k] = l
+		set.byImage[k] = l
 	}
 	return l
 }
 
 // usesImage tells whether a task on the machine uses an image.
-func (n *Node) usesImage(h *machine, image int) bool {
-	for i := range h.placements {
-		if n.jobs[h.placements[i].job].Image == image {
+func (n *Node) usesImage(machine *machine, image int) bool {
+	for i := range machine.placements {
+		if n.jobs[machine.placements[i].job].Image == image {
 			return true
 		}
 	}
--- a/internal/core/stage_planning.go
+++ b/internal/core/stage_planning.go
@@ -59,31 +59,31 @@
 
 // noteRunTime learns from a job that is done. One that was granted in several parts
 // took longer than from its last grant on, which is all that is known of it.
-func (n *Node) noteRunTime(j *job, was *wire.Job) {
-	if was.Spec == nil || j.grantedAt == 0 || !n.isLeader() {
+func (n *Node) noteRunTime(job *job, was *wire.Job) {
+	if was.Spec == nil || job.grantedAt == 0 || !n.isLeader() {
 		return
 	}
-	n.runTimeEstimator.add(was.Spec.Class, n.now-j.grantedAt, was.Spec.ExpectedS)
+	n.runTimeEstimator.add(was.Spec.Class, n.now-job.grantedAt, was.Spec.ExpectedS)
 }
 
 // planNextStages plans room for jobs whose last needs will probably end before a machine
 // provisioned now is up.
-func (p *schedulingPass) planNextStages() {
-	for _, index := range p.node.replica.Live() {
-		j := p.node.jobs[index]
-		if j.Record.Spec != nil && j.Team >= 0 && j.IsWaiting() && p.node.endsBefore(j, p.node.now+p.node.provisionTime(j)) {
-			p.planStage(j)
+func (pass *schedulingPass) planNextStages() {
+	for _, index := range pass.node.replica.Live() {
+		job := pass.node.jobs[index]
+		if job.Record.Spec != nil && job.Team >= 0 && job.IsWaiting() && pass.node.endsBefore(job, pass.node.now+pass.node.provisionTime(job)) {
+			pass.planStage(job)
 		}
 	}
 }
 
 // endsBefore tells whether all that a job still waits on will probably be done by a
 // time.
-func (n *Node) endsBefore(j *job, at Time) bool {
-	if j.Links.AncestorCancelled {
+func (n *Node) endsBefore(job *job, at Time) bool {
+	if job.Links.AncestorCancelled {
 		return false
 	}
-	for _, index := range j.Links.Dependencies {
+	for _, index := range job.Links.Dependencies {
 		need := n.jobs[index]
 		if need.Record == nil {
 			return false // not seen yet, or only for a moment
@@ -101,30 +101,30 @@
 
 // planStage takes room for the tasks of a job, as far as its team's limit goes, and
 // has machines provisioned for what finds none.
-func (p *schedulingPass) planStage(j *job) {
-	spec := j.Record.Spec
-	zones := make([]int, p.node.names.Zones.Len())
+func (pass *schedulingPass) planStage(job *job) {
+	spec := job.Record.Spec
+	zones := make([]int, pass.node.names.Zones.Len())
 	allowed := func(s *slot) bool {
 		if spec.Spread && zones[s.zone] >= zoneLimit(spec) {
 			return false
 		}
 		return !spec.SameZone || !slices.ContainsFunc(otherZones(zones, s.zone), func(tasks int) bool { return tasks > 0 })
 	}
-	for range min(j.Record.TaskCount, p.node.maxActiveTasks(j)) {
-		if !p.withinLimit(j, 1) {
+	for range min(job.Record.TaskCount, pass.node.maxActiveTasks(job)) {
+		if !pass.withinLimit(job, 1) {
 			return
 		}
-		s := p.available.best(j, allowed, nil)
+		s := pass.available.best(job, allowed, nil)
 		if s == nil {
-			s = p.expected.best(j, allowed, nil)
+			s = pass.expected.best(job, allowed, nil)
 		}
 		if s == nil {
-			s = p.provisionFor(&queuedJob{job: j}, allowed)
+			s = pass.provisionFor(&queuedJob{job: job}, allowed)
 		}
 		if s == nil {
 			return
 		}
-		p.charge(j, 1)
+		pass.charge(job, 1)
 		zones[s.zone]++
 		s.take(spec)
 	}
--- a/internal/core/stage_planning_test.go
+++ b/internal/core/stage_planning_test.go
@@ -43,21 +43,21 @@
 }
 
 // granted shows a job whose only task is on a machine, as granted by this leader.
-func granted(n *Node, rev int, ref string, expectedS float64) {
-	spec := &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
-	rec := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
-	n.Step(n.now+1, RecordsChanged{Revision: uint64(rev), Events: []Event{{Key: wire.JobKey(ref), Revision: uint64(rev), Value: rec}}})
-	n.jobNamed(ref).grantedAt = n.now
+func granted(n *Node, rev int, id string, expectedS float64) {
+	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
+	record := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
+	n.Step(n.now+1, RecordsChanged{Revision: uint64(rev), Events: []Event{{Key: wire.JobKey(id), Revision: uint64(rev), Value: record}}})
+	n.jobNamed(id).grantedAt = n.now
 }
 
 // planned is how many machines a pass that plans stages only wants to provision.
 func planned(n *Node) (machines int) {
-	p := n.newSchedulingPass(newWriter(n))
-	p.planNextStages()
-	for _, count := range p.provisions {
+	pass := n.newSchedulingPass(newWriter(n))
+	pass.planNextStages()
+	for _, count := range pass.provisions {
 		machines += count
 	}
-	if len(p.writer.order) > 0 {
+	if len(pass.writer.order) > 0 {
 		panic("something was granted ahead")
 	}
 	return machines
@@ -66,7 +66,7 @@
 // Room for a stage is planned from when what it needs will probably end before a
 // machine provisioned now is up, and not before; nor for one that will never run.
 func TestStageIsPlannedAhead(t *testing.T) {
-	wide := func(s *wire.JobSpec) { s.Cores, s.TaskCount = 8, 3 }
+	wide := func(spec *wire.JobSpec) { spec.Cores, spec.TaskCount = 8, 3 }
 	for name, c := range map[string]struct {
 		expectedS float64 // of the need
 		after     Time
@@ -110,7 +110,7 @@
 		n.runTimeEstimator.add("c", 30*second, 10)
 	}
 	see(n, 2, "wk-000001", wire.JobLive, nil)
-	see(n, 3, "wk-000002", wire.JobLive, func(s *wire.JobSpec) { s.DeadlineS = 100 }, "wk-000001")
+	see(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
 	const estimateMS, reportMS, due = 10_000, 4_000, 1_100_000
 	if got, want := n.jobNamed("wk-000001").Links.DeadlineMS, int64(due-3*estimateMS-reportMS); got != want {
 		t.Errorf("due at %d, not %d", got, want)
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -15,9 +15,9 @@
 func (n *Node) resumeAfterStall(gap Time) {
 	n.log(LogInfo, "process stalled", "duration", gap)
 	n.resumedAt, n.ownershipChecks, n.ownershipCheckAt = n.now, nil, 0
-	for _, p := range n.shards {
-		p.proven = false
-		p.forgetBounces()
+	for _, shard := range n.shards {
+		shard.proven = false
+		shard.forgetBounces()
 	}
 	for _, p := range n.peers {
 		p.heardAt += gap
--- a/internal/core/unreachable.go
+++ b/internal/core/unreachable.go
@@ -16,14 +16,14 @@
 // failure its machines, thousands at a large site, all come to its peers at once.
 func (n *Node) strayMachineNames() []string {
 	var out []string
-	n.strayMachines = slices.DeleteFunc(n.strayMachines, func(ix int) bool {
-		h := n.machines[ix]
-		if h.redirectedAt == 0 || n.now-h.redirectedAt >= strayTime {
-			h.strayListed = false
+	n.strayMachines = slices.DeleteFunc(n.strayMachines, func(index int) bool {
+		machine := n.machines[index]
+		if machine.redirectedAt == 0 || n.now-machine.redirectedAt >= strayTime {
+			machine.strayListed = false
 			return true
 		}
-		if h.view.missedHeartbeats > 0 {
-			out = append(out, h.name)
+		if machine.view.missedHeartbeats > 0 {
+			out = append(out, machine.name)
 		}
 		return false
 	})
@@ -34,7 +34,7 @@
 // isUnreachable tells whether a silent machine is dead or hangs, rather than cut from
 // us or unresponsive for a moment: it has not turned to any peer, and its neighbours
 // still report or it has had the time to try one.
-func (n *Node) isUnreachable(h *machine, silent Time, neighbours bool) bool {
+func (n *Node) isUnreachable(machine *machine, silent Time, neighbours bool) bool {
 	if silent < 3*n.cfg.HeartbeatInterval+second {
 		return false
 	}
@@ -48,7 +48,7 @@
 			continue
 		}
 		heard = true
-		if _, strayed := slices.BinarySearch(p.message.Strays, h.name); strayed {
+		if _, strayed := slices.BinarySearch(p.message.Strays, machine.name); strayed {
 			return false
 		}
 	}
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -47,49 +47,49 @@
 )
 
 func (n *Node) userRequest(r UserRequest) {
-	op := &pendingRequest{UserRequest: r, deadline: n.now + submitTimeout}
+	request := &pendingRequest{UserRequest: r, deadline: n.now + submitTimeout}
 	if n.users.requests == nil {
 		n.users.requests = map[uint64]*pendingRequest{}
 	}
-	n.users.requests[r.RequestID] = op
+	n.users.requests[r.RequestID] = request
 	switch r.Kind {
 	case wire.RequestSubmit:
-		op.JobID, op.spec, op.err = wire.ParseJobSpec(r.Body)
-		if op.JobID == "" {
-			n.answer(op, 400, wire.Error{Error: op.err.Error()})
+		request.JobID, request.spec, request.err = wire.ParseJobSpec(r.Body)
+		if request.JobID == "" {
+			n.answer(request, 400, wire.Error{Error: request.err.Error()})
 			return
 		}
 	case wire.RequestStatus:
-		op.deadline = n.now + statusTimeout
+		request.deadline = n.now + statusTimeout
 		fallthrough
 	case wire.RequestCancel:
-		if !wire.ValidJobID(op.JobID) {
-			n.answer(op, 404, wire.Error{Error: "no such job"})
+		if !wire.ValidJobID(request.JobID) {
+			n.answer(request, 404, wire.Error{Error: "no such job"})
 			return
 		}
 	default:
-		n.answer(op, 404, wire.Error{Error: "no such request"})
+		n.answer(request, 404, wire.Error{Error: "no such request"})
 		return
 	}
 	// A final state never changes, so the replica may answer for it.
-	ix := n.names.Jobs.Find(op.JobID)
-	if ix >= 0 && n.jobs[ix].Record != nil && n.jobs[ix].State() != wire.JobLive {
-		n.answer(op, 200, n.reply(op, n.jobs[ix].Record))
+	index := n.names.Jobs.Find(request.JobID)
+	if index >= 0 && n.jobs[index].Record != nil && n.jobs[index].State() != wire.JobLive {
+		n.answer(request, 200, n.reply(request, n.jobs[index].Record))
 		return
 	}
-	if n.forwardToPeer(op) {
+	if n.forwardToPeer(request) {
 		return
 	}
-	if op.Kind == wire.RequestSubmit && op.err == nil && (ix < 0 || n.jobs[ix].Record == nil) {
-		n.createJob(op)
+	if request.Kind == wire.RequestSubmit && request.err == nil && (index < 0 || n.jobs[index].Record == nil) {
+		n.createJob(request)
 		return
 	}
-	if op.Kind == wire.RequestStatus && n.replica.Loaded() {
-		n.users.statusRequests = append(n.users.statusRequests, op)
+	if request.Kind == wire.RequestStatus && n.replica.Loaded() {
+		n.users.statusRequests = append(n.users.statusRequests, request)
 		n.askRevision()
 		return
 	}
-	n.readJob(op)
+	n.readJob(request)
 }
 
 // statusInterval gathers polls: one question to the state service serves all that
@@ -115,16 +115,16 @@
 	ops := u.statusRequests
 	u.statusRequests, u.revisionAsked, u.revisionAskAt = nil, true, n.now+n.statusInterval()
 	// Equal or not, the answer names the present revision.
-	n.commit(ClassUser, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, nil, func(c Committed) {
+	n.commit(ClassUser, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, nil, func(result Committed) {
 		u.revisionAsked = false
-		switch c.Outcome {
+		switch result.Outcome {
 		case OK, Conflict:
-			u.answerable = append(u.answerable, statusBatch{revision: c.Revision, since: n.now, requests: ops})
+			u.answerable = append(u.answerable, statusBatch{revision: result.Revision, since: n.now, requests: ops})
 			n.answerStatusRequests()
 		default:
-			for _, op := range ops {
-				if n.mayRetry(op, c.Outcome) {
-					u.statusRequests = append(u.statusRequests, op)
+			for _, request := range ops {
+				if n.mayRetry(request, result.Outcome) {
+					u.statusRequests = append(u.statusRequests, request)
 				}
 			}
 		}
@@ -139,17 +139,17 @@
 	for _, b := range u.answerable {
 		switch {
 		case n.replica.Revision() >= b.revision:
-			for _, op := range b.requests {
-				if ix := n.names.Jobs.Find(op.JobID); ix >= 0 && n.jobs[ix].Record != nil {
-					n.answer(op, 200, n.reply(op, n.jobs[ix].Record))
+			for _, request := range b.requests {
+				if index := n.names.Jobs.Find(request.JobID); index >= 0 && n.jobs[index].Record != nil {
+					n.answer(request, 200, n.reply(request, n.jobs[index].Record))
 				} else {
-					n.answer(op, 404, wire.Error{Error: "no such job"})
+					n.answer(request, 404, wire.Error{Error: "no such job"})
 				}
 			}
 		case n.now-b.since > 400*time.Millisecond:
-			for _, op := range b.requests {
-				if _, open := u.requests[op.RequestID]; open {
-					n.readJob(op)
+			for _, request := range b.requests {
+				if _, open := u.requests[request.RequestID]; open {
+					n.readJob(request)
 				}
 			}
 		default:
@@ -160,47 +160,47 @@
 }
 
 // reply is the body of a 200. Cancellations and submissions leave out counts.
-func (n *Node) reply(op *pendingRequest, r *wire.Job) any {
+func (n *Node) reply(request *pendingRequest, r *wire.Job) any {
 	// What the replica shows of the jobs above is final.
-	if j := n.jobNamed(op.JobID); r.State == wire.JobLive && j != nil && j.Record != nil && j.State() == wire.JobCancelled {
-		return wire.JobStatus{JobID: op.JobID, Status: wire.StatusCancelled}
+	if job := n.jobNamed(request.JobID); r.State == wire.JobLive && job != nil && job.Record != nil && job.State() == wire.JobCancelled {
+		return wire.JobStatus{JobID: request.JobID, Status: wire.StatusCancelled}
 	}
-	return replica.JobStatus(op.JobID, r)
+	return replica.JobStatus(request.JobID, r)
 }
 
-func (n *Node) answer(op *pendingRequest, status int, body any) {
-	if _, ok := n.users.requests[op.RequestID]; !ok {
+func (n *Node) answer(request *pendingRequest, status int, body any) {
+	if _, ok := n.users.requests[request.RequestID]; !ok {
 		return
 	}
-	delete(n.users.requests, op.RequestID)
+	delete(n.users.requests, request.RequestID)
 	retry := 0
 	if status == 503 {
 		retry = 1
 	}
-	n.emit(Reply{RequestID: op.RequestID, Status: status, Body: body, RetryAfterS: retry})
+	n.emit(Reply{RequestID: request.RequestID, Status: status, Body: body, RetryAfterS: retry})
 }
 
 const notUpgraded = "not before all controllers have been upgraded"
 
-func (n *Node) answerUnavailable(op *pendingRequest, why string) {
-	n.answer(op, 503, wire.Error{Error: why})
+func (n *Node) answerUnavailable(request *pendingRequest, why string) {
+	n.answer(request, 503, wire.Error{Error: why})
 }
 
 // forwardToPeer gives the request to a peer when we alone can't reach the state
 // service.
-func (n *Node) forwardToPeer(op *pendingRequest) bool {
-	if n.storeOK || op.Forwarded || op.forwardedToPeer {
+func (n *Node) forwardToPeer(request *pendingRequest) bool {
+	if n.storeOK || request.Forwarded || request.forwardedToPeer {
 		return false
 	}
-	if n.peersMayMisread(op.spec) {
-		n.answerUnavailable(op, notUpgraded)
+	if n.peersMayMisread(request.spec) {
+		n.answerUnavailable(request, notUpgraded)
 		return true
 	}
 	for _, m := range n.cfg.Members {
 		p := n.peers[m.Name]
 		if p != nil && p.message.StoreOK && n.now-p.heardAt < 3*second {
-			op.forwardedToPeer = true
-			n.emit(Forward{RequestID: op.RequestID, To: m.Name, Call: wire.UserCall{Kind: op.Kind, Ref: op.JobID, Body: op.Body}})
+			request.forwardedToPeer = true
+			n.emit(Forward{RequestID: request.RequestID, To: m.Name, Call: wire.UserCall{Kind: request.Kind, Ref: request.JobID, Body: request.Body}})
 			return true
 		}
 	}
@@ -222,84 +222,84 @@
 
 // forwardAnswered answers a user with what a peer answered.
 func (n *Node) forwardAnswered(f ForwardAnswered) {
-	op := n.users.requests[f.RequestID]
-	if op == nil {
+	request := n.users.requests[f.RequestID]
+	if request == nil {
 		return
 	}
 	if f.Answer.Status == 0 {
-		n.answerUnavailable(op, "state service unavailable")
+		n.answerUnavailable(request, "state service unavailable")
 		return
 	}
-	n.answer(op, f.Answer.Status, f.Answer.Body)
+	n.answer(request, f.Answer.Status, f.Answer.Body)
 }
 
 // mayRetry tells whether a request that met trouble may be tried again in time.
-func (n *Node) mayRetry(op *pendingRequest, o Outcome) bool {
-	if _, open := n.users.requests[op.RequestID]; !open {
+func (n *Node) mayRetry(request *pendingRequest, outcome Outcome) bool {
+	if _, open := n.users.requests[request.RequestID]; !open {
 		return false
 	}
-	if o == Refused {
-		if !n.forwardToPeer(op) {
-			n.answerUnavailable(op, "state service unavailable")
+	if outcome == Refused {
+		if !n.forwardToPeer(request) {
+			n.answerUnavailable(request, "state service unavailable")
 		}
 		return false
 	}
-	if n.now > op.deadline-second {
-		n.answerUnavailable(op, "state service unavailable")
+	if n.now > request.deadline-second {
+		n.answerUnavailable(request, "state service unavailable")
 		return false
 	}
 	return true
 }
 
 // createJob commits a new job's record, after checking that it can ever run.
-func (n *Node) createJob(op *pendingRequest) {
-	s := op.spec
+func (n *Node) createJob(request *pendingRequest) {
+	spec := request.spec
 	if n.offeredTypes == nil {
-		n.answerUnavailable(op, "machine types are not known yet")
+		n.answerUnavailable(request, "machine types are not known yet")
 		return
 	}
-	if why := n.rejectReason(s); why != "" {
-		op.err = fmt.Errorf("%s", why)
-		n.readJob(op)
+	if why := n.rejectReason(spec); why != "" {
+		request.err = fmt.Errorf("%s", why)
+		n.readJob(request)
 		return
 	}
-	if len(s.Dependencies) > 0 && !n.replica.WritesDependencies() {
-		n.answerUnavailable(op, notUpgraded)
+	if len(spec.Dependencies) > 0 && !n.replica.WritesDependencies() {
+		n.answerUnavailable(request, notUpgraded)
 		return
 	}
-	if len(s.Dependencies) > 0 && !n.findDependencies(op) {
+	if len(spec.Dependencies) > 0 && !n.findDependencies(request) {
 		return // it comes back here
 	}
 	withdrawn := false
-	if len(s.Dependencies) > 0 {
-		if withdrawn, op.err = n.settleDependencies(op); op.err != nil {
-			n.readJob(op)
+	if len(spec.Dependencies) > 0 {
+		if withdrawn, request.err = n.settleDependencies(request); request.err != nil {
+			n.readJob(request)
 			return
 		}
 	}
 	// Types that nobody offers can't be had; leaving them out bounds the size
 	// of the record whatever the user sends.
-	s.MachineTypes = slices.DeleteFunc(s.MachineTypes, func(name string) bool { return n.typeAt(n.names.MachineTypes.Find(name)) == nil })
-	rec := n.newRecord(s)
+	spec.MachineTypes = slices.DeleteFunc(spec.MachineTypes, func(name string) bool { return n.typeAt(n.names.MachineTypes.Find(name)) == nil })
+	record := n.newRecord(spec)
 	status := wire.StatusPending
 	if withdrawn {
 		// Cancelled with what it names, before it could start.
-		rec.State, status = wire.JobCancelled, wire.StatusCancelled
-		replica.CompactRecord(rec)
-	} else if !n.fitJobRecord(op, rec) {
+		record.State, status = wire.JobCancelled, wire.StatusCancelled
+		replica.CompactRecord(record)
+	} else if !n.fitJobRecord(request, record) {
 		return // answered, or it comes back here
 	}
-	key := wire.JobKey(s.ID)
-	n.commit(ClassUser, []Condition{{Key: key, Revision: 0}}, []Write{{Key: key, Value: rec}}, func(c Committed) {
-		switch c.Outcome {
+	key := wire.JobKey(spec.ID)
+	n.commit(ClassUser, []Condition{{Key: key, Revision: 0}}, []Write{{Key: key, Value: record}}, func(result Committed) {
+		switch result.Outcome {
 		case OK:
-			n.log(LogDebug, "job accepted", "job", s.ID, "class", s.Class, "team", s.Team, "tasks", s.TaskCount, "image", s.Image, "image_gb", s.ImageGB, "expected_s", s.ExpectedS)
-			n.answer(op, 201, wire.JobStatus{JobID: s.ID, Status: status})
+			n.log(LogDebug, "job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.TaskCount, "image", spec.Image, "image_gb", spec.ImageGB, "expected_s", spec.ExpectedS)
+			n.answer(request, 201, wire.JobStatus{JobID: spec.ID, Status: status})
 		case Conflict:
-			n.readJob(op)
+			n.readJob(request)
 		default:
-			if n.mayRetry(op, c.Outcome) {
-				n.createJob(op)
+			if n.mayRetry(request, result.Outcome) {
+				n.createJob(request)
 			}
 		}
 	})
@@ -312,90 +312,90 @@
 
 // fitJobRecord makes a new job's record fit a value, if need be by writing what it waits
 // on to overflow keys first.
-func (n *Node) fitJobRecord(op *pendingRequest, rec *wire.Job) bool {
-	if n.jobRecordFits(rec) {
+func (n *Node) fitJobRecord(request *pendingRequest, record *wire.Job) bool {
+	if n.jobRecordFits(record) {
 		return true
 	}
-	bare := *rec.Spec
+	bare := *record.Spec
 	bare.Dependencies = nil
-	named := *rec
+	named := *record
 	named.Spec, named.DependencyList, named.DependencyListKeys = &bare, replica.DependencyListName(nil), wire.MaxTasks
 	switch {
 	case !n.jobRecordFits(&named):
-		op.err = errors.New("its names are too long to be recorded")
-		n.readJob(op)
+		request.err = errors.New("its names are too long to be recorded")
+		n.readJob(request)
 		return false
 	case !n.replica.WritesDependencyLists():
-		n.answerUnavailable(op, notUpgraded)
+		n.answerUnavailable(request, notUpgraded)
 		return false
 	}
-	return n.writeDependencyList(op, rec)
+	return n.writeDependencyList(request, record)
 }
 
 // jobRecordFits tells whether a value holds a record and a few lists of active tasks.
-func (n *Node) jobRecordFits(rec *wire.Job) bool {
+func (n *Node) jobRecordFits(record *wire.Job) bool {
 	const lists = 2
-	return replica.BaseBytes(rec)+lists*(n.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= n.cfg.MaxValueBytes
+	return replica.BaseBytes(record)+lists*(n.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= n.cfg.MaxValueBytes
 }
 
 // readJob reads the record and goes on by the kind of request.
-func (n *Node) readJob(op *pendingRequest) {
+func (n *Node) readJob(request *pendingRequest) {
 	id := n.onResult(func(in Result) {
-		g := in.(JobRead)
-		n.noteStoreOutcome(g.Outcome)
-		switch g.Outcome {
+		read := in.(JobRead)
+		n.noteStoreOutcome(read.Outcome)
+		switch read.Outcome {
 		case OK:
-			if op.Kind == wire.RequestCancel && g.Job.State == wire.JobLive {
-				n.cancelJob(op, g)
+			if request.Kind == wire.RequestCancel && read.Job.State == wire.JobLive {
+				n.cancelJob(request, read)
 				return
 			}
-			if g.Job.State == wire.JobLive && g.Job.HasDependencies() {
-				n.answerFromAncestors(op, g.Job)
+			if read.Job.State == wire.JobLive && read.Job.HasDependencies() {
+				n.answerFromAncestors(request, read.Job)
 				return
 			}
-			n.answer(op, 200, n.reply(op, g.Job))
+			n.answer(request, 200, n.reply(request, read.Job))
 		case NotFound:
 			switch {
-			case op.Kind != wire.RequestSubmit:
-				n.answer(op, 404, wire.Error{Error: "no such job"})
-			case op.err == nil:
-				n.createJob(op)
-			case op.spec == nil:
-				n.answer(op, 400, wire.Error{Error: op.err.Error()})
+			case request.Kind != wire.RequestSubmit:
+				n.answer(request, 404, wire.Error{Error: "no such job"})
+			case request.err == nil:
+				n.createJob(request)
+			case request.spec == nil:
+				n.answer(request, 400, wire.Error{Error: request.err.Error()})
 			default:
-				n.answer(op, 422, wire.Error{Error: op.err.Error()})
+				n.answer(request, 422, wire.Error{Error: request.err.Error()})
 			}
 		default:
-			if n.mayRetry(op, g.Outcome) {
-				n.readJob(op)
+			if n.mayRetry(request, read.Outcome) {
+				n.readJob(request)
 			}
 		}
 	})
-	n.emit(ReadJob{ID: id, JobID: op.JobID})
+	n.emit(ReadJob{ID: id, JobID: request.JobID})
 }
 
 // cancelJob marks the record; from this commit on no owner can place a task of
 // the job, as each placing is conditional on the record's revision.
-func (n *Node) cancelJob(op *pendingRequest, g JobRead) {
-	rec := replica.CloneRecord(g.Job)
-	rec.State = wire.JobCancelled
-	replica.CompactRecord(rec)
+func (n *Node) cancelJob(request *pendingRequest, read JobRead) {
+	record := replica.CloneRecord(read.Job)
+	record.State = wire.JobCancelled
+	replica.CompactRecord(record)
 	// What its overflow keys hold is not known here and stays.
-	for i := range rec.ActiveTasks {
-		rec.ActiveTasks[i].StoredIn = 1
+	for i := range record.ActiveTasks {
+		record.ActiveTasks[i].StoredIn = 1
 	}
-	writes := n.replica.SplitRecord(op.JobID, replica.StoredRecord{Tasks: rec.ActiveTasks, OverflowKeys: rec.OverflowKeys, UnknownKeys: rec.OverflowKeys}, rec)
-	n.commit(ClassUser, []Condition{{Key: wire.JobKey(op.JobID), Revision: g.Revision}}, writes, func(c Committed) {
-		switch c.Outcome {
+	writes := n.replica.SplitRecord(request.JobID, replica.StoredRecord{Tasks: record.ActiveTasks, OverflowKeys: record.OverflowKeys, UnknownKeys: record.OverflowKeys}, record)
+	n.commit(ClassUser, []Condition{{Key: wire.JobKey(request.JobID), Revision: read.Revision}}, writes, func(result Committed) {
+		switch result.Outcome {
 		case OK:
-			n.answer(op, 200, wire.JobStatus{JobID: op.JobID, Status: wire.StatusCancelled, Done: rec.DoneTasks.Count()})
+			n.answer(request, 200, wire.JobStatus{JobID: request.JobID, Status: wire.StatusCancelled, Done: record.DoneTasks.Count()})
 		case Conflict:
-			if n.mayRetry(op, OK) {
-				n.readJob(op)
+			if n.mayRetry(request, OK) {
+				n.readJob(request)
 			}
 		default:
-			if n.mayRetry(op, c.Outcome) {
-				n.readJob(op)
+			if n.mayRetry(request, result.Outcome) {
+				n.readJob(request)
 			}
 		}
 	})
@@ -408,8 +408,8 @@
 	}
 	n.users.expireAt = n.now + 50*time.Millisecond
 	var late []uint64
-	for req, op := range n.users.requests {
-		if n.now >= op.deadline {
+	for req, request := range n.users.requests {
+		if n.now >= request.deadline {
 			late = append(late, req)
 		}
 	}
@@ -420,15 +420,15 @@
 }
 
 // rejectReason says why a job can never run, or "".
-func (n *Node) rejectReason(s *wire.JobSpec) string {
-	index := n.names.Teams.Find(s.Team)
+func (n *Node) rejectReason(spec *wire.JobSpec) string {
+	index := n.names.Teams.Find(spec.Team)
 	if index < 0 {
 		return "unknown team"
 	}
 	team := n.replica.Quota(index)
 	fits := false
 	for i := range n.offeredTypes {
-		if r := &n.offeredTypes[i]; typeAllowed(s, r.Name) && fitsType(s, r) && (s.Zone == "" || slices.Contains(r.Zones, s.Zone)) {
+		if machineType := &n.offeredTypes[i]; typeAllowed(spec, machineType.Name) && fitsType(spec, machineType) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
 			fits = true
 		}
 	}
@@ -436,10 +436,10 @@
 		return "no allowed machine type fits a task"
 	}
 	count := 1.0
-	if s.Shape != wire.ShapeArray {
-		count = float64(s.TaskCount)
+	if spec.Shape != wire.ShapeArray {
+		count = float64(spec.TaskCount)
 	}
-	if exceeds(s.Cores*count, team.MaxCores) || exceeds(s.GPUs*count, team.MaxGPUs) {
+	if exceeds(spec.Cores*count, team.MaxCores) || exceeds(spec.GPUs*count, team.MaxGPUs) {
 		return "needs more than the team's limit"
 	}
 	return ""
@@ -449,13 +449,13 @@
 
 func exceeds(need, limit float64) bool { return limit > 0 && need > limit+epsilon }
 
-func typeAllowed(s *wire.JobSpec, rig string) bool {
-	if s.NoMachineTypes {
+func typeAllowed(spec *wire.JobSpec, rig string) bool {
+	if spec.NoMachineTypes {
 		return false
 	}
-	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, rig)
+	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, rig)
 }
 
-func fitsType(s *wire.JobSpec, r *wire.MachineType) bool {
-	return s.Cores <= r.Cores+epsilon && s.GPUs <= r.GPUs+epsilon && s.MemoryGB <= r.MemoryGB+epsilon
+func fitsType(spec *wire.JobSpec, machineType *wire.MachineType) bool {
+	return spec.Cores <= machineType.Cores+epsilon && spec.GPUs <= machineType.GPUs+epsilon && spec.MemoryGB <= machineType.MemoryGB+epsilon
 }
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -9,9 +9,9 @@
 
 // Answers to workers: at once, held for a moment, or to another controller.
 
-func (n *Node) answerWorker(req uint64, p *shard, h *machine, orders []wire.Command) {
-	h.answeredAt = n.now
-	n.emit(Reply{RequestID: req, Status: 200, Body: wire.HeartbeatReply{Token: p.Term, Commands: orders}})
+func (n *Node) answerWorker(req uint64, shard *shard, machine *machine, orders []wire.Command) {
+	machine.answeredAt = n.now
+	n.emit(Reply{RequestID: req, Status: 200, Body: wire.HeartbeatReply{Token: shard.Term, Commands: orders}})
 }
 
 // replyDelay is how long an answer may wait for the records to be written
@@ -36,8 +36,8 @@
 
 // replyDelayFor tells how long orders may be waited for: when tasks have just
 // ended, when the machine is new, and when it is idle.
-func (n *Node) replyDelayFor(h *machine, r *wire.WorkerHeartbeat, orders []wire.Command) Time {
-	if !h.tokenConfirmed && !h.newlyBooted {
+func (n *Node) replyDelayFor(machine *machine, heartbeat *wire.WorkerHeartbeat, orders []wire.Command) Time {
+	if !machine.tokenConfirmed && !machine.newlyBooted {
 		return 0 // it is to learn our term first
 	}
 	for _, o := range orders {
@@ -45,16 +45,16 @@
 			return 0 // has something to do at once
 		}
 	}
-	if len(h.placements) == 0 && len(r.Tasks) == h.unclearedTasks {
+	if len(machine.placements) == 0 && len(heartbeat.Tasks) == machine.unclearedTasks {
 		switch {
-		case !n.acceptsTasks(h):
+		case !n.acceptsTasks(machine):
 			return 0
-		case h.tokenConfirmed && h.heartbeats > 1:
+		case machine.tokenConfirmed && machine.heartbeats > 1:
 			return idleReplyDelay
 		}
 		return replyDelay
 	}
-	if n.hasPendingOutcomes(h) {
+	if n.hasPendingOutcomes(machine) {
 		return replyDelay
 	}
 	return 0
@@ -62,9 +62,9 @@
 
 // hasPendingOutcomes tells whether the end of a task on the machine still has to
 // be written to its record.
-func (n *Node) hasPendingOutcomes(h *machine) bool {
-	for i := range h.placements {
-		if _, ended := n.outcomes[h.placements[i].taskKey]; ended {
+func (n *Node) hasPendingOutcomes(machine *machine) bool {
+	for i := range machine.placements {
+		if _, ended := n.outcomes[machine.placements[i].taskKey]; ended {
 			return true
 		}
 	}
@@ -78,56 +78,56 @@
 	}
 	n.heldRepliesAt = n.now + 40*time.Millisecond
 	n.heldReplies = slices.DeleteFunc(n.heldReplies, func(q heldReply) bool {
-		p, h := q.shard, q.machine
-		if p.Term != q.term || !n.mayActAsOwner(p) || h.epoch != q.Heartbeat.Epoch || h.sequence != q.Heartbeat.Sequence {
-			h.heldReplies--
-			n.redirect(q.RequestID, p, h, false)
+		shard, machine := q.shard, q.machine
+		if shard.Term != q.term || !n.mayActAsOwner(shard) || machine.epoch != q.Heartbeat.Epoch || machine.sequence != q.Heartbeat.Sequence {
+			machine.heldReplies--
+			n.redirect(q.RequestID, shard, machine, false)
 			return true
 		}
-		if n.now < q.until && (n.hasPendingOutcomes(h) || !n.startsWaiting(h)) && !h.draining {
+		if n.now < q.until && (n.hasPendingOutcomes(machine) || !n.startsWaiting(machine)) && !machine.draining {
 			return false
 		}
-		h.heldReplies--
-		if orders := n.reconcile(p, h, q.Heartbeat); !h.leaseExpiring {
-			n.answerWorker(q.RequestID, p, h, orders)
+		machine.heldReplies--
+		if orders := n.reconcile(shard, machine, q.Heartbeat); !machine.leaseExpiring {
+			n.answerWorker(q.RequestID, shard, machine, orders)
 		} else {
-			n.redirect(q.RequestID, p, h, true)
+			n.redirect(q.RequestID, shard, machine, true)
 		}
 		return true
 	})
 }
 
 // startsWaiting tells whether a placed task has not reached the machine.
-func (n *Node) startsWaiting(h *machine) bool {
-	for i := range h.placements {
-		if _, there := h.reportedTasks[h.placements[i].taskKey]; !there {
+func (n *Node) startsWaiting(machine *machine) bool {
+	for i := range machine.placements {
+		if _, there := machine.reportedTasks[machine.placements[i].taskKey]; !there {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *Node) redirect(req uint64, p *shard, h *machine, late bool) {
-	if n.replica.Loaded() && p.Record != nil && p.Record.Owner != n.cfg.Self {
+func (n *Node) redirect(req uint64, shard *shard, machine *machine, late bool) {
+	if n.replica.Loaded() && shard.Record != nil && shard.Record.Owner != n.cfg.Self {
 		// It was sent to its owner and is back, or its owner has told us that
 		// it hears nothing from it: it can't reach its owner.
-		back := n.now - h.redirectedAt
-		bounced := h.redirectedAt > 0 && back > second*7/10 && back < 15*second
-		unheard := n.ownerMissesMachine(p, h)
-		if n.storeOK && !late && (bounced || unheard) && !n.ownerHearsMachine(p, h) {
-			if h.bouncedAt == 0 || n.now-h.bouncedAt > 12*second {
-				h.bouncingSince = n.now
+		back := n.now - machine.redirectedAt
+		bounced := machine.redirectedAt > 0 && back > second*7/10 && back < 15*second
+		unheard := n.ownerMissesMachine(shard, machine)
+		if n.storeOK && !late && (bounced || unheard) && !n.ownerHearsMachine(shard, machine) {
+			if machine.bouncedAt == 0 || n.now-machine.bouncedAt > 12*second {
+				machine.bouncingSince = n.now
 			}
-			h.bouncedAt = n.now
+			machine.bouncedAt = n.now
 		}
 		if !late {
-			h.redirectedAt = n.now
+			machine.redirectedAt = n.now
 		}
-		if !h.strayListed {
-			h.strayListed = true
-			n.strayMachines = append(n.strayMachines, h.index)
+		if !machine.strayListed {
+			machine.strayListed = true
+			n.strayMachines = append(n.strayMachines, machine.index)
 		}
-		n.emit(Reply{RequestID: req, Status: 421, Body: wire.Redirect{Owner: p.Record.Owner}})
+		n.emit(Reply{RequestID: req, Status: 421, Body: wire.Redirect{Owner: shard.Record.Owner}})
 		return
 	}
 	n.emit(Reply{RequestID: req, Status: 503, Body: wire.Error{Error: "no owner"}})
@@ -137,22 +137,22 @@
 // machine: then what comes here in its name is a late copy, or the machine is
 // unreachable for the answers. When copies counted, two controllers took shards from
 // each other for as long as they came.
-func (n *Node) ownerHearsMachine(p *shard, h *machine) bool {
-	owner := n.peers[p.Record.Owner]
+func (n *Node) ownerHearsMachine(shard *shard, machine *machine) bool {
+	owner := n.peers[shard.Record.Owner]
 	if owner == nil || n.now-owner.heardAt > 3*second {
 		return false
 	}
-	if h.viewTerm != p.Term {
-		return n.now-p.ChangedAt < 3*n.cfg.HeartbeatInterval // it has not had the time to hear it
+	if machine.viewTerm != shard.Term {
+		return n.now-shard.ChangedAt < 3*n.cfg.HeartbeatInterval // it has not had the time to hear it
 	}
-	return h.view.missedHeartbeats == 0
+	return machine.view.missedHeartbeats == 0
 }
 
 // ownerMissesMachine tells whether an owner that has been up for a while says that it
 // hears nothing of a machine. One that has just come back does not know of it
 // yet, which proves nothing.
-func (n *Node) ownerMissesMachine(p *shard, h *machine) bool {
-	owner := n.peers[p.Record.Owner]
+func (n *Node) ownerMissesMachine(shard *shard, machine *machine) bool {
+	owner := n.peers[shard.Record.Owner]
 	return owner != nil && n.now-owner.heardAt < 3*second && owner.message.UpS >= 4*n.cfg.HeartbeatInterval.Seconds() &&
-		h.viewTerm == p.Term && h.view.missedHeartbeats > 0
+		machine.viewTerm == shard.Term && machine.view.missedHeartbeats > 0
 }
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -110,19 +110,19 @@
 // have ended, of grants to our shards, and of grants yet to be made.
 func (n *Node) countPendingRecords() int {
 	seen := map[int]bool{}
-	for k, res := range n.outcomes {
-		if n.isUrgentOutcome(k, res) {
-			seen[k.job] = true
+	for key, outcome := range n.outcomes {
+		if n.isUrgentOutcome(key, outcome) {
+			seen[key.job] = true
 		}
 	}
-	for _, jx := range n.replica.Live() {
-		j := n.jobs[jx]
-		if j.Unplaced == 0 {
+	for _, index := range n.replica.Live() {
+		job := n.jobs[index]
+		if job.Unplaced == 0 {
 			continue
 		}
-		for i := range j.Record.ActiveTasks {
-			if a := &j.Record.ActiveTasks[i]; a.Machine == "" && n.mayActAsOwner(n.shards[a.Shard]) {
-				seen[jx] = true
+		for i := range job.Record.ActiveTasks {
+			if task := &job.Record.ActiveTasks[i]; task.Machine == "" && n.mayActAsOwner(n.shards[task.Shard]) {
+				seen[index] = true
 				break
 			}
 		}
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -30,70 +30,70 @@
 const maxTransactionBytes = 48_000
 
 // job gives a copy of the record to change, or nil when the commit is full.
-func (w *writer) job(j *job) *wire.Job {
-	if r := w.records[j.Index]; r != nil {
+func (writer *writer) job(job *job) *wire.Job {
+	if r := writer.records[job.Index]; r != nil {
 		return r
 	}
-	size := max(900, j.BaseBytes) + replica.TaskListBytes(j.Record.ActiveTasks, j.Record.DoneTasks)
-	if len(w.order)+len(w.linkedWrites) >= w.maxWrites || w.bytes+size > maxTransactionBytes {
+	size := max(900, job.BaseBytes) + replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks)
+	if len(writer.order)+len(writer.linkedWrites) >= writer.maxWrites || writer.bytes+size > maxTransactionBytes {
 		return nil
 	}
-	w.bytes += size
-	w.records[j.Index] = replica.CloneRecord(j.Record)
-	w.order = append(w.order, j.Index)
-	return w.records[j.Index]
+	writer.bytes += size
+	writer.records[job.Index] = replica.CloneRecord(job.Record)
+	writer.order = append(writer.order, job.Index)
+	return writer.records[job.Index]
 }
 
 // attempt gives the number for what this commit starts of a job: one for all of
 // its tasks, since a task is started once in a commit and the next commit takes
 // the next number. Tasks that begin together are so told in one run.
-func (w *writer) attempt(j *job, rec *wire.Job) uint64 {
-	if _, taken := w.attempts[j.Index]; !taken {
-		w.attempts[j.Index] = rec.NextAttempt
-		rec.NextAttempt++
+func (writer *writer) attempt(job *job, record *wire.Job) uint64 {
+	if _, taken := writer.attempts[job.Index]; !taken {
+		writer.attempts[job.Index] = record.NextAttempt
+		record.NextAttempt++
 	}
-	return w.attempts[j.Index]
+	return writer.attempts[job.Index]
 }
 
 // addWrite adds a write of another key under a condition.
-func (w *writer) addWrite(wr Write, c Condition) bool {
-	if len(w.order)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
+func (writer *writer) addWrite(wr Write, c Condition) bool {
+	if len(writer.order)+len(writer.linkedWrites) >= writer.node.cfg.MaxTransactionOps {
 		return false
 	}
-	w.linkedWrites = append(w.linkedWrites, wr)
-	w.conditions = append(w.conditions, c)
+	writer.linkedWrites = append(writer.linkedWrites, wr)
+	writer.conditions = append(writer.conditions, c)
 	return true
 }
 
 // send commits the changes, each conditional on its record's revision, and
 // all on the terms of the shards they speak for.
-func (w *writer) send(b *batch, onOK func()) {
-	if len(w.order)+len(w.linkedWrites) == 0 {
+func (writer *writer) send(b *batch, onOK func()) {
+	if len(writer.order)+len(writer.linkedWrites) == 0 {
 		return
 	}
-	conds := w.conditions
-	for i, p := range w.node.shards {
-		if w.shards[i] {
-			conds = append(conds, Condition{Key: wire.ShardKey(p.Name), Revision: p.Term})
+	conds := writer.conditions
+	for i, shard := range writer.node.shards {
+		if writer.shards[i] {
+			conds = append(conds, Condition{Key: wire.ShardKey(shard.Name), Revision: shard.Term})
 		}
 	}
-	writes := w.linkedWrites
-	for _, jx := range w.order {
-		j, rec := w.node.jobs[jx], w.records[jx]
-		rec.OverflowKeys = 0
-		replica.CompactRecord(rec)
-		changed := w.node.replica.SplitRecord(j.ID, replica.StoredRecord{Tasks: j.Record.ActiveTasks, OverflowKeys: j.Record.OverflowKeys}, rec)
-		if len(changed) > w.node.cfg.MaxTransactionOps && w.writeOverflowFirst && len(writes) == 0 {
-			changed = replica.WritesAhead(changed, j.Record.OverflowKeys, w.node.cfg.MaxTransactionOps)
+	writes := writer.linkedWrites
+	for _, index := range writer.order {
+		job, record := writer.node.jobs[index], writer.records[index]
+		record.OverflowKeys = 0
+		replica.CompactRecord(record)
+		changed := writer.node.replica.SplitRecord(job.ID, replica.StoredRecord{Tasks: job.Record.ActiveTasks, OverflowKeys: job.Record.OverflowKeys}, record)
+		if len(changed) > writer.node.cfg.MaxTransactionOps && writer.writeOverflowFirst && len(writes) == 0 {
+			changed = replica.WritesAhead(changed, job.Record.OverflowKeys, writer.node.cfg.MaxTransactionOps)
 		}
-		if len(writes)+len(changed) > w.node.cfg.MaxTransactionOps {
+		if len(writes)+len(changed) > writer.node.cfg.MaxTransactionOps {
 			continue // it is decided again
 		}
-		conds = append(conds, Condition{Key: wire.JobKey(j.ID), Revision: j.Revision})
+		conds = append(conds, Condition{Key: wire.JobKey(job.ID), Revision: job.Revision})
 		writes = append(writes, changed...)
 	}
 	if len(writes) == 0 {
 		return
 	}
-	b.start(w.node, conds, writes, w.linkedWrites, onOK)
+	b.start(writer.node, conds, writes, writer.linkedWrites, onOK)
 }
