--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -80,7 +80,7 @@
 // admitWork admits waiting work in our shards, within their shares.
 func (n *Node) admitWork(writer *writer, room *lazySlots) {
 	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.admissionAt || n.offeredTypes == nil ||
-		n.holdsLeaderClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
+		n.leadership.HoldsClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
 		return
 	}
 	leaderless := n.leaderIsSilent()
@@ -116,7 +116,7 @@
 
 // leaderIsSilent tells whether there is no leader, or none that can be heard to work.
 func (n *Node) leaderIsSilent() bool {
-	leader := n.leader.record
+	leader := n.leadership.Record()
 	if leader == nil || leader.Controller == n.cfg.Self {
 		return true
 	}
--- a/internal/core/arrival_reserve_test.go
+++ b/internal/core/arrival_reserve_test.go
@@ -37,7 +37,7 @@
 // A controller that does not lead counts too: a new leader that began without
 // any count kept no reserve for a minute.
 func TestFollowersCount(t *testing.T) {
-	n := New(Config{Self: "n0", Zone: "a", Members: []Member{{"n0", "a"}, {"n1", "a"}}, Zones: []string{"a"},
+	n := New(Config{Self: "n0", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		StartObjectives: []StartObjective{{Class: "c", Within: 20 * second}}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 1, Events: []Event{{Key: wire.LeaderKey, Revision: 1, Value: &wire.Leader{Controller: "n1"}}}})
 	put := func(rev uint64, id string, j *wire.Job) {
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -22,60 +22,73 @@
 	linkedWrites    []Write // writes that belong together with others of the batch
 	awaitedRevision uint64  // revision that the replica must reach
 	retryAt         Time
-	onCommitted     func()
 	generation      uint64
 }
 
-func (b *batch) start(n *Node, conds []Condition, writes, extra []Write, onOK func()) {
+// start makes a new batch and sends it.
+func (b *batch) start(n *Node, conditions []Condition, writes, linked []Write) {
 	b.generation++
 	b.active, b.inFlight, b.outcomeUnknown, b.awaitedRevision = true, false, false, 0
-	b.conditions, b.writes, b.linkedWrites, b.onCommitted = conds, writes, extra, onOK
+	b.conditions, b.writes, b.linkedWrites = conditions, writes, linked
 	b.send(n)
 }
 
+// Waits before a batch is sent again, or another is made.
+const (
+	tooLargeRetryDelay = time.Second
+	refusedRetryDelay  = 400 * time.Millisecond
+	unknownRetryDelay  = 300 * time.Millisecond
+)
+
+// send sends the batch, for the first time or again.
 func (b *batch) send(n *Node) {
 	b.inFlight = true
-	gen := b.generation
-	n.commit(ClassBackground, b.conditions, b.writes, func(result Committed) {
-		if gen != b.generation || !b.active {
+	n.transact(ClassBackground, b.conditions, b.writes, batchCommit{batch: b, generation: b.generation})
+}
+
+// batchCommit is a batch under way.
+type batchCommit struct {
+	batch      *batch
+	generation uint64
+}
+
+func (c batchCommit) committed(n *Node, result Committed) {
+	b := c.batch
+	if c.generation != b.generation || !b.active {
+		return
+	}
+	b.inFlight = false
+	n.log(LogDebug, "batch committed", "role", b.role, "writes", len(b.writes), "outcome", int(result.Outcome))
+	switch result.Outcome {
+	case OK:
+		b.awaitedRevision = max(result.Revision, 1)
+	case Conflict:
+		n.log(LogDebug, "commit conflict", "role", b.role, "revision", result.Revision)
+		if b.removeConflicts(result.Failed) {
+			b.send(n)
+			return
+		}
+		b.awaitedRevision = max(result.Revision, 1)
+	case TooLarge:
+		// Never sent again as it is. Whether an earlier sending, before the limits fell,
+		// was carried out is told by its conditions alone.
+		if b.outcomeUnknown && len(b.writes) > 0 {
+			b.writes, b.linkedWrites = nil, nil
+			b.send(n)
 			return
 		}
-		b.inFlight = false
-		n.log(LogDebug, "batch committed", "role", b.role, "writes", len(b.writes), "outcome", int(result.Outcome))
-		switch result.Outcome {
-		case OK:
-			if b.onCommitted != nil && len(b.writes) > 0 {
-				b.onCommitted()
-			}
-			b.awaitedRevision = max(result.Revision, 1)
-		case Conflict:
-			n.log(LogDebug, "commit conflict", "role", b.role, "revision", result.Revision)
-			if b.removeConflicts(result.Failed) {
-				b.send(n)
-				return
-			}
-			b.awaitedRevision = max(result.Revision, 1)
-		case TooLarge:
-			// Never sent again as it is. Whether an earlier sending, before the
-			// limits fell, was carried out is told by its conditions alone.
-			if b.outcomeUnknown && len(b.writes) > 0 {
-				b.writes, b.linkedWrites = nil, nil
-				b.send(n)
-				return
-			}
+		b.active = false
+		b.retryAt = n.now + tooLargeRetryDelay
+	case Refused, LeaseExpired:
+		if !b.outcomeUnknown {
 			b.active = false
-			b.retryAt = n.now + time.Second
-		case Refused, LeaseExpired:
-			if !b.outcomeUnknown {
-				b.active = false
-			}
-			b.retryAt = n.now + 400*time.Millisecond
-		default:
-			b.outcomeUnknown = true
-			b.retryAt = n.now + 300*time.Millisecond
 		}
-		b.settle(n)
-	})
+		b.retryAt = n.now + refusedRetryDelay
+	default:
+		b.outcomeUnknown = true
+		b.retryAt = n.now + unknownRetryDelay
+	}
+	b.settle(n)
 }
 
 // settle ends the batch once the replica shows its outcome.
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"micaport/internal/ownership"
 	"micaport/internal/replica"
 )
 
@@ -10,10 +11,13 @@
 type Time = time.Duration
 
 // Member is a controller of the deployment.
-type Member struct {
-	Name string
-	Zone string
-}
+type Member = ownership.Member
+
+// ShardID names a shard of the machines.
+type ShardID = ownership.ShardID
+
+// Shards lists the shards of a deployment in the order in which records number them.
+func Shards(zones []string, members []Member) []ShardID { return ownership.ShardIDs(zones, members) }
 
 // Team is a team's guarantee and limit; 0 means none.
 type Team = replica.Team
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -7,8 +7,10 @@
 import (
 	"net/http"
 	"slices"
-	"time"
 
+	"micaport/internal/gang"
+	"micaport/internal/leadership"
+	"micaport/internal/ownership"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -26,15 +28,17 @@
 	names   *replica.Names
 	replica *replica.Replica
 	jobs    []*job // by index of their id, as in the replica
-	gangs   map[string]*gang
+	gangs   *gang.Attempts
+
+	ownership  *ownership.Table
+	leadership *leadership.Leadership
 
 	topology
 	storeState
 	gossipState
 	ownerState
 
-	leader leaderState
-	leadership
+	leader   leaderState
 	failover failoverState
 	users    userState
 
@@ -44,8 +48,9 @@
 	arrivals    []*classArrivals
 	countedFrom Time // since when arrivals are counted; 0: not yet
 
-	resumedAt Time   // when we last found out that we had stood still
-	workCount uint64 // machines looked at so far
+	cloudUnreachableSince Time   // since when the cloud has not answered; 0: it does
+	resumedAt             Time   // when the process last found out that it had been stalled; 0: never
+	workCount             uint64 // machines looked at so far
 }
 
 // topology is what there is at the site. Names are mapped to indices where they come in.
@@ -55,26 +60,17 @@
 	typesRevision  uint64              // of the stored machine types
 	machineTypes   []*wire.MachineType // by index of their name; nil: not on offer
 
-	shards     []*shard
-	zoneShards []shardRange // by zone
-	machines   []*machine
+	shards   []*shard
+	machines []*machine
 }
 
-// shardRange is a run of neighbours among the shards.
-type shardRange struct{ first, count int }
-
 // storeState is how we stand with the state service.
 type storeState struct {
 	storeOK         bool
 	storeOKSince    Time // since when it has served us
 	storeAnsweredAt Time // last proof that it serves us
 
-	shardLease       lease
-	leaderLease      lease
-	ownershipCheckAt Time
-	ownershipChecks  []ownershipCheck
-	provenAt         Time // when the last check that has settled was sent
-	formatAt         Time // when our record of the formats that we read is written, if it is not there
+	formatAt Time // when our record of the formats that we read is written, if it is not there
 }
 
 // gossipState is what we tell the other controllers and hear of them.
@@ -126,7 +122,7 @@
 		cfg:     cfg,
 		names:   &replica.Names{},
 		pending: map[uint64]continuation{},
-		gangs:   map[string]*gang{},
+		gangs:   gang.NewAttempts(),
 		gossipState: gossipState{
 			peers:            map[string]*peer{},
 			reservedMachines: map[int]int{},
@@ -141,15 +137,14 @@
 	if n.cfg.Format == 0 {
 		n.cfg.Format = wire.Format
 	}
-	n.shardLease.TTL = cfg.OwnerValidity
-	n.leaderLease.TTL = cfg.LeaderLease
 	for _, zone := range slices.Sorted(slices.Values(cfg.Zones)) {
 		n.names.Zones.Of(zone)
 	}
 	for i := range cfg.Teams {
 		n.names.Teams.Of(cfg.Teams[i].Name)
 	}
-	n.makeShards()
+	n.initOwnership()
+	n.initLeadership()
 	n.initReplica()
 	n.initFailover()
 	for _, o := range cfg.StartObjectives {
@@ -222,7 +217,7 @@
 	n.claimShards()
 	n.runFailover()
 	n.claimLeader()
-	n.checkOwnership()
+	n.proveOwnership()
 	n.runOwner()
 	n.sendHeldReplies()
 	n.sendDirectStarts()
@@ -248,26 +243,6 @@
 	n.emit(Log{Level: level, Text: text, Args: args})
 }
 
-// noteStoreOutcome notes whether the state service serves us.
-func (n *Node) noteStoreOutcome(outcome Outcome) {
-	switch outcome {
-	case OK, Conflict, NotFound, LeaseExpired, TooLarge:
-		if !n.storeOK {
-			// In an outage owners run out of validity and their workers go
-			// round in vain. That says nothing about the owners afterwards.
-			n.storeOKSince = n.now
-			for _, shard := range n.shards {
-				shard.forgetBounces()
-			}
-		}
-		n.storeOK, n.storeAnsweredAt = true, n.now
-	default:
-		if n.now-n.storeAnsweredAt > 3*time.Second {
-			n.storeOK = false
-		}
-	}
-}
-
 // Work counts machines looked at since the start, for tests of how cost grows.
 func (n *Node) Work() uint64 { return n.workCount }
 
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -26,7 +26,7 @@
 	if !n.fenced() {
 		return
 	}
-	s.publisher.Direct(s.standby, n.leader.term)
+	s.publisher.Direct(s.standby, n.leadership.Term())
 	if s.standby == "" || n.now < s.publishAt {
 		return
 	}
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -13,7 +13,7 @@
 // chainedWith is chained with a changed configuration.
 func chainedWith(change func(*Config), members ...Member) *Node {
 	if members == nil {
-		members = []Member{{"n0", "a"}}
+		members = []Member{{Name: "n0", Zone: "a"}}
 	}
 	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []Team{{Name: "t"}},
 		HeartbeatInterval: 4 * second, WorkerLease: 30 * second, OwnerValidity: 23 * second, LeaderLease: 5 * second, MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8,
@@ -133,7 +133,7 @@
 // Before every controller has said that it reads them, a chained job is put off, and
 // nothing new is written.
 func TestNothingNewBeforeAllAreUpgraded(t *testing.T) {
-	n := chained(Member{"n0", "a"}, Member{"n1", "a"})
+	n := chained(Member{Name: "n0", Zone: "a"}, Member{Name: "n1", Zone: "a"})
 	see(n, 2, "wk-000001", wire.JobLive, nil)
 	r, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission("wk-000100", "wk-000001")}, nil)
 	if r == nil || r.Status != 503 || r.RetryAfterS == 0 || len(wrote) > 0 || n.replica.OverflowKeys() > 0 {
@@ -172,7 +172,7 @@
 	for i := 1; i < many; i++ {
 		see(n, 2+many+i, name(many+i), wire.JobLive, nil, name(0))
 	}
-	n.leader.record = nil
+	n.putLeader(nil, 4*many)
 	see(n, 5*many, name(0), wire.JobCancelled, nil)
 	if n.replica.UnrecordedCancellations() != 2*many-2 {
 		t.Errorf("%d jobs were touched, not %d once each", n.replica.UnrecordedCancellations(), 2*many-2)
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -129,7 +129,7 @@
 // Before every controller reads such lists none is written: the submission is put off,
 // while one that its record has room for is taken.
 func TestNoLongListBeforeAllReadIt(t *testing.T) {
-	n := smallValues(Member{"n0", "a"}, Member{"n1", "a"})
+	n := smallValues(Member{Name: "n0", Zone: "a"}, Member{Name: "n1", Zone: "a"})
 	reads := func(rev uint64, label string, format int) {
 		n.Step(n.now+1, RecordsChanged{Revision: rev, Events: []Event{{Key: wire.FormatPrefix + label, Revision: rev, Value: &wire.SupportedFormat{Format: format}}}})
 	}
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -71,7 +71,7 @@
 // a task of a job has just been placed, and the start that it sends.
 func placedDirectly(t *testing.T) (*drive, *wire.Job, *SendCommands) {
 	t.Helper()
-	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"},
+	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
 	d.step(RecordsChanged{Reset: true, Revision: 1})
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -42,12 +42,12 @@
 }
 
 // fenced tells whether we lead under a claim that may be replaced early.
-func (n *Node) fenced() bool { return n.isLeader() && n.leader.record.Fenced }
+func (n *Node) fenced() bool { return n.isLeader() && n.leadership.Record().Fenced }
 
 // observeLeader takes in a change of the leader's record.
 func (n *Node) observeLeader() {
-	s, rec := &n.failover, n.leader.record
-	claim := failover.Claim{Term: n.leader.term}
+	s, rec := &n.failover, n.leadership.Record()
+	claim := failover.Claim{Term: n.leadership.Term()}
 	if rec != nil {
 		claim.Controller, claim.Incarnation, claim.Fenced, claim.Streak = rec.Controller, rec.Incarnation, rec.Fenced, rec.Streak
 	}
@@ -98,11 +98,11 @@
 		return
 	}
 	if !suspected {
-		n.log(LogInfo, "leader suspected", "leader", n.leader.record.Controller, "silence", s.follower.Silence(n.now))
+		n.log(LogInfo, "leader suspected", "leader", n.leadership.Record().Controller, "silence", s.follower.Silence(n.now))
 		n.sendGossip(true) // the peers are to know at once
 	}
-	if n.now-n.leaderLease.SentAt > failover.MaxLeaseAge/2 {
-		n.leaderLease.RenewAt = min(n.leaderLease.RenewAt, n.now)
+	if n.leadership.Lease.Age(n.now) > failover.MaxLeaseAge/2 {
+		n.leadership.Lease.RenewNow(n.now)
 	}
 }
 
@@ -118,15 +118,15 @@
 // the replaced leader fails from then on.
 func (n *Node) claimEarly() {
 	s := &n.failover
-	replaced, evidence := n.leader.record.Controller, s.follower.Evidence(n.now)
+	replaced, evidence := n.leadership.Record().Controller, s.follower.Evidence(n.now)
 	s.takeover.Begin(n.now, replaced, s.follower.SuspectedAt(), evidence)
 	n.log(LogInfo, "claiming leadership early", "leader", replaced, "silence", evidence.Silence, "broken", evidence.Broken,
 		"suspecting", evidence.Suspecting, "hearing", evidence.Hearing, "members", evidence.Members)
 	record := n.withTakeover(wire.Takeover{
-		From: replaced, To: n.cfg.Self, Replaced: n.leader.term, At: n.cfg.WallClockMS(), SilenceMS: evidence.Silence.Milliseconds(), Broken: evidence.Broken,
+		From: replaced, To: n.cfg.Self, Replaced: n.leadership.Term(), At: n.cfg.WallClockMS(), SilenceMS: evidence.Silence.Milliseconds(), Broken: evidence.Broken,
 		Suspecting: evidence.Suspecting, Hearing: evidence.Hearing, Members: evidence.Members, StagesMS: n.stagesMS(),
 	})
-	n.sendClaim(n.newClaim(s.follower.Streak(n.now)), n.leader.term, Write{Key: wire.TakeoversKey, Value: record})
+	n.sendClaim(n.newClaim(s.follower.Streak(n.now)), n.leadership.Term(), Write{Key: wire.TakeoversKey, Value: record})
 }
 
 // withTakeover is the record of the last takeovers with one more, as many as a value holds.
@@ -154,31 +154,37 @@
 // fenceClaim makes a new claim of ours once all controllers read that it is fenced. It
 // waits for what was decided under the old one.
 func (n *Node) fenceClaim() {
-	if !n.cfg.EarlyTakeover || !n.replica.WritesEarlyFailover() || n.leader.record.Fenced || n.leader.batch.active || n.now < n.nextClaimAt ||
-		n.leaderLease.ID != n.claimLeaseID || n.now-n.leaderLease.SentAt > n.leaderLease.TTL/2 {
+	if !n.cfg.EarlyTakeover || !n.replica.WritesEarlyFailover() || n.leadership.Record().Fenced || n.leader.batch.active || !n.leadership.MayClaimAgain(n.now) {
 		return
 	}
-	n.sendClaim(n.newClaim(0), n.leader.term)
+	n.sendClaim(n.newClaim(0), n.leadership.Term())
 }
 
 // proveClaim proves that our claim still stood when the proof was sent. The cloud, which
 // no record fences, is called only for a while after.
 func (n *Node) proveClaim() {
-	fence, term := &n.failover.fence, n.leader.term
-	if !n.fenced() || !fence.Due(n.now) {
+	term := n.leadership.Term()
+	if !n.fenced() || !n.failover.fence.Due(n.now) {
 		return
 	}
-	sent := n.now
-	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: term}}, nil, func(result Committed) {
-		switch {
-		case n.leader.term != term:
-		case result.Outcome == Conflict:
-			n.abandonedTerm = term // replaced, though our watch does not show it yet
-		case result.Outcome == OK && sent >= n.resumedAt:
-			fence.AddProof(sent, result.Revision)
-			n.settleProofs()
-		}
-	})
+	n.transact(ClassLease, []Condition{n.leaderCondition()}, nil, leaderProof{term: term, sentAt: n.now})
+}
+
+// leaderProof is a proof under way that a claim of the leadership stands.
+type leaderProof struct {
+	term   uint64
+	sentAt Time
+}
+
+func (p leaderProof) committed(n *Node, result Committed) {
+	switch {
+	case n.leadership.Term() != p.term:
+	case result.Outcome == Conflict:
+		n.leadership.Replaced(p.term) // the replica does not show it yet
+	case result.Outcome == OK && p.sentAt >= n.resumedAt:
+		n.failover.fence.AddProof(p.sentAt, result.Revision)
+		n.settleProofs()
+	}
 }
 
 // settleProofs lets those proofs count whose revision the replica has reached, and extends
@@ -188,7 +194,7 @@
 	before := s.fence.RemainingCallTime(n.now)
 	s.fence.Settle(n.replica.Revision())
 	if right := s.fence.RemainingCallTime(n.now); n.fenced() && right > before { // before it opens, nothing is to be sent
-		n.emit(AllowCloudCalls{Term: n.leader.term, Until: n.now + right})
+		n.emit(AllowCloudCalls{Term: n.leadership.Term(), Until: n.now + right})
 	}
 }
 
@@ -240,7 +246,7 @@
 		return
 	}
 	last.StagesMS = n.stagesMS()
-	n.commit(ClassBackground, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, []Write{{Key: wire.TakeoversKey, Value: record}}, func(Committed) {})
+	n.transact(ClassBackground, []Condition{n.leaderCondition()}, []Write{{Key: wire.TakeoversKey, Value: record}}, ignoreResult{})
 }
 
 // sendHeartbeats tells the peers that we lead, and who is to take over first.
@@ -256,7 +262,7 @@
 	}
 	for _, m := range n.cfg.Members {
 		if m.Name != n.cfg.Self {
-			n.emit(SendHeartbeat{To: m.Name, Message: &wire.LeaderHeartbeat{From: n.cfg.Self, Life: n.cfg.Incarnation, Term: n.leader.term, Standby: s.standby}})
+			n.emit(SendHeartbeat{To: m.Name, Message: &wire.LeaderHeartbeat{From: n.cfg.Self, Life: n.cfg.Incarnation, Term: n.leadership.Term(), Standby: s.standby}})
 		}
 	}
 }
@@ -289,7 +295,7 @@
 
 // leaderView is what we tell the peers of a leader that may be replaced early.
 func (n *Node) leaderView() *wire.LeaderView {
-	if n.leader.record == nil || !n.leader.record.Fenced || n.leader.record.Controller == n.cfg.Self {
+	if n.leadership.Record() == nil || !n.leadership.Record().Fenced || n.leadership.Record().Controller == n.cfg.Self {
 		return nil
 	}
 	o := n.failover.follower.Opinion(n.now)
@@ -309,20 +315,20 @@
 func (n *Node) leadershipStatus() wire.LeadershipStatus {
 	s := &n.failover
 	status := wire.LeadershipStatus{
-		Controller: n.cfg.Self, Term: n.leader.term, Revision: n.replica.Revision(), Agreed: n.replica.AgreedFormat(), Served: n.storeOK, Early: n.cfg.EarlyTakeover,
+		Controller: n.cfg.Self, Term: n.leadership.Term(), Revision: n.replica.Revision(), Agreed: n.replica.AgreedFormat(), Served: n.storeOK, Early: n.cfg.EarlyTakeover,
 		Standby: s.follower.Standby(), PauseMS: s.follower.MinTenure().Milliseconds(),
 	}
-	if n.leader.record == nil {
+	if n.leadership.Record() == nil {
 		return status
 	}
-	status.Leader, status.Fenced, status.Streak = n.leader.record.Controller, n.leader.record.Fenced, n.leader.record.Streak
+	status.Leader, status.Fenced, status.Streak = n.leadership.Record().Controller, n.leadership.Record().Fenced, n.leadership.Record().Streak
 	if n.isLeader() {
 		status.Standby = s.standby
 		status.LogMessages, status.LogFacts = s.publisher.Lag()
 		status.LogResyncs = s.publisher.Resyncs()
 		return status
 	}
-	if term, _ := s.replica.Sequence(); term == n.leader.term {
+	if term, _ := s.replica.Sequence(); term == n.leadership.Term() {
 		status.LogHeld = s.replica.Facts()
 	}
 	status.LogDropped = s.replica.Dropped()
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -23,7 +23,7 @@
 // newMember is n1 of n0, n1 and n2, which replaces leaders early; all read the newest format.
 func newMember(t *testing.T) *member {
 	t.Helper()
-	m := &member{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []Member{{"n0", "a"}, {"n1", "a"}, {"n2", "a"}}, Zones: []string{"a"},
+	m := &member{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second, EarlyTakeover: true,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 7 }})}
 	var events []Event
@@ -121,12 +121,12 @@
 	m := newMember(t)
 	term := m.lead("n0", "x", true, 0)
 	m.wait(10*second, term)
-	m.n.leaderLease.renewing = true // a renewal without an answer
+	m.n.leadership.Lease.Renew(m.n.now) // a renewal without an answer
 	m.wait(2500*time.Millisecond, 0)
 	m.suspect(term)
 	m.wait(300*time.Millisecond, 0)
 	if claims := m.take(); len(claims) > 0 {
-		t.Errorf("claimed under a lease renewed %v ago", m.now-m.n.leaderLease.SentAt)
+		t.Errorf("claimed under a lease renewed %v ago", m.n.leadership.Lease.Age(m.now))
 	}
 }
 
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -14,6 +14,6 @@
 	}
 	if w := n.replica.SupportedFormatWrites(); w != nil {
 		n.formatAt = n.now + formatDelay
-		n.commit(ClassUser, nil, w, func(Committed) {})
+		n.transact(ClassUser, nil, w, ignoreResult{})
 	}
 }
--- /dev/null
+++ b/internal/core/gang_leader.go
@@ -0,0 +1,71 @@
+package core
+
+import (
+	"slices"
+
+	"micaport/internal/gang"
+	"micaport/internal/wire"
+)
+
+// The leader's side of gang transactions; see package gang.
+
+// receiveGangHolds takes in owners' answers; only the leader acts on them.
+func (n *Node) receiveGangHolds(answers []wire.GangHold) {
+	if n.gangs.Receive(answers) {
+		n.leader.planNeeded = true
+	}
+}
+
+// gangHolds lists what this controller, as an owner, says of gangs that are being tried.
+func (n *Node) gangHolds() []wire.GangHold { return n.gangs.Answers(n.mayActInShard) }
+
+// advanceGangs takes the leader's next step for every gang that spans shards.
+func (n *Node) advanceGangs(writer *writer) {
+	n.receiveGangHolds(n.gangHolds())
+	for _, attempt := range n.gangs.Sorted() {
+		switch attempt.LeaderAction(n.gangSituation(attempt)) {
+		case gang.Confirm:
+			writer.setGangState(attempt, wire.GangConfirmed)
+		case gang.Drop:
+			writer.setGangState(attempt, wire.GangDropped)
+		case gang.Remove:
+			if !n.revokeGang(writer, attempt) {
+				return // the transaction is full
+			}
+			writer.removeGang(attempt)
+		case gang.Finish:
+			if job := n.jobNamed(attempt.JobID); job != nil {
+				job.queuePosition = queuePosition{}
+			}
+			writer.removeGang(attempt)
+		}
+	}
+}
+
+// revokeGang revokes the tasks of a dropped attempt that have no machine. It tells whether
+// there was room for that in the transaction.
+func (n *Node) revokeGang(writer *writer, attempt *gang.Attempt) bool {
+	job := n.jobNamed(attempt.JobID)
+	if job == nil || job.Record == nil || !hasUnplacedTask(job.Record, attempt.Record.Attempt) {
+		return true
+	}
+	record := writer.job(job)
+	if record == nil {
+		return false
+	}
+	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
+		return task.Attempt == attempt.Record.Attempt && task.Machine == ""
+	})
+	job.restorePosition()
+	return true
+}
+
+// setGangState writes the record of an attempt in another state.
+func (w *writer) setGangState(attempt *gang.Attempt, state wire.GangState) {
+	w.addWrite(Write{Key: attempt.Key, Value: attempt.WithState(state)}, Condition{Key: attempt.Key, Revision: attempt.Revision})
+}
+
+// removeGang deletes the record of an attempt.
+func (w *writer) removeGang(attempt *gang.Attempt) {
+	w.addWrite(Write{Key: attempt.Key}, Condition{Key: attempt.Key, Revision: attempt.Revision})
+}
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -37,11 +37,7 @@
 		m.Retire = n.leader.drainList(n)
 		m.Returned = n.leader.recentlyReturned(n)
 		m.Kept = n.leader.reservations
-		for _, key := range n.gangKeys() {
-			if gang := n.gangs[key]; gang.Record.State != wire.GangDropped {
-				m.Tries = append(m.Tries, wire.GangHold{Ref: gang.JobID, Attempt: gang.Record.Attempt, OK: gang.Record.State == wire.GangConfirmed})
-			}
-		}
+		m.Tries = n.gangs.Announced()
 		n.followLeader(&m)
 	}
 	// Peers that have seen as much get the same message.
@@ -222,7 +218,7 @@
 	for i := range message.Hosts {
 		n.workCount++
 		info := &message.Hosts[i]
-		part := n.shardOf(n.names.Zones.Find(name(info.Zone)), info.Name)
+		part := n.ownership.ShardOf(n.names.Zones.Find(name(info.Zone)), info.Name)
 		if part < 0 {
 			continue
 		}
@@ -263,7 +259,7 @@
 
 // followLeader does what the leader asks of owners.
 func (n *Node) followLeader(message *wire.Gossip) {
-	if n.leader.record == nil || n.leader.record.Controller != message.From {
+	if n.leadership.Record() == nil || n.leadership.Record().Controller != message.From {
 		return
 	}
 	for _, name := range message.Returned {
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -53,8 +53,8 @@
 		return
 	}
 	job.closedAt = n.now
-	if n.provenAt > 0 {
-		job.closedAt = n.provenAt
+	if provenAt := n.ownership.ProvenAt(); provenAt > 0 {
+		job.closedAt = provenAt
 	}
 }
 
@@ -133,3 +133,11 @@
 		}
 	}
 }
+
+// jobNamed is the job with an id, or nil if the id has not been seen.
+func (n *Node) jobNamed(id string) *job {
+	if index := n.names.Jobs.Find(id); index >= 0 {
+		return n.jobs[index]
+	}
+	return nil
+}
--- a/internal/core/leader_state.go
+++ b/internal/core/leader_state.go
@@ -11,9 +11,6 @@
 // leaderState is the leader's record and, while we lead, its memory. All of
 // the memory can be lost: a new leader rebuilds it from records and reports.
 type leaderState struct {
-	record     *wire.Leader
-	term       uint64
-	since      Time
 	tenure     int // counts how often we began or ceased to lead
 	batch      batch
 	planNeeded bool
@@ -79,7 +76,7 @@
 	// Refused by the state service, we may have lost the lead without seeing
 	// it. Commits would fail, but the cloud would go on obeying us.
 	// Nor does a new lease renew what was claimed under one that has ended.
-	if n.now-n.leaderLease.SentAt > n.leaderLease.TTL || n.leaderLease.ID != n.claimLeaseID {
+	if !n.leadership.LeaseHolds(n.now) {
 		return
 	}
 	if n.resumedAt > 0 && n.now-n.resumedAt < 2*second {
@@ -93,7 +90,7 @@
 		return
 	}
 	// First hear from the owners what there is.
-	if n.now-leader.since < 700*time.Millisecond {
+	if n.now-n.leadership.Since() < 700*time.Millisecond {
 		return
 	}
 	if !leader.batch.ready(n) {
@@ -104,7 +101,7 @@
 	leader.planAt = n.now + 120*time.Millisecond + Time(len(n.replica.Live()))*300*time.Microsecond + Time(n.machineCount())*100*time.Microsecond
 	leader.planNeeded, leader.pendingPlacements = false, nil
 	writer := newWriter(n)
-	writer.conditions = append(writer.conditions, Condition{Key: wire.LeaderKey, Revision: leader.term})
+	writer.conditions = append(writer.conditions, n.leaderCondition())
 	n.cleanUpHints()
 	n.shrinkRecords(writer)
 	n.advanceGangs(writer)
@@ -115,7 +112,7 @@
 	n.recordCancellations(writer)
 	n.budget.pendingGrants = len(writer.order) + left
 	n.log(LogDebug, "scheduling pass", "machines", n.machineCount(), "changed_jobs", len(writer.order), "unwritten_grants", left)
-	writer.send(&leader.batch, nil)
+	writer.send(&leader.batch)
 	n.notePlanned()
 }
 
@@ -152,7 +149,7 @@
 			if n.ownerIsHeard(n.shards[task.Shard]) {
 				wait = 40 * second
 			}
-			if n.now-job.ChangedAt < wait || n.gangs[wire.GangKey(job.ID, task.Attempt)] != nil {
+			if n.now-job.ChangedAt < wait || n.gangs.Find(job.ID, task.Attempt) != nil {
 				continue
 			}
 			record := writer.job(job)
@@ -179,5 +176,5 @@
 // provisionName is unique for ever: no two leaders share a term.
 func (n *Node) provisionName() string {
 	n.leader.autoscaler.requestSequence++
-	return fmt.Sprintf("r-%d-%d", n.leader.term, n.leader.autoscaler.requestSequence)
+	return fmt.Sprintf("r-%d-%d", n.leadership.Term(), n.leader.autoscaler.requestSequence)
 }
--- a/internal/core/leader_state_test.go
+++ b/internal/core/leader_state_test.go
@@ -11,7 +11,7 @@
 // the leader's is about to change, so what the next leader granted to its shards
 // was never placed.
 func TestResignedLeaderForgetsItsBatch(t *testing.T) {
-	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}, {"n1", "a"}}, Zones: []string{"a"},
+	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
 	n := d.n
@@ -23,7 +23,7 @@
 	if !n.leader.batch.changes(job) || !n.isLeader() {
 		t.Fatal("the leader's commit is not under way")
 	}
-	n.abandonedTerm = n.leader.term
+	n.leadership.Replaced(n.leadership.Term())
 	n.putLeader(&wire.Leader{Controller: "n1", Incarnation: "y"}, 9)
 	if n.leader.batch.changes(job) {
 		t.Error("the commit of a leader that has resigned still holds the record")
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -1,94 +1,68 @@
 package core
 
 import (
-	"time"
-
 	"micaport/internal/failover"
+	"micaport/internal/leadership"
 	"micaport/internal/wire"
 )
 
-// How a controller comes to lead, and stops.
-
-// leadership is what a controller knows of its own way to the lead and away from it.
-type leadership struct {
-	nextClaimAt           Time
-	nextResignAt          Time
-	claimLeaseID          uint64 // the lease of our claim
-	abandonedTerm         uint64 // the claim of ours that we have given up, or that has been replaced
-	acceptedTerm          uint64 // the last claim of ours of which we had the answer
-	acceptedAt            Time
-	lastClaimTerm         uint64 // the term of the last claim, whose leader may be gone
-	cloudUnreachableSince Time   // since when the cloud has not answered; 0: it does
-	cutOffSince           Time   // since when we lead cut off; 0: we don't
+// How this controller comes to lead, and stops.
+
+// initLeadership begins without a leader.
+func (n *Node) initLeadership() {
+	n.leadership = leadership.New(leadership.Config{
+		Self: n.cfg.Self, Incarnation: n.cfg.Incarnation, Rank: n.ownership.Rank(), LeaseTTL: n.cfg.LeaderLease,
+		HeartbeatInterval: n.cfg.HeartbeatInterval, EarlyFailover: n.cfg.EarlyTakeover,
+	})
+}
+
+// isLeader tells whether this process leads.
+func (n *Node) isLeader() bool { return n.leadership.IsLeader() }
+
+// leaderCondition makes a transaction fail unless this leader's claim still stands.
+func (n *Node) leaderCondition() Condition {
+	return Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}
 }
 
-// putLeader takes in who leads. A new term of the same process goes on with what the
-// leader knows.
-func (n *Node) putLeader(rec *wire.Leader, rev uint64) {
-	if rev <= n.leader.term {
+// putLeader applies the claim of the leadership, or its end.
+func (n *Node) putLeader(claim *wire.Leader, revision uint64) {
+	change, previous := n.leadership.Put(n.now, claim, revision)
+	if change == leadership.Stale {
 		return
 	}
-	// Also one who has resigned: what it last decided and never heard of would
-	// else count as about to be written for ever, and its own owner would leave
-	// those records alone.
-	led, continues, before := n.holdsLeaderClaim(), n.isLeader(), uint64(0)
-	if rec != nil && rev > n.lastClaimTerm {
-		before, n.lastClaimTerm = n.lastClaimTerm, rev
-	}
-	n.leader.record, n.leader.term = rec, rev
 	n.observeLeader()
-	if continues && n.isLeader() {
-		n.log(LogInfo, "leadership reclaimed", "term", rev)
-		return
-	}
-	n.leader.since = n.now
-	if n.isLeader() {
+	switch change {
+	case leadership.Reclaimed:
+		n.log(LogInfo, "leadership reclaimed", "term", revision)
+	case leadership.Acquired:
 		n.leader.reset()
-		n.log(LogInfo, "leadership acquired", "term", rev)
-		n.adoptDecisions(before)
-	} else if led {
+		n.log(LogInfo, "leadership acquired", "term", revision)
+		n.adoptDecisions(previous)
+	case leadership.Lost:
+		// Also after a resignation: a batch whose outcome was never known would else count
+		// as about to be written for ever, and this owner would leave its records alone.
 		n.leader.reset()
 		n.log(LogInfo, "leadership lost")
 	}
 }
 
-func (n *Node) isLeader() bool { return n.holdsLeaderClaim() && n.leader.term != n.abandonedTerm }
-
-// holdsLeaderClaim tells whether the replica shows a claim of ours, abandoned or not.
-func (n *Node) holdsLeaderClaim() bool {
-	r := n.leader.record
-	return r != nil && r.Controller == n.cfg.Self && r.Incarnation == n.cfg.Incarnation
-}
-
-// claimLeader takes the leadership when nobody has it, when an earlier incarnation of ours had
-// it, or early when a quorum suspects the leader.
+// claimLeader claims the leadership when nobody has it, when an earlier incarnation of this
+// controller has it, or early when a quorum suspects the leader.
 func (n *Node) claimLeader() {
-	leader := &n.leader
-	if n.isLeader() || n.leaderLease.ID == 0 || n.now-n.leaderLease.SentAt > n.leaderLease.TTL/2 || n.now < n.nextClaimAt {
-		return
-	}
-	switch {
-	case leader.record == nil:
-		if n.now-leader.since >= n.claimDelay() {
-			n.sendClaim(n.newClaim(0), 0)
-		}
-	case leader.record.Controller == n.cfg.Self:
-		n.sendClaim(n.newClaim(leader.record.Streak), leader.term)
-	case n.failover.follower.Advise(n.now) == failover.Replace && n.now-n.leaderLease.SentAt <= failover.MaxLeaseAge:
+	replace := func() bool {
+		return n.failover.follower.Advise(n.now) == failover.Replace && n.leadership.Lease.Age(n.now) <= failover.MaxLeaseAge
+	}
+	switch n.leadership.NextClaim(n.now, n.isolated, replace) {
+	case leadership.ClaimVacant:
+		n.sendClaim(n.newClaim(0), 0)
+	case leadership.ClaimOwn:
+		n.sendClaim(n.newClaim(n.leadership.Record().Streak), n.leadership.Term())
+	case leadership.ClaimEarly:
 		n.claimEarly()
 	}
 }
 
-// claimDelay spaces the candidates for a leadership that nobody has.
-func (n *Node) claimDelay() Time {
-	pause := Time(n.rank()) * 400 * time.Millisecond
-	if n.isolated() {
-		pause += 5 * second // let one that reaches more of the world have it
-	}
-	return pause
-}
-
-// newClaim is the record of a claim of ours.
+// newClaim is the record of a claim of this process.
 func (n *Node) newClaim(streak int) *wire.Leader {
 	claim := &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}
 	if n.replica.WritesEarlyFailover() {
@@ -97,83 +71,84 @@
 	return claim
 }
 
-// sendClaim claims the leadership, conditional on the revision of its key; 0 means that
-// nobody has it.
-func (n *Node) sendClaim(claim *wire.Leader, rev uint64, more ...Write) {
-	n.nextClaimAt = n.now + 500*time.Millisecond
-	n.claimLeaseID = n.leaderLease.ID
-	writes := []Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leaderLease.ID}}
-	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: rev}}, append(writes, more...), func(result Committed) {
-		switch result.Outcome {
-		case LeaseExpired:
-			n.leaderLease.ID, n.leaderLease.RenewAt = 0, n.now
-		case OK:
-			n.acceptedTerm, n.acceptedAt = result.Revision, n.now
-		}
-	})
+// sendClaim claims the leadership, conditional on the revision of the claim that stands; 0:
+// there is none.
+func (n *Node) sendClaim(claim *wire.Leader, standing uint64, more ...Write) {
+	n.leadership.ClaimSent(n.now)
+	writes := []Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leadership.Lease.ID}}
+	n.transact(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: standing}}, append(writes, more...), leaderClaim{})
 }
 
-// unseenClaimTimeout is how long a claim may be ours before the replica shows it.
-const unseenClaimTimeout = 2 * second
+// leaderClaim is a claim of the leadership under way.
+type leaderClaim struct{}
 
-// dropUnseenClaim gives up a claim that the replica does not show: our watch hangs. Kept
-// alive by our renewals, it would leave the site without a leader that decides.
+func (leaderClaim) committed(n *Node, result Committed) {
+	n.leadership.ClaimAnswered(n.now, result.Outcome, result.Revision)
+}
+
+// dropUnseenClaim gives up a claim that the replica does not show.
 func (n *Node) dropUnseenClaim() {
-	if n.acceptedTerm <= n.replica.Revision() || n.now-n.acceptedAt < unseenClaimTimeout || !n.cfg.EarlyTakeover {
-		return
+	if term, unseen := n.leadership.UnseenClaim(n.now, n.replica.Revision()); unseen {
+		n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
+		n.transact(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: term}}, []Write{{Key: wire.LeaderKey}}, ignoreResult{})
 	}
-	term := n.acceptedTerm
-	n.acceptedTerm, n.nextClaimAt = 0, n.now+10*second
-	n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
-	n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: term}}, []Write{{Key: wire.LeaderKey}}, func(Committed) {})
 }
 
-// isolated tells whether we can't reach the cloud, or no other controller.
-// Refusals don't count: they are the same for everyone.
+// How long the cloud may not answer, and peers may not be heard, before this controller
+// counts as isolated.
+const (
+	cloudSilence = 4 * second
+	peerSilence  = 6 * second
+)
+
+// isolated tells whether this controller reaches neither the cloud nor any other
+// controller. Refusals don't count: they are the same for everyone.
 func (n *Node) isolated() bool {
-	if n.cloudUnreachableSince > 0 && n.now-n.cloudUnreachableSince > 4*second {
+	if n.cloudUnreachableSince > 0 && n.now-n.cloudUnreachableSince > cloudSilence {
 		return true
 	}
 	if len(n.cfg.Members) < 2 {
 		return false
 	}
-	for _, p := range n.peers {
-		if !p.byMailbox && n.now-p.heardAt < 6*second {
+	for _, peer := range n.peers {
+		if !peer.byMailbox && n.now-peer.heardAt < peerSilence {
 			return false
 		}
 	}
-	return n.now > 6*second
+	return n.now > peerSilence
 }
 
-// resign gives the leadership up when we are cut off but the state service
-// still serves us, and some other controller is there to take it that is not
-// cut off itself: when all are, nobody would do better.
-func (n *Node) resign() bool {
-	if !n.isolated() {
-		n.cutOffSince = 0
-		return false
-	}
-	if n.cutOffSince == 0 {
-		n.cutOffSince = n.now
-	}
-	// The peers need a moment to notice, and to tell, that they are cut too.
-	if n.now < n.nextResignAt || n.now-n.leader.since < 5*second || n.now-n.cutOffSince < n.cfg.HeartbeatInterval+2*second {
-		return false
-	}
-	for _, p := range n.peers {
-		if n.now-p.heardAt < 8*second && p.message.StoreOK && !p.message.CutOff {
-			n.nextResignAt = n.now + 10*second
-			n.log(LogInfo, "resigning leadership", "reason", "isolated", "term", n.leader.term)
-			// From here on we don't lead, even if our watch hangs and never
-			// shows it; only a refusal says that we still do.
-			n.abandonedTerm = n.leader.term
-			n.commit(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, []Write{{Key: wire.LeaderKey}}, func(result Committed) {
-				if result.Outcome == Refused {
-					n.abandonedTerm = 0
-				}
-			})
+// successorSilence is how long nothing may have been heard from a controller that could
+// take the leadership over.
+const successorSilence = 8 * second
+
+// hasSuccessor tells whether a controller is there to take the leadership over that is not
+// isolated itself.
+func (n *Node) hasSuccessor() bool {
+	for _, peer := range n.peers {
+		if n.now-peer.heardAt < successorSilence && peer.message.StoreOK && !peer.message.CutOff {
 			return true
 		}
 	}
 	return false
 }
+
+// resign gives the leadership up where this controller is isolated and another is not. It
+// tells whether it did.
+func (n *Node) resign() bool {
+	if !n.leadership.Resign(n.now, n.isolated(), n.hasSuccessor) {
+		return false
+	}
+	n.log(LogInfo, "resigning leadership", "reason", "isolated", "term", n.leadership.Term())
+	n.transact(ClassLease, []Condition{n.leaderCondition()}, []Write{{Key: wire.LeaderKey}}, resignation{})
+	return true
+}
+
+// resignation is the end of this leader's claim under way.
+type resignation struct{}
+
+func (resignation) committed(n *Node, result Committed) {
+	if result.Outcome == Refused {
+		n.leadership.ResignRefused()
+	}
+}
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -86,11 +86,11 @@
 	var room lazySlots
 	n.applyOutcomes(writer, &room, true)
 	n.stopReclaimedGangs(writer)
-	n.expireGangHolds(writer)
+	n.settleOwnedGangs(writer)
 	n.placeGranted(writer, &room)
 	n.applyOutcomes(writer, &room, false)
 	n.admitWork(writer, &room)
-	writer.send(&n.batch, nil)
+	writer.send(&n.batch)
 }
 
 // expireSilentMachines gives up the tasks of machines whose lease must have run out.
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -18,7 +18,7 @@
 // ownerWith is owner with a changed configuration.
 func ownerWith(t *testing.T, change func(*Config)) (d *drive, term uint64) {
 	t.Helper()
-	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"},
+	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }}
 	change(&cfg)
@@ -109,7 +109,7 @@
 			if !is || len(c.Writes) == 0 || c.Writes[0].Key != wire.JobKey("wk-000001") {
 				continue
 			}
-			if !slices.Contains(c.Conditions, Condition{Key: wire.LeaderKey, Revision: n.leader.term}) || !slices.Contains(c.Conditions, Condition{Key: wire.JobKey("wk-000001"), Revision: d.rev}) {
+			if !slices.Contains(c.Conditions, Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}) || !slices.Contains(c.Conditions, Condition{Key: wire.JobKey("wk-000001"), Revision: d.rev}) {
 				t.Errorf("granted under %+v", c.Conditions)
 			}
 			return
--- a/internal/core/provision.go
+++ b/internal/core/provision.go
@@ -71,7 +71,7 @@
 	// leads by then, and the machines may be in use.
 	c.ValidFor = n.cloudCallTime()
 	if n.fenced() {
-		c.Term = n.leader.term
+		c.Term = n.leadership.Term()
 	}
 	n.emit(c)
 }
@@ -146,7 +146,7 @@
 		for len(f) > 1 && !n.valueFits(&wire.MachineTypeCache{Types: f}) {
 			f = f[:len(f)-1] // better some than none
 		}
-		n.commit(ClassBackground, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}},
+		n.commit(ClassBackground, []Condition{{Key: wire.LeaderKey, Revision: n.leadership.Term()}},
 			[]Write{{Key: wire.MachineTypesKey, Value: &wire.MachineTypeCache{Types: f}}}, func(Committed) {})
 	}
 }
@@ -300,7 +300,7 @@
 		}
 		for _, name := range machineType.Zones {
 			z := n.names.Zones.Find(name)
-			if z < 0 || n.shardOf(z, "") < 0 {
+			if z < 0 || n.ownership.ShardOf(z, "") < 0 {
 				continue
 			}
 			if machineType.SpotPricePerHour > 0 && job.Allows(index, z, true) {
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -18,7 +18,7 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
+	n := New(Config{Self: "n0", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
 		WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 1})
 	const jobs = 100_000
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -15,13 +15,13 @@
 	}
 	n.applyEvents(c.Events)
 	if c.Reset {
-		n.assumeRecentOwners()
+		n.ownership.AssumeRecentOwners(n.now)
 	} else {
 		n.countWrites(len(c.Events))
 	}
 	n.replica.Reached(c.Revision, c.Reset)
 	n.leader.planNeeded = true
-	n.settleOwnershipChecks()
+	n.ownership.Settle(n.now, n.replica.Revision())
 	n.settleProofs()
 	n.heldRepliesAt = 0
 	n.batch.settle(n)
@@ -40,24 +40,12 @@
 			n.putShard(shard, nil, listing.Revision)
 		}
 	}
-	for key := range n.gangs {
-		if !listed[key] {
-			delete(n.gangs, key)
-		}
-	}
+	n.gangs.DeleteUnlisted(listed)
 	if !listed[wire.LeaderKey] {
 		n.putLeader(nil, listing.Revision)
 	}
 }
 
-// assumeRecentOwners takes it that each shard was taken over from an owner that lives, as
-// what happened before a listing is not known.
-func (n *Node) assumeRecentOwners() {
-	for _, shard := range n.shards {
-		shard.PreviousOwnerUntil = n.now + n.cfg.OwnerValidity
-	}
-}
-
 // applyEvents takes events in. Further active tasks change together with their job's
 // record; what several transactions did to one is taken in as it stands in the end.
 func (n *Node) applyEvents(events []Event) {
@@ -104,7 +92,7 @@
 	case *wire.Account:
 		n.replica.PutAccount(wire.AccountTeam(e.Key), v, e.Revision)
 	case *wire.Gang:
-		n.putGang(e.Key, v, e.Revision)
+		n.gangs.Put(n.now, e.Key, v, e.Revision)
 	case *wire.Gossip:
 		if n.replica.Loaded() { // a listing's may be of long ago
 			n.readMailbox(v)
@@ -128,7 +116,7 @@
 			n.putShard(shard, nil, e.Revision)
 		}
 	case strings.HasPrefix(e.Key, wire.GangPrefix):
-		delete(n.gangs, e.Key)
+		n.gangs.Delete(e.Key)
 	case strings.HasPrefix(e.Key, wire.AccountPrefix):
 		n.replica.PutAccount(wire.AccountTeam(e.Key), nil, e.Revision)
 	}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -1,96 +1,37 @@
 package core
 
 import (
-	"hash/fnv"
-	"slices"
-	"sort"
 	"time"
 
+	"micaport/internal/ownership"
 	"micaport/internal/wire"
 )
 
-// shard is a share of a zone's machines.
+// shard is a shard with the machines in it.
 type shard struct {
-	Index          int
-	Name           string
-	Zone           int
-	HomeController string // the controller meant to own it; "" in a zone without one
-	Record         *wire.Shard
-	Term           uint64 // of the claim: the term and the workers' token
-
-	machines           []*machine // machines that may still be there
-	ChangedAt          Time       // when the replica last saw it change hands
-	claimCheckedAt     Time       // when we last asked ourselves whether to claim it
-	ClaimableSince     Time       // when the replica last saw it change hands or go
-	proven             bool       // a check has covered this term
-	validFrom          Time       // our validity counts from here
-	ValidSince         Time       // since when we could answer without a break
-	OwnedSince         Time       // no earlier owner can have answered a report sent after this
-	PreviousOwnerUntil Time       // no owner before the present one answers after this
+	*ownership.Shard
+	machines []*machine // machines that may still be there
 }
 
-// ShardID names a shard: the zone whose machines it holds, and the controller that is
-// meant to own it, which is "" in a zone without one.
-type ShardID struct{ Zone, Home string }
-
-// Name is the shard's name in records.
-func (p ShardID) Name() string {
-	if p.Home == "" {
-		return p.Zone + "/-"
+// initOwnership lists the shards, of which nobody owns any yet.
+func (n *Node) initOwnership() {
+	const conditionsPerWrite = 4 // that a transaction may have for each write that it may have
+	n.ownership = ownership.New(ownership.Config{
+		Self: n.cfg.Self, Incarnation: n.cfg.Incarnation, Zone: n.names.Zones.Find(n.cfg.Zone), Members: n.cfg.Members,
+		Validity: n.cfg.OwnerValidity, StateRPS: n.cfg.StateRPS, MaxConditions: conditionsPerWrite * n.cfg.MaxTransactionOps,
+	}, ownership.ShardIDs(n.cfg.Zones, n.cfg.Members), n.names.Zones.Len(), n.names.Zones.Find)
+	for _, s := range n.ownership.Shards() {
+		n.shards = append(n.shards, &shard{Shard: s})
 	}
-	return p.Zone + "/" + p.Home
 }
 
-// Shards lists the shards of a deployment in the order in which records number them.
-func Shards(zones []string, members []Member) []ShardID {
-	members = slices.Clone(members)
-	sort.Slice(members, func(i, k int) bool { return members[i].Name < members[k].Name })
-	var parts []ShardID
-	for _, zone := range slices.Sorted(slices.Values(zones)) {
-		before := len(parts)
-		for _, m := range members {
-			if m.Zone == zone {
-				parts = append(parts, ShardID{zone, m.Name})
-			}
-		}
-		if len(parts) == before {
-			parts = append(parts, ShardID{Zone: zone})
-		}
-	}
-	return parts
-}
-
-// makeShards splits the machines of each zone among its controllers.
-func (n *Node) makeShards() {
-	n.zoneShards = make([]shardRange, n.names.Zones.Len())
-	for index, id := range Shards(n.cfg.Zones, n.cfg.Members) {
-		zone := n.names.Zones.Find(id.Zone)
-		n.shards = append(n.shards, &shard{Index: index, Name: id.Name(), Zone: zone, HomeController: id.Home})
-		if n.zoneShards[zone].count == 0 {
-			n.zoneShards[zone].first = index
-		}
-		n.zoneShards[zone].count++
-	}
-}
+// owns tells whether the replica shows the shard as claimed by this process.
+func (n *Node) owns(shard *shard) bool { return n.ownership.Owns(shard.Shard) }
 
-// shardOf hashes a machine to a shard of its zone, or gives -1.
-func (n *Node) shardOf(zone int, name string) int {
-	if zone < 0 || zone >= len(n.zoneShards) {
-		return -1
-	}
-	f := fnv.New64a()
-	f.Write([]byte(name))
-	// Names differ in their last digits only, and FNV leaves those in the low
-	// bits of neighbours alike: mix all bits before taking the remainder.
-	v := f.Sum64()
-	v ^= v >> 33
-	v *= 0xff51afd7ed558ccd
-	v ^= v >> 33
-	v *= 0xc4ceb9fe1a85ec53
-	v ^= v >> 33
-	return n.zoneShards[zone].first + int(v%uint64(n.zoneShards[zone].count))
-}
+// mayActAsOwner tells whether this controller may act as the owner of a shard now.
+func (n *Node) mayActAsOwner(shard *shard) bool { return n.ownership.MayAct(n.now, shard.Shard) }
 
+// shardWithKey is the shard whose claim has a key, or nil.
 func (n *Node) shardWithKey(key string) *shard {
 	for _, shard := range n.shards {
 		if wire.ShardKey(shard.Name) == key {
@@ -100,39 +41,27 @@
 	return nil
 }
 
-func (n *Node) putShard(shard *shard, rec *wire.Shard, rev uint64) {
-	if rev <= shard.Term {
+// putShard applies the claim of a shard, or its end.
+func (n *Node) putShard(shard *shard, claim *wire.Shard, revision uint64) {
+	change := n.ownership.Put(n.now, shard.Shard, claim, revision)
+	if change == ownership.Stale {
 		return
 	}
-	was := shard.Record
-	shard.Record, shard.Term, shard.ClaimableSince, shard.ChangedAt = rec, rev, n.now, n.now
-	if was != nil && rec != nil && was.Owner != rec.Owner {
-		// Taken over while it lived: it may answer until its validity has run out,
-		// whoever takes the shard next, and when. It once was forgotten by an owner
-		// that took a shard, ended, and came back.
-		shard.PreviousOwnerUntil = n.now + n.cfg.OwnerValidity
-	}
-	shard.proven, shard.validFrom = false, 0
-	// What machines did under the last owner says nothing about this one.
-	// Kept, it made two peers take the shard from each other in turns.
+	// What machines did under the last owner says nothing about this one. Where it
+	// counted, two peers took the shard from each other in turns.
 	shard.forgetBounces()
 	n.discardOutcomes(shard)
-	if rec != nil && rec.Owner == n.cfg.Self && rec.Incarnation == n.cfg.Incarnation {
-		// An owner whose key went with its lease had stopped before, and an
-		// earlier incarnation of ours is dead; but who was taken over lately may still
-		// answer.
-		shard.OwnedSince = max(n.now, shard.PreviousOwnerUntil)
-		n.ownershipCheckAt = 0
-		n.log(LogInfo, "shard claimed", "shard", shard.Name, "term", rev)
-	} else if was != nil && was.Owner == n.cfg.Self && was.Incarnation == n.cfg.Incarnation {
+	switch change {
+	case ownership.Claimed:
+		n.log(LogInfo, "shard claimed", "shard", shard.Name, "term", revision)
+	case ownership.Lost:
 		n.log(LogInfo, "shard lost", "shard", shard.Name)
 	}
 }
 
-// discardOutcomes drops what was found out about the tasks of a shard in a term
-// that has ended and could not be written in it. Another owner may have served
-// the machines since; applied in a later term, it would put tasks on a second
-// machine that have run on all the while.
+// discardOutcomes drops the outcomes of a shard's tasks that could not be written in the
+// term in which they were found out. Another owner may have served the machines since;
+// applied in a later term, they would start tasks a second time that still run.
 func (n *Node) discardOutcomes(shard *shard) {
 	for key, outcome := range n.outcomes {
 		if task := n.activeTask(key, outcome.machine); task == nil || task.Shard == shard.Index {
@@ -141,128 +70,130 @@
 	}
 }
 
-func (shard *shard) forgetBounces() {
-	for _, machine := range shard.machines {
+// forgetBounces forgets which of a shard's machines came here although they were redirected.
+func (s *shard) forgetBounces() {
+	for _, machine := range s.machines {
 		machine.redirectedAt, machine.bouncedAt = 0, 0
 	}
 }
 
-// owns tells whether the replica says that the shard is ours.
-func (n *Node) owns(shard *shard) bool {
-	return shard.Record != nil && shard.Record.Owner == n.cfg.Self && shard.Record.Incarnation == n.cfg.Incarnation
-}
-
-// mayActAsOwner tells whether we may act as the owner now.
-func (n *Node) mayActAsOwner(shard *shard) bool {
-	return n.owns(shard) && shard.proven && n.now < shard.validFrom+n.cfg.OwnerValidity
-}
-
-// claimShards takes shards that nobody holds, and those whose owner can't serve
-// their workers.
+// claimShards claims shards that nobody owns, and those whose owner can't serve their
+// workers.
 func (n *Node) claimShards() {
-	if n.shardLease.ID == 0 || n.now-n.shardLease.SentAt > n.shardLease.TTL/2 {
+	if !n.ownership.Lease.Usable(n.now) {
 		return
 	}
 	for _, shard := range n.shards {
-		if n.owns(shard) || n.now < shard.claimAt() || n.now < shard.claimCheckedAt+200*time.Millisecond {
-			continue
-		}
-		shard.claimCheckedAt = n.now
-		if !n.mayClaim(shard) {
-			continue
+		condition, claim, due := n.ownership.NextClaim(n.now, shard.Shard, func() bool { return n.mayClaim(shard) })
+		if due {
+			writes := append([]Write{claim}, n.replica.SupportedFormatWrites()...)
+			n.transact(ClassLease, []Condition{condition}, writes, shardClaim{})
 		}
-		shard.ClaimableSince = max(shard.ClaimableSince, n.now) // wait before the next try
-		rev := shard.Term
-		if shard.Record == nil {
-			rev = 0
-		}
-		key := wire.ShardKey(shard.Name)
-		claim := []Write{{Key: key, Value: &wire.Shard{Owner: n.cfg.Self, Incarnation: n.cfg.Incarnation}, LeaseID: n.shardLease.ID}}
-		n.commit(ClassLease, []Condition{{Key: key, Revision: rev}}, append(claim, n.replica.SupportedFormatWrites()...),
-			func(result Committed) {
-				if result.Outcome == LeaseExpired {
-					n.shardLease.ID, n.shardLease.RenewAt = 0, n.now
-				}
-			})
 	}
 }
 
-// claimAt spaces claims of one shard.
-func (shard *shard) claimAt() Time { return shard.ClaimableSince + 300*time.Millisecond }
-
+// mayClaim tells whether a shard that another controller or nobody owns may be claimed.
 func (n *Node) mayClaim(shard *shard) bool {
-	waited := n.now - shard.ClaimableSince
-	if shard.Record == nil {
-		switch {
-		case shard.HomeController == n.cfg.Self:
-			return true
-		case n.names.Zones.Name(shard.Zone) == n.cfg.Zone:
-			return waited > 2*second
-		}
-		return waited > 4*second+Time(n.rank())*second
+	reason := n.ownership.MayClaim(n.now, shard.Shard, func() ownership.Evidence { return n.evidenceAgainst(shard) })
+	switch reason {
+	case ownership.Unreachable, ownership.OwnerSilent, ownership.OwnerRefused:
+		n.log(LogInfo, "taking over shard", "reason", string(reason), "shard", shard.Name, "owner", shard.Record.Owner)
 	}
-	if shard.Record.Owner == n.cfg.Self {
-		return true // an earlier incarnation of ours
+	return reason != ownership.NotClaimable
+}
+
+const (
+	// ownerSilence is how long nothing is heard from an owner that counts as silent.
+	ownerSilence = 5 * second
+	// bounceMemory is how long a machine that came here although it was redirected counts.
+	bounceMemory = 12 * second
+	// storeAnswerAge is how long ago the state service answered at most, where it counts as
+	// serving this controller.
+	storeAnswerAge = 2 * second
+)
+
+// evidenceAgainst gathers what speaks for taking a shard over from its owner.
+func (n *Node) evidenceAgainst(shard *shard) ownership.Evidence {
+	owner := n.peers[shard.Record.Owner]
+	e := ownership.Evidence{
+		OwnerSilent:     owner == nil || n.now-owner.heardAt > ownerSilence,
+		OwnerRefusedFor: n.peerRefusedFor(shard.Record.Owner),
+		StoreOK:         n.storeOK,
+		StoreAnswered:   n.now-n.storeAnsweredAt < storeAnswerAge,
 	}
-	// Its workers come here although we send them to their owner. A single
-	// machine among many may be unresponsive or cut off by itself, which says nothing
-	// about the owner.
-	var first Time
-	bounced, known := 0, 0
 	for _, machine := range shard.machines {
 		if machine.returned || machine.view.unreachable {
 			continue
 		}
 		if machine.view.known && machine.view.missedHeartbeats < 2 {
-			known++
+			e.MachinesKnown++
 		}
-		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < 12*second {
-			bounced++
-			if first == 0 || machine.bouncingSince < first {
-				first = machine.bouncingSince
+		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < bounceMemory {
+			e.MachinesBounced++
+			if e.BouncingSince == 0 || machine.bouncingSince < e.BouncingSince {
+				e.BouncingSince = machine.bouncingSince
 			}
 		}
 	}
-	need := max(1, min(known, max(2, min(known/8, 12))))
-	owner := n.peers[shard.Record.Owner]
-	deaf := owner == nil || n.now-owner.heardAt > 5*second
-	refused := owner != nil && !deaf && !owner.message.StoreOK
-	wait := 0 * second
-	if n.names.Zones.Name(shard.Zone) != n.cfg.Zone {
-		wait = 4 * second
+	return e
+}
+
+// peerRefusedFor is how long the state service has refused a peer while it serves us. An
+// outage ends for one controller a moment before another.
+func (n *Node) peerRefusedFor(name string) Time {
+	peer := n.peers[name]
+	if peer == nil || peer.message.StoreOK {
+		return 0
 	}
-	switch {
-	case bounced >= need && n.now-first > 2*second+wait && waited > 10*second:
-		n.log(LogInfo, "taking over shard", "reason", "workers cannot reach the owner", "shard", shard.Name, "owner", shard.Record.Owner)
-		return true
-	case deaf && bounced >= 1 && waited > 5*second+wait:
-		n.log(LogInfo, "taking over shard", "reason", "owner is silent", "shard", shard.Name, "owner", shard.Record.Owner)
-		return true
-	case refused && n.storeOK && n.now-n.storeAnsweredAt < 2*second && n.peerRefusedFor(shard.Record.Owner) > 4*second+wait:
-		n.log(LogInfo, "taking over shard", "reason", "state service refuses the owner", "shard", shard.Name, "owner", shard.Record.Owner)
-		return true
+	return n.now - max(n.refusedSince[name], n.storeOKSince)
+}
+
+// shardClaim is the claim of a shard under way. Whether it succeeded shows in the replica.
+type shardClaim struct{}
+
+func (shardClaim) committed(n *Node, result Committed) {
+	if result.Outcome == LeaseExpired {
+		n.ownership.Lease.Ended(n.now)
 	}
-	// The home controller is back and well: it stands beside the workers.
-	home := shard.HomeController == n.cfg.Self && waited > 60*second && n.storeOK
-	return home && owner != nil && !deaf
 }
 
-func (n *Node) peerRefusedFor(label string) Time {
-	p := n.peers[label]
-	if p == nil || p.message.StoreOK {
-		return 0
+// proveOwnership proves every couple of seconds that the claims of this process stand.
+func (n *Node) proveOwnership() {
+	for _, proof := range n.ownership.NextProofs(n.now) {
+		n.transact(ClassLease, proof.Conditions, nil, ownershipProof{proof})
 	}
-	// An outage ends for one controller a moment before another.
-	return n.now - max(n.refusedSince[label], n.storeOKSince)
 }
 
-// rank orders the controllers, so that two don't claim at once.
-func (n *Node) rank() int {
-	r := 0
-	for _, m := range n.cfg.Members {
-		if m.Name < n.cfg.Self {
-			r++
+// ownershipProof is a proof of claims under way.
+type ownershipProof struct{ proof ownership.Proof }
+
+func (p ownershipProof) committed(n *Node, result Committed) {
+	if result.Outcome == OK {
+		n.ownership.Succeeded(p.proof, result.Revision)
+		n.ownership.Settle(n.now, n.replica.Revision())
+	}
+}
+
+// storeSilence is how long the state service may not have answered before it counts as not
+// serving this controller.
+const storeSilence = 3 * time.Second
+
+// noteStoreOutcome notes whether the state service serves this controller.
+func (n *Node) noteStoreOutcome(outcome Outcome) {
+	switch outcome {
+	case OK, Conflict, NotFound, LeaseExpired, TooLarge:
+		if !n.storeOK {
+			// In an outage owners run out of validity and their workers go round in
+			// vain. That says nothing about the owners afterwards.
+			n.storeOKSince = n.now
+			for _, shard := range n.shards {
+				shard.forgetBounces()
+			}
+		}
+		n.storeOK, n.storeAnsweredAt = true, n.now
+	default:
+		if n.now-n.storeAnsweredAt > storeSilence {
+			n.storeOK = false
 		}
 	}
-	return r
 }
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -10,11 +10,11 @@
 // Machines are named in order of their creation; a weak hash put runs of
 // neighbours into one shard and left the other without work.
 func TestPartsShareNeighbours(t *testing.T) {
-	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}, {"n1", "a"}, {"n2", "b"}}, Zones: []string{"a", "b"}})
+	n := New(Config{Self: "n0", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}, Zones: []string{"a", "b"}})
 	for start := 0; start < 200; start += 20 {
 		count := map[int]int{}
 		for i := range 20 {
-			count[n.shardOf(n.names.Zones.Find("a"), fmt.Sprintf("vm-%06d", start+i))]++
+			count[n.ownership.ShardOf(n.names.Zones.Find("a"), fmt.Sprintf("vm-%06d", start+i))]++
 		}
 		if len(count) != 2 {
 			t.Errorf("machines %d on: parts %v", start, count)
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	if p := n.shardOf(n.names.Zones.Find("elsewhere"), "vm-000001"); p != -1 {
+	if p := n.ownership.ShardOf(n.names.Zones.Find("elsewhere"), "vm-000001"); p != -1 {
 		t.Errorf("a machine in an unknown zone went to part %d", p)
 	}
 }
@@ -65,7 +65,7 @@
 		{"an earlier life of ours took it", []*wire.Shard{claim("n1", "a"), claim("n0", "old")}, 1*second + validity},
 		{"a peer took it and its claim went", []*wire.Shard{claim("n1", "a"), claim("n2", "b"), nil}, 1*second + validity},
 	} {
-		n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, OwnerValidity: validity})
+		n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity})
 		shard := n.shards[0]
 		n.replica.Reached(0, true)
 		rev := uint64(1)
@@ -78,7 +78,7 @@
 			t.Errorf("%s: bound %v, not %v", c.name, shard.OwnedSince, c.bound)
 		}
 	}
-	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
+	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 5})
 	n.putShard(n.shards[0], claim("n0", "x"), 6)
 	if b := n.shards[0].OwnedSince; b != second+validity {
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -14,16 +14,17 @@
 // machines, and reports of theirs to other controllers, are counted anew.
 func (n *Node) resumeAfterStall(gap Time) {
 	n.log(LogInfo, "process stalled", "duration", gap)
-	n.resumedAt, n.ownershipChecks, n.ownershipCheckAt = n.now, nil, 0
+	n.resumedAt = n.now
+	n.ownership.Resumed(n.now)
 	for _, shard := range n.shards {
-		shard.proven = false
 		shard.forgetBounces()
 	}
 	for _, p := range n.peers {
 		p.heardAt += gap
 	}
 	n.storeAnsweredAt += gap
-	n.cloudUnreachableSince, n.cutOffSince = 0, 0
+	n.cloudUnreachableSince = 0
+	n.leadership.Resumed()
 	n.failover.follower.Resumed(n.now)
 	n.failover.fence.Resumed(n.now)
 	n.leader.autoscaler.idleSince = map[string]Time{}
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -115,7 +115,7 @@
 	ops := u.statusRequests
 	u.statusRequests, u.revisionAsked, u.revisionAskAt = nil, true, n.now+n.statusInterval()
 	// Equal or not, the answer names the present revision.
-	n.commit(ClassUser, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, nil, func(result Committed) {
+	n.commit(ClassUser, []Condition{{Key: wire.LeaderKey, Revision: n.leadership.Term()}}, nil, func(result Committed) {
 		u.revisionAsked = false
 		switch result.Outcome {
 		case OK, Conflict:
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -7,7 +7,7 @@
 // workerHeartbeat answers a worker.
 func (n *Node) workerHeartbeat(in WorkerReported) {
 	heartbeat := in.Heartbeat
-	index := n.shardOf(n.names.Zones.Find(heartbeat.Zone), heartbeat.Machine)
+	index := n.ownership.ShardOf(n.names.Zones.Find(heartbeat.Zone), heartbeat.Machine)
 	if index < 0 || heartbeat.Machine == "" {
 		n.emit(Reply{RequestID: in.RequestID, Status: 503, Body: wire.Error{Error: "unknown zone"}})
 		return
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -5,95 +5,112 @@
 	"micaport/internal/wire"
 )
 
-// writer gathers changed records for one commit.
+// writer gathers changed records for one transaction. Each change is conditional on the
+// revision of its record, and all are on the terms of the shards that they speak for.
 type writer struct {
-	node               *Node
-	records            map[int]*wire.Job
-	order              []int
-	shards             map[int]bool
-	linkedWrites       []Write
-	conditions         []Condition
-	bytes              int
-	maxWrites          int // puts
-	exitedTasks        map[taskKey]bool
-	writeOverflowFirst bool           // overflow keys may be written before the record names them
-	attempts           map[int]uint64 // the attempt number of what is granted or placed anew here, by job
+	node         *Node
+	records      map[int]*wire.Job // changed copies, by index of their job
+	order        []int             // of these jobs
+	shards       map[int]bool      // for which this controller speaks as the owner, by index
+	linkedWrites []Write           // of other keys, which belong together with the rest
+	conditions   []Condition       // besides those on the changed records
+	bytes        int               // estimate of the size of the transaction
+	maxWrites    int
+	exitedTasks  map[taskKey]bool // whose end is in the changed records
+	attempts     map[int]uint64   // attempt number of what is granted or placed here, by job
+	// writeOverflowFirst says that overflow keys may be written before the record that
+	// names them.
+	writeOverflowFirst bool
 }
 
 func newWriter(n *Node) *writer {
-	limit := min(n.cfg.MaxTransactionOps-1, n.cfg.MaxBatchWrites, n.availableWrites())
-	return &writer{node: n, records: map[int]*wire.Job{}, shards: map[int]bool{}, exitedTasks: map[taskKey]bool{}, attempts: map[int]uint64{}, maxWrites: limit}
+	return &writer{
+		node: n, records: map[int]*wire.Job{}, shards: map[int]bool{}, exitedTasks: map[taskKey]bool{}, attempts: map[int]uint64{},
+		maxWrites: min(n.cfg.MaxTransactionOps-1, n.cfg.MaxBatchWrites, n.availableWrites()),
+	}
 }
 
-// maxTransactionBytes is what we put into one transaction, well below the service's
-// 64 KiB, as sizes are estimates.
-const maxTransactionBytes = 48_000
+const (
+	// maxTransactionBytes is what goes into one transaction, well below the 64 KiB that
+	// the state service takes, as sizes are estimates.
+	maxTransactionBytes = 48_000
+	// minRecordBytes is assumed for small records.
+	minRecordBytes = 900
+)
 
-// job gives a copy of the record to change, or nil when the commit is full.
-func (writer *writer) job(job *job) *wire.Job {
-	if r := writer.records[job.Index]; r != nil {
-		return r
+// job gives a copy of a job's record to change, or nil when the transaction is full.
+func (w *writer) job(job *job) *wire.Job {
+	if record := w.records[job.Index]; record != nil {
+		return record
 	}
-	size := max(900, job.BaseBytes) + replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks)
-	if len(writer.order)+len(writer.linkedWrites) >= writer.maxWrites || writer.bytes+size > maxTransactionBytes {
+	size := max(minRecordBytes, job.BaseBytes) + replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks)
+	if len(w.order)+len(w.linkedWrites) >= w.maxWrites || w.bytes+size > maxTransactionBytes {
 		return nil
 	}
-	writer.bytes += size
-	writer.records[job.Index] = replica.CloneRecord(job.Record)
-	writer.order = append(writer.order, job.Index)
-	return writer.records[job.Index]
+	w.bytes += size
+	w.records[job.Index] = replica.CloneRecord(job.Record)
+	w.order = append(w.order, job.Index)
+	return w.records[job.Index]
 }
 
-// attempt gives the number for what this commit starts of a job: one for all of
-// its tasks, since a task is started once in a commit and the next commit takes
-// the next number. Tasks that begin together are so told in one run.
-func (writer *writer) attempt(job *job, record *wire.Job) uint64 {
-	if _, taken := writer.attempts[job.Index]; !taken {
-		writer.attempts[job.Index] = record.NextAttempt
+// attempt is the attempt number of all tasks of a job that this transaction starts. One
+// number does: a task starts once in a transaction, and the next transaction takes the next
+// number. Tasks with the same number are recorded in one run.
+func (w *writer) attempt(job *job, record *wire.Job) uint64 {
+	if _, taken := w.attempts[job.Index]; !taken {
+		w.attempts[job.Index] = record.NextAttempt
 		record.NextAttempt++
 	}
-	return writer.attempts[job.Index]
+	return w.attempts[job.Index]
 }
 
-// addWrite adds a write of another key under a condition.
-func (writer *writer) addWrite(wr Write, c Condition) bool {
-	if len(writer.order)+len(writer.linkedWrites) >= writer.node.cfg.MaxTransactionOps {
+// addWrite adds a write of another key under a condition, and tells whether there was room.
+func (w *writer) addWrite(write Write, condition Condition) bool {
+	if len(w.order)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
 		return false
 	}
-	writer.linkedWrites = append(writer.linkedWrites, wr)
-	writer.conditions = append(writer.conditions, c)
+	w.linkedWrites = append(w.linkedWrites, write)
+	w.conditions = append(w.conditions, condition)
 	return true
 }
 
-// send commits the changes, each conditional on its record's revision, and
-// all on the terms of the shards they speak for.
-func (writer *writer) send(b *batch, onOK func()) {
-	if len(writer.order)+len(writer.linkedWrites) == 0 {
+// send commits the changes as a batch, if there are any. Records for whose overflow keys
+// there is no room are left out: they are decided on again.
+func (w *writer) send(b *batch) {
+	if len(w.order)+len(w.linkedWrites) == 0 {
 		return
 	}
-	conds := writer.conditions
-	for i, shard := range writer.node.shards {
-		if writer.shards[i] {
-			conds = append(conds, Condition{Key: wire.ShardKey(shard.Name), Revision: shard.Term})
+	conditions := w.conditions
+	for i, shard := range w.node.shards {
+		if w.shards[i] {
+			conditions = append(conditions, Condition{Key: wire.ShardKey(shard.Name), Revision: shard.Term})
 		}
 	}
-	writes := writer.linkedWrites
-	for _, index := range writer.order {
-		job, record := writer.node.jobs[index], writer.records[index]
-		record.OverflowKeys = 0
-		replica.CompactRecord(record)
-		changed := writer.node.replica.SplitRecord(job.ID, replica.StoredRecord{Tasks: job.Record.ActiveTasks, OverflowKeys: job.Record.OverflowKeys}, record)
-		if len(changed) > writer.node.cfg.MaxTransactionOps && writer.writeOverflowFirst && len(writes) == 0 {
-			changed = replica.WritesAhead(changed, job.Record.OverflowKeys, writer.node.cfg.MaxTransactionOps)
+	writes := w.linkedWrites
+	for _, index := range w.order {
+		job := w.node.jobs[index]
+		changed := w.writesOf(job, len(writes) == 0)
+		if len(writes)+len(changed) > w.node.cfg.MaxTransactionOps {
+			continue
 		}
-		if len(writes)+len(changed) > writer.node.cfg.MaxTransactionOps {
-			continue // it is decided again
-		}
-		conds = append(conds, Condition{Key: wire.JobKey(job.ID), Revision: job.Revision})
+		conditions = append(conditions, Condition{Key: wire.JobKey(job.ID), Revision: job.Revision})
 		writes = append(writes, changed...)
 	}
-	if len(writes) == 0 {
-		return
+	if len(writes) > 0 {
+		b.start(w.node, conditions, writes, w.linkedWrites)
+	}
+}
+
+// writesOf gives the writes of a job's changed record and of its overflow keys. Where they
+// don't fit a transaction and this one is empty, overflow keys are written ahead.
+func (w *writer) writesOf(job *job, empty bool) []Write {
+	record := w.records[job.Index]
+	record.OverflowKeys = 0
+	replica.CompactRecord(record)
+	stored := replica.StoredRecord{Tasks: job.Record.ActiveTasks, OverflowKeys: job.Record.OverflowKeys}
+	writes := w.node.replica.SplitRecord(job.ID, stored, record)
+	if maxWrites := w.node.cfg.MaxTransactionOps; len(writes) > maxWrites && w.writeOverflowFirst && empty {
+		return replica.WritesAhead(writes, job.Record.OverflowKeys, maxWrites)
 	}
-	b.start(writer.node, conds, writes, writer.linkedWrites, onOK)
+	return writes
 }
--- /dev/null
+++ b/internal/leadership/leadership_test.go
@@ -0,0 +1,138 @@
+package leadership
+
+import (
+	"testing"
+	"time"
+
+	"micaport/internal/kv"
+	"micaport/internal/wire"
+)
+
+const (
+	self        = "n1"
+	incarnation = "x"
+)
+
+func newLeadership() *Leadership {
+	l := New(Config{Self: self, Incarnation: incarnation, Rank: 1, LeaseTTL: 5 * time.Second, HeartbeatInterval: 3 * time.Second, EarlyFailover: true})
+	l.Lease.Renew(0).Answered(0, kv.OK, 7, time.Second)
+	return l
+}
+
+func claimOf(controller, incarnation string) *wire.Leader {
+	return &wire.Leader{Controller: controller, Incarnation: incarnation}
+}
+
+func always() bool { return true }
+func never() bool  { return false }
+
+// What each change of the record means, in order.
+func TestChanges(t *testing.T) {
+	l := newLeadership()
+	for i, step := range []struct {
+		record   *wire.Leader
+		revision uint64
+		want     Change
+		leads    bool
+	}{
+		{claimOf("n0", "a"), 5, Other, false},
+		{claimOf(self, incarnation), 4, Stale, false},
+		{claimOf(self, "earlier"), 6, Other, false},
+		{claimOf(self, incarnation), 7, Acquired, true},
+		{claimOf(self, incarnation), 8, Reclaimed, true},
+		{nil, 9, Lost, false},
+		{claimOf(self, incarnation), 10, Acquired, true},
+		{claimOf("n0", "a"), 11, Lost, false},
+	} {
+		if got, _ := l.Put(Time(i)*time.Second, step.record, step.revision); got != step.want || l.IsLeader() != step.leads {
+			t.Errorf("step %d: change %d, leads %v; want %d, %v", i, got, l.IsLeader(), step.want, step.leads)
+		}
+	}
+}
+
+// The terms of claims are told in order, ends of claims between them not counted.
+func TestPreviousTerm(t *testing.T) {
+	l := newLeadership()
+	l.Put(0, claimOf("n0", "a"), 5)
+	l.Put(0, nil, 6)
+	if _, previous := l.Put(0, claimOf(self, incarnation), 7); previous != 5 {
+		t.Errorf("previous term %d, want 5", previous)
+	}
+}
+
+// How the leadership may be claimed, by who has it.
+func TestNextClaim(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		record   *wire.Leader
+		at       Time
+		isolated func() bool
+		replace  func() bool
+		want     Claim
+	}{
+		{"vacant, too early", nil, claimDelayEach - 1, never, never, NoClaim},
+		{"vacant", nil, claimDelayEach, never, never, ClaimVacant},
+		{"vacant, isolated", nil, claimDelayEach, always, never, NoClaim},
+		{"an earlier incarnation", claimOf(self, "earlier"), time.Second, never, never, ClaimOwn},
+		{"another leads", claimOf("n0", "a"), time.Second, never, never, NoClaim},
+		{"another is to be replaced", claimOf("n0", "a"), time.Second, never, always, ClaimEarly},
+		{"leads already", claimOf(self, incarnation), time.Second, never, always, NoClaim},
+		{"lease too old", nil, 3 * time.Second, never, never, NoClaim},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := newLeadership()
+			if c.record != nil {
+				l.Put(0, c.record, 5)
+			}
+			if got := l.NextClaim(c.at, c.isolated, c.replace); got != c.want {
+				t.Errorf("got %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// An isolated leader resigns once it has been isolated for long enough and somebody else
+// could lead, and leads again only if the resignation was refused.
+func TestResign(t *testing.T) {
+	l := newLeadership()
+	l.Put(0, claimOf(self, incarnation), 5)
+	begun := 10 * time.Second
+	if l.Resign(begun, true, always) {
+		t.Error("resigned at once")
+	}
+	later := begun + l.cfg.HeartbeatInterval + isolationNotice
+	if l.Resign(later, true, never) {
+		t.Error("resigned without a successor")
+	}
+	if !l.Resign(later, true, always) || l.IsLeader() {
+		t.Error("did not resign")
+	}
+	l.ResignRefused()
+	if !l.IsLeader() {
+		t.Error("does not lead though the resignation was refused")
+	}
+	if l.Resign(later+time.Second, true, always) {
+		t.Error("resigned again at once")
+	}
+}
+
+// A claim that was accepted and that the replica does not show is given up after a while.
+func TestUnseenClaim(t *testing.T) {
+	l := newLeadership()
+	l.ClaimSent(0)
+	l.ClaimAnswered(time.Second, kv.OK, 9)
+	for _, c := range []struct {
+		at       Time
+		revision uint64
+		want     bool
+	}{
+		{time.Second + unseenClaimTimeout - 1, 8, false},
+		{time.Second + unseenClaimTimeout, 9, false},
+		{time.Second + unseenClaimTimeout, 8, true},
+		{time.Second + 2*unseenClaimTimeout, 8, false}, // once
+	} {
+		if _, unseen := l.UnseenClaim(c.at, c.revision); unseen != c.want {
+			t.Errorf("at %v, revision %d: %v", c.at, c.revision, unseen)
+		}
+	}
+}
