--- /dev/null
+++ b/internal/core/leadership_status.go
@@ -0,0 +1,29 @@
+package core
+
+import "micaport/internal/wire"
+
+// leadershipStatus answers the operators' question who leads and who stands by.
+func (n *Node) leadershipStatus() wire.LeadershipStatus {
+	s := &n.failover
+	status := wire.LeadershipStatus{
+		Controller: n.cfg.Self, Term: n.leadership.Term(), Revision: n.replica.Revision(), Agreed: n.replica.AgreedFormat(), Served: n.storeOK, Early: n.cfg.EarlyTakeover,
+		Standby: s.follower.Standby(), PauseMS: s.follower.MinTenure().Milliseconds(),
+	}
+	if n.leadership.Record() == nil {
+		return status
+	}
+	status.Leader, status.Fenced, status.Streak = n.leadership.Record().Controller, n.leadership.Record().Fenced, n.leadership.Record().Streak
+	if n.isLeader() {
+		status.Standby = s.standby
+		status.LogMessages, status.LogFacts = s.publisher.Lag()
+		status.LogResyncs = s.publisher.Resyncs()
+		return status
+	}
+	if term, _ := s.replica.Sequence(); term == n.leadership.Term() {
+		status.LogHeld = s.replica.Facts()
+	}
+	status.LogDropped = s.replica.Dropped()
+	evidence := s.follower.Evidence(n.now)
+	status.SilenceMS, status.Suspected, status.Suspecting = evidence.Silence.Milliseconds(), s.follower.SuspectedAt() > 0, evidence.Suspecting
+	return status
+}
