--- a/internal/wire/active_task.go
+++ b/internal/wire/active_task.go
@@ -1,47 +1,41 @@
 package wire
 
-import (
-	"fmt"
+// StopRequest says whether an active task is to go on. Its numbers are stored.
+type StopRequest int
 
-	"github.com/vmihailenco/msgpack/v5"
+// Kinds of StopRequest.
+const (
+	StopNone    StopRequest = 0
+	StopPreempt StopRequest = 1 // save a checkpoint, then exit
+	StopAbandon StopRequest = 2 // exit at once; the attempt is lost
 )
 
-// ActiveTask is a task that has been granted to a shard and, once Machine is set,
-// placed on a machine. It charges its team until it is removed, and it is
-// removed only on proof that the task is gone.
+// ActiveTask is a task that has been granted to a shard and, once Machine is set, placed on a
+// machine. Its team is charged for it until it is removed, and it is removed only on proof that
+// the task is gone.
 type ActiveTask struct {
-	Task    int
-	Attempt uint64
-	Shard   int
-	Machine string
-	Epoch   uint64
+	Task    int    // number of the task in its job
+	Attempt uint64 // attempt number under which it is started
+	Shard   int    // index of the shard
+	Machine string // "" until the owner of the shard has placed it
+	Epoch   uint64 // epoch of the machine's worker when it was placed; 0 until then
 	Stop    StopRequest
-	// Admitted says that the owner of the shard has admitted the task within the shard's
-	// share of the team's limit; otherwise the leader has granted it. Format 4.
+
+	// Admitted is set if the owner of the shard has admitted the task within the shard's share
+	// of the team's limit; otherwise the leader has granted it. Format 4.
 	Admitted bool
-	// StoredIn says which key holds it: 1 the job's own record, 2 the first of the
-	// further ones and so on, 0 none yet. It is not written.
+
+	// StoredIn is the record that holds the task: 1 for the job's own, 2 for its first Overflow
+	// and so on, 0 for none yet. It is not stored.
 	StoredIn int
 }
 
-// ActiveTasks are the active tasks of a job. Neighbours that differ in their number
-// only are encoded as one run, and runs are listed by shard, epoch and mark: an
-// array of many small tasks has a dozen of them on each machine, and only so do
-// as many as its machines can run fit a value.
-//
-//	[[shard, epoch, stop, [task, attempt, machine, count, ...]], ...]
+// ActiveTasks are the active tasks of a job; active_task_codec.go describes their encoding.
+// Neighbours that differ only in their consecutive task numbers form a run, which is encoded in
+// constant size.
 type ActiveTasks []ActiveTask
 
-// follows tells whether the entry continues the run that another one ends.
-func (a *ActiveTask) follows(before *ActiveTask) bool {
-	return a.Task == before.Task+1 && a.Attempt == before.Attempt && a.Machine == before.Machine && a.group() == before.group()
-}
-
-// group is what the tasks of a list have in common.
-func (a *ActiveTask) group() taskGroup {
-	return taskGroup{a.Shard, a.Epoch, a.Stop, a.Admitted, a.StoredIn}
-}
-
+// taskGroup is what the tasks of an encoded list have in common.
 type taskGroup struct {
 	shard    int
 	epoch    uint64
@@ -50,123 +44,49 @@
 	storedIn int
 }
 
-// admittedFlag is added to the mark of a list of admitted tasks.
-const admittedFlag = 4
+func (a *ActiveTask) group() taskGroup {
+	return taskGroup{a.Shard, a.Epoch, a.Stop, a.Admitted, a.StoredIn}
+}
 
-// mark is how a list's stop mark and the flag of admitted tasks are written.
-func (k taskGroup) mark() int {
-	if k.admitted {
-		return int(k.stop) | admittedFlag
-	}
-	return int(k.stop)
+// continues reports whether the task belongs to the run that ends with previous.
+func (a *ActiveTask) continues(previous *ActiveTask) bool {
+	return a.Task == previous.Task+1 && a.Attempt == previous.Attempt && a.Machine == previous.Machine && a.group() == previous.group()
 }
 
-// Run gives the bounds of the run that an entry belongs to.
+// Run returns the bounds, to exclusive, of the run that the task at an index belongs to.
 func (l ActiveTasks) Run(at int) (from, to int) {
 	from, to = at, at+1
-	for from > 0 && l[from].follows(&l[from-1]) {
+	for from > 0 && l[from].continues(&l[from-1]) {
 		from--
 	}
-	for to < len(l) && l[to].follows(&l[to-1]) {
+	for to < len(l) && l[to].continues(&l[to-1]) {
 		to++
 	}
 	return from, to
 }
 
-// What a list and a run in it take at most in the form in which values are
-// measured, the name of the machine aside.
+// Bounds of encoded sizes in bytes, as JSONSize measures them.
 const (
-	groupCost = 24
-	runCost   = 22
+	// GroupCost bounds the size of a group without its runs.
+	GroupCost = 24
+	// runCost bounds the size of a run without the name of its machine.
+	runCost = 22
 )
 
-// GroupCost bounds what a list takes besides its runs.
-const GroupCost = groupCost
+// RunCost bounds the encoded size of a run on a machine, in bytes as JSONSize measures them.
+func RunCost(machine string) int { return runCost + len(machine) }
 
-// Cost bounds the size of the encoded tasks in that form.
+// Cost bounds the encoded size of the tasks, in bytes as JSONSize measures them.
 func (l ActiveTasks) Cost() int {
 	cost := 0
 	seen := map[taskGroup]bool{}
 	for at := 0; at < len(l); {
-		if k := l[at].group(); !seen[k] {
-			seen[k] = true
-			cost += groupCost
+		if group := l[at].group(); !seen[group] {
+			seen[group] = true
+			cost += GroupCost
 		}
 		cost += RunCost(l[at].Machine)
 		_, at = l.Run(at)
 	}
 	return cost
 }
-
-// RunCost bounds what one more run on a machine takes.
-func RunCost(host string) int { return runCost + len(host) }
-
-// EncodeMsgpack writes the lists in the order in which they begin.
-func (l ActiveTasks) EncodeMsgpack(e *msgpack.Encoder) error {
-	var order []taskGroup
-	runs := map[taskGroup][]any{}
-	for at := 0; at < len(l); {
-		a, k := &l[at], l[at].group()
-		_, to := l.Run(at)
-		if runs[k] == nil {
-			order = append(order, k)
-		}
-		runs[k] = append(runs[k], a.Task, a.Attempt, a.Machine, to-at)
-		at = to
-	}
-	if err := e.EncodeArrayLen(len(order)); err != nil {
-		return fmt.Errorf("active tasks: %w", err)
-	}
-	for _, k := range order {
-		if err := e.EncodeArrayLen(4); err != nil {
-			return fmt.Errorf("active tasks: %w", err)
-		}
-		if err := e.EncodeMulti(k.shard, k.epoch, k.mark()); err != nil {
-			return fmt.Errorf("active tasks: %w", err)
-		}
-		if err := e.EncodeArrayLen(len(runs[k])); err != nil {
-			return fmt.Errorf("active tasks: %w", err)
-		}
-		if err := e.EncodeMulti(runs[k]...); err != nil {
-			return fmt.Errorf("active tasks: %w", err)
-		}
-	}
-	return nil
-}
-
-// DecodeMsgpack reads the lists.
-func (l *ActiveTasks) DecodeMsgpack(d *msgpack.Decoder) error {
-	*l = nil
-	lists, err := d.DecodeArrayLen()
-	for i := 0; i < lists && err == nil; i++ {
-		err = l.decodeGroup(d)
-	}
-	if err != nil {
-		return fmt.Errorf("active tasks: %w", err)
-	}
-	return nil
-}
-
-func (l *ActiveTasks) decodeGroup(d *msgpack.Decoder) error {
-	if _, err := d.DecodeArrayLen(); err != nil {
-		return err
-	}
-	var a ActiveTask
-	mark := 0
-	if err := d.DecodeMulti(&a.Shard, &a.Epoch, &mark); err != nil {
-		return err
-	}
-	a.Admitted, a.Stop = mark&admittedFlag != 0, StopRequest(mark&^admittedFlag)
-	fields, err := d.DecodeArrayLen()
-	for at := 0; at < fields && err == nil; at += 4 {
-		count := 0
-		if err = d.DecodeMulti(&a.Task, &a.Attempt, &a.Machine, &count); err == nil && (count < 1 || count > MaxTasks) {
-			err = fmt.Errorf("a run of %d", count)
-		}
-		for range count {
-			*l = append(*l, a)
-			a.Task++
-		}
-	}
-	return err
-}
--- /dev/null
+++ b/internal/wire/cloud_api.go
@@ -0,0 +1,64 @@
+package wire
+
+// This file holds what controllers and the cloud API say to each other. The tags and the values
+// of the constants are the names of the protocol.
+
+// MachineType is a machine type that the cloud offers.
+type MachineType struct {
+	Name             string   `msgpack:"sku"`
+	Cores            float64  `msgpack:"cores"`
+	GPUs             float64  `msgpack:"cards"`
+	MemoryGB         float64  `msgpack:"memory_gb"`
+	ImageCacheGB     float64  `msgpack:"local_gb"`      // room for images
+	FetchGBs         float64  `msgpack:"pull_gb_per_s"` // rate at which images are fetched, in GB per second
+	PricePerHour     float64  `msgpack:"hourly"`
+	SpotPricePerHour float64  `msgpack:"spot_price"`
+	BootS            float64  `msgpack:"boot_s"` // nominal boot time in seconds
+	Zones            []string `msgpack:"halls"`  // where it is offered
+}
+
+// MachineTypeList is the answer to a query for the machine types.
+type MachineTypeList struct {
+	MachineTypes []MachineType `msgpack:"rigs"`
+}
+
+// ProvisionRequest asks the cloud for machines of one pool. The cloud answers a request that it
+// has granted before, by name, as it did then and rents nothing more.
+type ProvisionRequest struct {
+	Name        string `msgpack:"hire"` // unique; never reused for another request
+	MachineType string `msgpack:"rig"`
+	Zone        string `msgpack:"hall"`
+	Spot        bool   `msgpack:"loaner"`
+	Count       int    `msgpack:"count"` // machines wanted; fewer may be granted
+}
+
+// MachineNames lists machines: those granted in answer to a ProvisionRequest, or those to be
+// deprovisioned.
+type MachineNames struct {
+	Names []string `msgpack:"hosts"`
+}
+
+// States of a machine in the cloud's list.
+const (
+	MachineBooting = "booting"
+	MachineRunning = "running"
+	MachineFailed  = "failed" // stopped on its own; listed until it is deprovisioned
+)
+
+// CloudMachine is a machine in the cloud's list.
+type CloudMachine struct {
+	Name        string  `msgpack:"ref"`
+	Addr        string  `msgpack:"addr"` // host:port of its worker
+	MachineType string  `msgpack:"rig"`
+	Zone        string  `msgpack:"hall"`
+	Spot        bool    `msgpack:"loaner"`
+	Status      string  `msgpack:"status"` // MachineBooting, MachineRunning or MachineFailed
+	AgeS        float64 `msgpack:"age_s"`  // seconds since the provisioning request, at the time that the list describes
+}
+
+// MachineList is a page of the cloud's list, in order of name. The list lags behind by some
+// seconds.
+type MachineList struct {
+	Machines []CloudMachine `msgpack:"hosts"`
+	HasNext  bool           `msgpack:"has_next"` // more machines follow the last one
+}
--- a/internal/wire/job_spec.go
+++ b/internal/wire/job_spec.go
@@ -4,173 +4,210 @@
 	"errors"
 	"fmt"
 	"math"
+	"reflect"
 	"slices"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxTasks is the largest array that may be submitted.
-const MaxTasks = 100_000
-
-// ParseJobSpec reads a submission. When the body is faulty the reference is
-// still returned if it could be read, since a known job is answered before
-// any check of the rest.
-func ParseJobSpec(body []byte) (ref string, spec *JobSpec, err error) {
-	var m map[string]any
-	if err := msgpack.Unmarshal(body, &m); err != nil || m == nil {
-		return "", nil, errors.New("body is not a MessagePack map")
-	}
-	if s, ok := m["ref"].(string); ok && ValidJobID(s) {
-		ref = s
-	} else {
-		return "", nil, errors.New("ref is missing or malformed")
-	}
-	p := parser{m: m}
-	s := &JobSpec{
-		ID: ref, Class: p.text("job_class"), Team: p.text("studio"),
-		Shape:     p.oneOf("shape", ShapeArray, ShapeGang, ShapeDaemon),
-		Priority:  p.oneOf("urgency", "critical", "high", "standard", "low"),
-		TaskCount: p.count("frames", 1, MaxTasks),
-		Cores:     p.amount("cores"),
-		GPUs:      p.amount("cards"),
-		MemoryGB:  p.amount("memory_gb"),
-		Image:     p.text("toolkit"), ImageGB: p.amount("size_gb"),
-		SameZone: p.flag("same_place"), Spread: p.flag("spread"), AllowSpot: p.flag("loaner"),
-		ExpectedS:           p.amount("expected_s"),
-		CheckpointIntervalS: p.amount("snapshot_every_s"),
-		CheckpointTimeS:     p.amount("snapshot_s"),
-	}
-	if v := m["hall"]; v != nil {
-		s.Zone = p.text("hall")
-	}
-	if v := m["due_s"]; v != nil {
-		s.DeadlineS = p.amount("due_s")
-	}
-	if v := m["rigs"]; v != nil {
-		list, ok := v.([]any)
-		if !ok {
-			p.fail("rigs")
-		}
-		for _, x := range list {
-			name, ok := x.(string)
-			if !ok || len(name) > 200 {
-				p.fail("rigs")
-			}
-			s.MachineTypes = append(s.MachineTypes, name)
-		}
-		s.NoMachineTypes = ok && len(list) == 0
-	}
-	s.Dependencies = p.jobIDs("waits_on")
-	if p.err != nil {
-		return ref, nil, p.err
-	}
-	return ref, s, nil
+// Bounds of the fields of a submission.
+const (
+	// MaxTasks is the largest number of tasks of a job.
+	MaxTasks = 100_000
+	// maxTextBytes is the largest length of a name.
+	maxTextBytes = 200
+	// maxQuantity is the largest quantity, whatever its unit.
+	maxQuantity = 1e12
+)
+
+// Faults of a submission as a whole; see FieldError for those of a field. Their texts are
+// returned to users.
+var (
+	// ErrNotAMap is returned for a body that is not a MessagePack map.
+	ErrNotAMap = errors.New("body is not a MessagePack map")
+	// ErrNoJobID is returned for a body without a valid job ID.
+	ErrNoJobID = errors.New("ref is missing or malformed")
+)
+
+// FieldError is returned for a field of a submission that is missing or invalid. Its text is
+// returned to users.
+type FieldError struct {
+	Field string // name of the field on the wire
 }
 
-// jobIDs reads a list of job ids that may be left out; each counts once.
-func (p *parser) jobIDs(f string) []string {
-	v := p.m[f]
-	if v == nil {
-		return nil
-	}
-	list, ok := v.([]any)
-	if !ok {
-		p.fail(f)
-	}
-	var out []string
-	for _, x := range list {
-		ref, ok := x.(string)
-		if !ok || !ValidJobID(ref) {
-			p.fail(f)
-			return nil
-		}
-		out = append(out, ref)
+func (e *FieldError) Error() string {
+	return fmt.Sprintf("field %s is missing or invalid", e.Field)
+}
+
+// ParseJobSpec reads the body of a submission. Unknown fields are ignored, and what may be null
+// may be absent. The error is ErrNotAMap, ErrNoJobID or a FieldError for the first invalid
+// field; in the last case the job ID is returned too, since the repeated submission of a known
+// job is answered before its fields are checked.
+func ParseJobSpec(body []byte) (jobID string, spec *JobSpec, err error) {
+	var fields map[string]any
+	if err := msgpack.Unmarshal(body, &fields); err != nil || fields == nil {
+		return "", nil, ErrNotAMap
+	}
+	jobID, isText := fields["ref"].(string)
+	if !isText || !ValidJobID(jobID) {
+		return "", nil, ErrNoJobID
+	}
+	reader := fieldReader{fields: fields}
+	spec = reader.jobSpec(jobID)
+	if reader.err != nil {
+		return jobID, nil, reader.err
+	}
+	return jobID, spec, nil
+}
+
+// fieldReader reads the fields of a decoded map. It keeps the error of the first field that is
+// missing or invalid; what it returns for such a field is meaningless.
+type fieldReader struct {
+	fields map[string]any
+	err    error
+}
+
+func (r *fieldReader) jobSpec(jobID string) *JobSpec {
+	spec := &JobSpec{
+		ID:                  jobID,
+		Class:               r.text("job_class"),
+		Team:                r.text("studio"),
+		Shape:               r.oneOf("shape", ShapeArray, ShapeGang, ShapeDaemon),
+		Priority:            r.oneOf("urgency", "critical", "high", "standard", "low"),
+		TaskCount:           r.count("frames", 1, MaxTasks),
+		Cores:               r.quantity("cores"),
+		GPUs:                r.quantity("cards"),
+		MemoryGB:            r.quantity("memory_gb"),
+		Image:               r.text("toolkit"),
+		ImageGB:             r.quantity("size_gb"),
+		SameZone:            r.flag("same_place"),
+		Spread:              r.flag("spread"),
+		AllowSpot:           r.flag("loaner"),
+		ExpectedS:           r.quantity("expected_s"),
+		CheckpointIntervalS: r.quantity("snapshot_every_s"),
+		CheckpointTimeS:     r.quantity("snapshot_s"),
+	}
+	if r.has("hall") {
+		spec.Zone = r.text("hall")
+	}
+	if r.has("due_s") {
+		spec.DeadlineS = r.quantity("due_s")
+	}
+	if r.has("rigs") {
+		spec.MachineTypes = r.names("rigs")
+		spec.NoMachineTypes = len(spec.MachineTypes) == 0
+	}
+	if r.has("waits_on") {
+		spec.Dependencies = r.jobIDs("waits_on")
+	}
+	return spec
+}
+
+// reject keeps the error of a field unless an earlier field was invalid.
+func (r *fieldReader) reject(field string) {
+	if r.err == nil {
+		r.err = &FieldError{Field: field}
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
 }
 
-type parser struct {
-	m   map[string]any
-	err error
+// has reports whether a field is present and not null.
+func (r *fieldReader) has(field string) bool { return r.fields[field] != nil }
+
+// text reads a name that is not empty.
+func (r *fieldReader) text(field string) string {
+	value, isText := r.fields[field].(string)
+	if !isText || value == "" || len(value) > maxTextBytes {
+		r.reject(field)
+	}
+	return value
 }
 
-func (p *parser) fail(field string) {
-	if p.err == nil {
-		p.err = fmt.Errorf("field %s is missing or invalid", field)
+// oneOf reads one of the allowed names.
+func (r *fieldReader) oneOf(field string, allowed ...string) string {
+	value := r.text(field)
+	if !slices.Contains(allowed, value) {
+		r.reject(field)
 	}
+	return value
 }
 
-func (p *parser) text(f string) string {
-	s, ok := p.m[f].(string)
-	if !ok || s == "" || len(s) > 200 {
-		p.fail(f)
+func (r *fieldReader) flag(field string) bool {
+	value, isBool := r.fields[field].(bool)
+	if !isBool {
+		r.reject(field)
 	}
-	return s
+	return value
 }
 
-func (p *parser) oneOf(f string, allowed ...string) string {
-	s := p.text(f)
-	for _, a := range allowed {
-		if s == a {
-			return s
-		}
+// quantity reads a number that is not negative.
+func (r *fieldReader) quantity(field string) float64 {
+	value, isNumber := number(r.fields[field])
+	if !isNumber || math.IsNaN(value) || value < 0 || value > maxQuantity {
+		r.reject(field)
 	}
-	p.fail(f)
-	return s
+	return value
 }
 
-func (p *parser) flag(f string) bool {
-	b, ok := p.m[f].(bool)
-	if !ok {
-		p.fail(f)
+// count reads an integer from low to high. A double is not an integer, even if its value is
+// whole.
+func (r *fieldReader) count(field string, low, high int) int {
+	if _, isDouble := r.fields[field].(float64); isDouble {
+		r.reject(field)
+	}
+	value, isNumber := number(r.fields[field])
+	if !isNumber || value < float64(low) || value > float64(high) || value != math.Trunc(value) {
+		r.reject(field)
+		return 0
 	}
-	return b
+	return int(value)
 }
 
-func (p *parser) amount(f string) float64 {
-	x, ok := number(p.m[f])
-	if !ok || math.IsNaN(x) || x < 0 || x > 1e12 {
-		p.fail(f)
+// list reads a list of any values.
+func (r *fieldReader) list(field string) []any {
+	values, isList := r.fields[field].([]any)
+	if !isList {
+		r.reject(field)
 	}
-	return x
+	return values
 }
 
-func (p *parser) count(f string, low, high int) int {
-	if _, isFloat := p.m[f].(float64); isFloat {
-		p.fail(f)
+// names reads a list of names, which may be empty.
+func (r *fieldReader) names(field string) []string {
+	var names []string
+	for _, value := range r.list(field) {
+		name, isText := value.(string)
+		if !isText || len(name) > maxTextBytes {
+			r.reject(field)
+		}
+		names = append(names, name)
 	}
-	x, ok := number(p.m[f])
-	if !ok || x < float64(low) || x > float64(high) || x != math.Trunc(x) {
-		p.fail(f)
-		return 0
+	return names
+}
+
+// jobIDs reads a list of job IDs. The result is sorted and has each ID once.
+func (r *fieldReader) jobIDs(field string) []string {
+	var jobIDs []string
+	for _, value := range r.list(field) {
+		jobID, isText := value.(string)
+		if !isText || !ValidJobID(jobID) {
+			r.reject(field)
+			return nil
+		}
+		jobIDs = append(jobIDs, jobID)
 	}
-	return int(x)
+	slices.Sort(jobIDs)
+	return slices.Compact(jobIDs)
 }
 
-// number accepts every numeric type that the decoder yields.
+// number converts any of the numeric types that the decoder returns.
 func number(v any) (float64, bool) {
-	switch x := v.(type) {
-	case float64:
-		return x, true
-	case float32:
-		return float64(x), true
-	case int8:
-		return float64(x), true
-	case int16:
-		return float64(x), true
-	case int32:
-		return float64(x), true
-	case int64:
-		return float64(x), true
-	case uint8:
-		return float64(x), true
-	case uint16:
-		return float64(x), true
-	case uint32:
-		return float64(x), true
-	case uint64:
-		return float64(x), true
+	switch value := reflect.ValueOf(v); {
+	case value.CanFloat():
+		return value.Float(), true
+	case value.CanInt():
+		return float64(value.Int()), true
+	case value.CanUint():
+		return float64(value.Uint()), true
 	}
 	return 0, false
 }
--- a/internal/wire/taskset.go
+++ b/internal/wire/task_set.go
@@ -5,20 +5,20 @@
 	"sort"
 )
 
-// TaskRange is a run of neighbouring task numbers, without its end.
+// TaskRange is a range of consecutive task numbers, encoded as [first, end].
 type TaskRange struct {
 	//lint:ignore U1000 the MessagePack library reads the options in its tag
 	_msgpack   struct{} `msgpack:",as_array"`
-	First, End int
+	First, End int      // End is exclusive
 }
 
-// TaskSet is a set of task numbers as sorted ranges that do not touch.
+// TaskSet is a set of task numbers, kept as sorted ranges that neither overlap nor touch.
 type TaskSet []TaskRange
 
-// Range is the set of the tasks from first on, up to but without end.
+// Range is the set of the tasks from first up to end, exclusive.
 func Range(first, end int) TaskSet { return TaskSet{{First: first, End: end}} }
 
-// With gives the set with one more task. It may change the set in place.
+// With returns the set with one more task. Like append, it may change the set in place.
 func (s TaskSet) With(task int) TaskSet {
 	i := sort.Search(len(s), func(i int) bool { return s[i].End >= task })
 	switch {
@@ -37,13 +37,13 @@
 	return s
 }
 
-// Has tells whether a task is in the set.
+// Has reports whether a task is in the set.
 func (s TaskSet) Has(task int) bool {
 	i := sort.Search(len(s), func(i int) bool { return s[i].End > task })
 	return i < len(s) && s[i].First <= task
 }
 
-// Count is how many tasks are in the set.
+// Count is the number of tasks in the set.
 func (s TaskSet) Count() int {
 	count := 0
 	for _, r := range s {
