--- a/internal/wire/production_test.go
+++ b/internal/wire/production_test.go
@@ -27,8 +27,9 @@
 	return string(found[1])
 }
 
-// roundTrip is a program for the version in production: it reads records, one line of
-// key and hex each, as its controllers do, and prints them as they would write them.
+// roundTrip is a program that is built with the sources of the version in production. It reads
+// records, one line of key and hex each, as its controllers do, and prints them as they would
+// write them.
 const roundTrip = `package main
 
 import (
@@ -67,15 +68,10 @@
 }
 `
 
-// What this version writes before its upgrade is complete is given to the version in
-// production itself, built from the repository's history: it reads every record and
-// would write the same bytes; keys of format 2 it skips. A checkout without that
-// history skips the test, which internal/ci prints.
-func TestProductionReadsOurRecords(t *testing.T) {
-	commit := productionCommit(t)
-	if err := exec.Command("git", "cat-file", "-e", commit+"^{commit}").Run(); err != nil {
-		t.Skipf("the history lacks the production version %s, so it could not be run: %v", commit, err)
-	}
+// checkOutProduction writes the sources of the version in production, and roundTrip beside them,
+// to a temporary directory.
+func checkOutProduction(t *testing.T, commit string) string {
+	t.Helper()
 	dir := t.TempDir()
 	archive := filepath.Join(dir, "production.tar")
 	git := exec.Command("git", "-C", "../..", "archive", "--output", archive, commit, "go.mod", "go.sum", "internal/wire")
@@ -92,7 +88,19 @@
 	if err := os.WriteFile(filepath.Join(program, "main.go"), []byte(roundTrip), 0o644); err != nil {
 		t.Fatal(err)
 	}
+	return dir
+}
 
+// Records as this version writes them before the upgrade is complete are given to the version in
+// production itself, built from the repository's history. It reads every record and would write
+// the same bytes, and skips the keys of later formats. A checkout without that history skips the
+// test, which internal/ci prints.
+func TestProductionReadsOurRecords(t *testing.T) {
+	commit := productionCommit(t)
+	if err := exec.Command("git", "cat-file", "-e", commit+"^{commit}").Run(); err != nil {
+		t.Skipf("the history lacks the production version %s, so it could not be run: %v", commit, err)
+	}
+	dir := checkOutProduction(t, commit)
 	keys := map[string]string{
 		"job-live": JobKey("wk-000412"), "job-done": JobKey("wk-000412"), "job-withdrawn": JobKey("wk-000412"), "part": ShardKey("a-0"),
 		"leader": LeaderKey, "gang": GangKey("wk-000412", 3), "images": ImagePrefix + "stanok-0", "types": MachineTypesKey, "room": MailboxPrefix + "stanok-2",
@@ -101,11 +109,7 @@
 	var want []string
 	records := format1()
 	for _, name := range slices.Sorted(maps.Keys(keys)) {
-		raw, err := Encode(records[name])
-		if err != nil {
-			t.Fatal(err)
-		}
-		text := hex.EncodeToString(raw)
+		text := hex.EncodeToString(mustEncode(t, records[name]))
 		input.WriteString(keys[name] + " " + text + "\n")
 		want = append(want, text)
 	}
--- /dev/null
+++ b/internal/wire/record_test.go
@@ -0,0 +1,61 @@
+package wire
+
+import (
+	"reflect"
+	"testing"
+)
+
+func TestJobRoundTrip(t *testing.T) {
+	job := Job{Spec: &JobSpec{ID: "wk-1", TaskCount: 9}, TaskCount: 9, NextAttempt: 4, DoneTasks: TaskSet{{First: 0, End: 2}, {First: 5, End: 6}},
+		ActiveTasks: []ActiveTask{{Task: 3, Attempt: 2, Shard: 1, Machine: "vm-1", Epoch: 4, Stop: StopPreempt}, {Task: 4, Attempt: 3}}}
+	var got Job
+	if err := Decode(mustEncode(t, &job), &got); err != nil || !reflect.DeepEqual(job, got) {
+		t.Errorf("got %+v, %v, want %+v", got, err, job)
+	}
+}
+
+// Each kind of key holds the record that belongs to it.
+func TestDecodeRecordByKey(t *testing.T) {
+	for key, want := range map[string]Record{
+		JobKey("wk-000412"):                    &Job{},
+		OverflowKey("wk-000412", 1):            &Overflow{},
+		DependencyListKey("wk-000412", "7", 1): &DependencyList{},
+		ShardKey("a-0"):                        &Shard{},
+		GangKey("wk-000412", 3):                &Gang{},
+		MailboxPrefix + "stanok-0":             &Gossip{},
+		ImagePrefix + "stanok-0":               &ImageCache{},
+		FormatPrefix + "stanok-0":              &SupportedFormat{},
+		AccountKey("vision"):                   &Account{},
+		LeaderKey:                              &Leader{},
+		TakeoversKey:                           &Takeovers{},
+		MachineTypesKey:                        &MachineTypeCache{},
+	} {
+		if got, err := DecodeRecord(key, []byte{0x80}); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s is read as %#v, %v, want %#v", key, got, err, want)
+		}
+	}
+}
+
+func TestDecodeRecordOfUnknownKey(t *testing.T) {
+	for _, key := range []string{"m/unknown/x", LeaderKey + "/x"} {
+		if record, err := DecodeRecord(key, []byte{0x80}); record != nil || err != nil {
+			t.Errorf("%s is read as %#v, %v", key, record, err)
+		}
+	}
+}
+
+func TestDecodeRecordRefusesDamage(t *testing.T) {
+	if record, err := DecodeRecord(LeaderKey, []byte{0xc1}); record != nil || err == nil {
+		t.Errorf("got %#v, %v", record, err)
+	}
+}
+
+// A damaged account differs from an absent one: it may hold shares.
+func TestDamagedAccountIsUnreadable(t *testing.T) {
+	for _, raw := range [][]byte{{0xc1}, {0x81, 0xa1, 'l', 0x07}, nil} {
+		got, err := DecodeRecord(AccountKey("vision"), raw)
+		if account, is := got.(*Account); err != nil || !is || !account.Unreadable {
+			t.Errorf("%x is read as %+v, %v", raw, got, err)
+		}
+	}
+}
