--- a/internal/failover/log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -20,8 +20,8 @@
 	return wire.Fact{Kind: wire.FactIdle, Name: name, At: at}
 }
 
-// held lists what a replica holds of a term, by name, with times of the leader's clock.
-func held(r *Replica, term uint64) map[string]int64 {
+// factsHeld returns what a replica holds of a term: by name, the times of the leader's clock.
+func factsHeld(r *Replica, term uint64) map[string]int64 {
 	facts := map[string]int64{}
 	for _, f := range r.Of(term) {
 		facts[f.Name] = f.At - r.offset.Milliseconds()
@@ -29,10 +29,11 @@
 	return facts
 }
 
-// A standby gets everything at first and then what changes, each once.
+// A standby is sent everything at first and then each change once.
 func TestLogCarriesChanges(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 7)
+	// exchange publishes facts and returns how many are sent, -1 without a message.
 	exchange := func(now time.Duration, facts ...wire.Fact) int {
 		p.Publish(facts)
 		_, m := p.Next(now, "a", "a1")
@@ -54,14 +55,14 @@
 		{[]wire.Fact{fact("x", 1), fact("y", 3), fact("z", 4)}, 2}, {[]wire.Fact{fact("z", 4)}, 2}, {nil, 1}, {nil, -1},
 	} {
 		if sent := exchange(time.Duration(i)*time.Second, c.facts...); sent != c.sent {
-			t.Errorf("step %d: %d facts sent, not %d", i, sent, c.sent)
+			t.Errorf("step %d: %d facts were sent, want %d", i, sent, c.sent)
 		}
 		want := map[string]int64{}
 		for _, f := range c.facts {
 			want[f.Name] = f.At
 		}
-		if got := held(r, 7); !maps.Equal(got, want) {
-			t.Errorf("step %d: the standby holds %v, not %v", i, got, want)
+		if got := factsHeld(r, 7); !maps.Equal(got, want) {
+			t.Errorf("step %d: the standby holds %v, want %v", i, got, want)
 		}
 	}
 	if facts := r.Of(6); facts != nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Times are those of the standby's clock.
+// The times of facts are converted to the standby's clock.
 func TestLogConvertsTimes(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 7)
@@ -82,13 +83,13 @@
 			want = (time.Hour - 500*time.Millisecond).Milliseconds()
 		}
 		if f.At != want {
-			t.Errorf("%s: %d, not %d", f.Name, f.At, want)
+			t.Errorf("fact %s has the time %d ms, want %d", f.Name, f.At, want)
 		}
 	}
 }
 
-// What a standby that does not answer misses is bounded by the facts there are, and a
-// large site's facts go in several messages.
+// The changes that wait for a standby that does not answer are bounded by the number of facts.
+// The facts of a large site are sent in several messages.
 func TestLogIsBounded(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 7)
@@ -98,8 +99,8 @@
 			facts[i] = fact(fmt.Sprintf("vm-%d", i), int64(round*5000+i+1))
 		}
 		p.Publish(facts)
-		if p.Next(time.Duration(round)*100*time.Millisecond, "a", "a1"); len(p.dirty) > len(facts) {
-			t.Fatalf("%d changes wait", len(p.dirty))
+		if p.Next(time.Duration(round)*100*time.Millisecond, "a", "a1"); len(p.changed) > len(facts) {
+			t.Fatalf("%d changes of %d facts wait", len(p.changed), len(facts))
 		}
 	}
 	messages := 0
@@ -119,7 +120,8 @@
 	}
 }
 
-// A message that claims to have any number of facts is dropped, and takes no memory for them.
+// A message that claims to have more facts than it has is dropped, and no memory is allocated for
+// them.
 func TestLogRefusesClaimedCounts(t *testing.T) {
 	for _, raw := range [][]byte{{0xdd, 0xff, 0xff, 0xff, 0xff}, {0xdd, 0, 0xff, 0xff, 0xff}, {0xdc, 0xff, 0xff}, {0x91, 0xdd, 0xff, 0xff, 0xff, 0xff}, {0x80}, nil} {
 		r := NewReplica()
@@ -128,40 +130,40 @@
 		m := &wire.DecisionLog{From: "a", Life: "a1", Term: 7, Sequence: 1, Reset: true, Facts: raw, Checksum: crc32.ChecksumIEEE(raw)}
 		ack := r.Take(time.Second, logClaim, m)
 		runtime.ReadMemStats(&after)
-		if taken := after.TotalAlloc - before.TotalAlloc; !ack.Resync || r.Dropped() != 1 || taken > 1<<20 {
-			t.Errorf("%x: %+v, %d dropped, %d bytes taken", raw, ack, r.Dropped(), taken)
+		if allocated := after.TotalAlloc - before.TotalAlloc; !ack.Resync || r.Dropped() != 1 || allocated > 1<<20 {
+			t.Errorf("%x: answer %+v, %d dropped, %d bytes allocated", raw, ack, r.Dropped(), allocated)
 		}
 	}
 }
 
-// A standby whose copy of the records lags refuses the log; that is not repeated at once.
+// A standby whose replica of the records lags refuses the log. The next message is delayed.
 func TestLogPausesAfterRefusal(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 8)
 	p.Publish([]wire.Fact{fact("x", 1)})
 	_, m := p.Next(time.Second, "a", "a1")
 	p.Acknowledged(time.Second, r.Take(time.Second, logClaim, m))
-	if _, m := p.Next(time.Second+resyncPause-1, "a", "a1"); m != nil {
-		t.Error("repeated at once")
+	if _, m := p.Next(time.Second+resyncDelay-1, "a", "a1"); m != nil {
+		t.Error("the next message is not delayed")
 	}
-	if _, m := p.Next(time.Second+resyncPause, "a", "a1"); m == nil || !m.Reset {
-		t.Errorf("then %+v", m)
+	if _, m := p.Next(time.Second+resyncDelay, "a", "a1"); m == nil || !m.Reset {
+		t.Errorf("the next message is %+v, want one that starts anew", m)
 	}
 	if r.Dropped() != 1 {
-		t.Errorf("%d dropped", r.Dropped())
+		t.Errorf("%d messages were dropped, want 1", r.Dropped())
 	}
 }
 
-// Messages are lost, repeated, late, damaged, and come from other leaders, lives and terms,
-// acknowledgements too: nothing panics, what is not of the present log is counted and
-// dropped, and once messages arrive again the standby holds exactly what the leader knows.
+// Messages and acknowledgements are lost, repeated, late, damaged, or of another incarnation or
+// term. Nothing panics, what does not belong to the present log is dropped, and once messages
+// arrive again the standby holds exactly what the leader knows.
 func TestLogUnderTroubles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, r := NewPublisher(), NewReplica()
 		p.Direct("b", 7)
 		now := time.Second
 		knows := map[string]int64{}
-		var late []*wire.DecisionLog
+		var sent []*wire.DecisionLog
 		publish := func() {
 			var facts []wire.Fact
 			for name, at := range knows {
@@ -179,17 +181,17 @@
 			}
 			publish()
 			if _, m := p.Next(now, "a", "a1"); m != nil {
-				late = append(late, m)
+				sent = append(sent, m)
 				switch rapid.IntRange(0, 4).Draw(t, "fate") {
 				case 0: // lost
-				case 1: // carried out, its acknowledgement lost
+				case 1: // received, its acknowledgement lost
 					r.Take(now, logClaim, m)
 				default:
 					p.Acknowledged(now, r.Take(now, logClaim, m))
 				}
 			}
-			if len(late) > 0 && rapid.IntRange(0, 2).Draw(t, "trouble") == 0 {
-				m := *rapid.SampledFrom(late).Draw(t, "message")
+			if len(sent) > 0 && rapid.IntRange(0, 2).Draw(t, "trouble") == 0 {
+				m := *rapid.SampledFrom(sent).Draw(t, "message")
 				switch rapid.IntRange(0, 4).Draw(t, "kind") {
 				case 0:
 					m.Facts = append([]byte{0xc1}, rapid.SliceOf(rapid.Byte()).Draw(t, "damage")...)
@@ -197,10 +199,10 @@
 					m.Term -= uint64(rapid.IntRange(1, 6).Draw(t, "term"))
 				case 2:
 					m.Life = "a0"
-				case 3: // a sound checksum of what is no list of facts
+				case 3: // a valid checksum of what is not a list of facts
 					m.Facts = rapid.SliceOf(rapid.Byte()).Draw(t, "nonsense")
-					if _, err := wire.DecodeFacts(m.Facts, logMessageFacts); err == nil {
-						continue // it is one by chance, which nobody could tell
+					if _, err := wire.DecodeFacts(m.Facts, maxMessageFacts); err == nil {
+						continue // by chance it is one
 					}
 					m.Checksum = crc32.ChecksumIEEE(m.Facts)
 				}
@@ -214,7 +216,7 @@
 				p.Acknowledged(now, r.Take(now, logClaim, m))
 			}
 		}
-		if got := held(r, 7); !maps.Equal(got, knows) {
+		if got := factsHeld(r, 7); !maps.Equal(got, knows) {
 			t.Fatalf("the standby holds %v, the leader knows %v", got, knows)
 		}
 	})
--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -3,46 +3,47 @@
 import "time"
 
 const (
-	// HeartbeatInterval lies between two heartbeats of a leader. At two a second a
-	// failure is noticed well within the aim of five seconds; each costs a leader one
+	// HeartbeatInterval is the time between two heartbeats of a leader. Two a second are
+	// enough to notice a failure well within the goal of five seconds; each costs the leader a
 	// small message to each peer.
 	HeartbeatInterval = 500 * time.Millisecond
-	// SilenceTimeout is the least silence after which a leader is suspected whose
-	// connection still stands: three heartbeats missed in a row, and half an interval for
-	// delays. A pause of one second stays below it.
-	SilenceTimeout = 3*HeartbeatInterval + HeartbeatInterval/2
-	// DisconnectedTimeout is the least silence after which a leader is suspected whose
-	// connection has broken. A leader that lives connects anew for its next heartbeat.
-	DisconnectedTimeout = 2 * HeartbeatInterval
-	// gapMemory is how long a gap between two heartbeats is remembered.
+	// silenceTimeout is the least silence after which a leader is suspected whose connection
+	// still stands: three missed heartbeats and half an interval for delays. A leader that
+	// pauses for a second stays below it.
+	silenceTimeout = 3*HeartbeatInterval + HeartbeatInterval/2
+	// disconnectedTimeout is the least silence after which a leader is suspected whose
+	// connection is broken. A leader that lives connects anew for its next heartbeat.
+	disconnectedTimeout = 2 * HeartbeatInterval
+	// gapMemory is how long a gap between two heartbeats is taken into account.
 	gapMemory = time.Minute
 )
 
-// gap is a long pause between two heartbeats.
+// gap is a pause between two heartbeats that was longer than HeartbeatInterval.
 type gap struct {
 	endedAt time.Duration
 	length  time.Duration
 }
 
-// Detector is the failure detector of one controller for the present leader. Its timeout
-// adapts: a leader that has been slow lately is given twice its longest gap, up to a
-// bound. The zero value has heard nothing.
-type Detector struct {
-	bound          time.Duration // no timeout is longer; 0: no bound
-	heardAt        time.Duration
-	disconnectedAt time.Duration // 0: the connection has not broken
-	gaps           []gap         // the longest of the last minute first, each later one shorter
+// detector is the failure detector for the present leader. Its timeout adapts: a leader that has
+// been slow lately is given twice its longest gap, up to a bound. The zero value has received
+// nothing.
+type detector struct {
+	bound          time.Duration // the longest timeout; 0: unbounded
+	heartbeatAt    time.Duration // of the last heartbeat
+	disconnectedAt time.Duration // 0: the connection is not broken
+	gaps           []gap         // of the last minute; each is shorter than those before it
 }
 
-// Reset begins anew with a leader that counts as heard now.
-func (d *Detector) Reset(now time.Duration) {
-	*d = Detector{bound: d.bound, heardAt: now}
+// reset starts with a leader that counts as heard now.
+func (d *detector) reset(now time.Duration) {
+	*d = detector{bound: d.bound, heartbeatAt: now}
 }
 
-// Heartbeat notes a sign of life.
-func (d *Detector) Heartbeat(now time.Duration) {
-	length := now - d.heardAt
-	d.heardAt, d.disconnectedAt = now, 0
+// heartbeat records a heartbeat of the leader. Gaps that are not longer than the one that it
+// ends are dropped: the later one outlives them.
+func (d *detector) heartbeat(now time.Duration) {
+	length := now - d.heartbeatAt
+	d.heartbeatAt, d.disconnectedAt = now, 0
 	for len(d.gaps) > 0 && d.gaps[len(d.gaps)-1].length <= length {
 		d.gaps = d.gaps[:len(d.gaps)-1]
 	}
@@ -51,17 +52,17 @@
 	}
 }
 
-// Disconnected notes that the connection to the leader has broken.
-func (d *Detector) Disconnected(now time.Duration) { d.disconnectedAt = now }
+// disconnected records that the connection to the leader has broken.
+func (d *detector) disconnected(now time.Duration) { d.disconnectedAt = now }
 
-// Broken tells whether the connection has broken and nothing has been heard since.
-func (d *Detector) Broken() bool { return d.disconnectedAt > 0 }
+// broken reports whether the connection has broken since the last heartbeat.
+func (d *detector) broken() bool { return d.disconnectedAt > 0 }
 
-// Silence is how long nothing has been heard.
-func (d *Detector) Silence(now time.Duration) time.Duration { return now - d.heardAt }
+// silence returns the time since the last heartbeat.
+func (d *detector) silence(now time.Duration) time.Duration { return now - d.heartbeatAt }
 
-// Timeout is the silence after which the leader is suspected.
-func (d *Detector) Timeout(now time.Duration) time.Duration {
+// timeout returns the silence after which the leader is suspected.
+func (d *detector) timeout(now time.Duration) time.Duration {
 	for len(d.gaps) > 0 && now-d.gaps[0].endedAt > gapMemory {
 		d.gaps = d.gaps[1:]
 	}
@@ -69,9 +70,9 @@
 	if len(d.gaps) > 0 {
 		longest = d.gaps[0].length
 	}
-	timeout := max(SilenceTimeout, 2*longest)
-	if d.Broken() {
-		timeout = max(DisconnectedTimeout, longest)
+	timeout := max(silenceTimeout, 2*longest)
+	if d.broken() {
+		timeout = max(disconnectedTimeout, longest)
 	}
 	if d.bound > 0 {
 		timeout = min(timeout, d.bound)
@@ -79,5 +80,5 @@
 	return timeout
 }
 
-// Suspects tells whether the leader seems to have failed.
-func (d *Detector) Suspects(now time.Duration) bool { return d.Silence(now) > d.Timeout(now) }
+// suspects reports whether the leader seems to have failed.
+func (d *detector) suspects(now time.Duration) bool { return d.silence(now) > d.timeout(now) }
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -2,71 +2,76 @@
 
 import "time"
 
-// The cloud obeys whoever calls it, so records can't fence it. A leader calls it only for
-// a while after it sent a proof, a comparison of the leader key that succeeded, and the
-// next leader waits until the last proof that can have succeeded has run out:
+// The cloud executes the calls of whoever sends them, so fencing tokens don't keep a replaced
+// leader from calling it. A leader therefore calls the cloud only for a limited time after it
+// sent a proof, which is a comparison of the leader key that succeeded. The next leader waits
+// until the last proof that can have succeeded has expired:
 //
-//	MaxLeaseAge + validity + CallTransit + drift(LeaseTTL) <= LeaseTTL
+//	MaxLeaseAge + ProofValidity + CallTransit + drift(leaseTTL) <= leaseTTL
 //
-// The left side bounds when the last call of a replaced leader arrives, counted from the
-// last renewal of the lease under which it was replaced. So it has passed, too, when the
-// new leader's own lease ends without its having done anything, and the leader after that
-// need not know of the first.
+// The left side bounds when the last call of a replaced leader arrives, counted from the last
+// renewal of the lease under which it was replaced. By the inequality this has passed when that
+// lease ends. If the new leader ends without having done anything, the leader after it need not
+// know of the first one.
 
 const (
-	// MaxLeaseAge is how long ago the lease was renewed, at most, under which a leader
+	// MaxLeaseAge is the longest time since the last renewal of the lease under which a leader
 	// is replaced early.
 	MaxLeaseAge = 500 * time.Millisecond
-	// CallTransit is how long a call that has been sent may be on its way to the cloud. A
-	// network that holds calls for longer is the same trouble for one leader alone: the
-	// cloud may carry them out minutes late whoever leads.
+	// CallTransit is the longest time that a call which has been sent may take to reach the
+	// cloud. A network that holds calls back for longer is as much of a problem with a single
+	// leader: the cloud may execute calls minutes late whoever leads.
 	CallTransit = time.Second
-	// ProofInterval lies between two proofs of a leader.
+	// ProofInterval is the time between two proofs of a leader.
 	ProofInterval = time.Second
+	// driftDivisor is the inverse of the drift between two steady clocks: each may be off by
+	// 0.05%.
+	driftDivisor = 1000
 )
 
-// drift is how far two steady clocks come apart in a time: 0.05% each way.
-func drift(d time.Duration) time.Duration { return d / 1000 }
+// drift returns how far two steady clocks may drift apart within a time.
+func drift(d time.Duration) time.Duration { return d / driftDivisor }
 
-// ProofValidity is how long a leader may call the cloud after it sent a proof.
+// ProofValidity returns how long a leader may call the cloud after it sent a proof.
 func ProofValidity(leaseTTL time.Duration) time.Duration {
 	return leaseTTL - MaxLeaseAge - CallTransit - drift(leaseTTL)
 }
 
-// CloudFenceTime is how long a leader leaves the cloud alone, counted from when this controller
-// saw a claim, its own or an earlier one, that replaced a leader early.
+// CloudFenceTime returns how long a leader must not call the cloud after its controller saw a
+// claim, its own or an earlier one, that replaced a leader early.
 func CloudFenceTime(leaseTTL time.Duration) time.Duration {
 	return ProofValidity(leaseTTL) + CallTransit + drift(leaseTTL)
 }
 
-// Fence is a leader's right to call the cloud.
+// Fence is a leader's permission to call the cloud.
 type Fence struct {
-	validity time.Duration
-	opensAt  time.Duration // not before: a replaced leader may still call
-	provenAt time.Duration // when the last proof that has settled was sent
-	proven   bool
+	validity time.Duration // of a proof
+	opensAt  time.Duration // before that, a replaced leader may still call the cloud
+	provenAt time.Duration // when the latest settled proof was sent
+	proven   bool          // a proof has settled
 	nextAt   time.Duration // when the next proof is due
-	pending  []proof       // succeeded, at a revision that the copy has not reached
+	pending  []proof       // proofs that have succeeded but not settled
 }
 
-// proof is a comparison of the leader key that succeeded.
+// proof is a comparison of the leader key that has succeeded.
 type proof struct {
 	sentAt   time.Duration
 	revision uint64
 }
 
-// Begin starts the right of a leader that has just seen its claim. Until opensAt a leader
-// that was replaced may still call.
+// Begin starts the permission of a leader that has just seen its claim. Until opensAt a leader
+// that was replaced may still call the cloud.
 func (f *Fence) Begin(now, leaseTTL, opensAt time.Duration) {
 	*f = Fence{validity: ProofValidity(leaseTTL), nextAt: now, opensAt: opensAt}
 }
 
-// Resumed voids all proofs after a pause of the process, as much may have changed.
+// Resumed voids all proofs after a pause of the process, in which the leader may have been
+// replaced.
 func (f *Fence) Resumed(now time.Duration) {
 	f.proven, f.pending, f.nextAt = false, nil, now
 }
 
-// Due tells whether a proof is to be sent now, and takes it that it is.
+// Due reports whether a proof is due, and if so schedules the next one.
 func (f *Fence) Due(now time.Duration) bool {
 	if now < f.nextAt {
 		return false
@@ -75,30 +80,31 @@
 	return true
 }
 
-// AddProof takes in that a proof sent at a time succeeded at a revision. It counts once
-// this controller's copy of the records has reached that; see Settle.
+// AddProof takes in that a proof succeeded at a revision. It counts once it has settled; see
+// Settle.
 func (f *Fence) AddProof(sentAt time.Duration, revision uint64) {
 	f.pending = append(f.pending, proof{sentAt, revision})
 }
 
-// Settle lets those proofs count whose revision the copy has reached.
+// Settle lets those proofs count whose revision the controller's replica of the records has
+// reached.
 func (f *Fence) Settle(revision uint64) {
-	kept := f.pending[:0]
+	pending := f.pending[:0]
 	for _, p := range f.pending {
 		if p.revision > revision {
-			kept = append(kept, p)
+			pending = append(pending, p)
 			continue
 		}
 		f.provenAt, f.proven = max(f.provenAt, p.sentAt), true
 	}
-	f.pending = kept
+	f.pending = pending
 }
 
-// CaughtUp tells whether a proof of the claim has settled since it began or since the
-// last pause: the copy of the records is current.
+// CaughtUp reports whether a proof has settled since the claim was seen and since the last pause,
+// which shows that the replica is current.
 func (f *Fence) CaughtUp() bool { return f.proven }
 
-// RemainingCallTime is for how much longer the cloud may be called; 0: not at all.
+// RemainingCallTime returns for how much longer the cloud may be called; 0 if it may not.
 func (f *Fence) RemainingCallTime(now time.Duration) time.Duration {
 	if !f.proven || now < f.opensAt {
 		return 0
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -1,159 +1,87 @@
-// Package standby replaces a leader that has failed before its lease has ended: a failure
-// detector, the election of a standby, the quorum that confirms a failure, the fence
-// round the cloud, and the stages of a takeover. It is a state machine without input or
-// output; times are those of the steady clock of the process. See docs/standby.md.
 package failover
 
 import "time"
 
-// Config is what a controller's part in takeovers follows from.
+// Config is what a controller's part in takeovers depends on.
 type Config struct {
-	Self    string
-	Members []string // labels of all controllers, this one included
-	// Early replaces a failed leader as soon as a quorum confirms it; otherwise only once
-	// its lease has ended.
+	Self    string   // name of this controller
+	Members []string // names of all controllers, this one included
+	// Early says that this controller replaces a failed leader as soon as a quorum suspects
+	// it, and not only once the leader's lease has ended.
 	Early bool
-	// LeaseTTL is the life of a leader's lease.
+	// LeaseTTL is the lifetime of a leader's lease.
 	LeaseTTL time.Duration
 }
 
 // Claim is the record of the leadership.
 type Claim struct {
-	Controller, Incarnation string
-	Term                    uint64 // the revision of the claim
-	// Fenced is set where the leader's calls to the cloud rest on proofs of this claim.
+	Controller, Incarnation string // name and process of the leader
+	Term                    uint64 // fencing token: the revision of the claim
+	// Fenced says that the leader calls the cloud only while proofs of this claim are valid.
 	// Only such a leader may be replaced before its lease ends.
 	Fenced bool
-	// Streak counts claims that replaced a live record, one soon after the other.
+	// Streak is the number of consecutive claims, each of which replaced a live leader soon
+	// after the one before.
 	Streak int
 }
 
-// Opinion is what a controller tells its peers of the leader.
-type Opinion struct {
-	Term      uint64
-	Silence   time.Duration
-	Broken    bool
-	Suspected bool
-}
-
-// peerOpinion is what a peer told, and when.
-type peerOpinion struct {
-	Opinion
-	receivedAt time.Duration
-}
-
-// opinionLifetime is how long a peer's opinion counts: two of the messages that controllers
-// send each other every second.
-const opinionLifetime = 2 * time.Second
-
-// candidateDelay lies between the turns of two candidates: the time in which the first one's
-// claim is carried out and seen.
-const candidateDelay = 400 * time.Millisecond
-
 // Follower watches the leader on behalf of a controller that does not lead.
 type Follower struct {
-	cfg         Config
+	config      Config
 	claim       Claim
-	seenAt      time.Duration // when the claim was seen
-	detector    Detector
-	opinions    map[string]peerOpinion
-	standby     string        // the standby that the leader names
-	suspectedAt time.Duration // 0: not suspected
-	confirmedAt time.Duration // since when a quorum suspects the leader; 0: it does not
+	claimSeenAt time.Duration
+	detector    detector
+	opinions    map[string]peerOpinion // by controller
+	standby     string                 // that the leader has named
+	suspectedAt time.Duration          // since when this controller suspects the leader; 0: it does not
+	confirmedAt time.Duration          // since when a quorum suspects the leader; 0: it does not
 }
 
-// NewFollower makes a follower that knows of no leader.
-func NewFollower(cfg Config) *Follower {
-	return &Follower{cfg: cfg, detector: Detector{bound: cfg.LeaseTTL}, opinions: map[string]peerOpinion{}}
+// NewFollower returns a follower that knows of no leader.
+func NewFollower(config Config) *Follower {
+	return &Follower{config: config, detector: detector{bound: config.LeaseTTL}, opinions: map[string]peerOpinion{}}
 }
 
-// Observe takes in who leads, as the records have it.
-func (f *Follower) Observe(now time.Duration, c Claim) {
-	if c.Term == f.claim.Term && c.Controller == f.claim.Controller {
+// Observe takes in the claim of the present leader. A new leader counts as heard now.
+func (f *Follower) Observe(now time.Duration, claim Claim) {
+	if claim.Term == f.claim.Term && claim.Controller == f.claim.Controller {
 		return
 	}
-	f.claim, f.seenAt = c, now
-	f.detector.Reset(now)
+	f.claim, f.claimSeenAt = claim, now
+	f.detector.reset(now)
 	f.standby = ""
 	f.suspectedAt, f.confirmedAt = 0, 0
 }
 
-// Heartbeat takes in a leader's heartbeat. Those of earlier terms and lives are ignored:
-// they may arrive late.
-func (f *Follower) Heartbeat(now time.Duration, node, life string, term uint64, designated string) {
-	if node != f.claim.Controller || life != f.claim.Incarnation || term != f.claim.Term {
+// Heartbeat takes in a heartbeat of a leader. Heartbeats of another controller, incarnation or
+// term are ignored: they are late.
+func (f *Follower) Heartbeat(now time.Duration, controller, incarnation string, term uint64, standby string) {
+	if controller != f.claim.Controller || incarnation != f.claim.Incarnation || term != f.claim.Term {
 		return
 	}
-	f.detector.Heartbeat(now)
-	f.standby = designated
+	f.detector.heartbeat(now)
+	f.standby = standby
 }
 
-// Disconnected notes that the connection to a peer has broken.
-func (f *Follower) Disconnected(now time.Duration, node string) {
-	if node == f.claim.Controller {
-		f.detector.Disconnected(now)
+// Disconnected takes in that the connection to a peer has broken.
+func (f *Follower) Disconnected(now time.Duration, peer string) {
+	if peer == f.claim.Controller {
+		f.detector.disconnected(now)
 	}
-	delete(f.opinions, node)
+	delete(f.opinions, peer)
 }
 
-// ReceiveOpinion takes in a peer's opinion of the leader.
-func (f *Follower) ReceiveOpinion(now time.Duration, peer string, o Opinion) {
-	f.opinions[peer] = peerOpinion{o, now}
-}
-
-// Resumed discards what a pause of this process has made stale: everybody seems silent,
-// and what peers told is old.
+// Resumed discards what is stale after a pause of this process, in which everybody seems to have
+// been silent.
 func (f *Follower) Resumed(now time.Duration) {
-	f.detector.Reset(now)
+	f.detector.reset(now)
 	f.suspectedAt, f.confirmedAt = 0, 0
 	clear(f.opinions)
 }
 
-// watching tells whether there is a leader that this controller may replace early.
+// watching reports whether there is a leader that this controller may replace early.
 func (f *Follower) watching() bool {
-	return f.cfg.Early && f.claim.Fenced && f.claim.Controller != "" && f.claim.Controller != f.cfg.Self
-}
-
-// Opinion is what the controller tells its peers.
-func (f *Follower) Opinion(now time.Duration) Opinion {
-	return Opinion{
-		Term: f.claim.Term, Silence: f.detector.Silence(now), Broken: f.detector.Broken(),
-		Suspected: f.watching() && f.detector.Suspects(now),
-	}
-}
-
-// Evidence is what speaks for and against the failure of a leader.
-type Evidence struct {
-	Silence    time.Duration // of the leader towards this controller
-	Broken     bool          // the connection to it has broken
-	Suspecting int           // controllers that suspect it, this one included
-	Hearing    int           // peers that hear it
-	Members    int           // all controllers
-}
-
-// Quorum tells whether more than half of all controllers suspect the leader. Those that
-// can't be heard count against it, so that of two halves that are cut from each other at
-// most one replaces the other's leader.
-func (e Evidence) Quorum() bool { return 2*e.Suspecting > e.Members }
-
-// Evidence gathers what this controller and its peers know.
-func (f *Follower) Evidence(now time.Duration) Evidence {
-	e := Evidence{Silence: f.detector.Silence(now), Broken: f.detector.Broken(), Members: len(f.cfg.Members)}
-	if f.detector.Suspects(now) {
-		e.Suspecting++
-	}
-	for _, label := range f.cfg.Members {
-		o, told := f.opinions[label]
-		if !told || label == f.cfg.Self || label == f.claim.Controller || now-o.receivedAt > opinionLifetime || o.Term != f.claim.Term {
-			continue
-		}
-		if o.Suspected {
-			e.Suspecting++
-		} else {
-			e.Hearing++
-		}
-	}
-	return e
+	return f.config.Early && f.claim.Fenced && f.claim.Controller != "" && f.claim.Controller != f.config.Self
 }
 
 // Advice is what a controller should do about the leader.
@@ -161,14 +89,14 @@
 
 // Kinds of advice.
 const (
-	Follow  Advice = iota // nothing: the leader is heard, or may not be replaced
+	Follow  Advice = iota // nothing: the leader is heard, or may not be replaced early
 	Prepare               // keep a lease, tell the peers at once, and wait
 	Replace               // claim the leadership now
 )
 
-// Advise says what to do now.
+// Advise returns what to do now.
 func (f *Follower) Advise(now time.Duration) Advice {
-	if !f.watching() || !f.detector.Suspects(now) {
+	if !f.watching() || !f.detector.suspects(now) {
 		f.suspectedAt, f.confirmedAt = 0, 0
 		return Follow
 	}
@@ -182,41 +110,24 @@
 	if f.confirmedAt == 0 {
 		f.confirmedAt = now
 	}
-	if now-f.seenAt < f.MinTenure() || now-f.confirmedAt < f.claimDelay() {
+	if now-f.claimSeenAt < f.MinTenure() || now-f.confirmedAt < f.claimDelay() {
 		return Prepare
 	}
 	return Replace
 }
 
-// SuspectedAt is since when the controller has suspected the leader; 0: it does not.
+// SuspectedAt returns since when this controller suspects the leader, as far as Advise has found
+// out; 0 if it does not.
 func (f *Follower) SuspectedAt() time.Duration { return f.suspectedAt }
 
-// Standby is the standby that the leader names; "" if none.
+// Standby returns the standby that the leader has named; "" if there is none.
 func (f *Follower) Standby() string { return f.standby }
 
-// IsStandby tells whether the leader has named this controller as its standby.
-func (f *Follower) IsStandby() bool { return f.watching() && f.standby == f.cfg.Self }
+// IsStandby reports whether the leader has named this controller as its standby.
+func (f *Follower) IsStandby() bool { return f.watching() && f.standby == f.config.Self }
 
-// Claim is that of the present leader.
+// Claim returns the claim of the present leader.
 func (f *Follower) Claim() Claim { return f.claim }
 
-// Silence is how long the leader has not been heard.
-func (f *Follower) Silence(now time.Duration) time.Duration { return f.detector.Silence(now) }
-
-// claimDelay is how long this controller leaves a confirmed failure to those before it: the
-// designated standby first, the others by label.
-func (f *Follower) claimDelay() time.Duration {
-	if f.standby == f.cfg.Self {
-		return 0
-	}
-	before := 0
-	if f.standby != "" {
-		before++
-	}
-	for _, label := range f.cfg.Members {
-		if label < f.cfg.Self && label != f.claim.Controller && label != f.standby {
-			before++
-		}
-	}
-	return time.Duration(before) * candidateDelay
-}
+// Silence returns the time since the last heartbeat of the leader.
+func (f *Follower) Silence(now time.Duration) time.Duration { return f.detector.silence(now) }
--- /dev/null
+++ b/internal/failover/follower_test.go
@@ -0,0 +1,95 @@
+package failover
+
+import (
+	"testing"
+	"time"
+)
+
+const leaseTTL = 5 * time.Second
+
+var members = []string{"a", "b", "c", "d", "e"}
+
+// lastHeartbeat is when the leader of newFollower has sent its last heartbeat.
+const lastHeartbeat = time.Minute
+
+// newFollower returns the follower of a controller at a site of five, whose fenced leader "a"
+// began at 0 under term 7 and has sent heartbeats since that name "b" as the standby.
+func newFollower(self string) *Follower {
+	f := NewFollower(Config{Self: self, Members: members, Early: true, LeaseTTL: leaseTTL})
+	f.Observe(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
+	for at := time.Duration(0); at <= lastHeartbeat; at += HeartbeatInterval {
+		f.Heartbeat(at, "a", "a1", 7, "b")
+	}
+	return f
+}
+
+// suspect lets peers suspect the leader of a term.
+func suspect(f *Follower, now time.Duration, term uint64, peers ...string) {
+	for _, peer := range peers {
+		f.ReceiveOpinion(now, peer, Opinion{Term: term, Suspected: true})
+	}
+}
+
+// Heartbeats of another term, incarnation or controller are late and do not count.
+func TestLateHeartbeats(t *testing.T) {
+	f := newFollower("b")
+	now := lastHeartbeat + 2*time.Second
+	f.Heartbeat(now, "a", "a1", 6, "c")
+	f.Heartbeat(now, "a", "a0", 7, "c")
+	f.Heartbeat(now, "c", "a1", 7, "c")
+	if f.Silence(now) != 2*time.Second || f.Standby() != "b" {
+		t.Errorf("silence %v, standby %q, want 2s and b", f.Silence(now), f.Standby())
+	}
+}
+
+// A quorum of all controllers has to suspect the leader. Old opinions and those about another
+// term are no evidence.
+func TestAdviceNeedsQuorum(t *testing.T) {
+	now := lastHeartbeat + 2*time.Second
+	hears := func(f *Follower, peer string) { f.ReceiveOpinion(now, peer, Opinion{Term: 7}) }
+	for _, c := range []struct {
+		name     string
+		opinions func(*Follower)
+		want     Advice
+	}{
+		{"no opinions", func(*Follower) {}, Prepare},
+		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); hears(f, "d") }, Prepare},
+		{"two peers suspect", func(f *Follower) { suspect(f, now, 7, "c", "d") }, Replace},
+		{"two peers suspect, one hears", func(f *Follower) { suspect(f, now, 7, "c", "d"); hears(f, "e") }, Replace},
+		{"the opinions are old", func(f *Follower) { suspect(f, now-opinionLifetime-1, 7, "c", "d") }, Prepare},
+		{"the opinions are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
+		{"a suspecting peer has ended", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.Disconnected(now, "c") }, Prepare},
+		{"the leader suspects itself", func(f *Follower) { suspect(f, now, 7, "a", "c") }, Prepare},
+		{"this process has stalled", func(f *Follower) { f.Resumed(now); suspect(f, now, 7, "c", "d") }, Follow},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFollower("b")
+			c.opinions(f)
+			if got := f.Advise(now); got != c.want {
+				t.Errorf("advice %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// A leader is not replaced early if its claim is not fenced, or by a controller that is set to
+// wait for leases.
+func TestOnlyFencedLeadersAreReplaced(t *testing.T) {
+	now := lastHeartbeat + 2*time.Second
+	t.Run("early takeovers are off", func(t *testing.T) {
+		f := newFollower("b")
+		f.config.Early = false
+		suspect(f, now, 7, "c", "d")
+		if got := f.Advise(now); got != Prepare && got != Follow {
+			t.Errorf("advice %v", got)
+		}
+	})
+	t.Run("the claim is not fenced", func(t *testing.T) {
+		f := newFollower("b")
+		f.Observe(lastHeartbeat, Claim{Controller: "a", Incarnation: "a1", Term: 8})
+		suspect(f, now, 8, "c", "d")
+		if got := f.Advise(now); got != Follow {
+			t.Errorf("advice %v, want %v", got, Follow)
+		}
+	})
+}
--- /dev/null
+++ b/internal/failover/replica.go
@@ -0,0 +1,96 @@
+package failover
+
+import (
+	"hash/crc32"
+	"time"
+
+	"micaport/internal/wire"
+)
+
+// Replica is the standby's side of the decision log; see Publisher.
+type Replica struct {
+	controller, incarnation string // of the leader
+	term                    uint64
+	sequence                uint64        // of the last message accepted
+	offset                  time.Duration // from the leader's steady clock to that of this process
+	facts                   map[factKey]wire.Fact
+
+	dropped int // messages
+}
+
+// NewReplica returns a replica that has received nothing.
+func NewReplica() *Replica { return &Replica{facts: map[factKey]wire.Fact{}} }
+
+// Take takes in a message of the leader whose claim the records show. It accepts a message that
+// starts the log or follows the last one, and acknowledges a repeated one again. A message of
+// another leader, incarnation or term, and one that is damaged or out of order, is dropped and
+// refused. The publisher of the present log ignores a refusal of another term.
+func (r *Replica) Take(now time.Duration, leader Claim, message *wire.DecisionLog) wire.DecisionLogAck {
+	ack := wire.DecisionLogAck{Term: message.Term, Sequence: message.Sequence}
+	if message.From != leader.Controller || message.Life != leader.Incarnation || message.Term != leader.Term {
+		return r.refuse(ack)
+	}
+	sameLog := r.holdsLogOf(message)
+	if sameLog && message.Sequence == r.sequence {
+		return ack
+	}
+	inOrder := sameLog && message.Sequence == r.sequence+1
+	if message.Reset {
+		inOrder = !sameLog || message.Sequence > r.sequence
+	}
+	facts, err := wire.DecodeFacts(message.Facts, maxMessageFacts)
+	if err != nil || crc32.ChecksumIEEE(message.Facts) != message.Checksum || !inOrder {
+		return r.refuse(ack)
+	}
+	if message.Reset {
+		r.controller, r.incarnation, r.term = message.From, message.Life, message.Term
+		r.offset = now - time.Duration(message.NowMS)*time.Millisecond
+		clear(r.facts)
+	}
+	r.sequence = message.Sequence
+	for _, fact := range facts {
+		if fact.Removed {
+			delete(r.facts, keyOf(&fact))
+		} else {
+			r.facts[keyOf(&fact)] = fact
+		}
+	}
+	return ack
+}
+
+// refuse counts a dropped message and returns its answer.
+func (r *Replica) refuse(ack wire.DecisionLogAck) wire.DecisionLogAck {
+	r.dropped++
+	ack.Resync = true
+	return ack
+}
+
+// holdsLogOf reports whether a message belongs to the log that the replica holds.
+func (r *Replica) holdsLogOf(message *wire.DecisionLog) bool {
+	return r.controller == message.From && r.incarnation == message.Life && r.term == message.Term && message.Term > 0
+}
+
+// Of returns the facts that the replica holds of a term, with times of the steady clock of this
+// process; nil if it holds those of another term.
+func (r *Replica) Of(term uint64) []wire.Fact {
+	if term == 0 || r.term != term {
+		return nil
+	}
+	facts := make([]wire.Fact, 0, len(r.facts))
+	for _, fact := range r.facts {
+		if fact.At != 0 {
+			fact.At += r.offset.Milliseconds()
+		}
+		facts = append(facts, fact)
+	}
+	return facts
+}
+
+// Sequence returns the term of the log and the number of the last message accepted.
+func (r *Replica) Sequence() (term, sequence uint64) { return r.term, r.sequence }
+
+// Facts returns the number of facts that the replica holds.
+func (r *Replica) Facts() int { return len(r.facts) }
+
+// Dropped returns the number of messages that were refused.
+func (r *Replica) Dropped() int { return r.dropped }
--- /dev/null
+++ b/internal/failover/takeover.go
@@ -0,0 +1,61 @@
+package failover
+
+import "time"
+
+// Stage is a step of a takeover.
+type Stage int
+
+// Stages of a takeover, in order.
+const (
+	Suspected Stage = iota // the leader's silence has exceeded the timeout
+	Claimed                // the claim was sent, on the evidence of a quorum
+	Seen                   // the replica of the records shows the claim
+	CaughtUp               // a proof of the claim has settled, and no own commit has an unknown outcome
+	Decided                // the first scheduling pass was made
+	stageCount
+)
+
+// Takeover records when the stages of a takeover by this controller are reached, for the log,
+// the record of takeovers and measurements.
+type Takeover struct {
+	From     string   // the replaced leader
+	Evidence Evidence // at the claim
+
+	active     bool
+	lastSignAt time.Duration // the last heartbeat of the replaced leader
+	reachedAt  [stageCount]time.Duration
+}
+
+// Begin starts a takeover when the claim is sent.
+func (t *Takeover) Begin(now time.Duration, from string, suspectedAt time.Duration, evidence Evidence) {
+	*t = Takeover{From: from, Evidence: evidence, active: true, lastSignAt: now - evidence.Silence}
+	t.reachedAt[Suspected], t.reachedAt[Claimed] = suspectedAt, now
+}
+
+// Active reports whether a takeover is in progress.
+func (t *Takeover) Active() bool { return t.active }
+
+// Reach records that a stage of the takeover in progress has been reached, and reports whether
+// it was reached for the first time.
+func (t *Takeover) Reach(stage Stage, now time.Duration) bool {
+	if !t.active || t.reachedAt[stage] > 0 {
+		return false
+	}
+	t.reachedAt[stage] = now
+	return true
+}
+
+// Reached reports whether a stage of the takeover in progress has been reached.
+func (t *Takeover) Reached(stage Stage) bool { return t.active && t.reachedAt[stage] > 0 }
+
+// End marks the takeover as completed, or as lost to another controller.
+func (t *Takeover) End() { t.active = false }
+
+// After returns the time from the last heartbeat of the replaced leader until a stage was
+// reached; 0 if it was not.
+func (t *Takeover) After(stage Stage) time.Duration {
+	if t.reachedAt[stage] == 0 {
+		return 0
+	}
+	return t.reachedAt[stage] - t.lastSignAt
+}
--- /dev/null
+++ b/internal/failover/takeover_test.go
@@ -0,0 +1,30 @@
+package failover
+
+import (
+	"testing"
+	"time"
+)
+
+// The stages of a takeover are timed from the last heartbeat of the replaced leader, and each is
+// reached once.
+func TestTakeoverStages(t *testing.T) {
+	var takeover Takeover
+	if takeover.Reach(Seen, time.Second) {
+		t.Error("a stage is reached without a takeover")
+	}
+	takeover.Begin(10*time.Second, "a", 9*time.Second, Evidence{Silence: 2 * time.Second})
+	if !takeover.Reach(Seen, 11*time.Second) {
+		t.Error("a stage is not reached")
+	}
+	if takeover.Reach(Seen, 12*time.Second) {
+		t.Error("a stage is reached twice")
+	}
+	if takeover.Reached(Decided) {
+		t.Error("a later stage is reached")
+	}
+	for stage, want := range map[Stage]time.Duration{Suspected: time.Second, Claimed: 2 * time.Second, Seen: 3 * time.Second} {
+		if got := takeover.After(stage); got != want {
+			t.Errorf("stage %d is reached after %v, want %v", stage, got, want)
+		}
+	}
+}
--- a/internal/failover/tenure.go
+++ b/internal/failover/tenure.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// maxMinTenure bounds the pause between takeovers, and with it how high a streak counts.
-const maxMinTenure = 80 * time.Second
+const (
+	// maxMinTenure bounds the minimum tenure, and with it the streaks that are told apart.
+	maxMinTenure = 80 * time.Second
+	// stableTenureFactor is the number of minimum tenures after which a leader counts as
+	// stable, which ends the streak.
+	stableTenureFactor = 3
+)
 
-// stableTenureFactor is how many pauses a leader must have led for the streak to end with it.
-const stableTenureFactor = 3
-
-// MinTenure is the least time for which the present leader leads before it is replaced early:
-// half its lease, about what a takeover takes, and twice as long with each early claim
-// that soon followed another. So a site whose leaders flap soon waits for leases as it
+// MinTenure returns how long the present leader leads at least before it is replaced early: half
+// the lifetime of a lease, which is about as long as a takeover takes, and twice as long for each
+// claim of its streak. A site whose leaders flap therefore soon waits for leases to end, as it
 // would without early takeovers.
-func (f *Follower) MinTenure() time.Duration { return minTenureAfter(f.cfg.LeaseTTL, f.claim.Streak) }
+func (f *Follower) MinTenure() time.Duration { return minTenure(f.config.LeaseTTL, f.claim.Streak) }
 
-// minTenureAfter is the pause that follows a streak of early claims.
-func minTenureAfter(leaseTTL time.Duration, streak int) time.Duration {
-	pause := leaseTTL / 2
+// minTenure returns the minimum tenure of a leader whose claim has a streak.
+func minTenure(leaseTTL time.Duration, streak int) time.Duration {
+	tenure := leaseTTL / 2
 	for range streak {
-		if pause *= 2; pause >= maxMinTenure {
+		if tenure *= 2; tenure >= maxMinTenure {
 			return maxMinTenure
 		}
 	}
-	return pause
+	return tenure
 }
 
-// Streak is that of a claim which replaces the present leader early: one more than the
-// present, or the first again where the present leader has led for a good while.
+// Streak returns the streak of a claim that replaces the present leader early now: one more than
+// that of the present claim, or 1 if the present leader is stable.
 func (f *Follower) Streak(now time.Duration) int {
-	if now-f.seenAt >= stableTenureFactor*f.MinTenure() {
+	if now-f.claimSeenAt >= stableTenureFactor*f.MinTenure() {
 		return 1
 	}
 	return f.claim.Streak + 1
