--- a/cmd/micaport/main.go
+++ b/cmd/micaport/main.go
@@ -54,7 +54,7 @@
 	settings, err := config.Load(f.Config)
 	operator, operatorErr := config.LoadOperator(f.Operator, f.Set)
 	if err == nil && operatorErr == nil {
-		err = settings.CheckOperator(operator)
+		err = settings.ValidateOperator(operator)
 	}
 	return settings, operator, errors.Join(err, operatorErr)
 }
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	changes, err := config.LoadLimitChanges(c.Changes)
+	changes, err := config.LoadQuotaChanges(c.Changes)
 	if err != nil {
 		return err
 	}
--- a/internal/quotactl/accounts.go
+++ b/internal/quotactl/accounts.go
@@ -38,7 +38,7 @@
 	}
 	site := &Site{
 		Shards: core.Shards(s.Deployment.Zones, members), Teams: s.Deployment.Teams,
-		TxnOps: s.Limits().TxnOps, MaxMachines: op.MaxMachines,
+		TxnOps: s.StateLimits().TxnOps, MaxMachines: op.MaxMachines,
 	}
 	for _, m := range members {
 		site.Controllers = append(site.Controllers, m.Name)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -83,7 +83,7 @@
 	}
 	n.core = core.New(coreConfig(s, op))
 	members := len(s.Peers) + 1
-	n.store = store.New(s.External.State, members, s.Limits().RPS, n.post)
+	n.store = store.New(s.External.State, members, s.StateLimits().RPS, n.post)
 	n.cloud = cloud.New(s.External.Cloud, d.Cloud.RPS, n.post)
 	n.workers = worker.NewClient(n.post)
 	for _, p := range s.Peers {
@@ -124,7 +124,7 @@
 }
 
 func coreConfig(s *config.Settings, op config.OperatorSettings) core.Config {
-	d, limits := &s.Deployment, s.Limits()
+	d, limits := &s.Deployment, s.StateLimits()
 	c := core.Config{
 		Self: s.Label, Zone: s.Zone,
 		Incarnation:       fmt.Sprintf("%d-%d-%d", os.Getpid(), time.Now().UnixNano(), rand.Uint32()),
