--- /dev/null
+++ b/internal/ci/known_failures.go
@@ -0,0 +1,39 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+)
+
+// listFile lists the tests that fail for a real fault that is not mended yet, one a line:
+// "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are ignored.
+const listFile = "KNOWN-RED.txt"
+
+// maxKnownFailures is how many tests may be listed.
+const maxKnownFailures = 3
+
+// knownFailure is a line of the list.
+type knownFailure struct{ test, cause, issue string }
+
+// parseKnownFailures parses the list.
+func parseKnownFailures(text string) ([]knownFailure, error) {
+	var list []knownFailure
+	for _, line := range strings.Split(text, "\n") {
+		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		fields := strings.Split(line, "|")
+		if len(fields) != 3 {
+			return nil, fmt.Errorf("%s: %q is not TEST | cause | issue", listFile, line)
+		}
+		known := knownFailure{strings.TrimSpace(fields[0]), strings.TrimSpace(fields[1]), strings.TrimSpace(fields[2])}
+		if known.test == "" || known.cause == "" || known.issue == "" {
+			return nil, fmt.Errorf("%s: %q lacks a test, a cause or an issue", listFile, line)
+		}
+		list = append(list, known)
+	}
+	if len(list) > maxKnownFailures {
+		return nil, fmt.Errorf("%s: %d tests are listed, at most %d may be", listFile, len(list), maxKnownFailures)
+	}
+	return list, nil
+}
--- a/internal/ci/length_test.go
+++ b/internal/ci/length_test.go
@@ -10,11 +10,12 @@
 	"testing"
 )
 
-// longestFunction is how many lines a function may have, tests aside.
-const longestFunction = 60
+// maxFunctionLines is how many lines a function may have, tests aside.
+const maxFunctionLines = 60
 
 // A function that does not fit a screen does more than one thing.
 func TestFunctionsAreShort(t *testing.T) {
+	const minFunctions = 500 // fewer were not all of the repository's
 	checked := 0
 	for _, root := range []string{"../../cmd", "../../internal"} {
 		err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
@@ -26,14 +27,14 @@
 			if err != nil {
 				return err
 			}
-			for _, d := range file.Decls {
-				f, is := d.(*ast.FuncDecl)
-				if !is {
+			for _, declaration := range file.Decls {
+				function, ok := declaration.(*ast.FuncDecl)
+				if !ok {
 					continue
 				}
 				checked++
-				if lines := files.Position(f.End()).Line - files.Position(f.Pos()).Line + 1; lines > longestFunction {
-					t.Errorf("%s: %s has %d lines, more than %d", path, f.Name.Name, lines, longestFunction)
+				if lines := files.Position(function.End()).Line - files.Position(function.Pos()).Line + 1; lines > maxFunctionLines {
+					t.Errorf("%s: %s has %d lines, more than %d", path, function.Name.Name, lines, maxFunctionLines)
 				}
 			}
 			return nil
@@ -42,7 +43,7 @@
 			t.Fatal(err)
 		}
 	}
-	if checked < 500 {
-		t.Errorf("only %d functions were checked", checked)
+	if checked < minFunctions {
+		t.Errorf("only %d functions were checked, want at least %d", checked, minFunctions)
 	}
 }
