--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -12,77 +12,84 @@
 	"micaport/internal/wire"
 )
 
-func server(t *testing.T, reply core.Reply, served bool) (*httptest.Server, *[]core.UserRequest) {
+// newTestServer serves the routes with a core that gives every request the same reply, or
+// none if it does not serve. It returns the requests that the core has received.
+func newTestServer(t *testing.T, reply core.Reply, serves bool) (*httptest.Server, *[]core.UserRequest) {
 	t.Helper()
-	var asked []core.UserRequest
-	r := httprouter.New()
-	Routes(r, func(input func(uint64) core.Input) (core.Reply, bool) {
-		asked = append(asked, input(1).(core.UserRequest))
-		return reply, served
+	var received []core.UserRequest
+	router := httprouter.New()
+	RegisterRoutes(router, func(newInput func(uint64) core.Input) (core.Reply, bool) {
+		received = append(received, newInput(1).(core.UserRequest))
+		return reply, serves
 	}, func() bool { return true })
-	srv := httptest.NewServer(r)
-	t.Cleanup(srv.Close)
-	return srv, &asked
+	server := httptest.NewServer(router)
+	t.Cleanup(server.Close)
+	return server, &received
 }
 
-func do(t *testing.T, method, url string, body []byte) *http.Response {
+// send sends a request and returns the response, whose body is closed when the test ends.
+func send(t *testing.T, method, url string, body []byte) *http.Response {
 	t.Helper()
-	req, err := http.NewRequest(method, url, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(t.Context(), method, url, bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { resp.Body.Close() })
-	return resp
+	t.Cleanup(func() { response.Body.Close() })
+	return response
 }
 
 func TestRoutes(t *testing.T) {
-	srv, asked := server(t, core.Reply{Status: 201, Body: wire.JobStatus{JobID: "wk-1", Status: "pending"}}, true)
-	if r := do(t, "POST", srv.URL+"/api/jobs", []byte{0x80}); r.StatusCode != 201 {
-		t.Errorf("submit: %d", r.StatusCode)
+	server, received := newTestServer(t, core.Reply{Status: http.StatusCreated, Body: wire.JobStatus{JobID: "wk-1", Status: "pending"}}, true)
+	if response := send(t, http.MethodPost, server.URL+"/api/jobs", []byte{0x80}); response.StatusCode != http.StatusCreated {
+		t.Errorf("submit: %d", response.StatusCode)
 	}
-	do(t, "GET", srv.URL+"/api/jobs/wk-1", nil)
-	do(t, "POST", srv.URL+"/api/jobs/wk-1/withdraw", nil)
+	send(t, http.MethodGet, server.URL+"/api/jobs/wk-1", nil)
+	send(t, http.MethodPost, server.URL+"/api/jobs/wk-1/withdraw", nil)
 	want := []wire.RequestKind{wire.RequestSubmit, wire.RequestStatus, wire.RequestCancel}
-	for i, u := range *asked {
-		if u.Kind != want[i] || (i > 0 && u.JobID != "wk-1") {
-			t.Errorf("request %d is %+v", i, u)
+	for i, request := range *received {
+		if request.Kind != want[i] || (i > 0 && request.JobID != "wk-1") {
+			t.Errorf("request %d is %+v", i, request)
 		}
 	}
-	if len(*asked) != 3 {
-		t.Errorf("%d requests reached the core", len(*asked))
+	if len(*received) != 3 {
+		t.Errorf("%d requests reached the core", len(*received))
 	}
-	if r := do(t, "GET", srv.URL+"/ready", nil); r.StatusCode != 200 {
-		t.Errorf("ready: %d", r.StatusCode)
+	if response := send(t, http.MethodGet, server.URL+"/ready", nil); response.StatusCode != http.StatusOK {
+		t.Errorf("ready: %d", response.StatusCode)
 	}
 }
 
-// Bad input never reaches the core.
-func TestBadInput(t *testing.T) {
-	srv, asked := server(t, core.Reply{Status: 200}, true)
-	for _, c := range []struct {
+// Invalid requests never reach the core.
+func TestInvalidRequests(t *testing.T) {
+	server, received := newTestServer(t, core.Reply{Status: http.StatusOK}, true)
+	for _, test := range []struct {
 		method, path string
 		size, want   int
 	}{
-		{"POST", "/api/jobs", MaxBody + 1, 400}, {"GET", "/nowhere", 0, 404}, {"DELETE", "/api/jobs", 0, 405},
-		{"PUT", "/api/jobs/wk-1/withdraw", 0, 405}, {"GET", "/api/jobs/wk-1/other", 0, 404},
+		{http.MethodPost, "/api/jobs", MaxBodyBytes + 1, http.StatusBadRequest},
+		{http.MethodGet, "/nowhere", 0, http.StatusNotFound},
+		{http.MethodDelete, "/api/jobs", 0, http.StatusMethodNotAllowed},
+		{http.MethodPut, "/api/jobs/wk-1/withdraw", 0, http.StatusMethodNotAllowed},
+		{http.MethodGet, "/api/jobs/wk-1/other", 0, http.StatusNotFound},
 	} {
-		if r := do(t, c.method, srv.URL+c.path, make([]byte, c.size)); r.StatusCode != c.want {
-			t.Errorf("%s %s: %d", c.method, c.path, r.StatusCode)
+		if response := send(t, test.method, server.URL+test.path, make([]byte, test.size)); response.StatusCode != test.want {
+			t.Errorf("%s %s: status %d, want %d", test.method, test.path, response.StatusCode, test.want)
 		}
 	}
-	if len(*asked) != 0 {
-		t.Errorf("the core was asked %+v", *asked)
+	if len(*received) != 0 {
+		t.Errorf("the core received %+v", *received)
 	}
 }
 
-func TestOverloadSaysWhenToComeBack(t *testing.T) {
-	srv, _ := server(t, core.Reply{}, false)
-	r := do(t, "POST", srv.URL+"/api/jobs", []byte{0x80})
-	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
-		t.Errorf("got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
+// A user learns when to repeat a request that the core could not take.
+func TestOverloadNamesARetryTime(t *testing.T) {
+	server, _ := newTestServer(t, core.Reply{}, false)
+	response := send(t, http.MethodPost, server.URL+"/api/jobs", []byte{0x80})
+	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
+		t.Errorf("got %d, Retry-After %q", response.StatusCode, response.Header.Get("Retry-After"))
 	}
 }
--- a/internal/api/connlimit.go
+++ b/internal/api/connlimit.go
@@ -7,47 +7,54 @@
 	"sync"
 )
 
-// connLimiter keeps the open connections below a number by closing idle ones.
+// connLimiter keeps the number of open connections below a limit by closing idle ones.
+// Connections in use are never closed, so the limit may be exceeded.
 type connLimiter struct {
-	mu     sync.Mutex
-	limit  int
+	limit int
+
+	mu     sync.Mutex // guards what follows
 	open   int
-	idle   *list.List // connections, the one that has been idle longest first
+	idle   *list.List // of net.Conn, the one that has been idle for longest first
 	byConn map[net.Conn]*list.Element
 }
 
-func newConnLimiter(most int) *connLimiter {
-	return &connLimiter{limit: most, idle: list.New(), byConn: map[net.Conn]*list.Element{}}
+func newConnLimiter(limit int) *connLimiter {
+	return &connLimiter{limit: limit, idle: list.New(), byConn: map[net.Conn]*list.Element{}}
 }
 
-// stateChanged is told by the server of every change of a connection.
-func (c *connLimiter) stateChanged(conn net.Conn, s http.ConnState) {
-	if old := c.track(conn, s); old != nil {
-		old.Close()
+// stateChanged is the ConnState hook of the HTTP server.
+func (l *connLimiter) stateChanged(conn net.Conn, state http.ConnState) {
+	if surplus := l.track(conn, state); surplus != nil {
+		surplus.Close()
 	}
 }
 
-// track takes the new state and names a connection to be closed, or nil.
-func (c *connLimiter) track(conn net.Conn, s http.ConnState) net.Conn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if e := c.byConn[conn]; e != nil {
-		c.idle.Remove(e)
-		delete(c.byConn, conn)
-	}
-	switch s {
+// track records the state of a connection. It returns an idle connection to be closed in
+// favor of a new one, or nil.
+func (l *connLimiter) track(conn net.Conn, state http.ConnState) net.Conn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.removeIdle(conn)
+	switch state {
 	case http.StateNew:
-		c.open++
-		if first := c.idle.Front(); c.open > c.limit && first != nil {
-			old := first.Value.(net.Conn)
-			c.idle.Remove(first)
-			delete(c.byConn, old)
-			return old
+		l.open++
+		if longest := l.idle.Front(); l.open > l.limit && longest != nil {
+			surplus := longest.Value.(net.Conn)
+			l.removeIdle(surplus)
+			return surplus
 		}
 	case http.StateIdle:
-		c.byConn[conn] = c.idle.PushBack(conn)
+		l.byConn[conn] = l.idle.PushBack(conn)
 	case http.StateClosed, http.StateHijacked:
-		c.open--
+		l.open--
 	}
 	return nil
 }
+
+// removeIdle removes a connection from the idle ones, if it is one of them.
+func (l *connLimiter) removeIdle(conn net.Conn) {
+	if element := l.byConn[conn]; element != nil {
+		l.idle.Remove(element)
+		delete(l.byConn, conn)
+	}
+}
--- /dev/null
+++ b/internal/cloud/client_test.go
@@ -0,0 +1,114 @@
+package cloud
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"micaport/internal/core"
+	"micaport/internal/msgpackhttp"
+	"micaport/internal/wire"
+)
+
+// call makes a call to a cloud that the handler stands for, and returns the result.
+func call(t *testing.T, handler http.HandlerFunc, request core.CallCloud) core.CloudAnswered {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	defer server.Close()
+	results := make(chan core.CloudAnswered, 1)
+	client := New(strings.TrimPrefix(server.URL, "http://"), 100, func(input core.Input) { results <- input.(core.CloudAnswered) })
+	client.Call(t.Context(), request)
+	select {
+	case result := <-results:
+		return result
+	case <-time.After(10 * time.Second):
+		t.Fatal("no result within 10 s")
+		panic("unreachable")
+	}
+}
+
+// object is a MessagePack map, as the cloud sends it.
+type object = map[string]any
+
+// Without capacity another machine type or zone is tried, after a refusal the same one later,
+// and without an answer the request may have been carried out.
+func TestProvisionOutcomes(t *testing.T) {
+	provision := core.CallCloud{ID: 4, ValidFor: time.Minute, Provision: &wire.ProvisionRequest{Name: "r-1-1", MachineType: "g2", Zone: "a", Count: 2}}
+	for _, test := range []struct {
+		status int
+		body   any
+		want   core.Outcome
+	}{
+		{http.StatusOK, object{"hosts": []string{"vm-1"}}, core.OK},
+		{http.StatusServiceUnavailable, object{"error": "no capacity"}, core.NoCapacity},
+		{http.StatusServiceUnavailable, object{"error": "trouble"}, core.Refused},
+		{http.StatusTooManyRequests, object{}, core.Refused},
+		{http.StatusInternalServerError, object{}, core.Unknown},
+	} {
+		result := call(t, func(w http.ResponseWriter, r *http.Request) {
+			if r.Method != http.MethodPost || r.URL.Path != "/hosts" {
+				t.Errorf("received %s %s", r.Method, r.URL)
+			}
+			msgpackhttp.Respond(w, test.status, test.body)
+		}, provision)
+		if result.ID != 4 || result.Outcome != test.want || (test.want == core.OK) != (len(result.Names) == 1) {
+			t.Errorf("status %d, body %v: got %+v, want outcome %d", test.status, test.body, result, test.want)
+		}
+	}
+}
+
+func TestListFollowsPages(t *testing.T) {
+	result := call(t, func(w http.ResponseWriter, r *http.Request) {
+		switch r.URL.Query().Get("from") {
+		case "":
+			msgpackhttp.Respond(w, http.StatusOK, object{"hosts": []any{object{"ref": "vm-1", "status": "booting", "age_s": 3.5}}, "has_next": true})
+		case "vm-1":
+			msgpackhttp.Respond(w, http.StatusOK, object{"hosts": []any{object{"ref": "vm-2", "status": "running"}}, "has_next": false})
+		default:
+			t.Errorf("received %s", r.URL)
+		}
+	}, core.CallCloud{ListMachines: true})
+	if result.Outcome != core.OK || len(result.Machines) != 2 || result.Machines[0].AgeS != 3.5 || result.Machines[1].Name != "vm-2" {
+		t.Errorf("got %+v", result)
+	}
+}
+
+// A call that was decided too long ago is not sent: another controller may lead by now, and
+// the machines may be in use.
+func TestLateDeprovisioningIsNotSent(t *testing.T) {
+	sent := false
+	result := call(t, func(w http.ResponseWriter, _ *http.Request) {
+		sent = true
+		msgpackhttp.Respond(w, http.StatusOK, object{})
+	}, core.CallCloud{ID: 5, Deprovision: []string{"vm-1"}, ValidFor: time.Nanosecond})
+	if sent || result.Outcome != core.Refused || result.ID != 5 {
+		t.Errorf("sent: %v, got %+v", sent, result)
+	}
+}
+
+// A call that waits for its turn may be begun for as long as the permission of its term
+// lasts, which later ones extend, and not with the permission of another term.
+func TestCallsNeedThePermissionOfTheirTerm(t *testing.T) {
+	now := time.Now()
+	client := New("127.0.0.1:1", 100, nil)
+	request := core.CallCloud{Deprovision: []string{"vm-1"}, ValidFor: time.Second, Term: 7}
+	if deadline := client.deadline(request, now); !deadline.IsZero() {
+		t.Errorf("without a permission it may be begun until %v", deadline)
+	}
+	for _, until := range []time.Time{now.Add(3 * time.Second), now.Add(4 * time.Second)} {
+		client.AllowCalls(7, until)
+		if deadline := client.deadline(request, now); !deadline.Equal(until) {
+			t.Errorf("may be begun until %v, not %v", deadline, until)
+		}
+	}
+	client.AllowCalls(9, now.Add(time.Minute))
+	if !client.deadline(request, now).IsZero() {
+		t.Error("a call of an earlier term may be begun")
+	}
+	request.Term = 0
+	if !client.deadline(request, now).Equal(now.Add(time.Second)) {
+		t.Error("a call without a term depends on the permission of another")
+	}
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -132,6 +132,11 @@
 	return &s, nil
 }
 
+// Controllers returns all controllers, this one first.
+func (s *Settings) Controllers() []Peer {
+	return append([]Peer{{Label: s.Label, Zone: s.Zone, Address: s.ClusterBind}}, s.Peers...)
+}
+
 // Seconds converts a number of seconds to a duration.
 func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -5,7 +5,7 @@
 const (
 	// StateSockets are for requests to the state service, watches aside.
 	StateSockets = 8
-	// WatchSockets are for the watch of the state service, one of them for a moment of change.
+	// WatchSockets are for the watch of the state service.
 	WatchSockets = 2
 	// CloudSockets are for calls of the cloud.
 	CloudSockets = 3
@@ -13,7 +13,7 @@
 	CommandSockets = 32
 
 	listenerSockets = 2
-	runtimeSockets  = 5 // for the Go runtime and the resolver
+	runtimeSockets  = 5 // what the runtime may need
 
 	ownSockets = StateSockets + WatchSockets + CloudSockets + listenerSockets + runtimeSockets
 )
--- a/internal/config/validity.go
+++ b/internal/config/validity.go
@@ -7,10 +7,10 @@
 	clockDriftDivisor = 1000
 	// timerSlack covers timers that fire in steps and responses in flight.
 	timerSlack = time.Second
-	// cancelSlack is what is left of cancel_s for the request that was in progress when
-	// the cancellation was confirmed.
+	// cancelSlack is kept free of the time for a cancellation beyond all margins.
 	cancelSlack = 250 * time.Millisecond
-	// takeoverSlack is how much earlier than a worker lease an owner's validity ends.
+	// takeoverSlack is how much shorter than a worker lease, less its margin, an owner's
+	// validity is.
 	takeoverSlack = time.Second
 )
 
@@ -32,7 +32,7 @@
 // within cancel. Below that bound it is as long as possible: a zone that is partitioned off
 // together with its controller keeps its tasks for the validity and a lease. It is also
 // shorter than the worker lease, so that a peer that waits for the expiry of an owner's claim
-// can still renew the leases of its workers.
+// is not too late for the tasks of its workers.
 func Validity(workerLease, cancel time.Duration) time.Duration {
 	withinCancel := cancel - workerLease - Margin(workerLease) - cancelSlack
 	return min(withinCancel, workerLease-Margin(workerLease)-takeoverSlack)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,7 +15,7 @@
 // Service is what controllers offer each other.
 type Service struct {
 	post func(core.Input)
-	ask  api.Ask
+	ask  api.Dispatch
 }
 
 // Ack is the empty answer.
@@ -72,7 +72,7 @@
 }
 
 // Serve accepts peers until the listener closes.
-func Serve(l net.Listener, post func(core.Input), ask api.Ask) error {
+func Serve(l net.Listener, post func(core.Input), ask api.Dispatch) error {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName("Peer", &Service{post: post, ask: ask}); err != nil {
 		return err
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -37,7 +37,7 @@
 	peers        map[string]*peer.Link
 	store        *store.Client
 	cloud        *cloud.Client
-	workers      *worker.Client
+	workers      *worker.CommandClient
 
 	nextReq atomic.Uint64
 	replies map[uint64]chan core.Reply // owned by the core's goroutine
@@ -85,16 +85,16 @@
 	members := len(s.Peers) + 1
 	n.store = store.New(s.External.State, members, s.StateLimits().RPS, n.post)
 	n.cloud = cloud.New(s.External.Cloud, d.Cloud.RPS, n.post)
-	n.workers = worker.NewClient(n.post)
+	n.workers = worker.NewCommandClient(n.post)
 	for _, p := range s.Peers {
 		n.peers[p.Label] = peer.Dial(p.Address, func() { n.post(core.Disconnected{Peer: p.Label}) })
 	}
 	r := httprouter.New()
 	askUser, askHost := n.asker(n.userInputs), n.asker(n.workerInputs)
-	api.Routes(r, askUser, n.ready.Load)
-	worker.Routes(r, askHost)
+	api.RegisterRoutes(r, askUser, n.ready.Load)
+	worker.RegisterRoutes(r, askHost)
 	fail := make(chan error, 3)
-	srv := api.Server(r, config.Seconds(d.Workers.LeaseS), room)
+	srv := api.NewServer(r, config.Seconds(d.Workers.LeaseS), room)
 	go func() { fail <- srv.Serve(public) }()
 	go func() { fail <- peer.Serve(private, n.post, askUser) }()
 	go n.store.Watch(ctx)
@@ -176,7 +176,7 @@
 
 // asker makes a function that gives the core a request by way of a queue and
 // waits for its reply.
-func (n *Node) asker(queue chan pendingInput) api.Ask {
+func (n *Node) asker(queue chan pendingInput) api.Dispatch {
 	return func(request func(req uint64) core.Input) (core.Reply, bool) {
 		a := pendingInput{req: n.nextReq.Add(1), reply: make(chan core.Reply, 1)}
 		a.in = request(a.req)
@@ -244,11 +244,11 @@
 	case core.RenewLease:
 		n.store.Lease(x)
 	case core.CallCloud:
-		n.cloud.Call(x)
+		n.cloud.Call(context.Background(), x)
 	case core.AllowCloudCalls:
-		n.cloud.Allow(x.Term, n.startedAt.Add(x.Until))
+		n.cloud.AllowCalls(x.Term, n.startedAt.Add(x.Until))
 	case core.SendCommands:
-		n.workers.Send(x)
+		n.workers.Send(context.Background(), x)
 	case core.SendGossip:
 		if l := n.peers[x.To]; l != nil {
 			l.Send(x.Message)
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -1,32 +1,40 @@
 package worker
 
 import (
-	"bytes"
+	"context"
 	"errors"
-	"io"
 	"net"
 	"net/http"
+	"sync"
 	"time"
 
 	"micaport/internal/config"
 	"micaport/internal/core"
-	"micaport/internal/wire"
+	"micaport/internal/msgpackhttp"
 )
 
-// Client sends orders to workers' own addresses. Post delivers what became of
-// them to the core.
-type Client struct {
+const (
+	commandDialTimeout = 700 * time.Millisecond
+	commandTimeout     = 3 * time.Second
+	// maxCommandResponse bounds what is read of a worker's response, in bytes. Only its
+	// status matters.
+	maxCommandResponse = 64 << 10
+)
+
+// CommandClient sends batches of commands to workers' own addresses.
+type CommandClient struct {
 	http     *http.Client
-	inFlight chan struct{}
+	inFlight chan struct{} // a slot for each batch on its way
 	post     func(core.Input)
+	running  sync.WaitGroup // batches
 }
 
-// NewClient makes a client. Connections are not kept: a machine is told
-// something now and then, and there are many of them.
-func NewClient(post func(core.Input)) *Client {
-	return &Client{
-		http: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{
-			DialContext:       (&net.Dialer{Timeout: 700 * time.Millisecond}).DialContext,
+// NewCommandClient returns a client. It keeps no connections open, as there are many workers
+// and each of them is rarely sent commands. Post delivers results to the core.
+func NewCommandClient(post func(core.Input)) *CommandClient {
+	return &CommandClient{
+		http: &http.Client{Timeout: commandTimeout, Transport: &http.Transport{
+			DialContext:       (&net.Dialer{Timeout: commandDialTimeout}).DialContext,
 			DisableKeepAlives: true, DisableCompression: true,
 		}},
 		inFlight: make(chan struct{}, config.CommandSockets),
@@ -34,47 +42,45 @@
 	}
 }
 
-// Send runs one call of the core. When too many are under way it is not sent:
-// the next answer to the machine's report will do.
-func (c *Client) Send(q core.SendCommands) {
+// Wait returns when all batches have been answered or given up. No batch may be sent
+// meanwhile.
+func (c *CommandClient) Wait() { c.running.Wait() }
+
+// Send sends a batch in a goroutine of its own, until ctx ends, and delivers
+// core.CommandsAnswered. With too many batches on their way it is not sent, and the outcome
+// is Refused: the worker gets the commands with the reply to its next heartbeat.
+func (c *CommandClient) Send(ctx context.Context, commands core.SendCommands) {
 	select {
 	case c.inFlight <- struct{}{}:
 	default:
-		go c.post(core.CommandsAnswered{ID: q.ID, Outcome: core.Refused})
+		c.running.Go(func() { c.post(core.CommandsAnswered{ID: commands.ID, Outcome: core.Refused}) })
 		return
 	}
-	go func() {
-		out := c.send(q)
+	c.running.Go(func() {
+		outcome := c.exchange(ctx, commands)
 		<-c.inFlight
-		c.post(core.CommandsAnswered{ID: q.ID, Outcome: out})
-	}()
+		c.post(core.CommandsAnswered{ID: commands.ID, Outcome: outcome})
+	})
 }
 
-func (c *Client) send(q core.SendCommands) core.Outcome {
-	b, err := wire.Encode(q.Batch)
-	if err != nil {
-		return core.Refused
-	}
-	req, err := http.NewRequest(http.MethodPost, "http://"+q.Address+"/orders", bytes.NewReader(b))
-	if err != nil {
-		return core.Refused
-	}
-	req.GetBody = nil // not to be repeated behind our back
-	resp, err := c.http.Do(req)
-	var op *net.OpError
-	switch {
-	case errors.As(err, &op) && op.Op == "dial":
-		return core.Refused // a connection that was given up does not complete later
-	case err != nil:
-		return core.Unknown
-	}
-	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, 64<<10))
-	switch resp.StatusCode {
+// exchange sends a batch and returns what is certain about its effect.
+func (c *CommandClient) exchange(ctx context.Context, commands core.SendCommands) core.Outcome {
+	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
+		Method: http.MethodPost, URL: "http://" + commands.Address + "/orders", Body: commands.Batch,
+		NoReplay: true, MaxResponseBytes: maxCommandResponse,
+	})
+	switch response.Status { // known even if the body of the response broke off
 	case http.StatusOK:
 		return core.OK
 	case http.StatusConflict, http.StatusBadRequest:
 		return core.Conflict
 	}
+	var network *net.OpError
+	switch {
+	case errors.Is(err, msgpackhttp.ErrNotSent):
+		return core.Refused
+	case errors.As(err, &network) && network.Op == "dial":
+		return core.Refused // a connection that was given up does not complete later
+	}
 	return core.Unknown
 }
--- a/internal/worker/commands_test.go
+++ b/internal/worker/commands_test.go
@@ -1,6 +1,7 @@
 package worker
 
 import (
+	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -12,56 +13,66 @@
 	"micaport/internal/wire"
 )
 
-// What is known about a start after it was sent decides what proves that its
-// task is gone, so only what certainly did not happen may be called refused.
-func TestOutcomes(t *testing.T) {
+// unusedAddress returns an address that refuses connections.
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// The outcome of sending a start decides what later proves that its task is gone, so only
+// what certainly did not happen may be Refused.
+func TestCommandOutcomes(t *testing.T) {
+	const noResponse = 0
 	var status atomic.Int32
 	hang := make(chan struct{})
-	orders := make(chan wire.CommandBatch, 8)
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if status.Load() == 0 {
+	batches := make(chan wire.CommandBatch, 8)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if status.Load() == noResponse {
 			<-hang
 			return
 		}
-		b := make([]byte, q.ContentLength)
-		q.Body.Read(b)
-		var got wire.CommandBatch
-		if err := wire.Decode(b, &got); err != nil || q.URL.Path != "/orders" {
-			t.Errorf("%s: %v", q.URL.Path, err)
+		var batch wire.CommandBatch
+		body, err := io.ReadAll(r.Body)
+		if err == nil {
+			err = wire.Decode(body, &batch)
 		}
-		orders <- got
+		if err != nil || r.URL.Path != "/orders" {
+			t.Errorf("received %s: %v", r.URL.Path, err)
+		}
+		batches <- batch
 		w.WriteHeader(int(status.Load()))
 	}))
-	defer srv.Close()
-	defer close(hang)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	closed := l.Addr().String()
-	l.Close()
+	t.Cleanup(server.Close)
+	t.Cleanup(func() { close(hang) }) // before the server closes, which waits for its handlers
 	results := make(chan core.Outcome, 1)
-	c := NewClient(func(in core.Input) { results <- in.(core.CommandsAnswered).Outcome })
-	c.http.Timeout = 300 * time.Millisecond
-	for _, x := range []struct {
-		addr   string
-		status int32
-		want   core.Outcome
+	client := NewCommandClient(func(input core.Input) { results <- input.(core.CommandsAnswered).Outcome })
+	client.http.Timeout = 300 * time.Millisecond
+	address := server.Listener.Addr().String()
+	for _, test := range []struct {
+		name    string
+		address string
+		status  int32
+		want    core.Outcome
 	}{
-		{srv.Listener.Addr().String(), 200, core.OK},
-		{srv.Listener.Addr().String(), 409, core.Conflict},
-		{srv.Listener.Addr().String(), 500, core.Unknown},
-		{srv.Listener.Addr().String(), 0, core.Unknown},
-		{closed, 200, core.Refused},
+		{"carried out", address, http.StatusOK, core.OK},
+		{"another token or epoch", address, http.StatusConflict, core.Conflict},
+		{"failure of the worker", address, http.StatusInternalServerError, core.Unknown},
+		{"no response", address, noResponse, core.Unknown},
+		{"refused connection", unusedAddress(t), http.StatusOK, core.Refused},
 	} {
-		status.Store(x.status)
-		c.Send(core.SendCommands{ID: 1, Address: x.addr, Batch: wire.CommandBatch{Token: 41, Epoch: 3,
+		status.Store(test.status)
+		client.Send(t.Context(), core.SendCommands{ID: 1, Address: test.address, Batch: wire.CommandBatch{Token: 41, Epoch: 3,
 			Commands: []wire.Command{{Op: wire.CommandStart, Task: "wk-000001/0", Attempt: 2}}}})
-		if out := <-results; out != x.want {
-			t.Errorf("status %d: outcome %d, want %d", x.status, out, x.want)
+		if outcome := <-results; outcome != test.want {
+			t.Errorf("%s: outcome %d, want %d", test.name, outcome, test.want)
 		}
 	}
-	if got := <-orders; got.Token != 41 || got.Epoch != 3 || len(got.Commands) != 1 || got.Commands[0].Attempt != 2 {
-		t.Errorf("the worker got %+v", got)
+	if batch := <-batches; batch.Token != 41 || batch.Epoch != 3 || len(batch.Commands) != 1 || batch.Commands[0].Attempt != 2 {
+		t.Errorf("the worker got %+v", batch)
 	}
 }
--- a/internal/worker/heartbeats.go
+++ b/internal/worker/heartbeats.go
@@ -1,4 +1,6 @@
-// Package worker serves the workers' reports over HTTP.
+// Package worker is the adapter to the workers, the agents on the machines, in MessagePack
+// over HTTP. It serves their heartbeats (POST /v1/report), whose replies carry commands, and
+// sends commands directly to workers (POST /orders).
 package worker
 
 import (
@@ -11,22 +13,25 @@
 	"micaport/internal/wire"
 )
 
-// Routes adds the workers' route.
-func Routes(r *httprouter.Router, ask api.Ask) {
-	r.POST("/v1/report", func(w http.ResponseWriter, q *http.Request, _ httprouter.Params) {
-		body, ok := api.Body(w, q)
+// RegisterRoutes adds the route for heartbeats, which are passed to dispatch.
+func RegisterRoutes(router *httprouter.Router, dispatch api.Dispatch) {
+	router.POST("/v1/report", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+		body, ok := api.ReadBody(w, r)
 		if !ok {
 			return
 		}
-		rep := new(wire.WorkerHeartbeat)
-		if err := wire.Decode(body, rep); err != nil || rep.Machine == "" || rep.Epoch == 0 {
-			api.Write(w, core.Reply{Status: 400, Body: wire.Error{Error: "malformed report"}})
+		heartbeat := new(wire.WorkerHeartbeat)
+		if err := wire.Decode(body, heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Epoch == 0 {
+			api.WriteError(w, http.StatusBadRequest, "malformed report")
 			return
 		}
-		a, ok := ask(func(req uint64) core.Input { return core.WorkerReported{RequestID: req, Heartbeat: rep} })
+		reply, ok := dispatch(func(requestID uint64) core.Input {
+			return core.WorkerReported{RequestID: requestID, Heartbeat: heartbeat}
+		})
 		if !ok {
-			a = core.Reply{Status: 503, Body: wire.Error{Error: "overloaded"}}
+			api.WriteError(w, http.StatusServiceUnavailable, api.OverloadedText)
+			return
 		}
-		api.Write(w, a)
+		api.WriteReply(w, reply)
 	})
 }
