--- /dev/null
+++ b/internal/core/ancestor_search.go
@@ -0,0 +1,83 @@
+package core
+
+import (
+	"net/http"
+
+	"micaport/internal/replica"
+	"micaport/internal/wire"
+)
+
+// ancestorSearch reads the records of the jobs that a job depends on, directly or not,
+// until one is found cancelled or all are known. One read is under way at a time.
+type ancestorSearch struct {
+	request   *pendingRequest
+	record    *wire.Job // of the job that the request names
+	seen      map[string]bool
+	unvisited []string // jobs that are still to be looked at; the last one is next
+	reading   string   // the job whose record is being read
+}
+
+// answerFromAncestors answers for a job that is live by its own record but depends on
+// others. The replica may lag behind theirs, so they are read.
+func (n *Node) answerFromAncestors(request *pendingRequest, record *wire.Job) {
+	search := &ancestorSearch{request: request, record: record, seen: map[string]bool{}}
+	if search.addDependencies(n, request.JobID, record) {
+		search.visitNext(n)
+	}
+}
+
+// addDependencies adds the jobs that a job depends on. It answers the request and returns
+// false where they are not known.
+func (s *ancestorSearch) addDependencies(n *Node, jobID string, record *wire.Job) bool {
+	ids, complete := n.replica.Dependencies(jobID, record)
+	if !complete {
+		n.answerUnavailable(s.request, "the records of the jobs that it waits on are not known yet")
+		return false
+	}
+	for _, id := range ids {
+		if !s.seen[id] {
+			s.seen[id] = true
+			s.unvisited = append(s.unvisited, id)
+		}
+	}
+	return true
+}
+
+// visitNext goes on with the jobs that are left, or answers the request.
+func (s *ancestorSearch) visitNext(n *Node) {
+	for len(s.unvisited) > 0 {
+		id := s.unvisited[len(s.unvisited)-1]
+		s.unvisited = s.unvisited[:len(s.unvisited)-1]
+		job := n.jobNamed(id)
+		if job == nil || job.Record == nil || job.State() == wire.JobLive {
+			s.reading = id
+			n.fetchJob(id, s)
+			return
+		}
+		if job.State() == wire.JobCancelled {
+			s.answerCancelled(n)
+			return
+		}
+	}
+	n.answer(s.request, http.StatusOK, replica.JobStatus(s.request.JobID, s.record))
+}
+
+func (s *ancestorSearch) jobRead(n *Node, read JobRead) {
+	switch {
+	case read.Outcome == OK && read.Job.State == wire.JobCancelled:
+		s.answerCancelled(n)
+	case read.Outcome == OK && read.Job.State == wire.JobLive && read.Job.HasDependencies():
+		if s.addDependencies(n, s.reading, read.Job) {
+			s.visitNext(n)
+		}
+	case read.Outcome == OK:
+		s.visitNext(n)
+	case n.mayRetry(s.request, read.Outcome):
+		s.unvisited = append(s.unvisited, s.reading)
+		s.visitNext(n)
+	}
+}
+
+func (s *ancestorSearch) answerCancelled(n *Node) {
+	n.answer(s.request, http.StatusOK, wire.JobStatus{JobID: s.request.JobID, Status: wire.StatusCancelled})
+}
--- /dev/null
+++ b/internal/core/job_queries.go
@@ -0,0 +1,89 @@
+package core
+
+import (
+	"net/http"
+
+	"micaport/internal/replica"
+	"micaport/internal/wire"
+)
+
+// Requests that a read of the job's record answers, and cancellations, which change it.
+
+// jobQuery is a read of the record of the job that a request is about.
+type jobQuery struct{ request *pendingRequest }
+
+// readJob reads the record of a request's job and goes on by the kind of request.
+func (n *Node) readJob(request *pendingRequest) { n.fetchJob(request.JobID, jobQuery{request}) }
+
+func (q jobQuery) jobRead(n *Node, read JobRead) {
+	switch read.Outcome {
+	case OK:
+		q.found(n, read)
+	case NotFound:
+		q.notFound(n)
+	default:
+		if n.mayRetry(q.request, read.Outcome) {
+			n.readJob(q.request)
+		}
+	}
+}
+
+// found goes on with a request whose job exists.
+func (q jobQuery) found(n *Node, read JobRead) {
+	live := read.Job.State == wire.JobLive
+	switch {
+	case live && q.request.Kind == wire.RequestCancel:
+		n.cancelJob(q.request, read)
+	case live && read.Job.HasDependencies():
+		n.answerFromAncestors(q.request, read.Job)
+	default:
+		n.answer(q.request, http.StatusOK, n.statusOf(q.request, read.Job))
+	}
+}
+
+// notFound goes on with a request whose job was never accepted.
+func (q jobQuery) notFound(n *Node) {
+	request := q.request
+	switch {
+	case request.Kind != wire.RequestSubmit:
+		n.answer(request, http.StatusNotFound, wire.Error{Error: noSuchJob})
+	case request.rejection == nil:
+		n.createJob(request)
+	case request.spec == nil:
+		n.answerError(request, http.StatusBadRequest, request.rejection)
+	default:
+		n.answerError(request, http.StatusUnprocessableEntity, request.rejection)
+	}
+}
+
+// jobCancellation is the write of a cancelled job's record under way.
+type jobCancellation struct {
+	request *pendingRequest
+	done    int // tasks of the job that are done
+}
+
+// cancelJob marks the record as cancelled. From this transaction on no owner can place a
+// task of the job, as each placement is conditional on the record's revision.
+func (n *Node) cancelJob(request *pendingRequest, read JobRead) {
+	record := replica.CloneRecord(read.Job)
+	record.State = wire.JobCancelled
+	replica.CompactRecord(record)
+	// What its overflow keys hold is not known here and stays.
+	for i := range record.ActiveTasks {
+		record.ActiveTasks[i].StoredIn = 1
+	}
+	stored := replica.StoredRecord{Tasks: record.ActiveTasks, OverflowKeys: record.OverflowKeys, UnknownKeys: record.OverflowKeys}
+	writes := n.replica.SplitRecord(request.JobID, stored, record)
+	n.transact(ClassUser, []Condition{{Key: wire.JobKey(request.JobID), Revision: read.Revision}}, writes, jobCancellation{request, record.DoneTasks.Count()})
+}
+
+func (c jobCancellation) committed(n *Node, result Committed) {
+	outcome := result.Outcome
+	if outcome == OK {
+		n.answer(c.request, http.StatusOK, wire.JobStatus{JobID: c.request.JobID, Status: wire.StatusCancelled, Done: c.done})
+		return
+	}
+	if n.mayRetry(c.request, outcome) {
+		n.readJob(c.request)
+	}
+}
