--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"time"
-
 	"micaport/internal/wire"
 )
 
@@ -30,19 +28,9 @@
 	return -1
 }
 
-// epochDelay is how long a task that was lost with its machine's epoch
-// waits for the machine to take our term. It reports again after half a second.
-const epochDelay = 1200 * time.Millisecond
-
 // shardTerm is the term of the shard that the machine belongs to.
 func (machine *machine) shardTerm(n *Node) uint64 { return n.shards[machine.shard].Term }
 
-// outcomeDelay is how long a result waits for others of the same job when puts
-// are scarce: one put serves them all, and the tasks of a gang end together.
-const outcomeDelay = 500 * time.Millisecond
-
-const causeLost = "lost"
-
 // reconciliation compares one report with the records.
 type reconciliation struct {
 	node           *Node
--- a/internal/core/unreachable.go
+++ b/internal/core/unreachable.go
@@ -30,29 +30,3 @@
 	slices.Sort(out)
 	return out
 }
-
-// isUnreachable tells whether a silent machine is dead or hangs, rather than cut from
-// us or unresponsive for a moment: it has not turned to any peer, and its neighbours
-// still report or it has had the time to try one.
-func (n *Node) isUnreachable(machine *machine, silent Time, neighbours bool) bool {
-	if silent < 3*n.cfg.HeartbeatInterval+second {
-		return false
-	}
-	if silent > n.cfg.WorkerLease+5*second {
-		return true // wherever it reports, nobody could answer it
-	}
-	heard := false
-	for _, m := range n.cfg.Members {
-		p := n.peers[m.Name]
-		if p == nil || n.now-p.heardAt > 3*second {
-			continue
-		}
-		heard = true
-		if _, strayed := slices.BinarySearch(p.message.Strays, machine.name); strayed {
-			return false
-		}
-	}
-	// A worker that can't reach us has tried a peer by now: a report, its
-	// timeout of 4 s, a pause, and the peer's next message.
-	return neighbours || heard && silent > 2*n.cfg.HeartbeatInterval+7*second
-}
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -155,11 +155,3 @@
 	}
 	return deaf > max(1, all/4)
 }
-
-// taskOutcome is what became of a task, to be written to its record.
-type taskOutcome struct {
-	machine string
-	cause   string // an exit cause, or "lost"
-	at      Time
-	term    uint64 // in which it was found out
-}
