--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -1,66 +1,69 @@
 package core
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
 	"micaport/internal/wire"
 )
 
-// Answers to workers: at once, held for a moment, or to another controller.
+// Answers to the heartbeats of workers: at once, or after a delay where a command is
+// likely to follow. The worker's next heartbeat is seconds away.
 
-func (n *Node) answerWorker(req uint64, shard *shard, machine *machine, orders []wire.Command) {
-	machine.answeredAt = n.now
-	n.emit(Reply{RequestID: req, Status: 200, Body: wire.HeartbeatReply{Token: shard.Term, Commands: orders}})
-}
-
-// replyDelay is how long an answer may wait for the records to be written
-// that follow from the report. The worker's next report is seconds away, so
-// orders that miss this answer leave the machine idle for as long.
-const replyDelay = 600 * time.Millisecond
-
-// idleReplyDelay is how long the answer to a machine without tasks waits for
-// something to start. The worker would wait 4 s; it has nothing else to tell,
-// and a start that comes meanwhile reaches it at once instead of with its next
-// report.
-const idleReplyDelay = 2500 * time.Millisecond
+const (
+	// replyDelay is how long an answer may wait for the records to be written
+	// that follow from the heartbeat. Commands that miss this answer leave the machine
+	// idle until the next.
+	replyDelay = 600 * time.Millisecond
+	// idleReplyDelay is how long the answer to a machine without tasks waits for
+	// something to start. The worker would wait 4 s; it has nothing else to report,
+	// and a start that is decided meanwhile reaches it at once instead of with its next
+	// heartbeat.
+	idleReplyDelay = 2500 * time.Millisecond
+	// heldRepliesInterval is the time between two looks at the delayed answers.
+	heldRepliesInterval = 40 * time.Millisecond
+)
 
-// heldReply is a report whose answer waits.
+// heldReply is a heartbeat whose answer is delayed.
 type heldReply struct {
 	WorkerReported
 	shard   *shard
 	machine *machine
-	term    uint64
-	until   Time
+	term    uint64 // of the shard when the heartbeat came
+	until   Time   // when it is answered at the latest
 }
 
-// replyDelayFor tells how long orders may be waited for: when tasks have just
-// ended, when the machine is new, and when it is idle.
-func (n *Node) replyDelayFor(machine *machine, heartbeat *wire.WorkerHeartbeat, orders []wire.Command) Time {
+// answerWorker answers a worker's heartbeat.
+func (n *Node) answerWorker(requestID uint64, shard *shard, machine *machine, commands []wire.Command) {
+	machine.answeredAt = n.now
+	n.emit(Reply{RequestID: requestID, Status: http.StatusOK, Body: wire.HeartbeatReply{Token: shard.Term, Commands: commands}})
+}
+
+// replyDelayFor decides how long an answer waits for further commands: when tasks have
+// just ended, when the machine is new, and when it is idle. 0 answers at once.
+func (n *Node) replyDelayFor(machine *machine, heartbeat *wire.WorkerHeartbeat, commands []wire.Command) Time {
 	if !machine.tokenConfirmed && !machine.newlyBooted {
-		return 0 // it is to learn our term first
-	}
-	for _, o := range orders {
-		if o.Op != wire.CommandClear {
-			return 0 // has something to do at once
-		}
+		return 0 // the worker has to get the token first
 	}
-	if len(machine.placements) == 0 && len(heartbeat.Tasks) == machine.unclearedTasks {
-		switch {
-		case !n.acceptsTasks(machine):
-			return 0
-		case machine.tokenConfirmed && machine.heartbeats > 1:
-			return idleReplyDelay
+	for i := range commands {
+		if commands[i].Op != wire.CommandClear {
+			return 0 // it has something to do at once
 		}
-		return replyDelay
 	}
-	if n.hasPendingOutcomes(machine) {
+	idle := len(machine.placements) == 0 && len(heartbeat.Tasks) == machine.unclearedTasks
+	switch {
+	case idle && !n.acceptsTasks(machine):
+		return 0
+	case idle && machine.tokenConfirmed && machine.heartbeats > 1:
+		return idleReplyDelay
+	case idle || n.hasPendingOutcomes(machine):
 		return replyDelay
 	}
 	return 0
 }
 
-// hasPendingOutcomes tells whether the end of a task on the machine still has to
+// hasPendingOutcomes reports whether the end of a task on the machine still has to
 // be written to its record.
 func (n *Node) hasPendingOutcomes(machine *machine) bool {
 	for i := range machine.placements {
@@ -71,88 +74,48 @@
 	return false
 }
 
-// sendHeldReplies answers reports that have waited for their records.
-func (n *Node) sendHeldReplies() {
-	if len(n.heldReplies) == 0 || n.now < n.heldRepliesAt {
-		return
-	}
-	n.heldRepliesAt = n.now + 40*time.Millisecond
-	n.heldReplies = slices.DeleteFunc(n.heldReplies, func(q heldReply) bool {
-		shard, machine := q.shard, q.machine
-		if shard.Term != q.term || !n.mayActAsOwner(shard) || machine.epoch != q.Heartbeat.Epoch || machine.sequence != q.Heartbeat.Sequence {
-			machine.heldReplies--
-			n.redirect(q.RequestID, shard, machine, false)
-			return true
-		}
-		if n.now < q.until && (n.hasPendingOutcomes(machine) || !n.startsWaiting(machine)) && !machine.draining {
-			return false
-		}
-		machine.heldReplies--
-		if orders := n.reconcile(shard, machine, q.Heartbeat); !machine.leaseExpiring {
-			n.answerWorker(q.RequestID, shard, machine, orders)
-		} else {
-			n.redirect(q.RequestID, shard, machine, true)
-		}
-		return true
-	})
-}
-
-// startsWaiting tells whether a placed task has not reached the machine.
+// startsWaiting reports whether a task is placed on the machine that the machine has not
+// reported.
 func (n *Node) startsWaiting(machine *machine) bool {
 	for i := range machine.placements {
-		if _, there := machine.reportedTasks[machine.placements[i].taskKey]; !there {
+		if _, reported := machine.reportedTasks[machine.placements[i].taskKey]; !reported {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *Node) redirect(req uint64, shard *shard, machine *machine, late bool) {
-	if n.replica.Loaded() && shard.Record != nil && shard.Record.Owner != n.cfg.Self {
-		// It was sent to its owner and is back, or its owner has told us that
-		// it hears nothing from it: it can't reach its owner.
-		back := n.now - machine.redirectedAt
-		bounced := machine.redirectedAt > 0 && back > second*7/10 && back < 15*second
-		unheard := n.ownerMissesMachine(shard, machine)
-		if n.storeOK && !late && (bounced || unheard) && !n.ownerHearsMachine(shard, machine) {
-			if machine.bouncedAt == 0 || n.now-machine.bouncedAt > 12*second {
-				machine.bouncingSince = n.now
-			}
-			machine.bouncedAt = n.now
-		}
-		if !late {
-			machine.redirectedAt = n.now
-		}
-		if !machine.strayListed {
-			machine.strayListed = true
-			n.strayMachines = append(n.strayMachines, machine.index)
-		}
-		n.emit(Reply{RequestID: req, Status: 421, Body: wire.Redirect{Owner: shard.Record.Owner}})
+// delayReply answers a heartbeat after a delay at the latest.
+func (n *Node) delayReply(in WorkerReported, shard *shard, machine *machine, delay Time) {
+	n.heldReplies = append(n.heldReplies, heldReply{WorkerReported: in, shard: shard, machine: machine, term: shard.Term, until: n.now + delay})
+	machine.heldReplies++
+}
+
+// sendHeldReplies answers the heartbeats whose delay is over.
+func (n *Node) sendHeldReplies() {
+	if len(n.heldReplies) == 0 || n.now < n.heldRepliesAt {
 		return
 	}
-	n.emit(Reply{RequestID: req, Status: 503, Body: wire.Error{Error: "no owner"}})
+	n.heldRepliesAt = n.now + heldRepliesInterval
+	n.heldReplies = slices.DeleteFunc(n.heldReplies, n.sendHeldReply)
 }
 
-// ownerHearsMachine tells whether an owner that can be heard says that it hears a
-// machine: then what comes here in its name is a late copy, or the machine is
-// unreachable for the answers. When copies counted, two controllers took shards from
-// each other for as long as they came.
-func (n *Node) ownerHearsMachine(shard *shard, machine *machine) bool {
-	owner := n.peers[shard.Record.Owner]
-	if owner == nil || n.now-owner.heardAt > 3*second {
+// sendHeldReply answers a heartbeat unless it has to wait on, and reports whether it did.
+func (n *Node) sendHeldReply(reply heldReply) bool {
+	shard, machine := reply.shard, reply.machine
+	if shard.Term != reply.term || !n.mayActAsOwner(shard) || machine.epoch != reply.Heartbeat.Epoch || machine.sequence != reply.Heartbeat.Sequence {
+		machine.heldReplies--
+		n.redirect(reply.RequestID, shard, machine, false)
+		return true
+	}
+	if n.now < reply.until && (n.hasPendingOutcomes(machine) || !n.startsWaiting(machine)) && !machine.draining {
 		return false
 	}
-	if machine.viewTerm != shard.Term {
-		return n.now-shard.ChangedAt < 3*n.cfg.HeartbeatInterval // it has not had the time to hear it
+	machine.heldReplies--
+	if commands := n.reconcile(shard, machine, reply.Heartbeat); !machine.leaseExpiring {
+		n.answerWorker(reply.RequestID, shard, machine, commands)
+	} else {
+		n.redirect(reply.RequestID, shard, machine, true)
 	}
-	return machine.view.missedHeartbeats == 0
-}
-
-// ownerMissesMachine tells whether an owner that has been up for a while says that it
-// hears nothing of a machine. One that has just come back does not know of it
-// yet, which proves nothing.
-func (n *Node) ownerMissesMachine(shard *shard, machine *machine) bool {
-	owner := n.peers[shard.Record.Owner]
-	return owner != nil && n.now-owner.heardAt < 3*second && owner.message.UpS >= 4*n.cfg.HeartbeatInterval.Seconds() &&
-		machine.viewTerm == shard.Term && machine.view.missedHeartbeats > 0
+	return true
 }
