--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -7,29 +7,63 @@
 	"micaport/internal/wire"
 )
 
-// Which machines have which images, kept so that the knowledge outlives the process.
+// The image cache record: which machines have which images. Without it, every choice of a
+// machine would ignore what is cached after all controllers have restarted.
 
+// imageCount is the number of images on a machine.
 func (n *Node) imageCount(machine *machine) int {
-	c := 0
-	machine.images.Each(func(int) { c++ })
-	return c
+	count := 0
+	machine.images.Each(func(int) { count++ })
+	return count
 }
 
-// imageCacheInterval is how often the images on our machines are written down. What
-// the last moments before a crash added is lost, at the price of a fetch.
+// imageCacheInterval is how often the images on this controller's machines are recorded.
+// What was added after the last write before a crash is lost, at the cost of a fetch.
 const imageCacheInterval = 20 * second
 
-// writeImageCache writes down which machine has which image. Without it, every
-// choice after all controllers had died was blind to what is cached.
+// Bytes of an image cache record: estimates that are above what its parts take, so that
+// three quarters of a value are well within the limit.
+const (
+	cachedMachineBytes = 6 // besides its name
+	cachedNameBytes    = 3 // besides the name
+	cachedIndexBytes   = 4
+)
+
+// imageCacheBuilder makes an image cache record within a size.
+type imageCacheBuilder struct {
+	record *wire.ImageCache
+	names  wire.Interner
+	room   int // bytes that are left
+	count  int // images of machines in the record
+}
+
+// addMachine adds the images of a machine as far as there is room, and reports false
+// when there was none for the machine itself.
+func (b *imageCacheBuilder) addMachine(n *Node, machine *machine) bool {
+	if b.room -= len(machine.name) + cachedMachineBytes; b.room < 0 {
+		return false
+	}
+	machine.images.Each(func(image int) {
+		name := n.names.Images.Name(image)
+		if b.names.Find(name) < 0 {
+			b.room -= len(name) + cachedNameBytes
+		}
+		if b.room -= cachedIndexBytes; b.room > 0 {
+			b.record.Machines[machine.name] = append(b.record.Machines[machine.name], b.names.Of(name))
+			b.count++
+		}
+	})
+	return true
+}
+
+// writeImageCache records which of this controller's machines have which images, when
+// their number has changed.
 func (n *Node) writeImageCache() {
 	if n.now < n.imageCacheAt || !n.storeOK {
 		return
 	}
 	n.imageCacheAt = n.now + imageCacheInterval
-	rec := &wire.ImageCache{Machines: map[string][]int{}}
-	count := 0
-	room := n.cfg.MaxValueBytes * 3 / 4 // in bytes, which the sums below stay well within
-	var names wire.Interner
+	builder := imageCacheBuilder{record: &wire.ImageCache{Machines: map[string][]int{}}, room: n.cfg.MaxValueBytes * 3 / 4}
 	for _, shard := range n.shards {
 		if !n.mayActAsOwner(shard) {
 			continue
@@ -38,47 +72,38 @@
 			if machine.returned || machine.term != shard.Term || len(machine.images) == 0 {
 				continue
 			}
-			if room -= len(machine.name) + 6; room < 0 {
+			if !builder.addMachine(n, machine) {
 				break
 			}
-			machine.images.Each(func(im int) {
-				name := n.names.Images.Name(im)
-				if names.Find(name) < 0 {
-					room -= len(name) + 3
-				}
-				if room -= 4; room > 0 {
-					rec.Machines[machine.name] = append(rec.Machines[machine.name], names.Of(name))
-					count++
-				}
-			})
 		}
 	}
-	if count == n.imageCacheSize {
+	if builder.count == n.imageCacheSize {
 		return
 	}
-	n.imageCacheSize = count
-	for i := range names.Len() {
-		rec.Names = append(rec.Names, names.Name(i))
+	n.imageCacheSize = builder.count
+	for i := range builder.names.Len() {
+		builder.record.Names = append(builder.record.Names, builder.names.Name(i))
 	}
-	n.commit(ClassBackground, nil, []Write{{Key: wire.ImagePrefix + n.cfg.Self, Value: rec}}, func(Committed) {})
+	n.transact(ClassBackground, nil, []Write{{Key: wire.ImagePrefix + n.cfg.Self, Value: builder.record}}, ignoreResult{})
 }
 
-// putImageCache learns from what was written down.
-func (n *Node) putImageCache(rec *wire.ImageCache) {
-	for _, name := range slices.Sorted(maps.Keys(rec.Machines)) {
+// putImageCache takes in an image cache record.
+func (n *Node) putImageCache(record *wire.ImageCache) {
+	for _, name := range slices.Sorted(maps.Keys(record.Machines)) {
 		if n.names.Machines.Find(name) < 0 && n.replica.Loaded() {
-			continue // a machine that nobody has spoken of since is gone
+			continue // no other record or message names it, so it is gone
 		}
 		machine := n.machineNamed(name)
-		for _, im := range rec.Machines[name] {
-			if im >= 0 && im < len(rec.Names) {
-				machine.images.Add(n.names.Images.Of(rec.Names[im]))
+		for _, image := range record.Machines[name] {
+			if image >= 0 && image < len(record.Names) {
+				machine.images.Add(n.names.Images.Of(record.Names[image]))
 			}
 		}
 	}
 }
 
-// pendingFetchGB sums the images that a machine is fetching, or about to.
+// pendingFetchGB sums the sizes of the images that a machine is fetching or about to
+// fetch.
 func (n *Node) pendingFetchGB(machine *machine) float64 {
 	sum := 0.0
 	for i := range machine.placements {
@@ -86,13 +111,19 @@
 		if job.Record.Spec == nil || machine.images.Has(job.Image) {
 			continue
 		}
-		twice := false
-		for k := range i {
-			twice = twice || n.jobs[machine.placements[k].job].Image == job.Image
-		}
-		if !twice {
+		if !n.fetchesImage(machine.placements[:i], job.Image) {
 			sum += job.Record.Spec.ImageGB
 		}
 	}
 	return sum
 }
+
+// fetchesImage reports whether one of the placed tasks is of a job with an image.
+func (n *Node) fetchesImage(placements []placement, image int) bool {
+	for i := range placements {
+		if n.jobs[placements[i].job].Image == image {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -4,71 +4,103 @@
 	"micaport/internal/wire"
 )
 
-// The message to peers that is left with the state service while one can't be heard.
+// The mailbox: gossip that is left with the state service while a peer can't be reached.
+// Zones that are cut off from each other both reach the service, so the leader goes on
+// knowing the machines on the other side. Nothing depends on it: a message that is lost,
+// late or old costs a better choice, no more.
 
-// writeMailbox leaves the message with the state service while some peer
-// can't be heard. Zones that are cut from each other both reach the service,
-// so the leader goes on knowing the machines on the other side. Nothing rests
-// on it: a message that is lost, late or old costs a better choice, no more.
-// It holds as many changes as fit a value; the rest follows with the next.
-func (n *Node) writeMailbox(m wire.Gossip) {
-	if n.now < n.mailboxAt || !n.storeOK || n.now < 10*second {
+const (
+	// mailboxStartDelay is the time after the start before which peers may not yet have
+	// been heard, which then says nothing.
+	mailboxStartDelay = 10 * second
+	// mailboxNames bounds each list of machines' names in a mailbox message.
+	mailboxNames = 20
+	// mailboxMachineBytes is ample for the view of a machine with six images.
+	mailboxMachineBytes = 40
+	// mailboxListEntries bounds the reservations and holds in a message that had to be
+	// shortened, for each machine that it shows.
+	mailboxListEntries = 8
+)
+
+// writeMailbox writes a message to the state service while some peer can't be reached. It
+// has as many view changes as fit a value; the rest follows with the next.
+func (n *Node) writeMailbox(message wire.Gossip) {
+	if n.now < n.mailboxAt || !n.storeOK || n.now < mailboxStartDelay {
 		return
 	}
-	silent, base := false, n.version
-	for _, x := range n.cfg.Members {
-		if x.Name == n.cfg.Self {
-			continue
-		}
-		if p := n.peers[x.Name]; p == nil || p.byMailbox || n.now-p.heardAt > 3*second {
-			silent = true
-			if p != nil { // one that was never heard may be dead; it will ask
-				base = min(base, n.versionSeenBy(x.Name))
-			}
-		}
-	}
+	base, silent := n.mailboxBase()
 	if !silent {
 		return
 	}
 	n.mailboxAt = n.now + n.cfg.HeartbeatInterval
-	// Controllers that are cut from each other but all reach the service would otherwise
-	// replace each other's leader in turns: only who can be heard directly is evidence.
-	m.Leader = nil
-	m.Returned = m.Returned[max(0, len(m.Returned)-20):]
-	m.Retire = m.Retire[:min(len(m.Retire), 20)]
-	m.Strays = m.Strays[:min(len(m.Strays), 20)]
-	// 40 bytes are ample for a machine, with six images; names and the rest
-	// stay well within a quarter of the value.
-	short := n.withViewChanges(m, base, max(1, n.cfg.MaxValueBytes*5/8/40))
-	for k := len(short.Hosts); k > 1 && !n.valueFits(short); {
-		// Where values are small the rest of the message takes most of one.
-		k /= 2
-		m.Returned, m.Retire, m.Strays = m.Returned[:len(m.Returned)/2], m.Retire[:len(m.Retire)/2], m.Strays[:len(m.Strays)/2]
-		m.Kept, m.Holds = m.Kept[:min(len(m.Kept), 8*k)], m.Holds[:min(len(m.Holds), 8*k)]
-		short = n.withViewChanges(m, base, k)
-	}
-	if !n.valueFits(short) {
+	value := n.mailboxMessage(message, base)
+	if !n.valueFits(value) {
 		return
 	}
-	if short.Ver < n.version {
-		// More is to be told than fits. With hundreds of machines up at once
+	if value.Ver < n.version {
+		// There are more changes than fit. With hundreds of machines up at once
 		// the leader would plan without most of them for a while.
 		n.mailboxAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
 	}
-	n.commit(ClassBackground, nil, []Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: short}}, func(Committed) {})
+	n.transact(ClassBackground, nil, []Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: value}}, ignoreResult{})
+}
+
+// mailboxBase reports whether some peer can't be reached directly, and gives the version
+// of the views that all those have seen.
+func (n *Node) mailboxBase() (base uint64, silent bool) {
+	base = n.version
+	for _, member := range n.cfg.Members {
+		if member.Name == n.cfg.Self {
+			continue
+		}
+		p := n.peers[member.Name]
+		if p != nil && !p.byMailbox && n.now-p.heardAt <= peerAliveTime {
+			continue
+		}
+		silent = true
+		if p != nil { // one that was never heard may not exist; if it does, it will name a version
+			base = min(base, n.versionSeenBy(member.Name))
+		}
+	}
+	return base, silent
+}
+
+// mailboxMessage completes a message with view changes, shortened to what fits a value if
+// possible.
+func (n *Node) mailboxMessage(message wire.Gossip, base uint64) *wire.Gossip {
+	// Controllers that are cut off from each other but all reach the service would otherwise
+	// replace each other's leader in turns: only who can be heard directly is evidence.
+	message.Leader = nil
+	message.Returned = message.Returned[max(0, len(message.Returned)-mailboxNames):]
+	message.Retire = message.Retire[:min(len(message.Retire), mailboxNames)]
+	message.Strays = message.Strays[:min(len(message.Strays), mailboxNames)]
+	// Names and the rest stay well within a quarter of the value.
+	value := n.withViewChanges(message, base, max(1, n.cfg.MaxValueBytes*5/8/mailboxMachineBytes))
+	for count := len(value.Hosts); count > 1 && !n.valueFits(value); {
+		// Where values are small the rest of the message takes most of one.
+		count /= 2
+		message.Returned, message.Retire, message.Strays = message.Returned[:len(message.Returned)/2], message.Retire[:len(message.Retire)/2], message.Strays[:len(message.Strays)/2]
+		message.Kept, message.Holds = message.Kept[:min(len(message.Kept), mailboxListEntries*count)], message.Holds[:min(len(message.Holds), mailboxListEntries*count)]
+		value = n.withViewChanges(message, base, count)
+	}
+	return value
 }
 
-// valueFits tells whether a value is within the limits.
+// valueFits reports whether a value is within the limits of the state service.
 func (n *Node) valueFits(v any) bool {
 	size, err := wire.JSONSize(v)
 	return err == nil && size <= n.cfg.MaxValueBytes
 }
 
-// readMailbox takes a message left with the state service, unless the
-// peer can be heard directly or the message is an old one.
+// readMailbox takes in a message that was left with the state service, unless the
+// peer is reachable directly or the message is an old one.
 func (n *Node) readMailbox(message *wire.Gossip) {
-	if p := n.peers[message.From]; p != nil && (!p.byMailbox && n.now-p.heardAt < 3*second || p.message.Life == message.Life && message.UpS <= p.message.UpS) {
-		return
+	if p := n.peers[message.From]; p != nil {
+		direct := !p.byMailbox && n.now-p.heardAt < peerAliveTime
+		old := p.message.Life == message.Life && message.UpS <= p.message.UpS
+		if direct || old {
+			return
+		}
 	}
 	n.gossipReceived(message)
 	if p := n.peers[message.From]; p != nil && p.message == message {
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -115,6 +115,9 @@
 // applyOutcomes writes the outcomes of tasks to their records, either the urgent ones or
 // the rest.
 func (n *Node) applyOutcomes(writer *writer, room *lazySlots, urgent bool) {
+	if len(n.outcomes) == 0 {
+		return
+	}
 	keys := n.sortedOutcomes()
 	pass := outcomePass{writer: writer, slots: room, records: newRecordRoom(n, writer), firstAt: map[int]Time{}}
 	for _, key := range keys {
--- /dev/null
+++ b/internal/core/view_changes.go
@@ -0,0 +1,80 @@
+package core
+
+import (
+	"slices"
+	"sort"
+
+	"micaport/internal/wire"
+)
+
+// The change log of the views of this controller's own machines. Each change has a version;
+// a peer that has seen all up to one version needs only the later ones.
+
+// viewChange is an entry of the change log; it is out of date once the
+// machine has a later one.
+type viewChange struct {
+	version uint64
+	machine int
+}
+
+// minChangeLog is how many entries the change log may have besides two for each machine
+// before those that are out of date are dropped.
+const minChangeLog = 64
+
+// noteViewChange adds a change of the view of an own machine to the change log.
+func (n *Node) noteViewChange(machine *machine) {
+	n.version++
+	machine.viewVersion = n.version
+	n.changeLog = append(n.changeLog, viewChange{n.version, machine.index})
+	if len(n.changeLog) > 2*len(n.machines)+minChangeLog {
+		n.changeLog = slices.DeleteFunc(n.changeLog, func(c viewChange) bool { return n.machines[c.machine].viewVersion != c.version })
+	}
+}
+
+// withViewChanges completes a message with the views of up to limit machines that changed
+// after the version base. It always takes the earliest changes, so that the receiver has
+// all there is up to the version that the message names, and a message that is lost or
+// repeated does no harm.
+func (n *Node) withViewChanges(message wire.Gossip, base uint64, limit int) *wire.Gossip {
+	message.Since, message.Ver = base, n.version
+	var names wire.Interner
+	first := sort.Search(len(n.changeLog), func(i int) bool { return n.changeLog[i].version > base })
+	for _, change := range n.changeLog[first:] {
+		machine := n.machines[change.machine]
+		n.workCount++
+		if machine.viewVersion != change.version || machine.shard < 0 || !n.mayActAsOwner(n.shards[machine.shard]) || !machine.view.known {
+			continue
+		}
+		if len(message.Hosts) >= limit {
+			message.Ver = change.version - 1
+			break
+		}
+		message.Hosts = append(message.Hosts, n.machineInfo(machine, &names))
+	}
+	for i := range names.Len() {
+		message.Names = append(message.Names, names.Name(i))
+	}
+	return &message
+}
+
+// silenceShift is the lowest bit of the missed heartbeats in the flags of a machine.
+const silenceShift = 8
+
+// machineInfo is the view of an own machine in a message.
+func (n *Node) machineInfo(machine *machine, names *wire.Interner) wire.MachineInfo {
+	view := &machine.view
+	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(n.names.Zones.Name(machine.zone)), Errors: view.errors,
+		Flags: wire.Flags(machine.spot, view.reclaimed, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<silenceShift}
+	if machine.machineType >= 0 {
+		info.Rig = names.Of(n.names.MachineTypes.Name(machine.machineType))
+	}
+	machine.images.Each(func(image int) { info.Images = append(info.Images, names.Of(n.names.Images.Name(image))) })
+	return info
+}
+
+// viewOf is the view of a machine that a message has.
+func viewOf(info *wire.MachineInfo) machineView {
+	flags := info.Flags
+	return machineView{known: true, reclaimed: flags&wire.FlagReclaimed != 0, draining: flags&wire.FlagDraining != 0, unhealthy: flags&wire.FlagUnhealthy != 0,
+		unreachable: flags&wire.FlagUnreachable != 0, unconfirmed: flags&wire.FlagUnconfirmed != 0, missedHeartbeats: flags >> silenceShift, errors: info.Errors}
+}
