--- /dev/null
+++ b/internal/core/ancestor_search_test.go
@@ -0,0 +1,54 @@
+package core
+
+import (
+	"net/http"
+	"testing"
+
+	"micaport/internal/wire"
+)
+
+// Where the replica lags, a repeated submission of a job that is live by its own record
+// is answered from the records of the jobs that it depends on.
+func TestAnswerFromAncestors(t *testing.T) {
+	spec := func(dependencies ...string) *wire.JobSpec {
+		return &wire.JobSpec{Shape: wire.ShapeArray, Dependencies: dependencies}
+	}
+	stored := map[string]*wire.Job{
+		"wk-000001": {State: wire.JobCancelled, TaskCount: 1}, "wk-000002": {TaskCount: 1, Spec: spec("wk-000001")},
+		"wk-000003": {TaskCount: 1, Spec: spec("wk-000002")}, "wk-000005": {TaskCount: 1, Spec: spec()}, "wk-000006": {TaskCount: 1, Spec: spec("wk-000005")},
+	}
+	n := chained()
+	for i, id := range []string{"wk-000001", "wk-000002", "wk-000003", "wk-000005", "wk-000006"} {
+		var dependencies []string
+		if record := stored[id]; record.Spec != nil {
+			dependencies = record.Spec.Dependencies
+		}
+		see(n, 2+i, id, wire.JobLive, nil, dependencies...)
+	}
+	for _, test := range []struct{ name, id, status string }{
+		{"below a cancelled job", "wk-000003", wire.StatusCancelled},
+		{"below a live job", "wk-000006", wire.StatusPending},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			reply, wrote := settle(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submission(t, test.id)}, stored)
+			if reply == nil || reply.Status != http.StatusOK || reply.Body.(wire.JobStatus).Status != test.status || len(wrote) > 0 {
+				t.Errorf("answered with %+v, wrote %+v, want %s", reply, wrote, test.status)
+			}
+		})
+	}
+}
+
+// A repeated submission of a job whose dependency list the replica does not show can't be
+// answered from its ancestors: it is answered 503, not with pending.
+func TestUnknownDependencyListIsNotAnswered(t *testing.T) {
+	n := smallValues()
+	stored := map[string]*wire.Job{"wk-000100": {TaskCount: 1, Spec: &wire.JobSpec{Shape: wire.ShapeArray}, DependencyList: "x", DependencyListKeys: 2}}
+	body, err := wire.Encode(map[string]string{"ref": "wk-000100"})
+	if err != nil {
+		t.Fatalf("encoding a submission: %v", err)
+	}
+	reply, _ := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: body}, stored)
+	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 {
+		t.Errorf("answered with %+v", reply)
+	}
+}
--- /dev/null
+++ b/internal/core/dependency_check_test.go
@@ -0,0 +1,94 @@
+package core
+
+import (
+	"net/http"
+	"testing"
+
+	"micaport/internal/wire"
+)
+
+// The jobs that a submission names: those that another controller accepted a moment ago are
+// read; one that is done is left out, as it stays done; one that is cancelled cancels the
+// new job; and one that was never accepted, or runs until it is cancelled, refuses it.
+func TestSubmissionNamesJobs(t *testing.T) {
+	live := func(shape string) *wire.Job {
+		return &wire.Job{TaskCount: 1, Spec: &wire.JobSpec{ID: "x", Shape: shape}}
+	}
+	stored := map[string]*wire.Job{
+		"wk-000020": live(wire.ShapeArray), "wk-000021": {State: wire.JobDone, TaskCount: 1}, "wk-000022": {State: wire.JobCancelled, TaskCount: 1},
+		"wk-000023": live(wire.ShapeDaemon),
+	}
+	for _, test := range []struct {
+		name         string
+		dependencies []string
+		status       int
+		state        wire.JobState // of the new job
+		remaining    int           // its dependencies
+	}{
+		{"live in the replica", []string{"wk-000001"}, http.StatusCreated, wire.JobLive, 1},
+		{"done in the replica", []string{"wk-000002"}, http.StatusCreated, wire.JobLive, 0},
+		{"cancelled in the replica", []string{"wk-000003"}, http.StatusCreated, wire.JobCancelled, 0},
+		{"below a cancelled job, which its own record does not say", []string{"wk-000004"}, http.StatusCreated, wire.JobCancelled, 0},
+		{"named twice", []string{"wk-000020", "wk-000001", "wk-000020"}, http.StatusCreated, wire.JobLive, 2},
+		{"done by its record", []string{"wk-000021"}, http.StatusCreated, wire.JobLive, 0},
+		{"cancelled by its record", []string{"wk-000020", "wk-000022"}, http.StatusCreated, wire.JobCancelled, 0},
+		{"a daemon by its record", []string{"wk-000023"}, http.StatusUnprocessableEntity, 0, 0},
+		{"a daemon in the replica", []string{"wk-000005"}, http.StatusUnprocessableEntity, 0, 0},
+		{"never accepted", []string{"wk-000020", "wk-000099"}, http.StatusUnprocessableEntity, 0, 0},
+		{"itself", []string{"wk-000100"}, http.StatusUnprocessableEntity, 0, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			n := chained()
+			see(n, 2, "wk-000001", wire.JobLive, nil)
+			see(n, 3, "wk-000002", wire.JobDone, nil)
+			see(n, 4, "wk-000003", wire.JobCancelled, nil)
+			see(n, 5, "wk-000004", wire.JobLive, nil, "wk-000003")
+			see(n, 6, "wk-000005", wire.JobLive, func(spec *wire.JobSpec) { spec.Shape = wire.ShapeDaemon })
+			reply, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", test.dependencies...)}, stored)
+			if reply == nil || reply.Status != test.status {
+				t.Fatalf("answered with %+v, want status %d", reply, test.status)
+			}
+			if (len(wrote) > 0) != (test.status == http.StatusCreated) {
+				t.Errorf("wrote %+v with status %d", wrote, test.status)
+			}
+			for _, write := range wrote {
+				record := write.Value.(*wire.Job)
+				if record.State != test.state || (record.Spec != nil && len(record.Spec.Dependencies) != test.remaining) || (record.Spec == nil) != (test.state == wire.JobCancelled) {
+					t.Errorf("recorded %+v, want state %v and %d dependencies", record, test.state, test.remaining)
+				}
+			}
+		})
+	}
+}
+
+// Before every controller has recorded that it reads them, a job with dependencies is
+// answered 503, and nothing new is written.
+func TestNothingNewBeforeAllAreUpgraded(t *testing.T) {
+	n := chained(Member{"n0", "a"}, Member{"n1", "a"})
+	see(n, 2, "wk-000001", wire.JobLive, nil)
+	submit := func(id uint64) UserRequest {
+		return UserRequest{RequestID: id, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", "wk-000001")}
+	}
+	reply, wrote := settle(n, submit(1), nil)
+	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 || n.replica.OverflowKeys() > 0 {
+		t.Errorf("before the upgrade: answered with %+v, wrote %+v", reply, wrote)
+	}
+	// Nor is it forwarded to a peer, which may be of the version before.
+	n.storeOK = false
+	n.peers["n1"] = &peer{heardAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
+	for _, e := range n.Step(n.now+1, submit(3)) {
+		if _, is := e.(Forward); is {
+			t.Error("forwarded before all are upgraded")
+		}
+	}
+	n.storeOK = true
+	n.Step(n.now+1, RecordsChanged{Revision: 9, Events: []Event{{Key: wire.FormatPrefix + "n1", Revision: 9, Value: &wire.SupportedFormat{Format: 2}}}})
+	if reply, wrote = settle(n, submit(2), nil); reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
+		t.Errorf("after the upgrade: answered with %+v, wrote %+v", reply, wrote)
+	}
+	// The format never goes back.
+	n.Step(n.now+1, RecordsChanged{Revision: 10, Events: []Event{{Key: wire.FormatPrefix + "n1", Revision: 10, Value: &wire.SupportedFormat{Format: 1}}}})
+	if !n.replica.WritesDependencies() {
+		t.Error("went back to the format before")
+	}
+}
--- /dev/null
+++ b/internal/core/node_harness_test.go
@@ -0,0 +1,176 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"micaport/internal/wire"
+)
+
+// chained is a controller alone, after its upgrade, that knows a machine type.
+func chained(members ...Member) *Node { return chainedWith(func(*Config) {}, members...) }
+
+// chainedWith is chained with a changed configuration.
+func chainedWith(change func(*Config), members ...Member) *Node {
+	if members == nil {
+		members = []Member{{"n0", "a"}}
+	}
+	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []Team{{Name: "t"}},
+		HeartbeatInterval: 4 * second, WorkerLease: 30 * second, OwnerValidity: 23 * second, LeaderLease: 5 * second, MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8,
+		WallClockMS: func() int64 { return 1_000_000 }}
+	change(&cfg)
+	n := New(cfg)
+	n.Step(second, RecordsChanged{Reset: true, Revision: 1, Events: []Event{{Key: wire.FormatPrefix + "n0", Revision: 1, Value: &wire.SupportedFormat{Format: wire.Format}}}})
+	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
+	return n
+}
+
+// see shows a controller the record of a job, with a specification that mod changes
+// unless it is nil.
+func see(n *Node, revision int, id string, state wire.JobState, mod func(*wire.JobSpec), dependencies ...string) {
+	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: dependencies}
+	if mod != nil {
+		mod(spec)
+	}
+	record := &wire.Job{Spec: spec, TaskCount: 1, State: state, AcceptedAtMS: 1_000_000, NextAttempt: 1}
+	if state != wire.JobLive {
+		record.Spec = nil
+	}
+	n.Step(n.now+1, RecordsChanged{Revision: uint64(revision), Events: []Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
+}
+
+// submission is the body of a submission.
+func submission(t *testing.T, id string, dependencies ...string) []byte {
+	t.Helper()
+	fields := map[string]any{"ref": id, "job_class": "c", "studio": "t", "shape": "array", "urgency": "low", "frames": 1, "cores": 1.0, "cards": 0.0,
+		"memory_gb": 1.0, "toolkit": "i", "size_gb": 1.0, "same_place": false, "spread": false, "loaner": true, "expected_s": 10.0,
+		"snapshot_every_s": 0.0, "snapshot_s": 0.0}
+	if dependencies != nil {
+		fields["waits_on"] = dependencies
+	}
+	body, err := wire.Encode(fields)
+	if err != nil {
+		t.Fatalf("encoding a submission: %v", err)
+	}
+	return body
+}
+
+// settle plays a state service with the given records until nothing is under way, and
+// gives the reply to a request, with what was written for users.
+func settle(n *Node, in Input, stored map[string]*wire.Job) (reply *Reply, wrote []Write) {
+	inputs := []Input{in}
+	for len(inputs) > 0 {
+		in, inputs = inputs[0], inputs[1:]
+		for _, e := range n.Step(n.now+1, in) {
+			switch effect := e.(type) {
+			case ReadJob:
+				if record := stored[effect.JobID]; record != nil {
+					inputs = append(inputs, JobRead{ID: effect.ID, Outcome: OK, Revision: 7, Job: record})
+				} else {
+					inputs = append(inputs, JobRead{ID: effect.ID, Outcome: NotFound})
+				}
+			case Commit:
+				if effect.Class == ClassUser && len(effect.Writes) > 0 {
+					wrote = append(wrote, effect.Writes...)
+				}
+				inputs = append(inputs, Committed{ID: effect.ID, Outcome: OK, Revision: n.replica.Revision()})
+			case Reply:
+				reply = &effect
+			}
+		}
+	}
+	return reply, wrote
+}
+
+// drive is a controller alone with a state service that carries everything
+// out at once.
+type drive struct {
+	n   *Node
+	now Time
+	rev uint64
+	out []Effect // effects that are not for the state service
+	lag bool     // the watch hangs: checks name a revision that the replica has not reached
+}
+
+func (d *drive) step(in Input) {
+	for _, e := range d.n.Step(d.now, in) {
+		switch effect := e.(type) {
+		case RenewLease:
+			d.step(LeaseAnswered{ID: effect.ID, Outcome: OK, LeaseID: max(effect.LeaseID, 7)})
+		case Commit:
+			d.commit(effect)
+		case Log:
+		default:
+			d.out = append(d.out, e)
+		}
+	}
+}
+
+// commit carries out a transaction, and shows it to the controller unless the watch hangs.
+func (d *drive) commit(commit Commit) {
+	if d.lag {
+		d.step(Committed{ID: commit.ID, Outcome: OK, Revision: d.rev + 1})
+		return
+	}
+	if len(commit.Writes) > 0 {
+		d.rev++
+	}
+	changes := RecordsChanged{Revision: d.rev}
+	for _, write := range commit.Writes {
+		changes.Events = append(changes.Events, Event{Key: write.Key, Revision: d.rev, Value: write.Value})
+	}
+	d.step(Committed{ID: commit.ID, Outcome: OK, Revision: d.rev})
+	d.step(changes)
+}
+
+// wait lets time pass, with a tick every 50 ms.
+func (d *drive) wait(duration Time) {
+	for end := d.now + duration; d.now < end; {
+		d.now += 50 * time.Millisecond
+		d.step(Tick{})
+	}
+}
+
+// put shows the controller a record of the job wk-000001.
+func (d *drive) put(job *wire.Job) {
+	d.rev++
+	d.step(RecordsChanged{Revision: d.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: job}}})
+}
+
+// report sends a heartbeat of the machine vm-1, and drops the effects before it.
+func (d *drive) report(seq, token uint64, tasks ...wire.TaskStatus) {
+	d.out = nil
+	d.step(WorkerReported{RequestID: seq, Heartbeat: &wire.WorkerHeartbeat{Machine: "vm-1", Addr: "10.0.0.9:1", MachineType: "g", Zone: "a", Epoch: 1, Sequence: seq, Token: token, Tasks: tasks}})
+}
+
+// reply is the first answer since the last heartbeat, or nil.
+func (d *drive) reply() *Reply {
+	for _, e := range d.out {
+		if reply, ok := e.(Reply); ok {
+			return &reply
+		}
+	}
+	return nil
+}
+
+// commands are those in the answer to the last heartbeat, which comes within 4 s.
+func (d *drive) commands(t *testing.T) []wire.Command {
+	t.Helper()
+	d.wait(4 * second)
+	reply := d.reply()
+	if reply == nil {
+		t.Fatal("the heartbeat was not answered")
+	}
+	return reply.Body.(wire.HeartbeatReply).Commands
+}
+
+// directStarts are the first commands since the last heartbeat that went to the worker's
+// own address, or nil.
+func (d *drive) directStarts() *SendCommands {
+	for _, e := range d.out {
+		if commands, ok := e.(SendCommands); ok {
+			return &commands
+		}
+	}
+	return nil
+}
