--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -21,7 +21,7 @@
 	for i := 1; i < many; i++ {
 		see(n, 2+many+i, name(many+i), wire.JobLive, nil, name(0))
 	}
-	n.leader.record = nil
+	n.putLeader(nil, 4*many)
 	see(n, 5*many, name(0), wire.JobCancelled, nil)
 	if n.replica.UnrecordedCancellations() != 2*many-2 {
 		t.Errorf("%d jobs were visited, not %d once each", n.replica.UnrecordedCancellations(), 2*many-2)
--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -64,7 +64,7 @@
 // Before every controller has recorded that it reads them, a job with dependencies is
 // answered 503, and nothing new is written.
 func TestNothingNewBeforeAllAreUpgraded(t *testing.T) {
-	n := chained(Member{"n0", "a"}, Member{"n1", "a"})
+	n := chained(Member{Name: "n0", Zone: "a"}, Member{Name: "n1", Zone: "a"})
 	see(n, 2, "wk-000001", wire.JobLive, nil)
 	submit := func(id uint64) UserRequest {
 		return UserRequest{RequestID: id, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", "wk-000001")}
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -133,7 +133,7 @@
 // Before every controller reads such lists none is written: the submission is answered 503,
 // while one that its record has room for is accepted.
 func TestNoDependencyListBeforeAllReadIt(t *testing.T) {
-	n := smallValues(Member{"n0", "a"}, Member{"n1", "a"})
+	n := smallValues(Member{Name: "n0", Zone: "a"}, Member{Name: "n1", Zone: "a"})
 	reads := func(revision uint64, name string, format int) {
 		n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []Event{{Key: wire.FormatPrefix + name, Revision: revision, Value: &wire.SupportedFormat{Format: format}}}})
 	}
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -74,11 +74,7 @@
 	message.Retire = n.leader.drainList(n)
 	message.Returned = n.leader.recentlyReturned(n)
 	message.Kept = n.leader.reservations
-	for _, key := range n.gangKeys() {
-		if gang := n.gangs[key]; gang.Record.State != wire.GangDropped {
-			message.Tries = append(message.Tries, wire.GangHold{Ref: gang.JobID, Attempt: gang.Record.Attempt, OK: gang.Record.State == wire.GangConfirmed})
-		}
-	}
+	message.Tries = n.gangs.Announced()
 }
 
 // versionSeenBy is the version of the views of this controller's machines that a peer has
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -64,7 +64,7 @@
 }
 
 func (n *Node) receiveMachine(message *wire.Gossip, info *wire.MachineInfo) {
-	index := n.shardOf(n.names.Zones.Find(messageName(message, info.Zone)), info.Name)
+	index := n.ownership.ShardOf(n.names.Zones.Find(messageName(message, info.Zone)), info.Name)
 	if index < 0 {
 		return
 	}
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -8,7 +8,7 @@
 
 // followLeader does what the leader's message asks of the owners of shards.
 func (n *Node) followLeader(message *wire.Gossip) {
-	if n.leader.record == nil || n.leader.record.Controller != message.From {
+	if n.leadership.Record() == nil || n.leadership.Record().Controller != message.From {
 		return
 	}
 	for _, name := range message.Returned {
--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -13,7 +13,7 @@
 // chainedWith is chained with a changed configuration.
 func chainedWith(change func(*Config), members ...Member) *Node {
 	if members == nil {
-		members = []Member{{"n0", "a"}}
+		members = []Member{{Name: "n0", Zone: "a"}}
 	}
 	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []Team{{Name: "t"}},
 		HeartbeatInterval: 4 * second, WorkerLease: 30 * second, OwnerValidity: 23 * second, LeaderLease: 5 * second, MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8,
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -24,7 +24,7 @@
 		jobs           = 100_000
 		maxBytesPerJob = 450
 	)
-	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
+	n := New(Config{Self: "n0", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
 		WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 1})
 	seeRecord := func(revision int, id string, record *wire.Job) {
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -70,7 +70,7 @@
 	query := revisionQuery{status.waiting}
 	status.waiting, status.querying, status.queryAt = nil, true, n.now+n.statusInterval()
 	// Whether the condition holds makes no difference: either answer names the revision.
-	n.transact(ClassUser, []Condition{{Key: wire.LeaderKey, Revision: n.leader.term}}, nil, query)
+	n.transact(ClassUser, []Condition{{Key: wire.LeaderKey, Revision: n.leadership.Term()}}, nil, query)
 }
 
 // committed takes the revision that the state service has named.
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -10,7 +10,7 @@
 // (worker_reply.go), or with the owner of the machine (worker_redirect.go).
 func (n *Node) workerHeartbeat(in WorkerReported) {
 	heartbeat := in.Heartbeat
-	index := n.shardOf(n.names.Zones.Find(heartbeat.Zone), heartbeat.Machine)
+	index := n.ownership.ShardOf(n.names.Zones.Find(heartbeat.Zone), heartbeat.Machine)
 	if index < 0 || heartbeat.Machine == "" {
 		n.refuseHeartbeat(in.RequestID, "unknown zone")
 		return
