--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -116,8 +116,8 @@
 }
 
 // awaitsPlacement reports whether the record holds a grant that has no machine yet.
-func (job *job) awaitsPlacement(key taskKey) bool {
-	return job.Record != nil && job.Unplaced > 0 && slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool {
+func (j *job) awaitsPlacement(key taskKey) bool {
+	return j.Record != nil && j.Unplaced > 0 && slices.ContainsFunc(j.Record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Task == key.task && task.Attempt == key.attempt && task.Machine == ""
 	})
 }
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -11,7 +11,7 @@
 
 const (
 	// mailboxStartDelay is the time after the start before which peers may not yet have
-	// been heard, which then says nothing.
+	// been reached, which then says nothing.
 	mailboxStartDelay = 10 * second
 	// mailboxNames bounds each list of machines' names in a mailbox message.
 	mailboxNames = 20
@@ -58,7 +58,7 @@
 			continue
 		}
 		silent = true
-		if p != nil { // one that was never heard may not exist; if it does, it will name a version
+		if p != nil { // one that was never reached may not exist; if it does, it will name a version
 			base = min(base, n.versionSeenBy(member.Name))
 		}
 	}
@@ -69,7 +69,7 @@
 // possible.
 func (n *Node) mailboxMessage(message wire.Gossip, base uint64) *wire.Gossip {
 	// Controllers that are cut off from each other but all reach the service would otherwise
-	// replace each other's leader in turns: only who can be heard directly is evidence.
+	// replace each other's leader in turns: only what a peer says directly is evidence.
 	message.Leader = nil
 	message.Returned = message.Returned[max(0, len(message.Returned)-mailboxNames):]
 	message.Retire = message.Retire[:min(len(message.Retire), mailboxNames)]
--- a/internal/core/owned_capacity.go
+++ b/internal/core/owned_capacity.go
@@ -12,7 +12,7 @@
 	return r.set
 }
 
-// reservationTimeout is how long the leader's reservations hold after it last told of them.
+// reservationTimeout is how long the leader's reservations hold after its last message.
 const reservationTimeout = 5 * second
 
 // ownedSlots lists the room on the machines of this controller's shards, less what is
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -55,7 +55,7 @@
 	case !machine.tokenConfirmed && !machine.newlyBooted,
 		machine.ignoredReplies > 0,
 		n.now-machine.heartbeatAt >= 3*n.cfg.HeartbeatInterval:
-		return false // it may not start what it is told to
+		return false // its worker may not carry out a start
 	case machine.reclaimAt != 0, machine.draining, machine.returned, machine.unhealthy, n.now < machine.noCapacityUntil:
 		return false
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -171,4 +171,4 @@
 }
 
 // shardTerm is the term of the shard that the machine belongs to.
-func (machine *machine) shardTerm(n *Node) uint64 { return n.shards[machine.shard].Term }
+func (m *machine) shardTerm(n *Node) uint64 { return n.shards[m.shard].Term }
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -69,9 +69,9 @@
 }
 
 // forget drops what is known of a machine; it is learnt anew if it reports again.
-func (machine *machine) forget() {
-	machine.view, machine.reportedTasks, machine.startSentAt, machine.directStarts, machine.failedJobs, machine.images = machineView{}, nil, nil, nil, nil, nil
-	machine.term = 0
+func (m *machine) forget() {
+	m.view, m.reportedTasks, m.startSentAt, m.directStarts, m.failedJobs, m.images = machineView{}, nil, nil, nil, nil, nil
+	m.term = 0
 }
 
 // isUnreachable reports whether a silent machine has failed or hangs, rather than being
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -60,7 +60,7 @@
 }
 
 // askRevision queries the revision for the status queries that wait, if it is time. The
-// replica at that revision is at least as new as anything that any user was told before
+// replica at that revision is at least as new as any answer that a user got before
 // the queries came, so a job's status never goes back.
 func (n *Node) askRevision() {
 	status := &n.users.status
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -162,7 +162,7 @@
 // write takes a task that has ended out of its record, and places a lost one anew.
 func (p *outcomePass) write(n *Node, record *wire.Job, key taskKey, outcome taskOutcome, task wire.ActiveTask) {
 	// Once: an end that is applied twice would count an error twice and
-	// put two tasks where one was.
+	// place two tasks where one was.
 	p.writer.exitedTasks[key] = true
 	p.writer.shards[task.Shard] = true
 	job := n.jobs[key.job]
@@ -172,7 +172,7 @@
 	}
 }
 
-// sortedOutcomes lists the tasks whose ends have been noted, in a fixed order.
+// sortedOutcomes lists the tasks whose ends have been noted, sorted by key.
 func (n *Node) sortedOutcomes() []taskKey {
 	return slices.SortedFunc(maps.Keys(n.outcomes), func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// overdue lists the requests whose deadline has passed, in order of their ids.
+// overdue lists the requests whose deadline has passed, sorted by id.
 func (u *userState) overdue(now Time) []*pendingRequest {
 	var late []*pendingRequest
 	for _, request := range u.requests {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// noteResponsiveness has the peers told when a machine turns out not to get the answers,
-// or may not.
+// noteResponsiveness notes whether a machine gets the answers, and has a change sent to
+// the peers at once.
 func (n *Node) noteResponsiveness(shard *shard, machine *machine, ignoredBefore int) {
 	unresponsive := machine.ignoredReplies >= maxIgnoredReplies && !n.manyUnresponsive(shard)
 	if unresponsive == machine.unresponsive && machine.ignoredReplies == ignoredBefore {
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -43,7 +43,7 @@
 }
 
 // noteRedirect notes that a worker is sent to its owner, and whether it can't reach it: it
-// was sent there before and is back, or its owner has told that it misses its heartbeats.
+// was sent there before and is back, or its owner says that it misses its heartbeats.
 func (n *Node) noteRedirect(shard *shard, machine *machine) {
 	away := n.now - machine.redirectedAt
 	bounced := machine.redirectedAt > 0 && away > minBounceTime && away < maxBounceTime
@@ -58,11 +58,11 @@
 
 // isRedirectedCopy reports whether a heartbeat that came to another controller than the
 // owner is a copy of what came before.
-func (machine *machine) isRedirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
-	if machine.strayEpoch > heartbeat.Epoch || machine.strayEpoch == heartbeat.Epoch && machine.straySequence >= heartbeat.Sequence {
+func (m *machine) isRedirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
+	if m.strayEpoch > heartbeat.Epoch || m.strayEpoch == heartbeat.Epoch && m.straySequence >= heartbeat.Sequence {
 		return true
 	}
-	machine.strayEpoch, machine.straySequence = heartbeat.Epoch, heartbeat.Sequence
+	m.strayEpoch, m.straySequence = heartbeat.Epoch, heartbeat.Sequence
 	return false
 }
 
@@ -91,7 +91,7 @@
 }
 
 // strayMachineNames names the machines of other owners that came here lately although
-// their owners miss their heartbeats, in order of name. Peers need all of these, as one
+// their owners miss their heartbeats, sorted by name. Peers need all of these, as one
 // that is left out counts as lost and is returned, and no others: after an owner's
 // failure its machines, thousands at a large site, all come to its peers at once.
 func (n *Node) strayMachineNames() []string {
