--- a/internal/core/arrival_reserve.go
+++ b/internal/core/arrival_reserve.go
@@ -141,7 +141,7 @@
 				s = pass.expected.best(job, nil, nil)
 			}
 			if s == nil {
-				s = pass.provisionFor(&queuedJob{job: job}, func(*slot) bool { return true })
+				s = pass.provisionFor(job, func(*slot) bool { return true })
 			}
 			if s == nil {
 				break
--- a/internal/core/gang_placement.go
+++ b/internal/core/gang_placement.go
@@ -180,7 +180,7 @@
 		queued.job.preemptAt = pass.node.now + 3*pass.node.cfg.HeartbeatInterval
 	}
 	for range best.provision {
-		s := pass.provisionFor(queued, func(s *slot) bool { return best.zone < 0 || s.zone == best.zone })
+		s := pass.provisionFor(queued.job, func(s *slot) bool { return best.zone < 0 || s.zone == best.zone })
 		if s == nil {
 			return
 		}
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -408,7 +408,7 @@
 		queued.noExpectedRoom = s == nil && queued.hasNoZoneRule()
 	}
 	if s == nil {
-		s = pass.provisionFor(queued, func(s *slot) bool { return fits(s) && (s.spot || !pass.isBackfill(queued)) })
+		s = pass.provisionFor(queued.job, func(s *slot) bool { return fits(s) && (s.spot || !pass.isBackfill(queued)) })
 	}
 	if s == nil {
 		return false
@@ -445,8 +445,8 @@
 			return true
 		}
 	}
-	for _, x := range pass.pools(job) {
-		if x.spot && pass.mayProvision(x.machinePool) {
+	for _, pool := range pass.pools(job) {
+		if pool.spot && pass.node.leader.autoscaler.mayRequest(pass.node.now, pool.machinePool) {
 			return true
 		}
 	}
--- a/internal/core/scheduling_pass.go
+++ b/internal/core/scheduling_pass.go
@@ -44,7 +44,7 @@
 	pass.addMachines()
 	pass.chargeTeams()
 	pass.chargeGrants()
-	n.addExpected(pass)
+	pass.addExpectedMachines()
 	idle := pass.idleSlots()
 	queues, backfill := pass.splitBackfill(n.queues())
 	left := pass.serveQueues(queues)
@@ -58,7 +58,8 @@
 	left += (pass.serveQueues(backfill) - left) / backfillShare
 	pass.distributeShares()
 	pass.logUtilization(idle)
-	n.scale(pass, idle)
+	pass.requestMachines()
+	n.scaleIn(pass, idle)
 	return left
 }
 
--- a/internal/core/stage_planning.go
+++ b/internal/core/stage_planning.go
@@ -119,7 +119,7 @@
 			s = pass.expected.best(job, allowed, nil)
 		}
 		if s == nil {
-			s = pass.provisionFor(&queuedJob{job: job}, allowed)
+			s = pass.provisionFor(job, allowed)
 		}
 		if s == nil {
 			return
