--- a/internal/core/backfill.go
+++ b/internal/core/backfill.go
@@ -38,15 +38,3 @@
 
 // backfillWaitTime is how long backfill waits before it may have ordinary machines.
 const backfillWaitTime = 60 * second
-
-// reserveRoom keeps free room from backfill for tasks that will probably come before
-// backfill could be stopped for them, which takes two reports of a machine.
-func (pass *schedulingPass) reserveRoom(job *job, tasks int) {
-	for range tasks {
-		slot := pass.available.best(job, nil, nil)
-		if slot == nil {
-			return
-		}
-		slot.take(job.Record.Spec)
-	}
-}
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -72,10 +72,13 @@
 }
 
 // guarantees tells whether a team has a guarantee that covers a use.
-func guarantees(t *Team, used usage) bool {
-	return (t.GuaranteedGPUs > 0 || t.GuaranteedCores > 0) && !exceeds(used.cards, t.GuaranteedGPUs) && !exceeds(used.cores, t.GuaranteedCores)
+func guarantees(team *Team, used usage) bool {
+	return hasGuarantee(team) && !exceeds(used.cards, team.GuaranteedGPUs) && !exceeds(used.cores, team.GuaranteedCores)
 }
 
+// hasGuarantee reports whether a team has a guarantee of anything.
+func hasGuarantee(team *Team) bool { return team.GuaranteedGPUs > 0 || team.GuaranteedCores > 0 }
+
 // isDeferred tells whether a job is not to be granted anything now: it failed lately,
 // its record is being written, or its owners are about to place what was granted.
 func (n *Node) isDeferred(job *job) bool {
@@ -286,17 +289,7 @@
 		if queued.avoidsIdle && !s.spot && s.isIdle() {
 			return false
 		}
-		if spec.Spread && zones[s.zone] >= zoneLimit(spec) {
-			return false
-		}
-		if spec.SameZone {
-			for z, c := range zones {
-				if c > 0 && z != s.zone {
-					return false
-				}
-			}
-		}
-		return true
+		return allowsZone(spec, zones, s.zone)
 	}
 }
 
--- a/internal/core/stage_planning_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -12,19 +12,19 @@
 func TestEstimatesAreCorrected(t *testing.T) {
 	var r runTimeEstimator
 	for range minRunSamples - 1 {
-		r.add("c", 20*second, 10)
+		r.observe("c", 20*second, 10)
 	}
 	if got := r.correction("c"); got != 1 {
 		t.Errorf("corrected by %v after too few jobs", got)
 	}
-	r.add("c", 500*second, 10) // one that waited does not count for more than others
+	r.observe("c", 500*second, 10) // one that waited does not count for more than others
 	if got := r.correction("c"); got != 2 {
 		t.Errorf("corrected by %v, not 2", got)
 	}
 	for range maxRunSamples {
-		r.add("c", second, 10)
-		r.add("d", 900*second, 10)
-		r.add("daemon", second, 0)
+		r.observe("c", second, 10)
+		r.observe("d", 900*second, 10)
+		r.observe("daemon", second, 0)
 	}
 	for class, want := range map[string]float64{"c": minCorrection, "d": maxCorrection, "daemon": 1, "other": 1} {
 		if got := r.correction(class); got != want {
@@ -107,7 +107,7 @@
 func TestDeadlineGoesByCorrectedTimes(t *testing.T) {
 	n := chained()
 	for range minRunSamples {
-		n.runTimeEstimator.add("c", 30*second, 10)
+		n.runTimeEstimator.observe("c", 30*second, 10)
 	}
 	see(n, 2, "wk-000001", wire.JobLive, nil)
 	see(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
--- a/internal/core/scheduling_pass.go
+++ b/internal/core/scheduling_pass.go
@@ -53,7 +53,7 @@
 		n.sendGossip(true)
 	}
 	pass.planNextStages()
-	pass.planReserve()
+	pass.reserveForArrivals()
 	// Backfill must not claim the writes that others need.
 	left += (pass.serveQueues(backfill) - left) / backfillShare
 	pass.distributeShares()
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -8,10 +8,10 @@
 // records it has to write and takes the share that follows. So what is decided is written
 // at once, before others change the records that the decision is based on.
 type writeBudget struct {
-	available      float64
-	availableAt    Time
-	rate           float64
-	rateUpdatedAt  Time
+	available      float64 // writes that we may send now
+	availableAt    Time    // when that was worked out
+	rate           float64 // our share of the writes, per second
+	rateUpdatedAt  Time    // when the rate is worked out next
 	backlogSeconds float64 // seconds that the pending records of all controllers take to write
 	seenWrites     float64 // writes that our watch has shown since measuredAt
 	measuredAt     Time
@@ -19,100 +19,160 @@
 
 	seenUserWrites int     // submissions and cancellations among those
 	userWritesPerS float64 // the same as a moving average
-	reducedUntil   Time    // until then the service's next rate is kept to
-	reducedFor     Time    // for how long that was last
+	reducedUntil   Time    // until then we keep to the service's next, lower rate
+	reducedFor     Time    // for how long we did so after the last refusal
 	pendingRecords int     // records that wait to be written by us
 	pendingGrants  int     // of these, grants that the leader's last pass had no write left for
 }
 
+const (
+	// minReducedTime is for how long we keep to the service's next rate after a first refusal.
+	minReducedTime = 20 * second
+	// rateInterval lies between two calculations of our share of the writes.
+	rateInterval = 200 * time.Millisecond
+	// writeBurstSeconds is how many seconds' worth of writes all controllers together may
+	// save up: the service allows a burst of a second, and rarely all have saved up.
+	writeBurstSeconds = 1.5
+	// silentPeerTime is how long the need that a peer has reported counts.
+	silentPeerTime = 5 * second
+	// equalSharesPerMinimum says what a controller gets at least: one equal share in so many.
+	equalSharesPerMinimum = 3
+
+	// Bounds of the share of the writes that goes to the background, and how it falls with
+	// the users' writes: these would be refused otherwise.
+	minBackgroundShare  = 0.5
+	maxBackgroundShare  = 0.9
+	idleBackgroundShare = 0.95
+	userWriteWeight     = 1.25
+
+	// Writes are scarce from when the pending ones take fullScarcitySeconds, or when
+	// more than freeUtilization of all writes are in use; see scarcity.
+	fullScarcitySeconds   = 2
+	freeUtilization       = 0.25
+	scarcityByUtilization = 3
+
+	// measureSeconds is how long writes are counted before the averages follow them, and
+	// averageSeconds is the time constant of the averages.
+	measureSeconds = 2
+	averageSeconds = 8
+
+	// resultsPerRecord is how many results of tasks that are not urgent count as one
+	// record to be written: they go together with others.
+	resultsPerRecord = 4
+)
+
 // noteRefusal notes that the service refused writes as too many: its next, lower rate may
 // be in force already. We keep to that for a while, twice as long after each refusal.
-func (p *writeBudget) noteRefusal(now Time) {
-	if now < p.reducedUntil {
+func (budget *writeBudget) noteRefusal(now Time) {
+	if now < budget.reducedUntil {
 		return
 	}
-	p.reducedFor = max(20*second, 2*p.reducedFor)
-	p.reducedUntil = now + p.reducedFor
+	budget.reducedFor = max(minReducedTime, 2*budget.reducedFor)
+	budget.reducedUntil = now + budget.reducedFor
 }
 
-// writeRPS is how many puts a second the service takes, as far as is seen.
-func (n *Node) writeRPS() float64 {
-	if next := n.cfg.NextWriteRPS; next > 0 && n.now < n.budget.reducedUntil {
-		return min(next, n.cfg.WriteRPS)
+// serviceRate is how many writes a second the service allows, as far as is known; 0 or less
+// means that there is no limit.
+func (budget *writeBudget) serviceRate(now Time, cfg *Config) float64 {
+	if next := cfg.NextWriteRPS; next > 0 && now < budget.reducedUntil {
+		return min(next, cfg.WriteRPS)
 	}
-	return n.cfg.WriteRPS
+	return cfg.WriteRPS
 }
 
-// backgroundShare is the part of the writes that is shared in proportion to need: nine tenths,
-// and less where users submit and cancel a lot, as they would be refused otherwise.
-func (n *Node) backgroundShare() float64 {
-	return max(0.5, min(0.9, 0.95-1.25*n.budget.userWritesPerS/n.writeRPS()))
+// backgroundShare is the share of the writes that is distributed in proportion to need: nine
+// tenths, and less while users submit and cancel a lot.
+func (budget *writeBudget) backgroundShare(serviceRate float64) float64 {
+	return max(minBackgroundShare, min(maxBackgroundShare, idleBackgroundShare-userWriteWeight*budget.userWritesPerS/serviceRate))
 }
 
-// availableWrites is how many puts we may send now.
-func (n *Node) availableWrites() int {
-	if n.writeRPS() <= 0 {
-		return n.cfg.MaxTransactionOps
-	}
-	p := &n.budget
-	if n.now >= p.rateUpdatedAt {
-		p.rateUpdatedAt = n.now + 200*time.Millisecond
-		p.pendingRecords = n.countPendingRecords()
-		p.rate = n.ownWriteRate()
+// refill adds the writes that our rate has allowed since the last call.
+func (budget *writeBudget) refill(now Time, serviceRate float64, cfg *Config) {
+	// All controllers together stay within the burst that the service allows.
+	most := max(float64(cfg.MaxBatchWrites), writeBurstSeconds*serviceRate/float64(len(cfg.Members))) + 1
+	budget.available = min(budget.available+budget.rate*(now-budget.availableAt).Seconds(), most)
+	budget.availableAt = now
+}
+
+// updateRate works out our share of the writes from the records that we and all controllers
+// together have to write. Each counts one more than it has, so that it is never without.
+func (budget *writeBudget) updateRate(serviceRate float64, ownNeed, totalNeed float64, controllers int) {
+	all := serviceRate * budget.backgroundShare(serviceRate)
+	budget.backlogSeconds = (totalNeed - float64(controllers)) / all
+	budget.rate = max(all*ownNeed/totalNeed, all/float64(equalSharesPerMinimum*controllers))
+}
+
+// scarcity goes from 0, when what is decided is written at once, to 1, when what waits takes
+// fullScarcitySeconds and more or well over half of all writes are in use: then it pays to
+// write less, at some delay.
+func (budget *writeBudget) scarcity(serviceRate float64) float64 {
+	if serviceRate <= 0 {
+		return 0
 	}
-	// All together stay within the burst of a second that the service allows.
-	most := max(float64(n.cfg.MaxBatchWrites), 1.5*n.writeRPS()/float64(len(n.cfg.Members))) + 1
-	p.available = min(p.available+p.rate*(n.now-p.availableAt).Seconds(), most)
-	p.availableAt = n.now
-	return int(p.available)
+	utilization := budget.writesPerS / serviceRate
+	return max(0, min(1, max(budget.backlogSeconds/fullScarcitySeconds, (utilization-freeUtilization)*scarcityByUtilization)))
 }
 
-// ownWriteRate is our share of the puts a second.
-func (n *Node) ownWriteRate() float64 {
-	mine := 1 + float64(n.budget.pendingRecords)
-	total := mine
-	for _, m := range n.cfg.Members {
-		if p := n.peers[m.Name]; m.Name == n.cfg.Self {
-			continue
-		} else if p != nil && n.now-p.heardAt < 5*second {
-			total += 1 + float64(p.message.Need)
-		} else {
-			total++
-		}
+// observe counts writes of any controller that the watch has shown.
+func (budget *writeBudget) observe(now Time, writes int) {
+	budget.seenWrites += float64(writes)
+	elapsed := (now - budget.measuredAt).Seconds()
+	if elapsed < measureSeconds {
+		return
 	}
-	all := n.writeRPS() * n.backgroundShare()
-	n.budget.backlogSeconds = (total - float64(len(n.cfg.Members))) / all
-	return max(all*mine/total, all/float64(3*len(n.cfg.Members)))
+	weight := min(1, elapsed/averageSeconds)
+	budget.writesPerS += (budget.seenWrites/elapsed - budget.writesPerS) * weight
+	budget.userWritesPerS += (float64(budget.seenUserWrites)/elapsed - budget.userWritesPerS) * weight
+	budget.seenWrites, budget.seenUserWrites, budget.measuredAt = 0, 0, now
 }
 
-// writeScarcity goes from 0, when puts are to be had at once, to 1, when what waits
-// takes two seconds and more or when well over half of all puts are in use:
-// then it pays to write less, at some delay.
-func (n *Node) writeScarcity() float64 {
-	if n.writeRPS() <= 0 {
-		return 0
+// writeRPS is how many writes a second the service allows, as far as is known.
+func (n *Node) writeRPS() float64 { return n.budget.serviceRate(n.now, &n.cfg) }
+
+// writeScarcity is how scarce writes are, from 0 to 1; see writeBudget.scarcity.
+func (n *Node) writeScarcity() float64 { return n.budget.scarcity(n.writeRPS()) }
+
+// countWrites counts writes that the watch has shown.
+func (n *Node) countWrites(writes int) { n.budget.observe(n.now, writes) }
+
+// availableWrites is how many writes we may send now.
+func (n *Node) availableWrites() int {
+	serviceRate := n.writeRPS()
+	if serviceRate <= 0 {
+		return n.cfg.MaxTransactionOps
+	}
+	if n.now >= n.budget.rateUpdatedAt {
+		n.budget.rateUpdatedAt = n.now + rateInterval
+		n.budget.pendingRecords = n.countPendingRecords()
+		ownNeed := 1 + float64(n.budget.pendingRecords)
+		n.budget.updateRate(serviceRate, ownNeed, ownNeed+n.peersNeed(), len(n.cfg.Members))
 	}
-	return max(0, min(1, max(n.budget.backlogSeconds/2, (n.budget.writesPerS/n.writeRPS()-0.25)*3)))
+	n.budget.refill(n.now, serviceRate, &n.cfg)
+	return int(n.budget.available)
 }
 
-// countWrites counts what the watch shows.
-func (n *Node) countWrites(k int) {
-	p := &n.budget
-	p.seenWrites += float64(k)
-	if d := (n.now - p.measuredAt).Seconds(); d >= 2 {
-		p.writesPerS += (p.seenWrites/d - p.writesPerS) * min(1, d/8)
-		p.userWritesPerS += (float64(p.seenUserWrites)/d - p.userWritesPerS) * min(1, d/8)
-		p.seenWrites, p.seenUserWrites, p.measuredAt = 0, 0, n.now
+// peersNeed is how many records the other controllers have to write, and one for each.
+func (n *Node) peersNeed() float64 {
+	need := 0.0
+	for _, member := range n.cfg.Members {
+		if member.Name == n.cfg.Self {
+			continue
+		}
+		need++
+		if peer := n.peers[member.Name]; peer != nil && n.now-peer.heardAt < silentPeerTime {
+			need += float64(peer.message.Need)
+		}
 	}
+	return need
 }
 
 // countPendingRecords counts the records that wait to be written by us: of tasks that
 // have ended, of grants to our shards, and of grants yet to be made.
 func (n *Node) countPendingRecords() int {
-	seen := map[int]bool{}
+	pending := map[int]bool{} // by index of the job
 	for key, outcome := range n.outcomes {
 		if n.isUrgentOutcome(key, outcome) {
-			seen[key.job] = true
+			pending[key.job] = true
 		}
 	}
 	for _, index := range n.replica.Live() {
@@ -122,14 +182,14 @@
 		}
 		for i := range job.Record.ActiveTasks {
 			if task := &job.Record.ActiveTasks[i]; task.Machine == "" && n.mayActAsOwner(n.shards[task.Shard]) {
-				seen[index] = true
+				pending[index] = true
 				break
 			}
 		}
 	}
-	need := len(seen) + len(n.outcomes)/4
+	records := len(pending) + len(n.outcomes)/resultsPerRecord
 	if n.isLeader() {
-		need += n.budget.pendingGrants
+		records += n.budget.pendingGrants
 	}
-	return need
+	return records
 }
