--- a/internal/core/gang_placement.go
+++ b/internal/core/gang_placement.go
@@ -79,25 +79,6 @@
 	return best
 }
 
-// capacityFor bounds how many tasks of a job find room, from above.
-func (set *slotSet) capacityFor(job *job, in func(part, zone int) bool) int {
-	spec, sum := job.Record.Spec, 0
-	for _, class := range set.classOrder {
-		if !in(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
-			continue
-		}
-		each := 1 << 10
-		if spec.GPUs >= 1 {
-			each = (class.gpus + 1) / int(spec.GPUs)
-			if float64(class.gpus)+1 < spec.GPUs+epsilon {
-				each = class.gpus / int(spec.GPUs)
-			}
-		}
-		sum += each * len(*set.open[class])
-	}
-	return sum
-}
-
 // pickSlots chooses greedily and undoes its taking.
 func (pass *schedulingPass) pickSlots(queued *queuedJob, ok func(*slot) bool) ([]*slot, float64) {
 	spec := queued.job.Record.Spec
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -158,17 +158,6 @@
 	return (n.plannableListCapacity(job)*7/8 - cost) / each
 }
 
-// capacityFor is how many tasks of a kind find room on the machine.
-func (slot *slot) capacityFor(spec *wire.JobSpec) int {
-	k := maxRunLength
-	for _, x := range [][2]float64{{slot.cores, spec.Cores}, {slot.gpus, spec.GPUs}, {slot.memoryGB, spec.MemoryGB}} {
-		if x[1] > 0 {
-			k = min(k, int((x[0]+epsilon)/x[1]))
-		}
-	}
-	return max(0, k)
-}
-
 const maxGrantDelay = 4 * second
 
 // grantDelay is how long the leader gathers what it grants to an array that
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -7,26 +7,28 @@
 	"micaport/internal/wire"
 )
 
-// slot is a machine, present or hoped for, with the room left on it.
+// slot is the free capacity of a machine that is up, booting, or planned to be provisioned.
 type slot struct {
-	machine                          *machine // nil for a machine that is booting or not yet provisioned
-	shard                            int      // -1 while unknown
-	zone, machineType                int
-	spot                             bool
-	cores, gpus, memoryGB            float64
-	typeInfo                         *wire.MachineType
-	releasingCores                   float64 // freed by tasks that are on their way out
-	releasingGPUs, releasingMemoryGB float64
-	daemon                           bool // a daemon keeps the machine up anyway
-	reserved                         bool // kept for a gang that still waits for more machines
-	reservedFor                      int  // one more than the only job that it is for; 0: any
-	images                           indexset.Set
-	fetchGB                          float64 // being fetched: images share the rate
-	errors                           int
-
-	set      *slotSet
-	class    slotClass
-	listedIn []slotClass // the lists of the set that it stands in, perhaps out of date
+	machine               *machine // nil for a machine that is not up
+	shard                 int      // -1 while unknown
+	zone, machineType     int      // indices of the names
+	spot                  bool
+	cores, gpus, memoryGB float64
+	typeInfo              *wire.MachineType
+
+	// What tasks that have been told to stop will release.
+	releasingCores, releasingGPUs, releasingMemoryGB float64
+
+	daemon      bool // a daemon keeps the machine from being drained anyway
+	reserved    bool // for a gang that still waits for more machines
+	reservedFor int  // index of the only job that may use it plus one; 0: any job
+	images      indexset.Set
+	fetchGB     float64 // size of the images being fetched, which share the rate
+	errors      int     // failed tasks since the last success
+
+	set      *slotSet    // nil: in none
+	class    slotClass   // as listed in the set
+	listedIn []slotClass // the lists of the set that it stands in, some out of date
 }
 
 // noteFetch notes that a task's image will be fetched here.
@@ -36,92 +38,123 @@
 	}
 }
 
+// fits reports whether there is free capacity for one more task.
 func (slot *slot) fits(spec *wire.JobSpec) bool {
 	return !slot.reserved && spec.Cores <= slot.cores+epsilon && spec.GPUs <= slot.gpus+epsilon && spec.MemoryGB <= slot.memoryGB+epsilon
 }
 
+// fitsAfterRelease reports whether there will be capacity for one more task once all tasks
+// that have been told to stop have ended.
 func (slot *slot) fitsAfterRelease(spec *wire.JobSpec) bool {
 	return !slot.reserved && spec.Cores <= slot.cores+slot.releasingCores+epsilon && spec.GPUs <= slot.gpus+slot.releasingGPUs+epsilon && spec.MemoryGB <= slot.memoryGB+slot.releasingMemoryGB+epsilon
 }
 
+// take allocates the capacity for one task.
 func (slot *slot) take(spec *wire.JobSpec) { slot.release(spec, -1) }
 
-// release returns what k tasks have taken.
-func (slot *slot) release(spec *wire.JobSpec, k int) {
-	slot.cores += spec.Cores * float64(k)
-	slot.gpus += spec.GPUs * float64(k)
-	slot.memoryGB += spec.MemoryGB * float64(k)
+// release returns the capacity of some tasks, or allocates it if the number is negative.
+func (slot *slot) release(spec *wire.JobSpec, tasks int) {
+	slot.cores += spec.Cores * float64(tasks)
+	slot.gpus += spec.GPUs * float64(tasks)
+	slot.memoryGB += spec.MemoryGB * float64(tasks)
 	if slot.set != nil {
 		slot.set.reclassify(slot)
 	}
 }
 
-// isIdle tells whether nothing runs on the machine.
+// capacityFor is how many tasks fit, at most maxRunLength.
+func (slot *slot) capacityFor(spec *wire.JobSpec) int {
+	tasks := maxRunLength
+	for _, resource := range [...]struct{ free, needed float64 }{{slot.cores, spec.Cores}, {slot.gpus, spec.GPUs}, {slot.memoryGB, spec.MemoryGB}} {
+		if resource.needed > 0 {
+			tasks = min(tasks, int((resource.free+epsilon)/resource.needed))
+		}
+	}
+	return max(0, tasks)
+}
+
+// isIdle reports whether neither cores nor GPUs of the machine are in use.
 func (slot *slot) isIdle() bool {
 	return slot.cores > slot.typeInfo.Cores-epsilon && slot.gpus > slot.typeInfo.GPUs-epsilon
 }
 
-// accepts tells whether a job's tasks may go to the machine at all. One that
-// failed the job is not tried again before others have failed it too, and it
-// is the job that is at fault.
+// isFull reports whether nothing is left for a task without GPUs, or else for one with
+// GPUs. A machine whose GPUs are all in use still serves the former: otherwise such tasks
+// would go to machines with free GPUs, which then could neither be drained nor take
+// whole-machine work.
+func (slot *slot) isFull(withoutGPU bool) bool {
+	return slot.cores <= epsilon || !withoutGPU && slot.typeInfo.GPUs > 0 && slot.gpus <= epsilon
+}
+
+// maxAvoidedMachines is up to how many machines that have failed a job are avoided. When as
+// many have failed it, the job is at fault rather than the machines.
+const maxAvoidedMachines = 2
+
+// accepts reports whether a job's tasks may run on the machine at all, whatever its capacity.
 func (slot *slot) accepts(job *job) bool {
 	if slot.reservedFor > 0 && slot.reservedFor != job.Index+1 {
 		return false
 	}
-	if slot.machine != nil && len(job.Record.FailedMachines) > 0 && len(job.Record.FailedMachines) < 3 && slices.Contains(job.Record.FailedMachines, slot.machine.name) {
+	if failed := job.Record.FailedMachines; slot.machine != nil && len(failed) > 0 && len(failed) <= maxAvoidedMachines && slices.Contains(failed, slot.machine.name) {
 		return false
 	}
 	return job.Allows(slot.machineType, slot.zone, slot.spot)
 }
 
-// slotOf is the room on a machine.
+// slotOf returns the free capacity of a machine, or nil if its type is not known.
 func (n *Node) slotOf(machine *machine) *slot {
 	machineType := n.typeAt(machine.machineType)
 	if machineType == nil {
 		return nil
 	}
-	t := n.usageOf(machine)
+	used := n.usageOf(machine)
 	return &slot{machine: machine, shard: machine.shard, zone: machine.zone, machineType: machine.machineType, spot: machine.spot, typeInfo: machineType,
-		cores: machineType.Cores - t.cores, gpus: machineType.GPUs - t.gpus, memoryGB: machineType.MemoryGB - t.memoryGB,
-		releasingCores: t.releasingCores, releasingGPUs: t.releasingGPUs, releasingMemoryGB: t.releasingMemoryGB, daemon: t.daemon,
+		cores: machineType.Cores - used.cores, gpus: machineType.GPUs - used.gpus, memoryGB: machineType.MemoryGB - used.memoryGB,
+		releasingCores: used.releasingCores, releasingGPUs: used.releasingGPUs, releasingMemoryGB: used.releasingMemoryGB, daemon: used.daemon,
 		images: machine.images, errors: machine.view.errors, fetchGB: n.pendingFetchGB(machine)}
 }
 
 // slotClass is what slots have in common for a choice among them.
 type slotClass struct {
-	shard, zone, machineType, gpus int
-	spot, idle, daemon, faulty     bool
+	shard, zone, machineType, gpus int  // of free GPUs the whole ones
+	spot, idle, daemon, faulty     bool // faulty: it has failed a task
 	noGPU                          bool // no GPU is free, not even part of one
 }
 
+// classify works out the class of a slot.
 func (slot *slot) classify() slotClass {
 	return slotClass{shard: slot.shard, zone: slot.zone, machineType: slot.machineType, gpus: int(slot.gpus + epsilon), noGPU: slot.gpus <= epsilon, spot: slot.spot,
 		idle: slot.isIdle(), daemon: slot.daemon, faulty: slot.errors > 0}
 }
 
-// slotSet holds slots with an index by place, kind, free room and image, so
-// that a choice costs as much as what is free and alike, not as much as there
-// are machines.
+// slotSet holds slots with an index by class and image, so that the cost of a choice grows
+// with the number of classes rather than with that of machines.
 type slotSet struct {
 	node       *Node
 	all        []*slot
-	releasing  []*slot // those with room about to be free
-	open       map[slotClass]*[]*slot
-	classOrder []slotClass
+	releasing  []*slot // those with capacity about to be released
+	open       map[slotClass]*slotList
+	classOrder []slotClass // in which classes were first seen
 	byImage    map[imageList][]*slot
 }
 
-// imageList names a list of slots that have an image: those with a free GPU, or
-// for tasks that need none, all that have room.
+// slotList lists slots. A class has a pointer to its list, so that a search can shorten it
+// without looking up the class again.
+type slotList []*slot
+
+// imageList names a list of slots that have an image: those with a free GPU, or, for tasks
+// that need none, all that have any capacity.
 type imageList struct {
-	image      int
+	image      int // index of the name
 	withoutGPU bool
 }
 
+// newSlotSet makes an empty set.
 func newSlotSet(n *Node) *slotSet {
-	return &slotSet{node: n, open: map[slotClass]*[]*slot{}, byImage: map[imageList][]*slot{}}
+	return &slotSet{node: n, open: map[slotClass]*slotList{}, byImage: map[imageList][]*slot{}}
 }
 
+// add puts a slot, which must be in no other set, into the set.
 func (set *slotSet) add(slot *slot) {
 	slot.set = set
 	set.all = append(set.all, slot)
@@ -132,28 +165,23 @@
 	set.addToClass(slot)
 }
 
-// isFull tells whether there is nothing on the machine to be had, by a task that
-// needs GPUs or by one that does not: what is left of a machine whose GPUs are all
-// in use is of use to the latter. Before this such tasks kept to machines with free
-// GPUs, which then neither went back nor had room for whole-machine work.
-func (slot *slot) isFull(cardless bool) bool {
-	return slot.cores <= epsilon || !cardless && slot.typeInfo.GPUs > 0 && slot.gpus <= epsilon
-}
-
-func (set *slotSet) addToClass(s *slot) {
-	if s.isFull(true) || slices.Contains(s.listedIn, s.class) {
+// addToClass lists a slot under its class, unless nothing is left of it.
+func (set *slotSet) addToClass(slot *slot) {
+	if slot.isFull(true) || slices.Contains(slot.listedIn, slot.class) {
 		return
 	}
-	s.listedIn = append(s.listedIn, s.class)
-	l := set.open[s.class]
-	if l == nil {
-		l = new([]*slot)
-		set.open[s.class] = l
-		set.classOrder = append(set.classOrder, s.class)
+	slot.listedIn = append(slot.listedIn, slot.class)
+	list := set.open[slot.class]
+	if list == nil {
+		list = new(slotList)
+		set.open[slot.class] = list
+		set.classOrder = append(set.classOrder, slot.class)
 	}
-	*l = append(*l, s)
+	*list = append(*list, slot)
 }
 
+// reclassify lists a slot under its new class when its capacity has changed. Searches drop it
+// from the list of its old class when they come upon it.
 func (set *slotSet) reclassify(slot *slot) {
 	class := slot.classify()
 	if class != slot.class {
@@ -162,21 +190,43 @@
 	}
 }
 
-// compareWithImage lists the slots with room that have an image or are fetching it.
-func (set *slotSet) withImage(k imageList) []*slot {
-	l, built := set.byImage[k]
+// withImage lists the slots that have an image or are fetching it and that were not full when
+// the list was first asked for.
+func (set *slotSet) withImage(key imageList) []*slot {
+	list, built := set.byImage[key]
 	if !built {
 		for _, slot := range set.all {
-			if !slot.isFull(k.withoutGPU) && (slot.images.Has(k.image) || slot.machine != nil && set.node.usesImage(slot.machine, k.image)) {
-				l = append(l, slot)
+			if !slot.isFull(key.withoutGPU) && (slot.images.Has(key.image) || slot.machine != nil && set.node.usesImage(slot.machine, key.image)) {
+				list = append(list, slot)
+			}
+		}
+		set.byImage[key] = list
+	}
+	return list
+}
+
+// capacityFor returns an upper bound of how many tasks of a job fit into the slots of shards
+// and zones that in allows.
+func (set *slotSet) capacityFor(job *job, in func(shardIndex, zone int) bool) int {
+	const unbounded = 1 << 10 // tasks without whole GPUs: the class does not tell
+	spec, tasks := job.Record.Spec, 0
+	for _, class := range set.classOrder {
+		if !in(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
+			continue
+		}
+		tasksPerSlot := unbounded
+		if spec.GPUs >= 1 {
+			tasksPerSlot = (class.gpus + 1) / int(spec.GPUs)
+			if float64(class.gpus)+1 < spec.GPUs+epsilon {
+				tasksPerSlot = class.gpus / int(spec.GPUs)
 			}
 		}
-		set.byImage[k] = l
+		tasks += tasksPerSlot * len(*set.open[class])
 	}
-	return l
+	return tasks
 }
 
-// usesImage tells whether a task on the machine uses an image.
+// usesImage reports whether a task on the machine uses an image.
 func (n *Node) usesImage(machine *machine, image int) bool {
 	for i := range machine.placements {
 		if n.jobs[machine.placements[i].job].Image == image {
