--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -168,22 +168,3 @@
 	part := n.homeShard(job)
 	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.replica.Ledger().MayAdmit(job.Team, part.Index, job.Demand(1), n.replica.Revision())
 }
-
-// admitGang admits a gang as a whole in one of our shards.
-func (pass *schedulingPass) admitGang(queued *queuedJob) {
-	tasks := len(queued.tasks)
-	for _, shard := range pass.node.shards {
-		here := func(part, _ int) bool { return part == shard.Index }
-		if !pass.node.mayActAsOwner(shard) || !pass.mayAdmit(queued.job, tasks, shard.Index) || pass.available.capacityFor(queued.job, here) < tasks {
-			continue
-		}
-		chosen, _ := pass.pickSlots(queued, func(s *slot) bool { return s.shard == shard.Index })
-		if chosen == nil || !pass.grant(queued.job, queued.tasks, chosen) {
-			continue
-		}
-		for _, s := range chosen {
-			s.take(queued.job.Record.Spec)
-		}
-		return
-	}
-}
--- /dev/null
+++ b/internal/core/scheduler_preemption.go
@@ -0,0 +1,163 @@
+package core
+
+import (
+	"slices"
+
+	"micaport/internal/wire"
+)
+
+const (
+	// maxPreemptions bounds how often one pass preempts.
+	maxPreemptions = 8
+	// preemptionDelay is how long a job waits before anything is preempted for it.
+	preemptionDelay = second
+	// preemptionRetryDelay is when it is tried again after nothing could be preempted.
+	preemptionRetryDelay = second
+	// preemptingPriority is the lowest priority that preempts without a guarantee.
+	preemptingPriority = 2
+	// exitHeartbeats is how many heartbeat intervals a preempted task takes to go, besides the
+	// time for its checkpoint.
+	exitHeartbeats = 3
+)
+
+// Costs of preempting a task besides the time for its checkpoint, in seconds.
+const (
+	priorityCost     = 20  // for each step of priority
+	noCheckpointCost = 100 // without checkpoints all its work is lost
+	gangMemberCost   = 30  // for each further task of its gang, which is stopped as a whole
+	costResolution   = 10  // costs are compared in steps of a tenth
+)
+
+// victim is a task that may be preempted.
+type victim struct {
+	job  *job
+	key  taskKey
+	cost float64
+}
+
+// mayPreempt reports whether anything may be preempted for a job now. Tasks that have been
+// stopped for it take a heartbeat or two to go; until then no more are.
+func (pass *schedulingPass) mayPreempt(queued *queuedJob) bool {
+	n := pass.node
+	return n.cfg.Preempt && pass.preemptions < maxPreemptions && n.now-queued.job.waitingSince >= preemptionDelay && n.now >= queued.job.preemptAt &&
+		(queued.job.Priority >= preemptingPriority || queued.withinGuarantee)
+}
+
+// mayPreemptJob reports whether the rules of preemption let a queued job preempt another, and
+// the queued job comes first in the queue as well: otherwise what was preempted would get its
+// place back and be preempted again.
+func (pass *schedulingPass) mayPreemptJob(queued *queuedJob, job *job) bool {
+	if job.Priority < queued.job.Priority {
+		return true
+	}
+	return job.Priority == queued.job.Priority && queued.withinGuarantee && !job.withinGuarantee && job.Team != queued.job.Team
+}
+
+// preemptionCostOf returns what it costs to preempt a task of a job, in seconds.
+func preemptionCostOf(job *job) float64 {
+	cost := job.Record.Spec.CheckpointTimeS + float64(priorityCost*job.Priority)
+	if job.Record.Spec.CheckpointIntervalS == 0 {
+		cost += noCheckpointCost
+	}
+	if job.Record.Spec.Shape == wire.ShapeGang {
+		cost += gangMemberCost * float64(len(job.Record.ActiveTasks)-1)
+	}
+	return cost
+}
+
+// candidatesOn lists the tasks on a machine that may be preempted for a job, cheapest first, or
+// with all set those that may end by themselves: all but daemons.
+func (pass *schedulingPass) candidatesOn(queued *queuedJob, machine *machine, all bool) []victim {
+	var candidates []victim
+	for i := range machine.placements {
+		placement := &machine.placements[i]
+		job := pass.node.jobs[placement.job]
+		if job == queued.job || placement.stop != wire.StopNone || job.Record.State != wire.JobLive || job.Record.Spec.Shape == wire.ShapeDaemon {
+			continue
+		}
+		if !all && (pass.writer.records[placement.job] != nil || !pass.mayPreemptJob(queued, job)) {
+			continue
+		}
+		candidates = append(candidates, victim{job, placement.taskKey, preemptionCostOf(job)})
+	}
+	slices.SortStableFunc(candidates, func(a, b victim) int { return int(a.cost*costResolution) - int(b.cost*costResolution) })
+	return candidates
+}
+
+// victimsOn returns the tasks to be preempted on a machine so that a task of a queued job fits,
+// cheapest first, and whether it then fits. With all set it asks instead whether the machine could
+// take the task once everything but daemons has ended.
+func (pass *schedulingPass) victimsOn(queued *queuedJob, slot *slot, all bool) ([]victim, bool) {
+	if slot.machine == nil {
+		return nil, false
+	}
+	spec := queued.job.Record.Spec
+	trial := *slot
+	trial.set = nil
+	var chosen []victim
+	for _, candidate := range pass.candidatesOn(queued, slot.machine, all) {
+		if trial.fitsAfterRelease(spec) {
+			break
+		}
+		chosen = append(chosen, candidate)
+		trial.release(candidate.job.Record.Spec, 1)
+	}
+	return chosen, len(chosen) > 0 && trial.fitsAfterRelease(spec)
+}
+
+// preempt stops tasks so that one task of a queued job fits: tasks of lower priority, or those that
+// another team runs beyond its guarantee when this one is within. It returns the machine, or nil.
+func (pass *schedulingPass) preempt(queued *queuedJob, allowed func(*slot) bool) *slot {
+	if !pass.mayPreempt(queued) {
+		return nil
+	}
+	var best []victim
+	var target *slot
+	bestCost := 0.0
+	for _, slot := range pass.available.all {
+		if slot.machine.lowestPriority > queued.job.Priority || slot.reserved || !slot.accepts(queued.job) || !allowed(slot) {
+			continue
+		}
+		pass.node.workCount++
+		victims, fits := pass.victimsOn(queued, slot, false)
+		if !fits {
+			continue
+		}
+		cost := pass.node.score(queued.job, slot)
+		for _, victim := range victims {
+			cost += victim.cost
+		}
+		if best == nil || cost < bestCost {
+			best, bestCost, target = victims, cost, slot
+		}
+	}
+	if best == nil || !pass.stopVictims(queued, best) {
+		queued.job.preemptAt = pass.node.now + preemptionRetryDelay
+		return nil
+	}
+	queued.job.preemptAt = pass.node.now + exitHeartbeats*pass.node.cfg.HeartbeatInterval + Time(best[0].job.Record.Spec.CheckpointTimeS*float64(second))
+	return target
+}
+
+// stopVictims marks tasks to be stopped; a gang is stopped as a whole. It reports false if there is
+// no write left.
+func (pass *schedulingPass) stopVictims(queued *queuedJob, victims []victim) bool {
+	for _, victim := range victims {
+		record := pass.writer.job(victim.job)
+		if record == nil {
+			return false
+		}
+		if victim.job.Record.Spec.Shape == wire.ShapeGang {
+			preemptAll(record)
+		} else {
+			for i := range record.ActiveTasks {
+				if task := &record.ActiveTasks[i]; task.Task == victim.key.task && task.Attempt == victim.key.attempt {
+					task.Stop = wire.StopPreempt
+				}
+			}
+		}
+		pass.node.log(LogInfo, "preempting", "job", victim.job.ID, "task", victim.key.task, "for", queued.job.ID)
+	}
+	pass.preemptions++
+	return true
+}
--- a/internal/core/share_distribution.go
+++ b/internal/core/share_distribution.go
@@ -39,7 +39,7 @@
 		if reason == quota.Unchanged || !n.valueFits(account) {
 			continue
 		}
-		if pass.ungranted > 0 && reason != quota.Reclaimed {
+		if pass.unwrittenGrants > 0 && reason != quota.Reclaimed {
 			return
 		}
 		key := wire.AccountKey(n.cfg.Teams[team].Name)
