--- a/internal/core/admission.go
+++ b/internal/core/scheduler_admission.go
@@ -9,8 +9,8 @@
 	"micaport/internal/wire"
 )
 
-// Work that owners admit by themselves, within the shares of the teams' limits that the
-// leader has distributed to their shards. See docs/team-limits.md.
+// Work that owners admit by themselves, within the shares of the teams' limits that the leader has
+// distributed to their shards. See docs/team-limits.md.
 
 // Admission says what owners admit without asking the leader.
 type Admission int
@@ -23,15 +23,17 @@
 )
 
 const (
-	// leaderTimeout is how long nothing is heard of the leader, which tells its peers
-	// something every second, before owners admit work in its place.
+	// leaderTimeout is how long nothing is heard of the leader, which sends its peers a message
+	// every second, before owners admit work in its place.
 	leaderTimeout = 2500 * time.Millisecond
 	// ownerFirstTime is for how long the leader leaves a new job to the owner of its home
 	// shard: some passes of the owner, and the time that its write takes.
 	ownerFirstTime = 500 * time.Millisecond
-	// admissionInterval lies between two passes over the queues in an owner, as between
+	// admissionInterval lies between two passes of an owner over the queues, as between
 	// those of a leader.
 	admissionInterval = 120 * time.Millisecond
+	// admissionIntervalPerJob is added to that for each live job: a pass looks at all of them.
+	admissionIntervalPerJob = 50 * time.Microsecond
 	// homeShardTurn is how long a job that waits is left to one shard before the next shard
 	// has its turn: two owners that write the same record keep each other from it.
 	homeShardTurn = 2 * second
@@ -42,7 +44,16 @@
 	admitted [][]quota.Amount // by team and shard
 }
 
-// mayCharge tells whether a team's limit has room for tasks on a machine.
+// newAdmission makes an admission of nothing.
+func newAdmission(teams, shards int) *admission {
+	admitted := make([][]quota.Amount, teams)
+	for team := range admitted {
+		admitted[team] = make([]quota.Amount, shards)
+	}
+	return &admission{admitted: admitted}
+}
+
+// mayCharge reports whether a team's limit allows tasks on a machine.
 func (pass *schedulingPass) mayCharge(job *job, tasks int, slot *slot) bool {
 	if pass.admission != nil {
 		return pass.mayAdmit(job, tasks, slot.shard)
@@ -50,35 +61,35 @@
 	return pass.hasQuota(job, tasks)
 }
 
-// mayAdmit tells whether we may admit tasks of a job in a shard of ours.
-func (pass *schedulingPass) mayAdmit(job *job, tasks, part int) bool {
-	if job.Team < 0 || !pass.node.mayActAsOwner(pass.node.shards[part]) {
+// mayAdmit reports whether we may admit tasks of a job in a shard of ours.
+func (pass *schedulingPass) mayAdmit(job *job, tasks, shardIndex int) bool {
+	if job.Team < 0 || !pass.node.mayActAsOwner(pass.node.shards[shardIndex]) {
 		return false
 	}
-	more := pass.admission.admitted[job.Team][part].Plus(job.Demand(tasks))
-	return pass.node.replica.Ledger().MayAdmit(job.Team, part, more, pass.node.replica.Revision())
+	admitted := pass.admission.admitted[job.Team][shardIndex].Plus(job.Demand(tasks))
+	return pass.node.replica.Ledger().MayAdmit(job.Team, shardIndex, admitted, pass.node.replica.Revision())
 }
 
-// addAccountCondition makes the commit rest on the account of a job's team, so that it fails
+// addAccountCondition makes the commit conditional on the account of a job's team, so that it fails
 // if the limit or a share has changed meanwhile. What is admitted counts for the pass.
 func (pass *schedulingPass) addAccountCondition(job *job, slots []*slot) {
 	if pass.admission != nil {
 		for _, slot := range slots {
-			more := &pass.admission.admitted[job.Team][slot.shard]
-			*more = more.Plus(job.Demand(1))
+			admitted := &pass.admission.admitted[job.Team][slot.shard]
+			*admitted = admitted.Plus(job.Demand(1))
 		}
 	}
 	if !pass.node.replica.WritesTeamAccounts() {
 		return
 	}
-	cond := Condition{Key: wire.AccountKey(pass.node.cfg.Teams[job.Team].Name), Revision: pass.node.replica.Ledger().Revision(job.Team)}
-	if !slices.Contains(pass.writer.conditions, cond) {
-		pass.writer.conditions = append(pass.writer.conditions, cond)
+	condition := Condition{Key: wire.AccountKey(pass.node.cfg.Teams[job.Team].Name), Revision: pass.node.replica.Ledger().Revision(job.Team)}
+	if !slices.Contains(pass.writer.conditions, condition) {
+		pass.writer.conditions = append(pass.writer.conditions, condition)
 	}
 }
 
 // admitWork admits waiting work in our shards, within their shares.
-func (n *Node) admitWork(writer *writer, room *lazySlots) {
+func (n *Node) admitWork(writer *writer, free *lazySlots) {
 	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.admissionAt || n.offeredTypes == nil ||
 		n.holdsLeaderClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
 		return
@@ -87,12 +98,12 @@
 	if !leaderless && n.cfg.Admission != AdmitGuaranteed {
 		return
 	}
-	n.admissionAt = n.now + admissionInterval + Time(len(n.replica.Live()))*50*time.Microsecond
+	n.admissionAt = n.now + admissionInterval + Time(len(n.replica.Live()))*admissionIntervalPerJob
 	queues := n.queues()
 	waiting := false
 	for _, queue := range queues {
-		queue.jobs = slices.DeleteFunc(queue.jobs, func(x *queuedJob) bool {
-			return !n.isHomeShardOwned(x.job) || !leaderless && !x.isNewWithinGuarantee()
+		queue.jobs = slices.DeleteFunc(queue.jobs, func(queued *queuedJob) bool {
+			return !n.isHomeShardOwned(queued.job) || !leaderless && !queued.isNewWithinGuarantee()
 		})
 		waiting = waiting || len(queue.jobs) > 0
 	}
@@ -100,56 +111,53 @@
 		return
 	}
 	pass := n.newSchedulingPass(writer)
-	pass.admission = &admission{admitted: make([][]quota.Amount, n.names.Teams.Len())}
-	for team := range pass.admission.admitted {
-		pass.admission.admitted[team] = make([]quota.Amount, len(n.shards))
-	}
-	pass.available = room.slots(n)
+	pass.admission = newAdmission(n.names.Teams.Len(), len(n.shards))
+	pass.available = free.slots(n)
 	pass.chargeTeams()
 	pass.serveQueues(queues)
 }
 
-// isNewWithinGuarantee tells whether a job has just come and its team's guarantee covers it.
+// isNewWithinGuarantee reports whether a job has just come and its team's guarantee covers it.
 func (queued *queuedJob) isNewWithinGuarantee() bool {
 	return queued.withinGuarantee && queued.job.Record.NextAttempt == 1 && len(queued.job.Record.ActiveTasks) == 0
 }
 
-// leaderIsSilent tells whether there is no leader, or none that can be heard to work.
+// leaderIsSilent reports whether there is no other leader, or none that can be heard to work.
 func (n *Node) leaderIsSilent() bool {
 	leader := n.leader.record
 	if leader == nil || leader.Controller == n.cfg.Self {
 		return true
 	}
-	p := n.peers[leader.Controller]
-	return p == nil || n.now-p.heardAt > leaderTimeout || !p.message.StoreOK
+	peer := n.peers[leader.Controller]
+	return peer == nil || n.now-peer.heardAt > leaderTimeout || !peer.message.StoreOK
 }
 
-// isHomeShardOwned tells whether it is the turn of one of our shards to admit a job.
+// isHomeShardOwned reports whether it is the turn of one of our shards to admit a job.
 func (n *Node) isHomeShardOwned(job *job) bool {
-	part := n.homeShard(job)
-	return part != nil && n.mayActAsOwner(part)
+	home := n.homeShard(job)
+	return home != nil && n.mayActAsOwner(home)
 }
 
-// homeShard is the shard whose turn it is to admit a job: chosen by hash among those whose
-// owner is heard, and after a while the next. Controllers need not agree on it: two that
-// admit the same job at once write the same record, and one of them fails.
+// homeShard returns the shard whose turn it is to admit a job, or nil: chosen by hash among those
+// whose owner is heard, and after a while the next. Controllers need not agree on it: of two that
+// admit the same job at once and write the same record, one fails.
 func (n *Node) homeShard(job *job) *shard {
 	var owned []*shard
-	for _, p := range n.shards {
-		if (job.Zone < 0 || job.Zone == p.Zone) && n.hearsOwner(p) {
-			owned = append(owned, p)
+	for _, shard := range n.shards {
+		if (job.Zone < 0 || job.Zone == shard.Zone) && n.hearsOwner(shard) {
+			owned = append(owned, shard)
 		}
 	}
 	if len(owned) == 0 {
 		return nil
 	}
-	f := fnv.New32a()
-	f.Write([]byte(job.ID))
+	hash := fnv.New32a()
+	hash.Write([]byte(job.ID))
 	waited := max(0, Time(n.cfg.WallClockMS()-job.RunnableSinceMS())*time.Millisecond)
-	return owned[(int(f.Sum32()>>1)+int(waited/homeShardTurn))%len(owned)]
+	return owned[(int(hash.Sum32()>>1)+int(waited/homeShardTurn))%len(owned)]
 }
 
-// hearsOwner tells whether a shard is ours, or its owner has been heard lately.
+// hearsOwner reports whether a shard is ours, or its owner has been heard lately.
 func (n *Node) hearsOwner(shard *shard) bool {
 	if shard.Record == nil {
 		return false
@@ -158,13 +166,13 @@
 	return n.owns(shard) || owner != nil && n.now-owner.heardAt < leaderTimeout
 }
 
-// defersToOwner tells whether we, as the leader, leave a new job to the owner of its home
+// defersToOwner reports whether we, as the leader, leave a new job to the owner of its home
 // shard for a moment. A job that the owner does not admit is ours after that.
 func (n *Node) defersToOwner(job *job) bool {
 	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() || !n.replica.WritesTeamAccounts() || n.now-job.ChangedAt >= ownerFirstTime ||
 		job.Record.NextAttempt != 1 || len(job.Record.ActiveTasks) > 0 || !job.withinGuarantee {
 		return false
 	}
-	part := n.homeShard(job)
-	return part != nil && !n.owns(part) && n.ownerIsHeard(part) && n.replica.Ledger().MayAdmit(job.Team, part.Index, job.Demand(1), n.replica.Revision())
+	home := n.homeShard(job)
+	return home != nil && !n.owns(home) && n.ownerIsHeard(home) && n.replica.Ledger().MayAdmit(job.Team, home.Index, job.Demand(1), n.replica.Revision())
 }
--- a/internal/core/share_distribution.go
+++ b/internal/core/scheduler_shares.go
@@ -12,20 +12,23 @@
 
 const (
 	// shareInterval lies between two writes of a team's account, so that shares which follow
-	// the load cost a tenth of a put a second for each team at most.
+	// the load cost a tenth of a write a second for each team at most.
 	shareInterval = 10 * second
-	// reclaimInterval is that for revoking shares that somebody waits for.
+	// reclaimInterval is that for revoking shares that waiting work needs.
 	reclaimInterval = second
-	// redistributeInterval is that after shares have been gathered. A leader that takes over finds
-	// a backlog and gathers for it; were the owners then left without shares for long,
-	// they could admit nothing when it ends in its turn.
+	// redistributeInterval is that after shares have been revoked. A leader that takes over finds
+	// a backlog and revokes shares for it; were the owners then left without shares for long,
+	// they could admit nothing when that leader fails in its turn.
 	redistributeInterval = 3 * second
 	// excessReportInterval lies between two reports of a team that uses more than its limit.
 	excessReportInterval = 30 * second
+	// neverDistributedAge is the age of a distribution that has not taken place yet, longer
+	// than any interval.
+	neverDistributedAge = time.Hour
 )
 
-// distributeShares writes the account of a team whose shares should be other ones, at most one
-// in a commit. It comes last, so that it takes no write that a grant needs.
+// distributeShares writes the account of a team whose shares should change, at most one in a
+// commit. It comes last, so that it uses no write that a grant needs.
 func (pass *schedulingPass) distributeShares() {
 	n := pass.node
 	if !n.replica.WritesTeamAccounts() {
@@ -51,53 +54,54 @@
 	}
 }
 
-// shareIntervalFor is how long a team's account is left alone after it was written. All pauses
-// are the longest where puts are scarce.
+// shareIntervalFor is how long a team's account is not written again. Where writes are scarce
+// all intervals are the longest.
 func (pass *schedulingPass) shareIntervalFor(team int) Time {
-	pause := shareInterval
+	interval := shareInterval
 	switch {
 	case pass.atLimit[team]:
-		pause = reclaimInterval
+		interval = reclaimInterval
 	case pass.node.leader.sharesReclaimed[team]:
-		pause = redistributeInterval
+		interval = redistributeInterval
 	}
-	return pause + Time(pass.node.writeScarcity()*float64(shareInterval-pause))
+	return interval + Time(pass.node.writeScarcity()*float64(shareInterval-interval))
 }
 
-// shareDemand is what the shares of a team are to be distributed by.
+// shareDemand is the demand that the shares of a team are distributed by.
 func (pass *schedulingPass) shareDemand(team int) quota.Demand {
 	n := pass.node
-	d := quota.Demand{
+	demand := quota.Demand{
 		Owned: make([]bool, len(n.shards)), Blocked: pass.atLimit[team], Granted: pass.added[team],
 		Enabled: n.cfg.Admission != AdmitNothing,
 	}
-	for i, part := range n.shards {
-		// What we own ourselves needs no share: we grant there as the leader.
-		d.Owned[i] = part.Record != nil && !n.owns(part) && n.ownerIsHeard(part)
+	for i, shard := range n.shards {
+		// Our own shards need no share: we grant there as the leader.
+		demand.Owned[i] = shard.Record != nil && !n.owns(shard) && n.ownerIsHeard(shard)
 	}
-	return d
+	return demand
 }
 
-// reportExcess tells the operators of teams that use more than their limits allow, which
-// happens when a limit has been lowered: nothing is stopped for it.
+// reportExcess logs teams that use more than their limits allow, which happens when a limit has
+// been lowered: nothing is stopped for it.
 func (n *Node) reportExcess() {
 	if n.now < n.leader.excessAt {
 		return
 	}
 	for team := range n.cfg.Teams {
 		if excess := n.replica.Ledger().Excess(team); excess != (quota.Amount{}) {
-			cores, cards := excess.Decimal()
-			n.log(LogInfo, "team exceeds its quota", "team", n.cfg.Teams[team].Name, "excess_cores", cores, "excess_gpus", cards)
+			cores, gpus := excess.Decimal()
+			n.log(LogInfo, "team exceeds its quota", "team", n.cfg.Teams[team].Name, "excess_cores", cores, "excess_gpus", gpus)
 			n.leader.excessAt = n.now + excessReportInterval
 		}
 	}
 }
 
-// neverDistributed are when a leader last distributed the shares of each team: at first, never.
+// neverDistributed returns the times of the last distribution by team for a new leader, which
+// knows of none.
 func neverDistributed(teams int) []Time {
 	times := make([]Time, teams)
-	for i := range times {
-		times[i] = -time.Hour
+	for team := range times {
+		times[team] = -neverDistributedAge
 	}
 	return times
 }
