--- /dev/null
+++ b/internal/core/autoscaler_test.go
@@ -0,0 +1,112 @@
+package core
+
+import (
+	"slices"
+	"testing"
+
+	"micaport/internal/wire"
+)
+
+// TestOverdue: a machine is late, and then abandoned, by the boot times of its type and of the last
+// machines, and early only if one that was provisioned with it or after it is up.
+func TestOverdue(t *testing.T) {
+	const bootS = 10
+	machineType := &wire.MachineType{Name: "g", BootS: bootS}
+	const provisionedAt = 100 * second
+	usual := boot{provisionedAt: provisionedAt, ratio: 1}
+	slow := boot{provisionedAt: provisionedAt, ratio: 3} // twice the usual spread
+	earlier := boot{provisionedAt: provisionedAt - 2*second, ratio: 1}
+	for name, test := range map[string]struct {
+		boots           []boot
+		age             Time
+		late, abandoned bool
+	}{
+		"usual":                      {boots: []boot{usual}, age: 18 * second},
+		"late":                       {boots: []boot{usual}, age: 20 * second, late: true},
+		"abandoned":                  {boots: []boot{usual}, age: 26 * second, late: true, abandoned: true},
+		"others are slow":            {boots: []boot{slow}, age: 34 * second},
+		"late while others are slow": {boots: []boot{slow}, age: 36 * second, late: true},
+		"no boot seen":               {age: 34 * second},
+		"late, no boot seen":         {age: 36 * second, late: true},
+		"abandoned, no boot seen":    {age: 86 * second, late: true, abandoned: true},
+		"only an earlier boot":       {boots: []boot{earlier}, age: 36 * second, late: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			scaler := &autoscaler{recentBoots: test.boots}
+			if late, abandoned := scaler.overdue(provisionedAt+test.age, machineType, provisionedAt); late != test.late || abandoned != test.abandoned {
+				t.Errorf("overdue = %v, %v, want %v, %v", late, abandoned, test.late, test.abandoned)
+			}
+		})
+	}
+}
+
+// TestProvisionAnswered: a request is settled by any certain answer, and sent again under the same
+// name while its outcome is unknown.
+func TestProvisionAnswered(t *testing.T) {
+	const now = 100 * second
+	pool := machinePool{spot: true}
+	for name, test := range map[string]struct {
+		answer    CloudAnswered
+		decidedAt Time
+		open      bool
+		booting   int
+		retryAt   Time
+		short     bool
+	}{
+		"all machines":     {answer: CloudAnswered{Outcome: OK, Names: []string{"vm-1", "vm-2"}}, decidedAt: now, booting: 2},
+		"some machines":    {answer: CloudAnswered{Outcome: OK, Names: []string{"vm-1"}}, decidedAt: now, booting: 1, retryAt: now + noCapacityDelay, short: true},
+		"no capacity":      {answer: CloudAnswered{Outcome: NoCapacity}, decidedAt: now, retryAt: now + noCapacityDelay, short: true},
+		"refused":          {answer: CloudAnswered{Outcome: Refused}, decidedAt: now, retryAt: now + refusedDelay},
+		"unknown":          {answer: CloudAnswered{Outcome: Unknown}, decidedAt: now, open: true},
+		"unknown for long": {answer: CloudAnswered{Outcome: Unknown}, decidedAt: now - provisionRetryTime - 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			request := &provisioning{pool: pool, request: wire.ProvisionRequest{Name: "r-1-1", Count: 2}, sent: true, decidedAt: test.decidedAt}
+			scaler := newAutoscaler()
+			scaler.provisions = []*provisioning{request}
+			scaler.provisionAnswered(now, request, test.answer)
+			if open := len(scaler.provisions) == 1; open != test.open {
+				t.Errorf("open = %v, want %v", open, test.open)
+			}
+			if test.open && (request.sent || request.sendAt != now+provisionRetryDelay) {
+				t.Errorf("sent = %v, sent again at %v, want at %v", request.sent, request.sendAt, now+provisionRetryDelay)
+			}
+			if len(scaler.booting) != test.booting {
+				t.Errorf("%d machines are booting, want %d", len(scaler.booting), test.booting)
+			}
+			if got := scaler.retryAt[pool]; got != test.retryAt {
+				t.Errorf("the pool is asked again at %v, want %v", got, test.retryAt)
+			}
+			if short := scaler.hasShortage(now, pool); short != test.short {
+				t.Errorf("shortage = %v, want %v", short, test.short)
+			}
+		})
+	}
+}
+
+// TestDrainedMachines: only machines that their owners have drained, or that no controller hears, are
+// deprovisioned.
+func TestDrainedMachines(t *testing.T) {
+	n := chained()
+	scaler := newAutoscaler()
+	for name, prepare := range map[string]func(*machine){
+		"vm-busy":        func(m *machine) { m.draining, m.placements = true, []placement{{}} },
+		"vm-drained":     func(m *machine) { m.draining = true },
+		"vm-not-yet":     func(*machine) {},
+		"vm-returned":    func(m *machine) { m.returned = true },
+		"vm-unreachable": func(m *machine) { m.view.unreachable, m.placements = true, []placement{{}} },
+		"vm-silent":      func(m *machine) { m.view.known = false },
+	} {
+		machine := n.machineNamed(name)
+		machine.view.known = true
+		prepare(machine)
+		scaler.draining[name] = true
+	}
+	scaler.draining["vm-unheard-of"] = true
+	if got, want := scaler.drainedMachines(n.site()), []string{"vm-drained", "vm-silent", "vm-unheard-of", "vm-unreachable"}; !slices.Equal(got, want) {
+		t.Errorf("drainedMachines = %v, want %v", got, want)
+	}
+	if scaler.draining["vm-returned"] {
+		t.Error("a machine that has been returned is still to be drained")
+	}
+}
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/large_site_test.go
@@ -8,10 +8,10 @@
 	"micaport/internal/wire"
 )
 
-// At a large site an owner may have more grants than any fixed memory waiting for room.
-// Each of them runs out of timeout in its time: with a memory of 4,096 that was cleared
-// when full, none ever did.
-func TestEachOfManyGrantsRunsOutOfPatience(t *testing.T) {
+// TestEachOfManyGrantsTimesOut: at a large site an owner may have more grants that wait for capacity
+// than any fixed memory holds. Each of them times out in its time: with a memory of 4,096 that
+// was cleared when full, none ever did.
+func TestEachOfManyGrantsTimesOut(t *testing.T) {
 	const grants = 12_000
 	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
 	record := &wire.Job{Spec: &wire.JobSpec{ID: "wk-1", Shape: wire.ShapeArray, TaskCount: grants}, TaskCount: grants, NextAttempt: 2}
@@ -19,22 +19,22 @@
 		record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1})
 	}
 	n.replica.PutJob("wk-1", record, 1)
-	ask := func() int {
-		over := 0
+	timedOut := func() int {
+		count := 0
 		for task := range grants {
 			if n.grantTimedOut(taskKey{0, task, 1}) {
-				over++
+				count++
 			}
 		}
-		return over
+		return count
 	}
-	if over := ask(); over != 0 {
-		t.Fatalf("%d grants ran out of patience at once", over)
+	if got := timedOut(); got != 0 {
+		t.Fatalf("%d grants time out at once", got)
 	}
 	n.now = grantTimeout + second
 	n.forgetPlacedGrants()
-	if over := ask(); over != grants {
-		t.Errorf("%d of %d grants have run out of patience", over, grants)
+	if got := timedOut(); got != grants {
+		t.Errorf("%d of %d grants have timed out", got, grants)
 	}
 	placed := replica.CloneRecord(record)
 	for i := range placed.ActiveTasks {
@@ -47,8 +47,9 @@
 	}
 }
 
-// When an owner fails, all of its machines turn to its peers, and each peer names them
-// all: one that is not named counts as lost, and would be returned with its tasks.
+// TestEveryStrayMachineIsNamed: when an owner fails, all of its machines turn to its peers, and each
+// peer names them all: one that is not named counts as lost, and would be deprovisioned with
+// its tasks.
 func TestEveryStrayMachineIsNamed(t *testing.T) {
 	const machines = 2_000
 	n := New(Config{Self: "n0", Members: []Member{{"n0", "a"}, {"n1", "a"}}, Zones: []string{"a"}, HeartbeatInterval: 3 * second, WorkerLease: 30 * second,
