--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -113,58 +113,60 @@
 	return (grantableCapacity(n.plannableListCapacity(job)) - used) / runBytes
 }
 
-// recordRoom is the capacity that is left in the records of large arrays while an owner changes
+// recordCapacity is the capacity that is left in the records of large arrays while an owner changes
 // them. Taking single tasks out of runs can only make a record larger: when there is no capacity
 // for that, results wait until the whole run has ended.
-type recordRoom struct {
+type recordCapacity struct {
 	node   *Node
 	writer *writer
 	left   map[int]int // in bytes, by index of the job; as needed
 }
 
-func newRecordRoom(n *Node, writer *writer) *recordRoom { return &recordRoom{n, writer, map[int]int{}} }
+func newRecordRoom(n *Node, writer *writer) *recordCapacity {
+	return &recordCapacity{n, writer, map[int]int{}}
+}
 
 // remaining is how many bytes are left in a job's record.
-func (room *recordRoom) remaining(job *job) int {
-	left, known := room.left[job.Index]
+func (capacity *recordCapacity) remaining(job *job) int {
+	left, known := capacity.left[job.Index]
 	if !known {
 		record := job.Record
-		if changed := room.writer.records[job.Index]; changed != nil {
+		if changed := capacity.writer.records[job.Index]; changed != nil {
 			record = changed
 		}
-		left = room.node.listCapacity(job) - replica.TaskListBytes(record.ActiveTasks, record.DoneTasks)
-		room.left[job.Index] = left
+		left = capacity.node.listCapacity(job) - replica.TaskListBytes(record.ActiveTasks, record.DoneTasks)
+		capacity.left[job.Index] = left
 	}
 	return left
 }
 
 // allocate takes bytes of a job's record for one change, if there are more than twice as many.
-func (room *recordRoom) allocate(job *job, bytes int) bool {
-	left := room.remaining(job)
+func (capacity *recordCapacity) allocate(job *job, bytes int) bool {
+	left := capacity.remaining(job)
 	if left <= 2*bytes {
 		return false
 	}
-	room.left[job.Index] = left - bytes
+	capacity.left[job.Index] = left - bytes
 	return true
 }
 
 // mayRemove reports whether the result of a task may be written.
-func (room *recordRoom) mayRemove(key taskKey, machineName string) bool {
-	job := room.node.jobs[key.job]
+func (capacity *recordCapacity) mayRemove(key taskKey, machineName string) bool {
+	job := capacity.node.jobs[key.job]
 	if !job.LargeArray || job.Record.State != wire.JobLive {
 		return true
 	}
-	if room.allocate(job, wire.RunCost(machineName)+replica.TaskRangeBytes) {
+	if capacity.allocate(job, wire.RunCost(machineName)+replica.TaskRangeBytes) {
 		return true
 	}
-	at := room.node.activeTaskIndex(key, machineName)
+	at := capacity.node.activeTaskIndex(key, machineName)
 	if at < 0 {
 		return true
 	}
 	first, end := job.Record.ActiveTasks.Run(at)
 	for i := first; i < end; i++ {
 		other := &job.Record.ActiveTasks[i]
-		if _, ended := room.node.outcomes[taskKey{key.job, other.Task, other.Attempt}]; !ended {
+		if _, ended := capacity.node.outcomes[taskKey{key.job, other.Task, other.Attempt}]; !ended {
 			return false
 		}
 	}
@@ -175,8 +177,8 @@
 // ranges, as the lowest are granted first; should they not be, a task is rather started again,
 // which its machine answers with done at once, than a record made too large to be written
 // ever again.
-func (room *recordRoom) recordable(job *job, record *wire.Job, key taskKey, outcome taskOutcome) taskOutcome {
-	if job.LargeArray && outcome.cause == wire.CauseDone && len(record.DoneTasks) > room.node.listCapacity(job)/(2*replica.TaskRangeBytes) &&
+func (capacity *recordCapacity) recordable(job *job, record *wire.Job, key taskKey, outcome taskOutcome) taskOutcome {
+	if job.LargeArray && outcome.cause == wire.CauseDone && len(record.DoneTasks) > capacity.node.listCapacity(job)/(2*replica.TaskRangeBytes) &&
 		!record.DoneTasks.Has(key.task-1) && !record.DoneTasks.Has(key.task+1) {
 		outcome.cause = causeLost
 	}
@@ -184,6 +186,6 @@
 }
 
 // mayAdd reports whether one more run may be added to a record.
-func (room *recordRoom) mayAdd(job *job) bool {
-	return !job.LargeArray || room.allocate(job, room.node.taskRunBytes())
+func (capacity *recordCapacity) mayAdd(job *job) bool {
+	return !job.LargeArray || capacity.allocate(job, capacity.node.taskRunBytes())
 }
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -119,7 +119,11 @@
 		queued.tasks = nil
 	}
 	if job.suspect { // one task shows as much as many
-		queued.tasks = queued.tasks[:min(len(queued.tasks), boolToInt(len(job.Record.ActiveTasks) == 0))]
+		mayStart := 1
+		if len(job.Record.ActiveTasks) > 0 {
+			mayStart = 0
+		}
+		queued.tasks = queued.tasks[:min(len(queued.tasks), mayStart)]
 	}
 	return queued
 }
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -46,10 +46,10 @@
 		cancelled bool
 		want      int
 	}{
-		"ends soon":                    {expectedS: 10, want: 3},
-		"ends much later":              {expectedS: 300, want: 0},
-		"much later, but that is soon": {expectedS: 300, after: 295 * second, want: 3},
-		"will never run":               {expectedS: 10, cancelled: true, want: 0},
+		"ends soon":                   {expectedS: 10, want: 3},
+		"ends much later":             {expectedS: 300, want: 0},
+		"much later, but soon by now": {expectedS: 300, after: 295 * second, want: 3},
+		"will never run":              {expectedS: 10, cancelled: true, want: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := chained()
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -154,7 +154,7 @@
 	return &slotSet{node: n, open: map[slotClass]*slotList{}, byImage: map[imageList][]*slot{}}
 }
 
-// add puts a slot, which must be in no other set, into the set.
+// add adds a slot, which must be in no other set.
 func (set *slotSet) add(slot *slot) {
 	slot.set = set
 	set.all = append(set.all, slot)
