--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -80,21 +80,3 @@
 type ignoreResult struct{}
 
 func (ignoreResult) committed(*Node, Committed) {}
-
-// commitFunc is a committer that has no type of its own yet.
-type commitFunc func(Committed)
-
-func (f commitFunc) committed(_ *Node, result Committed) { f(result) }
-
-// resultFunc is a continuation that has no type of its own yet.
-type resultFunc func(Result)
-
-func (f resultFunc) resume(_ *Node, result Result) { f(result) }
-
-// commit is transact with a function.
-func (n *Node) commit(class RequestClass, conditions []Condition, writes []Write, next func(Committed)) {
-	n.transact(class, conditions, writes, commitFunc(next))
-}
-
-// onResult is continueWith with a function.
-func (n *Node) onResult(next func(Result)) (id uint64) { return n.continueWith(resultFunc(next)) }
