--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -59,7 +59,7 @@
 			machine := n.machines[attempt.Held[task]]
 			for _, slot := range slots.all {
 				if slot.machine == machine {
-					slot.take(job.Record.Spec)
+					slot.allocate(job.Record.Spec)
 				}
 			}
 		}
@@ -114,7 +114,7 @@
 		return
 	}
 	for i := range mine {
-		chosen[i].take(job.Record.Spec)
+		chosen[i].allocate(job.Record.Spec)
 		assignMachine(record, &mine[i], chosen[i].machine)
 	}
 }
@@ -128,7 +128,7 @@
 		if s == nil {
 			break
 		}
-		s.take(spec)
+		s.allocate(spec)
 		chosen = append(chosen, s)
 	}
 	for _, s := range chosen {
@@ -167,7 +167,7 @@
 	attempt.Held = map[int]int{}
 	attempt.Denied = false
 	for i, slot := range chosen {
-		slot.take(job.Record.Spec)
+		slot.allocate(job.Record.Spec)
 		attempt.Held[mine[i].Task] = slot.machine.index
 	}
 	n.sendGossip(true)
@@ -180,7 +180,7 @@
 	if machines == nil {
 		attempt.Held = nil
 		for _, slot := range n.chooseAll(job, mine, slots) {
-			slot.take(job.Record.Spec)
+			slot.allocate(job.Record.Spec)
 			machines = append(machines, slot.machine)
 		}
 	}
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -43,7 +43,7 @@
 		n.placeGang(writer, job, slots)
 		return
 	}
-	room := newRecordRoom(n, writer)
+	room := newRecordCapacity(n, writer)
 	var chosen *slot
 	for i := range job.Record.ActiveTasks {
 		task := &job.Record.ActiveTasks[i]
@@ -70,7 +70,7 @@
 			revokeGrant(record, task)
 			continue
 		}
-		chosen.take(spec)
+		chosen.allocate(spec)
 		assignMachine(record, task, chosen.machine)
 	}
 }
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -122,7 +122,7 @@
 	left   map[int]int // in bytes, by index of the job; as needed
 }
 
-func newRecordRoom(n *Node, writer *writer) *recordCapacity {
+func newRecordCapacity(n *Node, writer *writer) *recordCapacity {
 	return &recordCapacity{n, writer, map[int]int{}}
 }
 
--- a/internal/core/owned_capacity.go
+++ b/internal/core/owned_capacity.go
@@ -70,7 +70,7 @@
 	}
 	for _, slot := range slots.all {
 		for _, spec := range taken[slot.machine] {
-			slot.take(spec)
+			slot.allocate(spec)
 		}
 	}
 }
--- a/internal/core/scheduler_gang.go
+++ b/internal/core/scheduler_gang.go
@@ -29,7 +29,7 @@
 		}
 		for _, slot := range chosen {
 			slot.noteFetch(job)
-			slot.take(spec)
+			slot.allocate(spec)
 		}
 		job.rememberPosition()
 		return
@@ -48,12 +48,12 @@
 	job, spec := queued.job, queued.job.Record.Spec
 	for _, slot := range pass.available.releasing {
 		if slot.accepts(job) && slot.fitsAfterRelease(spec) {
-			slot.take(spec)
+			slot.allocate(spec)
 			return true
 		}
 	}
 	if slot := pass.preempt(queued, acceptAny); slot != nil {
-		slot.take(spec)
+		slot.allocate(spec)
 		return true
 	}
 	return false
@@ -106,7 +106,7 @@
 			break
 		}
 		worst = max(worst, pass.node.score(queued.job, next))
-		next.take(spec)
+		next.allocate(spec)
 		zoneTasks[next.zone]++
 		chosen = append(chosen, next)
 	}
@@ -132,7 +132,7 @@
 			continue
 		}
 		for _, slot := range chosen {
-			slot.take(queued.job.Record.Spec)
+			slot.allocate(queued.job.Record.Spec)
 		}
 		return
 	}
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -59,7 +59,7 @@
 		case source.drain:
 			source.slot.reserved = true
 		default:
-			source.slot.take(spec)
+			source.slot.allocate(spec)
 		}
 	}
 	if preempted {
@@ -70,7 +70,7 @@
 		if added == nil {
 			return
 		}
-		added.take(spec)
+		added.allocate(spec)
 	}
 }
 
@@ -135,7 +135,7 @@
 	search.seen[slot] = true
 	for trial := *slot; trial.fitsAfterRelease(spec) && !search.enough(); {
 		trial.set = nil
-		trial.take(spec)
+		trial.allocate(spec)
 		search.sources = append(search.sources, capacitySource{slot: slot, cost: cost})
 	}
 }
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -167,7 +167,7 @@
 				target = pass.available.best(job, func(slot *slot) bool { return slot.shard == task.Shard }, nil)
 			}
 			if target != nil {
-				target.take(job.Record.Spec)
+				target.allocate(job.Record.Spec)
 			}
 		}
 	}
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -33,7 +33,7 @@
 			if slot == nil {
 				break
 			}
-			slot.take(job.Record.Spec)
+			slot.allocate(job.Record.Spec)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		if slot == nil {
 			return
 		}
-		slot.take(job.Record.Spec)
+		slot.allocate(job.Record.Spec)
 	}
 }
 
--- a/internal/core/scheduler_stages.go
+++ b/internal/core/scheduler_stages.go
@@ -57,7 +57,7 @@
 		}
 		pass.charge(job, 1)
 		zoneTasks[slot.zone]++
-		slot.take(spec)
+		slot.allocate(spec)
 	}
 }
 
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -49,8 +49,8 @@
 	return !slot.reserved && spec.Cores <= slot.cores+slot.releasingCores+epsilon && spec.GPUs <= slot.gpus+slot.releasingGPUs+epsilon && spec.MemoryGB <= slot.memoryGB+slot.releasingMemoryGB+epsilon
 }
 
-// take allocates the capacity for one task.
-func (slot *slot) take(spec *wire.JobSpec) { slot.release(spec, -1) }
+// allocate allocates the capacity for one task.
+func (slot *slot) allocate(spec *wire.JobSpec) { slot.release(spec, -1) }
 
 // release returns the capacity of some tasks, or allocates it if the number is negative.
 func (slot *slot) release(spec *wire.JobSpec, tasks int) {
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -119,7 +119,7 @@
 		return
 	}
 	keys := n.sortedOutcomes()
-	pass := outcomePass{writer: writer, slots: room, records: newRecordRoom(n, writer), firstAt: map[int]Time{}}
+	pass := outcomePass{writer: writer, slots: room, records: newRecordCapacity(n, writer), firstAt: map[int]Time{}}
 	for _, key := range keys {
 		if at, seen := pass.firstAt[key.job]; !seen || n.outcomes[key].at < at {
 			pass.firstAt[key.job] = n.outcomes[key].at
@@ -202,7 +202,7 @@
 	if best == nil || best.machine.name == lost.Machine && best.machine.epoch <= lost.Epoch {
 		return
 	}
-	best.take(record.Spec)
+	best.allocate(record.Spec)
 	record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: lost.Task, Attempt: writer.attempt(job, record), Shard: lost.Shard, Machine: best.machine.name, Epoch: best.machine.epoch, Admitted: lost.Admitted})
 	n.log(LogDebug, "task replaced", "job", job.ID, "task", lost.Task, "machine", best.machine.name)
 }
