--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -42,14 +42,72 @@
 	maxClasses = 64
 )
 
+// arrivalForecast counts what comes and ends of each class that has a start objective or belongs
+// to a team with a guarantee. Every controller counts, so that a new leader has the statistics at
+// once.
+type arrivalForecast struct {
+	classes     []*classArrivals
+	countedFrom Time // since when arrivals are counted; 0: not yet
+}
+
+// addObjective adds a start objective; of several for one class the shortest counts.
+func (forecast *arrivalForecast) addObjective(objective StartObjective) {
+	if class := forecast.class(objective.Class); class != nil {
+		class.startWithin = min(class.startWithin, objective.Within)
+		return
+	}
+	forecast.classes = append(forecast.classes, &classArrivals{class: objective.Class, startWithin: objective.Within})
+}
+
+// class returns what is counted of a class, or nil.
+func (forecast *arrivalForecast) class(name string) *classArrivals {
+	for _, class := range forecast.classes {
+		if class.class == name {
+			return class
+		}
+	}
+	return nil
+}
+
+// noteArrival counts a new job of so many tasks if its class is counted, or has to be from now on
+// as its team has a guarantee.
+func (forecast *arrivalForecast) noteArrival(now Time, job *job, tasks int, guaranteed bool) {
+	name := job.Record.Spec.Class
+	class := forecast.class(name)
+	if class == nil && guaranteed && len(forecast.classes) < maxClasses {
+		class = &classArrivals{class: name, backfillGuard: true}
+		forecast.classes = append(forecast.classes, class)
+	}
+	if class == nil {
+		return
+	}
+	class.dropOld(now)
+	class.sample = job
+	class.jobs = append(class.jobs, arrival{now, tasks})
+}
+
+// noteCompletion counts a job of such a class that has released its machines.
+func (forecast *arrivalForecast) noteCompletion(now Time, name string, tasks int) {
+	class := forecast.class(name)
+	if class == nil {
+		return
+	}
+	class.dropOld(now)
+	class.completions = append(class.completions, arrival{now, tasks})
+}
+
+// reserve is for how many tasks of a class to reserve capacity; see classArrivals.reserve.
+func (forecast *arrivalForecast) reserve(class *classArrivals, now, lead Time) int {
+	return class.reserve(now, forecast.countedFrom, lead)
+}
+
 // countsArrivals reports whether what comes and ends is counted. What comes while no machine
-// is up yet is a backlog and says nothing about the rate. Every controller counts, so that a
-// new leader has the statistics at once.
+// is up yet is a backlog and says nothing about the rate.
 func (n *Node) countsArrivals() bool {
-	if n.countedFrom == 0 && n.replica.Loaded() && n.anyMachineUp() {
-		n.countedFrom = n.now
+	if n.arrivals.countedFrom == 0 && n.replica.Loaded() && n.anyMachineUp() {
+		n.arrivals.countedFrom = n.now
 	}
-	return n.countedFrom > 0
+	return n.arrivals.countedFrom > 0
 }
 
 // anyMachineUp reports whether any shard has a machine.
@@ -59,33 +117,16 @@
 
 // noteArrival counts a new job if its class has a start objective or its team a guarantee.
 func (n *Node) noteArrival(job *job) {
-	if !n.countsArrivals() {
-		return
-	}
-	class := job.Record.Spec.Class
-	if job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team]) && len(n.arrivals) < maxClasses &&
-		!slices.ContainsFunc(n.arrivals, func(known *classArrivals) bool { return known.class == class }) {
-		n.arrivals = append(n.arrivals, &classArrivals{class: class, backfillGuard: true})
-	}
-	for _, arrivals := range n.arrivals {
-		if arrivals.class == class {
-			arrivals.dropOld(n.now)
-			arrivals.sample = job
-			arrivals.jobs = append(arrivals.jobs, arrival{n.now, min(job.Record.TaskCount, n.replica.MaxSingleTasks())})
-		}
+	if n.countsArrivals() {
+		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
+		n.arrivals.noteArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxSingleTasks()), guaranteed)
 	}
 }
 
 // noteCompletion counts a job of such a class that has released its machines.
 func (n *Node) noteCompletion(was *wire.Job) {
-	if !n.countsArrivals() || was.Spec == nil || was.State != wire.JobLive {
-		return
-	}
-	for _, arrivals := range n.arrivals {
-		if arrivals.class == was.Spec.Class {
-			arrivals.dropOld(n.now)
-			arrivals.completions = append(arrivals.completions, arrival{n.now, len(was.ActiveTasks)})
-		}
+	if n.countsArrivals() && was.Spec != nil && was.State == wire.JobLive {
+		n.arrivals.noteCompletion(n.now, was.Spec.Class, len(was.ActiveTasks))
 	}
 }
 
--- a/internal/core/arrival_forecast_test.go
+++ b/internal/core/arrival_forecast_test.go
@@ -52,7 +52,7 @@
 	write(2, "wk-000001", gang("wk-000001"))
 	write(3, "wk-000002", gang("wk-000002"))
 	write(4, "wk-000001", &wire.Job{State: wire.JobDone, TaskCount: 2, NextAttempt: 2})
-	class := n.arrivals[0]
+	class := n.arrivals.classes[0]
 	if len(class.jobs) != 1 {
 		t.Errorf("arrivals %v, want one: the first came when no machine was up", class.jobs)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -45,8 +45,7 @@
 	budget           writeBudget
 	runTimeEstimator runTimeEstimator
 
-	arrivals    []*classArrivals
-	countedFrom Time // since when arrivals are counted; 0: not yet
+	arrivals arrivalForecast
 
 	cloudUnreachableSince Time   // since when the cloud has not answered; 0: it does
 	resumedAt             Time   // when the process last found out that it had been stalled; 0: never
@@ -147,13 +146,8 @@
 	n.initLeadership()
 	n.initReplica()
 	n.initFailover()
-	for _, o := range cfg.StartObjectives {
-		at := slices.IndexFunc(n.arrivals, func(class *classArrivals) bool { return class.class == o.Class })
-		if at < 0 {
-			n.arrivals = append(n.arrivals, &classArrivals{class: o.Class, startWithin: o.Within})
-		} else {
-			n.arrivals[at].startWithin = min(n.arrivals[at].startWithin, o.Within)
-		}
+	for _, objective := range cfg.StartObjectives {
+		n.arrivals.addObjective(objective)
 	}
 	n.leader.sharesDistributedAt = neverDistributed(len(cfg.Teams))
 	n.leader.reset()
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -114,14 +114,6 @@
 	}
 }
 
-// typeAt is the machine type with an index, or nil.
-func (n *Node) typeAt(rig int) *wire.MachineType {
-	if rig < 0 || rig >= len(n.machineTypes) {
-		return nil
-	}
-	return n.machineTypes[rig]
-}
-
 // usageOf computes what the records place on a machine: it is there until it
 // is proven gone.
 func (n *Node) usageOf(machine *machine) *resourceUse {
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -11,7 +11,7 @@
 // comes after all waiting work and grants nothing, so that any real task can have the capacity.
 func (pass *schedulingPass) reserveForArrivals() {
 	n := pass.node
-	for _, class := range n.arrivals {
+	for _, class := range n.arrivals.classes {
 		job := n.sampleOf(class)
 		if job == nil {
 			continue
@@ -19,7 +19,7 @@
 		lead := n.provisionTime(job)
 		if class.backfillGuard {
 			if pass.hasBackfill {
-				pass.reserveAgainstBackfill(job, class.reserve(n.now, n.countedFrom, n.preemptionTime()))
+				pass.reserveAgainstBackfill(job, n.arrivals.reserve(class, n.now, n.preemptionTime()))
 			}
 			continue
 		}
@@ -28,7 +28,7 @@
 		if lead == 0 || lead+n.imageFetchTime(job) < class.startWithin || n.fitsBesideGPUWork(job) {
 			continue
 		}
-		for range class.reserve(n.now, n.countedFrom, lead) {
+		for range n.arrivals.reserve(class, n.now, lead) {
 			slot := pass.bestAnywhere(job, nil)
 			if slot == nil {
 				break
