--- a/internal/simulation/accounting.go
+++ b/internal/simulation/accounting.go
@@ -13,23 +13,23 @@
 	"micaport/internal/wire"
 )
 
-// accounting follows what every revision of the records charges to each team, and checks
+// quotaAccounting follows what every revision of the records charges to each team, and checks
 // that no commit brings a team beyond the limit that is in force in that revision. It is
 // worked out from the stored bytes, not from what any controller knows.
-type accounting struct {
-	w          *World
-	jobs       map[string]jobCharge
-	teams      map[string]*teamCharge
-	highest    map[string]wire.Resources // the highest limits that have been in force
-	admissions int                       // tasks that owners have admitted
-	createdAt  map[string]time.Duration  // when each job's record was made
-	placedAt   map[string]time.Duration  // when a task of each job first had a machine
+type quotaAccounting struct {
+	sim           *Simulation
+	jobs          map[string]jobCharge
+	teams         map[string]*teamCharge
+	highestLimits map[string]wire.Resources // the highest limits that have been in force
+	admissions    int                       // tasks that owners have admitted
+	createdAt     map[string]time.Duration  // when each job's record was made
+	placedAt      map[string]time.Duration  // when a task of each job first had a machine
 }
 
 // jobCharge is what the active tasks of one job are charged.
 type jobCharge struct {
 	team     string
-	each     wire.Resources
+	perTask  wire.Resources
 	byLeader int
 	admitted map[int]int // by shard
 	placed   bool        // a task has a machine
@@ -43,46 +43,46 @@
 	admitted map[int]wire.Resources
 }
 
-const rounding = 1e-6
+const quotaTolerance = 1e-6
 
-func newAccounting(w *World) *accounting {
-	a := &accounting{w: w, jobs: map[string]jobCharge{}, teams: map[string]*teamCharge{}, highest: map[string]wire.Resources{}, createdAt: map[string]time.Duration{}, placedAt: map[string]time.Duration{}}
-	for _, t := range w.Teams {
+func newQuotaAccounting(sim *Simulation) *quotaAccounting {
+	accounting := &quotaAccounting{sim: sim, jobs: map[string]jobCharge{}, teams: map[string]*teamCharge{}, highestLimits: map[string]wire.Resources{}, createdAt: map[string]time.Duration{}, placedAt: map[string]time.Duration{}}
+	for _, t := range sim.Teams {
 		limit := wire.Resources{Cores: t.MaxCores, GPUs: t.MaxGPUs}
-		a.teams[t.Name] = &teamCharge{limit: limit, admitted: map[int]wire.Resources{}}
-		a.highest[t.Name] = limit
+		accounting.teams[t.Name] = &teamCharge{limit: limit, admitted: map[int]wire.Resources{}}
+		accounting.highestLimits[t.Name] = limit
 	}
-	return a
+	return accounting
 }
 
-// committed takes in a transaction and checks what it leads to, and that what it charges
+// checkCommit takes in a transaction and checks what it leads to, and that what it charges
 // rests on the accounts of its teams.
-func (a *accounting) committed(conds []core.Condition, puts []put) {
+func (accounting *quotaAccounting) checkCommit(conditions []core.Condition, writes []recordWrite) {
 	before := map[string]wire.Resources{}
-	for name, t := range a.teams {
-		before[name] = t.total()
+	for name, charge := range accounting.teams {
+		before[name] = charge.total()
 	}
 	changed := map[string]bool{}
-	for _, p := range puts {
+	for _, write := range writes {
 		switch {
-		case strings.HasPrefix(p.key, wire.JobPrefix):
-			changed[p.key[len(wire.JobPrefix):]] = true
-		case strings.HasPrefix(p.key, wire.OverflowPrefix):
-			ref, _ := wire.SplitOverflowKey(p.key)
-			changed[ref] = true
-		case strings.HasPrefix(p.key, wire.AccountPrefix):
-			a.account(p)
+		case strings.HasPrefix(write.key, wire.JobPrefix):
+			changed[write.key[len(wire.JobPrefix):]] = true
+		case strings.HasPrefix(write.key, wire.OverflowPrefix):
+			jobID, _ := wire.SplitOverflowKey(write.key)
+			changed[jobID] = true
+		case strings.HasPrefix(write.key, wire.AccountPrefix):
+			accounting.updateAccount(write)
 		}
 	}
-	for ref := range changed {
-		was := a.jobs[ref]
-		a.job(ref)
-		a.checkFence(conds, ref, was)
+	for jobID := range changed {
+		was := accounting.jobs[jobID]
+		accounting.updateJob(jobID)
+		accounting.checkFence(conditions, jobID, was)
 	}
-	for name, t := range a.teams {
-		now, was := t.total(), before[name]
-		if exceeds(now.Cores, t.limit.Cores, was.Cores) || exceeds(now.GPUs, t.limit.GPUs, was.GPUs) {
-			a.w.broke("quota", "revision %d charges %s %v, limit %v, before %v", a.w.store.rev, name, now, t.limit, was)
+	for name, charge := range accounting.teams {
+		now, was := charge.total(), before[name]
+		if raisesAboveLimit(now.Cores, charge.limit.Cores, was.Cores) || raisesAboveLimit(now.GPUs, charge.limit.GPUs, was.GPUs) {
+			accounting.sim.rules.violated("quota", "revision %d charges %s %v, limit %v, before %v", accounting.sim.store.revision, name, now, charge.limit, was)
 		}
 	}
 }
@@ -90,69 +90,69 @@
 // checkFence checks that a commit which charges more to a team, or to its shares, was
 // conditional on the team's account, if there is one: without that it could come after
 // the limit was lowered, or the share cancelled.
-func (a *accounting) checkFence(conds []core.Condition, ref string, was jobCharge) {
-	now := a.jobs[ref]
+func (accounting *quotaAccounting) checkFence(conditions []core.Condition, jobID string, was jobCharge) {
+	now := accounting.jobs[jobID]
 	if now.byLeader <= was.byLeader && now.countAdmitted() <= was.countAdmitted() {
 		return
 	}
 	key := wire.AccountKey(now.team)
-	if e := a.w.store.keys[key]; e != nil && !slices.ContainsFunc(conds, func(c core.Condition) bool { return c.Key == key }) {
-		a.w.broke("unfenced", "%s is charged to %s without a condition on its account", ref, now.team)
+	if record := accounting.sim.store.records[key]; record != nil && !slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == key }) {
+		accounting.sim.rules.violated("unfenced", "%s is charged to %s without a condition on its account", jobID, now.team)
 	}
 }
 
-// exceeds tells whether a commit has brought a charge beyond its limit. One that was
+// raisesAboveLimit tells whether a commit has brought a charge beyond its limit. One that was
 // beyond it already, since the limit has been lowered, may only fall.
-func exceeds(now, limit, was float64) bool {
-	return limit > 0 && now > limit+rounding && now > was+rounding
+func raisesAboveLimit(now, limit, was float64) bool {
+	return limit > 0 && now > limit+quotaTolerance && now > was+quotaTolerance
 }
 
-// account takes in the record of a team's account.
-func (a *accounting) account(p put) {
-	name := wire.AccountTeam(p.key)
-	t := a.teams[name]
-	record, _ := decode(p.key, p.raw).(*wire.Account)
-	t.shares = map[int]wire.Resources{}
+// updateAccount takes in the record of a team's account.
+func (accounting *quotaAccounting) updateAccount(write recordWrite) {
+	name := wire.AccountTeam(write.key)
+	charge := accounting.teams[name]
+	record, _ := mustDecodeRecord(write.key, write.raw).(*wire.Account)
+	charge.shares = map[int]wire.Resources{}
 	if record == nil || record.Unreadable {
 		return
 	}
-	t.limit = record.Limit
-	high := a.highest[name]
-	a.highest[name] = wire.Resources{Cores: max(high.Cores, record.Limit.Cores), GPUs: max(high.GPUs, record.Limit.GPUs)}
+	charge.limit = record.Limit
+	high := accounting.highestLimits[name]
+	accounting.highestLimits[name] = wire.Resources{Cores: max(high.Cores, record.Limit.Cores), GPUs: max(high.GPUs, record.Limit.GPUs)}
 	for _, s := range record.Shares {
-		t.shares[s.Shard] = wire.Resources{Cores: s.Cores, GPUs: s.GPUs}
+		charge.shares[s.Shard] = wire.Resources{Cores: s.Cores, GPUs: s.GPUs}
 	}
 }
 
-// job takes in a job's record and its overflow keys.
-func (a *accounting) job(ref string) {
-	before := a.jobs[ref]
-	a.apply(before, -1)
-	delete(a.jobs, ref)
-	e := a.w.store.keys[wire.JobKey(ref)]
-	if e == nil {
+// updateJob takes in a job's record and its overflow keys.
+func (accounting *quotaAccounting) updateJob(jobID string) {
+	before := accounting.jobs[jobID]
+	accounting.applyCharge(before, -1)
+	delete(accounting.jobs, jobID)
+	record := accounting.sim.store.records[wire.JobKey(jobID)]
+	if record == nil {
 		return
 	}
-	rec := decode(wire.JobKey(ref), e.raw).(*wire.Job)
-	if rec.Spec == nil || a.teams[rec.Spec.Team] == nil {
+	job := mustDecodeRecord(wire.JobKey(jobID), record.raw).(*wire.Job)
+	if job.Spec == nil || accounting.teams[job.Spec.Team] == nil {
 		return
 	}
-	c := jobCharge{team: rec.Spec.Team, each: wire.Resources{Cores: rec.Spec.Cores, GPUs: rec.Spec.GPUs}, admitted: map[int]int{}}
-	c.add(rec.ActiveTasks)
-	for k := 1; k <= rec.OverflowKeys; k++ {
-		if e := a.w.store.keys[wire.OverflowKey(ref, k)]; e != nil {
-			c.add(decode(wire.OverflowKey(ref, k), e.raw).(*wire.Overflow).ActiveTasks)
+	c := jobCharge{team: job.Spec.Team, perTask: wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs}, admitted: map[int]int{}}
+	c.add(job.ActiveTasks)
+	for k := 1; k <= job.OverflowKeys; k++ {
+		if record := accounting.sim.store.records[wire.OverflowKey(jobID, k)]; record != nil {
+			c.add(mustDecodeRecord(wire.OverflowKey(jobID, k), record.raw).(*wire.Overflow).ActiveTasks)
 		}
 	}
-	a.jobs[ref] = c
-	if _, known := a.createdAt[ref]; !known {
-		a.createdAt[ref] = a.w.now
+	accounting.jobs[jobID] = c
+	if _, known := accounting.createdAt[jobID]; !known {
+		accounting.createdAt[jobID] = accounting.sim.now
 	}
-	if _, known := a.placedAt[ref]; !known && c.placed {
-		a.placedAt[ref] = a.w.now
+	if _, known := accounting.placedAt[jobID]; !known && c.placed {
+		accounting.placedAt[jobID] = accounting.sim.now
 	}
-	a.apply(c, 1)
-	a.admissions += max(0, c.countAdmitted()-before.countAdmitted())
+	accounting.applyCharge(c, 1)
+	accounting.admissions += max(0, c.countAdmitted()-before.countAdmitted())
 }
 
 func (c *jobCharge) add(tasks wire.ActiveTasks) {
@@ -175,61 +175,61 @@
 	return sum
 }
 
-// apply adds a job's charge to its team's, or removes it with sign -1.
-func (a *accounting) apply(c jobCharge, sign int) {
+// applyCharge adds a job's charge to its team's, or removes it with sign -1.
+func (accounting *quotaAccounting) applyCharge(c jobCharge, sign int) {
 	if c.team == "" {
 		return
 	}
-	t := a.teams[c.team]
-	t.byLeader = plus(t.byLeader, c.each, sign*c.byLeader)
+	charge := accounting.teams[c.team]
+	charge.byLeader = addResources(charge.byLeader, c.perTask, sign*c.byLeader)
 	for part, count := range c.admitted {
-		t.admitted[part] = plus(t.admitted[part], c.each, sign*count)
+		charge.admitted[part] = addResources(charge.admitted[part], c.perTask, sign*count)
 	}
 }
 
-func plus(a, b wire.Resources, count int) wire.Resources {
+func addResources(a, b wire.Resources, count int) wire.Resources {
 	return wire.Resources{Cores: a.Cores + b.Cores*float64(count), GPUs: a.GPUs + b.GPUs*float64(count)}
 }
 
 // total is what a team is charged: what the leader has granted, and of each shard the
 // share or what was admitted, whichever is more. What nobody uses of a share counts too,
 // since its holder may admit within it at any moment.
-func (t *teamCharge) total() wire.Resources {
-	sum := t.byLeader
-	for part, share := range t.shares {
-		used := t.admitted[part]
+func (charge *teamCharge) total() wire.Resources {
+	sum := charge.byLeader
+	for part, share := range charge.shares {
+		used := charge.admitted[part]
 		sum.Cores += max(share.Cores, used.Cores)
 		sum.GPUs += max(share.GPUs, used.GPUs)
 	}
-	for part, used := range t.admitted {
-		if _, shared := t.shares[part]; !shared {
-			sum = plus(sum, used, 1)
+	for part, used := range charge.admitted {
+		if _, shared := charge.shares[part]; !shared {
+			sum = addResources(sum, used, 1)
 		}
 	}
 	return sum
 }
 
-// openShares counts the shares that are distributed.
-func (a *accounting) openShares() int {
+// countShares counts the shares that are distributed.
+func (accounting *quotaAccounting) countShares() int {
 	count := 0
-	for _, t := range a.teams {
-		count += len(t.shares)
+	for _, charge := range accounting.teams {
+		count += len(charge.shares)
 	}
 	return count
 }
 
 // changeLimit plays an operator who changes a team's limit with the command line.
-func (w *World) changeLimit(team string, args []string) error {
+func (accounting *quotaAccounting) changeLimit(team string, args []string) error {
 	now := &wire.Account{}
-	for _, t := range w.Teams {
+	for _, t := range accounting.sim.Teams {
 		if t.Name == team {
 			now.Limit = wire.Resources{Cores: t.MaxCores, GPUs: t.MaxGPUs}
 			now.Guarantee = wire.Resources{Cores: t.GuaranteedCores, GPUs: t.GuaranteedGPUs}
 		}
 	}
 	key := wire.AccountKey(team)
-	if e := w.store.keys[key]; e != nil {
-		if stored := decode(key, e.raw).(*wire.Account); !stored.Unreadable {
+	if record := accounting.sim.store.records[key]; record != nil {
+		if stored := mustDecodeRecord(key, record.raw).(*wire.Account); !stored.Unreadable {
 			now = stored
 		}
 	}
@@ -258,15 +258,15 @@
 	if err != nil {
 		return err
 	}
-	w.store.overwrite(key, raw)
+	accounting.sim.store.overwrite(key, raw)
 	return nil
 }
 
 // overwrite writes a key from outside the controllers.
-func (s *store) overwrite(key string, raw []byte) {
-	s.rev++
-	p := put{key: key, raw: raw}
-	s.apply(p, s.rev)
-	s.w.accounting.committed(nil, []put{p})
-	s.notify()
+func (store *stateService) overwrite(key string, raw []byte) {
+	store.revision++
+	write := recordWrite{key: key, raw: raw}
+	store.apply(write, store.revision)
+	store.sim.quota.checkCommit(nil, []recordWrite{write})
+	store.notifyWatches()
 }
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -10,44 +10,47 @@
 
 // Controllers of the simulated world: how they start, end, stand still and are given inputs.
 
-type node struct {
-	w     *World
-	ix    int
-	label string
-	zone  string
-	core  *core.Node
-	up    bool
-	old   bool // it plays the version before
-	life  int
-	boot  time.Duration
-	drift float64
-	wait  map[uint64]func(core.Reply)
-	req   uint64
+type controller struct {
+	sim            *Simulation
+	index          int
+	label          string
+	zone           string
+	core           *core.Node
+	running        bool
+	oldVersion     bool // it plays the version before
+	incarnation    int
+	startedAt      time.Duration
+	clockRate      float64
+	pendingReplies map[uint64]func(core.Reply)
+	lastRequestID  uint64
 
-	still   time.Duration // until when it stands still
-	backlog []core.Input  // what has come meanwhile
-	stuck   []core.Effect // effects that it had decided on when it stopped
-	stops   bool          // before the effects of its next step
+	frozenUntil         time.Duration // until when it stands still
+	queuedInputs        []core.Input  // what has come meanwhile
+	heldEffects         []core.Effect // effects that it had decided on when it stopped
+	freezeBeforeEffects bool          // before the effects of its next step
 }
 
-func (n *node) start() {
-	w := n.w
-	n.up, n.boot = true, w.now
-	n.life++
-	n.still, n.stops, n.stuck, n.backlog = 0, false, nil, nil
-	n.wait = map[uint64]func(core.Reply){}
-	if w.launch != nil {
-		w.store.at[n.label] = -1 // it watches by itself
-		w.launch(n)
+// endpoint returns the controller as a party of the network.
+func (ctrl *controller) endpoint() endpoint { return endpoint{ctrl.label, ctrl.zone} }
+
+func (ctrl *controller) start() {
+	sim := ctrl.sim
+	ctrl.running, ctrl.startedAt = true, sim.now
+	ctrl.incarnation++
+	ctrl.frozenUntil, ctrl.freezeBeforeEffects, ctrl.heldEffects, ctrl.queuedInputs = 0, false, nil, nil
+	ctrl.pendingReplies = map[uint64]func(core.Reply){}
+	if sim.startController != nil {
+		sim.store.watchPositions[ctrl.label] = -1 // it watches by itself
+		sim.startController(ctrl)
 		return
 	}
 	cfg := core.Config{
-		Self: n.label, Zone: n.zone, Incarnation: fmt.Sprintf("%s-%d", n.label, n.life), Zones: w.Zones, Teams: w.Teams,
-		HeartbeatInterval: w.Report, WorkerLease: w.Lease, GangWait: w.GangWait,
-		OwnerValidity: config.Validity(w.Lease, w.Cancel), LeaderLease: 5 * time.Second, MaxTransactionOps: w.TxnOps, MaxValueBytes: w.ValueBytes,
+		Self: ctrl.label, Zone: ctrl.zone, Incarnation: fmt.Sprintf("%s-%d", ctrl.label, ctrl.incarnation), Zones: sim.Zones, Teams: sim.Teams,
+		HeartbeatInterval: sim.HeartbeatInterval, WorkerLease: sim.WorkerLease, GangWait: sim.GangWait,
+		OwnerValidity: config.Validity(sim.WorkerLease, sim.CancelDeadline), LeaderLease: 5 * time.Second, MaxTransactionOps: sim.MaxTransactionOps, MaxValueBytes: sim.MaxValueBytes,
 		MaxBulkTasks: 600,
-		CloudListLag: 4 * time.Second, MaxBatchWrites: w.batchPuts(), CloudRPS: 2, StateRPS: 250, WriteRPS: w.WriteRPS, IdleTimeout: w.Idle, SpareMachines: 1, Preempt: true,
-		WallClockMS: func() int64 { return w.now.Milliseconds() },
+		CloudListLag: 4 * time.Second, MaxBatchWrites: sim.maxBatchWrites(), CloudRPS: 2, StateRPS: 250, WriteRPS: sim.WriteRPS, IdleTimeout: sim.IdleTimeout, SpareMachines: 1, Preempt: true,
+		WallClockMS: func() int64 { return sim.now.Milliseconds() },
 	}
 	least := func(now, next int) int {
 		if next > 0 {
@@ -55,132 +58,132 @@
 		}
 		return now
 	}
-	cfg.Admission, cfg.EarlyTakeover = w.Admission, w.EarlyTakeover
-	if n.old {
-		cfg.Format = w.OldFormat
+	cfg.Admission, cfg.EarlyTakeover = sim.Admission, sim.EarlyTakeover
+	if ctrl.oldVersion {
+		cfg.Format = sim.OldFormat
 	}
 	if cfg.Format != 1 { // format 1 knows of no limits to come
-		cfg.CurrentValueBytes, cfg.MaxValueBytes = cfg.MaxValueBytes, least(cfg.MaxValueBytes, w.NextValueBytes)
-		cfg.MaxTransactionOps, cfg.NextWriteRPS = least(cfg.MaxTransactionOps, w.NextTxnOps), w.NextWriteRPS
+		cfg.CurrentValueBytes, cfg.MaxValueBytes = cfg.MaxValueBytes, least(cfg.MaxValueBytes, sim.NextMaxValueBytes)
+		cfg.MaxTransactionOps, cfg.NextWriteRPS = least(cfg.MaxTransactionOps, sim.NextMaxTransactionOps), sim.NextWriteRPS
 	}
-	for _, m := range w.nodes {
-		cfg.Members = append(cfg.Members, core.Member{Name: m.label, Zone: m.zone})
+	for _, peer := range sim.controllers {
+		cfg.Members = append(cfg.Members, core.Member{Name: peer.label, Zone: peer.zone})
 	}
-	n.core = core.New(cfg)
-	life := n.life
-	w.store.list(n, life)
+	ctrl.core = core.New(cfg)
+	incarnation := ctrl.incarnation
+	sim.store.sendSnapshot(ctrl, incarnation)
 	var tick func()
 	tick = func() {
-		if n.life != life || !n.up {
+		if ctrl.incarnation != incarnation || !ctrl.running {
 			return
 		}
-		n.step(core.Tick{})
-		w.after(50*time.Millisecond, tick)
+		ctrl.step(core.Tick{})
+		sim.after(50*time.Millisecond, tick)
 	}
-	w.after(time.Duration(n.ix)*7*time.Millisecond, tick)
+	sim.after(time.Duration(ctrl.index)*7*time.Millisecond, tick)
 }
 
-// failing gives a controller that is about to end or to stand still for d, or nil if it is
+// beginFailure gives a controller that is about to end or to stand still for d, or nil if it is
 // not up.
-func (w *World) failing(ix int, d time.Duration) *node {
-	n := w.nodes[ix]
-	if !n.up {
+func (sim *Simulation) beginFailure(ix int, d time.Duration) *controller {
+	ctrl := sim.controllers[ix]
+	if !ctrl.running {
 		return nil
 	}
-	w.troubled(d)
-	w.takeovers.failing(ix)
-	return n
+	sim.rules.faultsLast(d)
+	sim.leadership.recordFailure(ix)
+	return ctrl
 }
 
-// Crash ends a controller; it comes back after d.
-func (w *World) Crash(ix int, d time.Duration) {
-	n := w.failing(ix, d)
-	if n == nil {
+// crash ends a controller; it comes back after d.
+func (sim *Simulation) crash(ix int, d time.Duration) {
+	ctrl := sim.beginFailure(ix, d)
+	if ctrl == nil {
 		return
 	}
-	n.up = false
-	n.wait = nil
-	if w.launch == nil && w.EarlyTakeover {
-		w.disconnect(n)
+	ctrl.running = false
+	ctrl.pendingReplies = nil
+	if sim.startController == nil && sim.EarlyTakeover {
+		sim.notifyDisconnected(ctrl)
 	}
-	w.after(d, n.start)
+	sim.after(d, ctrl.start)
 }
 
-func (n *node) step(in core.Input) {
-	if !n.up {
+func (ctrl *controller) step(in core.Input) {
+	if !ctrl.running {
 		return
 	}
-	if n.w.now < n.still && !n.stops {
+	if ctrl.sim.now < ctrl.frozenUntil && !ctrl.freezeBeforeEffects {
 		if _, tick := in.(core.Tick); !tick {
-			n.backlog = append(n.backlog, in)
+			ctrl.queuedInputs = append(ctrl.queuedInputs, in)
 		}
 		return
 	}
-	local := time.Duration(float64(n.w.now-n.boot) * n.drift)
-	out := n.core.Step(local, in)
-	if n.w.observe != nil {
-		n.w.observe(n.w.now, n.label, out)
+	local := time.Duration(float64(ctrl.sim.now-ctrl.startedAt) * ctrl.clockRate)
+	out := ctrl.core.Step(local, in)
+	if ctrl.sim.observe != nil {
+		ctrl.sim.observe(ctrl.sim.now, ctrl.label, out)
 	}
-	if n.stops {
-		n.stops, n.stuck = false, out
+	if ctrl.freezeBeforeEffects {
+		ctrl.freezeBeforeEffects, ctrl.heldEffects = false, out
 		return
 	}
 	for _, e := range out {
-		n.perform(e)
+		ctrl.perform(e)
 	}
 }
 
-// Freeze makes a controller stand still while its clocks run on: between
+// freeze makes a controller stand still while its clocks run on: between
 // deciding and doing, at every second time.
-func (w *World) Freeze(ix int, d time.Duration) {
-	n := w.failing(ix, d)
-	if n == nil {
+func (sim *Simulation) freeze(ix int, d time.Duration) {
+	ctrl := sim.beginFailure(ix, d)
+	if ctrl == nil {
 		return
 	}
-	n.still, n.stops = w.now+d, w.rng.IntN(2) == 0
-	life := n.life
-	w.after(d, func() {
-		if n.life != life || !n.up || w.now < n.still {
+	ctrl.frozenUntil, ctrl.freezeBeforeEffects = sim.now+d, sim.rng.IntN(2) == 0
+	incarnation := ctrl.incarnation
+	sim.after(d, func() {
+		if ctrl.incarnation != incarnation || !ctrl.running || sim.now < ctrl.frozenUntil {
 			return
 		}
-		stuck, backlog := n.stuck, n.backlog
-		n.stuck, n.backlog, n.stops = nil, nil, false
+		stuck, backlog := ctrl.heldEffects, ctrl.queuedInputs
+		ctrl.heldEffects, ctrl.queuedInputs, ctrl.freezeBeforeEffects = nil, nil, false
 		for _, e := range stuck {
 			if call, is := e.(core.CallCloud); is && (call.Provision != nil || call.Deprovision != nil) && d > call.ValidFor {
-				n.step(core.CloudAnswered{ID: call.ID, Outcome: core.Refused}) // as the adapter does
+				ctrl.step(core.CloudAnswered{ID: call.ID, Outcome: core.Refused}) // as the adapter does
 				continue
 			}
-			n.perform(e)
+			ctrl.perform(e)
 		}
 		for _, in := range backlog {
-			n.step(in)
+			ctrl.step(in)
 		}
 	})
 }
 
 // deliver gives an input to the same incarnation of the controller after a delay.
-func (n *node) deliver(d time.Duration, in core.Input) {
-	life := n.life
-	n.w.after(d, func() {
-		if n.life == life {
-			n.step(in)
+func (ctrl *controller) deliver(d time.Duration, in core.Input) {
+	incarnation := ctrl.incarnation
+	ctrl.sim.after(d, func() {
+		if ctrl.incarnation == incarnation {
+			ctrl.step(in)
 		}
 	})
 }
 
-// ask gives a request to a controller; reply is called at most once.
-func (n *node) ask(input func(req uint64) core.Input, reply func(core.Reply)) {
-	if n.w.Settings.ask != nil {
-		n.w.Settings.ask(n, input(0), reply)
+// request gives a request to a controller; reply is called at most once.
+func (ctrl *controller) request(input func(req uint64) core.Input, reply func(core.Reply)) {
+	if ctrl.sim.Settings.sendRequest != nil {
+		ctrl.sim.Settings.sendRequest(ctrl, input(0), reply)
 		return
 	}
-	life := n.life
-	n.w.after(n.w.latency(), func() {
-		if n.life != life || !n.up {
+	incarnation := ctrl.incarnation
+	ctrl.sim.after(ctrl.sim.network.latency(), func() {
+		if ctrl.incarnation != incarnation || !ctrl.running {
 			return
 		}
-		n.req++
-		n.wait[n.req] = reply
-		n.step(input(n.req))
+		ctrl.lastRequestID++
+		ctrl.pendingReplies[ctrl.lastRequestID] = reply
+		ctrl.step(input(ctrl.lastRequestID))
 	})
 }
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -9,88 +9,77 @@
 
 // What a controller wants done, carried out against the models: lost, late or refused.
 
-// fate decides what becomes of a request: whether and when it is carried
-// out, and whether the answer arrives.
-func (w *World) fate() (carried time.Duration, runs, answered bool) {
-	if w.now < w.lossTo {
-		x := w.rng.Float64()
-		switch {
-		case x < w.late:
-			return time.Duration(w.rng.IntN(60000)) * time.Millisecond, true, false
-		case x < w.late+w.loss/2:
-			return 0, false, false
-		case x < w.late+w.loss:
-			return w.latency(), true, false
-		}
-	}
-	return w.latency(), true, true
-}
+// requestTimeout is how long a controller waits for the state service or the cloud.
+const requestTimeout = 1500 * time.Millisecond
 
-// timeout is how long a controller waits for the state service or the cloud.
-const patience = 1500 * time.Millisecond
+// serviceCall is a request of a controller to a service. Each function is called at most
+// once.
+type serviceCall struct {
+	refusal func() core.Input  // returns the answer of a service that refuses at once, or nil
+	fate    func() requestFate // draws what happens to the request otherwise
+	run     func() core.Input  // carries the request out and returns its answer
+	lost    core.Input         // the answer if none arrives in time
+}
 
-// call runs a request of a controller against a service.
-func (n *node) call(fate func() (time.Duration, bool, bool), run func() core.Input, lost core.Input, refused func() core.Input) {
-	w := n.w
-	if r := refused(); r != nil {
-		n.deliver(w.latency(), r)
+// callService runs a request of a controller against a service.
+func (ctrl *controller) callService(call serviceCall) {
+	sim := ctrl.sim
+	if refusal := call.refusal(); refusal != nil {
+		ctrl.deliver(sim.network.latency(), refusal)
 		return
 	}
-	d, runs, answered := fate()
-	answered = answered && d < patience
-	life := n.life
-	if runs {
-		w.after(d, func() {
-			in := run()
-			if answered && n.life == life {
-				n.deliver(w.latency(), in)
+	fate := call.fate()
+	answered := fate.answered && fate.delay < requestTimeout
+	incarnation := ctrl.incarnation
+	if fate.runs {
+		sim.after(fate.delay, func() {
+			answer := call.run()
+			if answered && ctrl.incarnation == incarnation {
+				ctrl.deliver(sim.network.latency(), answer)
 			}
 		})
 	}
 	if !answered {
-		n.deliver(patience, lost)
+		ctrl.deliver(requestTimeout, call.lost)
 	}
 }
 
 // perform carries out an effect of the core.
-func (n *node) perform(e core.Effect) {
-	w := n.w
-	switch x := e.(type) {
+func (ctrl *controller) perform(effect core.Effect) {
+	switch x := effect.(type) {
 	case core.Commit:
-		n.commit(x)
+		ctrl.commit(x)
 	case core.ReadJob:
-		n.read(x)
+		ctrl.readJob(x)
 	case core.RenewLease:
-		n.call(w.storeFate, func() core.Input {
-			out, id := w.store.lease(x.LeaseID, x.TTL)
-			return core.LeaseAnswered{ID: x.ID, Outcome: out, LeaseID: id}
-		}, core.LeaseAnswered{ID: x.ID, Outcome: core.Unknown}, n.unlessRefused(core.LeaseAnswered{ID: x.ID, Outcome: core.Refused}))
+		ctrl.renewLease(x)
 	case core.CallCloud:
-		n.callCloud(x)
+		ctrl.callCloud(x)
 	case core.SendCommands:
-		n.order(x)
+		ctrl.sendCommands(x)
 	case core.SendGossip:
-		n.send(x)
+		ctrl.sendGossip(x)
 	case core.SendHeartbeat:
-		n.heartbeat(x)
+		ctrl.sendHeartbeat(x)
 	case core.SendDecisionLog:
-		n.sendLog(x)
+		ctrl.sendDecisionLog(x)
 	case core.Forward:
-		n.forward(x)
+		ctrl.forward(x)
 	case core.Log:
-		w.trace("%8.3f %s %s %v", w.now.Seconds(), n.label, x.Text, x.Args)
+		ctrl.sim.logf("%8.3f %s %s %v", ctrl.sim.now.Seconds(), ctrl.label, x.Text, x.Args)
 	case core.Reply:
-		if f := n.wait[x.RequestID]; f != nil {
-			delete(n.wait, x.RequestID)
-			f(x)
+		if receive := ctrl.pendingReplies[x.RequestID]; receive != nil {
+			delete(ctrl.pendingReplies, x.RequestID)
+			receive(x)
 		}
 	}
 }
 
-// unlessRefused gives the answer to a request that the state service refuses at once.
-func (n *node) unlessRefused(refusal core.Input) func() core.Input {
+// refusedWith returns a function that gives the answer to a request if the state service
+// refuses this controller now, and nil otherwise.
+func (ctrl *controller) refusedWith(refusal core.Input) func() core.Input {
 	return func() core.Input {
-		if n.w.store.refuses(n) {
+		if ctrl.sim.store.refuses(ctrl) {
 			return refusal
 		}
 		return nil
@@ -98,134 +87,158 @@
 }
 
 // commit sends a transaction to the state service.
-func (n *node) commit(x core.Commit) {
-	w := n.w
-	puts := encodeWrites(x.Writes)
-	n.call(w.writeFate(len(puts)), func() core.Input {
-		refused := w.meter.refused
-		out, rev, failed := w.store.commit(n, x.Conditions, puts)
-		return core.Committed{ID: x.ID, Outcome: out, Revision: rev, Failed: failed, Limited: w.meter.refused > refused}
-	}, core.Committed{ID: x.ID, Outcome: core.Unknown}, n.unlessRefused(core.Committed{ID: x.ID, Outcome: core.Refused}))
+func (ctrl *controller) commit(x core.Commit) {
+	sim := ctrl.sim
+	writes := encodeRecordWrites(x.Writes)
+	ctrl.callService(serviceCall{
+		refusal: ctrl.refusedWith(core.Committed{ID: x.ID, Outcome: core.Refused}),
+		fate:    func() requestFate { return sim.store.commitFate(len(writes)) },
+		run: func() core.Input {
+			refused := sim.meter.refusedCommits
+			outcome, revision, failed := sim.store.commit(ctrl, x.Conditions, writes)
+			return core.Committed{ID: x.ID, Outcome: outcome, Revision: revision, Failed: failed, Limited: sim.meter.refusedCommits > refused}
+		},
+		lost: core.Committed{ID: x.ID, Outcome: core.Unknown},
+	})
 }
 
-// read fetches the record of a job.
-func (n *node) read(x core.ReadJob) {
-	w := n.w
-	n.call(w.storeFate, func() core.Input {
-		r := core.JobRead{ID: x.ID, Outcome: core.NotFound}
-		if k := w.store.keys[wire.JobKey(x.JobID)]; k != nil {
-			r.Outcome, r.Revision, r.Job = core.OK, k.rev, new(wire.Job)
-			must(wire.Decode(k.raw, r.Job))
-		}
-		return r
-	}, core.JobRead{ID: x.ID, Outcome: core.Unknown}, n.unlessRefused(core.JobRead{ID: x.ID, Outcome: core.Refused}))
+// readJob reads the record of a job from the state service.
+func (ctrl *controller) readJob(x core.ReadJob) {
+	ctrl.callService(serviceCall{
+		refusal: ctrl.refusedWith(core.JobRead{ID: x.ID, Outcome: core.Refused}),
+		fate:    ctrl.sim.store.fate,
+		run: func() core.Input {
+			answer := core.JobRead{ID: x.ID, Outcome: core.NotFound}
+			if record := ctrl.sim.store.records[wire.JobKey(x.JobID)]; record != nil {
+				answer.Outcome, answer.Revision, answer.Job = core.OK, record.revision, new(wire.Job)
+				must(wire.Decode(record.raw, answer.Job))
+			}
+			return answer
+		},
+		lost: core.JobRead{ID: x.ID, Outcome: core.Unknown},
+	})
+}
+
+// renewLease makes or renews a lease of the state service.
+func (ctrl *controller) renewLease(x core.RenewLease) {
+	ctrl.callService(serviceCall{
+		refusal: ctrl.refusedWith(core.LeaseAnswered{ID: x.ID, Outcome: core.Refused}),
+		fate:    ctrl.sim.store.fate,
+		run: func() core.Input {
+			outcome, id := ctrl.sim.store.renewLease(x.LeaseID, x.TTL)
+			return core.LeaseAnswered{ID: x.ID, Outcome: outcome, LeaseID: id}
+		},
+		lost: core.LeaseAnswered{ID: x.ID, Outcome: core.Unknown},
+	})
 }
 
 // callCloud sends a call to the cloud.
-func (n *node) callCloud(x core.CallCloud) {
-	w := n.w
-	if x.Provision != nil || x.Deprovision != nil {
-		if w.staleLeader(n) {
-			w.broke("stale_leader", "%s deals with the cloud", n.label)
-		}
-		w.takeovers.calls(n)
-	}
-	n.call(w.fate, func() core.Input { return w.cloud.call(x) }, core.CloudAnswered{ID: x.ID, Outcome: core.Unknown}, func() core.Input {
-		if w.cut(n.label, n.zone, "cloud", "") {
-			return core.CloudAnswered{ID: x.ID, Outcome: core.Unknown}
-		}
-		if w.cloud.outage {
-			return core.CloudAnswered{ID: x.ID, Outcome: core.Refused}
-		}
-		return nil
+func (ctrl *controller) callCloud(x core.CallCloud) {
+	sim := ctrl.sim
+	sim.leadership.checkCloudCall(ctrl, x)
+	ctrl.callService(serviceCall{
+		refusal: func() core.Input {
+			if sim.network.isCut(ctrl.endpoint(), cloudEndpoint) {
+				return core.CloudAnswered{ID: x.ID, Outcome: core.Unknown}
+			}
+			if sim.cloud.outage {
+				return core.CloudAnswered{ID: x.ID, Outcome: core.Refused}
+			}
+			return nil
+		},
+		fate: sim.network.fate,
+		run:  func() core.Input { return sim.cloud.call(x) },
+		lost: core.CloudAnswered{ID: x.ID, Outcome: core.Unknown},
 	})
 }
 
-// send carries a message to a peer.
-func (n *node) send(x core.SendGossip) {
-	w := n.w
-	for _, m := range w.nodes {
-		if m.label != x.To || w.cut(n.label, n.zone, m.label, m.zone) {
+// sendGossip carries a message to a peer.
+func (ctrl *controller) sendGossip(x core.SendGossip) {
+	sim := ctrl.sim
+	for _, peer := range sim.controllers {
+		if peer.label != x.To || sim.network.isCut(ctrl.endpoint(), peer.endpoint()) {
 			continue
 		}
-		if w.now < w.lossTo && w.rng.Float64() < w.loss {
+		if sim.network.loses(sim.rng) {
 			continue
 		}
 		msg := *x.Message
 		if raw, err := wire.Encode(x.Message); err == nil {
-			w.meter.bytes += len(raw)
+			sim.meter.gossipBytes += len(raw)
 		}
-		m.deliver(w.latency(), core.GossipReceived{Message: &msg})
+		peer.deliver(sim.network.latency(), core.GossipReceived{Message: &msg})
 	}
 }
 
-// order carries orders to a worker's own address. What is held back or comes
+// sendCommands carries orders to a worker's own address. What is held back or comes
 // late may be obeyed long after the sender has given up, and twice.
-func (n *node) order(x core.SendCommands) {
-	w := n.w
-	var k *workerSim
-	for _, y := range w.workers {
-		if y.m.Addr == x.Address {
-			k = y
+func (ctrl *controller) sendCommands(x core.SendCommands) {
+	sim := ctrl.sim
+	var worker *simWorker
+	for _, y := range sim.fleet.workers {
+		if y.machine.Addr == x.Address {
+			worker = y
 		}
 	}
-	says := func(d time.Duration, o core.Outcome) { n.deliver(d, core.CommandsAnswered{ID: x.ID, Outcome: o}) }
-	if k == nil || k.off || w.now < k.deafTo {
+	says := func(d time.Duration, outcome core.Outcome) {
+		ctrl.deliver(d, core.CommandsAnswered{ID: x.ID, Outcome: outcome})
+	}
+	if worker == nil || worker.terminated || sim.now < worker.inboundCutUntil {
 		says(700*time.Millisecond, core.Refused)
 		return
 	}
-	if w.cut(k.m.Name, k.m.Zone, n.label, n.zone) {
-		if !w.holds(k.m.Name, k.m.Zone, n.label, n.zone) || w.rng.IntN(2) == 0 {
+	if sim.network.isCut(worker.endpoint(), ctrl.endpoint()) {
+		if !sim.network.isHeld(worker.endpoint(), ctrl.endpoint()) || sim.rng.IntN(2) == 0 {
 			says(700*time.Millisecond, core.Refused)
 			return
 		}
 		// The connection stood already when the cut began.
 		says(3*time.Second, core.Unknown)
-		k.take(x.Batch, func() bool { return w.cut(k.m.Name, k.m.Zone, n.label, n.zone) }, func(core.Outcome) {})
+		worker.acceptCommands(x.Batch, func() bool { return sim.network.isCut(worker.endpoint(), ctrl.endpoint()) }, func(core.Outcome) {})
 		return
 	}
-	d, runs, answered := w.fate()
-	life, told := n.life, false
-	tell := func(o core.Outcome) {
-		if answered && !told && n.life == life {
+	fate := sim.network.fate()
+	incarnation, told := ctrl.incarnation, false
+	tell := func(outcome core.Outcome) {
+		if fate.answered && !told && ctrl.incarnation == incarnation {
 			told = true
-			says(w.latency(), o)
+			says(sim.network.latency(), outcome)
 		}
 	}
-	if runs {
-		w.after(d, func() { k.take(x.Batch, nil, tell) })
+	if fate.runs {
+		sim.after(fate.delay, func() { worker.acceptCommands(x.Batch, nil, tell) })
 	}
-	if w.now < w.copiesTo {
-		w.after(time.Second+time.Duration(w.rng.Int64N(int64(w.copyDelay))), func() { k.take(x.Batch, nil, func(core.Outcome) {}) })
+	if sim.now < sim.network.duplicateUntil {
+		sim.after(sim.network.duplicateAfter(), func() { worker.acceptCommands(x.Batch, nil, func(core.Outcome) {}) })
 	}
-	w.after(3*time.Second, func() {
-		if !told && n.life == life {
+	sim.after(3*time.Second, func() {
+		if !told && ctrl.incarnation == incarnation {
 			told = true
 			says(0, core.Unknown)
 		}
 	})
 }
 
-func (n *node) forward(x core.Forward) {
-	w := n.w
-	for _, m := range w.nodes {
-		if m.label != x.To {
+func (ctrl *controller) forward(x core.Forward) {
+	sim := ctrl.sim
+	for _, peer := range sim.controllers {
+		if peer.label != x.To {
 			continue
 		}
-		if !m.up || w.cut(n.label, n.zone, m.label, m.zone) {
+		if !peer.running || sim.network.isCut(ctrl.endpoint(), peer.endpoint()) {
 			break
 		}
-		life := n.life
-		m.ask(func(req uint64) core.Input {
+		incarnation := ctrl.incarnation
+		peer.request(func(req uint64) core.Input {
 			return core.UserRequest{RequestID: req, Kind: x.Call.Kind, JobID: x.Call.Ref, Body: x.Call.Body, Forwarded: true}
-		}, func(r core.Reply) {
-			b, err := wire.Encode(r.Body)
+		}, func(reply core.Reply) {
+			b, err := wire.Encode(reply.Body)
 			must(err)
-			if n.life == life {
-				n.deliver(w.latency(), core.ForwardAnswered{RequestID: x.RequestID, Answer: wire.UserAnswer{Status: r.Status, Body: b}})
+			if ctrl.incarnation == incarnation {
+				ctrl.deliver(sim.network.latency(), core.ForwardAnswered{RequestID: x.RequestID, Answer: wire.UserAnswer{Status: reply.Status, Body: b}})
 			}
 		})
 		return
 	}
-	n.deliver(time.Second, core.ForwardAnswered{RequestID: x.RequestID})
+	ctrl.deliver(time.Second, core.ForwardAnswered{RequestID: x.RequestID})
 }
--- /dev/null
+++ b/internal/simulation/event_loop.go
@@ -0,0 +1,68 @@
+package simulation
+
+import (
+	"container/heap"
+	"time"
+)
+
+// eventLoop is the clock of a simulation and the events that it has scheduled. Events of
+// the same time run in the order in which they were scheduled.
+type eventLoop struct {
+	now          time.Duration // since the simulation began
+	queue        eventQueue
+	lastSequence int
+}
+
+// after schedules a function to run once, after d.
+func (loop *eventLoop) after(d time.Duration, run func()) {
+	loop.lastSequence++
+	heap.Push(&loop.queue, scheduledEvent{loop.now + d, loop.lastSequence, run})
+}
+
+// every schedules a function to run again and again, first after d.
+func (loop *eventLoop) every(d time.Duration, run func()) {
+	loop.after(d, func() { run(); loop.every(d, run) })
+}
+
+// runUntil runs the events that are due until the given time, unless stopped reports
+// true before one of them. The clock shows that time at least afterwards.
+func (loop *eventLoop) runUntil(until time.Duration, stopped func() bool) {
+	for len(loop.queue) > 0 && loop.queue[0].at <= until && !stopped() {
+		event := heap.Pop(&loop.queue).(scheduledEvent)
+		loop.now = event.at
+		event.run()
+	}
+	loop.now = max(loop.now, until)
+}
+
+// scheduledEvent is a function that runs at a time.
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int // orders events of the same time
+	run      func()
+}
+
+// eventQueue is a heap of events, the next one first.
+type eventQueue []scheduledEvent
+
+// Len implements heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q eventQueue) Less(i, k int) bool {
+	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].sequence < q[k].sequence
+}
+
+// Swap implements heap.Interface.
+func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+
+// Push implements heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
+
+// Pop implements heap.Interface.
+func (q *eventQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -24,66 +24,66 @@
 // models, and the rules that they check, are those of the simulated world; its clock runs
 // in step with the real one, and all of it is played by one goroutine.
 type Loopback struct {
-	*World
-	dir    string
-	binary string
-	began  time.Time
-	inject chan func()
-	client *http.Client
+	*Simulation
+	dir       string
+	binary    string
+	startedAt time.Time
+	injected  chan func()
+	client    *http.Client
 
-	operator string // operators' settings, or ""
-	procs    []*process
-	servers  []*http.Server
-	mu       sync.Mutex
-	closed   bool
+	operatorFile string // operators' settings, or ""
+	processes    []*process
+	servers      []*http.Server
+	mu           sync.Mutex
+	closed       bool
 }
 
 // process is a controller's program with its addresses.
 type process struct {
-	cmd             *exec.Cmd
-	settings        string
-	public, private string
-	front           *proxy // workers and users to the controller
-	state, cloud    *proxy
-	peers           map[int]*proxy
-	log             *os.File
+	command                    *exec.Cmd
+	settingsPath               string
+	publicAddress, peerAddress string
+	frontProxy                 *proxy // workers and users to the controller
+	stateProxy, cloudProxy     *proxy
+	peerProxies                map[int]*proxy
+	logFile                    *os.File
 }
 
 // NewLoopback starts the services and the controllers. Binary is the built program, dir
 // a directory for its settings and logs, and operator the operators' settings.
 func NewLoopback(s Settings, binary, dir, operator string, trace func(string, ...any)) (*Loopback, error) {
-	l := &Loopback{
-		dir: dir, binary: binary, operator: operator, began: time.Now(), inject: make(chan func(), 1024),
+	loopback := &Loopback{
+		dir: dir, binary: binary, operatorFile: operator, startedAt: time.Now(), injected: make(chan func(), 1024),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}, Timeout: 6 * time.Second},
 	}
-	s.launch = l.launch
-	s.ask = l.ask
-	s.serveWorker = l.serveWorker
-	l.procs = make([]*process, len(s.Nodes))
-	for i := range l.procs {
-		p, err := addresses(s.Seed, i)
+	s.startController = loopback.startProcess
+	s.sendRequest = loopback.sendRequest
+	s.serveWorker = loopback.serveWorker
+	loopback.processes = make([]*process, len(s.ControllerZones))
+	for i := range loopback.processes {
+		proc, err := reserveAddresses(s.Seed, i)
 		if err != nil {
 			return nil, err
 		}
-		l.procs[i] = p
+		loopback.processes[i] = proc
 	}
-	l.World = newWorld(s, trace)
-	for i := range l.procs {
-		if err := l.link(i); err != nil {
+	loopback.Simulation = newSimulation(s, trace)
+	for i := range loopback.processes {
+		if err := loopback.connect(i); err != nil {
 			return nil, err
 		}
 	}
-	l.World.begin()
-	return l, nil
+	loopback.Simulation.start()
+	return loopback, nil
 }
 
-// addresses finds two addresses for a controller. They are at a loopback address of its
+// reserveAddresses finds two addresses for a controller. They are at a loopback address of its
 // own: everything else listens at 127.0.0.1 and can't take a port while the controller is
 // away. Sites with other seeds that are played at the same time have others.
-func addresses(seed uint64, i int) (*process, error) {
-	p := &process{peers: map[int]*proxy{}}
+func reserveAddresses(seed uint64, i int) (*process, error) {
+	proc := &process{peerProxies: map[int]*proxy{}}
 	var held []net.Listener
-	for _, into := range []*string{&p.public, &p.private} {
+	for _, into := range []*string{&proc.publicAddress, &proc.peerAddress} {
 		free, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 1+seed%250, i+1))
 		if err != nil {
 			return nil, err
@@ -94,12 +94,12 @@
 	for _, free := range held {
 		free.Close()
 	}
-	return p, nil
+	return proc, nil
 }
 
-// link makes the proxies of a controller and writes its settings.
-func (l *Loopback) link(i int) error {
-	p, n := l.procs[i], l.nodes[i]
+// connect makes the proxies of a controller and writes its settings.
+func (loopback *Loopback) connect(i int) error {
+	proc, ctrl := loopback.processes[i], loopback.controllers[i]
 	var err error
 	make := func(target string) *proxy {
 		var made *proxy
@@ -108,47 +108,47 @@
 		}
 		return made
 	}
-	p.front = make(p.public)
-	p.state = make(l.serve(l.stateHandler(n)))
-	p.cloud = make(l.serve(l.cloudHandler(n)))
-	for k := range l.procs {
+	proc.frontProxy = make(proc.publicAddress)
+	proc.stateProxy = make(loopback.serve(loopback.stateHandler(ctrl)))
+	proc.cloudProxy = make(loopback.serve(loopback.cloudHandler(ctrl)))
+	for k := range loopback.processes {
 		if k != i {
-			p.peers[k] = make(l.procs[k].private)
+			proc.peerProxies[k] = make(loopback.processes[k].peerAddress)
 		}
 	}
 	if err != nil {
 		return err
 	}
-	raw, err := json.Marshal(l.settings(i))
+	raw, err := json.Marshal(loopback.settings(i))
 	if err != nil {
 		return err
 	}
-	p.settings = filepath.Join(l.dir, n.label+".json")
-	if p.log, err = os.Create(filepath.Join(l.dir, n.label+".log")); err != nil {
+	proc.settingsPath = filepath.Join(loopback.dir, ctrl.label+".json")
+	if proc.logFile, err = os.Create(filepath.Join(loopback.dir, ctrl.label+".log")); err != nil {
 		return err
 	}
-	return os.WriteFile(p.settings, raw, 0o600)
+	return os.WriteFile(proc.settingsPath, raw, 0o600)
 }
 
 // settings are those of the platform for a controller.
-func (l *Loopback) settings(i int) *config.Settings {
-	p, n, w := l.procs[i], l.nodes[i], l.World
-	s := &config.Settings{Label: n.label, Zone: n.zone, Bind: p.public, ClusterBind: p.private}
-	s.External.State, s.External.Cloud = p.state.addr(), p.cloud.addr()
-	for k, other := range w.nodes {
+func (loopback *Loopback) settings(i int) *config.Settings {
+	proc, ctrl, sim := loopback.processes[i], loopback.controllers[i], loopback.Simulation
+	s := &config.Settings{Label: ctrl.label, Zone: ctrl.zone, Bind: proc.publicAddress, ClusterBind: proc.peerAddress}
+	s.External.State, s.External.Cloud = proc.stateProxy.address(), proc.cloudProxy.address()
+	for k, other := range sim.controllers {
 		if k != i {
-			s.Peers = append(s.Peers, config.Peer{Label: other.label, Zone: other.zone, Address: p.peers[k].addr()})
+			s.Peers = append(s.Peers, config.Peer{Label: other.label, Zone: other.zone, Address: proc.peerProxies[k].address()})
 		}
 	}
 	d := &s.Deployment
-	d.Zones = w.Zones
-	for _, t := range w.Teams {
+	d.Zones = sim.Zones
+	for _, t := range sim.Teams {
 		d.Teams = append(d.Teams, config.Team{Name: t.Name, GuaranteedCores: t.GuaranteedCores, MaxCores: t.MaxCores, GuaranteedGPUs: t.GuaranteedGPUs, MaxGPUs: t.MaxGPUs})
 	}
-	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = w.Report.Seconds(), w.Lease.Seconds(), w.Cancel.Seconds()
-	d.Workers.GangWaitS, d.Workers.GangPeerS = w.GangWait.Seconds(), w.GangPeer.Seconds()
-	d.State.RPS, d.State.WriteRPS = stateRPS, w.WriteRPS
-	d.State.ValueKB, d.State.TxnOps = float64(w.ValueBytes)/1024, w.TxnOps
+	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = sim.HeartbeatInterval.Seconds(), sim.WorkerLease.Seconds(), sim.CancelDeadline.Seconds()
+	d.Workers.GangWaitS, d.Workers.GangPeerS = sim.GangWait.Seconds(), sim.GangPeerTimeout.Seconds()
+	d.State.RPS, d.State.WriteRPS = stateRPS, sim.WriteRPS
+	d.State.ValueKB, d.State.TxnOps = float64(sim.MaxValueBytes)/1024, sim.MaxTransactionOps
 	d.Cloud.RPS, d.Cloud.ListLagS = cloudRPS, 4
 	d.Limits.CoreShare = 1
 	return s
@@ -160,129 +160,129 @@
 	cloudRPS = 20
 )
 
-// launch starts a controller's process.
-func (l *Loopback) launch(n *node) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+// startProcess starts a controller's process.
+func (loopback *Loopback) startProcess(ctrl *controller) {
+	loopback.mu.Lock()
+	defer loopback.mu.Unlock()
+	if loopback.closed {
 		return
 	}
-	p := l.procs[n.ix]
-	args := []string{"--config", p.settings}
-	if l.operator != "" {
-		args = append(args, "--operator", l.operator)
+	proc := loopback.processes[ctrl.index]
+	args := []string{"--config", proc.settingsPath}
+	if loopback.operatorFile != "" {
+		args = append(args, "--operator", loopback.operatorFile)
 	}
-	p.cmd = exec.Command(l.binary, args...)
-	p.cmd.Stderr = p.log
-	if err := p.cmd.Start(); err != nil {
-		l.broke("start", "%s: %v", n.label, err)
+	proc.command = exec.Command(loopback.binary, args...)
+	proc.command.Stderr = proc.logFile
+	if err := proc.command.Start(); err != nil {
+		loopback.rules.violated("start", "%s: %v", ctrl.label, err)
 		return
 	}
-	life, cmd := n.life, p.cmd
+	incarnation, cmd := ctrl.incarnation, proc.command
 	go func() {
 		err := cmd.Wait()
-		l.do(func() {
-			if n.up && n.life == life {
-				l.broke("ended_by_itself", "%s: %v", n.label, err)
+		loopback.post(func() {
+			if ctrl.running && ctrl.incarnation == incarnation {
+				loopback.rules.violated("ended_by_itself", "%s: %v", ctrl.label, err)
 			}
 		})
 	}()
 }
 
 // Kill ends a controller without a signal that it could handle; it is back after d.
-func (l *Loopback) Kill(ix int, d time.Duration) {
-	if !l.nodes[ix].up {
+func (loopback *Loopback) Kill(ix int, d time.Duration) {
+	if !loopback.controllers[ix].running {
 		return
 	}
-	l.Crash(ix, d)
-	l.signal(ix, syscall.SIGKILL)
+	loopback.crash(ix, d)
+	loopback.signal(ix, syscall.SIGKILL)
 }
 
 // Stop makes a controller stand still for d.
-func (l *Loopback) Stop(ix int, d time.Duration) {
-	n := l.failing(ix, d)
-	if n == nil {
+func (loopback *Loopback) Stop(ix int, d time.Duration) {
+	ctrl := loopback.beginFailure(ix, d)
+	if ctrl == nil {
 		return
 	}
-	life := n.life
-	l.signal(ix, syscall.SIGSTOP)
-	l.after(d, func() {
-		if n.up && n.life == life {
-			l.signal(ix, syscall.SIGCONT)
+	incarnation := ctrl.incarnation
+	loopback.signal(ix, syscall.SIGSTOP)
+	loopback.after(d, func() {
+		if ctrl.running && ctrl.incarnation == incarnation {
+			loopback.signal(ix, syscall.SIGCONT)
 		}
 	})
 }
 
 // Isolate cuts a controller from the state service or from its peers, in one or both
 // directions, holding what is sent or refusing connections.
-func (l *Loopback) Isolate(ix int, fromState bool, forth, back linkState, d time.Duration) {
-	l.troubled(d)
+func (loopback *Loopback) Isolate(ix int, fromState bool, forth, back linkState, d time.Duration) {
+	loopback.rules.faultsLast(d)
 	var links []*proxy
 	if fromState {
-		links = append(links, l.procs[ix].state)
+		links = append(links, loopback.processes[ix].stateProxy)
 	} else {
-		for k := range l.procs {
+		for k := range loopback.processes {
 			if k != ix {
-				links = append(links, l.procs[ix].peers[k], l.procs[k].peers[ix])
+				links = append(links, loopback.processes[ix].peerProxies[k], loopback.processes[k].peerProxies[ix])
 			}
 		}
 	}
 	for _, link := range links {
 		link.set(forth, back, 0)
 	}
-	l.after(d, func() {
+	loopback.after(d, func() {
 		for _, link := range links {
 			link.set(linkUp, linkUp, 0)
 		}
 	})
 }
 
-func (l *Loopback) signal(ix int, s syscall.Signal) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if cmd := l.procs[ix].cmd; cmd != nil && cmd.Process != nil {
+func (loopback *Loopback) signal(ix int, s syscall.Signal) {
+	loopback.mu.Lock()
+	defer loopback.mu.Unlock()
+	if cmd := loopback.processes[ix].command; cmd != nil && cmd.Process != nil {
 		_ = cmd.Process.Signal(s) // it may have ended
 	}
 }
 
 // Play runs the world in step with the clock until a time, or until a rule is broken.
-func (l *Loopback) Play(until time.Duration) {
-	for len(l.Broken) == 0 {
-		now := time.Since(l.began)
+func (loopback *Loopback) Play(until time.Duration) {
+	for len(loopback.rules.violations) == 0 {
+		now := time.Since(loopback.startedAt)
 		if now >= until {
 			return
 		}
 		next := until
-		if len(l.queue) > 0 {
-			next = min(next, l.queue[0].at)
+		if len(loopback.queue) > 0 {
+			next = min(next, loopback.queue[0].at)
 		}
 		if next <= now {
-			l.Run(now)
+			loopback.Run(now)
 			continue
 		}
 		select {
-		case f := <-l.inject:
-			l.now = max(l.now, time.Since(l.began))
+		case f := <-loopback.injected:
+			loopback.now = max(loopback.now, time.Since(loopback.startedAt))
 			f()
 		case <-time.After(next - now):
 		}
 	}
 }
 
-// do has the world's goroutine run a function.
-func (l *Loopback) do(f func()) {
-	l.mu.Lock()
-	closed := l.closed
-	l.mu.Unlock()
+// post has the world's goroutine run a function.
+func (loopback *Loopback) post(f func()) {
+	loopback.mu.Lock()
+	closed := loopback.closed
+	loopback.mu.Unlock()
 	if !closed {
-		l.inject <- f
+		loopback.injected <- f
 	}
 }
 
-// call is do, and waits for it.
-func (l *Loopback) call(f func()) {
+// postAndWait is do, and waits for it.
+func (loopback *Loopback) postAndWait(f func()) {
 	done := make(chan struct{})
-	l.do(func() { f(); close(done) })
+	loopback.post(func() { f(); close(done) })
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
@@ -290,26 +290,26 @@
 }
 
 // Close ends all controllers and servers.
-func (l *Loopback) Close() {
-	l.mu.Lock()
-	l.closed = true
-	l.mu.Unlock()
-	for i, p := range l.procs {
-		l.signal(i, syscall.SIGKILL)
-		for _, link := range p.peers {
+func (loopback *Loopback) Close() {
+	loopback.mu.Lock()
+	loopback.closed = true
+	loopback.mu.Unlock()
+	for i, proc := range loopback.processes {
+		loopback.signal(i, syscall.SIGKILL)
+		for _, link := range proc.peerProxies {
 			link.listener.Close()
 		}
-		for _, link := range []*proxy{p.front, p.state, p.cloud} {
+		for _, link := range []*proxy{proc.frontProxy, proc.stateProxy, proc.cloudProxy} {
 			link.listener.Close()
 		}
-		p.log.Close()
+		proc.logFile.Close()
 	}
-	for _, s := range l.servers {
+	for _, s := range loopback.servers {
 		s.Close()
 	}
 	for {
 		select {
-		case <-l.inject: // those who wait give up by themselves
+		case <-loopback.injected: // those who wait give up by themselves
 		default:
 			return
 		}
@@ -317,21 +317,21 @@
 }
 
 // serve starts a server on a port of its own and gives its address.
-func (l *Loopback) serve(h http.Handler) string {
+func (loopback *Loopback) serve(h http.Handler) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
 	s := &http.Server{Handler: h}
-	l.mu.Lock()
-	l.servers = append(l.servers, s)
-	l.mu.Unlock()
+	loopback.mu.Lock()
+	loopback.servers = append(loopback.servers, s)
+	loopback.mu.Unlock()
 	go func() { _ = s.Serve(listener) }()
 	return listener.Addr().String()
 }
 
-// ask carries a worker's or user's request to a controller; no answer is status 0.
-func (l *Loopback) ask(n *node, in core.Input, reply func(core.Reply)) {
+// sendRequest carries a worker's or user's request to a controller; no answer is status 0.
+func (loopback *Loopback) sendRequest(ctrl *controller, in core.Input, reply func(core.Reply)) {
 	var req *http.Request
-	base := "http://" + l.procs[n.ix].front.addr()
+	base := "http://" + loopback.processes[ctrl.index].frontProxy.address()
 	switch x := in.(type) {
 	case core.WorkerReported:
 		raw, err := wire.Encode(x.Heartbeat)
@@ -349,42 +349,42 @@
 	}
 	go func() {
 		r := core.Reply{}
-		if resp, err := l.client.Do(req); err == nil {
+		if resp, err := loopback.client.Do(req); err == nil {
 			body, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil {
-				r = replyOf(in, resp.StatusCode, body)
+				r = decodeReply(in, resp.StatusCode, body)
 			}
 		}
-		l.do(func() { reply(r) })
+		loopback.post(func() { reply(r) })
 	}()
 }
 
-// replyOf reads an answer as the models expect it.
-func replyOf(in core.Input, status int, body []byte) core.Reply {
-	r := core.Reply{Status: status, Body: body}
+// decodeReply reads an answer as the models expect it.
+func decodeReply(in core.Input, status int, body []byte) core.Reply {
+	reply := core.Reply{Status: status, Body: body}
 	if _, report := in.(core.WorkerReported); !report {
-		return r
+		return reply
 	}
 	var err error
 	switch status {
 	case http.StatusOK:
 		var answer wire.HeartbeatReply
 		err = wire.Decode(body, &answer)
-		r.Body = answer
+		reply.Body = answer
 	case http.StatusMisdirectedRequest:
 		var answer wire.Redirect
 		err = wire.Decode(body, &answer)
-		r.Body = answer
+		reply.Body = answer
 	}
 	if err != nil {
 		return core.Reply{}
 	}
-	return r
+	return reply
 }
 
 // serveWorker gives a worker an address of its own, at which it takes orders.
-func (l *Loopback) serveWorker(k *workerSim) string {
+func (loopback *Loopback) serveWorker(worker *simWorker) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
@@ -394,24 +394,24 @@
 			return
 		}
 		result := make(chan core.Outcome, 1)
-		l.do(func() { k.take(orders, nil, func(o core.Outcome) { result <- o }) })
+		loopback.post(func() { worker.acceptCommands(orders, nil, func(outcome core.Outcome) { result <- outcome }) })
 		select {
-		case o := <-result:
-			if o != core.OK {
+		case outcome := <-result:
+			if outcome != core.OK {
 				w.WriteHeader(http.StatusConflict)
 			}
 		case <-time.After(4 * time.Second):
 		}
 	})
-	return l.serve(mux)
+	return loopback.serve(mux)
 }
 
 // Logs tells the end of each controller's log, for a failed test.
-func (l *Loopback) Logs(bytes int64) string {
+func (loopback *Loopback) Logs(bytes int64) string {
 	var out string
-	for i, p := range l.procs {
-		raw, _ := os.ReadFile(p.log.Name())
-		out += fmt.Sprintf("--- %s\n%s\n", l.nodes[i].label, raw[max(0, int64(len(raw))-bytes):])
+	for i, proc := range loopback.processes {
+		raw, _ := os.ReadFile(proc.logFile.Name())
+		out += fmt.Sprintf("--- %s\n%s\n", loopback.controllers[i].label, raw[max(0, int64(len(raw))-bytes):])
 	}
 	return out
 }
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -26,13 +26,13 @@
 	return binary
 }
 
-// hammeredSite has five controllers and one team of which more is asked than its limit
+// contendedSettings has five controllers and one team of which more is asked than its limit
 // allows, so that its shares are contended all the time.
-func hammeredSite(workers int) Settings {
+func contendedSettings(workers int) Settings {
 	s := Defaults()
-	s.Nodes = []string{"a", "b", "a", "b", "a"}
-	s.Report, s.Lease, s.Cancel = time.Second, 12*time.Second, 24*time.Second
-	s.Boot, s.Idle = 300*time.Millisecond, time.Minute
+	s.ControllerZones = []string{"a", "b", "a", "b", "a"}
+	s.HeartbeatInterval, s.WorkerLease, s.CancelDeadline = time.Second, 12*time.Second, 24*time.Second
+	s.BootTime, s.IdleTimeout = 300*time.Millisecond, time.Minute
 	s.Capacity, s.WriteRPS = workers/4, 400
 	limit := float64(workers) / 2 // a quarter of the GPUs that there are
 	s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = limit/2, limit
@@ -40,9 +40,9 @@
 	return s
 }
 
-// hammeredFrames bounds the tasks of a team's jobs: red stays below its limit at times,
+// maxTasksByTeam bounds the tasks of a team's jobs: red stays below its limit at times,
 // so that it has shares, blue does not.
-var hammeredFrames = map[string]int{"red": 3, "blue": 8, "wide": 8}
+var maxTasksByTeam = map[string]int{"red": 3, "blue": 8, "wide": 8}
 
 // Real controllers on loopback are killed, stopped and cut from each other and from the
 // state service while work beyond the teams' limits comes. No revision of the records
@@ -52,74 +52,74 @@
 	if err := os.WriteFile(operator, []byte("[quota]\nadmission = guaranteed\n[placement]\nidle_return_s = 60\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, err := NewLoopback(hammeredSite(*loopbackWorkers), buildProgram(t), t.TempDir(), operator, func(string, ...any) {})
+	loopback, err := NewLoopback(contendedSettings(*loopbackWorkers), buildProgram(t), t.TempDir(), operator, func(string, ...any) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer loopback.Close()
 	rng := rand.New(rand.NewPCG(1, 2))
 	count := 0
 	hammerTo := *loopbackFor - 12*time.Second
-	l.every(200*time.Millisecond, func() {
-		if l.now > hammerTo {
+	loopback.every(200*time.Millisecond, func() {
+		if loopback.now > hammerTo {
 			return
 		}
 		team := []string{"red", "blue", "wide"}[count%3]
 		// Longer tasks, not more jobs, keep more workers busy: each job's user goes on asking.
 		run := float64(1+rng.IntN(3)) * float64(*loopbackWorkers) / 40
-		args := []string{fmt.Sprintf("wk-%06d", count), "team=" + team, "gb=0", fmt.Sprintf("frames=%d", 1+rng.IntN(hammeredFrames[team])),
+		args := []string{fmt.Sprintf("wk-%06d", count), "team=" + team, "gb=0", fmt.Sprintf("frames=%d", 1+rng.IntN(maxTasksByTeam[team])),
 			fmt.Sprintf("run=%.1f", run), fmt.Sprintf("cards=%d", 1+count%2)}
 		if count%7 == 0 {
 			args = append(args, "shape=gang", "one_zone")
 		}
-		must(l.submitLine(args))
+		must(loopback.users.submitLine(args))
 		count++
 	})
-	l.every(3*time.Second, func() {
-		if l.now < 6*time.Second || l.now > hammerTo {
+	loopback.every(3*time.Second, func() {
+		if loopback.now < 6*time.Second || loopback.now > hammerTo {
 			return
 		}
-		ix, leader := rng.IntN(len(l.nodes)), l.controller("leader")
+		ix, leader := rng.IntN(len(loopback.controllers)), loopback.controllerIndex("leader")
 		d := time.Duration(200+rng.IntN(4000)) * time.Millisecond
 		trouble := rng.IntN(6)
-		if l.now < 8*time.Second {
+		if loopback.now < 8*time.Second {
 			trouble = 0
 		}
 		switch trouble {
 		case 0:
-			l.Kill(leader, d)
+			loopback.Kill(leader, d)
 		case 1:
-			l.Stop(leader, 2*d)
+			loopback.Stop(leader, 2*d)
 		case 2:
-			l.Kill(ix, d)
+			loopback.Kill(ix, d)
 		case 3:
-			l.Stop(ix, d)
+			loopback.Stop(ix, d)
 		case 4:
-			l.Isolate(ix, true, linkUp, linkHolds, d)
+			loopback.Isolate(ix, true, linkUp, linkHeld, d)
 		case 5:
-			l.Isolate(ix, false, linkRefuses, linkRefuses, d)
+			loopback.Isolate(ix, false, linkRefused, linkRefused, d)
 		}
 	})
 	most := 0
-	l.every(time.Second, func() { most = max(most, len(l.up())) })
-	l.Play(*loopbackFor)
-	for _, fault := range l.Broken {
+	loopback.every(time.Second, func() { most = max(most, len(loopback.fleet.running())) })
+	loopback.Play(*loopbackFor)
+	for _, fault := range loopback.rules.violations {
 		t.Error(fault)
 	}
 	done := 0
-	for _, u := range l.order {
-		if u.ended() {
+	for _, user := range loopback.users.ordered {
+		if user.allTasksDone() {
 			done++
 		}
 	}
-	t.Logf("%d workers at most, %d jobs, %d done, %d tasks admitted by owners, %d revisions, %d claims of leadership", most, len(l.order), done, l.accounting.admissions, l.store.rev, l.store.leaders)
-	if l.accounting.admissions == 0 || l.store.leaders < 2 {
+	t.Logf("%d workers at most, %d jobs, %d done, %d tasks admitted by owners, %d revisions, %d claims of leadership", most, len(loopback.users.ordered), done, loopback.quota.admissions, loopback.store.revision, loopback.store.leaderChanges)
+	if loopback.quota.admissions == 0 || loopback.store.leaderChanges < 2 {
 		t.Error("no owner admitted anything, or no leader was replaced: nothing was tried")
 	}
-	if len(l.order) < 20 || done < len(l.order)/2 {
-		t.Errorf("%d of %d jobs are done", done, len(l.order))
+	if len(loopback.users.ordered) < 20 || done < len(loopback.users.ordered)/2 {
+		t.Errorf("%d of %d jobs are done", done, len(loopback.users.ordered))
 	}
 	if t.Failed() {
-		t.Log(l.Logs(3000))
+		t.Log(loopback.Logs(3000))
 	}
 }
--- a/internal/simulation/measure_loopback_test.go
+++ b/internal/simulation/measure_loopback_test.go
@@ -27,44 +27,44 @@
 		if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s := hammeredSite(workers)
+		s := contendedSettings(workers)
 		s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = 200, 200
-		l, err := NewLoopback(s, binary, t.TempDir(), operator, func(string, ...any) {})
+		loopback, err := NewLoopback(s, binary, t.TempDir(), operator, func(string, ...any) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.after(time.Second, func() {
-			must(l.submitLine([]string{"wk-000000", "team=wide", fmt.Sprintf("frames=%d", workers), "run=8", "cards=2", "gb=0"}))
+		loopback.after(time.Second, func() {
+			must(loopback.users.submitLine([]string{"wk-000000", "team=wide", fmt.Sprintf("frames=%d", workers), "run=8", "cards=2", "gb=0"}))
 		})
 		count := 0
-		l.every(100*time.Millisecond, func() {
-			if l.now > begin && l.now < end {
+		loopback.every(100*time.Millisecond, func() {
+			if loopback.now > begin && loopback.now < end {
 				count++
-				must(l.submitLine([]string{fmt.Sprintf("wk-%06d", count), "team=red", "gb=0", fmt.Sprintf("frames=%d", 1+count%4), "run=3"}))
+				must(loopback.users.submitLine([]string{fmt.Sprintf("wk-%06d", count), "team=red", "gb=0", fmt.Sprintf("frames=%d", 1+count%4), "run=3"}))
 			}
 		})
-		l.every(15*time.Second, func() {
-			if l.now > begin && l.now < end {
-				l.Kill(l.controller("leader"), 5*time.Second)
+		loopback.every(15*time.Second, func() {
+			if loopback.now > begin && loopback.now < end {
+				loopback.Kill(loopback.controllerIndex("leader"), 5*time.Second)
 			}
 		})
-		l.Play(length)
-		if len(l.Broken) > 0 {
-			t.Errorf("%s: %v", admission, l.Broken)
+		loopback.Play(length)
+		if len(loopback.rules.violations) > 0 {
+			t.Errorf("%s: %v", admission, loopback.rules.violations)
 		}
-		histogram := newWaits()
-		for _, u := range l.order[1:] {
-			created, known := l.accounting.createdAt[u.spec.ID]
+		histogram := newWaitHistogram()
+		for _, user := range loopback.users.ordered[1:] {
+			created, known := loopback.quota.createdAt[user.spec.ID]
 			if !known {
 				continue // never accepted
 			}
-			at, placed := l.accounting.placedAt[u.spec.ID]
+			at, placed := loopback.quota.placedAt[user.spec.ID]
 			if !placed {
-				at = l.now
+				at = loopback.now
 			}
 			must(histogram.RecordValue(max(1, (at - created).Milliseconds())))
 		}
-		t.Logf("%s: %v; %d workers, %d leaders, %d tasks admitted by owners", admission, histogram, len(l.up()), l.store.leaders, l.accounting.admissions)
-		l.Close()
+		t.Logf("%s: %v; %d workers, %d leaders, %d tasks admitted by owners", admission, histogram, len(loopback.fleet.running()), loopback.store.leaderChanges, loopback.quota.admissions)
+		loopback.Close()
 	}
 }
--- a/internal/simulation/meetings.go
+++ b/internal/simulation/meetings.go
@@ -11,258 +11,220 @@
 	"micaport/internal/wire"
 )
 
-// troubles are those that the operators have named for meetings of two.
-type troubles struct {
-	lateWrites    float64 // share of transactions without an answer that are carried out 2 to 12 s later
-	lateWritesTo  time.Duration
-	answersLost   float64 // share of transactions that are carried out at once and not answered
-	answersLostTo time.Duration
-	slowStore     float64 // times as long as usual
-	slowStoreTo   time.Duration
-	slowLinks     float64
-	slowLinksTo   time.Duration
-
-	lateReports   float64 // share of reports of which a copy comes again, up to well over a lease later
-	lateReportsTo time.Duration
-	forNext       float64 // share of reports of which a copy is kept for the next leader
-	forNextTo     time.Duration
-	kept          []*wire.WorkerHeartbeat
-
-	cancelAtEnd   float64 // share of jobs that are called off at the moment of their end
-	cancelAtEndTo time.Duration
-	closeLooksTo  time.Duration
-	odd           int // odd requests made so far
-	lateStarts    int // starts carried out after the user was told that the job is cancelled
-}
-
-// storeFate is fate for a request to the state service.
-func (w *World) storeFate() (time.Duration, bool, bool) {
-	d, runs, answered := w.fate()
-	if w.now < w.slowStoreTo {
-		d = time.Duration(float64(d) * w.slowStore * (0.5 + w.rng.Float64()))
-	}
-	return d, runs, answered
-}
-
-// writeFate is that of a transaction with that many puts. What only compares is
-// answered as ever.
-func (w *World) writeFate(puts int) func() (time.Duration, bool, bool) {
-	return func() (time.Duration, bool, bool) {
-		switch {
-		case puts > 0 && w.now < w.answersLostTo && w.rng.Float64() < w.answersLost:
-			return w.latency(), true, false
-		case puts > 0 && w.now < w.lateWritesTo && w.rng.Float64() < w.lateWrites:
-			return 2*time.Second + time.Duration(w.rng.IntN(10000))*time.Millisecond, true, false
-		}
-		return w.storeFate()
-	}
-}
-
-// controller finds one by its number, as the one that leads now ("leader"), as the
+// controllerIndex finds one by its number, as the one that leads now ("leader"), as the
 // next after that ("other") or as the one whose claim of a shard stands ("owner:PART").
-func (w *World) controller(arg string) int {
+func (sim *Simulation) controllerIndex(arg string) int {
 	leader := 0
-	if k := w.store.keys[wire.LeaderKey]; k != nil {
-		label := decode(wire.LeaderKey, k.raw).(*wire.Leader).Controller
-		leader = slices.IndexFunc(w.nodes, func(n *node) bool { return n.label == label })
+	if record := sim.store.records[wire.LeaderKey]; record != nil {
+		label := mustDecodeRecord(wire.LeaderKey, record.raw).(*wire.Leader).Controller
+		leader = slices.IndexFunc(sim.controllers, func(ctrl *controller) bool { return ctrl.label == label })
 	}
 	switch {
 	case arg == "leader":
 		return leader
 	case arg == "standby":
-		return max(0, slices.IndexFunc(w.nodes, func(n *node) bool { return n.label == w.takeovers.standby }))
+		return max(0, slices.IndexFunc(sim.controllers, func(ctrl *controller) bool { return ctrl.label == sim.leadership.standby }))
 	case arg == "other":
-		return (leader + 1) % len(w.nodes)
+		return (leader + 1) % len(sim.controllers)
 	case strings.HasPrefix(arg, "owner:"):
-		label := w.owner(strings.TrimPrefix(arg, "owner:"))
-		return max(0, slices.IndexFunc(w.nodes, func(n *node) bool { return n.label == label }))
+		label := sim.store.shardOwner(strings.TrimPrefix(arg, "owner:"))
+		return max(0, slices.IndexFunc(sim.controllers, func(ctrl *controller) bool { return ctrl.label == label }))
 	}
 	ix, _ := strconv.Atoi(arg)
 	return ix
 }
 
-// copyLater lets a copy of a report come again.
-func (w *World) copyLater(r *wire.WorkerHeartbeat) {
-	if w.now < w.lateReportsTo && w.rng.Float64() < w.lateReports {
-		m := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.after(2*time.Second+time.Duration(w.rng.Int64N(int64(w.Lease*3/2))), func() { m.hearCopy(r) })
+// heartbeatReplays delivers copies of workers' heartbeats late.
+type heartbeatReplays struct {
+	sim       *Simulation
+	delayed   timedValue // share of heartbeats of which a copy comes again, up to one and a half worker leases later
+	retention timedValue // share of heartbeats of which a copy is retained for the next leader
+	retained  []*wire.WorkerHeartbeat
+	stashed   *wire.WorkerHeartbeat // that a script delivers
+}
+
+// observe lets a copy of a report come again.
+func (replays *heartbeatReplays) observe(heartbeat *wire.WorkerHeartbeat) {
+	if replays.sim.draw(replays.delayed) {
+		peer := replays.sim.randomController()
+		replays.sim.after(2*time.Second+time.Duration(replays.sim.rng.Int64N(int64(replays.sim.WorkerLease*3/2))), func() { peer.deliverHeartbeat(heartbeat) })
 	}
-	if w.now < w.forNextTo && len(w.kept) < 400 && w.rng.Float64() < w.forNext {
-		w.kept = append(w.kept, r)
+	if len(replays.retained) < 400 && replays.sim.draw(replays.retention) {
+		replays.retained = append(replays.retained, heartbeat)
 	}
 }
 
-func (n *node) hearCopy(r *wire.WorkerHeartbeat) {
-	n.ask(func(req uint64) core.Input { return core.WorkerReported{RequestID: req, Heartbeat: r} }, func(core.Reply) {})
+func (ctrl *controller) deliverHeartbeat(heartbeat *wire.WorkerHeartbeat) {
+	ctrl.request(func(req uint64) core.Input { return core.WorkerReported{RequestID: req, Heartbeat: heartbeat} }, func(core.Reply) {})
 }
 
-// deliverKept gives what was kept for the next leader to every controller, just
+// deliverRetained gives what was kept for the next leader to every controller, just
 // as that begins.
-func (w *World) deliverKept() {
-	kept := w.kept
-	w.kept = nil
-	for _, r := range kept {
-		for _, n := range w.nodes {
-			w.after(time.Duration(w.rng.IntN(400))*time.Millisecond, func() { n.hearCopy(r) })
+func (replays *heartbeatReplays) deliverRetained() {
+	kept := replays.retained
+	replays.retained = nil
+	for _, heartbeat := range kept {
+		for _, ctrl := range replays.sim.controllers {
+			replays.sim.after(time.Duration(replays.sim.rng.IntN(400))*time.Millisecond, func() { ctrl.deliverHeartbeat(heartbeat) })
 		}
 	}
 }
 
-// cancelNow has the users of jobs that run and have long to go call them off,
+// cancelRunning has the users of jobs that run and have long to go call them off,
 // within a fifth of a second, and up to eight of their machines hang. Only jobs
 // whose ids begin with prefix are meant.
-func (w *World) cancelNow(count int, hang time.Duration, prefix string) {
-	var long []*userSim
-	for _, u := range w.order {
-		if !u.accepted || u.asked || !strings.HasPrefix(u.spec.ID, prefix) {
+func (users *userSet) cancelRunning(count int, hang time.Duration, prefix string) {
+	var long []*simUser
+	for _, user := range users.ordered {
+		if !user.accepted || user.cancelRequested || !strings.HasPrefix(user.spec.ID, prefix) {
 			continue
 		}
 		running := false
-		u.present(func(_ *workerSim, t *taskSim) {
-			running = running || t.state == wire.TaskRunning && (u.spec.Shape == wire.ShapeDaemon || t.since+u.run-w.now > 30*time.Second)
+		user.eachActiveTask(func(_ *simWorker, task *simTask) {
+			running = running || task.state == wire.TaskRunning && (user.spec.Shape == wire.ShapeDaemon || task.stateSince+user.runtime-users.sim.now > 30*time.Second)
 		})
 		if running {
-			long = append(long, u)
+			long = append(long, user)
 		}
 	}
-	w.rng.Shuffle(len(long), func(i, k int) { long[i], long[k] = long[k], long[i] })
+	users.sim.rng.Shuffle(len(long), func(i, k int) { long[i], long[k] = long[k], long[i] })
 	hung := 0
-	for _, u := range long[:min(count, len(long))] {
-		w.after(time.Duration(w.rng.IntN(200))*time.Millisecond, func() { w.Withdraw(u.spec.ID) })
-		u.present(func(k *workerSim, _ *taskSim) {
-			if hang > 0 && hung < 8 && !k.hung {
+	for _, user := range long[:min(count, len(long))] {
+		users.sim.after(time.Duration(users.sim.rng.IntN(200))*time.Millisecond, func() { users.cancel(user.spec.ID) })
+		user.eachActiveTask(func(worker *simWorker, _ *simTask) {
+			if hang > 0 && hung < 8 && !worker.hung {
 				hung++
-				w.trouble("hang", k, hang)
+				users.sim.fleet.injectFault("hang", worker, hang)
 			}
 		})
 	}
 }
 
-// jobMayEnd has a user call a job off at the moment at which its last task ends.
-func (w *World) jobMayEnd(u *userSim) {
-	if w.now >= w.cancelAtEndTo || u.asked || !u.ended() || w.rng.Float64() >= w.cancelAtEnd {
+// maybeCancelAtEnd has a user call a job off at the moment at which its last task ends.
+func (users *userSet) maybeCancelAtEnd(user *simUser) {
+	if users.sim.now >= users.cancelAtEnd.until || user.cancelRequested || !user.allTasksDone() || users.sim.rng.Float64() >= users.cancelAtEnd.value {
 		return
 	}
-	w.after(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() {
-		if !u.asked {
-			w.Withdraw(u.spec.ID)
+	users.sim.after(time.Duration(users.sim.rng.IntN(1500))*time.Millisecond, func() {
+		if !user.cancelRequested {
+			users.cancel(user.spec.ID)
 		}
 	})
 }
 
-// ended tells whether all tasks of a job have completed.
-func (u *userSim) ended() bool {
-	for t := range u.spec.TaskCount {
-		if !u.w.done[wire.TaskName(u.spec.ID, t)] {
+// allTasksDone tells whether all tasks of a job have completed.
+func (user *simUser) allTasksDone() bool {
+	for t := range user.spec.TaskCount {
+		if !user.sim.users.completedTasks[wire.TaskName(user.spec.ID, t)] {
 			return false
 		}
 	}
 	return true
 }
 
-// bulkIDs is how the ids of jobs begin that "bulk" and "stream" submit.
-const bulkIDs = "wk-9"
+// bulkIDPrefix is how the ids of jobs begin that "bulk" and "stream" submit.
+const bulkIDPrefix = "wk-9"
 
-// lookClosely asks all controllers again and again within milliseconds, repeats
+// pollClosely asks all controllers again and again within milliseconds, repeats
 // the submission and calls some of the jobs that came in bulk off at once; hear
 // judges the answers.
-func (u *userSim) lookClosely() {
-	w := u.w
-	if w.now >= w.closeLooksTo {
+func (user *simUser) pollClosely() {
+	sim := user.sim
+	if sim.now >= sim.users.closePollingUntil {
 		return
 	}
 	for i := range 3 {
-		for _, n := range w.nodes {
-			w.after(time.Duration(i*4000+w.rng.IntN(4000))*time.Microsecond, func() { u.askAt(n, wire.RequestStatus, nil) })
+		for _, ctrl := range sim.controllers {
+			sim.after(time.Duration(i*4000+sim.rng.IntN(4000))*time.Microsecond, func() { user.requestAt(ctrl, wire.RequestStatus, nil) })
 		}
 	}
-	w.after(time.Duration(w.rng.IntN(5000))*time.Microsecond, func() {
-		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestSubmit, u.body())
+	sim.after(time.Duration(sim.rng.IntN(5000))*time.Microsecond, func() {
+		user.requestAt(sim.controllers[sim.rng.IntN(len(sim.controllers))], wire.RequestSubmit, user.submissionBody())
 	})
-	if u.told != wire.StatusDone && !u.asked && strings.HasPrefix(u.spec.ID, bulkIDs) && w.rng.IntN(6) == 0 {
-		w.after(time.Duration(w.rng.IntN(8000))*time.Microsecond, func() { w.Withdraw(u.spec.ID) })
+	if user.lastStatus != wire.StatusDone && !user.cancelRequested && strings.HasPrefix(user.spec.ID, bulkIDPrefix) && sim.rng.IntN(6) == 0 {
+		sim.after(time.Duration(sim.rng.IntN(8000))*time.Microsecond, func() { sim.users.cancel(user.spec.ID) })
 	}
 }
 
-func (u *userSim) askAt(n *node, kind wire.RequestKind, body []byte) {
-	asked := u.w.now
-	u.w.askOf(n, kind, u.spec.ID, body, 2*time.Second, func(r core.Reply) {
-		switch r.Status {
+func (user *simUser) requestAt(ctrl *controller, kind wire.RequestKind, body []byte) {
+	asked := user.sim.now
+	user.sim.users.requestAt(ctrl, kind, user.spec.ID, body, 2*time.Second, func(reply core.Reply) {
+		switch reply.Status {
 		case 200, 201:
-			u.lastOK = u.w.now
-			u.hear(asked, r)
+			user.lastAnsweredAt = user.sim.now
+			user.checkStatus(asked, reply)
 		case 404, 400, 422:
-			u.w.broke("forgotten", "%s: %s got %d after it was accepted", u.spec.ID, kind, r.Status)
+			user.sim.rules.violated("forgotten", "%s: %s got %d after it was accepted", user.spec.ID, kind, reply.Status)
 		}
 	})
 }
 
-// oddRequest repeats the submission of an unfinished job, cancels a job that is
+// sendIrregularRequest repeats the submission of an unfinished job, cancels a job that is
 // done, or sends one that can't run or lacks a field.
-func (w *World) oddRequest() {
-	var unfinished, done []*userSim
-	for _, u := range w.order {
+func (users *userSet) sendIrregularRequest() {
+	var unfinished, done []*simUser
+	for _, user := range users.ordered {
 		switch {
-		case u.told == wire.StatusDone:
-			done = append(done, u)
-		case u.accepted && !u.asked:
-			unfinished = append(unfinished, u)
+		case user.lastStatus == wire.StatusDone:
+			done = append(done, user)
+		case user.accepted && !user.cancelRequested:
+			unfinished = append(unfinished, user)
 		}
 	}
-	kind := w.rng.IntN(4)
+	kind := users.sim.rng.IntN(4)
 	if kind == 0 && len(unfinished) > 0 {
-		u := unfinished[w.rng.IntN(len(unfinished))]
-		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestSubmit, u.body())
+		user := unfinished[users.sim.rng.IntN(len(unfinished))]
+		user.requestAt(users.sim.controllers[users.sim.rng.IntN(len(users.sim.controllers))], wire.RequestSubmit, user.submissionBody())
 		return
 	}
 	if kind == 1 && len(done) > 0 {
-		u := done[w.rng.IntN(len(done))]
-		u.askAt(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestCancel, nil)
+		user := done[users.sim.rng.IntN(len(done))]
+		user.requestAt(users.sim.controllers[users.sim.rng.IntN(len(users.sim.controllers))], wire.RequestCancel, nil)
 		return
 	}
-	w.odd++
-	u := &userSim{w: w, spec: wire.JobSpec{ID: fmt.Sprintf("wk-%06d", 700000+w.odd), Class: "c", Team: "wide", Shape: wire.ShapeArray,
+	users.irregularCount++
+	user := &simUser{sim: users.sim, spec: wire.JobSpec{ID: fmt.Sprintf("wk-%06d", 700000+users.irregularCount), Class: "c", Team: "wide", Shape: wire.ShapeArray,
 		Priority: "standard", TaskCount: 1, Cores: 4, GPUs: 1, MemoryGB: 16, Image: "img", ImageGB: 2, ExpectedS: 20}}
 	want := 422
-	switch w.rng.IntN(4) {
+	switch users.sim.rng.IntN(4) {
 	case 0:
-		u.spec.Cores = 1000 // fits no machine
+		user.spec.Cores = 1000 // fits no machine
 	case 1:
-		u.spec.Team, u.spec.Shape, u.spec.TaskCount = "red", wire.ShapeGang, 9 // over the team's limit
+		user.spec.Team, user.spec.Shape, user.spec.TaskCount = "red", wire.ShapeGang, 9 // over the team's limit
 	case 2:
-		u.spec.Team = "nobody"
+		user.spec.Team = "nobody"
 	default:
 		want = 400
 	}
-	body := u.body()
-	if want == 400 || w.rng.IntN(4) == 0 { // also where two faults meet
+	body := user.submissionBody()
+	if want == 400 || users.sim.rng.IntN(4) == 0 { // also where two faults meet
 		want = 400
-		body = lacking(body, w.rng.IntN(1<<20))
+		body = withInvalidField(body, users.sim.rng.IntN(1<<20))
 	}
-	w.askOf(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestSubmit, u.spec.ID, body, 5*time.Second, func(r core.Reply) {
-		w.judgeOdd(u.spec.ID, want, r.Status)
+	users.requestAt(users.sim.controllers[users.sim.rng.IntN(len(users.sim.controllers))], wire.RequestSubmit, user.spec.ID, body, 5*time.Second, func(reply core.Reply) {
+		users.checkRejection(user.spec.ID, want, reply.Status)
 	})
-	w.after(8*time.Second, func() {
-		w.askOf(w.nodes[w.rng.IntN(len(w.nodes))], wire.RequestStatus, u.spec.ID, nil, 2*time.Second, func(r core.Reply) {
-			if r.Status == 200 {
-				w.broke("invented", "%s is known though it was refused", u.spec.ID)
+	users.sim.after(8*time.Second, func() {
+		users.requestAt(users.sim.controllers[users.sim.rng.IntN(len(users.sim.controllers))], wire.RequestStatus, user.spec.ID, nil, 2*time.Second, func(reply core.Reply) {
+			if reply.Status == 200 {
+				users.sim.rules.violated("invented", "%s is known though it was refused", user.spec.ID)
 			}
 		})
 	})
 }
 
-// judgeOdd checks the answer to a job that may not be accepted.
-func (w *World) judgeOdd(ref string, want, status int) {
+// checkRejection checks the answer to a job that may not be accepted.
+func (users *userSet) checkRejection(jobID string, want, status int) {
 	switch status {
 	case want, 0, 503:
 	default:
-		w.broke("accepted_wrongly", "%s got %d, not %d", ref, status, want)
+		users.sim.rules.violated("accepted_wrongly", "%s got %d, not %d", jobID, status, want)
 	}
 }
 
-// lacking takes one of the fields that must be there out of a submission, or
+// withInvalidField takes one of the fields that must be there out of a submission, or
 // gives it a wrong type.
-func lacking(body []byte, pick int) []byte {
+func withInvalidField(body []byte, pick int) []byte {
 	var m map[string]any
 	must(wire.Decode(body, &m))
 	fields := []string{"job_class", "studio", "shape", "urgency", "frames", "cores", "cards", "memory_gb", "toolkit", "size_gb",
@@ -278,95 +240,95 @@
 	return b
 }
 
-// waitsBesideRoom is how long a job may be left waiting, once the troubles are
+// maxIdleCapacityWait is how long a job may be left waiting, once the troubles are
 // over, while a machine that fits has room and its team is under its limit.
-const waitsBesideRoom = 90 * time.Second
+const maxIdleCapacityWait = 90 * time.Second
 
-// leftWaiting checks that.
-func (w *World) leftWaiting() {
-	if w.now < w.calm || w.now%(5*time.Second) >= time.Second {
+// checkWaitingJobs checks that.
+func (rules *ruleChecker) checkWaitingJobs() {
+	if rules.sim.now < rules.faultsEndAt || rules.sim.now%(5*time.Second) >= time.Second {
 		return
 	}
-	var free []*roomSim
-	for _, u := range w.order {
-		if !u.waits() {
-			u.besideRoom = 0
+	var free []*freeCapacity
+	for _, user := range rules.sim.users.ordered {
+		if !user.isWaiting() {
+			user.idleCapacitySince = 0
 			continue
 		}
 		if free == nil {
-			free = w.freeRoom()
+			free = rules.freeCapacity()
 		}
-		if !u.fitsNow(free) {
-			u.besideRoom = 0
+		if !user.fits(free) {
+			user.idleCapacitySince = 0
 			continue
 		}
-		if u.besideRoom == 0 {
-			u.besideRoom = w.now
+		if user.idleCapacitySince == 0 {
+			user.idleCapacitySince = rules.sim.now
 		}
-		if w.now-max(u.besideRoom, w.calm) > waitsBesideRoom {
-			w.broke("left_waiting", "%s waits beside room since %v", u.spec.ID, u.besideRoom)
+		if rules.sim.now-max(user.idleCapacitySince, rules.faultsEndAt) > maxIdleCapacityWait {
+			rules.violated("left_waiting", "%s waits beside room since %v", user.spec.ID, user.idleCapacitySince)
 		}
 	}
 }
 
-// waits tells whether a job that should run has nothing on any machine.
-func (u *userSim) waits() bool {
-	if !u.accepted || u.asked || u.fails || u.held() || len(u.on) > 0 && slices.ContainsFunc(u.on, func(t *taskSim) bool { return t.state != wire.TaskExited }) {
+// isWaiting tells whether a job that should run has nothing on any machine.
+func (user *simUser) isWaiting() bool {
+	if !user.accepted || user.cancelRequested || user.alwaysFails || user.isBlocked() || len(user.tasks) > 0 && slices.ContainsFunc(user.tasks, func(task *simTask) bool { return task.state != wire.TaskExited }) {
 		return false
 	}
-	return !u.ended()
+	return !user.allTasksDone()
 }
 
-// roomSim is what is free on a machine.
-type roomSim struct {
-	k                *workerSim
-	cores, cards, gb float64
+// freeCapacity is what is free on a machine.
+type freeCapacity struct {
+	worker                *simWorker
+	cores, gpus, memoryGB float64
 }
 
-func (w *World) freeRoom() []*roomSim {
-	out := []*roomSim{}
-	for _, name := range sortedKeys(w.workers) {
-		k := w.workers[name]
-		if k.off || k.hung || k.sick || k.recallAt > 0 || w.now < k.deafTo || w.now < k.muteTo {
+func (rules *ruleChecker) freeCapacity() []*freeCapacity {
+	out := []*freeCapacity{}
+	for _, name := range sortedKeys(rules.sim.fleet.workers) {
+		worker := rules.sim.fleet.workers[name]
+		if worker.terminated || worker.hung || worker.failsTasks || worker.reclaimAt > 0 || rules.sim.now < worker.inboundCutUntil || rules.sim.now < worker.outboundCutUntil {
 			continue
 		}
-		f := w.cloud.flavor
-		r := &roomSim{k, f.Cores, f.GPUs, f.MemoryGB}
-		for _, t := range k.tasks {
-			if t.state != wire.TaskExited && t.u != nil {
-				r.take(t.u)
+		f := rules.sim.cloud.machineType
+		room := &freeCapacity{worker, f.Cores, f.GPUs, f.MemoryGB}
+		for _, task := range worker.tasks {
+			if task.state != wire.TaskExited && task.user != nil {
+				room.reserve(task.user)
 			}
 		}
-		out = append(out, r)
+		out = append(out, room)
 	}
 	return out
 }
 
-func (r *roomSim) take(u *userSim) {
-	r.cores -= u.spec.Cores
-	r.cards -= u.spec.GPUs
-	r.gb -= u.spec.MemoryGB
+func (room *freeCapacity) reserve(user *simUser) {
+	room.cores -= user.spec.Cores
+	room.gpus -= user.spec.GPUs
+	room.memoryGB -= user.spec.MemoryGB
 }
 
-// fitsNow tells whether one task of an array or daemon, or all of a gang in one
+// fits tells whether one task of an array or daemon, or all of a gang in one
 // zone, would find room, and the team's limit allows it.
-func (u *userSim) fitsNow(free []*roomSim) bool {
-	sp, w := &u.spec, u.w
+func (user *simUser) fits(free []*freeCapacity) bool {
+	spec, sim := &user.spec, user.sim
 	need := 1
-	if sp.Shape == wire.ShapeGang {
-		need = sp.TaskCount
+	if spec.Shape == wire.ShapeGang {
+		need = spec.TaskCount
 	}
-	cores, cards := w.teamUse(sp.Team)
-	if beyond(w.accounting.teams[sp.Team].limit, cores+float64(need)*sp.Cores, cards+float64(need)*sp.GPUs) {
+	cores, gpus := sim.rules.teamUsage(spec.Team)
+	if exceedsLimit(sim.quota.teams[spec.Team].limit, cores+float64(need)*spec.Cores, gpus+float64(need)*spec.GPUs) {
 		return false
 	}
 	zones := map[string]int{}
-	for _, r := range free {
-		if r.k.m.Spot && !sp.AllowSpot || sp.Zone != "" && sp.Zone != r.k.m.Zone {
+	for _, room := range free {
+		if room.worker.machine.Spot && !spec.AllowSpot || spec.Zone != "" && spec.Zone != room.worker.machine.Zone {
 			continue
 		}
-		for k := *r; k.cores >= sp.Cores && k.cards >= sp.GPUs && k.gb >= sp.MemoryGB && zones[r.k.m.Zone] < need; k.take(u) {
-			zones[r.k.m.Zone]++
+		for k := *room; k.cores >= spec.Cores && k.gpus >= spec.GPUs && k.memoryGB >= spec.MemoryGB && zones[room.worker.machine.Zone] < need; k.reserve(user) {
+			zones[room.worker.machine.Zone]++
 		}
 	}
 	for _, c := range zones {
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -13,8 +13,8 @@
 // States of a link.
 const (
 	linkUp      linkState = iota
-	linkHolds             // bytes wait until the link is up again, and connections hang
-	linkRefuses           // connections are reset, and new ones refused at once
+	linkHeld              // bytes wait until the link is up again, and connections hang
+	linkRefused           // connections are reset, and new ones refused at once
 )
 
 // proxy is the way from one process to another on loopback. It can be cut in either
@@ -23,14 +23,14 @@
 	listener net.Listener
 	target   string
 
-	carried atomic.Int64 // bytes, both ways
+	relayedBytes atomic.Int64 // bytes, both ways
 
-	mu      sync.Mutex
-	changed chan struct{} // closed when the state changes
-	forth   linkState     // towards the target
-	back    linkState
-	delay   time.Duration
-	conns   map[net.Conn]bool
+	mu          sync.Mutex
+	changed     chan struct{} // closed when the state changes
+	forward     linkState     // towards the target
+	backward    linkState
+	delay       time.Duration
+	connections map[net.Conn]bool
 }
 
 func newProxy(target string) (*proxy, error) {
@@ -38,22 +38,22 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, target: target, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	p := &proxy{listener: l, target: target, changed: make(chan struct{}), connections: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
-func (p *proxy) addr() string { return p.listener.Addr().String() }
+func (p *proxy) address() string { return p.listener.Addr().String() }
 
 // set changes what is done to each direction.
 func (p *proxy) set(forth, back linkState, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forth, p.back, p.delay = forth, back, delay
+	p.forward, p.backward, p.delay = forth, back, delay
 	close(p.changed)
 	p.changed = make(chan struct{})
-	if forth == linkRefuses || back == linkRefuses {
-		for c := range p.conns {
+	if forth == linkRefused || back == linkRefused {
+		for c := range p.connections {
 			c.Close()
 		}
 	}
@@ -64,9 +64,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if forth {
-		return p.forth, p.delay, p.changed
+		return p.forward, p.delay, p.changed
 	}
-	return p.back, p.delay, p.changed
+	return p.backward, p.delay, p.changed
 }
 
 func (p *proxy) accept() {
@@ -75,7 +75,7 @@
 		if err != nil {
 			return
 		}
-		if state, _, _ := p.state(true); state == linkRefuses {
+		if state, _, _ := p.state(true); state == linkRefused {
 			in.Close()
 			continue
 		}
@@ -90,22 +90,22 @@
 		return
 	}
 	p.mu.Lock()
-	p.conns[in], p.conns[out] = true, true
+	p.connections[in], p.connections[out] = true, true
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go func() { p.copy(out, in, true); done <- struct{}{} }()
-	go func() { p.copy(in, out, false); done <- struct{}{} }()
+	go func() { p.relay(out, in, true); done <- struct{}{} }()
+	go func() { p.relay(in, out, false); done <- struct{}{} }()
 	<-done
 	in.Close()
 	out.Close()
 	p.mu.Lock()
-	delete(p.conns, in)
-	delete(p.conns, out)
+	delete(p.connections, in)
+	delete(p.connections, out)
 	p.mu.Unlock()
 }
 
-// copy carries bytes one way for as long as the link lets them pass.
-func (p *proxy) copy(to, from net.Conn, forth bool) {
+// relay carries bytes one way for as long as the link lets them pass.
+func (p *proxy) relay(to, from net.Conn, forth bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		k, err := from.Read(buf)
@@ -113,17 +113,17 @@
 			return
 		}
 		state, delay, changed := p.state(forth)
-		for state == linkHolds {
+		for state == linkHeld {
 			<-changed
 			state, delay, changed = p.state(forth)
 		}
-		if state == linkRefuses {
+		if state == linkRefused {
 			return
 		}
 		if delay > 0 {
 			time.Sleep(delay)
 		}
-		p.carried.Add(int64(k))
+		p.relayedBytes.Add(int64(k))
 		if _, err := to.Write(buf[:k]); err != nil {
 			return
 		}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -7,142 +7,162 @@
 	"micaport/internal/wire"
 )
 
-// present walks over the tasks that are on machines, in a fixed order. Tasks
+// ruleChecker checks the rules of the protocol and collects violations.
+type ruleChecker struct {
+	sim             *Simulation
+	violations      []string
+	attemptMachines map[string]string // the machine of every attempt of a task
+	starts          map[string]int    // starts of tasks by job
+	lateStarts      int               // starts after the user was told that the job is cancelled
+	faultsEndAt     time.Duration     // when the last fault ends, as far as is known
+}
+
+func (rules *ruleChecker) violated(rule, format string, a ...any) {
+	rules.violations = append(rules.violations, fmt.Sprintf("%.3fs %s: %s", rules.sim.now.Seconds(), rule, fmt.Sprintf(format, a...)))
+}
+
+// faultsLast notes that there is trouble for a while.
+func (rules *ruleChecker) faultsLast(d time.Duration) {
+	rules.faultsEndAt = max(rules.faultsEndAt, rules.sim.now+d)
+}
+
+// eachActiveTask walks over the tasks that are on machines, in a fixed order. Tasks
 // that still fetch their image count, which is stricter than the protocol.
-func (w *World) present(f func(k *workerSim, t *taskSim)) {
-	for _, u := range w.order {
-		u.present(f)
+func (users *userSet) eachActiveTask(f func(worker *simWorker, task *simTask)) {
+	for _, user := range users.ordered {
+		user.eachActiveTask(f)
 	}
 }
 
-// present is that of World for the tasks of one job.
-func (u *userSim) present(f func(k *workerSim, t *taskSim)) {
-	for _, t := range u.on {
-		if t.state != wire.TaskExited && !t.k.off {
-			f(t.k, t)
+// eachActiveTask is that of World for the tasks of one job.
+func (user *simUser) eachActiveTask(f func(worker *simWorker, task *simTask)) {
+	for _, task := range user.tasks {
+		if task.state != wire.TaskExited && !task.worker.terminated {
+			f(task.worker, task)
 		}
 	}
 }
 
-// started checks the rules that a start can break.
-func (w *World) started(k *workerSim, t *taskSim) {
-	sp := &t.u.spec
-	w.Starts[t.ref]++
-	if t.u.withdrawn > 0 {
-		w.lateStarts++
+// taskStarted checks the rules that a start can break.
+func (rules *ruleChecker) taskStarted(worker *simWorker, task *simTask) {
+	spec := &task.user.spec
+	rules.starts[task.jobID]++
+	if task.user.cancelledAt > 0 {
+		rules.lateStarts++
 	}
-	name := fmt.Sprintf("%s/%d#%d", t.ref, t.task, t.attempt)
-	if at := w.attempts[name]; at != "" && at != k.m.Name {
-		w.broke("attempt_recurs", "%s on %s and then on %s", name, at, k.m.Name)
+	name := fmt.Sprintf("%s/%d#%d", task.jobID, task.index, task.attempt)
+	if at := rules.attemptMachines[name]; at != "" && at != worker.machine.Name {
+		rules.violated("attempt_recurs", "%s on %s and then on %s", name, at, worker.machine.Name)
 	}
-	w.attempts[name] = k.m.Name
-	for _, ref := range sp.Dependencies {
-		if a := w.users[ref]; a == nil || !a.ended() {
-			w.broke("too_early", "%s/%d before %s is done", t.ref, t.task, ref)
+	rules.attemptMachines[name] = worker.machine.Name
+	for _, jobID := range spec.Dependencies {
+		if dependency := rules.sim.users.byJob[jobID]; dependency == nil || !dependency.allTasksDone() {
+			rules.violated("too_early", "%s/%d before %s is done", task.jobID, task.index, jobID)
 		}
 	}
 	zones := map[string]int{}
-	t.u.present(func(k2 *workerSim, x *taskSim) {
-		if x != t && x.task == t.task {
-			w.broke("ran_twice", "%s/%d: attempt %d on %s, attempt %d on %s", t.ref, t.task, t.attempt, k.m.Name, x.attempt, k2.m.Name)
+	task.user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
+		if other != task && other.index == task.index {
+			rules.violated("ran_twice", "%s/%d: attempt %d on %s, attempt %d on %s", task.jobID, task.index, task.attempt, worker.machine.Name, other.attempt, otherWorker.machine.Name)
 		}
-		zones[k2.m.Zone]++
+		zones[otherWorker.machine.Zone]++
 	})
-	if cores, cards := w.teamUse(sp.Team); w.overLimit(sp.Team, cores, cards) {
-		w.broke("quota", "%s uses %v cards and %v cores", sp.Team, cards, cores)
+	if cores, gpus := rules.teamUsage(spec.Team); rules.exceedsHighestLimit(spec.Team, cores, gpus) {
+		rules.violated("quota", "%s uses %v cards and %v cores", spec.Team, gpus, cores)
 	}
 	switch {
-	case k.m.Spot && !sp.AllowSpot:
-		w.broke("wrong_place", "%s on a spot machine", t.ref)
-	case sp.Zone != "" && sp.Zone != k.m.Zone:
-		w.broke("wrong_place", "%s in zone %s", t.ref, k.m.Zone)
-	case sp.SameZone && len(zones) > 1:
-		w.broke("wrong_place", "%s in zones %v", t.ref, zones)
-	case sp.Spread && zones[k.m.Zone] > (sp.TaskCount+1)/2:
-		w.broke("wrong_place", "%s has %d of %d tasks in zone %s", t.ref, zones[k.m.Zone], sp.TaskCount, k.m.Zone)
-	}
-	if t.u.withdrawn > 0 && w.now-t.u.withdrawn > w.Cancel {
-		w.broke("ran_cancelled", "%s started %v after", t.ref, w.now-t.u.withdrawn)
+	case worker.machine.Spot && !spec.AllowSpot:
+		rules.violated("wrong_place", "%s on a spot machine", task.jobID)
+	case spec.Zone != "" && spec.Zone != worker.machine.Zone:
+		rules.violated("wrong_place", "%s in zone %s", task.jobID, worker.machine.Zone)
+	case spec.SameZone && len(zones) > 1:
+		rules.violated("wrong_place", "%s in zones %v", task.jobID, zones)
+	case spec.Spread && zones[worker.machine.Zone] > (spec.TaskCount+1)/2:
+		rules.violated("wrong_place", "%s has %d of %d tasks in zone %s", task.jobID, zones[worker.machine.Zone], spec.TaskCount, worker.machine.Zone)
+	}
+	if task.user.cancelledAt > 0 && rules.sim.now-task.user.cancelledAt > rules.sim.CancelDeadline {
+		rules.violated("ran_cancelled", "%s started %v after", task.jobID, rules.sim.now-task.user.cancelledAt)
 	}
 }
 
 // check looks at the world every second.
-func (w *World) check() {
+func (rules *ruleChecker) check() {
 	served, mute := 0, 0
-	for _, ref := range sortedKeys(w.users) {
-		u := w.users[ref]
-		if !u.accepted {
+	for _, jobID := range sortedKeys(rules.sim.users.byJob) {
+		user := rules.sim.users.byJob[jobID]
+		if !user.accepted {
 			continue
 		}
-		if w.now-u.lastOK > 90*time.Second {
+		if rules.sim.now-user.lastAnsweredAt > 90*time.Second {
 			mute++
-		} else if w.now-u.lastOK < 6*time.Second {
+		} else if rules.sim.now-user.lastAnsweredAt < 6*time.Second {
 			served++
 		}
 	}
 	if mute > 0 && served > mute {
-		w.broke("forgotten", "%d jobs get no answers while %d do", mute, served)
+		rules.violated("forgotten", "%d jobs get no answers while %d do", mute, served)
 	}
 	// Once all troubles are over each job is judged by itself.
-	for _, u := range w.order {
-		if quiet := w.now - max(u.lastOK, w.calm); u.accepted && u.withdrawn == 0 && quiet > 75*time.Second {
-			w.broke("forgotten", "%s: no answer for %v, the last was %d", u.spec.ID, quiet, u.lastCode)
+	for _, user := range rules.sim.users.ordered {
+		if quiet := rules.sim.now - max(user.lastAnsweredAt, rules.faultsEndAt); user.accepted && user.cancelledAt == 0 && quiet > 75*time.Second {
+			rules.violated("forgotten", "%s: no answer for %v, the last was %d", user.spec.ID, quiet, user.lastCode)
 		}
 	}
-	w.present(func(k *workerSim, t *taskSim) {
-		if u := t.u; u.withdrawn > 0 && w.now-u.withdrawn > w.Cancel {
-			w.broke("ran_cancelled", "%s/%d on %s %v after (%s)", t.ref, t.task, k.m.Name, w.now-u.withdrawn, t.state)
+	rules.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
+		if user := task.user; user.cancelledAt > 0 && rules.sim.now-user.cancelledAt > rules.sim.CancelDeadline {
+			rules.violated("ran_cancelled", "%s/%d on %s %v after (%s)", task.jobID, task.index, worker.machine.Name, rules.sim.now-user.cancelledAt, task.state)
 		}
 	})
-	w.leftWaiting()
-	for _, name := range sortedKeys(w.workers) {
-		k := w.workers[name]
-		if k.off || k.hung {
+	rules.checkWaitingJobs()
+	for _, name := range sortedKeys(rules.sim.fleet.workers) {
+		worker := rules.sim.fleet.workers[name]
+		if worker.terminated || worker.hung {
 			continue
 		}
-		for _, key := range sortedKeys(k.tasks) {
-			w.gangTask(k, k.tasks[key])
+		for _, key := range sortedKeys(worker.tasks) {
+			worker.checkGang(worker.tasks[key])
 		}
 	}
 }
 
-// gangTask plays a gang task's view of its peers.
-func (w *World) gangTask(k *workerSim, t *taskSim) {
-	if t.u == nil || t.u.spec.Shape != wire.ShapeGang {
+// checkGang ends a gang task whose peers did not arrive or were lost for too long.
+func (worker *simWorker) checkGang(task *simTask) {
+	sim := worker.sim
+	if task.user == nil || task.user.spec.Shape != wire.ShapeGang {
 		return
 	}
-	switch t.state {
+	switch task.state {
 	case wire.TaskWaitingForGang:
-		if w.now-t.since > w.GangWait {
-			k.end(t, wire.CauseGangIncomplete)
+		if sim.now-task.stateSince > sim.GangWait {
+			worker.exitTask(task, wire.CauseGangIncomplete)
 		} else {
-			w.gather(t)
+			task.startGangIfComplete()
 		}
 	case wire.TaskRunning:
 		peers := 0
-		t.u.present(func(k2 *workerSim, x *taskSim) {
-			if x.attempt == t.attempt && !k2.hung && (x.state == wire.TaskRunning || x.state == wire.TaskCheckpointing) {
+		task.user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
+			if other.attempt == task.attempt && !otherWorker.hung && (other.state == wire.TaskRunning || other.state == wire.TaskCheckpointing) {
 				peers++
 			}
 		})
-		if peers == t.u.spec.TaskCount || w.done[wire.TaskName(t.ref, t.task)] {
-			t.lostAt = 0
-		} else if t.lostAt == 0 {
-			t.lostAt = w.now
-		} else if w.now-t.lostAt > w.GangPeer {
-			k.end(t, wire.CausePeerLost)
+		if peers == task.user.spec.TaskCount || sim.users.completedTasks[wire.TaskName(task.jobID, task.index)] {
+			task.peerMissingSince = 0
+		} else if task.peerMissingSince == 0 {
+			task.peerMissingSince = sim.now
+		} else if sim.now-task.peerMissingSince > sim.GangPeerTimeout {
+			worker.exitTask(task, wire.CausePeerLost)
 		}
 	}
 }
 
-// beginWithin is how long the largest jobs of a class may take to begin.
-const beginWithin = 240 * time.Second
+// largestStartLimit is how long the largest jobs of a class may take to begin.
+const largestStartLimit = 240 * time.Second
 
-// served checks what is checked at the end of a day: at least half of every
+// underserved checks what is checked at the end of a day: at least half of every
 // class, of every team and of the largest jobs of each class has begun, the
 // largest in time. Jobs that came too late to be judged, that were cancelled
 // or that can't run are left out.
-func (w *World) served() []string {
+func (rules *ruleChecker) underserved() []string {
 	type share struct{ begun, all int }
 	shares := map[string]*share{}
 	largest := map[string]int{}
@@ -155,22 +175,22 @@
 		s.all++
 		s.begun += map[bool]int{true: 1}[begun]
 	}
-	judged := func(u *userSim) bool {
-		return u.accepted && !u.asked && !u.fails && w.now-u.since > beginWithin && !u.held()
+	judged := func(user *simUser) bool {
+		return user.accepted && !user.cancelRequested && !user.alwaysFails && rules.sim.now-user.submittedAt > largestStartLimit && !user.isBlocked()
 	}
-	for _, u := range w.order {
-		if judged(u) {
-			largest[u.spec.Class] = max(largest[u.spec.Class], u.spec.TaskCount)
+	for _, user := range rules.sim.users.ordered {
+		if judged(user) {
+			largest[user.spec.Class] = max(largest[user.spec.Class], user.spec.TaskCount)
 		}
 	}
-	for _, u := range w.order {
-		if !judged(u) {
+	for _, user := range rules.sim.users.ordered {
+		if !judged(user) {
 			continue
 		}
-		count("class "+u.spec.Class, u.begun > 0)
-		count("team "+u.spec.Team, u.begun > 0)
-		if u.spec.TaskCount == largest[u.spec.Class] {
-			count("largest of class "+u.spec.Class, u.begun > 0 && u.begun-u.since <= beginWithin)
+		count("class "+user.spec.Class, user.startedAt > 0)
+		count("team "+user.spec.Team, user.startedAt > 0)
+		if user.spec.TaskCount == largest[user.spec.Class] {
+			count("largest of class "+user.spec.Class, user.startedAt > 0 && user.startedAt-user.submittedAt <= largestStartLimit)
 		}
 	}
 	var faults []string
@@ -182,27 +202,27 @@
 	return faults
 }
 
-// teamUse is what the tasks of a team that are on machines take.
-func (w *World) teamUse(team string) (cores, cards float64) {
-	for _, u := range w.order {
-		if u.spec.Team == team {
-			u.present(func(*workerSim, *taskSim) {
-				cores += u.spec.Cores
-				cards += u.spec.GPUs
+// teamUsage is what the tasks of a team that are on machines take.
+func (rules *ruleChecker) teamUsage(team string) (cores, gpus float64) {
+	for _, user := range rules.sim.users.ordered {
+		if user.spec.Team == team {
+			user.eachActiveTask(func(*simWorker, *simTask) {
+				cores += user.spec.Cores
+				gpus += user.spec.GPUs
 			})
 		}
 	}
-	return cores, cards
+	return cores, gpus
 }
 
-// overLimit tells whether a use is beyond a team's limit, or where operators have changed
+// exceedsHighestLimit tells whether a use is beyond a team's limit, or where operators have changed
 // that, beyond the highest that has been in force: what was placed before a limit was
 // lowered may start after. What is placed is judged by the accounting.
-func (w *World) overLimit(team string, cores, cards float64) bool {
-	return beyond(w.accounting.highest[team], cores, cards)
+func (rules *ruleChecker) exceedsHighestLimit(team string, cores, gpus float64) bool {
+	return exceedsLimit(rules.sim.quota.highestLimits[team], cores, gpus)
 }
 
-// beyond tells whether a use is beyond a limit, in which 0 is none.
-func beyond(limit wire.Resources, cores, cards float64) bool {
-	return limit.GPUs > 0 && cards > limit.GPUs+rounding || limit.Cores > 0 && cores > limit.Cores+rounding
+// exceedsLimit tells whether a use is beyond a limit, in which 0 is none.
+func exceedsLimit(limit wire.Resources, cores, gpus float64) bool {
+	return limit.GPUs > 0 && gpus > limit.GPUs+quotaTolerance || limit.Cores > 0 && cores > limit.Cores+quotaTolerance
 }
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -9,30 +9,30 @@
 	"micaport/internal/wire"
 )
 
-// still is a world with a user's job and a machine, whose controllers do nothing.
-func still(shape string, frames int) (*World, *userSim, *workerSim) {
-	w := New(Defaults(), func(string, ...any) {})
-	for _, n := range w.nodes {
-		n.up = false
+// idleSimulation is a world with a user's job and a machine, whose controllers do nothing.
+func idleSimulation(shape string, frames int) (*Simulation, *simUser, *simWorker) {
+	sim := New(Defaults(), func(string, ...any) {})
+	for _, ctrl := range sim.controllers {
+		ctrl.running = false
 	}
-	w.now = 400 * time.Second
-	u := &userSim{w: w, only: -1, accepted: true, lastOK: w.now, spec: wire.JobSpec{ID: "wk-000001", Class: "c", Team: "red", Shape: shape, TaskCount: frames, Cores: 4, GPUs: 1, MemoryGB: 16, AllowSpot: true}}
-	w.users[u.spec.ID] = u
-	w.order = append(w.order, u)
-	return w, u, addMachine(w, "vm-000001")
+	sim.now = 400 * time.Second
+	user := &simUser{sim: sim, pinnedTo: -1, accepted: true, lastAnsweredAt: sim.now, spec: wire.JobSpec{ID: "wk-000001", Class: "c", Team: "red", Shape: shape, TaskCount: frames, Cores: 4, GPUs: 1, MemoryGB: 16, AllowSpot: true}}
+	sim.users.byJob[user.spec.ID] = user
+	sim.users.ordered = append(sim.users.ordered, user)
+	return sim, user, addMachine(sim, "vm-000001")
 }
 
-func addMachine(w *World, name string) *workerSim {
-	m := &machine{CloudMachine: wire.CloudMachine{Name: name, Zone: "a", MachineType: "g2"}}
-	w.cloud.hosts[name] = m
-	k := &workerSim{w: w, m: m, session: 1, tasks: map[string]*taskSim{}, images: map[string]bool{}, answered: w.now, drift: 1}
-	w.workers[name] = k
-	return k
+func addMachine(sim *Simulation, name string) *simWorker {
+	machine := &cloudMachine{CloudMachine: wire.CloudMachine{Name: name, Zone: "a", MachineType: "g2"}}
+	sim.cloud.machines[name] = machine
+	worker := &simWorker{sim: sim, machine: machine, epoch: 1, tasks: map[string]*simTask{}, images: map[string]bool{}, renewedAt: sim.now, clockRate: 1}
+	sim.fleet.workers[name] = worker
+	return worker
 }
 
-func (u *userSim) runs(k *workerSim, task int, attempt uint64) *taskSim {
-	t := &taskSim{u: u, k: k, ref: u.spec.ID, task: task, attempt: attempt, state: wire.TaskRunning, since: u.w.now}
-	k.add(wire.TaskName(u.spec.ID, task), t)
+func (user *simUser) addRunningTask(worker *simWorker, task int, attempt uint64) *simTask {
+	t := &simTask{user: user, worker: worker, jobID: user.spec.ID, index: task, attempt: attempt, state: wire.TaskRunning, stateSince: user.sim.now}
+	worker.addTask(wire.TaskName(user.spec.ID, task), t)
 	return t
 }
 
@@ -44,80 +44,94 @@
 	}
 	for _, c := range []struct {
 		rule string // "" if nothing may fire
-		do   func(w *World, u *userSim, k *workerSim)
+		do   func(sim *Simulation, user *simUser, worker *simWorker)
 	}{
-		{"", func(w *World, u *userSim, k *workerSim) { u.runs(k, 0, 1); w.check() }},
-		{"ran_twice", func(w *World, u *userSim, k *workerSim) {
-			u.runs(k, 0, 1)
-			k2 := addMachine(w, "vm-000002")
-			w.started(k2, u.runs(k2, 0, 2))
+		{"", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.addRunningTask(worker, 0, 1)
+			sim.rules.check()
 		}},
-		{"quota", func(w *World, u *userSim, k *workerSim) {
+		{"ran_twice", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.addRunningTask(worker, 0, 1)
+			otherWorker := addMachine(sim, "vm-000002")
+			sim.rules.taskStarted(otherWorker, user.addRunningTask(otherWorker, 0, 2))
+		}},
+		{"quota", func(sim *Simulation, user *simUser, worker *simWorker) {
 			for i := range 9 {
-				w.started(k, u.runs(k, i, uint64(i+1)))
+				sim.rules.taskStarted(worker, user.addRunningTask(worker, i, uint64(i+1)))
 			}
 		}},
-		{"wrong_place", func(w *World, u *userSim, k *workerSim) { u.spec.Zone = "b"; w.started(k, u.runs(k, 0, 1)) }},
-		{"wrong_place", func(w *World, u *userSim, k *workerSim) {
-			u.spec.AllowSpot, k.m.Spot = false, true
-			w.started(k, u.runs(k, 0, 1))
-		}},
-		{"ran_cancelled", func(w *World, u *userSim, k *workerSim) {
-			u.asked, u.withdrawn = true, w.now-w.Cancel-time.Millisecond
-			w.started(k, u.runs(k, 0, 1))
-		}},
-		{"ran_cancelled", func(w *World, u *userSim, k *workerSim) { // on a machine that hangs
-			u.runs(k, 0, 1)
-			k.hung, u.asked, u.withdrawn = true, true, w.now-w.Cancel-time.Millisecond
-			w.check()
-		}},
-		{"", func(w *World, u *userSim, k *workerSim) {
-			u.asked, u.withdrawn = true, w.now-w.Cancel
-			u.runs(k, 0, 1)
-			w.check()
-		}},
-		{"forgotten", func(w *World, u *userSim, k *workerSim) {
-			u.runs(k, 0, 1)
-			u.lastOK = w.now - 76*time.Second
-			w.check()
-		}},
-		{"went_back", func(w *World, u *userSim, _ *workerSim) {
-			u.spec.TaskCount = 0
-			u.hear(w.now, answer(wire.StatusDone))
-			u.hear(w.now, answer(wire.StatusRunning))
-		}},
-		{"went_back", func(w *World, u *userSim, _ *workerSim) {
-			u.asked = true
-			u.hear(w.now, answer(wire.StatusCancelled))
-			u.hear(w.now, answer(wire.StatusPending))
-		}},
-		{"went_back", func(w *World, u *userSim, _ *workerSim) { u.hear(w.now, answer(wire.StatusCancelled)) }},
-		{"not_done", func(w *World, u *userSim, _ *workerSim) { u.hear(w.now, answer(wire.StatusDone)) }},
-		{"accepted_wrongly", func(w *World, _ *userSim, _ *workerSim) { w.judgeOdd("wk-700001", 422, 201) }},
-		{"accepted_wrongly", func(w *World, _ *userSim, _ *workerSim) { w.judgeOdd("wk-700001", 400, 422) }},
-		{"", func(w *World, _ *userSim, _ *workerSim) { w.judgeOdd("wk-700001", 400, 503) }},
-		{"left_waiting", func(w *World, u *userSim, _ *workerSim) { u.besideRoom = w.now - 91*time.Second; w.leftWaiting() }},
-		{"", func(w *World, u *userSim, _ *workerSim) { u.besideRoom = w.now - 89*time.Second; w.leftWaiting() }},
-		{"", func(w *World, u *userSim, _ *workerSim) { // no machine that it may use has room
-			u.spec.Zone, u.besideRoom = "b", w.now-91*time.Second
-			w.leftWaiting()
-		}},
-		{"", func(w *World, u *userSim, k *workerSim) { // its team is at its limit
-			u.besideRoom = w.now - 91*time.Second
-			v := &userSim{w: w, only: -1, accepted: true, spec: u.spec}
-			v.spec.ID, v.spec.GPUs = "wk-000002", 8
-			w.order = append(w.order, v)
-			v.runs(addMachine(w, "vm-000002"), 0, 1)
-			w.leftWaiting()
+		{"wrong_place", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.spec.Zone = "b"
+			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
+		}},
+		{"wrong_place", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.spec.AllowSpot, worker.machine.Spot = false, true
+			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
+		}},
+		{"ran_cancelled", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.cancelRequested, user.cancelledAt = true, sim.now-sim.CancelDeadline-time.Millisecond
+			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
+		}},
+		{"ran_cancelled", func(sim *Simulation, user *simUser, worker *simWorker) { // on a machine that hangs
+			user.addRunningTask(worker, 0, 1)
+			worker.hung, user.cancelRequested, user.cancelledAt = true, true, sim.now-sim.CancelDeadline-time.Millisecond
+			sim.rules.check()
+		}},
+		{"", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.cancelRequested, user.cancelledAt = true, sim.now-sim.CancelDeadline
+			user.addRunningTask(worker, 0, 1)
+			sim.rules.check()
+		}},
+		{"forgotten", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.addRunningTask(worker, 0, 1)
+			user.lastAnsweredAt = sim.now - 76*time.Second
+			sim.rules.check()
+		}},
+		{"went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.spec.TaskCount = 0
+			user.checkStatus(sim.now, answer(wire.StatusDone))
+			user.checkStatus(sim.now, answer(wire.StatusRunning))
+		}},
+		{"went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.cancelRequested = true
+			user.checkStatus(sim.now, answer(wire.StatusCancelled))
+			user.checkStatus(sim.now, answer(wire.StatusPending))
+		}},
+		{"went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.checkStatus(sim.now, answer(wire.StatusCancelled))
+		}},
+		{"not_done", func(sim *Simulation, user *simUser, _ *simWorker) { user.checkStatus(sim.now, answer(wire.StatusDone)) }},
+		{"accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) { sim.users.checkRejection("wk-700001", 422, 201) }},
+		{"accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) { sim.users.checkRejection("wk-700001", 400, 422) }},
+		{"", func(sim *Simulation, _ *simUser, _ *simWorker) { sim.users.checkRejection("wk-700001", 400, 503) }},
+		{"left_waiting", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.idleCapacitySince = sim.now - 91*time.Second
+			sim.rules.checkWaitingJobs()
+		}},
+		{"", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.idleCapacitySince = sim.now - 89*time.Second
+			sim.rules.checkWaitingJobs()
+		}},
+		{"", func(sim *Simulation, user *simUser, _ *simWorker) { // no machine that it may use has room
+			user.spec.Zone, user.idleCapacitySince = "b", sim.now-91*time.Second
+			sim.rules.checkWaitingJobs()
+		}},
+		{"", func(sim *Simulation, user *simUser, worker *simWorker) { // its team is at its limit
+			user.idleCapacitySince = sim.now - 91*time.Second
+			other := &simUser{sim: sim, pinnedTo: -1, accepted: true, spec: user.spec}
+			other.spec.ID, other.spec.GPUs = "wk-000002", 8
+			sim.users.ordered = append(sim.users.ordered, other)
+			other.addRunningTask(addMachine(sim, "vm-000002"), 0, 1)
+			sim.rules.checkWaitingJobs()
 		}},
 	} {
-		w, u, k := still(wire.ShapeArray, 1)
-		c.do(w, u, k)
+		sim, user, worker := idleSimulation(wire.ShapeArray, 1)
+		c.do(sim, user, worker)
 		switch {
-		case c.rule == "" && len(w.Broken) > 0:
-			t.Errorf("fired without cause: %v", w.Broken)
-		case c.rule != "" && (len(w.Broken) == 0 || !strings.Contains(w.Broken[0], c.rule)):
-			t.Errorf("%s did not fire: %v", c.rule, w.Broken)
+		case c.rule == "" && len(sim.rules.violations) > 0:
+			t.Errorf("fired without cause: %v", sim.rules.violations)
+		case c.rule != "" && (len(sim.rules.violations) == 0 || !strings.Contains(sim.rules.violations[0], c.rule)):
+			t.Errorf("%s did not fire: %v", c.rule, sim.rules.violations)
 		}
 	}
 }
@@ -125,24 +139,24 @@
 // TestLateStartsAreCounted: a start that a worker carries out after its user was
 // told that the job is cancelled is within the rules for cancel_s, and counted.
 func TestLateStartsAreCounted(t *testing.T) {
-	w, u, k := still(wire.ShapeArray, 1)
-	u.asked, u.withdrawn = true, w.now-time.Second
-	w.started(k, u.runs(k, 0, 1))
-	if w.lateStarts != 1 || len(w.Broken) > 0 {
-		t.Errorf("%d counted, %v", w.lateStarts, w.Broken)
+	sim, user, worker := idleSimulation(wire.ShapeArray, 1)
+	user.cancelRequested, user.cancelledAt = true, sim.now-time.Second
+	sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
+	if sim.rules.lateStarts != 1 || len(sim.rules.violations) > 0 {
+		t.Errorf("%d counted, %v", sim.rules.lateStarts, sim.rules.violations)
 	}
 }
 
 // TestSubmissionsLackAField: what the odd requests send is faulty each time.
 func TestSubmissionsLackAField(t *testing.T) {
-	_, u, _ := still(wire.ShapeArray, 1)
-	u.spec.Priority, u.spec.Image = "low", "img"
-	if _, _, err := wire.ParseJobSpec(u.body()); err != nil {
+	_, user, _ := idleSimulation(wire.ShapeArray, 1)
+	user.spec.Priority, user.spec.Image = "low", "img"
+	if _, _, err := wire.ParseJobSpec(user.submissionBody()); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 64 {
-		if ref, _, err := wire.ParseJobSpec(lacking(u.body(), i)); err == nil || ref != u.spec.ID {
-			t.Errorf("%d: taken for sound (%q, %v)", i, ref, err)
+		if jobID, _, err := wire.ParseJobSpec(withInvalidField(user.submissionBody(), i)); err == nil || jobID != user.spec.ID {
+			t.Errorf("%d: taken for sound (%q, %v)", i, jobID, err)
 		}
 	}
 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -50,56 +50,56 @@
 	for seed := 1; seed <= seeds; seed++ {
 		s := Defaults()
 		s.Seed = uint64(seed)
-		if err := s.read(world); err != nil {
+		if err := s.parse(world); err != nil {
 			return []string{"world: " + err.Error()}
 		}
-		w := newWorld(s, trace)
+		sim := newSimulation(s, trace)
 		if observe != nil {
-			w.observe = observe(seed)
+			sim.observe = observe(seed)
 		}
-		w.begin()
-		if faults := w.script(script); len(faults) > 0 {
+		sim.start()
+		if faults := sim.runScript(script); len(faults) > 0 {
 			return append([]string{fmt.Sprintf("seed %d:", seed)}, faults...)
 		}
 	}
 	return nil
 }
 
-// numbers maps the names of settings to the numbers that they set.
-func (s *Settings) numbers() map[string]func(float64) {
+// numericSettings maps the names of settings to the numbers that they set.
+func (s *Settings) numericSettings() map[string]func(float64) {
 	whole := func(field *int) func(float64) { return func(x float64) { *field = int(x) } }
 	decimal := func(field *float64) func(float64) { return func(x float64) { *field = x } }
-	duration := func(field *time.Duration) func(float64) { return func(x float64) { *field = secs(x) } }
+	duration := func(field *time.Duration) func(float64) { return func(x float64) { *field = seconds(x) } }
 	return map[string]func(float64){
 		"capacity":         whole(&s.Capacity),
 		"write_rps":        decimal(&s.WriteRPS),
-		"boot_s":           duration(&s.Boot),
-		"report_s":         duration(&s.Report),
-		"lease_s":          duration(&s.Lease),
-		"cancel_s":         duration(&s.Cancel),
-		"idle_s":           duration(&s.Idle),
-		"txn_ops":          whole(&s.TxnOps),
-		"value_bytes":      whole(&s.ValueBytes),
+		"boot_s":           duration(&s.BootTime),
+		"report_s":         duration(&s.HeartbeatInterval),
+		"lease_s":          duration(&s.WorkerLease),
+		"cancel_s":         duration(&s.CancelDeadline),
+		"idle_s":           duration(&s.IdleTimeout),
+		"txn_ops":          whole(&s.MaxTransactionOps),
+		"value_bytes":      whole(&s.MaxValueBytes),
 		"next_write_rps":   decimal(&s.NextWriteRPS),
-		"next_txn_ops":     whole(&s.NextTxnOps),
-		"next_value_bytes": whole(&s.NextValueBytes),
+		"next_txn_ops":     whole(&s.NextMaxTransactionOps),
+		"next_value_bytes": whole(&s.NextMaxValueBytes),
 		"old_format":       whole(&s.OldFormat),
 		"admission":        whole((*int)(&s.Admission)),
 		"early_takeover":   func(x float64) { s.EarlyTakeover = x > 0 },
 	}
 }
 
-// read takes the settings of a scenario.
-func (s *Settings) read(text string) error {
-	numbers := s.numbers()
-	for _, line := range lines(text) {
+// parse takes the settings of a scenario.
+func (s *Settings) parse(text string) error {
+	numbers := s.numericSettings()
+	for _, line := range scriptLines(text) {
 		f := strings.Fields(line)
 		if len(f) < 2 {
 			return fmt.Errorf("bad line %q", line)
 		}
 		switch name := f[0]; {
 		case name == "nodes":
-			s.Nodes = f[1:]
+			s.ControllerZones = f[1:]
 		case name == "zones":
 			s.Zones = f[1:]
 		case numbers[name] != nil:
@@ -115,9 +115,9 @@
 	return nil
 }
 
-func secs(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-func lines(text string) []string {
+func scriptLines(text string) []string {
 	var out []string
 	for _, l := range strings.Split(text, "\n") {
 		if l = strings.TrimSpace(l); l != "" && !strings.HasPrefix(l, "#") {
@@ -127,11 +127,11 @@
 	return out
 }
 
-// script plays the lines and collects failed expectations and broken rules.
-func (w *World) script(text string) []string {
+// runScript plays the lines and collects failed expectations and broken rules.
+func (sim *Simulation) runScript(text string) []string {
 	var faults []string
 	last := time.Duration(0)
-	for _, line := range lines(text) {
+	for _, line := range scriptLines(text) {
 		f := strings.Fields(line)
 		if len(f) < 3 || f[0] != "at" {
 			return []string{fmt.Sprintf("bad line %q", line)}
@@ -140,34 +140,34 @@
 		if err != nil {
 			return []string{fmt.Sprintf("bad time in %q", line)}
 		}
-		last = max(last, secs(at))
-		w.after(secs(at), func() {
-			if err := w.command(f[2], f[3:]); err != nil {
+		last = max(last, seconds(at))
+		sim.after(seconds(at), func() {
+			if err := sim.runCommand(f[2], f[3:]); err != nil {
 				faults = append(faults, fmt.Sprintf("%s: %v", line, err))
 			}
 		})
 	}
-	w.Run(last + time.Millisecond)
-	if len(w.Broken) == 0 {
-		faults = append(faults, w.served()...)
+	sim.Run(last + time.Millisecond)
+	if len(sim.rules.violations) == 0 {
+		faults = append(faults, sim.rules.underserved()...)
 	}
-	return append(faults, w.Broken...)
+	return append(faults, sim.rules.violations...)
 }
 
 // expect checks "JOB WHAT..." or something about the world as a whole.
-func (w *World) expect(args []string) error {
-	if what, known, err := w.expectWorld(args[0]); known {
+func (sim *Simulation) expect(args []string) error {
+	if what, known, err := sim.expectCondition(args[0]); known {
 		if err != nil {
 			return fmt.Errorf("want %s: %w", what, err)
 		}
 		return nil
 	}
-	u := w.users[args[0]]
-	if u == nil {
+	user := sim.users.byJob[args[0]]
+	if user == nil {
 		return fmt.Errorf("no such job")
 	}
 	for _, what := range args[1:] {
-		if err := w.expectOne(u, what); err != nil {
+		if err := sim.expectJob(user, what); err != nil {
 			return err
 		}
 	}
@@ -182,29 +182,29 @@
 // decided (takeover_ms), heartbeats of leaders; and since the last "meter": refused
 // commits, looks at machines by all controllers for each report, and bytes a second
 // between controllers.
-func (w *World) counts() map[string]int {
-	seconds := max(1, int((w.now - w.meter.since).Seconds()))
+func (sim *Simulation) counts() map[string]int {
+	seconds := max(1, int((sim.now - sim.meter.since).Seconds()))
 	return map[string]int{
-		"machines":         len(w.up()),
-		"returned":         w.cloud.returns,
-		"waiting":          w.cloud.booting(),
-		"leaders":          w.store.leaders,
-		"claims":           w.store.claims,
-		"refused":          w.meter.refused,
-		"looks_per_report": int(w.work()-w.meter.work) / max(1, w.meter.reports),
-		"bytes_per_s":      w.meter.bytes / seconds,
-		"late_starts":      w.lateStarts,
-		"more_keys":        w.store.moreKeys(),
-		"admitted":         w.accounting.admissions,
-		"shares":           w.accounting.openShares(),
-		"early":            w.takeovers.early(),
-		"takeover_ms":      int(w.takeovers.slowest().Milliseconds()),
-		"heartbeats":       w.takeovers.heartbeats,
+		"machines":         len(sim.fleet.running()),
+		"returned":         sim.cloud.deprovisioned,
+		"waiting":          sim.cloud.countBooting(),
+		"leaders":          sim.store.leaderChanges,
+		"claims":           sim.store.shardClaims,
+		"refused":          sim.meter.refusedCommits,
+		"looks_per_report": int(sim.coreWork()-sim.meter.coreWork) / max(1, sim.meter.heartbeats),
+		"bytes_per_s":      sim.meter.gossipBytes / seconds,
+		"late_starts":      sim.rules.lateStarts,
+		"more_keys":        sim.store.countOverflowKeys(),
+		"admitted":         sim.quota.admissions,
+		"shares":           sim.quota.countShares(),
+		"early":            sim.leadership.countEarly(),
+		"takeover_ms":      int(sim.leadership.slowestTakeover().Milliseconds()),
+		"heartbeats":       sim.leadership.heartbeats,
 	}
 }
 
-// bounded checks NAME<=N and NAME>=N. It tells whether there is such a count.
-func (w *World) bounded(what string) (known bool, err error) {
+// expectBound checks NAME<=N and NAME>=N. It tells whether there is such a count.
+func (sim *Simulation) expectBound(what string) (known bool, err error) {
 	name, limit, atMost := strings.Cut(what, "<=")
 	if !atMost {
 		name, limit, known = strings.Cut(what, ">=")
@@ -212,7 +212,7 @@
 			return false, nil
 		}
 	}
-	got, known := w.counts()[name]
+	got, known := sim.counts()[name]
 	if !known {
 		return false, nil
 	}
@@ -223,21 +223,21 @@
 	return true, err
 }
 
-// expectWorld checks counts, unhealthy=0 and unresponsive=0 machines, and
+// expectCondition checks counts, unhealthy=0 and unresponsive=0 machines, and
 // owner=PART:CONTROLLER|CONTROLLER.
-func (w *World) expectWorld(what string) (string, bool, error) {
-	if known, err := w.bounded(what); known {
+func (sim *Simulation) expectCondition(what string) (string, bool, error) {
+	if known, err := sim.expectBound(what); known {
 		return what, true, err
 	}
 	holds, got := false, any(nil)
 	if v, ok := strings.CutPrefix(what, "owner="); ok {
-		part, owner, _ := strings.Cut(v, ":")
-		holds, got = slices.Contains(strings.Split(owner, "|"), w.owner(part)), w.owner(part)
+		shard, owner, _ := strings.Cut(v, ":")
+		holds, got = slices.Contains(strings.Split(owner, "|"), sim.store.shardOwner(shard)), sim.store.shardOwner(shard)
 	} else if what == "deaf=0" {
-		deaf := w.countUp(func(k *workerSim) bool { return k.deafTo > w.now })
+		deaf := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.inboundCutUntil > sim.now })
 		holds, got = deaf == 0, deaf
 	} else if what == "sick=0" {
-		sick := w.countUp(func(k *workerSim) bool { return k.sick })
+		sick := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.failsTasks })
 		holds, got = sick == 0, sick
 	} else {
 		return what, false, nil
@@ -248,33 +248,33 @@
 	return what, true, nil
 }
 
-// countUp counts the machines that are up and like this.
-func (w *World) countUp(like func(*workerSim) bool) int {
+// countRunning counts the machines that are up and like this.
+func (fleet *workerFleet) countRunning(like func(*simWorker) bool) int {
 	count := 0
-	for _, k := range w.up() {
-		if like(k) {
+	for _, worker := range fleet.running() {
+		if like(worker) {
 			count++
 		}
 	}
 	return count
 }
 
-// owner names the controller whose claim of a shard stands.
-func (w *World) owner(part string) string {
-	k := w.store.keys[wire.ShardKey(part)]
-	if k == nil {
+// shardOwner names the controller whose claim of a shard stands.
+func (store *stateService) shardOwner(shard string) string {
+	record := store.records[wire.ShardKey(shard)]
+	if record == nil {
 		return ""
 	}
-	return decode(wire.ShardKey(part), k.raw).(*wire.Shard).Owner
+	return mustDecodeRecord(wire.ShardKey(shard), record.raw).(*wire.Shard).Owner
 }
 
-func (w *World) expectOne(u *userSim, what string) error {
+func (sim *Simulation) expectJob(user *simUser, what string) error {
 	count := 0
 	zones, hosts := map[string]bool{}, map[string]bool{}
-	w.present(func(k *workerSim, t *taskSim) {
-		if t.u == u {
-			zones[k.m.Zone], hosts[k.m.Name] = true, true
-			if t.state == wire.TaskRunning {
+	sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
+		if task.user == user {
+			zones[worker.machine.Zone], hosts[worker.machine.Name] = true, true
+			if task.state == wire.TaskRunning {
 				count++
 			}
 		}
@@ -285,11 +285,11 @@
 	}
 	bad := func(got any) error { return fmt.Errorf("want %s, got %v", what, got) }
 	if k, v, ok := strings.Cut(what, "<="); ok {
-		if k == "starts" && w.Starts[u.spec.ID] > number(v) {
-			return bad(w.Starts[u.spec.ID])
+		if k == "starts" && sim.rules.starts[user.spec.ID] > number(v) {
+			return bad(sim.rules.starts[user.spec.ID])
 		}
-		if k == "begun" && (u.begun == 0 || u.begun > secs(float64(number(v)))) {
-			return bad(u.begun)
+		if k == "begun" && (user.startedAt == 0 || user.startedAt > seconds(float64(number(v)))) {
+			return bad(user.startedAt)
 		}
 		return nil
 	}
@@ -308,14 +308,14 @@
 			return bad(len(hosts))
 		}
 	case pair && k == "code":
-		if len(u.codes) == 0 || u.codes[len(u.codes)-1] != number(v) {
-			return bad(u.codes)
+		if len(user.submitCodes) == 0 || user.submitCodes[len(user.submitCodes)-1] != number(v) {
+			return bad(user.submitCodes)
 		}
 	case pair:
 		return fmt.Errorf("unknown expectation")
 	default:
-		if u.status.Status != what {
-			return bad(u.status.Status)
+		if user.lastReply.Status != what {
+			return bad(user.lastReply.Status)
 		}
 	}
 	return nil
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -82,24 +82,24 @@
 	for _, f := range a.Files {
 		switch f.Name {
 		case "world":
-			if err := s.read(string(f.Data)); err != nil {
+			if err := s.parse(string(f.Data)); err != nil {
 				t.Fatal(err)
 			}
 		case "script":
 			script = string(f.Data)
 		}
 	}
-	w := New(s, func(string, ...any) {})
+	sim := New(s, func(string, ...any) {})
 	slowest := time.Duration(0)
-	w.every(50*time.Millisecond, func() {
-		for _, u := range w.order {
+	sim.every(50*time.Millisecond, func() {
+		for _, user := range sim.users.ordered {
 			// Until the leader ends, at 70 s; the first machines boot until 30 s.
-			if !u.accepted && u.since > 30*time.Second && w.now < 70*time.Second {
-				slowest = max(slowest, w.now-u.since)
+			if !user.accepted && user.submittedAt > 30*time.Second && sim.now < 70*time.Second {
+				slowest = max(slowest, sim.now-user.submittedAt)
 			}
 		}
 	})
-	if faults := w.script(script); len(faults) > 0 {
+	if faults := sim.runScript(script); len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	if slowest > 500*time.Millisecond {
--- a/internal/simulation/services.go
+++ b/internal/simulation/services.go
@@ -10,73 +10,81 @@
 	"micaport/internal/wire"
 )
 
-// store stands in for the state service.
-type store struct {
-	w       *World
-	rev     uint64
-	keys    map[string]*entry
-	leases  map[uint64]*leaseSim
-	next    uint64
-	puts    float64 // left of what the service takes now
-	putsAt  time.Duration
-	outage  bool
-	ledFrom time.Duration // when the leadership was last claimed
-	leaders int           // claims of leadership so far
-	claims  int           // claims of shards so far
-	refuse  map[string]int
-	hung    map[string]int // controllers whose watch hangs
-	log     []change
-	at      map[string]int // how far each controller's watch has come
+// stateService stands in for the state service.
+type stateService struct {
+	sim           *Simulation
+	revision      uint64
+	records       map[string]*storedRecord
+	leases        map[uint64]*storedLease
+	lastLeaseID   uint64
+	writeCredit   float64 // writes that the service takes now
+	writeCreditAt time.Duration
+
+	leaderSince   time.Duration // when the leadership was last claimed
+	leaderChanges int           // claims of leadership so far
+	shardClaims   int           // claims of shards so far
+
+	changes        []recordChange
+	watchPositions map[string]int // how many changes each controller's watch has delivered; -1: none yet
+
+	outage      bool
+	refused     map[string]int // how many faults make the service refuse a controller
+	hungWatches map[string]int // how many faults make a controller's watch hang
+	lateWrites  timedValue     // share of transactions without an answer that are carried out 2 to 12 s later
+	lostReplies timedValue     // share of transactions that are carried out at once and not answered
+	slowdown    timedValue     // factor on the latency
 }
 
-type entry struct {
-	raw   []byte
-	rev   uint64
-	lease uint64
+type storedRecord struct {
+	raw      []byte
+	revision uint64
+	leaseID  uint64
 }
 
-type leaseSim struct {
-	ttl  time.Duration
-	ends time.Duration
+type storedLease struct {
+	ttl       time.Duration
+	expiresAt time.Duration
 }
 
-type change struct {
-	key string
-	raw []byte // nil: dropped
-	rev uint64
+type recordChange struct {
+	key      string
+	raw      []byte // nil: dropped
+	revision uint64
 }
 
-type put struct {
-	key   string
-	raw   []byte
-	lease uint64
+type recordWrite struct {
+	key     string
+	raw     []byte
+	leaseID uint64
 }
 
-func newStore(w *World) *store {
-	s := &store{w: w, keys: map[string]*entry{}, leases: map[uint64]*leaseSim{}, refuse: map[string]int{}, hung: map[string]int{}, at: map[string]int{}}
-	w.every(100*time.Millisecond, s.expire)
-	return s
+func newStateService(sim *Simulation) *stateService {
+	store := &stateService{sim: sim, records: map[string]*storedRecord{}, leases: map[uint64]*storedLease{}, refused: map[string]int{}, hungWatches: map[string]int{}, watchPositions: map[string]int{}}
+	sim.every(100*time.Millisecond, store.expireLeases)
+	return store
 }
 
-func encodeWrites(ws []core.Write) []put {
-	var out []put
+func encodeRecordWrites(ws []core.Write) []recordWrite {
+	var out []recordWrite
 	for _, x := range ws {
-		p := put{key: x.Key, lease: x.LeaseID}
+		write := recordWrite{key: x.Key, leaseID: x.LeaseID}
 		if x.Value != nil {
 			raw, err := wire.Encode(x.Value)
 			must(err)
-			p.raw = raw
+			write.raw = raw
 		}
-		out = append(out, p)
+		out = append(out, write)
 	}
 	return out
 }
 
-func (s *store) refuses(n *node) bool { return s.outage || s.refuse[n.label] > 0 }
+func (store *stateService) refuses(ctrl *controller) bool {
+	return store.outage || store.refused[ctrl.label] > 0
+}
 
-// jsonSize is a value's size in the form in which the limit is meant; it is not
+// encodedJSONSize is a value's size in the form in which the limit is meant; it is not
 // worked out for values that are far below it.
-func jsonSize(raw []byte, least int) int {
+func encodedJSONSize(raw []byte, least int) int {
 	if len(raw) <= least {
 		return len(raw)
 	}
@@ -87,82 +95,82 @@
 	return len(text)
 }
 
-func (s *store) commit(n *node, conds []core.Condition, puts []put) (core.Outcome, uint64, []string) {
-	if s.outage {
+func (store *stateService) commit(ctrl *controller, conditions []core.Condition, writes []recordWrite) (core.Outcome, uint64, []string) {
+	if store.outage {
 		return core.Refused, 0, nil
 	}
-	if len(puts) > s.w.TxnOps || len(conds) > 4*s.w.TxnOps {
-		s.w.broke("limits", "%s: transaction with %d writes and %d conditions", n.label, len(puts), len(conds))
+	if len(writes) > store.sim.MaxTransactionOps || len(conditions) > 4*store.sim.MaxTransactionOps {
+		store.sim.rules.violated("limits", "%s: transaction with %d writes and %d conditions", ctrl.label, len(writes), len(conditions))
 	}
-	if limit := s.w.WriteRPS; limit > 0 {
-		s.puts = min(limit, s.puts+limit*(s.w.now-s.putsAt).Seconds())
-		s.putsAt = s.w.now
-		if s.puts < float64(len(puts)) {
-			s.w.meter.refused++
+	if limit := store.sim.WriteRPS; limit > 0 {
+		store.writeCredit = min(limit, store.writeCredit+limit*(store.sim.now-store.writeCreditAt).Seconds())
+		store.writeCreditAt = store.sim.now
+		if store.writeCredit < float64(len(writes)) {
+			store.sim.meter.refusedCommits++
 			return core.Refused, 0, nil
 		}
-		s.puts -= float64(len(puts))
+		store.writeCredit -= float64(len(writes))
 	}
-	for _, p := range puts {
-		if size := jsonSize(p.raw, s.w.ValueBytes/4); size > s.w.ValueBytes {
-			s.w.broke("limits", "%s: value of %s has %d bytes", n.label, p.key, size)
+	for _, write := range writes {
+		if size := encodedJSONSize(write.raw, store.sim.MaxValueBytes/4); size > store.sim.MaxValueBytes {
+			store.sim.rules.violated("limits", "%s: value of %s has %d bytes", ctrl.label, write.key, size)
 		}
-		if p.lease != 0 && s.leases[p.lease] == nil {
-			return core.LeaseExpired, s.rev, nil
+		if write.leaseID != 0 && store.leases[write.leaseID] == nil {
+			return core.LeaseExpired, store.revision, nil
 		}
 	}
 	var failed []string
-	for _, c := range conds {
+	for _, c := range conditions {
 		have := uint64(0)
-		if e := s.keys[c.Key]; e != nil {
-			have = e.rev
+		if record := store.records[c.Key]; record != nil {
+			have = record.revision
 		}
 		if have != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		s.w.takeovers.lost(puts)
-		return core.Conflict, s.rev, failed
+		store.sim.leadership.recordConflict(writes)
+		return core.Conflict, store.revision, failed
 	}
-	if len(puts) == 0 {
-		return core.OK, s.rev, nil
+	if len(writes) == 0 {
+		return core.OK, store.revision, nil
 	}
-	s.rev++
-	for _, p := range puts {
-		s.apply(p, s.rev)
+	store.revision++
+	for _, write := range writes {
+		store.apply(write, store.revision)
 	}
-	s.w.accounting.committed(conds, puts)
-	s.w.takeovers.committed(n, conds, puts)
-	s.notify()
-	return core.OK, s.rev, nil
+	store.sim.quota.checkCommit(conditions, writes)
+	store.sim.leadership.checkCommit(ctrl, conditions, writes)
+	store.notifyWatches()
+	return core.OK, store.revision, nil
 }
 
-func (s *store) apply(p put, rev uint64) {
-	begins := p.key == wire.LeaderKey && p.raw != nil && s.w.takeovers.claims(decode(p.key, p.raw).(*wire.Leader), rev)
-	if p.raw == nil {
-		if s.keys[p.key] == nil {
+func (store *stateService) apply(write recordWrite, rev uint64) {
+	begins := write.key == wire.LeaderKey && write.raw != nil && store.sim.leadership.recordClaim(mustDecodeRecord(write.key, write.raw).(*wire.Leader), rev)
+	if write.raw == nil {
+		if store.records[write.key] == nil {
 			return
 		}
-		delete(s.keys, p.key)
+		delete(store.records, write.key)
 	} else {
-		s.keys[p.key] = &entry{raw: p.raw, rev: rev, lease: p.lease}
+		store.records[write.key] = &storedRecord{raw: write.raw, revision: rev, leaseID: write.leaseID}
 	}
 	if begins {
-		s.leaders++
-		s.ledFrom = s.w.now
-		s.w.deliverKept()
+		store.leaderChanges++
+		store.leaderSince = store.sim.now
+		store.sim.replays.deliverRetained()
 	}
-	if strings.HasPrefix(p.key, wire.ShardPrefix) && p.raw != nil {
-		s.claims++
+	if strings.HasPrefix(write.key, wire.ShardPrefix) && write.raw != nil {
+		store.shardClaims++
 	}
-	s.log = append(s.log, change{p.key, p.raw, rev})
+	store.changes = append(store.changes, recordChange{write.key, write.raw, rev})
 }
 
-// moreKeys counts the overflow keys of records.
-func (s *store) moreKeys() int {
+// countOverflowKeys counts the overflow keys of records.
+func (store *stateService) countOverflowKeys() int {
 	k := 0
-	for key := range s.keys {
+	for key := range store.records {
 		if strings.HasPrefix(key, wire.OverflowPrefix) {
 			k++
 		}
@@ -170,258 +178,229 @@
 	return k
 }
 
-func (s *store) lease(id uint64, ttl time.Duration) (core.Outcome, uint64) {
-	if s.outage {
+func (store *stateService) renewLease(id uint64, ttl time.Duration) (core.Outcome, uint64) {
+	if store.outage {
 		return core.Refused, 0
 	}
 	if id == 0 {
-		s.next++
-		s.leases[s.next] = &leaseSim{ttl: ttl, ends: s.w.now + ttl}
-		return core.OK, s.next
+		store.lastLeaseID++
+		store.leases[store.lastLeaseID] = &storedLease{ttl: ttl, expiresAt: store.sim.now + ttl}
+		return core.OK, store.lastLeaseID
 	}
-	l := s.leases[id]
-	if l == nil {
+	lease := store.leases[id]
+	if lease == nil {
 		return core.NotFound, 0
 	}
-	l.ends = s.w.now + l.ttl
+	lease.expiresAt = store.sim.now + lease.ttl
 	return core.OK, 0
 }
 
-func (s *store) expire() {
-	if s.outage {
+func (store *stateService) expireLeases() {
+	if store.outage {
 		return
 	}
 	changed := false
-	for id := uint64(1); id <= s.next; id++ {
-		l := s.leases[id]
-		if l == nil || s.w.now < l.ends {
+	for id := uint64(1); id <= store.lastLeaseID; id++ {
+		lease := store.leases[id]
+		if lease == nil || store.sim.now < lease.expiresAt {
 			continue
 		}
-		delete(s.leases, id)
-		for _, k := range sortedKeys(s.keys) {
-			if s.keys[k].lease == id {
+		delete(store.leases, id)
+		for _, k := range sortedKeys(store.records) {
+			if store.records[k].leaseID == id {
 				if !changed {
-					s.rev++
+					store.revision++
 					changed = true
 				}
-				s.apply(put{key: k}, s.rev)
+				store.apply(recordWrite{key: k}, store.revision)
 			}
 		}
 	}
 	if changed {
-		s.notify()
+		store.notifyWatches()
 	}
 }
 
-// Outage stops the service for a while; every lease has its full time after.
-func (w *World) Outage(d time.Duration) {
-	w.troubled(d)
-	s := w.store
-	s.outage = true
-	w.after(d, func() {
-		s.outage = false
-		for _, l := range s.leases {
-			l.ends = w.now + l.ttl
-		}
-		s.notify()
-	})
-}
-
-// Refuse makes the service refuse one controller for a while.
-func (w *World) Refuse(ix int, d time.Duration) {
-	w.troubled(d)
-	l := w.nodes[ix].label
-	w.store.refuse[l]++
-	w.after(d, func() { w.store.refuse[l]--; w.store.notify() })
-}
-
-// HangWatch makes the watch of one controller hang for a while.
-func (w *World) HangWatch(ix int, d time.Duration) {
-	w.troubled(d)
-	l := w.nodes[ix].label
-	w.store.hung[l]++
-	w.after(d, func() { w.store.hung[l]--; w.store.notify() })
-}
-
-func decode(key string, raw []byte) wire.Record {
+// mustDecodeRecord decodes the value of a key; the simulation stores only valid ones.
+func mustDecodeRecord(key string, raw []byte) wire.Record {
 	v, err := wire.DecodeRecord(key, raw)
 	must(err)
 	return v
 }
 
-// list gives a starting controller all there is, then lets its watch go on.
-func (s *store) list(n *node, life int) {
-	s.at[n.label] = -1
-	s.w.after(s.w.latency(), func() {
-		if n.life != life || !n.up {
+// sendSnapshot gives a starting controller all there is, then lets its watch go on.
+func (store *stateService) sendSnapshot(ctrl *controller, incarnation int) {
+	store.watchPositions[ctrl.label] = -1
+	store.sim.after(store.sim.network.latency(), func() {
+		if ctrl.incarnation != incarnation || !ctrl.running {
 			return
 		}
-		if s.refuses(n) {
-			s.w.after(200*time.Millisecond, func() {
-				if n.life == life && n.up {
-					s.list(n, life)
+		if store.refuses(ctrl) {
+			store.sim.after(200*time.Millisecond, func() {
+				if ctrl.incarnation == incarnation && ctrl.running {
+					store.sendSnapshot(ctrl, incarnation)
 				}
 			})
 			return
 		}
-		c := core.RecordsChanged{Reset: true, Revision: s.rev}
-		for _, k := range sortedKeys(s.keys) {
-			e := s.keys[k]
-			c.Events = append(c.Events, core.Event{Key: k, Revision: e.rev, Value: decode(k, e.raw)})
+		c := core.RecordsChanged{Reset: true, Revision: store.revision}
+		for _, k := range sortedKeys(store.records) {
+			record := store.records[k]
+			c.Events = append(c.Events, core.Event{Key: k, Revision: record.revision, Value: mustDecodeRecord(k, record.raw)})
 		}
-		s.at[n.label] = len(s.log)
-		n.step(c)
+		store.watchPositions[ctrl.label] = len(store.changes)
+		ctrl.step(c)
 	})
 }
 
-// notify sends each watch what it has not seen, in order.
-func (s *store) notify() {
-	for _, n := range s.w.nodes {
-		life := n.life
-		s.w.after(s.w.latency()+time.Duration(s.w.rng.IntN(40))*time.Millisecond, func() {
-			at := s.at[n.label]
-			if n.life != life || !n.up || s.refuses(n) || s.hung[n.label] > 0 || at < 0 || at >= len(s.log) {
+// notifyWatches sends each watch what it has not seen, in order.
+func (store *stateService) notifyWatches() {
+	for _, ctrl := range store.sim.controllers {
+		incarnation := ctrl.incarnation
+		store.sim.after(store.sim.network.latency()+time.Duration(store.sim.rng.IntN(40))*time.Millisecond, func() {
+			at := store.watchPositions[ctrl.label]
+			if ctrl.incarnation != incarnation || !ctrl.running || store.refuses(ctrl) || store.hungWatches[ctrl.label] > 0 || at < 0 || at >= len(store.changes) {
 				return
 			}
-			c := core.RecordsChanged{Revision: s.log[len(s.log)-1].rev}
-			for _, x := range s.log[at:] {
-				e := core.Event{Key: x.key, Revision: x.rev}
+			c := core.RecordsChanged{Revision: store.changes[len(store.changes)-1].revision}
+			for _, x := range store.changes[at:] {
+				e := core.Event{Key: x.key, Revision: x.revision}
 				if x.raw != nil {
-					e.Value = decode(x.key, x.raw)
+					e.Value = mustDecodeRecord(x.key, x.raw)
 				}
 				c.Events = append(c.Events, e)
 			}
-			s.at[n.label] = len(s.log)
-			n.step(c)
+			store.watchPositions[ctrl.label] = len(store.changes)
+			ctrl.step(c)
 		})
 	}
 }
 
 // cloud stands in for the machine rental.
 type cloud struct {
-	w      *World
-	hires  map[string][]string
-	asked  map[string]wire.ProvisionRequest
-	hosts  map[string]*machine
-	count  int
-	outage bool
-	short  bool
-	flavor wire.MachineType
-
-	returns int // machines that controllers have returned
-
-	lateTo      time.Duration // until when what is provisioned boots late or never
-	late, never float64
+	sim           *Simulation
+	provisioned   map[string][]string
+	requests      map[string]wire.ProvisionRequest
+	machines      map[string]*cloudMachine
+	created       int
+	outage        bool
+	outOfCapacity bool
+	machineType   wire.MachineType
+
+	deprovisioned int // machines that controllers have returned
+
+	slowBootUntil                  time.Duration // until when what is provisioned boots late or never
+	slowBootFactor, neverBootShare float64
 }
 
-type machine struct {
+type cloudMachine struct {
 	wire.CloudMachine
-	born time.Duration
-	dead bool
+	createdAt  time.Duration
+	terminated bool
 }
 
-func newCloud(w *World) *cloud {
-	return &cloud{w: w, hires: map[string][]string{}, asked: map[string]wire.ProvisionRequest{}, hosts: map[string]*machine{},
-		flavor: wire.MachineType{Name: "g2", Cores: 16, GPUs: 2, MemoryGB: 64, ImageCacheGB: 60, FetchGBs: 0.5,
-			PricePerHour: 6, SpotPricePerHour: 2, BootS: w.Boot.Seconds(), Zones: w.Zones}}
+func newCloud(sim *Simulation) *cloud {
+	return &cloud{sim: sim, provisioned: map[string][]string{}, requests: map[string]wire.ProvisionRequest{}, machines: map[string]*cloudMachine{},
+		machineType: wire.MachineType{Name: "g2", Cores: 16, GPUs: 2, MemoryGB: 64, ImageCacheGB: 60, FetchGBs: 0.5,
+			PricePerHour: 6, SpotPricePerHour: 2, BootS: sim.BootTime.Seconds(), Zones: sim.Zones}}
 }
 
-// staleLeader tells whether a controller distributes with the cloud long after
+// isStale tells whether a controller distributes with the cloud long after
 // another has taken the lead: it would return machines that are in use.
-func (w *World) staleLeader(n *node) bool {
-	k := w.store.keys[wire.LeaderKey]
-	return k != nil && decode(wire.LeaderKey, k.raw).(*wire.Leader).Controller != n.label && w.now-w.store.ledFrom > 6*time.Second
+func (watch *leadershipWatch) isStale(ctrl *controller) bool {
+	record := watch.sim.store.records[wire.LeaderKey]
+	return record != nil && mustDecodeRecord(wire.LeaderKey, record.raw).(*wire.Leader).Controller != ctrl.label && watch.sim.now-watch.sim.store.leaderSince > 6*time.Second
 }
 
 func (c *cloud) call(q core.CallCloud) core.CloudAnswered {
 	r := core.CloudAnswered{ID: q.ID, Outcome: core.OK}
 	switch {
 	case q.ListTypes:
-		r.MachineTypes = []wire.MachineType{c.flavor}
+		r.MachineTypes = []wire.MachineType{c.machineType}
 	case q.ListMachines:
-		for _, name := range sortedKeys(c.hosts) {
-			m := c.hosts[name]
-			if age := c.w.now - m.born; !m.dead && age > 4*time.Second {
-				row := m.CloudMachine
+		for _, name := range sortedKeys(c.machines) {
+			machine := c.machines[name]
+			if age := c.sim.now - machine.createdAt; !machine.terminated && age > 4*time.Second {
+				row := machine.CloudMachine
 				row.AgeS = age.Seconds()
 				r.Machines = append(r.Machines, row)
 			}
 		}
 	case q.Provision != nil:
-		if got, known := c.hires[q.Provision.Name]; known {
-			if c.asked[q.Provision.Name] != *q.Provision {
-				c.w.broke("hire_reused", "%s for %+v and %+v", q.Provision.Name, c.asked[q.Provision.Name], *q.Provision)
+		if got, known := c.provisioned[q.Provision.Name]; known {
+			if c.requests[q.Provision.Name] != *q.Provision {
+				c.sim.rules.violated("hire_reused", "%s for %+v and %+v", q.Provision.Name, c.requests[q.Provision.Name], *q.Provision)
 			}
 			r.Names = got
 			break
 		}
-		r.Names = c.hire(q.Provision)
+		r.Names = c.provision(q.Provision)
 		if len(r.Names) == 0 {
 			r.Outcome = core.NoCapacity
 			break
 		}
-		c.hires[q.Provision.Name], c.asked[q.Provision.Name] = r.Names, *q.Provision
+		c.provisioned[q.Provision.Name], c.requests[q.Provision.Name] = r.Names, *q.Provision
 	case q.Deprovision != nil:
 		for _, name := range q.Deprovision {
-			c.returns++
-			c.kill(name)
+			c.deprovisioned++
+			c.terminate(name)
 		}
 	}
 	return r
 }
 
-// booting counts the machines that are rented and not up.
-func (c *cloud) booting() int {
+// countBooting counts the machines that are rented and not up.
+func (c *cloud) countBooting() int {
 	k := 0
-	for _, m := range c.hosts {
-		if !m.dead && m.Status == wire.MachineBooting {
+	for _, machine := range c.machines {
+		if !machine.terminated && machine.Status == wire.MachineBooting {
 			k++
 		}
 	}
 	return k
 }
 
-func (c *cloud) hire(h *wire.ProvisionRequest) []string {
+func (c *cloud) provision(h *wire.ProvisionRequest) []string {
 	have := 0
-	for _, m := range c.hosts {
-		if !m.dead && m.Zone == h.Zone && m.Spot == h.Spot {
+	for _, machine := range c.machines {
+		if !machine.terminated && machine.Zone == h.Zone && machine.Spot == h.Spot {
 			have++
 		}
 	}
 	var out []string
 	for range h.Count {
-		if have >= c.w.Capacity || c.short {
+		if have >= c.sim.Capacity || c.outOfCapacity {
 			break
 		}
 		have++
-		name := fmt.Sprintf("vm-%06d", c.count)
-		c.count++
-		m := &machine{CloudMachine: wire.CloudMachine{Name: name, Addr: name + ":1", MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Status: wire.MachineBooting}, born: c.w.now}
-		c.hosts[name] = m
+		name := fmt.Sprintf("vm-%06d", c.created)
+		c.created++
+		machine := &cloudMachine{CloudMachine: wire.CloudMachine{Name: name, Addr: name + ":1", MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Status: wire.MachineBooting}, createdAt: c.sim.now}
+		c.machines[name] = machine
 		out = append(out, name)
-		boot := time.Duration(float64(c.w.Boot) * (0.6 + 0.9*c.w.rng.Float64()))
-		if c.w.now < c.lateTo {
-			if c.w.rng.Float64() < c.never {
+		boot := time.Duration(float64(c.sim.BootTime) * (0.6 + 0.9*c.sim.rng.Float64()))
+		if c.sim.now < c.slowBootUntil {
+			if c.sim.rng.Float64() < c.neverBootShare {
 				continue // it stays booting, and is paid for, until it is returned
 			}
-			boot = time.Duration(float64(boot) * c.late)
+			boot = time.Duration(float64(boot) * c.slowBootFactor)
 		}
-		c.w.after(boot, func() {
-			if !m.dead {
-				m.Status = wire.MachineRunning
-				c.w.bootWorker(m)
+		c.sim.after(boot, func() {
+			if !machine.terminated {
+				machine.Status = wire.MachineRunning
+				c.sim.fleet.boot(machine)
 			}
 		})
 	}
 	return out
 }
 
-func (c *cloud) kill(name string) {
-	if m := c.hosts[name]; m != nil {
-		m.dead = true
+func (c *cloud) terminate(name string) {
+	if machine := c.machines[name]; machine != nil {
+		machine.terminated = true
 	}
-	if k := c.w.workers[name]; k != nil {
-		k.off = true
-		k.forget()
+	if worker := c.sim.fleet.workers[name]; worker != nil {
+		worker.terminated = true
+		worker.dropTasks()
 	}
 }
--- a/internal/simulation/storm.go
+++ b/internal/simulation/storm.go
@@ -6,133 +6,138 @@
 	"micaport/internal/wire"
 )
 
+// workerFleet is the workers on all machines that have booted.
+type workerFleet struct {
+	sim     *Simulation
+	workers map[string]*simWorker // by machine
+}
+
 // machineNamed finds the machine that a task is on.
-func (w *World) hostOf(task string) *workerSim {
-	var found *workerSim
-	w.present(func(k *workerSim, t *taskSim) {
-		if wire.TaskName(t.ref, t.task) == task {
-			found = k
+func (fleet *workerFleet) hosting(task string) *simWorker {
+	var found *simWorker
+	fleet.sim.users.eachActiveTask(func(worker *simWorker, t *simTask) {
+		if wire.TaskName(t.jobID, t.index) == task {
+			found = worker
 		}
 	})
 	return found
 }
 
-func (w *World) trouble(verb string, k *workerSim, d time.Duration) {
-	w.troubled(d)
+func (fleet *workerFleet) injectFault(verb string, worker *simWorker, d time.Duration) {
+	fleet.sim.rules.faultsLast(d)
 	switch verb {
 	case "hang":
-		k.hung = true
-		w.after(d, func() {
-			k.hung = false
-			k.busy, k.urgent = false, true
-			k.tickets++
-			k.lease()
+		worker.hung = true
+		fleet.sim.after(d, func() {
+			worker.hung = false
+			worker.awaitingReply, worker.heartbeatDue = false, true
+			worker.heartbeatID++
+			worker.checkLease()
 		})
 	case "deaf": // its reports arrive, but neither answers nor commands reach it
-		k.deafTo = w.now + d
+		worker.inboundCutUntil = fleet.sim.now + d
 	case "mute": // it reaches no controller, while commands to its address arrive
-		k.muteTo = w.now + d
+		worker.outboundCutUntil = fleet.sim.now + d
 	case "reset": // it is back at once and has lost its tasks
-		k.forget()
-		k.session++
-		k.answered, k.busy, k.urgent = w.now, false, true
-		k.tickets++
+		worker.dropTasks()
+		worker.epoch++
+		worker.renewedAt, worker.awaitingReply, worker.heartbeatDue = fleet.sim.now, false, true
+		worker.heartbeatID++
 	case "take":
-		w.cloud.kill(k.m.Name)
+		fleet.sim.cloud.terminate(worker.machine.Name)
 	case "recall":
-		k.recallAt, k.urgent = w.now+d, true
-		w.after(d, func() { w.cloud.kill(k.m.Name) })
+		worker.reclaimAt, worker.heartbeatDue = fleet.sim.now+d, true
+		fleet.sim.after(d, func() { fleet.sim.cloud.terminate(worker.machine.Name) })
 	case "sick":
-		k.sick = true
-		w.after(d, func() { k.sick = false })
+		worker.failsTasks = true
+		fleet.sim.after(d, func() { worker.failsTasks = false })
 	}
 }
 
-func (w *World) up() []*workerSim {
-	var up []*workerSim
-	for _, name := range sortedKeys(w.workers) {
-		if k := w.workers[name]; !k.off {
-			up = append(up, k)
+func (fleet *workerFleet) running() []*simWorker {
+	var up []*simWorker
+	for _, name := range sortedKeys(fleet.workers) {
+		if worker := fleet.workers[name]; !worker.terminated {
+			up = append(up, worker)
 		}
 	}
 	return up
 }
 
-// randomTrouble is one of the troubles of a storm: to a controller, for a while.
-type randomTrouble func(w *World, controller int, d time.Duration)
+// randomFault is one of the troubles of a storm: to a controller, for a while.
+type randomFault func(sim *Simulation, controller int, d time.Duration)
 
-// ofSomeMachine is a trouble of a machine chosen at random.
-func ofSomeMachine(trouble string) randomTrouble {
-	return func(w *World, _ int, d time.Duration) {
-		if up := w.up(); len(up) > 0 {
-			w.trouble(trouble, up[w.rng.IntN(len(up))], d)
+// randomWorkerFault is a trouble of a machine chosen at random.
+func randomWorkerFault(trouble string) randomFault {
+	return func(sim *Simulation, _ int, d time.Duration) {
+		if up := sim.fleet.running(); len(up) > 0 {
+			sim.fleet.injectFault(trouble, up[sim.rng.IntN(len(up))], d)
 		}
 	}
 }
 
-// stormTroubles are drawn evenly; some stand there twice. Their places are those that the
+// randomFaults are drawn evenly; some stand there twice. Their places are those that the
 // seeds of scenarios have always drawn.
-var stormTroubles = []randomTrouble{
-	0: crashForSeconds, 1: crashForSeconds,
-	2: func(w *World, n int, _ time.Duration) { w.Crash(n, 200*time.Millisecond) },
-	3: func(w *World, _ int, d time.Duration) { w.Outage(min(d, 25*time.Second)) },
-	4: (*World).Refuse,
-	5: func(w *World, n int, d time.Duration) {
-		for _, z := range w.Zones {
-			w.Cut(w.nodes[n].label, "zone:"+z, d, w.rng.IntN(2) == 0)
+var randomFaults = []randomFault{
+	0: crashBriefly, 1: crashBriefly,
+	2: func(sim *Simulation, n int, _ time.Duration) { sim.crash(n, 200*time.Millisecond) },
+	3: func(sim *Simulation, _ int, d time.Duration) { sim.store.startOutage(min(d, 25*time.Second)) },
+	4: func(sim *Simulation, index int, d time.Duration) { sim.store.refuseController(index, d) },
+	5: func(sim *Simulation, n int, d time.Duration) {
+		for _, z := range sim.Zones {
+			sim.network.cut(sim.controllers[n].label, "zone:"+z, d, sim.rng.IntN(2) == 0)
 		}
 	},
-	6: func(w *World, _ int, d time.Duration) {
-		if len(w.Zones) > 1 {
-			w.Cut("zone:"+w.Zones[0], "zone:"+w.Zones[1], d, w.rng.IntN(2) == 0)
+	6: func(sim *Simulation, _ int, d time.Duration) {
+		if len(sim.Zones) > 1 {
+			sim.network.cut("zone:"+sim.Zones[0], "zone:"+sim.Zones[1], d, sim.rng.IntN(2) == 0)
 		}
 	},
-	7: func(w *World, _ int, d time.Duration) { w.loss, w.late, w.lossTo = 0.2, 0.1, w.now+d },
-	8: ofSomeMachine("hang"), 9: ofSomeMachine("take"), 10: ofSomeMachine("recall"), 11: ofSomeMachine("sick"),
-	12: func(w *World, _ int, _ time.Duration) {
-		for i := range w.nodes {
-			w.Crash(i, time.Duration(200+w.rng.IntN(6000))*time.Millisecond)
+	7: func(sim *Simulation, _ int, d time.Duration) { sim.network.setLossy(0.2, 0.1, d) },
+	8: randomWorkerFault("hang"), 9: randomWorkerFault("take"), 10: randomWorkerFault("recall"), 11: randomWorkerFault("sick"),
+	12: func(sim *Simulation, _ int, _ time.Duration) {
+		for i := range sim.controllers {
+			sim.crash(i, time.Duration(200+sim.rng.IntN(6000))*time.Millisecond)
 		}
 	},
-	13: func(w *World, _ int, d time.Duration) { w.loss, w.late, w.lossTo = 0.1, 0.3, w.now+d },
-	14: (*World).HangWatch,
-	15: ofSomeMachine("deaf"), 16: ofSomeMachine("reset"),
-	17: func(w *World, _ int, d time.Duration) {
-		w.copiesTo, w.copyDelay = w.now+d, 90*time.Second
-		w.troubled(d + 90*time.Second)
+	13: func(sim *Simulation, _ int, d time.Duration) { sim.network.setLossy(0.1, 0.3, d) },
+	14: func(sim *Simulation, index int, d time.Duration) { sim.store.hangWatch(index, d) },
+	15: randomWorkerFault("deaf"), 16: randomWorkerFault("reset"),
+	17: func(sim *Simulation, _ int, d time.Duration) {
+		sim.network.setDuplicating(d, 90*time.Second)
 	},
-	18: (*World).Freeze,
-	19: ofSomeMachine("mute"),
-	20: func(w *World, _ int, d time.Duration) {
-		w.lateWrites, w.lateWritesTo = 0.3, w.now+d
-		w.troubled(d + 12*time.Second)
+	18: (*Simulation).freeze,
+	19: randomWorkerFault("mute"),
+	20: func(sim *Simulation, _ int, d time.Duration) {
+		sim.setFor(&sim.store.lateWrites, 0.3, d)
+		sim.rules.faultsLast(d + 12*time.Second)
 	},
-	21: func(w *World, _ int, d time.Duration) {
-		w.answersLost, w.answersLostTo = 0.3, w.now+d
-		w.troubled(d)
+	21: func(sim *Simulation, _ int, d time.Duration) {
+		sim.setFor(&sim.store.lostReplies, 0.3, d)
+		sim.rules.faultsLast(d)
 	},
-	22: func(w *World, _ int, d time.Duration) { w.cancelNow(3, d, bulkIDs) },
+	22: func(sim *Simulation, _ int, d time.Duration) { sim.users.cancelRunning(3, d, bulkIDPrefix) },
 }
 
-func crashForSeconds(w *World, n int, d time.Duration) { w.Crash(n, min(d, 10*time.Second)) }
+func crashBriefly(sim *Simulation, n int, d time.Duration) { sim.crash(n, min(d, 10*time.Second)) }
 
-// storm brings random troubles until the given time.
-func (w *World) storm(until time.Duration) {
-	if w.now >= until {
+// injectRandomFaults brings random troubles until the given time.
+func (sim *Simulation) injectRandomFaults(until time.Duration) {
+	if sim.now >= until {
 		return
 	}
-	n := w.rng.IntN(len(w.nodes))
-	d := time.Duration(1+w.rng.IntN(40)) * time.Second
-	stormTroubles[w.rng.IntN(len(stormTroubles))](w, n, d)
-	w.after(time.Duration(2+w.rng.IntN(15))*time.Second, func() { w.storm(until) })
+	n := sim.rng.IntN(len(sim.controllers))
+	d := time.Duration(1+sim.rng.IntN(40)) * time.Second
+	randomFaults[sim.rng.IntN(len(randomFaults))](sim, n, d)
+	sim.after(time.Duration(2+sim.rng.IntN(15))*time.Second, func() { sim.injectRandomFaults(until) })
 }
 
-// blink ends controllers that are back within a fraction of a second, also in
+// crashRepeatedly ends controllers that are back within a fraction of a second, also in
 // an election that the end of the last one has caused.
-func (w *World) blink(until time.Duration) {
-	if w.now >= until {
+func (sim *Simulation) crashRepeatedly(until time.Duration) {
+	if sim.now >= until {
 		return
 	}
-	w.Crash(w.rng.IntN(len(w.nodes)), time.Duration(100+w.rng.IntN(400))*time.Millisecond)
-	w.after(time.Duration(200+w.rng.IntN(4000))*time.Millisecond, func() { w.blink(until) })
+	sim.crash(sim.rng.IntN(len(sim.controllers)), time.Duration(100+sim.rng.IntN(400))*time.Millisecond)
+	sim.after(time.Duration(200+sim.rng.IntN(4000))*time.Millisecond, func() { sim.crashRepeatedly(until) })
 }
--- a/internal/simulation/takeover_loopback_test.go
+++ b/internal/simulation/takeover_loopback_test.go
@@ -21,49 +21,49 @@
 	return path
 }
 
-// takeoverSite has five controllers and room for all that comes.
-func takeoverSite(workers int) Settings {
-	s := hammeredSite(workers)
+// failoverSettings has five controllers and room for all that comes.
+func failoverSettings(workers int) Settings {
+	s := contendedSettings(workers)
 	s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = float64(workers), float64(workers)
 	return s
 }
 
 // submitSteadily has jobs and gangs come, a tenth of them cancelled, between two times.
-func (l *Loopback) submitSteadily(every, begin, end time.Duration, rng *rand.Rand) {
+func (loopback *Loopback) submitSteadily(every, begin, end time.Duration, rng *rand.Rand) {
 	count := 0
-	l.every(every, func() {
-		if l.now < begin || l.now > end {
+	loopback.every(every, func() {
+		if loopback.now < begin || loopback.now > end {
 			return
 		}
-		ref := fmt.Sprintf("wk-%06d", count)
-		args := []string{ref, "team=red", "gb=0", fmt.Sprintf("frames=%d", 1+rng.IntN(3)), fmt.Sprintf("run=%d", 1+rng.IntN(3))}
+		jobID := fmt.Sprintf("wk-%06d", count)
+		args := []string{jobID, "team=red", "gb=0", fmt.Sprintf("frames=%d", 1+rng.IntN(3)), fmt.Sprintf("run=%d", 1+rng.IntN(3))}
 		if count%6 == 0 {
 			args = append(args, "shape=gang", "one_zone")
 		}
-		must(l.submitLine(args))
+		must(loopback.users.submitLine(args))
 		if rng.IntN(10) == 0 {
-			l.after(time.Duration(rng.IntN(3000))*time.Millisecond, func() { l.Withdraw(ref) })
+			loopback.after(time.Duration(rng.IntN(3000))*time.Millisecond, func() { loopback.users.cancel(jobID) })
 		}
 		count++
 	})
 }
 
-// takeoverTimes are the times from the failure of each leader until the next one's first
+// failoverTimes are the times from the failure of each leader until the next one's first
 // decision, in ms, and how many of the takeovers did not wait for the lease.
-func (l *Loopback) takeoverTimes() (times *hdrhistogram.Histogram, early int) {
+func (loopback *Loopback) failoverTimes() (times *hdrhistogram.Histogram, early int) {
 	times = hdrhistogram.New(1, 120_000, 3)
-	for _, x := range l.takeovers.tenures {
-		if x.failedAt > 0 && x.decided > 0 {
-			must(times.RecordValue(max(1, (x.decided - x.failedAt).Milliseconds())))
+	for _, tenure := range loopback.leadership.tenures {
+		if tenure.failedAt > 0 && tenure.decidedAt > 0 {
+			must(times.RecordValue(max(1, (tenure.decidedAt - tenure.failedAt).Milliseconds())))
 		}
 	}
-	return times, l.takeovers.early()
+	return times, loopback.leadership.countEarly()
 }
 
-// brokenBy counts broken rules by name.
-func (w *World) brokenBy(rule string) int {
+// countViolations counts broken rules by name.
+func (sim *Simulation) countViolations(rule string) int {
 	count := 0
-	for _, fault := range w.Broken {
+	for _, fault := range sim.rules.violations {
 		var at, name string
 		if _, err := fmt.Sscan(fault, &at, &name); err == nil && name == rule+":" {
 			count++
@@ -83,48 +83,48 @@
 		end    = 24 * time.Second
 	)
 	operator := operatorFile(t, "[standby]\ntakeover = early\n[placement]\nidle_return_s = 60\n")
-	l, err := NewLoopback(takeoverSite(40), buildProgram(t), t.TempDir(), operator, func(string, ...any) {})
+	loopback, err := NewLoopback(failoverSettings(40), buildProgram(t), t.TempDir(), operator, func(string, ...any) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer loopback.Close()
 	rng := rand.New(rand.NewPCG(3, 5))
-	l.submitSteadily(150*time.Millisecond, time.Second, end, rng)
+	loopback.submitSteadily(150*time.Millisecond, time.Second, end, rng)
 	failures := 0
-	l.every(5500*time.Millisecond, func() {
-		if l.now < begin || l.now > end {
+	loopback.every(5500*time.Millisecond, func() {
+		if loopback.now < begin || loopback.now > end {
 			return
 		}
-		l.after(time.Duration(rng.IntN(500))*time.Millisecond, func() {
-			leader, away := l.controller("leader"), time.Duration(2500+rng.IntN(1500))*time.Millisecond
+		loopback.after(time.Duration(rng.IntN(500))*time.Millisecond, func() {
+			leader, away := loopback.controllerIndex("leader"), time.Duration(2500+rng.IntN(1500))*time.Millisecond
 			if failures%2 == 0 {
-				l.Kill(leader, away)
+				loopback.Kill(leader, away)
 			} else {
-				l.Stop(leader, away)
+				loopback.Stop(leader, away)
 			}
 			failures++
 		})
 	})
-	l.Play(length)
-	for _, fault := range l.Broken {
+	loopback.Play(length)
+	for _, fault := range loopback.rules.violations {
 		t.Error(fault)
 	}
-	times, early := l.takeoverTimes()
+	times, early := loopback.failoverTimes()
 	t.Logf("takeovers %d, to the first decision p50 %d p99 %d most %d ms, placed twice %d, forgotten %d; %d before the lease ended, %d jobs",
-		times.TotalCount(), times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(), l.brokenBy("ran_twice"), l.brokenBy("forgotten"), early, len(l.order))
+		times.TotalCount(), times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(), loopback.countViolations("ran_twice"), loopback.countViolations("forgotten"), early, len(loopback.users.ordered))
 	if failures < 3 || times.TotalCount() < 3 || early < 2 {
 		t.Errorf("%d failures, %d takeovers, %d of them early: too little was tried", failures, times.TotalCount(), early)
 	}
 	done := 0
-	for _, u := range l.order {
-		if u.ended() {
+	for _, user := range loopback.users.ordered {
+		if user.allTasksDone() {
 			done++
 		}
 	}
-	if len(l.order) < 50 || done < len(l.order)*3/4 {
-		t.Errorf("%d of %d jobs are over", done, len(l.order))
+	if len(loopback.users.ordered) < 50 || done < len(loopback.users.ordered)*3/4 {
+		t.Errorf("%d of %d jobs are over", done, len(loopback.users.ordered))
 	}
 	if t.Failed() {
-		t.Log(l.Logs(3000))
+		t.Log(loopback.Logs(3000))
 	}
 }
--- a/internal/simulation/takeover_test.go
+++ b/internal/simulation/takeover_test.go
@@ -10,20 +10,20 @@
 	"micaport/internal/wire"
 )
 
-// earlySite is a simulated site of five controllers with early takeovers and work.
-func earlySite(seed uint64) *World {
+// earlyTakeoverSimulation is a simulated site of five controllers with early takeovers and work.
+func earlyTakeoverSimulation(seed uint64) *Simulation {
 	s := Defaults()
-	s.Seed, s.Nodes, s.EarlyTakeover, s.Capacity, s.Idle = seed, []string{"a", "b", "a", "b", "a"}, true, 20, 400*time.Second
-	w := New(s, func(string, ...any) {})
-	must(w.submitLine([]string{"wk-000001", "shape=daemon", "frames=6", "ordinary", "team=wide"}))
+	s.Seed, s.ControllerZones, s.EarlyTakeover, s.Capacity, s.IdleTimeout = seed, []string{"a", "b", "a", "b", "a"}, true, 20, 400*time.Second
+	sim := New(s, func(string, ...any) {})
+	must(sim.users.submitLine([]string{"wk-000001", "shape=daemon", "frames=6", "ordinary", "team=wide"}))
 	count := 0
-	w.every(400*time.Millisecond, func() {
-		if w.now < 70*time.Second {
-			must(w.submitLine([]string{fmt.Sprintf("wk-%06d", 100+count), "frames=2", "run=6", "team=huge"}))
+	sim.every(400*time.Millisecond, func() {
+		if sim.now < 70*time.Second {
+			must(sim.users.submitLine([]string{fmt.Sprintf("wk-%06d", 100+count), "frames=2", "run=6", "team=huge"}))
 			count++
 		}
 	})
-	return w
+	return sim
 }
 
 // A leader that stands still wakes at each stage of the takeover: before it is suspected,
@@ -34,15 +34,15 @@
 		t.Run(fmt.Sprintf("%dms", ms), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(2) {
-				w := earlySite(seed + 1)
-				w.Run(40 * time.Second)
-				w.Freeze(w.controller("leader"), time.Duration(ms)*time.Millisecond)
-				w.Run(110 * time.Second)
-				if len(w.Broken) > 0 {
-					t.Errorf("seed %d: %v", seed, w.Broken)
+				sim := earlyTakeoverSimulation(seed + 1)
+				sim.Run(40 * time.Second)
+				sim.freeze(sim.controllerIndex("leader"), time.Duration(ms)*time.Millisecond)
+				sim.Run(110 * time.Second)
+				if len(sim.rules.violations) > 0 {
+					t.Errorf("seed %d: %v", seed, sim.rules.violations)
 				}
 				// A heartbeat was sent up to half a second before, and the quorum has to agree.
-				if early := w.takeovers.early(); ms <= 1200 && early > 0 || ms >= 2400 && early != 1 {
+				if early := sim.leadership.countEarly(); ms <= 1200 && early > 0 || ms >= 2400 && early != 1 {
 					t.Errorf("seed %d: %d takeovers", seed, early)
 				}
 			}
@@ -54,75 +54,75 @@
 // first one's claim, as its watch hangs. Its own fails, and it follows the first.
 func TestTwoClaimsAtOnce(t *testing.T) {
 	for seed := range uint64(4) {
-		w := earlySite(seed + 1)
-		w.Run(40 * time.Second)
-		leader, first := w.controller("leader"), w.controller("standby")
-		w.Crash(leader, 5*time.Second)
-		for ix := range w.nodes {
+		sim := earlyTakeoverSimulation(seed + 1)
+		sim.Run(40 * time.Second)
+		leader, first := sim.controllerIndex("leader"), sim.controllerIndex("standby")
+		sim.crash(leader, 5*time.Second)
+		for ix := range sim.controllers {
 			if ix != leader && ix != first {
-				w.HangWatch(ix, 4*time.Second)
+				sim.store.hangWatch(ix, 4*time.Second)
 			}
 		}
-		w.Run(110 * time.Second)
-		if w.takeovers.lostClaims == 0 || w.takeovers.early() != 1 || len(w.Broken) > 0 {
-			t.Errorf("seed %d: %d claims lost, %d takeovers, %v", seed, w.takeovers.lostClaims, w.takeovers.early(), w.Broken)
+		sim.Run(110 * time.Second)
+		if sim.leadership.failedClaims == 0 || sim.leadership.countEarly() != 1 || len(sim.rules.violations) > 0 {
+			t.Errorf("seed %d: %d claims lost, %d takeovers, %v", seed, sim.leadership.failedClaims, sim.leadership.countEarly(), sim.rules.violations)
 		}
-		if holder := w.holder(); holder == nil || holder.Controller != w.nodes[first].label {
-			t.Errorf("seed %d: %+v leads, not %s", seed, holder, w.nodes[first].label)
+		if holder := sim.store.leader(); holder == nil || holder.Controller != sim.controllers[first].label {
+			t.Errorf("seed %d: %+v leads, not %s", seed, holder, sim.controllers[first].label)
 		}
 	}
 }
 
 // decisionsOf lists what a leader alone knows, with times of the world's clock.
-func decisionsOf(n *node) map[string]wire.Fact {
+func decisionsOf(ctrl *controller) map[string]wire.Fact {
 	facts := map[string]wire.Fact{}
-	for _, f := range n.core.Decisions() {
+	for _, f := range ctrl.core.Decisions() {
 		if f.At != 0 {
-			f.At = int64(float64(f.At)/n.drift) + n.boot.Milliseconds()
+			f.At = int64(float64(f.At)/ctrl.clockRate) + ctrl.startedAt.Milliseconds()
 		}
 		facts[fmt.Sprintf("%d %s", f.Kind, f.Name)] = f
 	}
 	return facts
 }
 
-// crowdedSite has two large gangs that wait while smaller work fills every machine, and no
+// crowdedSimulation has two large gangs that wait while smaller work fills every machine, and no
 // more machines are to be had.
-func crowdedSite(seed uint64) *World {
+func crowdedSimulation(seed uint64) *Simulation {
 	s := Defaults()
-	s.Seed, s.Nodes, s.EarlyTakeover, s.Capacity, s.Zones = seed, []string{"a", "a", "a", "a", "a"}, true, 6, []string{"a"}
-	w := New(s, func(string, ...any) {})
+	s.Seed, s.ControllerZones, s.EarlyTakeover, s.Capacity, s.Zones = seed, []string{"a", "a", "a", "a", "a"}, true, 6, []string{"a"}
+	sim := New(s, func(string, ...any) {})
 	for _, line := range []string{
 		"bulk 290 0 frames=1 run=5 ordinary team=wide class=small",
 		"bulk 290 0 frames=1 run=8 ordinary team=huge class=urgent urgency=high",
 	} {
 		words := strings.Fields(line)
-		must(w.command(words[0], words[1:]))
+		must(sim.runCommand(words[0], words[1:]))
 	}
-	w.after(30*time.Second, func() {
-		must(w.submitLine(strings.Fields("wk-000001 shape=gang frames=5 cards=2 cores=14 ordinary run=30 class=large one_zone")))
+	sim.after(30*time.Second, func() {
+		must(sim.users.submitLine(strings.Fields("wk-000001 shape=gang frames=5 cards=2 cores=14 ordinary run=30 class=large one_zone")))
 	})
-	w.after(31*time.Second, func() {
-		must(w.submitLine(strings.Fields("wk-000002 shape=gang frames=5 cards=2 cores=14 ordinary run=30 class=large one_zone team=wide")))
+	sim.after(31*time.Second, func() {
+		must(sim.users.submitLine(strings.Fields("wk-000002 shape=gang frames=5 cards=2 cores=14 ordinary run=30 class=large one_zone team=wide")))
 	})
-	return w
+	return sim
 }
 
-// settledDecisions runs until the leader keeps machines for a gang and has decided nothing
+// runUntilDecisionsSettle runs until the leader keeps machines for a gang and has decided nothing
 // new for a while, so that its standby must have heard all of it.
-func settledDecisions(w *World) (leader *node, facts map[string]wire.Fact) {
+func runUntilDecisionsSettle(sim *Simulation) (leader *controller, facts map[string]wire.Fact) {
 	const quiet = 300 * time.Millisecond
-	since := w.now
-	for w.now < 140*time.Second {
-		w.Run(w.now + 10*time.Millisecond)
-		leader = w.nodes[w.controller("leader")]
+	since := sim.now
+	for sim.now < 140*time.Second {
+		sim.Run(sim.now + 10*time.Millisecond)
+		leader = sim.controllers[sim.controllerIndex("leader")]
 		now, kept := decisionsOf(leader), false
 		for _, f := range now {
 			kept = kept || f.Kind == wire.FactReserved
 		}
 		if !maps.Equal(now, facts) {
-			facts, since = now, w.now
+			facts, since = now, sim.now
 		}
-		if kept && w.now-since >= quiet {
+		if kept && sim.now-since >= quiet {
 			break
 		}
 	}
@@ -135,22 +135,22 @@
 func TestTakeoverGoesOnFromTheLog(t *testing.T) {
 	compared := map[wire.FactKind]int{}
 	for seed := range uint64(4) {
-		w := crowdedSite(seed + 1)
-		w.Run(104 * time.Second)
-		old, before := settledDecisions(w)
-		w.Crash(old.ix, 8*time.Second)
-		for w.takeovers.early() == 0 && w.now < 150*time.Second {
-			w.Run(w.now + 10*time.Millisecond)
+		sim := crowdedSimulation(seed + 1)
+		sim.Run(104 * time.Second)
+		old, before := runUntilDecisionsSettle(sim)
+		sim.crash(old.index, 8*time.Second)
+		for sim.leadership.countEarly() == 0 && sim.now < 150*time.Second {
+			sim.Run(sim.now + 10*time.Millisecond)
 		}
-		w.Run(w.now + 60*time.Millisecond) // its watch shows its claim; it has made no pass
+		sim.Run(sim.now + 60*time.Millisecond) // its watch shows its claim; it has made no pass
 		first := ""
-		after := decisionsOf(w.nodes[w.controller("leader")])
+		after := decisionsOf(sim.controllers[sim.controllerIndex("leader")])
 		for key, f := range before {
 			got, known := after[key]
-			if !known && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptedAt) && f.At < w.now.Milliseconds() {
+			if !known && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptedAt) && f.At < sim.now.Milliseconds() {
 				continue // over by now
 			}
-			if k := w.store.keys[wire.JobKey(f.Name)]; !known && k != nil && decode(wire.JobKey(f.Name), k.raw).(*wire.Job).State != wire.JobLive {
+			if record := sim.store.records[wire.JobKey(f.Name)]; !known && record != nil && mustDecodeRecord(wire.JobKey(f.Name), record.raw).(*wire.Job).State != wire.JobLive {
 				continue // the job has ended meanwhile
 			}
 			if f.Kind == wire.FactReserved {
@@ -164,11 +164,11 @@
 			}
 			compared[f.Kind]++
 		}
-		w.Run(300 * time.Second)
+		sim.Run(300 * time.Second)
 		second := map[string]string{"wk-000001": "wk-000002", "wk-000002": "wk-000001"}[first]
-		begun, later := w.users[first].begun, w.users[second].begun
-		if begun == 0 || begun > 270*time.Second || later > 0 && later < begun || len(w.Broken) > 0 {
-			t.Errorf("seed %d: the gangs began at %v and %v; %v", seed, begun, later, w.Broken)
+		begun, later := sim.users.byJob[first].startedAt, sim.users.byJob[second].startedAt
+		if begun == 0 || begun > 270*time.Second || later > 0 && later < begun || len(sim.rules.violations) > 0 {
+			t.Errorf("seed %d: the gangs began at %v and %v; %v", seed, begun, later, sim.rules.violations)
 		}
 	}
 	t.Log("facts compared by kind:", compared)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -7,40 +7,53 @@
 	"micaport/internal/wire"
 )
 
-// userSim is a user with one job.
-type userSim struct {
-	w         *World
-	spec      wire.JobSpec
-	run       time.Duration
-	fails     bool // a job submitted with a mistake
-	accepted  bool
-	told      string        // the last status heard
-	toldAt    time.Duration // when
-	withdrawn time.Duration // when told; 0 if not
-	asked     bool          // the user has asked to cancel
-	status    wire.JobStatus
-	lastCode  int
-	lastOK    time.Duration
-	codes     []int
-	only      int           // the controller it asks; -1: any
-	since     time.Duration // when it first submitted
-	begun     time.Duration // when all of a gang, or the first of other tasks, ran; 0: not yet
-	on        []*taskSim    // its tasks on machines, in the order in which they came
+// simUser is a user with one job.
+type simUser struct {
+	sim             *Simulation
+	spec            wire.JobSpec
+	runtime         time.Duration
+	alwaysFails     bool // a job submitted with a mistake
+	accepted        bool
+	lastStatus      string        // the last status heard
+	lastStatusAt    time.Duration // when
+	cancelledAt     time.Duration // when told; 0 if not
+	cancelRequested bool          // the user has asked to cancel
+	lastReply       wire.JobStatus
+	lastCode        int
+	lastAnsweredAt  time.Duration
+	submitCodes     []int
+	pinnedTo        int           // the controller it asks; -1: any
+	submittedAt     time.Duration // when it first submitted
+	startedAt       time.Duration // when all of a gang, or the first of other tasks, ran; 0: not yet
+	tasks           []*simTask    // its tasks on machines, in the order in which they came
 
-	besideRoom time.Duration // since when it waits though there is room; 0: it does not
+	idleCapacitySince time.Duration // since when it waits though there is room; 0: it does not
 }
 
-// Submit has a user submit a job, repeatedly until it is accepted.
-func (w *World) Submit(s wire.JobSpec, run time.Duration, only int) {
-	u := &userSim{w: w, spec: s, run: run, only: only, since: w.now}
-	w.users[s.ID] = u
-	w.order = append(w.order, u)
-	u.submit(w.now)
-	w.every(5*time.Second, u.poll)
+// userSet is all users, each with one job.
+type userSet struct {
+	sim            *Simulation
+	byJob          map[string]*simUser
+	ordered        []*simUser      // in the order in which they came
+	completedTasks map[string]bool // by name
+	bulkCount      int             // jobs that were named by nextBulkID and its like
+	irregularCount int             // irregular requests that named jobs of their own
+
+	cancelAtEnd       timedValue    // share of jobs that are cancelled at the moment of their end
+	closePollingUntil time.Duration // until when users poll all controllers after each change
+}
+
+// submit has a user submit a job, repeatedly until it is accepted.
+func (users *userSet) submit(s wire.JobSpec, run time.Duration, only int) {
+	user := &simUser{sim: users.sim, spec: s, runtime: run, pinnedTo: only, submittedAt: users.sim.now}
+	users.byJob[s.ID] = user
+	users.ordered = append(users.ordered, user)
+	user.submit(users.sim.now)
+	users.sim.every(5*time.Second, user.poll)
 }
 
-func (u *userSim) body() []byte {
-	s := u.spec
+func (user *simUser) submissionBody() []byte {
+	s := user.spec
 	m := map[string]any{
 		"ref": s.ID, "job_class": s.Class, "studio": s.Team, "shape": s.Shape, "urgency": s.Priority,
 		"frames": s.TaskCount, "cores": s.Cores, "cards": s.GPUs, "memory_gb": s.MemoryGB, "toolkit": s.Image,
@@ -64,121 +77,123 @@
 	return b
 }
 
-// at asks some controller that is up; code 0 means that no answer came.
-func (w *World) at(kind wire.RequestKind, ref string, body []byte, patience time.Duration, f func(core.Reply)) {
-	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	if u := w.users[ref]; u != nil && u.only >= 0 {
-		n = w.nodes[u.only]
+// request asks some controller that is up; code 0 means that no answer came.
+func (users *userSet) request(kind wire.RequestKind, jobID string, body []byte, patience time.Duration, f func(core.Reply)) {
+	ctrl := users.sim.controllers[users.sim.rng.IntN(len(users.sim.controllers))]
+	if user := users.byJob[jobID]; user != nil && user.pinnedTo >= 0 {
+		ctrl = users.sim.controllers[user.pinnedTo]
 	}
-	w.askOf(n, kind, ref, body, patience, f)
+	users.requestAt(ctrl, kind, jobID, body, patience, f)
 }
 
-// askOf is at for one controller.
-func (w *World) askOf(n *node, kind wire.RequestKind, ref string, body []byte, patience time.Duration, f func(core.Reply)) {
+// requestAt is at for one controller.
+func (users *userSet) requestAt(ctrl *controller, kind wire.RequestKind, jobID string, body []byte, patience time.Duration, f func(core.Reply)) {
 	answered := false
-	get := func(r core.Reply) {
+	get := func(reply core.Reply) {
 		if !answered {
 			answered = true
-			f(r)
+			f(reply)
 		}
 	}
-	w.after(patience, func() { get(core.Reply{}) })
-	if n.up {
-		n.ask(func(req uint64) core.Input {
-			return core.UserRequest{RequestID: req, Kind: kind, JobID: ref, Body: body}
+	users.sim.after(patience, func() { get(core.Reply{}) })
+	if ctrl.running {
+		ctrl.request(func(req uint64) core.Input {
+			return core.UserRequest{RequestID: req, Kind: kind, JobID: jobID, Body: body}
 		}, get)
 	}
 }
 
-func (u *userSim) submit(first time.Duration) { u.send(first, u.body()) }
+func (user *simUser) submit(first time.Duration) { user.sendSubmission(first, user.submissionBody()) }
 
-func (u *userSim) send(first time.Duration, body []byte) {
-	asked := u.w.now
-	u.w.at(wire.RequestSubmit, u.spec.ID, body, 5*time.Second, func(r core.Reply) {
-		u.codes = append(u.codes, r.Status)
+func (user *simUser) sendSubmission(first time.Duration, body []byte) {
+	asked := user.sim.now
+	user.sim.users.request(wire.RequestSubmit, user.spec.ID, body, 5*time.Second, func(reply core.Reply) {
+		user.submitCodes = append(user.submitCodes, reply.Status)
 		switch {
-		case r.Status == 200 || r.Status == 201:
-			u.accepted = true
-			u.lastOK = u.w.now
-			u.hear(asked, r)
-		case r.Status == 400 || r.Status == 422:
-			if u.accepted {
-				u.w.broke("forgotten", "%s: repeat got %d", u.spec.ID, r.Status)
+		case reply.Status == 200 || reply.Status == 201:
+			user.accepted = true
+			user.lastAnsweredAt = user.sim.now
+			user.checkStatus(asked, reply)
+		case reply.Status == 400 || reply.Status == 422:
+			if user.accepted {
+				user.sim.rules.violated("forgotten", "%s: repeat got %d", user.spec.ID, reply.Status)
 			}
-		case u.w.now-first < 60*time.Second:
-			u.w.after(time.Second, func() { u.send(first, body) })
+		case user.sim.now-first < 60*time.Second:
+			user.sim.after(time.Second, func() { user.sendSubmission(first, body) })
 		}
 	})
 }
 
-func (u *userSim) poll() {
-	if !u.accepted {
+func (user *simUser) poll() {
+	if !user.accepted {
 		return
 	}
-	asked := u.w.now
-	u.w.at(wire.RequestStatus, u.spec.ID, nil, 2*time.Second, func(r core.Reply) {
-		u.lastCode = r.Status
-		switch r.Status {
+	asked := user.sim.now
+	user.sim.users.request(wire.RequestStatus, user.spec.ID, nil, 2*time.Second, func(reply core.Reply) {
+		user.lastCode = reply.Status
+		switch reply.Status {
 		case 200:
-			u.lastOK = u.w.now
-			u.hear(asked, r)
+			user.lastAnsweredAt = user.sim.now
+			user.checkStatus(asked, reply)
 		case 404:
-			u.w.broke("forgotten", "%s: 404 after it was accepted", u.spec.ID)
+			user.sim.rules.violated("forgotten", "%s: 404 after it was accepted", user.spec.ID)
 		}
 	})
 }
 
-// hear checks an answer against what the user was told before.
-func (u *userSim) hear(asked time.Duration, r core.Reply) {
+// checkStatus checks an answer against what the user was told before.
+func (user *simUser) checkStatus(asked time.Duration, reply core.Reply) {
 	var s wire.JobStatus
-	switch b := r.Body.(type) {
+	switch b := reply.Body.(type) {
 	case wire.JobStatus:
 		s = b
 	case []byte:
 		must(wire.Decode(b, &s))
 	}
-	if asked < u.toldAt {
+	if asked < user.lastStatusAt {
 		return // asked before the last answer came; may be older
 	}
-	u.status = s
-	if final := s.Status == wire.StatusDone || s.Status == wire.StatusCancelled; u.told == "" || final && s.Status != u.told {
-		defer u.lookClosely()
+	user.lastReply = s
+	if final := s.Status == wire.StatusDone || s.Status == wire.StatusCancelled; user.lastStatus == "" || final && s.Status != user.lastStatus {
+		defer user.pollClosely()
 	}
-	if (u.told == wire.StatusDone || u.told == wire.StatusCancelled) && s.Status != u.told {
-		u.w.broke("went_back", "%s: %s after %s", u.spec.ID, s.Status, u.told)
+	if (user.lastStatus == wire.StatusDone || user.lastStatus == wire.StatusCancelled) && s.Status != user.lastStatus {
+		user.sim.rules.violated("went_back", "%s: %s after %s", user.spec.ID, s.Status, user.lastStatus)
 	}
-	if s.Status == wire.StatusCancelled && !u.asked && u.above(func(a *userSim) bool { return a.asked }) == nil {
-		u.w.broke("went_back", "%s: withdrawn unasked", u.spec.ID)
+	if s.Status == wire.StatusCancelled && !user.cancelRequested && user.findDependency(func(dependency *simUser) bool { return dependency.cancelRequested }) == nil {
+		user.sim.rules.violated("went_back", "%s: withdrawn unasked", user.spec.ID)
 	}
 	if s.Status != wire.StatusDone && s.Status != wire.StatusCancelled {
-		if a := u.above(func(a *userSim) bool { return a.withdrawn > 0 && asked-a.withdrawn > u.w.Cancel }); a != nil {
-			u.w.broke("orphaned", "%s: %s, though %s was withdrawn %v ago", u.spec.ID, s.Status, a.spec.ID, u.w.now-a.withdrawn)
+		if dependency := user.findDependency(func(dependency *simUser) bool {
+			return dependency.cancelledAt > 0 && asked-dependency.cancelledAt > user.sim.CancelDeadline
+		}); dependency != nil {
+			user.sim.rules.violated("orphaned", "%s: %s, though %s was withdrawn %v ago", user.spec.ID, s.Status, dependency.spec.ID, user.sim.now-dependency.cancelledAt)
 		}
 	}
 	if s.Status == wire.StatusDone {
-		for t := range u.spec.TaskCount {
-			if !u.w.done[wire.TaskName(u.spec.ID, t)] {
-				u.w.broke("not_done", "%s: called done, task %d is not", u.spec.ID, t)
+		for t := range user.spec.TaskCount {
+			if !user.sim.users.completedTasks[wire.TaskName(user.spec.ID, t)] {
+				user.sim.rules.violated("not_done", "%s: called done, task %d is not", user.spec.ID, t)
 				break
 			}
 		}
 	}
-	u.told, u.toldAt = s.Status, u.w.now
+	user.lastStatus, user.lastStatusAt = s.Status, user.sim.now
 }
 
-// Withdraw has a job's user cancel it, repeatedly until told so.
-func (w *World) Withdraw(ref string) {
-	u := w.users[ref]
-	u.asked = true
-	asked := w.now
-	w.at(wire.RequestCancel, ref, nil, 5*time.Second, func(r core.Reply) {
-		if r.Status != 200 {
-			w.after(time.Second, func() { w.Withdraw(ref) })
+// cancel has a job's user cancel it, repeatedly until told so.
+func (users *userSet) cancel(jobID string) {
+	user := users.byJob[jobID]
+	user.cancelRequested = true
+	asked := users.sim.now
+	users.request(wire.RequestCancel, jobID, nil, 5*time.Second, func(reply core.Reply) {
+		if reply.Status != 200 {
+			users.sim.after(time.Second, func() { users.cancel(jobID) })
 			return
 		}
-		u.hear(asked, r)
-		if u.told == wire.StatusCancelled && u.withdrawn == 0 {
-			u.withdrawn = w.now
+		user.checkStatus(asked, reply)
+		if user.lastStatus == wire.StatusCancelled && user.cancelledAt == 0 {
+			user.cancelledAt = users.sim.now
 		}
 	})
 }
