--- a/internal/simulation/workers.go
+++ b/internal/simulation/workers.go
@@ -9,413 +9,424 @@
 	"micaport/internal/wire"
 )
 
-// workerSim is a worker as the protocol describes it.
-type workerSim struct {
-	w        *World
-	m        *machine
-	off      bool
-	hung     bool
-	sick     bool
-	session  uint64
-	seq      uint64
-	token    uint64
-	tasks    map[string]*taskSim
-	images   map[string]bool
-	node     int
-	busy     bool
-	tickets  int
-	answered time.Duration // when the last answered report was sent
-	recallAt time.Duration
-	urgent   bool
-	deafTo   time.Duration // until when no answer or command reaches it
-	muteTo   time.Duration // until when it reaches no controller
-	lastSent time.Duration
-	drift    float64
+// simWorker is a worker as the protocol describes it.
+type simWorker struct {
+	sim              *Simulation
+	machine          *cloudMachine
+	terminated       bool
+	hung             bool
+	failsTasks       bool
+	epoch            uint64
+	sequence         uint64
+	token            uint64
+	tasks            map[string]*simTask
+	images           map[string]bool
+	controllerIndex  int
+	awaitingReply    bool
+	heartbeatID      int
+	renewedAt        time.Duration // when the last answered report was sent
+	reclaimAt        time.Duration
+	heartbeatDue     bool
+	inboundCutUntil  time.Duration // until when no answer or command reaches it
+	outboundCutUntil time.Duration // until when it reaches no controller
+	lastHeartbeatAt  time.Duration
+	clockRate        float64
 }
 
-type taskSim struct {
-	u       *userSim
-	k       *workerSim
-	ref     string
-	task    int
-	attempt uint64
-	state   string
-	cause   string
-	saved   bool
-	since   time.Duration
-	gen     int
-	lostAt  time.Duration // a gang task first saw a peer missing
+type simTask struct {
+	user             *simUser
+	worker           *simWorker
+	jobID            string
+	index            int
+	attempt          uint64
+	state            string
+	exitCause        string
+	checkpointSaved  bool
+	stateSince       time.Duration
+	generation       int
+	peerMissingSince time.Duration // a gang task first saw a peer missing
 }
 
-func (w *World) bootWorker(m *machine) {
-	k := &workerSim{w: w, m: m, session: 1, tasks: map[string]*taskSim{}, images: map[string]bool{},
-		node: w.rng.IntN(len(w.nodes)), answered: w.now, drift: 1 - 0.0005*w.rng.Float64()}
-	w.workers[m.Name] = k
-	if w.serveWorker != nil {
-		m.Addr = w.serveWorker(k)
+func (fleet *workerFleet) boot(machine *cloudMachine) {
+	worker := &simWorker{sim: fleet.sim, machine: machine, epoch: 1, tasks: map[string]*simTask{}, images: map[string]bool{},
+		controllerIndex: fleet.sim.rng.IntN(len(fleet.sim.controllers)), renewedAt: fleet.sim.now, clockRate: 1 - 0.0005*fleet.sim.rng.Float64()}
+	fleet.workers[machine.Name] = worker
+	if fleet.sim.serveWorker != nil {
+		machine.Addr = fleet.sim.serveWorker(worker)
 	}
-	k.report()
-	k.loop()
+	worker.sendHeartbeat()
+	worker.loop()
 }
 
-func (k *workerSim) loop() {
-	k.w.after(500*time.Millisecond, func() {
-		if k.off {
+// endpoint returns the worker as a party of the network.
+func (worker *simWorker) endpoint() endpoint {
+	return endpoint{worker.machine.Name, worker.machine.Zone}
+}
+
+func (worker *simWorker) loop() {
+	worker.sim.after(500*time.Millisecond, func() {
+		if worker.terminated {
 			return
 		}
-		k.lease()
-		period := time.Duration(float64(k.w.Report) * (0.75 + 0.5*k.w.rng.Float64()))
-		if !k.hung && !k.busy && (k.urgent || k.w.now-k.lastSent >= period) {
-			k.report()
+		worker.checkLease()
+		period := time.Duration(float64(worker.sim.HeartbeatInterval) * (0.75 + 0.5*worker.sim.rng.Float64()))
+		if !worker.hung && !worker.awaitingReply && (worker.heartbeatDue || worker.sim.now-worker.lastHeartbeatAt >= period) {
+			worker.sendHeartbeat()
 		}
-		k.loop()
+		worker.loop()
 	})
 }
 
-// lease kills everything when the last answered report is too old.
-func (k *workerSim) lease() {
-	if time.Duration(float64(k.w.now-k.answered)*k.drift) > k.w.Lease {
-		k.forget()
-		k.session++
-		k.answered = k.w.now
-		k.busy = false
-		k.tickets++
+// checkLease kills everything when the last answered report is too old.
+func (worker *simWorker) checkLease() {
+	if time.Duration(float64(worker.sim.now-worker.renewedAt)*worker.clockRate) > worker.sim.WorkerLease {
+		worker.dropTasks()
+		worker.epoch++
+		worker.renewedAt = worker.sim.now
+		worker.awaitingReply = false
+		worker.heartbeatID++
 	}
 }
 
-// forget loses all tasks.
-func (k *workerSim) forget() {
-	for _, name := range sortedKeys(k.tasks) {
-		k.remove(name)
+// dropTasks loses all tasks.
+func (worker *simWorker) dropTasks() {
+	for _, name := range sortedKeys(worker.tasks) {
+		worker.removeTask(name)
 	}
 }
 
-func (k *workerSim) add(key string, t *taskSim) {
-	k.tasks[key] = t
-	if t.u != nil {
-		t.u.on = append(t.u.on, t)
+func (worker *simWorker) addTask(key string, task *simTask) {
+	worker.tasks[key] = task
+	if task.user != nil {
+		task.user.tasks = append(task.user.tasks, task)
 	}
 }
 
-func (k *workerSim) remove(key string) {
-	t := k.tasks[key]
-	delete(k.tasks, key)
-	if t.u != nil {
-		t.u.on = slices.DeleteFunc(t.u.on, func(x *taskSim) bool { return x == t })
+func (worker *simWorker) removeTask(key string) {
+	task := worker.tasks[key]
+	delete(worker.tasks, key)
+	if task.user != nil {
+		task.user.tasks = slices.DeleteFunc(task.user.tasks, func(other *simTask) bool { return other == task })
 	}
 }
 
-func (k *workerSim) snapshot() *wire.WorkerHeartbeat {
-	k.seq++
-	r := &wire.WorkerHeartbeat{Machine: k.m.Name, Addr: k.m.Addr, MachineType: k.m.MachineType, Zone: k.m.Zone, Spot: k.m.Spot,
-		Epoch: k.session, Sequence: k.seq, Token: k.token}
-	if k.recallAt > 0 {
-		left := (k.recallAt - k.w.now).Seconds()
-		r.ReclaimS = &left
+func (worker *simWorker) newHeartbeat() *wire.WorkerHeartbeat {
+	worker.sequence++
+	heartbeat := &wire.WorkerHeartbeat{Machine: worker.machine.Name, Addr: worker.machine.Addr, MachineType: worker.machine.MachineType, Zone: worker.machine.Zone, Spot: worker.machine.Spot,
+		Epoch: worker.epoch, Sequence: worker.sequence, Token: worker.token}
+	if worker.reclaimAt > 0 {
+		left := (worker.reclaimAt - worker.sim.now).Seconds()
+		heartbeat.ReclaimS = &left
 	}
-	for _, name := range sortedKeys(k.tasks) {
-		t := k.tasks[name]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(t.ref, t.task), Attempt: t.attempt, State: t.state, ExitCause: t.cause, CheckpointSaved: t.saved})
+	for _, name := range sortedKeys(worker.tasks) {
+		task := worker.tasks[name]
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: wire.TaskName(task.jobID, task.index), Attempt: task.attempt, State: task.state, ExitCause: task.exitCause, CheckpointSaved: task.checkpointSaved})
 	}
-	return r
+	return heartbeat
 }
 
-// reportPatience is how long a worker waits for an answer.
-const reportPatience = 4 * time.Second
-
-// pendingReport is a report that waits for its answer.
-type pendingReport struct {
-	k       *workerSim
-	to      *node
-	message *wire.WorkerHeartbeat
-	ticket  int
-	session uint64
-	sent    time.Duration
+// heartbeatTimeout is how long a worker waits for an answer.
+const heartbeatTimeout = 4 * time.Second
+
+// pendingHeartbeat is a report that waits for its answer.
+type pendingHeartbeat struct {
+	worker    *simWorker
+	recipient *controller
+	message   *wire.WorkerHeartbeat
+	id        int
+	epoch     uint64
+	sentAt    time.Duration
 }
 
-// report sends a report to the controller that the worker keeps to.
-func (k *workerSim) report() {
-	w := k.w
-	k.busy, k.urgent, k.lastSent = true, false, w.now
-	w.meter.reports++
-	k.tickets++
-	r := &pendingReport{k: k, ticket: k.tickets, session: k.session, sent: w.now, message: k.snapshot(), to: w.nodes[k.node]}
-	w.after(reportPatience, func() {
-		if k.tickets == r.ticket && k.busy {
-			r.tryNext()
+// sendHeartbeat sends a report to the controller that the worker keeps to.
+func (worker *simWorker) sendHeartbeat() {
+	sim := worker.sim
+	worker.awaitingReply, worker.heartbeatDue, worker.lastHeartbeatAt = true, false, sim.now
+	sim.meter.heartbeats++
+	worker.heartbeatID++
+	pending := &pendingHeartbeat{worker: worker, id: worker.heartbeatID, epoch: worker.epoch, sentAt: sim.now, message: worker.newHeartbeat(), recipient: sim.controllers[worker.controllerIndex]}
+	sim.after(heartbeatTimeout, func() {
+		if worker.heartbeatID == pending.id && worker.awaitingReply {
+			pending.tryNextController()
 		}
 	})
 	switch {
-	case w.now < k.muteTo:
-	case r.isCut():
-		if w.holds(k.m.Name, k.m.Zone, r.to.label, r.to.zone) {
-			w.after(time.Second, r.deliverAfterCut)
+	case sim.now < worker.outboundCutUntil:
+	case pending.isCut():
+		if sim.network.isHeld(worker.endpoint(), pending.recipient.endpoint()) {
+			sim.after(time.Second, pending.deliverAfterCut)
 		}
-	case w.now < w.lossTo && w.rng.Float64() < w.loss:
+	case sim.network.loses(sim.rng):
 		// Lost, or held back and delivered much later, to a controller that
 		// may have taken over meanwhile.
-		w.after(time.Duration(w.rng.IntN(60000))*time.Millisecond, func() { w.someNode().hearCopy(r.message) })
+		sim.after(time.Duration(sim.rng.IntN(60000))*time.Millisecond, func() { sim.randomController().deliverHeartbeat(pending.message) })
 	default:
-		w.copyLater(r.message)
-		if w.now < w.copiesTo {
+		sim.replays.observe(pending.message)
+		if sim.now < sim.network.duplicateUntil {
 			// The network delivers it a second time, to whom it will.
-			m := w.someNode()
-			w.after(time.Second+time.Duration(w.rng.Int64N(int64(w.copyDelay))), func() { m.hearCopy(r.message) })
+			peer := sim.randomController()
+			sim.after(sim.network.duplicateAfter(), func() { peer.deliverHeartbeat(pending.message) })
 		}
-		r.to.ask(func(req uint64) core.Input { return core.WorkerReported{RequestID: req, Heartbeat: r.message} }, r.answered)
+		pending.recipient.request(func(req uint64) core.Input { return core.WorkerReported{RequestID: req, Heartbeat: pending.message} }, pending.receiveReply)
 	}
 }
 
-// someNode is a controller chosen at random.
-func (w *World) someNode() *node { return w.nodes[w.rng.IntN(len(w.nodes))] }
+// randomController is a controller chosen at random.
+func (sim *Simulation) randomController() *controller {
+	return sim.controllers[sim.rng.IntN(len(sim.controllers))]
+}
 
-func (r *pendingReport) isCut() bool {
-	return r.k.w.cut(r.k.m.Name, r.k.m.Zone, r.to.label, r.to.zone)
+func (pending *pendingHeartbeat) isCut() bool {
+	return pending.worker.sim.network.isCut(pending.worker.endpoint(), pending.recipient.endpoint())
 }
 
 // deliverAfterCut delivers the report once the cut is over; the answer comes far too late.
-func (r *pendingReport) deliverAfterCut() {
-	if r.isCut() {
-		r.k.w.after(time.Second, r.deliverAfterCut)
+func (pending *pendingHeartbeat) deliverAfterCut() {
+	if pending.isCut() {
+		pending.worker.sim.after(time.Second, pending.deliverAfterCut)
 		return
 	}
-	r.to.hearCopy(r.message)
+	pending.recipient.deliverHeartbeat(pending.message)
 }
 
-// turnTo has the worker report to a controller after a while.
-func (r *pendingReport) turnTo(wait time.Duration, node int) {
-	k := r.k
-	k.node = node
-	k.w.after(wait, func() {
-		if k.tickets == r.ticket && !k.off {
-			k.busy, k.urgent = false, true
+// redirect has the worker report to a controller after a while.
+func (pending *pendingHeartbeat) redirect(wait time.Duration, node int) {
+	worker := pending.worker
+	worker.controllerIndex = node
+	worker.sim.after(wait, func() {
+		if worker.heartbeatID == pending.id && !worker.terminated {
+			worker.awaitingReply, worker.heartbeatDue = false, true
 		}
 	})
 }
 
-// tryNext has the worker try the next controller.
-func (r *pendingReport) tryNext() { r.turnTo(time.Second, (r.k.node+1)%len(r.k.w.nodes)) }
+// tryNextController has the worker try the next controller.
+func (pending *pendingHeartbeat) tryNextController() {
+	pending.redirect(time.Second, (pending.worker.controllerIndex+1)%len(pending.worker.sim.controllers))
+}
 
-// answered carries the answer back, unless it is lost.
-func (r *pendingReport) answered(a core.Reply) {
-	w := r.k.w
-	if w.now < r.k.deafTo || r.isCut() || w.now < w.lossTo && w.rng.Float64() < w.loss {
+// receiveReply carries the answer back, unless it is lost.
+func (pending *pendingHeartbeat) receiveReply(a core.Reply) {
+	sim := pending.worker.sim
+	if sim.now < pending.worker.inboundCutUntil || pending.isCut() || sim.network.loses(sim.rng) {
 		return
 	}
-	w.after(w.latency(), func() { r.hear(a) })
+	sim.after(sim.network.latency(), func() { pending.handleReply(a) })
 }
 
-// hear obeys an answer that has arrived.
-func (r *pendingReport) hear(a core.Reply) {
-	k, w := r.k, r.k.w
-	if k.off || k.hung || k.tickets != r.ticket || !k.busy || k.session != r.session {
+// handleReply obeys an answer that has arrived.
+func (pending *pendingHeartbeat) handleReply(a core.Reply) {
+	worker, sim := pending.worker, pending.worker.sim
+	if worker.terminated || worker.hung || worker.heartbeatID != pending.id || !worker.awaitingReply || worker.epoch != pending.epoch {
 		return
 	}
 	switch a.Status {
 	case 200:
-		k.busy = false
-		k.obey(a.Body.(wire.HeartbeatReply), r.sent)
+		worker.awaitingReply = false
+		worker.applyReply(a.Body.(wire.HeartbeatReply), pending.sentAt)
 	case 421:
 		owner := a.Body.(wire.Redirect).Owner
-		for i, m := range w.nodes {
-			if m.label == owner && i != k.node {
-				r.turnTo(time.Duration(w.rng.IntN(500))*time.Millisecond, i)
+		for i, peer := range sim.controllers {
+			if peer.label == owner && i != worker.controllerIndex {
+				pending.redirect(time.Duration(sim.rng.IntN(500))*time.Millisecond, i)
 				return
 			}
 		}
-		r.tryNext()
+		pending.tryNextController()
 	default:
-		r.tryNext()
+		pending.tryNextController()
 	}
 }
 
-// obey carries out an accepted answer to a report sent at a time, which renews the lease.
-func (k *workerSim) obey(answer wire.HeartbeatReply, sent time.Duration) {
-	if answer.Token < k.token {
+// applyReply carries out an accepted answer to a report sent at a time, which renews the lease.
+func (worker *simWorker) applyReply(answer wire.HeartbeatReply, sent time.Duration) {
+	if answer.Token < worker.token {
 		return
 	}
-	if answer.Token > k.token {
-		k.token = answer.Token
-		k.urgent = true
+	if answer.Token > worker.token {
+		worker.token = answer.Token
+		worker.heartbeatDue = true
 	}
-	k.answered = sent
-	for _, o := range answer.Commands {
-		k.execute(o)
+	worker.renewedAt = sent
+	for _, command := range answer.Commands {
+		worker.execute(command)
 	}
 }
 
-// take obeys orders that came to the worker's own address, once it runs and
+// acceptCommands obeys orders that came to the worker's own address, once it runs and
 // nothing holds them back any more.
-func (k *workerSim) take(o wire.CommandBatch, held func() bool, done func(core.Outcome)) {
-	if k.off {
+func (worker *simWorker) acceptCommands(batch wire.CommandBatch, held func() bool, done func(core.Outcome)) {
+	if worker.terminated {
 		return
 	}
-	if k.hung || held != nil && held() {
-		k.w.after(300*time.Millisecond, func() { k.take(o, held, done) })
+	if worker.hung || held != nil && held() {
+		worker.sim.after(300*time.Millisecond, func() { worker.acceptCommands(batch, held, done) })
 		return
 	}
-	k.lease()
-	if o.Token < k.token || o.Epoch != k.session {
+	worker.checkLease()
+	if batch.Token < worker.token || batch.Epoch != worker.epoch {
 		done(core.Conflict)
 		return
 	}
-	k.token = o.Token
-	for _, x := range o.Commands {
-		k.execute(x)
+	worker.token = batch.Token
+	for _, x := range batch.Commands {
+		worker.execute(x)
 	}
-	k.seq++ // its answer shows what it does, as a report would
+	worker.sequence++ // its answer shows what it does, as a report would
 	done(core.OK)
 }
 
 // execute carries out one order.
-func (k *workerSim) execute(o wire.Command) {
-	ref, task, err := wire.SplitTaskName(o.Task)
+func (worker *simWorker) execute(command wire.Command) {
+	jobID, task, err := wire.SplitTaskName(command.Task)
 	must(err)
-	key := fmt.Sprintf("%s#%d", o.Task, o.Attempt)
-	t := k.tasks[key]
+	key := fmt.Sprintf("%s#%d", command.Task, command.Attempt)
+	t := worker.tasks[key]
 	switch {
-	case o.Op == wire.CommandStart && t == nil:
-		k.start(key, &taskSim{u: k.w.users[ref], k: k, ref: ref, task: task, attempt: o.Attempt, state: wire.TaskFetching, since: k.w.now})
-	case o.Op == wire.CommandKill && t != nil && t.state != wire.TaskExited:
-		k.kill(t, o.GraceS)
-	case o.Op == wire.CommandClear && t != nil && t.state == wire.TaskExited:
-		k.remove(key)
-		k.urgent = true
+	case command.Op == wire.CommandStart && t == nil:
+		worker.startTask(key, &simTask{user: worker.sim.users.byJob[jobID], worker: worker, jobID: jobID, index: task, attempt: command.Attempt, state: wire.TaskFetching, stateSince: worker.sim.now})
+	case command.Op == wire.CommandKill && t != nil && t.state != wire.TaskExited:
+		worker.killTask(t, command.GraceS)
+	case command.Op == wire.CommandClear && t != nil && t.state == wire.TaskExited:
+		worker.removeTask(key)
+		worker.heartbeatDue = true
 	}
 }
 
-// start takes a task on, or refuses it.
-func (k *workerSim) start(key string, t *taskSim) {
-	w, u := k.w, t.u
-	k.urgent = true
-	k.add(key, t)
-	if cause := k.refusal(t); cause != "" {
-		t.state, t.cause = wire.TaskExited, cause
+// startTask takes a task on, or refuses it.
+func (worker *simWorker) startTask(key string, task *simTask) {
+	sim, user := worker.sim, task.user
+	worker.heartbeatDue = true
+	worker.addTask(key, task)
+	if cause := worker.rejectionCause(task); cause != "" {
+		task.state, task.exitCause = wire.TaskExited, cause
 		return
 	}
-	w.started(k, t)
+	sim.rules.taskStarted(worker, task)
 	wait := time.Duration(0)
-	if !k.images[u.spec.Image] {
-		wait = time.Duration(u.spec.ImageGB / w.cloud.flavor.FetchGBs * (0.7 + 0.6*w.rng.Float64()) * float64(time.Second))
-	}
-	k.then(t, wait, func() {
-		k.images[u.spec.Image] = true
-		t.since = w.now
-		if u.spec.Shape == wire.ShapeGang {
-			k.set(t, wire.TaskWaitingForGang)
-			w.gather(t)
+	if !worker.images[user.spec.Image] {
+		wait = time.Duration(user.spec.ImageGB / sim.cloud.machineType.FetchGBs * (0.7 + 0.6*sim.rng.Float64()) * float64(time.Second))
+	}
+	worker.schedule(task, wait, func() {
+		worker.images[user.spec.Image] = true
+		task.stateSince = sim.now
+		if user.spec.Shape == wire.ShapeGang {
+			worker.setState(task, wire.TaskWaitingForGang)
+			task.startGangIfComplete()
 			return
 		}
-		k.begin(t)
+		worker.runTask(task)
 	})
 }
 
-// refusal is why a worker refuses a task, or "".
-func (k *workerSim) refusal(t *taskSim) string {
-	if t.u == nil || t.task >= t.u.spec.TaskCount {
+// rejectionCause is why a worker refuses a task, or "".
+func (worker *simWorker) rejectionCause(task *simTask) string {
+	if task.user == nil || task.index >= task.user.spec.TaskCount {
 		return wire.CauseUnknownJob
 	}
-	cores, cards, mem := t.u.spec.Cores, t.u.spec.GPUs, t.u.spec.MemoryGB
-	for _, name := range sortedKeys(k.tasks) {
-		x := k.tasks[name]
-		if x == t || x.state == wire.TaskExited {
+	cores, gpus, mem := task.user.spec.Cores, task.user.spec.GPUs, task.user.spec.MemoryGB
+	for _, name := range sortedKeys(worker.tasks) {
+		other := worker.tasks[name]
+		if other == task || other.state == wire.TaskExited {
 			continue
 		}
-		if x.ref == t.ref && x.task == t.task {
+		if other.jobID == task.jobID && other.index == task.index {
 			return wire.CauseDuplicate
 		}
-		cores += x.u.spec.Cores
-		cards += x.u.spec.GPUs
-		mem += x.u.spec.MemoryGB
+		cores += other.user.spec.Cores
+		gpus += other.user.spec.GPUs
+		mem += other.user.spec.MemoryGB
 	}
-	f := k.w.cloud.flavor
-	if cores > f.Cores || cards > f.GPUs || mem > f.MemoryGB {
+	f := worker.sim.cloud.machineType
+	if cores > f.Cores || gpus > f.GPUs || mem > f.MemoryGB {
 		return wire.CauseNoCapacity
 	}
 	return ""
 }
 
-// kill stops a task, which saves first if it can in the time that it has.
-func (k *workerSim) kill(t *taskSim, graceS float64) {
-	if t.state == wire.TaskRunning && t.u.spec.CheckpointIntervalS > 0 && graceS >= t.u.spec.CheckpointTimeS {
-		k.set(t, wire.TaskCheckpointing)
-		k.then(t, time.Duration(t.u.spec.CheckpointTimeS*float64(time.Second)), func() {
-			t.saved = true
-			k.end(t, wire.CauseStopped)
+// killTask stops a task, which saves first if it can in the time that it has.
+func (worker *simWorker) killTask(task *simTask, graceS float64) {
+	if task.state == wire.TaskRunning && task.user.spec.CheckpointIntervalS > 0 && graceS >= task.user.spec.CheckpointTimeS {
+		worker.setState(task, wire.TaskCheckpointing)
+		worker.schedule(task, time.Duration(task.user.spec.CheckpointTimeS*float64(time.Second)), func() {
+			task.checkpointSaved = true
+			worker.exitTask(task, wire.CauseStopped)
 		})
 		return
 	}
-	if t.state == wire.TaskCheckpointing && graceS > 0 {
+	if task.state == wire.TaskCheckpointing && graceS > 0 {
 		return
 	}
-	k.end(t, wire.CauseStopped)
+	worker.exitTask(task, wire.CauseStopped)
 }
 
-// then acts on a task after a while unless something else becomes of it.
-func (k *workerSim) then(t *taskSim, d time.Duration, f func()) {
-	t.gen++
-	gen := t.gen
+// schedule acts on a task after a while unless something else becomes of it.
+func (worker *simWorker) schedule(task *simTask, d time.Duration, f func()) {
+	task.generation++
+	gen := task.generation
 	var act func()
 	act = func() {
-		if t.gen != gen || k.off || k.tasks[fmt.Sprintf("%s#%d", wire.TaskName(t.ref, t.task), t.attempt)] != t {
+		if task.generation != gen || worker.terminated || worker.tasks[fmt.Sprintf("%s#%d", wire.TaskName(task.jobID, task.index), task.attempt)] != task {
 			return
 		}
-		if k.hung {
-			k.w.after(time.Second, act)
+		if worker.hung {
+			worker.sim.after(time.Second, act)
 			return
 		}
 		f()
 	}
-	k.w.after(d, act)
+	worker.sim.after(d, act)
 }
 
-func (k *workerSim) set(t *taskSim, state string) { t.state, k.urgent = state, true }
+func (worker *simWorker) setState(task *simTask, state string) {
+	task.state, worker.heartbeatDue = state, true
+}
 
-func (k *workerSim) end(t *taskSim, cause string) {
-	t.gen++
-	t.cause = cause
-	k.set(t, wire.TaskExited)
+func (worker *simWorker) exitTask(task *simTask, cause string) {
+	task.generation++
+	task.exitCause = cause
+	worker.setState(task, wire.TaskExited)
 }
 
-func (k *workerSim) begin(t *taskSim) {
-	k.set(t, wire.TaskRunning)
-	if t.u.begun == 0 {
-		t.u.begun = k.w.now
+func (worker *simWorker) runTask(task *simTask) {
+	worker.setState(task, wire.TaskRunning)
+	if task.user.startedAt == 0 {
+		task.user.startedAt = worker.sim.now
 	}
-	name := wire.TaskName(t.ref, t.task)
+	name := wire.TaskName(task.jobID, task.index)
 	switch {
-	case k.sick || t.u.fails:
-		k.then(t, time.Second, func() { k.end(t, wire.CauseError) })
-	case t.u.spec.Shape == wire.ShapeDaemon:
-		t.gen++
-	case k.w.done[name]:
-		k.end(t, wire.CauseDone)
+	case worker.failsTasks || task.user.alwaysFails:
+		worker.schedule(task, time.Second, func() { worker.exitTask(task, wire.CauseError) })
+	case task.user.spec.Shape == wire.ShapeDaemon:
+		task.generation++
+	case worker.sim.users.completedTasks[name]:
+		worker.exitTask(task, wire.CauseDone)
 	default:
-		k.then(t, t.u.run, func() {
-			k.w.done[name] = true
-			if t.u.spec.Shape == wire.ShapeGang {
-				for i := range t.u.spec.TaskCount {
-					k.w.done[wire.TaskName(t.ref, i)] = true
+		worker.schedule(task, task.user.runtime, func() {
+			worker.sim.users.completedTasks[name] = true
+			if task.user.spec.Shape == wire.ShapeGang {
+				for i := range task.user.spec.TaskCount {
+					worker.sim.users.completedTasks[wire.TaskName(task.jobID, i)] = true
 				}
 			}
-			k.end(t, wire.CauseDone)
-			k.w.jobMayEnd(t.u)
+			worker.exitTask(task, wire.CauseDone)
+			worker.sim.users.maybeCancelAtEnd(task.user)
 		})
 	}
 }
 
-// gather starts a gang once all its tasks wait with the same attempt.
-func (w *World) gather(t *taskSim) {
-	var all []*taskSim
-	for _, x := range t.u.on {
-		if x.attempt == t.attempt && x.state == wire.TaskWaitingForGang && !x.k.off && !x.k.hung {
-			all = append(all, x)
+// startGangIfComplete starts a gang once all its tasks wait with the same attempt.
+func (task *simTask) startGangIfComplete() {
+	var all []*simTask
+	for _, other := range task.user.tasks {
+		if other.attempt == task.attempt && other.state == wire.TaskWaitingForGang && !other.worker.terminated && !other.worker.hung {
+			all = append(all, other)
 		}
 	}
-	if len(all) < t.u.spec.TaskCount {
+	if len(all) < task.user.spec.TaskCount {
 		return
 	}
-	for _, x := range all {
-		x.k.begin(x)
+	for _, other := range all {
+		other.worker.runTask(other)
 	}
 }
