--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controller.go
@@ -2,14 +2,16 @@
 
 import (
 	"fmt"
+	"slices"
+	"strconv"
+	"strings"
 	"time"
 
 	"micaport/internal/config"
 	"micaport/internal/core"
+	"micaport/internal/wire"
 )
 
-// Controllers of the simulated world: how they start, end, stand still and are given inputs.
-
 type controller struct {
 	sim            *Simulation
 	index          int
@@ -83,32 +85,6 @@
 	sim.after(time.Duration(ctrl.index)*7*time.Millisecond, tick)
 }
 
-// beginFailure gives a controller that is about to end or to stand still for d, or nil if it is
-// not up.
-func (sim *Simulation) beginFailure(ix int, d time.Duration) *controller {
-	ctrl := sim.controllers[ix]
-	if !ctrl.running {
-		return nil
-	}
-	sim.rules.faultsLast(d)
-	sim.leadership.recordFailure(ix)
-	return ctrl
-}
-
-// crash ends a controller; it comes back after d.
-func (sim *Simulation) crash(ix int, d time.Duration) {
-	ctrl := sim.beginFailure(ix, d)
-	if ctrl == nil {
-		return
-	}
-	ctrl.running = false
-	ctrl.pendingReplies = nil
-	if sim.startController == nil && sim.EarlyTakeover {
-		sim.notifyDisconnected(ctrl)
-	}
-	sim.after(d, ctrl.start)
-}
-
 func (ctrl *controller) step(in core.Input) {
 	if !ctrl.running {
 		return
@@ -133,34 +109,6 @@
 	}
 }
 
-// freeze makes a controller stand still while its clocks run on: between
-// deciding and doing, at every second time.
-func (sim *Simulation) freeze(ix int, d time.Duration) {
-	ctrl := sim.beginFailure(ix, d)
-	if ctrl == nil {
-		return
-	}
-	ctrl.frozenUntil, ctrl.freezeBeforeEffects = sim.now+d, sim.rng.IntN(2) == 0
-	incarnation := ctrl.incarnation
-	sim.after(d, func() {
-		if ctrl.incarnation != incarnation || !ctrl.running || sim.now < ctrl.frozenUntil {
-			return
-		}
-		stuck, backlog := ctrl.heldEffects, ctrl.queuedInputs
-		ctrl.heldEffects, ctrl.queuedInputs, ctrl.freezeBeforeEffects = nil, nil, false
-		for _, e := range stuck {
-			if call, is := e.(core.CallCloud); is && (call.Provision != nil || call.Deprovision != nil) && d > call.ValidFor {
-				ctrl.step(core.CloudAnswered{ID: call.ID, Outcome: core.Refused}) // as the adapter does
-				continue
-			}
-			ctrl.perform(e)
-		}
-		for _, in := range backlog {
-			ctrl.step(in)
-		}
-	})
-}
-
 // deliver gives an input to the same incarnation of the controller after a delay.
 func (ctrl *controller) deliver(d time.Duration, in core.Input) {
 	incarnation := ctrl.incarnation
@@ -187,3 +135,31 @@
 		ctrl.step(input(ctrl.lastRequestID))
 	})
 }
+
+// randomController is a controller chosen at random.
+func (sim *Simulation) randomController() *controller {
+	return sim.controllers[sim.rng.IntN(len(sim.controllers))]
+}
+
+// controllerIndex finds one by its number, as the one that leads now ("leader"), as the
+// next after that ("other") or as the one whose claim of a shard stands ("owner:PART").
+func (sim *Simulation) controllerIndex(arg string) int {
+	leader := 0
+	if record := sim.store.records[wire.LeaderKey]; record != nil {
+		label := mustDecodeRecord(wire.LeaderKey, record.raw).(*wire.Leader).Controller
+		leader = slices.IndexFunc(sim.controllers, func(ctrl *controller) bool { return ctrl.label == label })
+	}
+	switch {
+	case arg == "leader":
+		return leader
+	case arg == "standby":
+		return max(0, slices.IndexFunc(sim.controllers, func(ctrl *controller) bool { return ctrl.label == sim.leadership.standby }))
+	case arg == "other":
+		return (leader + 1) % len(sim.controllers)
+	case strings.HasPrefix(arg, "owner:"):
+		label := sim.store.shardOwner(strings.TrimPrefix(arg, "owner:"))
+		return max(0, slices.IndexFunc(sim.controllers, func(ctrl *controller) bool { return ctrl.label == label }))
+	}
+	ix, _ := strconv.Atoi(arg)
+	return ix
+}
--- a/internal/simulation/takeover.go
+++ b/internal/simulation/leadership.go
@@ -41,15 +41,6 @@
 	return &leadershipWatch{sim: sim, rng: rand.New(rand.NewPCG(sim.Seed, 11)), lastCloudTenure: -1, disconnectDelay: 2 * time.Millisecond}
 }
 
-// leader is the controller whose claim stands.
-func (store *stateService) leader() *wire.Leader {
-	record := store.records[wire.LeaderKey]
-	if record == nil {
-		return nil
-	}
-	return mustDecodeRecord(wire.LeaderKey, record.raw).(*wire.Leader)
-}
-
 // recordClaim notes a claim that is about to be carried out. It tells whether a process begins
 // to lead with it; one that leads already may claim anew to be fenced.
 func (watch *leadershipWatch) recordClaim(claim *wire.Leader, term uint64) bool {
@@ -133,6 +124,13 @@
 	watch.lastCloudTenure = max(watch.lastCloudTenure, latest)
 }
 
+// isStale tells whether a controller distributes with the cloud long after
+// another has taken the lead: it would return machines that are in use.
+func (watch *leadershipWatch) isStale(ctrl *controller) bool {
+	record := watch.sim.store.records[wire.LeaderKey]
+	return record != nil && mustDecodeRecord(wire.LeaderKey, record.raw).(*wire.Leader).Controller != ctrl.label && watch.sim.now-watch.sim.store.leaderSince > 6*time.Second
+}
+
 // countEarly counts the takeovers that did not wait for the lease.
 func (watch *leadershipWatch) countEarly() int {
 	count := 0
@@ -143,54 +141,3 @@
 	}
 	return count
 }
-
-// sendHeartbeat carries a leader's heartbeat to a peer.
-func (ctrl *controller) sendHeartbeat(x core.SendHeartbeat) {
-	sim, watch := ctrl.sim, ctrl.sim.leadership
-	watch.standby = x.Message.Standby
-	watch.heartbeats++
-	for _, peer := range sim.controllers {
-		if peer.label != x.To || sim.network.isCut(ctrl.endpoint(), peer.endpoint()) || sim.network.loses(watch.rng) {
-			continue
-		}
-		msg := *x.Message
-		peer.deliver(time.Millisecond+time.Duration(watch.rng.IntN(6000))*time.Microsecond, core.HeartbeatReceived{Message: &msg})
-	}
-}
-
-// sendDecisionLog carries a message of the decision log to the standby, and its answer back.
-func (ctrl *controller) sendDecisionLog(x core.SendDecisionLog) {
-	sim, watch := ctrl.sim, ctrl.sim.leadership
-	delay := func() time.Duration { return time.Millisecond + time.Duration(watch.rng.IntN(6000))*time.Microsecond }
-	lost := func(peer *controller) bool {
-		return sim.network.isCut(ctrl.endpoint(), peer.endpoint()) || sim.network.loses(watch.rng)
-	}
-	for _, peer := range sim.controllers {
-		if peer.label != x.To || lost(peer) {
-			continue
-		}
-		watch.logBytes += len(x.Message.Facts)
-		incarnation, sender := peer.incarnation, ctrl.incarnation
-		sim.after(delay(), func() {
-			if peer.incarnation != incarnation || !peer.running {
-				return
-			}
-			peer.lastRequestID++
-			peer.pendingReplies[peer.lastRequestID] = func(reply core.Reply) {
-				if ctrl.incarnation == sender && !lost(peer) {
-					ctrl.deliver(delay(), core.DecisionLogAcknowledged{Ack: reply.Body.(wire.DecisionLogAck)})
-				}
-			}
-			peer.step(core.DecisionLogReceived{RequestID: peer.lastRequestID, Message: x.Message})
-		})
-	}
-}
-
-// notifyDisconnected tells the peers of a controller that has ended that their connections broke.
-func (sim *Simulation) notifyDisconnected(ctrl *controller) {
-	for _, peer := range sim.controllers {
-		if peer != ctrl && !sim.network.isCut(ctrl.endpoint(), peer.endpoint()) {
-			peer.deliver(sim.leadership.disconnectDelay, core.Disconnected{Peer: ctrl.label})
-		}
-	}
-}
--- a/internal/simulation/loopback_services.go
+++ b/internal/simulation/loopback_state.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"io"
 	"net/http"
 	"strconv"
 	"strings"
@@ -13,28 +12,6 @@
 	"micaport/internal/wire"
 )
 
-// The state service and the cloud over their protocols, for controllers on loopback.
-
-// writeReply writes a MessagePack answer.
-func writeReply(w http.ResponseWriter, status int, body any) {
-	raw, err := wire.Encode(body)
-	must(err)
-	w.WriteHeader(status)
-	_, _ = w.Write(raw) // the controller may be gone
-}
-
-// readRequest decodes a request's body, or answers 400.
-func readRequest(w http.ResponseWriter, q *http.Request, into any) bool {
-	body, err := io.ReadAll(q.Body)
-	if err == nil {
-		err = wire.Decode(body, into)
-	}
-	if err != nil {
-		writeReply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
-	}
-	return err == nil
-}
-
 // storedRow is a key as the state service tells of it.
 type storedRow struct {
 	Key   string             `msgpack:"k"`
@@ -199,45 +176,3 @@
 	}
 	return events, max(from, store.revision)
 }
-
-// cloudHandler serves the cloud to one controller.
-func (loopback *Loopback) cloudHandler(ctrl *controller) http.Handler {
-	mux := http.NewServeMux()
-	call := func(w http.ResponseWriter, q core.CallCloud) {
-		var r core.CloudAnswered
-		loopback.postAndWait(func() {
-			loopback.leadership.checkCloudCall(ctrl, q)
-			r = core.CloudAnswered{Outcome: core.Refused}
-			if !loopback.cloud.outage {
-				r = loopback.cloud.call(q)
-			}
-		})
-		switch {
-		case r.Outcome == core.NoCapacity:
-			writeReply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
-		case r.Outcome != core.OK:
-			writeReply(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
-		case q.ListTypes:
-			writeReply(w, http.StatusOK, wire.MachineTypeList{MachineTypes: r.MachineTypes})
-		case q.ListMachines:
-			writeReply(w, http.StatusOK, wire.MachineList{Machines: r.Machines})
-		default:
-			writeReply(w, http.StatusOK, wire.MachineNames{Names: r.Names})
-		}
-	}
-	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) { call(w, core.CallCloud{ListTypes: true}) })
-	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) { call(w, core.CallCloud{ListMachines: true}) })
-	mux.HandleFunc("POST /hosts", func(w http.ResponseWriter, q *http.Request) {
-		var hire wire.ProvisionRequest
-		if readRequest(w, q, &hire) {
-			call(w, core.CallCloud{Provision: &hire})
-		}
-	})
-	mux.HandleFunc("POST /hosts/return", func(w http.ResponseWriter, q *http.Request) {
-		var names wire.MachineNames
-		if readRequest(w, q, &names) {
-			call(w, core.CallCloud{Deprovision: names.Names})
-		}
-	})
-	return mux
-}
--- a/internal/simulation/meter.go
+++ b/internal/simulation/meter.go
@@ -1,6 +1,8 @@
 package simulation
 
-import "time"
+import (
+	"time"
+)
 
 // meter counts what a day costs, so that a test can bound how the cost grows.
 type meter struct {
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -26,23 +26,6 @@
 	rules.faultsEndAt = max(rules.faultsEndAt, rules.sim.now+d)
 }
 
-// eachActiveTask walks over the tasks that are on machines, in a fixed order. Tasks
-// that still fetch their image count, which is stricter than the protocol.
-func (users *userSet) eachActiveTask(f func(worker *simWorker, task *simTask)) {
-	for _, user := range users.ordered {
-		user.eachActiveTask(f)
-	}
-}
-
-// eachActiveTask is that of World for the tasks of one job.
-func (user *simUser) eachActiveTask(f func(worker *simWorker, task *simTask)) {
-	for _, task := range user.tasks {
-		if task.state != wire.TaskExited && !task.worker.terminated {
-			f(task.worker, task)
-		}
-	}
-}
-
 // taskStarted checks the rules that a start can break.
 func (rules *ruleChecker) taskStarted(worker *simWorker, task *simTask) {
 	spec := &task.user.spec
@@ -125,83 +108,6 @@
 	}
 }
 
-// checkGang ends a gang task whose peers did not arrive or were lost for too long.
-func (worker *simWorker) checkGang(task *simTask) {
-	sim := worker.sim
-	if task.user == nil || task.user.spec.Shape != wire.ShapeGang {
-		return
-	}
-	switch task.state {
-	case wire.TaskWaitingForGang:
-		if sim.now-task.stateSince > sim.GangWait {
-			worker.exitTask(task, wire.CauseGangIncomplete)
-		} else {
-			task.startGangIfComplete()
-		}
-	case wire.TaskRunning:
-		peers := 0
-		task.user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
-			if other.attempt == task.attempt && !otherWorker.hung && (other.state == wire.TaskRunning || other.state == wire.TaskCheckpointing) {
-				peers++
-			}
-		})
-		if peers == task.user.spec.TaskCount || sim.users.completedTasks[wire.TaskName(task.jobID, task.index)] {
-			task.peerMissingSince = 0
-		} else if task.peerMissingSince == 0 {
-			task.peerMissingSince = sim.now
-		} else if sim.now-task.peerMissingSince > sim.GangPeerTimeout {
-			worker.exitTask(task, wire.CausePeerLost)
-		}
-	}
-}
-
-// largestStartLimit is how long the largest jobs of a class may take to begin.
-const largestStartLimit = 240 * time.Second
-
-// underserved checks what is checked at the end of a day: at least half of every
-// class, of every team and of the largest jobs of each class has begun, the
-// largest in time. Jobs that came too late to be judged, that were cancelled
-// or that can't run are left out.
-func (rules *ruleChecker) underserved() []string {
-	type share struct{ begun, all int }
-	shares := map[string]*share{}
-	largest := map[string]int{}
-	count := func(what string, begun bool) {
-		s := shares[what]
-		if s == nil {
-			s = &share{}
-			shares[what] = s
-		}
-		s.all++
-		s.begun += map[bool]int{true: 1}[begun]
-	}
-	judged := func(user *simUser) bool {
-		return user.accepted && !user.cancelRequested && !user.alwaysFails && rules.sim.now-user.submittedAt > largestStartLimit && !user.isBlocked()
-	}
-	for _, user := range rules.sim.users.ordered {
-		if judged(user) {
-			largest[user.spec.Class] = max(largest[user.spec.Class], user.spec.TaskCount)
-		}
-	}
-	for _, user := range rules.sim.users.ordered {
-		if !judged(user) {
-			continue
-		}
-		count("class "+user.spec.Class, user.startedAt > 0)
-		count("team "+user.spec.Team, user.startedAt > 0)
-		if user.spec.TaskCount == largest[user.spec.Class] {
-			count("largest of class "+user.spec.Class, user.startedAt > 0 && user.startedAt-user.submittedAt <= largestStartLimit)
-		}
-	}
-	var faults []string
-	for _, what := range sortedKeys(shares) {
-		if s := shares[what]; 2*s.begun < s.all {
-			faults = append(faults, fmt.Sprintf("served: %d of %d of %s", s.begun, s.all, what))
-		}
-	}
-	return faults
-}
-
 // teamUsage is what the tasks of a team that are on machines take.
 func (rules *ruleChecker) teamUsage(team string) (cores, gpus float64) {
 	for _, user := range rules.sim.users.ordered {
