--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -8,123 +8,152 @@
 	"micaport/internal/wire"
 )
 
-// cloud stands in for the machine rental.
+// cloud is a model of the cloud that provides machines, all of one type.
 type cloud struct {
-	sim           *Simulation
-	provisioned   map[string][]string
-	requests      map[string]wire.ProvisionRequest
-	machines      map[string]*cloudMachine
-	created       int
-	outage        bool
-	outOfCapacity bool
-	machineType   wire.MachineType
+	sim         *Simulation
+	machineType wire.MachineType
+	machines    map[string]*cloudMachine
+	provisioned map[string][]string              // the machines of each provision request, by its name
+	requests    map[string]wire.ProvisionRequest // by name
+	created     int                              // machines so far
 
-	deprovisioned int // machines that controllers have returned
-
-	slowBootUntil                  time.Duration // until when what is provisioned boots late or never
-	slowBootFactor, neverBootShare float64
+	deprovisioned  int // machines that controllers have returned
+	outage         bool
+	outOfCapacity  bool
+	slowBoot       timedValue // factor on the boot time
+	neverBootShare float64    // share of the machines that never boot while slowBoot holds
 }
 
+// cloudMachine is a machine that was provisioned.
 type cloudMachine struct {
 	wire.CloudMachine
 	createdAt  time.Duration
 	terminated bool
 }
 
+// newCloud returns a cloud without machines.
 func newCloud(sim *Simulation) *cloud {
-	return &cloud{sim: sim, provisioned: map[string][]string{}, requests: map[string]wire.ProvisionRequest{}, machines: map[string]*cloudMachine{},
-		machineType: wire.MachineType{Name: "g2", Cores: 16, GPUs: 2, MemoryGB: 64, ImageCacheGB: 60, FetchGBs: 0.5,
-			PricePerHour: 6, SpotPricePerHour: 2, BootS: sim.BootTime.Seconds(), Zones: sim.Zones}}
+	return &cloud{
+		sim: sim, machines: map[string]*cloudMachine{}, provisioned: map[string][]string{}, requests: map[string]wire.ProvisionRequest{},
+		machineType: wire.MachineType{
+			Name: "g2", Cores: 16, GPUs: 2, MemoryGB: 64, ImageCacheGB: 60, FetchGBs: 0.5,
+			PricePerHour: 6, SpotPricePerHour: 2, BootS: sim.BootTime.Seconds(), Zones: sim.Zones,
+		},
+	}
 }
 
-func (c *cloud) call(q core.CallCloud) core.CloudAnswered {
-	r := core.CloudAnswered{ID: q.ID, Outcome: core.OK}
+// call carries out a controller's call.
+func (cloud *cloud) call(call core.CallCloud) core.CloudAnswered {
+	answer := core.CloudAnswered{ID: call.ID, Outcome: core.OK}
 	switch {
-	case q.ListTypes:
-		r.MachineTypes = []wire.MachineType{c.machineType}
-	case q.ListMachines:
-		for _, name := range sortedKeys(c.machines) {
-			machine := c.machines[name]
-			if age := c.sim.now - machine.createdAt; !machine.terminated && age > 4*time.Second {
-				row := machine.CloudMachine
-				row.AgeS = age.Seconds()
-				r.Machines = append(r.Machines, row)
-			}
+	case call.ListTypes:
+		answer.MachineTypes = []wire.MachineType{cloud.machineType}
+	case call.ListMachines:
+		answer.Machines = cloud.list()
+	case call.Provision != nil:
+		answer.Names = cloud.provisionOnce(call.Provision)
+		if len(answer.Names) == 0 {
+			answer.Outcome = core.NoCapacity
 		}
-	case q.Provision != nil:
-		if got, known := c.provisioned[q.Provision.Name]; known {
-			if c.requests[q.Provision.Name] != *q.Provision {
-				c.sim.rules.violated("hire_reused", "%s for %+v and %+v", q.Provision.Name, c.requests[q.Provision.Name], *q.Provision)
-			}
-			r.Names = got
-			break
+	case call.Deprovision != nil:
+		for _, name := range call.Deprovision {
+			cloud.deprovisioned++
+			cloud.terminate(name)
 		}
-		r.Names = c.provision(q.Provision)
-		if len(r.Names) == 0 {
-			r.Outcome = core.NoCapacity
-			break
-		}
-		c.provisioned[q.Provision.Name], c.requests[q.Provision.Name] = r.Names, *q.Provision
-	case q.Deprovision != nil:
-		for _, name := range q.Deprovision {
-			c.deprovisioned++
-			c.terminate(name)
+	}
+	return answer
+}
+
+// list returns the machines that are listed: those older than cloudListLag.
+func (cloud *cloud) list() []wire.CloudMachine {
+	var listed []wire.CloudMachine
+	for _, name := range sortedKeys(cloud.machines) {
+		machine := cloud.machines[name]
+		if age := cloud.sim.now - machine.createdAt; !machine.terminated && age > cloudListLag {
+			row := machine.CloudMachine
+			row.AgeS = age.Seconds()
+			listed = append(listed, row)
 		}
 	}
-	return r
+	return listed
 }
 
-// countBooting counts the machines that are rented and not up.
-func (c *cloud) countBooting() int {
-	k := 0
-	for _, machine := range c.machines {
+// countBooting counts the machines that have not booted yet.
+func (cloud *cloud) countBooting() int {
+	count := 0
+	for _, machine := range cloud.machines {
 		if !machine.terminated && machine.Status == wire.MachineBooting {
-			k++
+			count++
 		}
 	}
-	return k
+	return count
 }
 
-func (c *cloud) provision(h *wire.ProvisionRequest) []string {
-	have := 0
-	for _, machine := range c.machines {
-		if !machine.terminated && machine.Zone == h.Zone && machine.Spot == h.Spot {
-			have++
+// provisionOnce provisions machines and returns their names. A request whose name was used
+// already gets the machines of the first one, and has to be the same.
+func (cloud *cloud) provisionOnce(request *wire.ProvisionRequest) []string {
+	if names, known := cloud.provisioned[request.Name]; known {
+		if cloud.requests[request.Name] != *request {
+			cloud.sim.rules.violated("provision_name_reused", "%s for %+v and %+v", request.Name, cloud.requests[request.Name], *request)
 		}
+		return names
 	}
-	var out []string
-	for range h.Count {
-		if have >= c.sim.Capacity || c.outOfCapacity {
-			break
+	names := cloud.provision(request)
+	if len(names) > 0 {
+		cloud.provisioned[request.Name], cloud.requests[request.Name] = names, *request
+	}
+	return names
+}
+
+// provision creates machines as far as there is capacity and returns their names.
+func (cloud *cloud) provision(request *wire.ProvisionRequest) []string {
+	used := 0
+	for _, machine := range cloud.machines {
+		if !machine.terminated && machine.Zone == request.Zone && machine.Spot == request.Spot {
+			used++
 		}
-		have++
-		name := fmt.Sprintf("vm-%06d", c.created)
-		c.created++
-		machine := &cloudMachine{CloudMachine: wire.CloudMachine{Name: name, Addr: name + ":1", MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Status: wire.MachineBooting}, createdAt: c.sim.now}
-		c.machines[name] = machine
-		out = append(out, name)
-		boot := time.Duration(float64(c.sim.BootTime) * (0.6 + 0.9*c.sim.rng.Float64()))
-		if c.sim.now < c.slowBootUntil {
-			if c.sim.rng.Float64() < c.neverBootShare {
-				continue // it stays booting, and is paid for, until it is returned
-			}
-			boot = time.Duration(float64(boot) * c.slowBootFactor)
+	}
+	if cloud.outOfCapacity {
+		return nil
+	}
+	var names []string
+	for range min(request.Count, max(0, cloud.sim.Capacity-used)) {
+		names = append(names, cloud.create(request))
+	}
+	return names
+}
+
+// create creates a machine that boots, and returns its name.
+func (cloud *cloud) create(request *wire.ProvisionRequest) string {
+	sim := cloud.sim
+	name := fmt.Sprintf("vm-%06d", cloud.created)
+	cloud.created++
+	machine := &cloudMachine{createdAt: sim.now, CloudMachine: wire.CloudMachine{
+		Name: name, Addr: name + ":1", MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Status: wire.MachineBooting,
+	}}
+	cloud.machines[name] = machine
+	bootTime := time.Duration(float64(sim.BootTime) * (0.6 + 0.9*sim.rng.Float64()))
+	if sim.now < cloud.slowBoot.until {
+		if sim.rng.Float64() < cloud.neverBootShare {
+			return name // it goes on booting, and is paid for, until it is deprovisioned
 		}
-		c.sim.after(boot, func() {
-			if !machine.terminated {
-				machine.Status = wire.MachineRunning
-				c.sim.fleet.boot(machine)
-			}
-		})
+		bootTime = time.Duration(float64(bootTime) * cloud.slowBoot.value)
 	}
-	return out
+	sim.after(bootTime, func() {
+		if !machine.terminated {
+			machine.Status = wire.MachineRunning
+			sim.fleet.boot(machine)
+		}
+	})
+	return name
 }
 
-func (c *cloud) terminate(name string) {
-	if machine := c.machines[name]; machine != nil {
+// terminate ends a machine and its worker.
+func (cloud *cloud) terminate(name string) {
+	if machine := cloud.machines[name]; machine != nil {
 		machine.terminated = true
 	}
-	if worker := c.sim.fleet.workers[name]; worker != nil {
+	if worker := cloud.sim.fleet.workers[name]; worker != nil {
 		worker.terminated = true
 		worker.dropTasks()
 	}
--- a/internal/simulation/controller_effects.go
+++ b/internal/simulation/controller_effects.go
@@ -38,86 +38,73 @@
 	}
 }
 
-// sendGossip carries a message to a peer.
+// sendGossip delivers a message to a peer.
 func (ctrl *controller) sendGossip(x core.SendGossip) {
 	sim := ctrl.sim
-	for _, peer := range sim.controllers {
-		if peer.label != x.To || sim.network.isCut(ctrl.endpoint(), peer.endpoint()) {
-			continue
-		}
-		if sim.network.loses(sim.rng) {
-			continue
-		}
-		msg := *x.Message
-		if raw, err := wire.Encode(x.Message); err == nil {
-			sim.meter.gossipBytes += len(raw)
-		}
-		peer.deliver(sim.network.latency(), core.GossipReceived{Message: &msg})
+	peer := ctrl.reachablePeer(x.To)
+	if peer == nil || sim.network.loses(sim.rng) {
+		return
 	}
+	message := *x.Message
+	if raw, err := wire.Encode(x.Message); err == nil {
+		sim.meter.gossipBytes += len(raw)
+	}
+	peer.deliver(sim.network.latency(), core.GossipReceived{Message: &message})
 }
 
-// sendHeartbeat carries a leader's heartbeat to a peer.
+// sendHeartbeat delivers a leader's heartbeat to a peer.
 func (ctrl *controller) sendHeartbeat(x core.SendHeartbeat) {
-	sim, watch := ctrl.sim, ctrl.sim.leadership
+	watch := ctrl.sim.leadership
 	watch.standby = x.Message.Standby
 	watch.heartbeats++
-	for _, peer := range sim.controllers {
-		if peer.label != x.To || sim.network.isCut(ctrl.endpoint(), peer.endpoint()) || sim.network.loses(watch.rng) {
-			continue
-		}
-		msg := *x.Message
-		peer.deliver(time.Millisecond+time.Duration(watch.rng.IntN(6000))*time.Microsecond, core.HeartbeatReceived{Message: &msg})
+	peer := ctrl.reachablePeer(x.To)
+	if peer == nil || ctrl.sim.network.loses(watch.rng) {
+		return
 	}
+	message := *x.Message
+	peer.deliver(watch.latency(), core.HeartbeatReceived{Message: &message})
 }
 
-// sendDecisionLog carries a message of the decision log to the standby, and its answer back.
+// sendDecisionLog delivers a message of the decision log to the standby, and returns its
+// acknowledgement.
 func (ctrl *controller) sendDecisionLog(x core.SendDecisionLog) {
 	sim, watch := ctrl.sim, ctrl.sim.leadership
-	delay := func() time.Duration { return time.Millisecond + time.Duration(watch.rng.IntN(6000))*time.Microsecond }
-	lost := func(peer *controller) bool {
-		return sim.network.isCut(ctrl.endpoint(), peer.endpoint()) || sim.network.loses(watch.rng)
+	peer := ctrl.reachablePeer(x.To)
+	if peer == nil || sim.network.loses(watch.rng) {
+		return
 	}
-	for _, peer := range sim.controllers {
-		if peer.label != x.To || lost(peer) {
-			continue
+	incarnation, sender := peer.incarnation, ctrl.incarnation
+	acknowledge := func(reply core.Reply) {
+		if ctrl.incarnation == sender && ctrl.reachablePeer(x.To) != nil && !sim.network.loses(watch.rng) {
+			ctrl.deliver(watch.latency(), core.DecisionLogAcknowledged{Ack: reply.Body.(wire.DecisionLogAck)})
 		}
-		watch.logBytes += len(x.Message.Facts)
-		incarnation, sender := peer.incarnation, ctrl.incarnation
-		sim.after(delay(), func() {
-			if peer.incarnation != incarnation || !peer.running {
-				return
-			}
-			peer.lastRequestID++
-			peer.pendingReplies[peer.lastRequestID] = func(reply core.Reply) {
-				if ctrl.incarnation == sender && !lost(peer) {
-					ctrl.deliver(delay(), core.DecisionLogAcknowledged{Ack: reply.Body.(wire.DecisionLogAck)})
-				}
-			}
-			peer.step(core.DecisionLogReceived{RequestID: peer.lastRequestID, Message: x.Message})
-		})
 	}
+	sim.after(watch.latency(), func() {
+		if peer.isRunning(incarnation) {
+			peer.stepRequest(func(requestID uint64) core.Input {
+				return core.DecisionLogReceived{RequestID: requestID, Message: x.Message}
+			}, acknowledge)
+		}
+	})
 }
 
+// forward passes a user's request on to a peer. No answer is one with status 0.
 func (ctrl *controller) forward(x core.Forward) {
 	sim := ctrl.sim
-	for _, peer := range sim.controllers {
-		if peer.label != x.To {
-			continue
-		}
-		if !peer.running || sim.network.isCut(ctrl.endpoint(), peer.endpoint()) {
-			break
-		}
-		incarnation := ctrl.incarnation
-		peer.request(func(req uint64) core.Input {
-			return core.UserRequest{RequestID: req, Kind: x.Call.Kind, JobID: x.Call.Ref, Body: x.Call.Body, Forwarded: true}
-		}, func(reply core.Reply) {
-			b, err := wire.Encode(reply.Body)
-			must(err)
-			if ctrl.incarnation == incarnation {
-				ctrl.deliver(sim.network.latency(), core.ForwardAnswered{RequestID: x.RequestID, Answer: wire.UserAnswer{Status: reply.Status, Body: b}})
-			}
-		})
+	peer := ctrl.reachablePeer(x.To)
+	if peer == nil || !peer.running {
+		ctrl.deliver(time.Second, core.ForwardAnswered{RequestID: x.RequestID})
 		return
 	}
-	ctrl.deliver(time.Second, core.ForwardAnswered{RequestID: x.RequestID})
+	incarnation := ctrl.incarnation
+	peer.request(func(requestID uint64) core.Input {
+		return core.UserRequest{RequestID: requestID, Kind: x.Call.Kind, JobID: x.Call.Ref, Body: x.Call.Body, Forwarded: true}
+	}, func(reply core.Reply) {
+		body, err := wire.Encode(reply.Body)
+		must(err)
+		if ctrl.incarnation == incarnation {
+			answer := wire.UserAnswer{Status: reply.Status, Body: body}
+			ctrl.deliver(sim.network.latency(), core.ForwardAnswered{RequestID: x.RequestID, Answer: answer})
+		}
+	})
 }
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -9,149 +9,167 @@
 	"micaport/internal/wire"
 )
 
-// expect checks "JOB WHAT..." or something about the world as a whole.
-func (sim *Simulation) expect(args []string) error {
-	if what, known, err := sim.expectCondition(args[0]); known {
-		if err != nil {
-			return fmt.Errorf("want %s: %w", what, err)
+// expect checks the conditions of an "expect" line: "JOB CONDITION..." or one condition of
+// the simulation as a whole.
+//
+// The latter are NAME<=N and NAME>=N with a name of counts, deaf=0 and sick=0 for faults of
+// workers, and owner=SHARD:CONTROLLER|CONTROLLER. Conditions of a job are those of
+// jobExpectations, as NAME=N or NAME<=N, or its status as its user was last told.
+func (sim *Simulation) expect(args arguments) error {
+	condition := args.word(0)
+	if met, got, known := sim.evaluate(condition); known {
+		if !met {
+			return unmet(condition, got)
 		}
 		return nil
 	}
-	user := sim.users.byJob[args[0]]
+	user := sim.users.byJob[condition]
 	if user == nil {
-		return fmt.Errorf("no such job")
+		return errNoSuchJob
 	}
-	for _, what := range args[1:] {
-		if err := sim.expectJob(user, what); err != nil {
+	for _, condition := range args.from(1) {
+		if err := user.expect(condition); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// counts are the numbers that a script can bound with NAME<=N and NAME>=N: machines,
-// returned and waiting ones, leaders and claims of shards so far, tasks that owners have
-// admitted, shares that are distributed, overflow keys of records, starts that workers carried
-// out after the user was told that the job is cancelled (late_starts), leaders replaced
-// before their lease ended (early), the time from a failure until the slowest of these
-// decided (takeover_ms), heartbeats of leaders; and since the last "meter": refused
-// commits, looks at machines by all controllers for each report, and bytes a second
-// between controllers.
+// unmet returns the error of a condition that is not met.
+func unmet(condition string, got any) error { return fmt.Errorf("want %s, got %v", condition, got) }
+
+// counts returns the numbers that a script can bound.
 func (sim *Simulation) counts() map[string]int {
-	seconds := max(1, int((sim.now - sim.meter.since).Seconds()))
+	metered := max(1, int((sim.now - sim.meter.since).Seconds()))
 	return map[string]int{
-		"machines":         len(sim.fleet.running()),
-		"returned":         sim.cloud.deprovisioned,
-		"waiting":          sim.cloud.countBooting(),
-		"leaders":          sim.store.leaderChanges,
-		"claims":           sim.store.shardClaims,
+		"machines":    len(sim.fleet.running()),
+		"returned":    sim.cloud.deprovisioned,
+		"waiting":     sim.cloud.countBooting(),
+		"leaders":     sim.store.leaderChanges,
+		"claims":      sim.store.shardClaims,
+		"late_starts": sim.rules.lateStarts, // after the user was told that the job is cancelled
+		"more_keys":   sim.store.countOverflowKeys(),
+		"admitted":    sim.quota.admissions, // tasks, by shard owners
+		"shares":      sim.quota.countShares(),
+		"early":       sim.leadership.countEarly(), // leaders replaced before their lease expired
+		"takeover_ms": int(sim.leadership.slowestTakeover().Milliseconds()),
+		"heartbeats":  sim.leadership.heartbeats, // of leaders
+
+		// Since the last "meter":
 		"refused":          sim.meter.refusedCommits,
 		"looks_per_report": int(sim.coreWork()-sim.meter.coreWork) / max(1, sim.meter.heartbeats),
-		"bytes_per_s":      sim.meter.gossipBytes / seconds,
-		"late_starts":      sim.rules.lateStarts,
-		"more_keys":        sim.store.countOverflowKeys(),
-		"admitted":         sim.quota.admissions,
-		"shares":           sim.quota.countShares(),
-		"early":            sim.leadership.countEarly(),
-		"takeover_ms":      int(sim.leadership.slowestTakeover().Milliseconds()),
-		"heartbeats":       sim.leadership.heartbeats,
+		"bytes_per_s":      sim.meter.gossipBytes / metered,
 	}
 }
 
-// expectBound checks NAME<=N and NAME>=N. It tells whether there is such a count.
-func (sim *Simulation) expectBound(what string) (known bool, err error) {
-	name, limit, atMost := strings.Cut(what, "<=")
-	if !atMost {
-		name, limit, known = strings.Cut(what, ">=")
-		if !known {
-			return false, nil
-		}
+// evaluate evaluates a condition of the simulation as a whole. It reports whether that is
+// met, what was found, and whether there is such a condition.
+func (sim *Simulation) evaluate(condition string) (met bool, got any, known bool) {
+	if name, limit, ok := strings.Cut(condition, "<="); ok {
+		return sim.evaluateBound(name, limit, func(got, bound int) bool { return got <= bound })
 	}
-	got, known := sim.counts()[name]
-	if !known {
-		return false, nil
+	if name, limit, ok := strings.Cut(condition, ">="); ok {
+		return sim.evaluateBound(name, limit, func(got, bound int) bool { return got >= bound })
 	}
-	bound, err := strconv.Atoi(limit)
-	if err == nil && (atMost && got > bound || !atMost && got < bound) {
-		err = fmt.Errorf("got %d", got)
+	if claim, ok := strings.CutPrefix(condition, "owner="); ok {
+		shard, owners, _ := strings.Cut(claim, ":")
+		owner := sim.store.shardOwner(shard)
+		return slices.Contains(strings.Split(owners, "|"), owner), owner, true
+	}
+	switch condition {
+	case "deaf=0":
+		count := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.inboundCutUntil > sim.now })
+		return count == 0, count, true
+	case "sick=0":
+		count := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.failsTasks })
+		return count == 0, count, true
 	}
-	return true, err
+	return false, nil, false
 }
 
-// expectCondition checks counts, unhealthy=0 and unresponsive=0 machines, and
-// owner=PART:CONTROLLER|CONTROLLER.
-func (sim *Simulation) expectCondition(what string) (string, bool, error) {
-	if known, err := sim.expectBound(what); known {
-		return what, true, err
-	}
-	holds, got := false, any(nil)
-	if v, ok := strings.CutPrefix(what, "owner="); ok {
-		shard, owner, _ := strings.Cut(v, ":")
-		holds, got = slices.Contains(strings.Split(owner, "|"), sim.store.shardOwner(shard)), sim.store.shardOwner(shard)
-	} else if what == "deaf=0" {
-		deaf := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.inboundCutUntil > sim.now })
-		holds, got = deaf == 0, deaf
-	} else if what == "sick=0" {
-		sick := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.failsTasks })
-		holds, got = sick == 0, sick
-	} else {
-		return what, false, nil
+// evaluateBound evaluates a bound of one of the counts.
+func (sim *Simulation) evaluateBound(name, limit string, holds func(got, bound int) bool) (met bool, got any, known bool) {
+	count, known := sim.counts()[name]
+	if !known {
+		return false, nil, false
 	}
-	if !holds {
-		return what, true, fmt.Errorf("got %v", got)
+	bound, err := strconv.Atoi(limit)
+	if err != nil {
+		return false, err, true
 	}
-	return what, true, nil
+	return holds(count, bound), count, true
 }
 
-func (sim *Simulation) expectJob(user *simUser, what string) error {
-	count := 0
-	zones, hosts := map[string]bool{}, map[string]bool{}
-	sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
-		if task.user == user {
-			zones[worker.machine.Zone], hosts[worker.machine.Name] = true, true
-			if task.state == wire.TaskRunning {
-				count++
-			}
-		}
-	})
-	number := func(v string) int {
-		x, _ := strconv.Atoi(v)
-		return x
-	}
-	bad := func(got any) error { return fmt.Errorf("want %s, got %v", what, got) }
-	if k, v, ok := strings.Cut(what, "<="); ok {
-		if k == "starts" && sim.rules.starts[user.spec.ID] > number(v) {
-			return bad(sim.rules.starts[user.spec.ID])
-		}
-		if k == "begun" && (user.startedAt == 0 || user.startedAt > seconds(float64(number(v)))) {
-			return bad(user.startedAt)
+// jobExpectation is a condition of a job with a number. It reports whether that is met and
+// what was found.
+type jobExpectation func(user *simUser, want int) (met bool, got any)
+
+// jobExpectations are the conditions of a job with a number, with their operator.
+var jobExpectations = map[string]jobExpectation{
+	"running=": func(user *simUser, want int) (bool, any) {
+		running := user.placement().running
+		return running == want, running
+	},
+	"zones=": func(user *simUser, want int) (bool, any) {
+		zones := len(user.placement().zones)
+		return zones == want, zones
+	},
+	"hosts=": func(user *simUser, want int) (bool, any) {
+		machines := len(user.placement().machines)
+		return machines == want, machines
+	},
+	// The status code of the last answer to a submission.
+	"code=": func(user *simUser, want int) (bool, any) {
+		codes := user.submitCodes
+		return len(codes) > 0 && codes[len(codes)-1] == want, codes
+	},
+	"starts<=": func(user *simUser, want int) (bool, any) {
+		starts := user.sim.rules.starts[user.spec.ID]
+		return starts <= want, starts
+	},
+	// Seconds from the beginning of the scenario.
+	"begun<=": func(user *simUser, want int) (bool, any) {
+		return user.startedAt > 0 && user.startedAt <= seconds(float64(want)), user.startedAt
+	},
+}
+
+// expect checks a condition of the user's job.
+func (user *simUser) expect(condition string) error {
+	i := strings.Index(condition, "=") + 1
+	if i == 0 {
+		if user.lastReply.Status != condition {
+			return unmet(condition, user.lastReply.Status)
 		}
 		return nil
 	}
-	k, v, pair := strings.Cut(what, "=")
-	switch {
-	case pair && k == "running":
-		if count != number(v) {
-			return bad(count)
-		}
-	case pair && k == "zones":
-		if len(zones) != number(v) {
-			return bad(len(zones))
-		}
-	case pair && k == "hosts":
-		if len(hosts) != number(v) {
-			return bad(len(hosts))
-		}
-	case pair && k == "code":
-		if len(user.submitCodes) == 0 || user.submitCodes[len(user.submitCodes)-1] != number(v) {
-			return bad(user.submitCodes)
-		}
-	case pair:
-		return fmt.Errorf("unknown expectation")
-	default:
-		if user.lastReply.Status != what {
-			return bad(user.lastReply.Status)
-		}
+	evaluate := jobExpectations[condition[:i]]
+	if evaluate == nil {
+		return fmt.Errorf("%w %s", errUnknownExpectation, condition)
+	}
+	want, err := strconv.Atoi(condition[i:])
+	if err != nil {
+		return fmt.Errorf("bad number in %s: %w", condition, err)
+	}
+	if met, got := evaluate(user, want); !met {
+		return unmet(condition, got)
 	}
 	return nil
 }
+
+// jobPlacement is where the tasks of a job are, other than those that have exited.
+type jobPlacement struct {
+	running         int // of the tasks
+	zones, machines map[string]bool
+}
+
+// placement returns where the tasks of the user's job are.
+func (user *simUser) placement() jobPlacement {
+	placement := jobPlacement{zones: map[string]bool{}, machines: map[string]bool{}}
+	user.eachActiveTask(func(worker *simWorker, task *simTask) {
+		placement.zones[worker.machine.Zone], placement.machines[worker.machine.Name] = true, true
+		if task.state == wire.TaskRunning {
+			placement.running++
+		}
+	})
+	return placement
+}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,10 +1,6 @@
 package simulation
 
-import (
-	"time"
-
-	"micaport/internal/wire"
-)
+import "time"
 
 // workerFleet is the workers on all machines that have booted.
 type workerFleet struct {
@@ -12,76 +8,103 @@
 	workers map[string]*simWorker // by machine
 }
 
+// boot starts the worker of a machine that has booted.
 func (fleet *workerFleet) boot(machine *cloudMachine) {
-	worker := &simWorker{sim: fleet.sim, machine: machine, epoch: 1, tasks: map[string]*simTask{}, images: map[string]bool{},
-		controllerIndex: fleet.sim.rng.IntN(len(fleet.sim.controllers)), renewedAt: fleet.sim.now, clockRate: 1 - 0.0005*fleet.sim.rng.Float64()}
+	sim := fleet.sim
+	worker := &simWorker{sim: sim, machine: machine, epoch: 1, tasks: map[string]*simTask{}, images: map[string]bool{},
+		controllerIndex: sim.rng.IntN(len(sim.controllers)), renewedAt: sim.now, clockRate: 1 - maxClockDrift*sim.rng.Float64()}
 	fleet.workers[machine.Name] = worker
-	if fleet.sim.serveWorker != nil {
-		machine.Addr = fleet.sim.serveWorker(worker)
+	if sim.serveWorker != nil {
+		machine.Addr = sim.serveWorker(worker)
 	}
 	worker.sendHeartbeat()
 	worker.loop()
 }
 
+// running returns the workers whose machines run, ordered by machine.
 func (fleet *workerFleet) running() []*simWorker {
-	var up []*simWorker
+	var running []*simWorker
 	for _, name := range sortedKeys(fleet.workers) {
 		if worker := fleet.workers[name]; !worker.terminated {
-			up = append(up, worker)
+			running = append(running, worker)
 		}
 	}
-	return up
+	return running
 }
 
-// countRunning counts the machines that are up and like this.
-func (fleet *workerFleet) countRunning(like func(*simWorker) bool) int {
+// countRunning counts the running workers that match.
+func (fleet *workerFleet) countRunning(matches func(*simWorker) bool) int {
 	count := 0
 	for _, worker := range fleet.running() {
-		if like(worker) {
+		if matches(worker) {
 			count++
 		}
 	}
 	return count
 }
 
-// machineNamed finds the machine that a task is on.
-func (fleet *workerFleet) hosting(task string) *simWorker {
+// hosting returns the worker that has a task, or nil.
+func (fleet *workerFleet) hosting(taskName string) *simWorker {
 	var found *simWorker
-	fleet.sim.users.eachActiveTask(func(worker *simWorker, t *simTask) {
-		if wire.TaskName(t.jobID, t.index) == task {
+	fleet.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
+		if task.name() == taskName {
 			found = worker
 		}
 	})
 	return found
 }
 
-func (fleet *workerFleet) injectFault(verb string, worker *simWorker, d time.Duration) {
-	fleet.sim.rules.faultsLast(d)
-	switch verb {
-	case "hang":
+// atAddress returns the worker that takes commands at an address, or nil.
+func (fleet *workerFleet) atAddress(address string) *simWorker {
+	for _, worker := range fleet.workers {
+		if worker.machine.Addr == address {
+			return worker
+		}
+	}
+	return nil
+}
+
+// workerFault is a fault of a worker, by the name that scripts use.
+type workerFault string
+
+// Faults of a worker.
+const (
+	faultHang        workerFault = "hang"   // it does nothing for a while
+	faultInboundCut  workerFault = "deaf"   // its heartbeats arrive, but neither replies nor commands reach it
+	faultOutboundCut workerFault = "mute"   // it reaches no controller, while commands to its address arrive
+	faultReset       workerFault = "reset"  // it is back at once and has lost its tasks
+	faultTerminate   workerFault = "take"   // its machine is gone without notice
+	faultReclaim     workerFault = "recall" // its machine is gone after notice
+	faultFailTasks   workerFault = "sick"   // it fails every task for a while
+)
+
+// injectFault makes a worker fail for d.
+func (fleet *workerFleet) injectFault(fault workerFault, worker *simWorker, d time.Duration) {
+	sim := fleet.sim
+	sim.rules.faultsLast(d)
+	switch fault {
+	case faultHang:
 		worker.hung = true
-		fleet.sim.after(d, func() {
+		sim.after(d, func() {
 			worker.hung = false
-			worker.awaitingReply, worker.heartbeatDue = false, true
-			worker.heartbeatID++
+			worker.abandonHeartbeat()
+			worker.heartbeatDue = true
 			worker.checkLease()
 		})
-	case "deaf": // its reports arrive, but neither answers nor commands reach it
-		worker.inboundCutUntil = fleet.sim.now + d
-	case "mute": // it reaches no controller, while commands to its address arrive
-		worker.outboundCutUntil = fleet.sim.now + d
-	case "reset": // it is back at once and has lost its tasks
-		worker.dropTasks()
-		worker.epoch++
-		worker.renewedAt, worker.awaitingReply, worker.heartbeatDue = fleet.sim.now, false, true
-		worker.heartbeatID++
-	case "take":
-		fleet.sim.cloud.terminate(worker.machine.Name)
-	case "recall":
-		worker.reclaimAt, worker.heartbeatDue = fleet.sim.now+d, true
-		fleet.sim.after(d, func() { fleet.sim.cloud.terminate(worker.machine.Name) })
-	case "sick":
+	case faultInboundCut:
+		worker.inboundCutUntil = sim.now + d
+	case faultOutboundCut:
+		worker.outboundCutUntil = sim.now + d
+	case faultReset:
+		worker.beginEpoch()
+		worker.heartbeatDue = true
+	case faultTerminate:
+		sim.cloud.terminate(worker.machine.Name)
+	case faultReclaim:
+		worker.reclaimAt, worker.heartbeatDue = sim.now+d, true
+		sim.after(d, func() { sim.cloud.terminate(worker.machine.Name) })
+	case faultFailTasks:
 		worker.failsTasks = true
-		fleet.sim.after(d, func() { worker.failsTasks = false })
+		sim.after(d, func() { worker.failsTasks = false })
 	}
 }
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -1,51 +1,56 @@
 package simulation
 
-import (
-	"micaport/internal/wire"
-)
+import "micaport/internal/wire"
 
-// startGangIfComplete starts a gang once all its tasks wait with the same attempt.
+// startGangIfComplete runs all tasks of a gang once they wait with the same attempt.
 func (task *simTask) startGangIfComplete() {
-	var all []*simTask
+	var waiting []*simTask
 	for _, other := range task.user.tasks {
 		if other.attempt == task.attempt && other.state == wire.TaskWaitingForGang && !other.worker.terminated && !other.worker.hung {
-			all = append(all, other)
+			waiting = append(waiting, other)
 		}
 	}
-	if len(all) < task.user.spec.TaskCount {
+	if len(waiting) < task.user.spec.TaskCount {
 		return
 	}
-	for _, other := range all {
+	for _, other := range waiting {
 		other.worker.runTask(other)
 	}
 }
 
-// checkGang ends a gang task whose peers did not arrive or were lost for too long.
+// checkGang ends a gang task whose peers have not come, or are missing, for too long.
 func (worker *simWorker) checkGang(task *simTask) {
-	sim := worker.sim
 	if task.user == nil || task.user.spec.Shape != wire.ShapeGang {
 		return
 	}
+	now := worker.sim.now
 	switch task.state {
 	case wire.TaskWaitingForGang:
-		if sim.now-task.stateSince > sim.GangWait {
+		if now-task.stateSince > worker.sim.GangWait {
 			worker.exitTask(task, wire.CauseGangIncomplete)
 		} else {
 			task.startGangIfComplete()
 		}
 	case wire.TaskRunning:
-		peers := 0
-		task.user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
-			if other.attempt == task.attempt && !otherWorker.hung && (other.state == wire.TaskRunning || other.state == wire.TaskCheckpointing) {
-				peers++
-			}
-		})
-		if peers == task.user.spec.TaskCount || sim.users.completedTasks[wire.TaskName(task.jobID, task.index)] {
+		switch {
+		case task.countGang() == task.user.spec.TaskCount || worker.sim.users.completedTasks[task.name()]:
 			task.peerMissingSince = 0
-		} else if task.peerMissingSince == 0 {
-			task.peerMissingSince = sim.now
-		} else if sim.now-task.peerMissingSince > sim.GangPeerTimeout {
+		case task.peerMissingSince == 0:
+			task.peerMissingSince = now
+		case now-task.peerMissingSince > worker.sim.GangPeerTimeout:
 			worker.exitTask(task, wire.CausePeerLost)
 		}
 	}
 }
+
+// countGang counts the tasks of a gang that run with the attempt of this one, itself
+// included.
+func (task *simTask) countGang() int {
+	count := 0
+	task.user.eachActiveTask(func(worker *simWorker, other *simTask) {
+		if other.attempt == task.attempt && !worker.hung && (other.state == wire.TaskRunning || other.state == wire.TaskCheckpointing) {
+			count++
+		}
+	})
+	return count
+}
--- a/internal/simulation/leadership.go
+++ b/internal/simulation/leadership.go
@@ -10,111 +10,142 @@
 	"micaport/internal/wire"
 )
 
+// staleLeaderAfter is how long a replaced leader may go on calling the cloud.
+const staleLeaderAfter = 6 * time.Second
+
 // leadershipWatch follows who leads, and checks what must hold between a replaced leader
-// and the next: every decision under the leader key is its holder's, and once a leader
-// has called the cloud none before it does.
+// and the next: every decision on condition of the leader's key is by its holder, and once
+// a leader has called the cloud none before it does.
 type leadershipWatch struct {
 	sim               *Simulation
-	rng               *rand.Rand // of heartbeats alone, so that other traffic is as without them
+	rng               *rand.Rand // for messages between leader and peers; see heartbeatStream
 	tenures           []leaderTenure
-	lastCloudTenure   int           // the latest tenure under which the cloud was called
-	failedAt          time.Duration // when the present leader was ended or stopped; 0: it was not
-	crashNextClaimant time.Duration // for how long the next to claim ends at once; 0: it does not
+	lastCloudTenure   int           // index of the latest tenure under which the cloud was called; -1: none
+	failedAt          time.Duration // when the present leader ended or froze; 0: it did not
+	crashNextClaimant time.Duration // for how long the next controller to claim the leadership ends; 0: it does not
 	standby           string        // that the last heartbeat named
-	heartbeats        int
-	logBytes          int           // of facts that leaders have sent their standbys
-	failedClaims      int           // claims that failed as another had been carried out
-	disconnectDelay   time.Duration // how long the end of a connection takes to be seen
+	heartbeats        int           // of leaders
+	failedClaims      int           // claims that failed since another had been carried out
+	disconnectDelay   time.Duration // until peers see that a connection has ended
 }
 
-// leaderTenure is the time under one claim.
+// leaderTenure is the time under one claim of the leadership.
 type leaderTenure struct {
 	controller string
-	term       uint64
-	early      bool // it replaced a live record of another controller
-	claimedAt  time.Duration
-	decidedAt  time.Duration // the first commit that changes a job's record; 0: none
-	failedAt   time.Duration // when the leader before was ended or stopped; 0: it was not
+	early      bool          // it replaced a live record of another controller
+	decidedAt  time.Duration // when the first commit changed a job's record; 0: none did
+	failedAt   time.Duration // when the leader before ended or froze; 0: it did not
 }
 
+// newLeadershipWatch returns a watch that has seen no leader.
 func newLeadershipWatch(sim *Simulation) *leadershipWatch {
-	return &leadershipWatch{sim: sim, rng: rand.New(rand.NewPCG(sim.Seed, 11)), lastCloudTenure: -1, disconnectDelay: 2 * time.Millisecond}
+	return &leadershipWatch{
+		sim: sim, rng: rand.New(rand.NewPCG(sim.Seed, heartbeatStream)),
+		lastCloudTenure: -1, disconnectDelay: 2 * time.Millisecond,
+	}
 }
 
-// recordClaim notes a claim that is about to be carried out. It tells whether a process begins
-// to lead with it; one that leads already may claim anew to be fenced.
-func (watch *leadershipWatch) recordClaim(claim *wire.Leader, term uint64) bool {
-	holder := watch.sim.store.leader()
+// latency draws the time that a message between leader and peers takes.
+func (watch *leadershipWatch) latency() time.Duration {
+	return time.Millisecond + time.Duration(watch.rng.IntN(6000))*time.Microsecond
+}
+
+// current returns the tenure of the present leader, or nil if none has led.
+func (watch *leadershipWatch) current() *leaderTenure {
+	if len(watch.tenures) == 0 {
+		return nil
+	}
+	return &watch.tenures[len(watch.tenures)-1]
+}
+
+// recordClaim records a claim that is about to be carried out. It reports whether a process
+// begins to lead with it; one that leads already may claim anew to be fenced.
+func (watch *leadershipWatch) recordClaim(claim *wire.Leader) bool {
+	sim, holder := watch.sim, watch.sim.store.leader()
 	if holder != nil && *holder == (wire.Leader{Controller: claim.Controller, Incarnation: claim.Incarnation, Streak: holder.Streak}) {
-		watch.tenures[len(watch.tenures)-1].term = term
 		return false
 	}
 	early := holder != nil && holder.Controller != claim.Controller
 	if early && (!holder.Fenced || claim.Streak == 0) {
-		watch.sim.rules.violated("unfenced_takeover", "%s replaces %+v", claim.Controller, holder)
+		sim.rules.violated("unfenced_takeover", "%s replaces %+v", claim.Controller, holder)
 	}
-	if watch.crashNextClaimant > 0 {
-		away, ix := watch.crashNextClaimant, slices.IndexFunc(watch.sim.controllers, func(ctrl *controller) bool { return ctrl.label == claim.Controller })
+	if away := watch.crashNextClaimant; away > 0 {
 		watch.crashNextClaimant = 0
-		watch.sim.after(0, func() { watch.sim.crash(ix, away) })
+		claimant := sim.controllers[sim.labelled(claim.Controller)]
+		sim.after(0, func() { claimant.crash(away) })
 	}
-	watch.tenures = append(watch.tenures, leaderTenure{controller: claim.Controller, term: term, early: early, claimedAt: watch.sim.now, failedAt: watch.failedAt})
+	watch.tenures = append(watch.tenures, leaderTenure{controller: claim.Controller, early: early, failedAt: watch.failedAt})
 	watch.failedAt = 0
 	return true
 }
 
-// recordFailure notes that the leader is ended or stopped now.
-func (watch *leadershipWatch) recordFailure(ix int) {
-	if len(watch.tenures) > 0 && watch.tenures[len(watch.tenures)-1].controller == watch.sim.controllers[ix].label && watch.failedAt == 0 {
+// recordFailure records that a controller ends or freezes now.
+func (watch *leadershipWatch) recordFailure(ctrl *controller) {
+	if tenure := watch.current(); tenure != nil && tenure.controller == ctrl.label && watch.failedAt == 0 {
 		watch.failedAt = watch.sim.now
 	}
 }
 
-// slowestTakeover is the longest time from the failure of a leader until the next one's first
-// decision, of those that were replaced early.
+// recordConflict records a transaction that failed on its conditions.
+func (watch *leadershipWatch) recordConflict(writes []recordWrite) {
+	if slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey && write.raw != nil }) {
+		watch.failedClaims++
+	}
+}
+
+// slowestTakeover returns the longest time from the failure of a leader until the first
+// decision of the next, of those that were replaced early.
 func (watch *leadershipWatch) slowestTakeover() time.Duration {
-	most := time.Duration(0)
-	for i := range watch.tenures {
-		if tenure := &watch.tenures[i]; tenure.early && tenure.failedAt > 0 && tenure.decidedAt > 0 {
-			most = max(most, tenure.decidedAt-tenure.failedAt)
+	slowest := time.Duration(0)
+	for _, tenure := range watch.tenures {
+		if tenure.early && tenure.failedAt > 0 && tenure.decidedAt > 0 {
+			slowest = max(slowest, tenure.decidedAt-tenure.failedAt)
 		}
 	}
-	return most
+	return slowest
 }
 
-// checkCommit checks a transaction that has been carried out.
+// countEarly counts the takeovers that did not wait for the lease to expire.
+func (watch *leadershipWatch) countEarly() int {
+	count := 0
+	for _, tenure := range watch.tenures {
+		if tenure.early {
+			count++
+		}
+	}
+	return count
+}
+
+// checkCommit checks a transaction that has been carried out: if it is a leader's decision,
+// the controller leads.
 func (watch *leadershipWatch) checkCommit(ctrl *controller, conditions []core.Condition, writes []recordWrite) {
-	if len(watch.tenures) == 0 || !slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 }) ||
-		slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey }) {
+	tenure := watch.current()
+	underClaim := slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 })
+	isClaim := slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey })
+	if tenure == nil || !underClaim || isClaim {
 		return
 	}
-	now := &watch.tenures[len(watch.tenures)-1]
-	if now.controller != ctrl.label {
-		watch.sim.rules.violated("foreign_decision", "%s decides under the claim of %s", ctrl.label, now.controller)
+	if tenure.controller != ctrl.label {
+		watch.sim.rules.violated("foreign_decision", "%s decides under the claim of %s", ctrl.label, tenure.controller)
 	}
-	if now.decidedAt == 0 && slices.ContainsFunc(writes, func(write recordWrite) bool { return strings.HasPrefix(write.key, wire.JobPrefix) }) {
-		now.decidedAt = watch.sim.now
-	}
-}
-
-// recordConflict notes a transaction that failed on its conditions.
-func (watch *leadershipWatch) recordConflict(writes []recordWrite) {
-	if slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey && write.raw != nil }) {
-		watch.failedClaims++
+	changesJob := slices.ContainsFunc(writes, func(write recordWrite) bool { return strings.HasPrefix(write.key, wire.JobPrefix) })
+	if tenure.decidedAt == 0 && changesJob {
+		tenure.decidedAt = watch.sim.now
 	}
 }
 
-// checkCloudCall checks that a controller may provision or deprovision with a call.
+// checkCloudCall checks that a controller may provision or deprovision machines: it was not
+// replaced long ago, and no later leader has called the cloud.
 func (watch *leadershipWatch) checkCloudCall(ctrl *controller, call core.CallCloud) {
 	if call.Provision == nil && call.Deprovision == nil {
 		return
 	}
 	if watch.isStale(ctrl) {
-		watch.sim.rules.violated("stale_leader", "%s deals with the cloud", ctrl.label)
+		watch.sim.rules.violated("stale_leader", "%s calls the cloud", ctrl.label)
 	}
 	latest := -1
-	for i := range watch.tenures {
-		if watch.tenures[i].controller == ctrl.label {
+	for i, tenure := range watch.tenures {
+		if tenure.controller == ctrl.label {
 			latest = i
 		}
 	}
@@ -124,20 +155,9 @@
 	watch.lastCloudTenure = max(watch.lastCloudTenure, latest)
 }
 
-// isStale tells whether a controller distributes with the cloud long after
-// another has taken the lead: it would return machines that are in use.
+// isStale reports whether another controller has led for longer than staleLeaderAfter. A
+// stale leader would deprovision machines that are in use.
 func (watch *leadershipWatch) isStale(ctrl *controller) bool {
-	record := watch.sim.store.records[wire.LeaderKey]
-	return record != nil && mustDecodeRecord(wire.LeaderKey, record.raw).(*wire.Leader).Controller != ctrl.label && watch.sim.now-watch.sim.store.leaderSince > 6*time.Second
-}
-
-// countEarly counts the takeovers that did not wait for the lease.
-func (watch *leadershipWatch) countEarly() int {
-	count := 0
-	for i := range watch.tenures {
-		if watch.tenures[i].early {
-			count++
-		}
-	}
-	return count
+	leader := watch.sim.store.leader()
+	return leader != nil && leader.Controller != ctrl.label && watch.sim.now-watch.sim.store.leaderSince > staleLeaderAfter
 }
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -1,61 +1,82 @@
 package simulation
 
 import (
+	"context"
+	"fmt"
 	"net"
 	"net/http"
-	"sync"
 	"syscall"
 	"time"
 )
 
-// Loopback runs real controllers: processes of the built program, which reach the models
-// of this package over the protocols on 127.0.0.1, through a proxy on every link. The
-// models, and the rules that they check, are those of the simulated world; its clock runs
-// in step with the real one, and all of it is played by one goroutine.
+// Loopback runs real controllers: processes of the built program that reach the models of
+// this package over their protocols on 127.0.0.1, through a proxy on every link. Models and
+// rules are those of Simulation, whose clock follows the real one. All of it runs on the
+// goroutine that calls NewLoopback, Play and Close; others hand functions to it with post.
 type Loopback struct {
 	*Simulation
-	dir       string
-	binary    string
-	startedAt time.Time
-	injected  chan func()
-	client    *http.Client
-
-	operatorFile string // operators' settings, or ""
-	processes    []*process
+	dir          string // of the processes' settings and logs
+	binary       string
+	operatorFile string // the operators' settings, or ""
+	startedAt    time.Time
+	client       *http.Client
+	processes    []*process // by controller
 	servers      []*http.Server
-	mu           sync.Mutex
-	closed       bool
+
+	posted chan func()
+	ctx    context.Context // done when Close is called
+	cancel context.CancelFunc
 }
 
-// NewLoopback starts the services and the controllers. Binary is the built program, dir
-// a directory for its settings and logs, and operator the operators' settings.
-func NewLoopback(s Settings, binary, dir, operator string, trace func(string, ...any)) (*Loopback, error) {
+// Limits of a Loopback.
+const (
+	postedCapacity   = 1024
+	connectionsAhead = 4096            // idle connections that workers and users keep to a controller
+	requestLimit     = 6 * time.Second // how long a worker or user waits for an answer
+	postLimit        = 5 * time.Second // how long a service waits for the simulation
+)
+
+// NewLoopback starts the services and the controllers. Binary is the built program, dir a
+// directory for its settings and logs, and operatorFile the operators' settings or "". Who
+// calls it has to call Close, unless it fails.
+func NewLoopback(settings Settings, binary, dir, operatorFile string, logf func(format string, args ...any)) (*Loopback, error) {
+	ctx, cancel := context.WithCancel(context.Background())
 	loopback := &Loopback{
-		dir: dir, binary: binary, operatorFile: operator, startedAt: time.Now(), injected: make(chan func(), 1024),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}, Timeout: 6 * time.Second},
+		dir: dir, binary: binary, operatorFile: operatorFile, startedAt: time.Now(),
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connectionsAhead}, Timeout: requestLimit},
+		posted: make(chan func(), postedCapacity), ctx: ctx, cancel: cancel,
+	}
+	settings.startController = loopback.startProcess
+	settings.sendRequest = loopback.sendRequest
+	settings.serveWorker = loopback.serveWorker
+	loopback.Simulation = newSimulation(settings, logf)
+	if err := loopback.connectAll(); err != nil {
+		loopback.Close()
+		return nil, err
 	}
-	s.startController = loopback.startProcess
-	s.sendRequest = loopback.sendRequest
-	s.serveWorker = loopback.serveWorker
-	loopback.processes = make([]*process, len(s.ControllerZones))
-	for i := range loopback.processes {
-		proc, err := reserveAddresses(s.Seed, i)
+	loopback.start()
+	return loopback, nil
+}
+
+// connectAll prepares the processes of all controllers.
+func (loopback *Loopback) connectAll() error {
+	for _, ctrl := range loopback.controllers {
+		proc, err := reserveAddresses(loopback.Seed, ctrl.index)
 		if err != nil {
-			return nil, err
+			return fmt.Errorf("addresses of %s: %w", ctrl.label, err)
 		}
-		loopback.processes[i] = proc
+		loopback.processes = append(loopback.processes, proc)
 	}
-	loopback.Simulation = newSimulation(s, trace)
-	for i := range loopback.processes {
-		if err := loopback.connect(i); err != nil {
-			return nil, err
+	for _, ctrl := range loopback.controllers {
+		if err := loopback.connect(ctrl); err != nil {
+			return fmt.Errorf("links of %s: %w", ctrl.label, err)
 		}
 	}
-	loopback.Simulation.start()
-	return loopback, nil
+	return nil
 }
 
-// Play runs the world in step with the clock until a time, or until a rule is broken.
+// Play runs the simulation in step with the real clock until the given time, or until a
+// rule is violated.
 func (loopback *Loopback) Play(until time.Duration) {
 	for len(loopback.rules.violations) == 0 {
 		now := time.Since(loopback.startedAt)
@@ -71,69 +92,56 @@
 			continue
 		}
 		select {
-		case f := <-loopback.injected:
+		case run := <-loopback.posted:
 			loopback.now = max(loopback.now, time.Since(loopback.startedAt))
-			f()
+			run()
 		case <-time.After(next - now):
 		}
 	}
 }
 
-// post has the world's goroutine run a function.
-func (loopback *Loopback) post(f func()) {
-	loopback.mu.Lock()
-	closed := loopback.closed
-	loopback.mu.Unlock()
-	if !closed {
-		loopback.injected <- f
+// post makes the simulation's goroutine run a function, unless Close is called before.
+func (loopback *Loopback) post(run func()) {
+	select {
+	case <-loopback.ctx.Done():
+	case loopback.posted <- run:
 	}
 }
 
-// postAndWait is do, and waits for it.
-func (loopback *Loopback) postAndWait(f func()) {
-	done := make(chan struct{})
-	loopback.post(func() { f(); close(done) })
+// postAndWait makes the simulation's goroutine run a function and returns its result. It
+// reports false if that takes longer than postLimit.
+func postAndWait[T any](loopback *Loopback, run func() T) (result T, ok bool) {
+	results := make(chan T, 1)
+	loopback.post(func() { results <- run() })
 	select {
-	case <-done:
-	case <-time.After(5 * time.Second):
+	case result = <-results:
+		return result, true
+	case <-time.After(postLimit):
+		return result, false
 	}
 }
 
-// Close ends all controllers and servers.
+// Close ends all processes, links and servers.
 func (loopback *Loopback) Close() {
-	loopback.mu.Lock()
-	loopback.closed = true
-	loopback.mu.Unlock()
+	loopback.cancel()
 	for i, proc := range loopback.processes {
-		loopback.signal(i, syscall.SIGKILL)
-		for _, link := range proc.peerProxies {
-			link.listener.Close()
-		}
-		for _, link := range []*proxy{proc.frontProxy, proc.stateProxy, proc.cloudProxy} {
-			link.listener.Close()
-		}
-		proc.logFile.Close()
-	}
-	for _, s := range loopback.servers {
-		s.Close()
+		loopback.signal(loopback.controllers[i], syscall.SIGKILL)
+		proc.close()
 	}
-	for {
-		select {
-		case <-loopback.injected: // those who wait give up by themselves
-		default:
-			return
-		}
+	for _, server := range loopback.servers {
+		server.Close()
 	}
+	loopback.client.CloseIdleConnections()
 }
 
-// serve starts a server on a port of its own and gives its address.
-func (loopback *Loopback) serve(h http.Handler) string {
+// serve starts a server at an address of its own, until Close, and returns the address.
+func (loopback *Loopback) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	must(err)
-	s := &http.Server{Handler: h}
-	loopback.mu.Lock()
-	loopback.servers = append(loopback.servers, s)
-	loopback.mu.Unlock()
-	go func() { _ = s.Serve(listener) }()
-	return listener.Addr().String()
+	if err != nil {
+		return "", err
+	}
+	server := &http.Server{Handler: handler}
+	loopback.servers = append(loopback.servers, server)
+	go func() { _ = server.Serve(listener) }() // until Close
+	return listener.Addr().String(), nil
 }
--- a/internal/simulation/loopback_cloud.go
+++ b/internal/simulation/loopback_cloud.go
@@ -7,44 +7,49 @@
 	"micaport/internal/wire"
 )
 
-// cloudHandler serves the cloud to one controller.
+// cloudHandler serves the cloud's protocol to a controller.
 func (loopback *Loopback) cloudHandler(ctrl *controller) http.Handler {
 	mux := http.NewServeMux()
-	call := func(w http.ResponseWriter, q core.CallCloud) {
-		var r core.CloudAnswered
-		loopback.postAndWait(func() {
-			loopback.leadership.checkCloudCall(ctrl, q)
-			r = core.CloudAnswered{Outcome: core.Refused}
-			if !loopback.cloud.outage {
-				r = loopback.cloud.call(q)
-			}
-		})
-		switch {
-		case r.Outcome == core.NoCapacity:
-			writeReply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
-		case r.Outcome != core.OK:
-			writeReply(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
-		case q.ListTypes:
-			writeReply(w, http.StatusOK, wire.MachineTypeList{MachineTypes: r.MachineTypes})
-		case q.ListMachines:
-			writeReply(w, http.StatusOK, wire.MachineList{Machines: r.Machines})
-		default:
-			writeReply(w, http.StatusOK, wire.MachineNames{Names: r.Names})
+	answer := func(w http.ResponseWriter, call core.CallCloud) {
+		reply, ok := postAndWait(loopback, func() serviceReply { return loopback.callCloud(ctrl, call) })
+		if !ok {
+			reply = unavailable
 		}
+		reply.write(w)
 	}
-	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) { call(w, core.CallCloud{ListTypes: true}) })
-	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) { call(w, core.CallCloud{ListMachines: true}) })
-	mux.HandleFunc("POST /hosts", func(w http.ResponseWriter, q *http.Request) {
-		var hire wire.ProvisionRequest
-		if readRequest(w, q, &hire) {
-			call(w, core.CallCloud{Provision: &hire})
+	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) { answer(w, core.CallCloud{ListTypes: true}) })
+	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) { answer(w, core.CallCloud{ListMachines: true}) })
+	mux.HandleFunc("POST /hosts", func(w http.ResponseWriter, request *http.Request) {
+		var provision wire.ProvisionRequest
+		if readRequest(w, request, &provision) {
+			answer(w, core.CallCloud{Provision: &provision})
 		}
 	})
-	mux.HandleFunc("POST /hosts/return", func(w http.ResponseWriter, q *http.Request) {
-		var names wire.MachineNames
-		if readRequest(w, q, &names) {
-			call(w, core.CallCloud{Deprovision: names.Names})
+	mux.HandleFunc("POST /hosts/return", func(w http.ResponseWriter, request *http.Request) {
+		var machines wire.MachineNames
+		if readRequest(w, request, &machines) {
+			answer(w, core.CallCloud{Deprovision: machines.Names})
 		}
 	})
 	return mux
 }
+
+// callCloud carries out a controller's call.
+func (loopback *Loopback) callCloud(ctrl *controller, call core.CallCloud) serviceReply {
+	loopback.leadership.checkCloudCall(ctrl, call)
+	if loopback.cloud.outage {
+		return unavailable
+	}
+	answer := loopback.cloud.call(call)
+	switch {
+	case answer.Outcome == core.NoCapacity:
+		return serviceReply{http.StatusServiceUnavailable, wire.Error{Error: "no capacity"}}
+	case answer.Outcome != core.OK:
+		return unavailable
+	case call.ListTypes:
+		return serviceReply{http.StatusOK, wire.MachineTypeList{MachineTypes: answer.MachineTypes}}
+	case call.ListMachines:
+		return serviceReply{http.StatusOK, wire.MachineList{Machines: answer.Machines}}
+	}
+	return serviceReply{http.StatusOK, wire.MachineNames{Names: answer.Names}}
+}
--- /dev/null
+++ b/internal/simulation/loopback_faults.go
@@ -0,0 +1,61 @@
+package simulation
+
+import (
+	"syscall"
+	"time"
+)
+
+// Kill ends a controller's process with SIGKILL and starts it again after d.
+func (loopback *Loopback) Kill(ctrl *controller, d time.Duration) {
+	if !ctrl.running {
+		return
+	}
+	ctrl.crash(d)
+	loopback.signal(ctrl, syscall.SIGKILL)
+}
+
+// Stop stops a controller's process with SIGSTOP and continues it after d.
+func (loopback *Loopback) Stop(ctrl *controller, d time.Duration) {
+	if !ctrl.beginFailure(d) {
+		return
+	}
+	incarnation := ctrl.incarnation
+	loopback.signal(ctrl, syscall.SIGSTOP)
+	loopback.after(d, func() {
+		if ctrl.isRunning(incarnation) {
+			loopback.signal(ctrl, syscall.SIGCONT)
+		}
+	})
+}
+
+// Isolate cuts a controller for d from the state service, or else from its peers. Each
+// direction has a state of its own.
+func (loopback *Loopback) Isolate(ctrl *controller, fromState bool, forward, backward linkState, d time.Duration) {
+	loopback.rules.faultsLast(d)
+	proc := loopback.processes[ctrl.index]
+	var links []*proxy
+	if fromState {
+		links = append(links, proc.stateProxy)
+	} else {
+		for i, peer := range loopback.processes {
+			if i != ctrl.index {
+				links = append(links, proc.peerProxies[i], peer.peerProxies[ctrl.index])
+			}
+		}
+	}
+	for _, link := range links {
+		link.set(forward, backward)
+	}
+	loopback.after(d, func() {
+		for _, link := range links {
+			link.set(linkUp, linkUp)
+		}
+	})
+}
+
+// signal sends a signal to a controller's process, if it was started.
+func (loopback *Loopback) signal(ctrl *controller, signal syscall.Signal) {
+	if command := loopback.processes[ctrl.index].command; command != nil && command.Process != nil {
+		_ = command.Process.Signal(signal) // it may have ended
+	}
+}
--- a/internal/simulation/loopback_http.go
+++ b/internal/simulation/loopback_http.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"io"
 	"net/http"
 	"time"
@@ -10,42 +11,65 @@
 	"micaport/internal/wire"
 )
 
-// sendRequest carries a worker's or user's request to a controller; no answer is status 0.
-func (loopback *Loopback) sendRequest(ctrl *controller, in core.Input, reply func(core.Reply)) {
-	var req *http.Request
-	base := "http://" + loopback.processes[ctrl.index].frontProxy.address()
+// workerAnswerLimit is how long a worker's server waits until commands are carried out.
+const workerAnswerLimit = 4 * time.Second
+
+// sendRequest sends a worker's or user's request to a controller. No answer is a reply with
+// status 0.
+func (loopback *Loopback) sendRequest(ctrl *controller, in core.Input, receive func(core.Reply)) {
+	request, err := loopback.newRequest(loopback.processes[ctrl.index].frontProxy.address(), in)
+	must(err)
+	go func() { // until the client's timeout, or Close
+		reply := loopback.exchange(request, in)
+		loopback.post(func() { receive(reply) })
+	}()
+}
+
+// newRequest returns the HTTP request for an input of a controller at an address.
+func (loopback *Loopback) newRequest(address string, in core.Input) (*http.Request, error) {
+	method, path, body := http.MethodPost, "", []byte(nil)
 	switch x := in.(type) {
 	case core.WorkerReported:
 		raw, err := wire.Encode(x.Heartbeat)
-		must(err)
-		req, _ = http.NewRequest(http.MethodPost, base+"/v1/report", bytes.NewReader(raw))
+		if err != nil {
+			return nil, err
+		}
+		path, body = "/v1/report", raw
 	case core.UserRequest:
 		switch x.Kind {
 		case wire.RequestSubmit:
-			req, _ = http.NewRequest(http.MethodPost, base+"/api/jobs", bytes.NewReader(x.Body))
+			path, body = "/api/jobs", x.Body
 		case wire.RequestStatus:
-			req, _ = http.NewRequest(http.MethodGet, base+"/api/jobs/"+x.JobID, nil)
+			method, path = http.MethodGet, "/api/jobs/"+x.JobID
 		case wire.RequestCancel:
-			req, _ = http.NewRequest(http.MethodPost, base+"/api/jobs/"+x.JobID+"/withdraw", nil)
+			path = "/api/jobs/" + x.JobID + "/withdraw"
 		}
 	}
-	go func() {
-		r := core.Reply{}
-		if resp, err := loopback.client.Do(req); err == nil {
-			body, err := io.ReadAll(resp.Body)
-			resp.Body.Close()
-			if err == nil {
-				r = decodeReply(in, resp.StatusCode, body)
-			}
-		}
-		loopback.post(func() { reply(r) })
-	}()
+	if path == "" {
+		return nil, fmt.Errorf("no path for %T", in)
+	}
+	return http.NewRequestWithContext(loopback.ctx, method, "http://"+address+path, bytes.NewReader(body))
+}
+
+// exchange sends a request and returns the reply, or one with status 0.
+func (loopback *Loopback) exchange(request *http.Request, in core.Input) core.Reply {
+	response, err := loopback.client.Do(request)
+	if err != nil {
+		return core.Reply{}
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		return core.Reply{}
+	}
+	return decodeReply(in, response.StatusCode, body)
 }
 
-// decodeReply reads an answer as the models expect it.
+// decodeReply returns a reply as the models expect it: replies to heartbeats are decoded. A
+// malformed one is as none.
 func decodeReply(in core.Input, status int, body []byte) core.Reply {
 	reply := core.Reply{Status: status, Body: body}
-	if _, report := in.(core.WorkerReported); !report {
+	if _, heartbeat := in.(core.WorkerReported); !heartbeat {
 		return reply
 	}
 	var err error
@@ -65,25 +89,27 @@
 	return reply
 }
 
-// serveWorker gives a worker an address of its own, at which it takes orders.
+// serveWorker serves a worker's address for commands and returns it.
 func (loopback *Loopback) serveWorker(worker *simWorker) string {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, q *http.Request) {
-		body, err := io.ReadAll(q.Body)
-		var orders wire.CommandBatch
-		if err != nil || wire.Decode(body, &orders) != nil {
+	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, request *http.Request) {
+		var batch wire.CommandBatch
+		body, err := io.ReadAll(request.Body)
+		if err != nil || wire.Decode(body, &batch) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		result := make(chan core.Outcome, 1)
-		loopback.post(func() { worker.acceptCommands(orders, nil, func(outcome core.Outcome) { result <- outcome }) })
+		outcomes := make(chan core.Outcome, 1)
+		loopback.post(func() { worker.acceptCommands(batch, nil, func(outcome core.Outcome) { outcomes <- outcome }) })
 		select {
-		case outcome := <-result:
+		case outcome := <-outcomes:
 			if outcome != core.OK {
 				w.WriteHeader(http.StatusConflict)
 			}
-		case <-time.After(4 * time.Second):
+		case <-time.After(workerAnswerLimit):
 		}
 	})
-	return loopback.serve(mux)
+	address, err := loopback.serve(mux)
+	must(err)
+	return address
 }
--- a/internal/simulation/loopback_process.go
+++ b/internal/simulation/loopback_process.go
@@ -7,66 +7,69 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"syscall"
-	"time"
+	"strings"
 
 	"micaport/internal/config"
 )
 
-// process is a controller's program with its addresses.
+// process is a controller's process with its addresses and links.
 type process struct {
-	command                    *exec.Cmd
-	settingsPath               string
-	publicAddress, peerAddress string
-	frontProxy                 *proxy // workers and users to the controller
-	stateProxy, cloudProxy     *proxy
-	peerProxies                map[int]*proxy
-	logFile                    *os.File
+	command       *exec.Cmd // nil: it was not started yet
+	settingsPath  string
+	logFile       *os.File
+	publicAddress string
+	peerAddress   string
+	frontProxy    *proxy // from workers and users to the controller
+	stateProxy    *proxy
+	cloudProxy    *proxy
+	peerProxies   map[int]*proxy // to other controllers, by index
 }
 
-// reserveAddresses finds two addresses for a controller. They are at a loopback address of its
-// own: everything else listens at 127.0.0.1 and can't take a port while the controller is
-// away. Sites with other seeds that are played at the same time have others.
-func reserveAddresses(seed uint64, i int) (*process, error) {
+// reserveAddresses finds two free addresses for a controller. They are at a loopback address
+// of its own: everything else listens at 127.0.0.1 and can't take a port while the
+// controller is away. Simulations with other seeds use other loopback addresses.
+func reserveAddresses(seed uint64, index int) (*process, error) {
 	proc := &process{peerProxies: map[int]*proxy{}}
-	var held []net.Listener
-	for _, into := range []*string{&proc.publicAddress, &proc.peerAddress} {
-		free, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 1+seed%250, i+1))
+	for _, address := range []*string{&proc.publicAddress, &proc.peerAddress} {
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 1+seed%250, index+1))
 		if err != nil {
 			return nil, err
 		}
-		*into = free.Addr().String()
-		held = append(held, free)
-	}
-	for _, free := range held {
-		free.Close()
+		defer listener.Close() // both are held until both are found
+		*address = listener.Addr().String()
 	}
 	return proc, nil
 }
 
-// connect makes the proxies of a controller and writes its settings.
-func (loopback *Loopback) connect(i int) error {
-	proc, ctrl := loopback.processes[i], loopback.controllers[i]
-	var err error
-	make := func(target string) *proxy {
-		var made *proxy
-		if err == nil {
-			made, err = newProxy(target)
-		}
-		return made
-	}
-	proc.frontProxy = make(proc.publicAddress)
-	proc.stateProxy = make(loopback.serve(loopback.stateHandler(ctrl)))
-	proc.cloudProxy = make(loopback.serve(loopback.cloudHandler(ctrl)))
-	for k := range loopback.processes {
-		if k != i {
-			proc.peerProxies[k] = make(loopback.processes[k].peerAddress)
-		}
+// connect makes the links of a controller and writes its settings.
+func (loopback *Loopback) connect(ctrl *controller) error {
+	proc := loopback.processes[ctrl.index]
+	state, err := loopback.serve(loopback.stateHandler(ctrl))
+	if err != nil {
+		return err
 	}
+	cloud, err := loopback.serve(loopback.cloudHandler(ctrl))
 	if err != nil {
 		return err
 	}
-	raw, err := json.Marshal(loopback.settings(i))
+	if proc.frontProxy, err = newProxy(proc.publicAddress); err != nil {
+		return err
+	}
+	if proc.stateProxy, err = newProxy(state); err != nil {
+		return err
+	}
+	if proc.cloudProxy, err = newProxy(cloud); err != nil {
+		return err
+	}
+	for i, peer := range loopback.processes {
+		if i == ctrl.index {
+			continue
+		}
+		if proc.peerProxies[i], err = newProxy(peer.peerAddress); err != nil {
+			return err
+		}
+	}
+	raw, err := json.Marshal(loopback.settings(ctrl))
 	if err != nil {
 		return err
 	}
@@ -77,14 +80,30 @@
 	return os.WriteFile(proc.settingsPath, raw, 0o600)
 }
 
-// settings are those of the platform for a controller.
-func (loopback *Loopback) settings(i int) *config.Settings {
-	proc, ctrl, sim := loopback.processes[i], loopback.controllers[i], loopback.Simulation
+// close closes the links and the log of a process.
+func (proc *process) close() {
+	links := []*proxy{proc.frontProxy, proc.stateProxy, proc.cloudProxy}
+	for _, link := range proc.peerProxies {
+		links = append(links, link)
+	}
+	for _, link := range links {
+		if link != nil {
+			link.close()
+		}
+	}
+	if proc.logFile != nil {
+		proc.logFile.Close()
+	}
+}
+
+// settings returns the platform's settings for a controller.
+func (loopback *Loopback) settings(ctrl *controller) *config.Settings {
+	proc, sim := loopback.processes[ctrl.index], loopback.Simulation
 	s := &config.Settings{Label: ctrl.label, Zone: ctrl.zone, Bind: proc.publicAddress, ClusterBind: proc.peerAddress}
 	s.External.State, s.External.Cloud = proc.stateProxy.address(), proc.cloudProxy.address()
-	for k, other := range sim.controllers {
-		if k != i {
-			s.Peers = append(s.Peers, config.Peer{Label: other.label, Zone: other.zone, Address: proc.peerProxies[k].address()})
+	for i, peer := range sim.controllers {
+		if i != ctrl.index {
+			s.Peers = append(s.Peers, config.Peer{Label: peer.label, Zone: peer.zone, Address: proc.peerProxies[i].address()})
 		}
 	}
 	d := &s.Deployment
@@ -107,11 +126,9 @@
 	cloudRPS = 20
 )
 
-// startProcess starts a controller's process.
+// startProcess starts a controller's process, unless Close was called.
 func (loopback *Loopback) startProcess(ctrl *controller) {
-	loopback.mu.Lock()
-	defer loopback.mu.Unlock()
-	if loopback.closed {
+	if loopback.ctx.Err() != nil {
 		return
 	}
 	proc := loopback.processes[ctrl.index]
@@ -119,85 +136,33 @@
 	if loopback.operatorFile != "" {
 		args = append(args, "--operator", loopback.operatorFile)
 	}
-	proc.command = exec.Command(loopback.binary, args...)
-	proc.command.Stderr = proc.logFile
-	if err := proc.command.Start(); err != nil {
+	command := exec.Command(loopback.binary, args...)
+	command.Stderr = proc.logFile
+	proc.command = command
+	if err := command.Start(); err != nil {
 		loopback.rules.violated("start", "%s: %v", ctrl.label, err)
 		return
 	}
-	incarnation, cmd := ctrl.incarnation, proc.command
-	go func() {
-		err := cmd.Wait()
+	incarnation := ctrl.incarnation
+	go func() { // until the process ends, which Close sees to
+		err := command.Wait()
 		loopback.post(func() {
-			if ctrl.running && ctrl.incarnation == incarnation {
+			if ctrl.isRunning(incarnation) {
 				loopback.rules.violated("ended_by_itself", "%s: %v", ctrl.label, err)
 			}
 		})
 	}()
 }
 
-// Kill ends a controller without a signal that it could handle; it is back after d.
-func (loopback *Loopback) Kill(ix int, d time.Duration) {
-	if !loopback.controllers[ix].running {
-		return
-	}
-	loopback.crash(ix, d)
-	loopback.signal(ix, syscall.SIGKILL)
-}
-
-// Stop makes a controller stand still for d.
-func (loopback *Loopback) Stop(ix int, d time.Duration) {
-	ctrl := loopback.beginFailure(ix, d)
-	if ctrl == nil {
-		return
-	}
-	incarnation := ctrl.incarnation
-	loopback.signal(ix, syscall.SIGSTOP)
-	loopback.after(d, func() {
-		if ctrl.running && ctrl.incarnation == incarnation {
-			loopback.signal(ix, syscall.SIGCONT)
-		}
-	})
-}
-
-// Isolate cuts a controller from the state service or from its peers, in one or both
-// directions, holding what is sent or refusing connections.
-func (loopback *Loopback) Isolate(ix int, fromState bool, forth, back linkState, d time.Duration) {
-	loopback.rules.faultsLast(d)
-	var links []*proxy
-	if fromState {
-		links = append(links, loopback.processes[ix].stateProxy)
-	} else {
-		for k := range loopback.processes {
-			if k != ix {
-				links = append(links, loopback.processes[ix].peerProxies[k], loopback.processes[k].peerProxies[ix])
-			}
-		}
-	}
-	for _, link := range links {
-		link.set(forth, back, 0)
-	}
-	loopback.after(d, func() {
-		for _, link := range links {
-			link.set(linkUp, linkUp, 0)
-		}
-	})
-}
-
-func (loopback *Loopback) signal(ix int, s syscall.Signal) {
-	loopback.mu.Lock()
-	defer loopback.mu.Unlock()
-	if cmd := loopback.processes[ix].command; cmd != nil && cmd.Process != nil {
-		_ = cmd.Process.Signal(s) // it may have ended
-	}
-}
-
-// Logs tells the end of each controller's log, for a failed test.
+// Logs returns the end of each controller's log, for a failed test.
 func (loopback *Loopback) Logs(bytes int64) string {
-	var out string
+	var logs strings.Builder
 	for i, proc := range loopback.processes {
-		raw, _ := os.ReadFile(proc.logFile.Name())
-		out += fmt.Sprintf("--- %s\n%s\n", loopback.controllers[i].label, raw[max(0, int64(len(raw))-bytes):])
+		raw, err := os.ReadFile(proc.logFile.Name())
+		if err != nil {
+			raw = []byte(err.Error())
+		}
+		fmt.Fprintf(&logs, "--- %s\n%s\n", loopback.controllers[i].label, raw[max(0, int64(len(raw))-bytes):])
 	}
-	return out
+	return logs.String()
 }
--- a/internal/simulation/loopback_state.go
+++ b/internal/simulation/loopback_state.go
@@ -12,14 +12,14 @@
 	"micaport/internal/wire"
 )
 
-// storedRow is a key as the state service tells of it.
+// storedRow is a key in the protocol of the state service.
 type storedRow struct {
 	Key   string             `msgpack:"k"`
 	Value msgpack.RawMessage `msgpack:"v"`
 	Rev   uint64             `msgpack:"key_rev"`
 }
 
-// commitRequest is a transaction.
+// commitRequest is a transaction in the protocol of the state service.
 type commitRequest struct {
 	If []struct {
 		Key string `msgpack:"k"`
@@ -33,145 +33,171 @@
 	} `msgpack:"writes"`
 }
 
-// stateHandler serves the state service to one controller.
+// leaseRequest asks for a lease.
+type leaseRequest struct {
+	LifeMS int64 `msgpack:"life_ms"`
+}
+
+// stateHandler serves the state service's protocol to a controller.
 func (loopback *Loopback) stateHandler(ctrl *controller) http.Handler {
 	store := loopback.store
 	mux := http.NewServeMux()
-	// guarded runs f in the world's goroutine unless the service refuses the controller.
-	guarded := func(w http.ResponseWriter, f func() (int, any)) {
-		status, body := http.StatusServiceUnavailable, any(wire.Error{Error: "trouble"})
-		loopback.postAndWait(func() {
-			if !store.refuses(ctrl) {
-				status, body = f()
+	answer := func(w http.ResponseWriter, run func() serviceReply) {
+		reply, ok := postAndWait(loopback, func() serviceReply {
+			if store.refuses(ctrl) {
+				return unavailable
 			}
+			return run()
 		})
-		writeReply(w, status, body)
+		if !ok {
+			reply = unavailable
+		}
+		reply.write(w)
 	}
-	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, q *http.Request) {
-		guarded(w, func() (int, any) {
-			record := store.records[q.PathValue("key")]
-			if record == nil {
-				return http.StatusNotFound, map[string]any{"ledger_rev": store.revision}
-			}
-			return http.StatusOK, storedRow{q.PathValue("key"), record.raw, record.revision}
-		})
+	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, request *http.Request) {
+		answer(w, func() serviceReply { return store.serveRecord(request.PathValue("key")) })
 	})
-	mux.HandleFunc("GET /store", func(w http.ResponseWriter, q *http.Request) {
-		guarded(w, func() (int, any) { return http.StatusOK, store.listPage(q) })
+	mux.HandleFunc("GET /store", func(w http.ResponseWriter, request *http.Request) {
+		answer(w, func() serviceReply { return store.servePage(request) })
 	})
-	mux.HandleFunc("POST /commit", func(w http.ResponseWriter, q *http.Request) {
-		var c commitRequest
-		if readRequest(w, q, &c) {
-			guarded(w, func() (int, any) { return store.commitRequest(ctrl, &c) })
+	mux.HandleFunc("POST /commit", func(w http.ResponseWriter, request *http.Request) {
+		var commit commitRequest
+		if readRequest(w, request, &commit) {
+			answer(w, func() serviceReply { return store.serveCommit(ctrl, &commit) })
 		}
 	})
-	mux.HandleFunc("POST /grants", func(w http.ResponseWriter, q *http.Request) {
-		var c struct {
-			LifeMS int64 `msgpack:"life_ms"`
-		}
-		if readRequest(w, q, &c) {
-			guarded(w, func() (int, any) {
-				_, id := store.renewLease(0, time.Duration(c.LifeMS)*time.Millisecond)
-				return http.StatusOK, map[string]any{"permit": id}
+	mux.HandleFunc("POST /grants", func(w http.ResponseWriter, request *http.Request) {
+		var lease leaseRequest
+		if readRequest(w, request, &lease) {
+			answer(w, func() serviceReply {
+				_, id := store.renewLease(0, time.Duration(lease.LifeMS)*time.Millisecond)
+				return serviceReply{http.StatusOK, map[string]any{"permit": id}}
 			})
 		}
 	})
-	mux.HandleFunc("POST /grants/{id}/extend", func(w http.ResponseWriter, q *http.Request) {
-		id, _ := strconv.ParseUint(q.PathValue("id"), 10, 64)
-		guarded(w, func() (int, any) {
-			if id == 0 || store.leases[id] == nil {
-				return http.StatusNotFound, map[string]any{"ledger_rev": store.revision}
-			}
-			store.renewLease(id, 0)
-			return http.StatusOK, map[string]any{"permit": id}
-		})
+	mux.HandleFunc("POST /grants/{id}/extend", func(w http.ResponseWriter, request *http.Request) {
+		id, _ := strconv.ParseUint(request.PathValue("id"), 10, 64)
+		answer(w, func() serviceReply { return store.serveRenewal(id) })
 	})
-	mux.HandleFunc("GET /watch", func(w http.ResponseWriter, q *http.Request) { loopback.watch(ctrl, w, q) })
+	mux.HandleFunc("GET /watch", func(w http.ResponseWriter, request *http.Request) { loopback.serveWatch(ctrl, w, request) })
 	return mux
 }
 
-// listPage is one page of a listing.
-func (store *stateService) listPage(q *http.Request) any {
-	query := q.URL.Query()
+// atRevision is the body of an answer that tells only the store's revision.
+func (store *stateService) atRevision() map[string]any {
+	return map[string]any{"ledger_rev": store.revision}
+}
+
+// serveRecord answers with a record.
+func (store *stateService) serveRecord(key string) serviceReply {
+	record := store.records[key]
+	if record == nil {
+		return serviceReply{http.StatusNotFound, store.atRevision()}
+	}
+	return serviceReply{http.StatusOK, storedRow{key, record.raw, record.revision}}
+}
+
+// servePage answers with one page of a listing.
+func (store *stateService) servePage(request *http.Request) serviceReply {
+	query := request.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
-	rows := []storedRow{}
+	rows, more := []storedRow{}, false
 	for _, key := range sortedKeys(store.records) {
 		if !strings.HasPrefix(key, query.Get("starts")) || key <= query.Get("from") {
 			continue
 		}
-		if len(rows) == limit {
-			return map[string]any{"rows": rows, "has_next": true, "ledger_rev": store.revision}
+		if more = len(rows) == limit; more {
+			break
 		}
 		rows = append(rows, storedRow{key, store.records[key].raw, store.records[key].revision})
 	}
-	return map[string]any{"rows": rows, "has_next": false, "ledger_rev": store.revision}
+	return serviceReply{http.StatusOK, map[string]any{"rows": rows, "has_next": more, "ledger_rev": store.revision}}
 }
 
-// commitRequest carries a transaction out.
-func (store *stateService) commitRequest(ctrl *controller, c *commitRequest) (int, any) {
+// serveCommit carries out a transaction.
+func (store *stateService) serveCommit(ctrl *controller, commit *commitRequest) serviceReply {
 	var conditions []core.Condition
-	for _, x := range c.If {
+	for _, x := range commit.If {
 		conditions = append(conditions, core.Condition{Key: x.Key, Revision: x.Rev})
 	}
 	var writes []recordWrite
-	for _, x := range c.Writes {
+	for _, x := range commit.Writes {
 		if x.Drop != "" {
 			writes = append(writes, recordWrite{key: x.Drop})
 		} else {
 			writes = append(writes, recordWrite{key: x.Put, raw: x.Value, leaseID: x.Lease})
 		}
 	}
-	outcome, rev, failed := store.commit(ctrl, conditions, writes)
+	outcome, revision, failed := store.commit(ctrl, conditions, writes)
 	switch outcome {
 	case core.OK:
-		return http.StatusOK, map[string]any{"ledger_rev": rev}
+		return serviceReply{http.StatusOK, map[string]any{"ledger_rev": revision}}
 	case core.Conflict:
-		return http.StatusConflict, map[string]any{"failed": failed, "ledger_rev": rev}
+		return serviceReply{http.StatusConflict, map[string]any{"failed": failed, "ledger_rev": revision}}
 	case core.LeaseExpired:
-		return http.StatusBadRequest, wire.Error{Error: "no such lease"}
+		return serviceReply{http.StatusBadRequest, wire.Error{Error: "no such lease"}}
 	}
-	return http.StatusTooManyRequests, wire.Error{Error: "too many changes"}
+	return serviceReply{http.StatusTooManyRequests, wire.Error{Error: "too many changes"}}
 }
 
-// watchPollInterval lies between two looks for changes on behalf of a watch.
+// serveRenewal renews a lease.
+func (store *stateService) serveRenewal(id uint64) serviceReply {
+	if id == 0 || store.leases[id] == nil {
+		return serviceReply{http.StatusNotFound, store.atRevision()}
+	}
+	store.renewLease(id, 0)
+	return serviceReply{http.StatusOK, map[string]any{"permit": id}}
+}
+
+// watchPollInterval is how often the store is asked for changes on behalf of a watch.
 const watchPollInterval = 15 * time.Millisecond
 
-// watch answers with the changes after a revision, or waits for them.
-func (loopback *Loopback) watch(ctrl *controller, w http.ResponseWriter, q *http.Request) {
-	from, _ := strconv.ParseUint(q.URL.Query().Get("from"), 10, 64)
-	block, _ := strconv.Atoi(q.URL.Query().Get("block_ms"))
+// watchProgress is what a watch finds when it looks for changes.
+type watchProgress struct {
+	events   []map[string]any
+	revision uint64
+	refused  bool // it has to hang
+}
+
+// serveWatch answers with the changes after a revision, once there are any or the time that
+// the controller gives is over.
+func (loopback *Loopback) serveWatch(ctrl *controller, w http.ResponseWriter, request *http.Request) {
+	from, _ := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
+	block, _ := strconv.Atoi(request.URL.Query().Get("block_ms"))
 	deadline := time.Now().Add(time.Duration(block) * time.Millisecond)
 	for {
-		var events []map[string]any
-		rev, silent := from, false
-		loopback.postAndWait(func() {
-			silent = loopback.store.refuses(ctrl)
-			events, rev = loopback.store.changesSince(from)
+		progress, ok := postAndWait(loopback, func() watchProgress {
+			events, revision := loopback.store.changesSince(from)
+			return watchProgress{events, revision, loopback.store.refuses(ctrl)}
 		})
-		if !silent && (len(events) > 0 || time.Now().After(deadline)) {
-			writeReply(w, http.StatusOK, map[string]any{"ledger_rev": rev, "events": events})
+		if !ok {
+			progress.revision = from
+		}
+		if !progress.refused && (len(progress.events) > 0 || time.Now().After(deadline)) {
+			serviceReply{http.StatusOK, map[string]any{"ledger_rev": progress.revision, "events": progress.events}}.write(w)
 			return
 		}
 		select {
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		case <-time.After(watchPollInterval):
 		}
 	}
 }
 
-// changesSince lists the changes after a revision.
+// changesSince returns the changes after a revision in the service's protocol, and the
+// revision that they lead to.
 func (store *stateService) changesSince(from uint64) ([]map[string]any, uint64) {
 	first := len(store.changes)
 	for first > 0 && store.changes[first-1].revision > from {
 		first--
 	}
 	var events []map[string]any
-	for _, c := range store.changes[first:] {
-		if c.raw == nil {
-			events = append(events, map[string]any{"drop": c.key, "key_rev": c.revision})
+	for _, change := range store.changes[first:] {
+		if change.raw == nil {
+			events = append(events, map[string]any{"drop": change.key, "key_rev": change.revision})
 		} else {
-			events = append(events, map[string]any{"put": c.key, "v": msgpack.RawMessage(c.raw), "key_rev": c.revision})
+			events = append(events, map[string]any{"put": change.key, "v": msgpack.RawMessage(change.raw), "key_rev": change.revision})
 		}
 	}
 	return events, max(from, store.revision)
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -12,25 +12,61 @@
 )
 
 var (
-	loopbackFor     = flag.Duration("loopback.for", 40*time.Second, "how long the controllers on loopback are hammered")
+	loopbackFor     = flag.Duration("loopback.for", 40*time.Second, "how long the controllers on loopback run under faults")
 	loopbackWorkers = flag.Int("loopback.workers", 40, "how many workers they have")
 )
 
-// buildProgram builds the program as it is deployed.
+// loopbackZones are the zones of the five controllers on loopback.
+var loopbackZones = []string{"a", "b", "a", "b", "a"}
+
+// buildProgram builds the program as it is deployed and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "micaport")
 	if out, err := exec.Command("go", "build", "-o", binary, "micaport/cmd/micaport").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build: %v: %s", err, out)
 	}
 	return binary
 }
 
-// contendedSettings has five controllers and one team of which more is asked than its limit
-// allows, so that its shares are contended all the time.
+// operatorFile writes operators' settings and returns their path.
+func operatorFile(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "operator.ini")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// startLoopback starts controllers on loopback with the operators' settings, until the test
+// ends.
+func startLoopback(t *testing.T, settings Settings, binary, operatorText string) *Loopback {
+	t.Helper()
+	loopback, err := NewLoopback(settings, binary, t.TempDir(), operatorFile(t, operatorText), discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(loopback.Close)
+	return loopback
+}
+
+// countDone counts the jobs whose tasks are all done.
+func (users *userSet) countDone() int {
+	done := 0
+	for _, user := range users.ordered {
+		if user.allTasksDone() {
+			done++
+		}
+	}
+	return done
+}
+
+// contendedSettings returns settings of five controllers and teams with low limits, so that
+// their shares are contended all the time.
 func contendedSettings(workers int) Settings {
 	s := Defaults()
-	s.ControllerZones = []string{"a", "b", "a", "b", "a"}
+	s.ControllerZones = loopbackZones
 	s.HeartbeatInterval, s.WorkerLease, s.CancelDeadline = time.Second, 12*time.Second, 24*time.Second
 	s.BootTime, s.IdleTimeout = 300*time.Millisecond, time.Minute
 	s.Capacity, s.WriteRPS = workers/4, 400
@@ -40,84 +76,81 @@
 	return s
 }
 
-// maxTasksByTeam bounds the tasks of a team's jobs: red stays below its limit at times,
-// so that it has shares, blue does not.
+// maxTasksByTeam bounds the tasks of a team's jobs: red stays below its limit at times, so
+// that it has shares, and blue does not.
 var maxTasksByTeam = map[string]int{"red": 3, "blue": 8, "wide": 8}
 
-// Real controllers on loopback are killed, stopped and cut from each other and from the
-// state service while work beyond the teams' limits comes. No revision of the records
-// charges a team more than its limit, and no rule is broken.
-func TestLimitsHoldOnLoopback(t *testing.T) {
-	operator := filepath.Join(t.TempDir(), "operator.ini")
-	if err := os.WriteFile(operator, []byte("[quota]\nadmission = guaranteed\n[placement]\nidle_return_s = 60\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	loopback, err := NewLoopback(contendedSettings(*loopbackWorkers), buildProgram(t), t.TempDir(), operator, func(string, ...any) {})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer loopback.Close()
-	rng := rand.New(rand.NewPCG(1, 2))
+// submitContending submits jobs of all teams, some of them gangs, until a time.
+func (loopback *Loopback) submitContending(rng *rand.Rand, until time.Duration) {
 	count := 0
-	hammerTo := *loopbackFor - 12*time.Second
 	loopback.every(200*time.Millisecond, func() {
-		if loopback.now > hammerTo {
+		if loopback.now > until {
 			return
 		}
 		team := []string{"red", "blue", "wide"}[count%3]
 		// Longer tasks, not more jobs, keep more workers busy: each job's user goes on asking.
-		run := float64(1+rng.IntN(3)) * float64(*loopbackWorkers) / 40
-		args := []string{fmt.Sprintf("wk-%06d", count), "team=" + team, "gb=0", fmt.Sprintf("frames=%d", 1+rng.IntN(maxTasksByTeam[team])),
-			fmt.Sprintf("run=%.1f", run), fmt.Sprintf("cards=%d", 1+count%2)}
+		runtime := float64(1+rng.IntN(3)) * float64(*loopbackWorkers) / 40
+		line := []string{
+			fmt.Sprintf("wk-%06d", count), "team=" + team, "gb=0", fmt.Sprintf("frames=%d", 1+rng.IntN(maxTasksByTeam[team])),
+			fmt.Sprintf("run=%.1f", runtime), fmt.Sprintf("cards=%d", 1+count%2),
+		}
 		if count%7 == 0 {
-			args = append(args, "shape=gang", "one_zone")
+			line = append(line, "shape=gang", "one_zone")
 		}
-		must(loopback.users.submitLine(args))
+		must(loopback.users.submitLine(line))
 		count++
 	})
+}
+
+// injectProcessFaults kills, stops and isolates controllers from 6 s on until a time. The
+// first to be killed is the leader.
+func (loopback *Loopback) injectProcessFaults(rng *rand.Rand, until time.Duration) {
+	faults := []func(ctrl, leader *controller, d time.Duration){
+		func(_, leader *controller, d time.Duration) { loopback.Kill(leader, d) },
+		func(_, leader *controller, d time.Duration) { loopback.Stop(leader, 2*d) },
+		func(ctrl, _ *controller, d time.Duration) { loopback.Kill(ctrl, d) },
+		func(ctrl, _ *controller, d time.Duration) { loopback.Stop(ctrl, d) },
+		func(ctrl, _ *controller, d time.Duration) { loopback.Isolate(ctrl, true, linkUp, linkHeld, d) },
+		func(ctrl, _ *controller, d time.Duration) { loopback.Isolate(ctrl, false, linkRefused, linkRefused, d) },
+	}
 	loopback.every(3*time.Second, func() {
-		if loopback.now < 6*time.Second || loopback.now > hammerTo {
+		if loopback.now < 6*time.Second || loopback.now > until {
 			return
 		}
-		ix, leader := rng.IntN(len(loopback.controllers)), loopback.controllerIndex("leader")
+		ctrl, leader := loopback.controllers[rng.IntN(len(loopback.controllers))], loopback.controllerNamed("leader")
 		d := time.Duration(200+rng.IntN(4000)) * time.Millisecond
-		trouble := rng.IntN(6)
+		fault := faults[rng.IntN(len(faults))]
 		if loopback.now < 8*time.Second {
-			trouble = 0
-		}
-		switch trouble {
-		case 0:
-			loopback.Kill(leader, d)
-		case 1:
-			loopback.Stop(leader, 2*d)
-		case 2:
-			loopback.Kill(ix, d)
-		case 3:
-			loopback.Stop(ix, d)
-		case 4:
-			loopback.Isolate(ix, true, linkUp, linkHeld, d)
-		case 5:
-			loopback.Isolate(ix, false, linkRefused, linkRefused, d)
+			fault = faults[0]
 		}
+		fault(ctrl, leader, d)
 	})
-	most := 0
-	loopback.every(time.Second, func() { most = max(most, len(loopback.fleet.running())) })
+}
+
+// TestLimitsHoldOnLoopback: real controllers on loopback are killed, stopped and cut from
+// each other and from the state service while work beyond the teams' limits is submitted.
+// No revision of the records charges a team more than its limit, and no rule is violated.
+func TestLimitsHoldOnLoopback(t *testing.T) {
+	loopback := startLoopback(t, contendedSettings(*loopbackWorkers), buildProgram(t), "[quota]\nadmission = guaranteed\n[placement]\nidle_return_s = 60\n")
+	rng := rand.New(rand.NewPCG(1, 2))
+	faultsUntil := *loopbackFor - 12*time.Second
+	loopback.submitContending(rng, faultsUntil)
+	loopback.injectProcessFaults(rng, faultsUntil)
+	mostWorkers := 0
+	loopback.every(time.Second, func() { mostWorkers = max(mostWorkers, len(loopback.fleet.running())) })
 	loopback.Play(*loopbackFor)
-	for _, fault := range loopback.rules.violations {
-		t.Error(fault)
-	}
-	done := 0
-	for _, user := range loopback.users.ordered {
-		if user.allTasksDone() {
-			done++
-		}
+	for _, violation := range loopback.rules.violations {
+		t.Error(violation)
 	}
-	t.Logf("%d workers at most, %d jobs, %d done, %d tasks admitted by owners, %d revisions, %d claims of leadership", most, len(loopback.users.ordered), done, loopback.quota.admissions, loopback.store.revision, loopback.store.leaderChanges)
-	if loopback.quota.admissions == 0 || loopback.store.leaderChanges < 2 {
-		t.Error("no owner admitted anything, or no leader was replaced: nothing was tried")
+	jobs, done := len(loopback.users.ordered), loopback.users.countDone()
+	admissions, claims := loopback.quota.admissions, loopback.store.leaderChanges
+	t.Logf("%d workers at most, %d jobs, %d done, %d tasks admitted by owners, %d revisions, %d claims of leadership",
+		mostWorkers, jobs, done, admissions, loopback.store.revision, claims)
+	if admissions == 0 || claims < 2 {
+		t.Errorf("got %d admissions by owners and %d claims of leadership, want 1 and 2 at least: nothing was tried", admissions, claims)
 	}
-	if len(loopback.users.ordered) < 20 || done < len(loopback.users.ordered)/2 {
-		t.Errorf("%d of %d jobs are done", done, len(loopback.users.ordered))
+	if jobs < 20 || done < jobs/2 {
+		t.Errorf("got %d of %d jobs done, want half of 20 at least", done, jobs)
 	}
 	if t.Failed() {
 		t.Log(loopback.Logs(3000))
--- a/internal/simulation/measure_failover_test.go
+++ b/internal/simulation/measure_failover_test.go
@@ -27,7 +27,7 @@
 // stageNames are those of wire.Takeover's stages.
 var stageNames = []string{"suspected", "claimed", "seen", "caught up", "decided"}
 
-// failoverSample is what the sites of one kind of failure and one setting have shown.
+// failoverSample is what the deployments of one kind of failure and one setting have shown.
 type failoverSample struct {
 	mu         sync.Mutex
 	total      waitHistogram            // from the failure to the first decision
@@ -45,7 +45,7 @@
 	return s
 }
 
-// add takes in a site that has been played.
+// add adds the results of a deployment.
 func (s *failoverSample) add(loopback *Loopback, seen map[uint64]wire.Takeover) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,14 +87,14 @@
 	}
 }
 
-// measureSite plays one site.
+// measureSite runs one deployment.
 func measureSite(t *testing.T, binary, failure, takeover string, seed uint64, sample *failoverSample) {
 	const begin = 12 * time.Second
 	end := begin + time.Duration(*takeoverFailures)*failureSpacing
 	operator := operatorFile(t, "[standby]\ntakeover = "+takeover+"\n[placement]\nidle_return_s = 600\n")
 	settings := failoverSettings(*takeoverWorkers)
 	settings.Seed = seed + 1
-	loopback, err := NewLoopback(settings, binary, t.TempDir(), operator, func(string, ...any) {})
+	loopback, err := NewLoopback(settings, binary, t.TempDir(), operator, discardLog)
 	if err != nil {
 		t.Error(err)
 		return
@@ -108,9 +108,9 @@
 	for i := range *takeoverFailures {
 		loopback.after(begin+time.Duration(i)*failureSpacing+time.Duration(rng.IntN(1000))*time.Millisecond, func() {
 			if failure == "kill" {
-				loopback.Kill(loopback.controllerIndex("leader"), 5*time.Second)
+				loopback.Kill(loopback.controllerNamed("leader"), 5*time.Second)
 			} else {
-				loopback.Stop(loopback.controllerIndex("leader"), 8*time.Second)
+				loopback.Stop(loopback.controllerNamed("leader"), 8*time.Second)
 			}
 		})
 	}
@@ -132,11 +132,8 @@
 	const length = 60 * time.Second
 	binary := buildProgram(t)
 	for _, takeover := range []string{"lease", "early", "lease", "early"} {
-		operator := operatorFile(t, "[standby]\ntakeover = "+takeover+"\n[placement]\nidle_return_s = 300\n")
-		loopback, err := NewLoopback(failoverSettings(*takeoverWorkers), binary, t.TempDir(), operator, func(string, ...any) {})
-		if err != nil {
-			t.Fatal(err)
-		}
+		operatorText := "[standby]\ntakeover = " + takeover + "\n[placement]\nidle_return_s = 300\n"
+		loopback := startLoopback(t, failoverSettings(*takeoverWorkers), binary, operatorText)
 		loopback.submitSteadily(200*time.Millisecond, time.Second, length, rand.New(rand.NewPCG(1, 5)))
 		loopback.Play(length)
 		carried := int64(0)
--- a/internal/simulation/measure_loopback_test.go
+++ b/internal/simulation/measure_loopback_test.go
@@ -4,8 +4,6 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 )
@@ -22,17 +20,8 @@
 	)
 	binary := buildProgram(t)
 	for _, admission := range []string{"leader", "leaderless", "guaranteed"} {
-		operator := filepath.Join(t.TempDir(), "operator.ini")
-		text := "[quota]\nadmission = " + admission + "\n[placement]\nidle_return_s = 300\n"
-		if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		s := contendedSettings(workers)
-		s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = 200, 200
-		loopback, err := NewLoopback(s, binary, t.TempDir(), operator, func(string, ...any) {})
-		if err != nil {
-			t.Fatal(err)
-		}
+		operatorText := "[quota]\nadmission = " + admission + "\n[placement]\nidle_return_s = 300\n"
+		loopback := startLoopback(t, failoverSettings(workers), binary, operatorText)
 		loopback.after(time.Second, func() {
 			must(loopback.users.submitLine([]string{"wk-000000", "team=wide", fmt.Sprintf("frames=%d", workers), "run=8", "cards=2", "gb=0"}))
 		})
@@ -45,7 +34,7 @@
 		})
 		loopback.every(15*time.Second, func() {
 			if loopback.now > begin && loopback.now < end {
-				loopback.Kill(loopback.controllerIndex("leader"), 5*time.Second)
+				loopback.Kill(loopback.controllerNamed("leader"), 5*time.Second)
 			}
 		})
 		loopback.Play(length)
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -22,29 +22,29 @@
 	return fmt.Sprintf("n %d, p50 %d ms, p90 %d, p99 %d, max %d", h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max())
 }
 
-// admissionLoad is a day of the measurement: how leaders fail, and how much is asked for.
+// admissionLoad is a load of the measurement: how leaders fail, and how much is submitted.
 type admissionLoad struct {
-	name    string
-	trouble func(sim *Simulation)
-	every   time.Duration // between two jobs
+	name   string
+	faults func(sim *Simulation)
+	every  time.Duration // between two jobs
 }
 
-// crashLeaders ends the leader every so often, which is back after a while.
+// crashLeaders crashes the leader again and again, for a while each time.
 func crashLeaders(every, back time.Duration) func(*Simulation) {
 	return func(sim *Simulation) {
 		sim.every(every, func() {
 			if sim.now > 60*time.Second {
-				sim.crash(sim.controllerIndex("leader"), back)
+				sim.controllerNamed("leader").crash(back)
 			}
 		})
 	}
 }
 
 // TestMeasureAdmission measures how long jobs wait from their acceptance until the records
-// give a task of theirs a machine, and
-// how much of a team's limit is in use, by what owners may admit.
+// give a task of theirs a machine, and how much of a team's limit is in use, by what owners
+// may admit.
 func TestMeasureAdmission(t *testing.T) {
-	days := []admissionLoad{
+	loads := []admissionLoad{
 		{"quiet, a third of the limit", func(*Simulation) {}, 900 * time.Millisecond},
 		{"quiet, at the limit", func(*Simulation) {}, 250 * time.Millisecond},
 		{"the leader ends every 12 s, a third of the limit", crashLeaders(12*time.Second, 4*time.Second), 900 * time.Millisecond},
@@ -52,42 +52,42 @@
 		{"the leader stands still for 9 s every 20 s, a third of the limit", func(sim *Simulation) {
 			sim.every(20*time.Second, func() {
 				if sim.now > 60*time.Second {
-					sim.freeze(sim.controllerIndex("leader"), 9*time.Second)
+					sim.controllerNamed("leader").freeze(9 * time.Second)
 				}
 			})
 		}, 900 * time.Millisecond},
 	}
-	days = append(days, admissionLoad{"nobody leads for 30 s, twice, a third of the limit", func(sim *Simulation) {
+	loads = append(loads, admissionLoad{"nobody leads for 30 s, twice, a third of the limit", func(sim *Simulation) {
 		sim.every(300*time.Millisecond, func() {
 			inSpell := sim.now > 90*time.Second && sim.now < 120*time.Second || sim.now > 200*time.Second && sim.now < 230*time.Second
 			if record := sim.store.records[wire.LeaderKey]; inSpell && record != nil {
-				sim.crash(sim.controllerIndex("leader"), 500*time.Millisecond)
+				sim.controllerNamed("leader").crash(500 * time.Millisecond)
 			}
 		})
 	}, 900 * time.Millisecond})
-	for _, day := range days {
+	for _, load := range loads {
 		for admission := core.AdmitNothing; admission <= core.AdmitGuaranteed; admission++ {
 			histogram, used, admitted := newWaitHistogram(), 0.0, 0
 			for seed := range uint64(5) {
-				admitted += measureAdmissionLoad(t, day, admission, seed, histogram, &used)
+				admitted += measureAdmissionLoad(t, load, admission, seed, histogram, &used)
 			}
-			t.Logf("%s, admission %d: %v; %.0f%% of the limit used, %d tasks admitted by owners", day.name, admission, histogram, used/5*100, admitted)
+			t.Logf("%s, admission %d: %v; %.0f%% of the limit used, %d tasks admitted by owners", load.name, admission, histogram, used/5*100, admitted)
 		}
 	}
 }
 
-// measureAdmissionLoad plays a day with one seed: 400 machines, five controllers, 240 s of jobs of
-// one to four tasks of 15 s after a minute for the machines to come up.
-func measureAdmissionLoad(t *testing.T, day admissionLoad, admission core.Admission, seed uint64, histogram waitHistogram, used *float64) int {
+// measureAdmissionLoad runs a load with one seed: 400 machines, five controllers, 240 s of
+// jobs of one to four tasks of 15 s after a minute for the machines to come up.
+func measureAdmissionLoad(t *testing.T, load admissionLoad, admission core.Admission, seed uint64, histogram waitHistogram, used *float64) int {
 	const begin, end = 60 * time.Second, 300 * time.Second
 	s := Defaults()
 	s.Seed, s.ControllerZones, s.Capacity, s.IdleTimeout, s.Admission, s.WriteRPS = seed+1, []string{"a", "b", "a", "b", "a"}, 100, 400*time.Second, admission, 60
 	s.Teams = []core.Team{{Name: "pool", GuaranteedGPUs: 120, MaxGPUs: 120}, {Name: "warm", MaxGPUs: 1000}}
-	sim := New(s, func(string, ...any) {})
+	sim := New(s, discardLog)
 	must(sim.users.submitLine([]string{"wk-000000", "team=warm", "frames=80", "run=30", "cards=2", "ordinary"}))
-	day.trouble(sim)
+	load.faults(sim)
 	count := 0
-	sim.every(day.every, func() {
+	sim.every(load.every, func() {
 		if sim.now > begin && sim.now < end {
 			count++
 			must(sim.users.submitLine([]string{fmt.Sprintf("wk-%06d", count), "team=pool", fmt.Sprintf("frames=%d", 1+count%4), "run=15", "ordinary", "gb=0.1"}))
@@ -105,7 +105,7 @@
 	})
 	sim.Run(end + 60*time.Second)
 	if len(sim.rules.violations) > 0 {
-		t.Errorf("%s, admission %d, seed %d: %v", day.name, admission, seed, sim.rules.violations)
+		t.Errorf("%s, admission %d, seed %d: %v", load.name, admission, seed, sim.rules.violations)
 	}
 	for _, user := range sim.users.ordered[1:] {
 		at, placed := sim.quota.placedAt[user.spec.ID]
--- a/internal/simulation/meter.go
+++ b/internal/simulation/meter.go
@@ -1,17 +1,17 @@
 package simulation
 
-import (
-	"time"
-)
+import "time"
 
-// meter counts what a day costs, so that a test can bound how the cost grows.
+// meter counts what a period costs, so that a script can bound it.
 type meter struct {
-	since                   time.Duration
-	heartbeats, gossipBytes int
-	refusedCommits          int
-	coreWork                uint64 // of all controllers when it was set to zero
+	since          time.Duration // when the period began
+	heartbeats     int           // of workers
+	gossipBytes    int           // between controllers
+	refusedCommits int           // by the write limit
+	coreWork       uint64        // of all controllers when the period began
 }
 
+// coreWork returns how many machines the cores of all controllers have looked at so far.
 func (sim *Simulation) coreWork() uint64 {
 	sum := uint64(0)
 	for _, ctrl := range sim.controllers {
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// linkState is what a proxy does to a link.
+// linkState is what a proxy does to one direction of a link.
 type linkState int
 
 // States of a link.
@@ -17,65 +17,78 @@
 	linkRefused           // connections are reset, and new ones refused at once
 )
 
-// proxy is the way from one process to another on loopback. It can be cut in either
-// direction, delayed, or made to refuse.
-type proxy struct {
-	listener net.Listener
-	target   string
+// Sizes and times of a proxy.
+const (
+	proxyDialTimeout = time.Second
+	proxyBufferBytes = 16 << 10
+)
 
-	relayedBytes atomic.Int64 // bytes, both ways
+// proxy is the link from one process to another on loopback. It can be cut in either
+// direction, or made to refuse. Its goroutines end with close.
+type proxy struct {
+	listener     net.Listener
+	target       string       // the address that it leads to
+	relayedBytes atomic.Int64 // both ways
 
 	mu          sync.Mutex
-	changed     chan struct{} // closed when the state changes
+	changed     chan struct{} // closed when a state changes
 	forward     linkState     // towards the target
 	backward    linkState
-	delay       time.Duration
 	connections map[net.Conn]bool
 }
 
+// newProxy starts a proxy to a target at an address of its own.
 func newProxy(target string) (*proxy, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, target: target, changed: make(chan struct{}), connections: map[net.Conn]bool{}}
+	p := &proxy{listener: listener, target: target, changed: make(chan struct{}), connections: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
+// address returns the address that the proxy listens at.
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes what is done to each direction.
-func (p *proxy) set(forth, back linkState, delay time.Duration) {
+// close ends the proxy and its connections.
+func (p *proxy) close() {
+	p.listener.Close()
+	p.set(linkRefused, linkRefused)
+}
+
+// set changes the state of both directions.
+func (p *proxy) set(forward, backward linkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forward, p.backward, p.delay = forth, back, delay
+	p.forward, p.backward = forward, backward
 	close(p.changed)
 	p.changed = make(chan struct{})
-	if forth == linkRefused || back == linkRefused {
-		for c := range p.connections {
-			c.Close()
+	if forward == linkRefused || backward == linkRefused {
+		for connection := range p.connections {
+			connection.Close()
 		}
 	}
 }
 
-// state gives the state of a direction and a channel that tells when it changes.
-func (p *proxy) state(forth bool) (linkState, time.Duration, <-chan struct{}) {
+// state returns the state of a direction, and a channel that is closed when it changes.
+func (p *proxy) state(forward bool) (linkState, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if forth {
-		return p.forward, p.delay, p.changed
+	if forward {
+		return p.forward, p.changed
 	}
-	return p.backward, p.delay, p.changed
+	return p.backward, p.changed
 }
 
+// accept serves connections until the listener is closed.
 func (p *proxy) accept() {
 	for {
 		in, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if state, _, _ := p.state(true); state == linkRefused {
+		if state, _ := p.state(true); state == linkRefused {
 			in.Close()
 			continue
 		}
@@ -83,48 +96,58 @@
 	}
 }
 
+// serve connects to the target and relays both ways until either end closes.
 func (p *proxy) serve(in net.Conn) {
-	out, err := net.DialTimeout("tcp", p.target, time.Second)
+	defer in.Close()
+	out, err := net.DialTimeout("tcp", p.target, proxyDialTimeout)
 	if err != nil {
-		in.Close()
 		return
 	}
-	p.mu.Lock()
-	p.connections[in], p.connections[out] = true, true
-	p.mu.Unlock()
+	defer out.Close()
+	p.track(in, out)
+	defer p.untrack(in, out)
 	done := make(chan struct{}, 2)
 	go func() { p.relay(out, in, true); done <- struct{}{} }()
 	go func() { p.relay(in, out, false); done <- struct{}{} }()
 	<-done
-	in.Close()
-	out.Close()
+}
+
+// track lets set close connections.
+func (p *proxy) track(connections ...net.Conn) {
 	p.mu.Lock()
-	delete(p.connections, in)
-	delete(p.connections, out)
-	p.mu.Unlock()
+	defer p.mu.Unlock()
+	for _, connection := range connections {
+		p.connections[connection] = true
+	}
+}
+
+// untrack is the opposite of track.
+func (p *proxy) untrack(connections ...net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, connection := range connections {
+		delete(p.connections, connection)
+	}
 }
 
-// relay carries bytes one way for as long as the link lets them pass.
-func (p *proxy) relay(to, from net.Conn, forth bool) {
-	buf := make([]byte, 16<<10)
+// relay copies bytes one way for as long as the link lets them pass.
+func (p *proxy) relay(to, from net.Conn, forward bool) {
+	buffer := make([]byte, proxyBufferBytes)
 	for {
-		k, err := from.Read(buf)
+		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		state, delay, changed := p.state(forth)
+		state, changed := p.state(forward)
 		for state == linkHeld {
 			<-changed
-			state, delay, changed = p.state(forth)
+			state, changed = p.state(forward)
 		}
 		if state == linkRefused {
 			return
 		}
-		if delay > 0 {
-			time.Sleep(delay)
-		}
-		p.relayedBytes.Add(int64(k))
-		if _, err := to.Write(buf[:k]); err != nil {
+		p.relayedBytes.Add(int64(n))
+		if _, err := to.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -9,50 +9,55 @@
 	"micaport/internal/wire"
 )
 
-// quotaAccounting follows what every revision of the records charges to each team, and checks
-// that no commit brings a team beyond the limit that is in force in that revision. It is
-// worked out from the stored bytes, not from what any controller knows.
+// quotaTolerance is the rounding error that sums of resources may have.
+const quotaTolerance = 1e-6
+
+// quotaAccounting follows what every revision of the records charges to each team, and
+// checks that no commit brings a team above the limit in force in that revision. It is
+// computed from the stored bytes, not from what any controller knows.
 type quotaAccounting struct {
 	sim           *Simulation
 	jobs          map[string]jobCharge
 	teams         map[string]*teamCharge
-	highestLimits map[string]wire.Resources // the highest limits that have been in force
-	admissions    int                       // tasks that owners have admitted
-	createdAt     map[string]time.Duration  // when each job's record was made
+	highestLimits map[string]wire.Resources // the highest limits that each team has had
+	admissions    int                       // tasks that shard owners have admitted
+	createdAt     map[string]time.Duration  // when each job's record was created
 	placedAt      map[string]time.Duration  // when a task of each job first had a machine
 }
 
-// jobCharge is what the active tasks of one job are charged.
+// jobCharge is what the active tasks of a job are charged.
 type jobCharge struct {
 	team     string
 	perTask  wire.Resources
-	byLeader int
-	admitted map[int]int // by shard
+	byLeader int         // tasks that the leader has admitted
+	admitted map[int]int // tasks that shard owners have admitted, by shard
 	placed   bool        // a task has a machine
 }
 
 // teamCharge is what a team is charged.
 type teamCharge struct {
 	limit    wire.Resources
-	shares   map[int]wire.Resources
+	shares   map[int]wire.Resources // by shard
 	byLeader wire.Resources
-	admitted map[int]wire.Resources
+	admitted map[int]wire.Resources // by shard
 }
 
-const quotaTolerance = 1e-6
-
+// newQuotaAccounting returns an accounting without charges.
 func newQuotaAccounting(sim *Simulation) *quotaAccounting {
-	accounting := &quotaAccounting{sim: sim, jobs: map[string]jobCharge{}, teams: map[string]*teamCharge{}, highestLimits: map[string]wire.Resources{}, createdAt: map[string]time.Duration{}, placedAt: map[string]time.Duration{}}
-	for _, t := range sim.Teams {
-		limit := wire.Resources{Cores: t.MaxCores, GPUs: t.MaxGPUs}
-		accounting.teams[t.Name] = &teamCharge{limit: limit, admitted: map[int]wire.Resources{}}
-		accounting.highestLimits[t.Name] = limit
+	accounting := &quotaAccounting{
+		sim: sim, jobs: map[string]jobCharge{}, teams: map[string]*teamCharge{}, highestLimits: map[string]wire.Resources{},
+		createdAt: map[string]time.Duration{}, placedAt: map[string]time.Duration{},
+	}
+	for _, team := range sim.Teams {
+		limit := wire.Resources{Cores: team.MaxCores, GPUs: team.MaxGPUs}
+		accounting.teams[team.Name] = &teamCharge{limit: limit, admitted: map[int]wire.Resources{}}
+		accounting.highestLimits[team.Name] = limit
 	}
 	return accounting
 }
 
-// checkCommit takes in a transaction and checks what it leads to, and that what it charges
-// rests on the accounts of its teams.
+// checkCommit applies a transaction that has been carried out, and checks that it brings no
+// team above its limit and that its charges are conditional on the teams' accounts.
 func (accounting *quotaAccounting) checkCommit(conditions []core.Condition, writes []recordWrite) {
 	before := map[string]wire.Resources{}
 	for name, charge := range accounting.teams {
@@ -83,27 +88,28 @@
 	}
 }
 
-// checkFence checks that a commit which charges more to a team, or to its shares, was
-// conditional on the team's account, if there is one: without that it could come after
-// the limit was lowered, or the share cancelled.
+// checkFence checks that a commit which charges more for a job was conditional on the
+// team's account, if there is one. Without that it could be carried out after the limit was
+// lowered, or the share revoked.
 func (accounting *quotaAccounting) checkFence(conditions []core.Condition, jobID string, was jobCharge) {
 	now := accounting.jobs[jobID]
 	if now.byLeader <= was.byLeader && now.countAdmitted() <= was.countAdmitted() {
 		return
 	}
 	key := wire.AccountKey(now.team)
-	if record := accounting.sim.store.records[key]; record != nil && !slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == key }) {
+	fenced := slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == key })
+	if accounting.sim.store.records[key] != nil && !fenced {
 		accounting.sim.rules.violated("unfenced", "%s is charged to %s without a condition on its account", jobID, now.team)
 	}
 }
 
-// raisesAboveLimit tells whether a commit has brought a charge beyond its limit. One that was
-// beyond it already, since the limit has been lowered, may only fall.
+// raisesAboveLimit reports whether a commit has raised a charge above its limit. One that
+// was above it already, since the limit was lowered, may only fall.
 func raisesAboveLimit(now, limit, was float64) bool {
 	return limit > 0 && now > limit+quotaTolerance && now > was+quotaTolerance
 }
 
-// updateAccount takes in the record of a team's account.
+// updateAccount applies a write of a team's account.
 func (accounting *quotaAccounting) updateAccount(write recordWrite) {
 	name := wire.AccountTeam(write.key)
 	charge := accounting.teams[name]
@@ -113,92 +119,106 @@
 		return
 	}
 	charge.limit = record.Limit
-	high := accounting.highestLimits[name]
-	accounting.highestLimits[name] = wire.Resources{Cores: max(high.Cores, record.Limit.Cores), GPUs: max(high.GPUs, record.Limit.GPUs)}
-	for _, s := range record.Shares {
-		charge.shares[s.Shard] = wire.Resources{Cores: s.Cores, GPUs: s.GPUs}
+	highest := accounting.highestLimits[name]
+	accounting.highestLimits[name] = wire.Resources{Cores: max(highest.Cores, record.Limit.Cores), GPUs: max(highest.GPUs, record.Limit.GPUs)}
+	for _, share := range record.Shares {
+		charge.shares[share.Shard] = wire.Resources{Cores: share.Cores, GPUs: share.GPUs}
 	}
 }
 
-// updateJob takes in a job's record and its overflow keys.
+// updateJob computes a job's charge anew from its record and its overflow keys.
 func (accounting *quotaAccounting) updateJob(jobID string) {
 	before := accounting.jobs[jobID]
 	accounting.applyCharge(before, -1)
 	delete(accounting.jobs, jobID)
-	record := accounting.sim.store.records[wire.JobKey(jobID)]
-	if record == nil {
-		return
-	}
-	job := mustDecodeRecord(wire.JobKey(jobID), record.raw).(*wire.Job)
-	if job.Spec == nil || accounting.teams[job.Spec.Team] == nil {
+	charge, ok := accounting.readCharge(jobID)
+	if !ok {
 		return
 	}
-	c := jobCharge{team: job.Spec.Team, perTask: wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs}, admitted: map[int]int{}}
-	c.add(job.ActiveTasks)
-	for k := 1; k <= job.OverflowKeys; k++ {
-		if record := accounting.sim.store.records[wire.OverflowKey(jobID, k)]; record != nil {
-			c.add(mustDecodeRecord(wire.OverflowKey(jobID, k), record.raw).(*wire.Overflow).ActiveTasks)
-		}
-	}
-	accounting.jobs[jobID] = c
+	accounting.jobs[jobID] = charge
 	if _, known := accounting.createdAt[jobID]; !known {
 		accounting.createdAt[jobID] = accounting.sim.now
 	}
-	if _, known := accounting.placedAt[jobID]; !known && c.placed {
+	if _, known := accounting.placedAt[jobID]; !known && charge.placed {
 		accounting.placedAt[jobID] = accounting.sim.now
 	}
-	accounting.applyCharge(c, 1)
-	accounting.admissions += max(0, c.countAdmitted()-before.countAdmitted())
+	accounting.applyCharge(charge, 1)
+	accounting.admissions += max(0, charge.countAdmitted()-before.countAdmitted())
+}
+
+// readCharge reads a job's charge from the store. It reports false if the job has no record
+// with its spec, or its team is unknown.
+func (accounting *quotaAccounting) readCharge(jobID string) (charge jobCharge, ok bool) {
+	records, key := accounting.sim.store.records, wire.JobKey(jobID)
+	record := records[key]
+	if record == nil {
+		return jobCharge{}, false
+	}
+	job := mustDecodeRecord(key, record.raw).(*wire.Job)
+	if job.Spec == nil || accounting.teams[job.Spec.Team] == nil {
+		return jobCharge{}, false
+	}
+	charge = jobCharge{team: job.Spec.Team, perTask: wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs}, admitted: map[int]int{}}
+	charge.add(job.ActiveTasks)
+	for i := 1; i <= job.OverflowKeys; i++ {
+		key := wire.OverflowKey(jobID, i)
+		if record := records[key]; record != nil {
+			charge.add(mustDecodeRecord(key, record.raw).(*wire.Overflow).ActiveTasks)
+		}
+	}
+	return charge, true
 }
 
-func (c *jobCharge) add(tasks wire.ActiveTasks) {
+// add adds active tasks to a job's charge.
+func (charge *jobCharge) add(tasks wire.ActiveTasks) {
 	for i := range tasks {
-		c.placed = c.placed || tasks[i].Machine != ""
+		charge.placed = charge.placed || tasks[i].Machine != ""
 		if tasks[i].Admitted {
-			c.admitted[tasks[i].Shard]++
+			charge.admitted[tasks[i].Shard]++
 		} else {
-			c.byLeader++
+			charge.byLeader++
 		}
 	}
 }
 
-// countAdmitted counts the tasks that owners have admitted.
-func (c *jobCharge) countAdmitted() int {
+// countAdmitted counts the tasks that shard owners have admitted.
+func (charge *jobCharge) countAdmitted() int {
 	sum := 0
-	for _, count := range c.admitted {
+	for _, count := range charge.admitted {
 		sum += count
 	}
 	return sum
 }
 
 // applyCharge adds a job's charge to its team's, or removes it with sign -1.
-func (accounting *quotaAccounting) applyCharge(c jobCharge, sign int) {
-	if c.team == "" {
+func (accounting *quotaAccounting) applyCharge(job jobCharge, sign int) {
+	if job.team == "" {
 		return
 	}
-	charge := accounting.teams[c.team]
-	charge.byLeader = addResources(charge.byLeader, c.perTask, sign*c.byLeader)
-	for part, count := range c.admitted {
-		charge.admitted[part] = addResources(charge.admitted[part], c.perTask, sign*count)
+	team := accounting.teams[job.team]
+	team.byLeader = addResources(team.byLeader, job.perTask, sign*job.byLeader)
+	for shard, count := range job.admitted {
+		team.admitted[shard] = addResources(team.admitted[shard], job.perTask, sign*count)
 	}
 }
 
+// addResources returns a plus count times b.
 func addResources(a, b wire.Resources, count int) wire.Resources {
 	return wire.Resources{Cores: a.Cores + b.Cores*float64(count), GPUs: a.GPUs + b.GPUs*float64(count)}
 }
 
-// total is what a team is charged: what the leader has granted, and of each shard the
-// share or what was admitted, whichever is more. What nobody uses of a share counts too,
-// since its holder may admit within it at any moment.
+// total returns what a team is charged: what the leader has admitted, and of each shard the
+// share or what was admitted, whichever is more. Unused parts of a share count too, since
+// the shard's owner may admit within it at any moment.
 func (charge *teamCharge) total() wire.Resources {
 	sum := charge.byLeader
-	for part, share := range charge.shares {
-		used := charge.admitted[part]
+	for shard, share := range charge.shares {
+		used := charge.admitted[shard]
 		sum.Cores += max(share.Cores, used.Cores)
 		sum.GPUs += max(share.GPUs, used.GPUs)
 	}
-	for part, used := range charge.admitted {
-		if _, shared := charge.shares[part]; !shared {
+	for shard, used := range charge.admitted {
+		if _, shared := charge.shares[shard]; !shared {
 			sum = addResources(sum, used, 1)
 		}
 	}
--- a/internal/simulation/quota_accounting_test.go
+++ b/internal/simulation/quota_accounting_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -8,70 +9,71 @@
 	"micaport/internal/wire"
 )
 
-// testCommit is a commit on a store with one team of 8 GPUs, of which shard 0 holds a
-// share of 3; by the leader unless admitted.
+// testCommit is a commit that adds a job of a team of 8 GPUs, of which shard 0 has a share
+// of 3.
 type testCommit struct {
 	tasks    int
-	admitted bool
-	fenced   bool
+	admitted bool // by the owner of shard 0, not by the leader
+	fenced   bool // it is conditional on the team's account
 }
 
-// Each fault that the accounting looks for is found in a history in which it is planted,
-// and nothing is found where there is none.
-func TestAccountingFindsPlantedFaults(t *testing.T) {
-	for _, c := range []struct {
+// TestAccountingFindsFaults: each fault that the accounting checks for is found in a history
+// that has it, and none is found where there is none.
+func TestAccountingFindsFaults(t *testing.T) {
+	for _, test := range []struct {
 		name    string
 		commits []testCommit
 		limit   string // that an operator sets between the first and the second commit
-		rule    string
+		rule    string // that is violated; "" if none is
 	}{
 		{"within limit and share", []testCommit{{5, false, true}, {3, true, true}}, "", ""},
-		{"the leader spends a share that is idle", []testCommit{{6, false, true}}, "", "quota"},
-		{"an owner spends more than its share", []testCommit{{5, false, true}, {4, true, true}}, "", "quota"},
-		{"a grant that rests on no account", []testCommit{{2, false, false}}, "", "unfenced"},
-		{"an admission that rests on no account", []testCommit{{1, true, false}}, "", "unfenced"},
+		{"the leader admits within an idle share", []testCommit{{6, false, true}}, "", "quota"},
+		{"an owner admits more than its share", []testCommit{{5, false, true}, {4, true, true}}, "", "quota"},
+		{"an admission by the leader without the account", []testCommit{{2, false, false}}, "", "unfenced"},
+		{"an admission by an owner without the account", []testCommit{{1, true, false}}, "", "unfenced"},
 		{"nothing new after the limit was lowered", []testCommit{{5, false, true}}, "cards=4", ""},
 		{"more after the limit was lowered below the use", []testCommit{{4, false, true}, {1, false, true}}, "cards=4", "quota"},
 		{"more after the limit was raised", []testCommit{{5, false, true}, {2, false, true}}, "cards=10", ""},
 	} {
-		s := Defaults()
-		s.ControllerZones = nil
-		sim := newSimulation(s, func(string, ...any) {})
-		key := wire.AccountKey("red")
-		raw, err := wire.Encode(&wire.Account{Limit: wire.Resources{GPUs: 8}, Shares: []wire.Share{{Shard: 0, GPUs: 3}}})
-		if err != nil {
-			t.Fatal(err)
-		}
-		sim.store.overwrite(key, raw)
-		for i, x := range c.commits {
-			if i == 1 && c.limit != "" {
-				if err := sim.quota.changeLimit("red", []string{c.limit}); err != nil {
-					t.Fatal(err)
+		t.Run(test.name, func(t *testing.T) {
+			settings := Defaults()
+			settings.ControllerZones = nil
+			sim := newSimulation(settings, discardLog)
+			raw, err := wire.Encode(&wire.Account{Limit: wire.Resources{GPUs: 8}, Shares: []wire.Share{{Shard: 0, GPUs: 3}}})
+			if err != nil {
+				t.Fatal(err)
+			}
+			sim.store.overwrite(wire.AccountKey("red"), raw)
+			for i, commit := range test.commits {
+				if i == 1 && test.limit != "" {
+					if err := sim.quota.changeLimit("red", []string{test.limit}); err != nil {
+						t.Fatal(err)
+					}
 				}
+				commit.carryOut(t, sim, fmt.Sprintf("wk-%06d", i+1))
+			}
+			violations := strings.Join(sim.rules.violations, "; ")
+			if test.rule == "" && violations != "" || test.rule != "" && !strings.Contains(violations, test.rule) {
+				t.Errorf("got violations %q, want %q", violations, test.rule)
 			}
-			x.commit(t, sim, i)
-		}
-		broken := strings.Join(sim.rules.violations, "; ")
-		if c.rule == "" && broken != "" || c.rule != "" && !strings.Contains(broken, c.rule) {
-			t.Errorf("%s: %q, want %q", c.name, broken, c.rule)
-		}
+		})
 	}
 }
 
-// commit commits a job of its own with so many tasks of one GPU.
-func (x testCommit) commit(t *testing.T, sim *Simulation, i int) {
+// carryOut commits a job with tasks of one GPU.
+func (c testCommit) carryOut(t *testing.T, sim *Simulation, jobID string) {
 	t.Helper()
-	jobID := []string{"wk-000001", "wk-000002"}[i]
-	job := &wire.Job{Spec: &wire.JobSpec{ID: jobID, Team: "red", Shape: wire.ShapeArray, TaskCount: x.tasks, GPUs: 1}, TaskCount: x.tasks, NextAttempt: 2}
-	for task := range x.tasks {
-		job.ActiveTasks = append(job.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1, Machine: "vm-000001", Epoch: 1, Admitted: x.admitted})
+	job := &wire.Job{Spec: &wire.JobSpec{ID: jobID, Team: "red", Shape: wire.ShapeArray, TaskCount: c.tasks, GPUs: 1}, TaskCount: c.tasks, NextAttempt: 2}
+	for task := range c.tasks {
+		job.ActiveTasks = append(job.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1, Machine: "vm-000001", Epoch: 1, Admitted: c.admitted})
 	}
 	conditions := []core.Condition{{Key: wire.JobKey(jobID)}}
-	if x.fenced {
+	if c.fenced {
 		key := wire.AccountKey("red")
-		conditions = append(conditions, core.Condition{Key: key, Revision: sim.store.records[key].revision})
+		conditions = append(conditions, core.Condition{Key: key, Revision: sim.store.revisionOf(key)})
 	}
-	if outcome, _, _ := sim.store.commit(nil, conditions, encodeRecordWrites([]core.Write{{Key: wire.JobKey(jobID), Value: job}})); outcome != core.OK {
-		t.Fatalf("the commit came to %v", outcome)
+	writes := encodeRecordWrites([]core.Write{{Key: wire.JobKey(jobID), Value: job}})
+	if outcome, _, _ := sim.store.commit(nil, conditions, writes); outcome != core.OK {
+		t.Fatalf("the commit of %s came to %v, want %v", jobID, outcome, core.OK)
 	}
 }
--- a/internal/simulation/quota_changes.go
+++ b/internal/simulation/quota_changes.go
@@ -10,46 +10,68 @@
 	"micaport/internal/wire"
 )
 
-// changeLimit plays an operator who changes a team's limit with the command line.
+// errUnknownAmount is the error of a change that names no amount of an account.
+var errUnknownAmount = errors.New("unknown amount")
+
+// changeLimit changes a team's limits and guarantee as an operator does with the command
+// line. Args are NAME=VALUE, with a name of quotaAmounts.
 func (accounting *quotaAccounting) changeLimit(team string, args []string) error {
-	now := &wire.Account{}
-	for _, t := range accounting.sim.Teams {
-		if t.Name == team {
-			now.Limit = wire.Resources{Cores: t.MaxCores, GPUs: t.MaxGPUs}
-			now.Guarantee = wire.Resources{Cores: t.GuaranteedCores, GPUs: t.GuaranteedGPUs}
+	account := accounting.account(team)
+	change := quota.Change{Team: team, Version: account.Version}
+	for _, arg := range args {
+		if err := setAmount(&change, arg); err != nil {
+			return err
 		}
 	}
+	next, err := change.Apply(account)
+	if err != nil {
+		return fmt.Errorf("change of %s: %w", team, err)
+	}
+	raw, err := wire.Encode(next)
+	if err != nil {
+		return err
+	}
+	accounting.sim.store.overwrite(wire.AccountKey(team), raw)
+	return nil
+}
+
+// account returns a team's account as it is stored, or as the settings have it if it is not
+// or can't be read.
+func (accounting *quotaAccounting) account(team string) *wire.Account {
 	key := wire.AccountKey(team)
 	if record := accounting.sim.store.records[key]; record != nil {
 		if stored := mustDecodeRecord(key, record.raw).(*wire.Account); !stored.Unreadable {
-			now = stored
+			return stored
 		}
 	}
-	change := quota.Change{Team: team, Version: now.Version}
-	for _, arg := range args {
-		name, value, _ := strings.Cut(arg, "=")
-		x, err := strconv.ParseFloat(value, 64)
-		switch {
-		case err != nil:
-			return fmt.Errorf("bad number in %s: %w", arg, err)
-		case name == "cards":
-			change.GPUsLimit = &x
-		case name == "cores":
-			change.CoresLimit = &x
-		case name == "guarantee":
-			change.GPUsGuarantee = &x
-		default:
-			return errors.New("unknown amount " + name)
+	account := &wire.Account{}
+	for _, configured := range accounting.sim.Teams {
+		if configured.Name == team {
+			account.Limit = wire.Resources{Cores: configured.MaxCores, GPUs: configured.MaxGPUs}
+			account.Guarantee = wire.Resources{Cores: configured.GuaranteedCores, GPUs: configured.GuaranteedGPUs}
 		}
 	}
-	next, err := change.Apply(now)
+	return account
+}
+
+// quotaAmounts are the amounts of an account that a script can change.
+var quotaAmounts = map[string]func(*quota.Change) **float64{
+	"cards":     func(change *quota.Change) **float64 { return &change.GPUsLimit },
+	"cores":     func(change *quota.Change) **float64 { return &change.CoresLimit },
+	"guarantee": func(change *quota.Change) **float64 { return &change.GPUsGuarantee },
+}
+
+// setAmount sets an amount of a change as NAME=VALUE says.
+func setAmount(change *quota.Change, arg string) error {
+	name, value, _ := strings.Cut(arg, "=")
+	x, err := strconv.ParseFloat(value, 64)
 	if err != nil {
-		return err
+		return fmt.Errorf("bad number in %s: %w", arg, err)
 	}
-	raw, err := wire.Encode(next)
-	if err != nil {
-		return err
+	amount := quotaAmounts[name]
+	if amount == nil {
+		return fmt.Errorf("%w %s", errUnknownAmount, name)
 	}
-	accounting.sim.store.overwrite(key, raw)
+	*amount(change) = &x
 	return nil
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -7,6 +7,15 @@
 	"micaport/internal/wire"
 )
 
+// Limits on how long the answers to a job's user may stay away.
+const (
+	unansweredAfter    = 90 * time.Second // of one user, while others get answers
+	answeredWithin     = 6 * time.Second  // of those others
+	unansweredAtCalm   = 75 * time.Second // of any user, once all faults are over
+	ruleCheckInterval  = time.Second
+	waitingJobInterval = 5 * time.Second // between checks of the jobs that wait
+)
+
 // ruleChecker checks the rules of the protocol and collects violations.
 type ruleChecker struct {
 	sim             *Simulation
@@ -17,98 +26,118 @@
 	faultsEndAt     time.Duration     // when the last fault ends, as far as is known
 }
 
-func (rules *ruleChecker) violated(rule, format string, a ...any) {
-	rules.violations = append(rules.violations, fmt.Sprintf("%.3fs %s: %s", rules.sim.now.Seconds(), rule, fmt.Sprintf(format, a...)))
+// violated records that a rule was violated now.
+func (rules *ruleChecker) violated(rule, format string, args ...any) {
+	rules.violations = append(rules.violations, fmt.Sprintf("%.3fs %s: %s", rules.sim.now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// faultsLast notes that there is trouble for a while.
+// faultsLast records that a fault goes on for d from now.
 func (rules *ruleChecker) faultsLast(d time.Duration) {
 	rules.faultsEndAt = max(rules.faultsEndAt, rules.sim.now+d)
 }
 
-// taskStarted checks the rules that a start can break.
+// taskStarted checks the rules that the start of a task on a worker can violate.
 func (rules *ruleChecker) taskStarted(worker *simWorker, task *simTask) {
-	spec := &task.user.spec
+	user, machine := task.user, worker.machine
 	rules.starts[task.jobID]++
-	if task.user.cancelledAt > 0 {
+	if user.cancelledAt > 0 {
 		rules.lateStarts++
 	}
-	name := fmt.Sprintf("%s/%d#%d", task.jobID, task.index, task.attempt)
-	if at := rules.attemptMachines[name]; at != "" && at != worker.machine.Name {
-		rules.violated("attempt_recurs", "%s on %s and then on %s", name, at, worker.machine.Name)
+	name := attemptName(task.name(), task.attempt)
+	if before := rules.attemptMachines[name]; before != "" && before != machine.Name {
+		rules.violated("attempt_recurs", "%s on %s and then on %s", name, before, machine.Name)
 	}
-	rules.attemptMachines[name] = worker.machine.Name
-	for _, jobID := range spec.Dependencies {
+	rules.attemptMachines[name] = machine.Name
+	for _, jobID := range user.spec.Dependencies {
 		if dependency := rules.sim.users.byJob[jobID]; dependency == nil || !dependency.allTasksDone() {
-			rules.violated("too_early", "%s/%d before %s is done", task.jobID, task.index, jobID)
+			rules.violated("too_early", "%s before %s is done", task.name(), jobID)
 		}
 	}
 	zones := map[string]int{}
-	task.user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
+	user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
 		if other != task && other.index == task.index {
-			rules.violated("ran_twice", "%s/%d: attempt %d on %s, attempt %d on %s", task.jobID, task.index, task.attempt, worker.machine.Name, other.attempt, otherWorker.machine.Name)
+			rules.violated("ran_twice", "%s: attempt %d on %s, attempt %d on %s", task.name(), task.attempt, machine.Name, other.attempt, otherWorker.machine.Name)
 		}
 		zones[otherWorker.machine.Zone]++
 	})
-	if cores, gpus := rules.teamUsage(spec.Team); rules.exceedsHighestLimit(spec.Team, cores, gpus) {
-		rules.violated("quota", "%s uses %v cards and %v cores", spec.Team, gpus, cores)
+	if cores, gpus := rules.teamUsage(user.spec.Team); rules.exceedsHighestLimit(user.spec.Team, cores, gpus) {
+		rules.violated("quota", "%s uses %v GPUs and %v cores", user.spec.Team, gpus, cores)
 	}
+	rules.checkPlacement(worker, task, zones)
+	if cancelled := rules.sim.now - user.cancelledAt; user.cancelledAt > 0 && cancelled > rules.sim.CancelDeadline {
+		rules.violated("ran_cancelled", "%s started %v after", task.jobID, cancelled)
+	}
+}
+
+// checkPlacement checks that a job may use a machine, given how many of its tasks are in
+// each zone.
+func (rules *ruleChecker) checkPlacement(worker *simWorker, task *simTask, zones map[string]int) {
+	spec, machine := &task.user.spec, worker.machine
 	switch {
-	case worker.machine.Spot && !spec.AllowSpot:
+	case machine.Spot && !spec.AllowSpot:
 		rules.violated("wrong_place", "%s on a spot machine", task.jobID)
-	case spec.Zone != "" && spec.Zone != worker.machine.Zone:
-		rules.violated("wrong_place", "%s in zone %s", task.jobID, worker.machine.Zone)
+	case spec.Zone != "" && spec.Zone != machine.Zone:
+		rules.violated("wrong_place", "%s in zone %s", task.jobID, machine.Zone)
 	case spec.SameZone && len(zones) > 1:
 		rules.violated("wrong_place", "%s in zones %v", task.jobID, zones)
-	case spec.Spread && zones[worker.machine.Zone] > (spec.TaskCount+1)/2:
-		rules.violated("wrong_place", "%s has %d of %d tasks in zone %s", task.jobID, zones[worker.machine.Zone], spec.TaskCount, worker.machine.Zone)
-	}
-	if task.user.cancelledAt > 0 && rules.sim.now-task.user.cancelledAt > rules.sim.CancelDeadline {
-		rules.violated("ran_cancelled", "%s started %v after", task.jobID, rules.sim.now-task.user.cancelledAt)
+	case spec.Spread && zones[machine.Zone] > (spec.TaskCount+1)/2:
+		rules.violated("wrong_place", "%s has %d of %d tasks in zone %s", task.jobID, zones[machine.Zone], spec.TaskCount, machine.Zone)
 	}
 }
 
-// check looks at the world every second.
+// check checks the rules that hold at all times, once a ruleCheckInterval. Gang tasks look
+// for their peers then too.
 func (rules *ruleChecker) check() {
-	served, mute := 0, 0
-	for _, jobID := range sortedKeys(rules.sim.users.byJob) {
-		user := rules.sim.users.byJob[jobID]
+	rules.checkAnswers()
+	rules.checkCancelled()
+	rules.checkWaitingJobs()
+	for _, name := range sortedKeys(rules.sim.fleet.workers) {
+		worker := rules.sim.fleet.workers[name]
+		if worker.terminated || worker.hung {
+			continue
+		}
+		for _, key := range sortedKeys(worker.tasks) {
+			worker.checkGang(worker.tasks[key])
+		}
+	}
+}
+
+// checkAnswers checks that users get answers: most of them always, and each of them once
+// all faults are over.
+func (rules *ruleChecker) checkAnswers() {
+	now, answered, unanswered := rules.sim.now, 0, 0
+	for _, user := range rules.sim.users.byJob {
 		if !user.accepted {
 			continue
 		}
-		if rules.sim.now-user.lastAnsweredAt > 90*time.Second {
-			mute++
-		} else if rules.sim.now-user.lastAnsweredAt < 6*time.Second {
-			served++
+		if now-user.lastAnsweredAt > unansweredAfter {
+			unanswered++
+		} else if now-user.lastAnsweredAt < answeredWithin {
+			answered++
 		}
 	}
-	if mute > 0 && served > mute {
-		rules.violated("forgotten", "%d jobs get no answers while %d do", mute, served)
+	if unanswered > 0 && answered > unanswered {
+		rules.violated("forgotten", "%d jobs get no answers while %d do", unanswered, answered)
 	}
-	// Once all troubles are over each job is judged by itself.
 	for _, user := range rules.sim.users.ordered {
-		if quiet := rules.sim.now - max(user.lastAnsweredAt, rules.faultsEndAt); user.accepted && user.cancelledAt == 0 && quiet > 75*time.Second {
+		quiet := now - max(user.lastAnsweredAt, rules.faultsEndAt)
+		if user.accepted && user.cancelledAt == 0 && quiet > unansweredAtCalm {
 			rules.violated("forgotten", "%s: no answer for %v, the last was %d", user.spec.ID, quiet, user.lastCode)
 		}
 	}
+}
+
+// checkCancelled checks that the tasks of cancelled jobs are gone by the deadline.
+func (rules *ruleChecker) checkCancelled() {
 	rules.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
-		if user := task.user; user.cancelledAt > 0 && rules.sim.now-user.cancelledAt > rules.sim.CancelDeadline {
-			rules.violated("ran_cancelled", "%s/%d on %s %v after (%s)", task.jobID, task.index, worker.machine.Name, rules.sim.now-user.cancelledAt, task.state)
+		cancelled := rules.sim.now - task.user.cancelledAt
+		if task.user.cancelledAt > 0 && cancelled > rules.sim.CancelDeadline {
+			rules.violated("ran_cancelled", "%s on %s %v after (%s)", task.name(), worker.machine.Name, cancelled, task.state)
 		}
 	})
-	rules.checkWaitingJobs()
-	for _, name := range sortedKeys(rules.sim.fleet.workers) {
-		worker := rules.sim.fleet.workers[name]
-		if worker.terminated || worker.hung {
-			continue
-		}
-		for _, key := range sortedKeys(worker.tasks) {
-			worker.checkGang(worker.tasks[key])
-		}
-	}
 }
 
-// teamUsage is what the tasks of a team that are on machines take.
+// teamUsage returns what the tasks of a team that are on machines use.
 func (rules *ruleChecker) teamUsage(team string) (cores, gpus float64) {
 	for _, user := range rules.sim.users.ordered {
 		if user.spec.Team == team {
@@ -121,14 +150,14 @@
 	return cores, gpus
 }
 
-// exceedsHighestLimit tells whether a use is beyond a team's limit, or where operators have changed
-// that, beyond the highest that has been in force: what was placed before a limit was
-// lowered may start after. What is placed is judged by the accounting.
+// exceedsHighestLimit reports whether a use exceeds the highest limit that a team has had:
+// what was placed before the limit was lowered may start after. Whether it may be placed is
+// checked by quotaAccounting.
 func (rules *ruleChecker) exceedsHighestLimit(team string, cores, gpus float64) bool {
 	return exceedsLimit(rules.sim.quota.highestLimits[team], cores, gpus)
 }
 
-// exceedsLimit tells whether a use is beyond a limit, in which 0 is none.
+// exceedsLimit reports whether a use exceeds a limit, of which 0 is none.
 func exceedsLimit(limit wire.Resources, cores, gpus float64) bool {
 	return limit.GPUs > 0 && gpus > limit.GPUs+quotaTolerance || limit.Cores > 0 && cores > limit.Cores+quotaTolerance
 }
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -9,20 +10,24 @@
 	"micaport/internal/wire"
 )
 
-// idleSimulation is a world with a user's job and a machine, whose controllers do nothing.
-func idleSimulation(shape string, frames int) (*Simulation, *simUser, *simWorker) {
-	sim := New(Defaults(), func(string, ...any) {})
+// idleSimulation returns a simulation with a user's job and a worker, whose controllers do
+// not run.
+func idleSimulation(shape string, taskCount int) (*Simulation, *simUser, *simWorker) {
+	sim := New(Defaults(), discardLog)
 	for _, ctrl := range sim.controllers {
 		ctrl.running = false
 	}
 	sim.now = 400 * time.Second
-	user := &simUser{sim: sim, pinnedTo: -1, accepted: true, lastAnsweredAt: sim.now, spec: wire.JobSpec{ID: "wk-000001", Class: "c", Team: "red", Shape: shape, TaskCount: frames, Cores: 4, GPUs: 1, MemoryGB: 16, AllowSpot: true}}
+	user := &simUser{sim: sim, pinnedTo: -1, accepted: true, lastAnsweredAt: sim.now, spec: wire.JobSpec{
+		ID: "wk-000001", Class: "c", Team: "red", Shape: shape, TaskCount: taskCount, Cores: 4, GPUs: 1, MemoryGB: 16, AllowSpot: true,
+	}}
 	sim.users.byJob[user.spec.ID] = user
 	sim.users.ordered = append(sim.users.ordered, user)
-	return sim, user, addMachine(sim, "vm-000001")
+	return sim, user, addWorker(sim, "vm-000001")
 }
 
-func addMachine(sim *Simulation, name string) *simWorker {
+// addWorker adds a machine with a worker.
+func addWorker(sim *Simulation, name string) *simWorker {
 	machine := &cloudMachine{CloudMachine: wire.CloudMachine{Name: name, Zone: "a", MachineType: "g2"}}
 	sim.cloud.machines[name] = machine
 	worker := &simWorker{sim: sim, machine: machine, epoch: 1, tasks: map[string]*simTask{}, images: map[string]bool{}, renewedAt: sim.now, clockRate: 1}
@@ -30,125 +35,136 @@
 	return worker
 }
 
-func (user *simUser) addRunningTask(worker *simWorker, task int, attempt uint64) *simTask {
-	t := &simTask{user: user, worker: worker, jobID: user.spec.ID, index: task, attempt: attempt, state: wire.TaskRunning, stateSince: user.sim.now}
-	worker.addTask(wire.TaskName(user.spec.ID, task), t)
-	return t
+// addRunningTask adds a running task of the user's job to a worker.
+func (user *simUser) addRunningTask(worker *simWorker, index int, attempt uint64) *simTask {
+	task := &simTask{user: user, worker: worker, jobID: user.spec.ID, index: index, attempt: attempt, state: wire.TaskRunning, stateSince: user.sim.now}
+	worker.addTask(task.name(), task)
+	return task
 }
 
-// TestChecksFire shows for each check of the simulation that it sees what it
-// is there for, and that it is quiet where nothing is wrong.
-func TestChecksFire(t *testing.T) {
+// TestRulesAreChecked shows for each rule of the simulation that a violation is found, and
+// that none is found where nothing is wrong.
+func TestRulesAreChecked(t *testing.T) {
 	answer := func(status string) core.Reply {
-		return core.Reply{Status: 200, Body: wire.JobStatus{JobID: "wk-000001", Status: status}}
+		return core.Reply{Status: http.StatusOK, Body: wire.JobStatus{JobID: "wk-000001", Status: status}}
 	}
-	for _, c := range []struct {
-		rule string // "" if nothing may fire
+	for _, test := range []struct {
+		name string
+		rule string // that is violated; "" if none is
 		do   func(sim *Simulation, user *simUser, worker *simWorker)
 	}{
-		{"", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"a running task", "", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.addRunningTask(worker, 0, 1)
 			sim.rules.check()
 		}},
-		{"ran_twice", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"two attempts of a task", "ran_twice", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.addRunningTask(worker, 0, 1)
-			otherWorker := addMachine(sim, "vm-000002")
+			otherWorker := addWorker(sim, "vm-000002")
 			sim.rules.taskStarted(otherWorker, user.addRunningTask(otherWorker, 0, 2))
 		}},
-		{"quota", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"a team above its limit", "quota", func(sim *Simulation, user *simUser, worker *simWorker) {
 			for i := range 9 {
 				sim.rules.taskStarted(worker, user.addRunningTask(worker, i, uint64(i+1)))
 			}
 		}},
-		{"wrong_place", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"a task outside its zone", "wrong_place", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.spec.Zone = "b"
 			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
 		}},
-		{"wrong_place", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"a task that may not use spot machines", "wrong_place", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.spec.AllowSpot, worker.machine.Spot = false, true
 			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
 		}},
-		{"ran_cancelled", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"a start after the cancel deadline", "ran_cancelled", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.cancelRequested, user.cancelledAt = true, sim.now-sim.CancelDeadline-time.Millisecond
 			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
 		}},
-		{"ran_cancelled", func(sim *Simulation, user *simUser, worker *simWorker) { // on a machine that hangs
+		{"a task on a hung worker after the cancel deadline", "ran_cancelled", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.addRunningTask(worker, 0, 1)
 			worker.hung, user.cancelRequested, user.cancelledAt = true, true, sim.now-sim.CancelDeadline-time.Millisecond
 			sim.rules.check()
 		}},
-		{"", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"a task at the cancel deadline", "", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.cancelRequested, user.cancelledAt = true, sim.now-sim.CancelDeadline
 			user.addRunningTask(worker, 0, 1)
 			sim.rules.check()
 		}},
-		{"forgotten", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"a user without answers", "forgotten", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.addRunningTask(worker, 0, 1)
 			user.lastAnsweredAt = sim.now - 76*time.Second
 			sim.rules.check()
 		}},
-		{"went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"done, then running", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.spec.TaskCount = 0
 			user.checkStatus(sim.now, answer(wire.StatusDone))
 			user.checkStatus(sim.now, answer(wire.StatusRunning))
 		}},
-		{"went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"cancelled, then pending", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.cancelRequested = true
 			user.checkStatus(sim.now, answer(wire.StatusCancelled))
 			user.checkStatus(sim.now, answer(wire.StatusPending))
 		}},
-		{"went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"cancelled without a request", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.checkStatus(sim.now, answer(wire.StatusCancelled))
 		}},
-		{"not_done", func(sim *Simulation, user *simUser, _ *simWorker) { user.checkStatus(sim.now, answer(wire.StatusDone)) }},
-		{"accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) { sim.users.checkRejection("wk-700001", 422, 201) }},
-		{"accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) { sim.users.checkRejection("wk-700001", 400, 422) }},
-		{"", func(sim *Simulation, _ *simUser, _ *simWorker) { sim.users.checkRejection("wk-700001", 400, 503) }},
-		{"left_waiting", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"done with a task that is not", "not_done", func(sim *Simulation, user *simUser, _ *simWorker) { user.checkStatus(sim.now, answer(wire.StatusDone)) }},
+		{"a refused job accepted", "accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) {
+			sim.users.checkRejection("wk-700001", http.StatusUnprocessableEntity, http.StatusCreated)
+		}},
+		{"a malformed job refused as one that can not run", "accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) {
+			sim.users.checkRejection("wk-700001", http.StatusBadRequest, http.StatusUnprocessableEntity)
+		}},
+		{"a malformed job answered with unavailable", "", func(sim *Simulation, _ *simUser, _ *simWorker) {
+			sim.users.checkRejection("wk-700001", http.StatusBadRequest, http.StatusServiceUnavailable)
+		}},
+		{"a job that waits beside free capacity for too long", "left_waiting", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.idleCapacitySince = sim.now - 91*time.Second
 			sim.rules.checkWaitingJobs()
 		}},
-		{"", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"a job that waits beside free capacity", "", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.idleCapacitySince = sim.now - 89*time.Second
 			sim.rules.checkWaitingJobs()
 		}},
-		{"", func(sim *Simulation, user *simUser, _ *simWorker) { // no machine that it may use has room
+		{"a job whose zone has no free capacity", "", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.spec.Zone, user.idleCapacitySince = "b", sim.now-91*time.Second
 			sim.rules.checkWaitingJobs()
 		}},
-		{"", func(sim *Simulation, user *simUser, worker *simWorker) { // its team is at its limit
+		{"a job whose team is at its limit", "", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.idleCapacitySince = sim.now - 91*time.Second
 			other := &simUser{sim: sim, pinnedTo: -1, accepted: true, spec: user.spec}
 			other.spec.ID, other.spec.GPUs = "wk-000002", 8
 			sim.users.ordered = append(sim.users.ordered, other)
-			other.addRunningTask(addMachine(sim, "vm-000002"), 0, 1)
+			other.addRunningTask(addWorker(sim, "vm-000002"), 0, 1)
 			sim.rules.checkWaitingJobs()
 		}},
 	} {
-		sim, user, worker := idleSimulation(wire.ShapeArray, 1)
-		c.do(sim, user, worker)
-		switch {
-		case c.rule == "" && len(sim.rules.violations) > 0:
-			t.Errorf("fired without cause: %v", sim.rules.violations)
-		case c.rule != "" && (len(sim.rules.violations) == 0 || !strings.Contains(sim.rules.violations[0], c.rule)):
-			t.Errorf("%s did not fire: %v", c.rule, sim.rules.violations)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			sim, user, worker := idleSimulation(wire.ShapeArray, 1)
+			test.do(sim, user, worker)
+			violations := sim.rules.violations
+			switch {
+			case test.rule == "" && len(violations) > 0:
+				t.Errorf("got %v, want no violation", violations)
+			case test.rule != "" && (len(violations) == 0 || !strings.Contains(violations[0], test.rule)):
+				t.Errorf("got %v, want a violation of %s", violations, test.rule)
+			}
+		})
 	}
 }
 
-// TestLateStartsAreCounted: a start that a worker carries out after its user was
-// told that the job is cancelled is within the rules for cancel_s, and counted.
+// TestLateStartsAreCounted: a start that a worker carries out soon after the user was told
+// that the job is cancelled violates no rule, and is counted.
 func TestLateStartsAreCounted(t *testing.T) {
 	sim, user, worker := idleSimulation(wire.ShapeArray, 1)
 	user.cancelRequested, user.cancelledAt = true, sim.now-time.Second
 	sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
 	if sim.rules.lateStarts != 1 || len(sim.rules.violations) > 0 {
-		t.Errorf("%d counted, %v", sim.rules.lateStarts, sim.rules.violations)
+		t.Errorf("got %d late starts and violations %v, want 1 and none", sim.rules.lateStarts, sim.rules.violations)
 	}
 }
 
-// TestSubmissionsLackAField: what the odd requests send is faulty each time.
-func TestSubmissionsLackAField(t *testing.T) {
+// TestInvalidFieldsAreRejected: submissions of withInvalidField are invalid, each of them.
+func TestInvalidFieldsAreRejected(t *testing.T) {
 	_, user, _ := idleSimulation(wire.ShapeArray, 1)
 	user.spec.Priority, user.spec.Image = "low", "img"
 	if _, _, err := wire.ParseJobSpec(user.submissionBody()); err != nil {
@@ -156,7 +172,7 @@
 	}
 	for i := range 64 {
 		if jobID, _, err := wire.ParseJobSpec(withInvalidField(user.submissionBody(), i)); err == nil || jobID != user.spec.ID {
-			t.Errorf("%d: taken for sound (%q, %v)", i, jobID, err)
+			t.Errorf("pick %d: got job %q and error %v, want %q and an error", i, jobID, err, user.spec.ID)
 		}
 	}
 }
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -8,60 +8,65 @@
 	"micaport/internal/wire"
 )
 
-// largestStartLimit is how long the largest jobs of a class may take to begin.
+// largestStartLimit is how long the largest jobs of a class may take to start.
 const largestStartLimit = 240 * time.Second
 
-// underserved checks what is checked at the end of a day: at least half of every
-// class, of every team and of the largest jobs of each class has begun, the
-// largest in time. Jobs that came too late to be judged, that were cancelled
-// or that can't run are left out.
+// startCount counts jobs of one kind and how many of them have started.
+type startCount struct{ started, all int }
+
+// underserved returns the kinds of jobs of which less than half have started at the end of
+// a scenario: each class, each team, and the largest jobs of each class, which have to
+// start in time.
 func (rules *ruleChecker) underserved() []string {
-	type share struct{ begun, all int }
-	shares := map[string]*share{}
+	var judged []*simUser
 	largest := map[string]int{}
-	count := func(what string, begun bool) {
-		s := shares[what]
-		if s == nil {
-			s = &share{}
-			shares[what] = s
-		}
-		s.all++
-		s.begun += map[bool]int{true: 1}[begun]
-	}
-	judged := func(user *simUser) bool {
-		return user.accepted && !user.cancelRequested && !user.alwaysFails && rules.sim.now-user.submittedAt > largestStartLimit && !user.isBlocked()
-	}
 	for _, user := range rules.sim.users.ordered {
-		if judged(user) {
+		if rules.shouldHaveStarted(user) {
+			judged = append(judged, user)
 			largest[user.spec.Class] = max(largest[user.spec.Class], user.spec.TaskCount)
 		}
 	}
-	for _, user := range rules.sim.users.ordered {
-		if !judged(user) {
-			continue
+	counts := map[string]startCount{}
+	count := func(kind string, started bool) {
+		c := counts[kind]
+		c.all++
+		if started {
+			c.started++
 		}
-		count("class "+user.spec.Class, user.startedAt > 0)
-		count("team "+user.spec.Team, user.startedAt > 0)
+		counts[kind] = c
+	}
+	for _, user := range judged {
+		started := user.startedAt > 0
+		count("class "+user.spec.Class, started)
+		count("team "+user.spec.Team, started)
 		if user.spec.TaskCount == largest[user.spec.Class] {
-			count("largest of class "+user.spec.Class, user.startedAt > 0 && user.startedAt-user.submittedAt <= largestStartLimit)
+			count("largest of class "+user.spec.Class, started && user.startedAt-user.submittedAt <= largestStartLimit)
 		}
 	}
 	var faults []string
-	for _, what := range sortedKeys(shares) {
-		if s := shares[what]; 2*s.begun < s.all {
-			faults = append(faults, fmt.Sprintf("served: %d of %d of %s", s.begun, s.all, what))
+	for _, kind := range sortedKeys(counts) {
+		if c := counts[kind]; 2*c.started < c.all {
+			faults = append(faults, fmt.Sprintf("served: %d of %d of %s", c.started, c.all, kind))
 		}
 	}
 	return faults
 }
 
-// maxIdleCapacityWait is how long a job may be left waiting, once the troubles are
-// over, while a machine that fits has room and its team is under its limit.
+// shouldHaveStarted reports whether a job came early enough to be judged by whether it has
+// started, and can run.
+func (rules *ruleChecker) shouldHaveStarted(user *simUser) bool {
+	return user.accepted && !user.cancelRequested && !user.alwaysFails &&
+		rules.sim.now-user.submittedAt > largestStartLimit && !user.isBlocked()
+}
+
+// maxIdleCapacityWait is how long a job may wait, once all faults are over, while a machine
+// that fits has capacity and its team is below its limit.
 const maxIdleCapacityWait = 90 * time.Second
 
-// checkWaitingJobs checks that.
+// checkWaitingJobs checks that no job waits for longer than maxIdleCapacityWait.
 func (rules *ruleChecker) checkWaitingJobs() {
-	if rules.sim.now < rules.faultsEndAt || rules.sim.now%(5*time.Second) >= time.Second {
+	now := rules.sim.now
+	if now < rules.faultsEndAt || now%waitingJobInterval >= ruleCheckInterval {
 		return
 	}
 	var free []*freeCapacity
@@ -71,62 +76,69 @@
 			continue
 		}
 		if free == nil {
-			free = rules.freeCapacity()
+			free = rules.sim.fleet.freeCapacity()
 		}
 		if !user.fits(free) {
 			user.idleCapacitySince = 0
 			continue
 		}
 		if user.idleCapacitySince == 0 {
-			user.idleCapacitySince = rules.sim.now
+			user.idleCapacitySince = now
 		}
-		if rules.sim.now-max(user.idleCapacitySince, rules.faultsEndAt) > maxIdleCapacityWait {
+		if now-max(user.idleCapacitySince, rules.faultsEndAt) > maxIdleCapacityWait {
 			rules.violated("left_waiting", "%s waits beside room since %v", user.spec.ID, user.idleCapacitySince)
 		}
 	}
 }
 
-// isWaiting tells whether a job that should run has nothing on any machine.
+// isWaiting reports whether a job that should run has no task on any machine.
 func (user *simUser) isWaiting() bool {
-	if !user.accepted || user.cancelRequested || user.alwaysFails || user.isBlocked() || len(user.tasks) > 0 && slices.ContainsFunc(user.tasks, func(task *simTask) bool { return task.state != wire.TaskExited }) {
+	if !user.accepted || user.cancelRequested || user.alwaysFails || user.isBlocked() {
 		return false
 	}
-	return !user.allTasksDone()
+	hasTask := slices.ContainsFunc(user.tasks, func(task *simTask) bool { return task.state != wire.TaskExited })
+	return !hasTask && !user.allTasksDone()
 }
 
-// freeCapacity is what is free on a machine.
+// freeCapacity is what is free on a worker's machine.
 type freeCapacity struct {
 	worker                *simWorker
 	cores, gpus, memoryGB float64
 }
 
-func (rules *ruleChecker) freeCapacity() []*freeCapacity {
-	out := []*freeCapacity{}
-	for _, name := range sortedKeys(rules.sim.fleet.workers) {
-		worker := rules.sim.fleet.workers[name]
-		if worker.terminated || worker.hung || worker.failsTasks || worker.reclaimAt > 0 || rules.sim.now < worker.inboundCutUntil || rules.sim.now < worker.outboundCutUntil {
+// freeCapacity returns what is free on each machine whose worker is healthy. It is not nil.
+func (fleet *workerFleet) freeCapacity() []*freeCapacity {
+	now, machineType := fleet.sim.now, &fleet.sim.cloud.machineType
+	all := []*freeCapacity{}
+	for _, worker := range fleet.running() {
+		if worker.hung || worker.failsTasks || worker.reclaimAt > 0 || now < worker.inboundCutUntil || now < worker.outboundCutUntil {
 			continue
 		}
-		f := rules.sim.cloud.machineType
-		room := &freeCapacity{worker, f.Cores, f.GPUs, f.MemoryGB}
+		free := &freeCapacity{worker, machineType.Cores, machineType.GPUs, machineType.MemoryGB}
 		for _, task := range worker.tasks {
 			if task.state != wire.TaskExited && task.user != nil {
-				room.reserve(task.user)
+				free.reserve(&task.user.spec)
 			}
 		}
-		out = append(out, room)
+		all = append(all, free)
 	}
-	return out
+	return all
+}
+
+// reserve takes the resources of one task.
+func (free *freeCapacity) reserve(spec *wire.JobSpec) {
+	free.cores -= spec.Cores
+	free.gpus -= spec.GPUs
+	free.memoryGB -= spec.MemoryGB
 }
 
-func (room *freeCapacity) reserve(user *simUser) {
-	room.cores -= user.spec.Cores
-	room.gpus -= user.spec.GPUs
-	room.memoryGB -= user.spec.MemoryGB
+// has reports whether one task fits.
+func (free *freeCapacity) has(spec *wire.JobSpec) bool {
+	return free.cores >= spec.Cores && free.gpus >= spec.GPUs && free.memoryGB >= spec.MemoryGB
 }
 
-// fits tells whether one task of an array or daemon, or all of a gang in one
-// zone, would find room, and the team's limit allows it.
+// fits reports whether one task of an array or daemon, or all of a gang in one zone, fits
+// the free capacity and the team's limit.
 func (user *simUser) fits(free []*freeCapacity) bool {
 	spec, sim := &user.spec, user.sim
 	need := 1
@@ -138,16 +150,17 @@
 		return false
 	}
 	zones := map[string]int{}
-	for _, room := range free {
-		if room.worker.machine.Spot && !spec.AllowSpot || spec.Zone != "" && spec.Zone != room.worker.machine.Zone {
+	for _, machineFree := range free {
+		machine := machineFree.worker.machine
+		if machine.Spot && !spec.AllowSpot || spec.Zone != "" && spec.Zone != machine.Zone {
 			continue
 		}
-		for k := *room; k.cores >= spec.Cores && k.gpus >= spec.GPUs && k.memoryGB >= spec.MemoryGB && zones[room.worker.machine.Zone] < need; k.reserve(user) {
-			zones[room.worker.machine.Zone]++
+		for left := *machineFree; left.has(spec) && zones[machine.Zone] < need; left.reserve(spec) {
+			zones[machine.Zone]++
 		}
 	}
-	for _, c := range zones {
-		if c >= need {
+	for _, count := range zones {
+		if count >= need {
 			return true
 		}
 	}
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -4,68 +4,115 @@
 	"errors"
 	"fmt"
 	"strconv"
+	"strings"
 	"time"
 )
 
+// Errors of a script.
+var (
+	errNoSuchWorker       = errors.New("no such worker")
+	errNoSuchJob          = errors.New("no such job")
+	errUnknownCommand     = errors.New("unknown command")
+	errUnknownExpectation = errors.New("unknown expectation")
+	errUnknownAttribute   = errors.New("unknown attribute")
+)
+
 // arguments are the words of a script's line after its command.
 type arguments []string
 
-// number reads a word as a number; 0 where there are fewer.
-func (a arguments) number(i int) float64 {
-	x, _ := strconv.ParseFloat(a.word(i), 64)
+// word returns an argument, or "" if there are fewer.
+func (args arguments) word(i int) string {
+	if i >= len(args) {
+		return ""
+	}
+	return args[i]
+}
+
+// number returns an argument as a number, or 0 if it is none.
+func (args arguments) number(i int) float64 {
+	x, _ := strconv.ParseFloat(args.word(i), 64)
 	return x
 }
 
-// duration reads a word as seconds.
-func (a arguments) duration(i int) time.Duration { return seconds(a.number(i)) }
+// duration returns an argument, which is in seconds.
+func (args arguments) duration(i int) time.Duration { return seconds(args.number(i)) }
 
-// word gives a word; "" where there are fewer.
-func (a arguments) word(i int) string {
-	if i >= len(a) {
-		return ""
-	}
-	return a[i]
-}
+// from returns the arguments from one on.
+func (args arguments) from(i int) arguments { return args[min(i, len(args)):] }
 
-// Faults of a script.
-var (
-	errNoSuchMachine  = errors.New("no such machine")
-	errUnknownCommand = errors.New("unknown command")
-)
+// scriptCommand carries out a command of a script.
+type scriptCommand func(*Simulation, arguments) error
 
-// scriptCommands are what a line of a script can say, by name.
-var scriptCommands map[string]func(*Simulation, arguments) error
+// commandGroups are the commands that a line of a script can name.
+func commandGroups() []map[string]scriptCommand {
+	return []map[string]scriptCommand{userCommands, controllerCommands, serviceCommands, networkCommands, workerCommands, generalCommands}
+}
 
-func init() {
-	scriptCommands = map[string]func(*Simulation, arguments) error{}
-	for _, group := range []map[string]func(*Simulation, arguments) error{userCommands, controllerCommands, serviceCommands, workerCommands, generalCommands} {
-		for name, run := range group {
-			scriptCommands[name] = run
+// runCommand carries out one line of a script.
+func (sim *Simulation) runCommand(name string, args []string) error {
+	for _, group := range commandGroups() {
+		if run := group[name]; run != nil {
+			return run(sim, args)
 		}
 	}
+	return fmt.Errorf("%w %s", errUnknownCommand, name)
 }
 
-// runCommand runs one line of a script.
-func (sim *Simulation) runCommand(name string, args []string) error {
-	run := scriptCommands[name]
-	if run == nil {
-		return fmt.Errorf("%w %s", errUnknownCommand, name)
+// runScript runs the lines of a script and returns its failed expectations and the rules
+// that were violated.
+func (sim *Simulation) runScript(text string) []string {
+	var faults []string
+	last := time.Duration(0)
+	for _, line := range scriptLines(text) {
+		words := strings.Fields(line)
+		if len(words) < 3 || words[0] != "at" {
+			return []string{fmt.Sprintf("bad line %q", line)}
+		}
+		at, err := strconv.ParseFloat(words[1], 64)
+		if err != nil {
+			return []string{fmt.Sprintf("bad time in %q: %v", line, err)}
+		}
+		last = max(last, seconds(at))
+		sim.after(seconds(at), func() {
+			if err := sim.runCommand(words[2], words[3:]); err != nil {
+				faults = append(faults, fmt.Sprintf("%s: %v", line, err))
+			}
+		})
+	}
+	sim.Run(last + time.Millisecond)
+	if len(sim.rules.violations) == 0 {
+		faults = append(faults, sim.rules.underserved()...)
 	}
-	return run(sim, args)
+	return append(faults, sim.rules.violations...)
 }
 
-// infallible makes a command of something that can't fail.
-func infallible(f func(*Simulation, arguments)) func(*Simulation, arguments) error {
-	return func(sim *Simulation, a arguments) error { f(sim, a); return nil }
+// scriptLines returns the lines of a section, without empty ones and comments.
+func scriptLines(text string) []string {
+	var lines []string
+	for line := range strings.Lines(text) {
+		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
+			lines = append(lines, line)
+		}
+	}
+	return lines
+}
+
+// seconds converts a number of seconds.
+func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+
+// infallible makes a command of a function that can't fail.
+func infallible(run func(*Simulation, arguments)) scriptCommand {
+	return func(sim *Simulation, args arguments) error { run(sim, args); return nil }
 }
 
-// timedShare makes a command that sets a share or factor for some seconds; the trouble goes
-// on for a while after that.
-func timedShare(field func(*Simulation) *timedValue, after func(*Simulation) time.Duration) func(*Simulation, arguments) error {
-	return infallible(func(sim *Simulation, a arguments) {
-		sim.setFor(field(sim), a.number(0), a.duration(1))
-		sim.rules.faultsLast(a.duration(1) + after(sim))
+// timedShare makes a command that sets a share or factor for some seconds: VALUE SECONDS.
+// Its effects go on for aftermath.
+func timedShare(field func(*Simulation) *timedValue, aftermath func(*Simulation) time.Duration) scriptCommand {
+	return infallible(func(sim *Simulation, args arguments) {
+		sim.setFor(field(sim), args.number(0), args.duration(1))
+		sim.rules.faultsLast(args.duration(1) + aftermath(sim))
 	})
 }
 
+// noAftermath is the aftermath of what has no effects later.
 func noAftermath(*Simulation) time.Duration { return 0 }
--- a/internal/simulation/script_commands.go
+++ b/internal/simulation/script_commands.go
@@ -5,152 +5,189 @@
 	"time"
 )
 
-// controllerCommands are what becomes of controllers.
-var controllerCommands = map[string]func(*Simulation, arguments) error{
-	// controller, seconds for which its watch hangs
-	"watch-hangs": infallible(func(sim *Simulation, a arguments) { sim.store.hangWatch(sim.controllerIndex(a.word(0)), a.duration(1)) }),
-	// controller, seconds until it is back
-	"crash": infallible(func(sim *Simulation, a arguments) { sim.crash(sim.controllerIndex(a.word(0)), a.duration(1)) }),
-	// seconds for which the next controller that claims the leadership ends at once
-	"crash-claimant": infallible(func(sim *Simulation, a arguments) { sim.leadership.crashNextClaimant = a.duration(0) }),
-	// controller, seconds for which it stands still
-	"freeze": infallible(func(sim *Simulation, a arguments) { sim.freeze(sim.controllerIndex(a.word(0)), a.duration(1)) }),
-	// controller, seconds for which the state service refuses it
-	"refuse": infallible(func(sim *Simulation, a arguments) {
-		sim.store.refuseController(sim.controllerIndex(a.word(0)), a.duration(1))
+// lateWriteAftermath is how much later a late write may be carried out.
+const lateWriteAftermath = 12 * time.Second
+
+// controllerCommands are faults of controllers. CONTROLLER is a name of controllerNamed.
+var controllerCommands = map[string]scriptCommand{
+	// watch-hangs CONTROLLER SECONDS: its watch hangs.
+	"watch-hangs": infallible(func(sim *Simulation, args arguments) {
+		sim.store.hangWatch(sim.controllerNamed(args.word(0)), args.duration(1))
+	}),
+	// crash CONTROLLER SECONDS: it ends, and starts again after SECONDS.
+	"crash": infallible(func(sim *Simulation, args arguments) {
+		sim.controllerNamed(args.word(0)).crash(args.duration(1))
+	}),
+	// crash-claimant SECONDS: the next controller that claims the leadership ends at once, for SECONDS.
+	"crash-claimant": infallible(func(sim *Simulation, args arguments) {
+		sim.leadership.crashNextClaimant = args.duration(0)
+	}),
+	// freeze CONTROLLER SECONDS: it stands still.
+	"freeze": infallible(func(sim *Simulation, args arguments) {
+		sim.controllerNamed(args.word(0)).freeze(args.duration(1))
 	}),
-	// seconds for which controllers end and are back within half a second
-	"blink": infallible(func(sim *Simulation, a arguments) { sim.crashRepeatedly(sim.now + a.duration(0)) }),
-	// controllers end one after the other, SECONDS apart, and come back with the new version after SECONDS
-	"roll": infallible(func(sim *Simulation, a arguments) {
-		for i, n := range sim.controllers {
-			sim.after(time.Duration(i)*a.duration(0), func() {
-				n.oldVersion = false
-				sim.crash(n.index, a.duration(1))
+	// refuse CONTROLLER SECONDS: the state service refuses it.
+	"refuse": infallible(func(sim *Simulation, args arguments) {
+		sim.store.refuseController(sim.controllerNamed(args.word(0)), args.duration(1))
+	}),
+	// blink SECONDS: controllers end again and again, each for half a second at most.
+	"blink": infallible(func(sim *Simulation, args arguments) { sim.crashRepeatedly(sim.now + args.duration(0)) }),
+	// roll INTERVAL SECONDS: controllers are upgraded one after the other, each away for SECONDS.
+	"roll": infallible(func(sim *Simulation, args arguments) {
+		for i, ctrl := range sim.controllers {
+			sim.after(time.Duration(i)*args.duration(0), func() {
+				ctrl.oldVersion = false
+				ctrl.crash(args.duration(1))
 			})
 		}
 	}),
 }
 
-// serviceCommands are what becomes of the state service, the cloud and the network.
-var serviceCommands = map[string]func(*Simulation, arguments) error{
-	"outage": infallible(func(sim *Simulation, a arguments) { sim.store.startOutage(a.duration(0)) }),
-	// two ends, seconds, perhaps "hold"
-	"cut": func(sim *Simulation, a arguments) error {
-		from, err := sim.cutEndpoint(a.word(0))
-		if err == nil {
-			sim.network.cut(from, a.word(1), a.duration(2), a.word(3) == "hold")
-		}
-		return err
-	},
-	"cloud-outage": infallible(func(sim *Simulation, a arguments) {
+// serviceCommands are faults of the state service and the cloud.
+var serviceCommands = map[string]scriptCommand{
+	// outage SECONDS: the state service is out.
+	"outage": infallible(func(sim *Simulation, args arguments) { sim.store.startOutage(args.duration(0)) }),
+	// cloud-outage SECONDS: the cloud is out.
+	"cloud-outage": infallible(func(sim *Simulation, args arguments) {
 		sim.cloud.outage = true
-		sim.after(a.duration(0), func() { sim.cloud.outage = false })
+		sim.after(args.duration(0), func() { sim.cloud.outage = false })
 	}),
-	"no-capacity": infallible(func(sim *Simulation, a arguments) {
+	// no-capacity SECONDS: the cloud has no machines to give.
+	"no-capacity": infallible(func(sim *Simulation, args arguments) {
 		sim.cloud.outOfCapacity = true
-		sim.after(a.duration(0), func() { sim.cloud.outOfCapacity = false })
+		sim.after(args.duration(0), func() { sim.cloud.outOfCapacity = false })
 	}),
-	// times as long, share that never comes, seconds
-	"boots": infallible(func(sim *Simulation, a arguments) {
-		sim.cloud.slowBootFactor, sim.cloud.neverBootShare, sim.cloud.slowBootUntil = a.number(0), a.number(1), sim.now+a.duration(2)
-		sim.rules.faultsLast(a.duration(2))
+	// boots FACTOR SHARE SECONDS: boots take FACTOR times as long, and SHARE of them never end.
+	"boots": infallible(func(sim *Simulation, args arguments) {
+		sim.setFor(&sim.cloud.slowBoot, args.number(0), args.duration(2))
+		sim.cloud.neverBootShare = args.number(1)
+		sim.rules.faultsLast(args.duration(2))
 	}),
-	// share lost, share late, seconds
-	"lossy": infallible(func(sim *Simulation, a arguments) {
-		sim.network.setLossy(a.number(0), a.number(1), a.duration(2))
-		sim.rules.faultsLast(a.duration(2))
-	}),
-	// the state service's next limits hold from now on
+	// limits: the state service's next limits hold from now on.
 	"limits": infallible(func(sim *Simulation, _ arguments) {
 		sim.WriteRPS, sim.MaxTransactionOps, sim.MaxValueBytes = sim.NextWriteRPS, sim.NextMaxTransactionOps, sim.NextMaxValueBytes
 	}),
+	// late-writes SHARE SECONDS: transactions are carried out late and not answered.
 	"late-writes": timedShare(func(sim *Simulation) *timedValue { return &sim.store.lateWrites },
-		func(*Simulation) time.Duration { return 12 * time.Second }),
+		func(*Simulation) time.Duration { return lateWriteAftermath }),
+	// answers-lost SHARE SECONDS: transactions are carried out and not answered.
 	"answers-lost": timedShare(func(sim *Simulation) *timedValue { return &sim.store.lostReplies }, noAftermath),
-	"slow-store":   timedShare(func(sim *Simulation) *timedValue { return &sim.store.slowdown }, noAftermath),
-	"slow-links":   timedShare(func(sim *Simulation) *timedValue { return &sim.network.slowdown }, noAftermath),
+	// slow-store FACTOR SECONDS: the state service is slower.
+	"slow-store": timedShare(func(sim *Simulation) *timedValue { return &sim.store.slowdown }, noAftermath),
 }
 
-// cutEndpoint names an end of a cut: a machine by a task on it, a controller by its role, or as is.
+// networkCommands are faults of the network.
+var networkCommands = map[string]scriptCommand{
+	// cut ENDPOINT ENDPOINT SECONDS [hold]: neither reaches the other; with hold, what they send arrives afterwards.
+	"cut": func(sim *Simulation, args arguments) error {
+		from, err := sim.cutEndpoint(args.word(0))
+		if err != nil {
+			return err
+		}
+		sim.network.cut(from, args.word(1), args.duration(2), args.word(3) == "hold")
+		return nil
+	},
+	// lossy SHARE SHARE SECONDS: shares of the requests are lost, and are late.
+	"lossy": infallible(func(sim *Simulation, args arguments) {
+		sim.network.setLossy(args.number(0), args.number(1), args.duration(2))
+		sim.rules.faultsLast(args.duration(2))
+	}),
+	// slow-links FACTOR SECONDS: all messages take longer.
+	"slow-links": timedShare(func(sim *Simulation) *timedValue { return &sim.network.slowdown }, noAftermath),
+	// copies SECONDS DELAY: heartbeats and commands are delivered twice, the second time up to DELAY seconds later.
+	"copies": infallible(func(sim *Simulation, args arguments) {
+		sim.network.setDuplicating(args.duration(0), args.duration(1))
+	}),
+	// late-reports SHARE SECONDS: copies of heartbeats are delivered late.
+	"late-reports": timedShare(func(sim *Simulation) *timedValue { return &sim.replays.delayed },
+		func(sim *Simulation) time.Duration { return 2 * sim.WorkerLease }),
+	// reports-for-next-leader SHARE SECONDS: copies of heartbeats are delivered when a leader begins.
+	"reports-for-next-leader": timedShare(func(sim *Simulation) *timedValue { return &sim.replays.retention }, noAftermath),
+}
+
+// cutEndpoint returns the endpoint of a cut that a script names: the machine that has a
+// task ("host:TASK"), a controller by its role, or an endpoint as network.cut takes it.
 func (sim *Simulation) cutEndpoint(name string) (string, error) {
 	if task, ok := strings.CutPrefix(name, "host:"); ok {
 		worker := sim.fleet.hosting(task)
 		if worker == nil {
-			return "", errNoSuchMachine
+			return "", errNoSuchWorker
 		}
 		return worker.machine.Name, nil
 	}
-	if name == "leader" || name == "standby" || name == "other" {
-		return sim.controllers[sim.controllerIndex(name)].label, nil
+	switch name {
+	case "leader", "standby", "other":
+		return sim.controllerNamed(name).label, nil
 	}
 	return name, nil
 }
 
-// workerCommands are what becomes of machines and their reports.
-var workerCommands = map[string]func(*Simulation, arguments) error{
-	// keep a machine's report as it is now, to be delivered late
-	"stash": func(sim *Simulation, a arguments) error {
-		k := sim.fleet.hosting(a.word(0))
-		if a.word(0) == "any" {
-			k = sim.fleet.running()[0]
+// workerCommands are faults of workers, and of their heartbeats.
+var workerCommands = map[string]scriptCommand{
+	// stash TASK|any: a heartbeat of a worker is kept as it is now, for deliver.
+	"stash": func(sim *Simulation, args arguments) error {
+		worker := sim.fleet.hosting(args.word(0))
+		if args.word(0) == "any" {
+			worker = sim.fleet.running()[0]
 		}
-		if k == nil {
-			return errNoSuchMachine
+		if worker == nil {
+			return errNoSuchWorker
 		}
-		sim.replays.stashed = k.newHeartbeat()
+		sim.replays.stashed = worker.newHeartbeat()
 		return nil
 	},
-	// the kept report, to a controller
-	"deliver": infallible(func(sim *Simulation, a arguments) {
-		sim.controllers[int(a.number(0))].deliverHeartbeat(sim.replays.stashed)
+	// deliver INDEX: the stashed heartbeat reaches a controller.
+	"deliver": infallible(func(sim *Simulation, args arguments) {
+		sim.controllers[int(args.number(0))].deliverHeartbeat(sim.replays.stashed)
 	}),
-	// seconds for which every report comes twice, up to SECONDS late
-	"copies": infallible(func(sim *Simulation, a arguments) {
-		sim.network.setDuplicating(a.duration(0), a.duration(1))
-	}),
-	"late-reports": timedShare(func(sim *Simulation) *timedValue { return &sim.replays.delayed },
-		func(sim *Simulation) time.Duration { return 2 * sim.WorkerLease }),
-	"reports-for-next-leader": timedShare(func(sim *Simulation) *timedValue { return &sim.replays.retention }, noAftermath),
-	// COUNT of the machines that are up, a machine's trouble, seconds
-	"many": infallible(func(sim *Simulation, a arguments) {
-		up := sim.fleet.running()
-		sim.rng.Shuffle(len(up), func(i, k int) { up[i], up[k] = up[k], up[i] })
-		for _, k := range up[:min(len(up), int(a.number(0)))] {
-			sim.fleet.injectFault(a.word(1), k, a.duration(2))
+	// many COUNT FAULT SECONDS: a fault of COUNT workers drawn at random.
+	"many": infallible(func(sim *Simulation, args arguments) {
+		workers := sim.fleet.running()
+		sim.rng.Shuffle(len(workers), func(i, k int) { workers[i], workers[k] = workers[k], workers[i] })
+		for _, worker := range workers[:min(len(workers), int(args.number(0)))] {
+			sim.fleet.injectFault(workerFault(args.word(1)), worker, args.duration(2))
 		}
 	}),
-	"hang": workerFaultCommand("hang"), "take": workerFaultCommand("take"), "sick": workerFaultCommand("sick"), "recall": workerFaultCommand("recall"),
-	"deaf": workerFaultCommand("deaf"), "mute": workerFaultCommand("mute"), "reset": workerFaultCommand("reset"),
+	// FAULT TASK|any [SECONDS]: a fault of the worker that has a task, or of one drawn at random.
+	string(faultHang):        workerFaultCommand(faultHang),
+	string(faultTerminate):   workerFaultCommand(faultTerminate),
+	string(faultFailTasks):   workerFaultCommand(faultFailTasks),
+	string(faultReclaim):     workerFaultCommand(faultReclaim),
+	string(faultInboundCut):  workerFaultCommand(faultInboundCut),
+	string(faultOutboundCut): workerFaultCommand(faultOutboundCut),
+	string(faultReset):       workerFaultCommand(faultReset),
 }
 
-// workerFaultCommand does something to the machine that has a task, or to some machine:
-// TASK|any, seconds.
-func workerFaultCommand(trouble string) func(*Simulation, arguments) error {
-	return func(sim *Simulation, a arguments) error {
-		var found *simWorker
-		if up := sim.fleet.running(); a.word(0) != "any" {
-			found = sim.fleet.hosting(a.word(0))
-		} else if len(up) > 0 {
-			found = up[sim.rng.IntN(len(up))]
+// defaultFaultDuration is how long a worker's fault lasts if a script doesn't say.
+const defaultFaultDuration = 10 * time.Second
+
+// workerFaultCommand makes the command for a fault of a worker.
+func workerFaultCommand(fault workerFault) scriptCommand {
+	return func(sim *Simulation, args arguments) error {
+		var worker *simWorker
+		if running := sim.fleet.running(); args.word(0) != "any" {
+			worker = sim.fleet.hosting(args.word(0))
+		} else if len(running) > 0 {
+			worker = running[sim.rng.IntN(len(running))]
 		}
-		if found == nil {
-			return errNoSuchMachine
+		if worker == nil {
+			return errNoSuchWorker
 		}
-		d := 10 * time.Second
-		if len(a) > 1 {
-			d = a.duration(1)
+		d := defaultFaultDuration
+		if len(args) > 1 {
+			d = args.duration(1)
 		}
-		sim.fleet.injectFault(trouble, found, d)
+		sim.fleet.injectFault(fault, worker, d)
 		return nil
 	}
 }
 
-// generalCommands are about the world as a whole.
-var generalCommands = map[string]func(*Simulation, arguments) error{
-	// seconds
-	"storm": infallible(func(sim *Simulation, a arguments) { sim.injectRandomFaults(sim.now + a.duration(0)) }),
-	// count from here on
-	"meter":  infallible(func(sim *Simulation, _ arguments) { sim.meter = meter{since: sim.now, coreWork: sim.coreWork()} }),
-	"expect": func(sim *Simulation, a arguments) error { return sim.expect(a) },
+// generalCommands concern the simulation as a whole.
+var generalCommands = map[string]scriptCommand{
+	// storm SECONDS: random faults.
+	"storm": infallible(func(sim *Simulation, args arguments) { sim.injectRandomFaults(sim.now + args.duration(0)) }),
+	// meter: costs are counted from now on.
+	"meter": infallible(func(sim *Simulation, _ arguments) { sim.meter = meter{since: sim.now, coreWork: sim.coreWork()} }),
+	// expect: see Simulation.expect.
+	"expect": func(sim *Simulation, args arguments) error { return sim.expect(args) },
 }
--- a/internal/simulation/script_users.go
+++ b/internal/simulation/script_users.go
@@ -7,85 +7,93 @@
 	"micaport/internal/wire"
 )
 
-// userCommands are what users and operators do.
-var userCommands = map[string]func(*Simulation, arguments) error{
-	// REF, attributes
-	"submit":   func(sim *Simulation, a arguments) error { return sim.users.submitLine(a) },
-	"withdraw": infallible(func(sim *Simulation, a arguments) { sim.users.cancel(a.word(0)) }),
-	// submit a known job once more
-	"repeat": infallible(func(sim *Simulation, a arguments) { sim.users.byJob[a.word(0)].submit(sim.now) }),
-	// submit a known job's id with nothing else
-	"repeat-faulty": func(sim *Simulation, a arguments) error {
-		body, err := wire.Encode(map[string]any{"ref": a.word(0)})
+// userCommands are what users and operators do. JOB is a job's id; ATTRIBUTES are those of
+// submitLine.
+var userCommands = map[string]scriptCommand{
+	// submit JOB ATTRIBUTES
+	"submit": func(sim *Simulation, args arguments) error { return sim.users.submitLine(args) },
+	// withdraw JOB: its user cancels it.
+	"withdraw": infallible(func(sim *Simulation, args arguments) { sim.users.cancel(args.word(0)) }),
+	// repeat JOB: a known job is submitted once more.
+	"repeat": infallible(func(sim *Simulation, args arguments) { sim.users.byJob[args.word(0)].submit() }),
+	// repeat-faulty JOB: a known job is submitted with its id and nothing else.
+	"repeat-faulty": func(sim *Simulation, args arguments) error {
+		body, err := wire.Encode(map[string]any{"ref": args.word(0)})
 		if err != nil {
 			return err
 		}
-		sim.users.byJob[a.word(0)].sendSubmission(sim.now, body)
+		sim.users.byJob[args.word(0)].sendSubmission(sim.now, body)
 		return nil
 	},
-	// a user asks one controller only
-	"stick": infallible(func(sim *Simulation, a arguments) {
-		sim.users.byJob[a.word(0)].pinnedTo = sim.controllerIndex(a.word(1))
+	// stick JOB CONTROLLER: its user asks that controller only.
+	"stick": infallible(func(sim *Simulation, args arguments) {
+		sim.users.byJob[args.word(0)].pinnedTo = sim.controllerNamed(args.word(1)).index
 	}),
-	// seconds for which each user asks COUNT times a second
-	"polls": infallible(func(sim *Simulation, a arguments) {
-		for s := range int(a.number(0)) {
-			sim.after(time.Duration(s)*time.Second, func() {
-				for i := range int(a.number(1)) {
-					for _, u := range sim.users.ordered {
-						sim.after(time.Duration(i)*time.Second/time.Duration(a.number(1)), u.poll)
-					}
-				}
-			})
+	// polls SECONDS COUNT: each user asks COUNT times a second.
+	"polls": infallible(func(sim *Simulation, args arguments) {
+		for second := range int(args.number(0)) {
+			sim.after(time.Duration(second)*time.Second, func() { sim.users.pollAll(int(args.number(1))) })
 		}
 	}),
-	// COUNT jobs, one a second, each cancelled SECONDS later if not 0, attributes
-	"bulk": infallible(func(sim *Simulation, a arguments) {
-		for i := range int(a.number(0)) {
-			ref := sim.users.nextBulkID()
+	// bulk COUNT SECONDS ATTRIBUTES: COUNT jobs, one a second, each cancelled SECONDS later if that is not 0.
+	"bulk": infallible(func(sim *Simulation, args arguments) {
+		for i := range int(args.number(0)) {
+			jobID := sim.users.nextBulkID()
 			sim.after(time.Duration(i)*time.Second, func() {
-				if sim.users.submitLine(append([]string{ref}, a[2:]...)) == nil && a.number(1) > 0 {
-					sim.after(a.duration(1)+time.Duration(sim.rng.IntN(2000))*time.Millisecond, func() { sim.users.cancel(ref) })
+				if sim.users.submitLine(append([]string{jobID}, args.from(2)...)) == nil && args.number(1) > 0 {
+					sim.after(args.duration(1)+time.Duration(sim.rng.IntN(2000))*time.Millisecond, func() { sim.users.cancel(jobID) })
 				}
 			})
 		}
 	}),
-	// jobs a second, seconds, share cancelled, attributes
-	"stream": infallible(func(sim *Simulation, a arguments) {
-		every := seconds(1 / a.number(0))
-		for i := range int(a.number(0) * a.number(1)) {
-			ref := sim.users.nextBulkID()
-			sim.after(time.Duration(i)*every, func() {
-				if sim.users.submitLine(append([]string{ref}, a[3:]...)) == nil && sim.rng.Float64() < a.number(2) {
-					sim.after(time.Duration(sim.rng.IntN(12000))*time.Millisecond, func() { sim.users.cancel(ref) })
+	// stream RATE SECONDS SHARE ATTRIBUTES: RATE jobs a second, of which SHARE are cancelled.
+	"stream": infallible(func(sim *Simulation, args arguments) {
+		interval := seconds(1 / args.number(0))
+		for i := range int(args.number(0) * args.number(1)) {
+			jobID := sim.users.nextBulkID()
+			sim.after(time.Duration(i)*interval, func() {
+				if sim.users.submitLine(append([]string{jobID}, args.from(3)...)) == nil && sim.rng.Float64() < args.number(2) {
+					sim.after(time.Duration(sim.rng.IntN(12000))*time.Millisecond, func() { sim.users.cancel(jobID) })
 				}
 			})
 		}
 	}),
-	// REF waits on COUNT small jobs, which come first; with attributes
-	"fan-in": func(sim *Simulation, a arguments) error {
-		return sim.users.submitFanIn(a.word(0), int(a.number(1)), a[2:])
+	// fan-in JOB COUNT ATTRIBUTES: a job that depends on COUNT small ones, which come first.
+	"fan-in": func(sim *Simulation, args arguments) error {
+		return sim.users.submitFanIn(args.word(0), int(args.number(1)), args.from(2))
 	},
-	// a second, seconds, share cancelled, share whose last job comes when the rest is over
-	"pipelines": infallible(func(sim *Simulation, a arguments) {
-		every := seconds(1 / a.number(0))
-		for i := range int(a.number(0) * a.number(1)) {
-			sim.after(time.Duration(i)*every, func() { sim.users.submitPipeline(a.number(2), a.number(3)) })
+	// pipelines RATE SECONDS SHARE SHARE: RATE a second, shares of which are cancelled, and submit their last job late.
+	"pipelines": infallible(func(sim *Simulation, args arguments) {
+		interval := seconds(1 / args.number(0))
+		for i := range int(args.number(0) * args.number(1)) {
+			sim.after(time.Duration(i)*interval, func() { sim.users.submitPipeline(args.number(2), args.number(3)) })
 		}
 	}),
-	// COUNT jobs that run and have long to go, seconds for which machines of theirs hang, perhaps how their ids begin
-	"cancel-now": infallible(func(sim *Simulation, a arguments) {
-		sim.users.cancelRunning(int(a.number(0)), a.duration(1), a.word(2))
+	// cancel-now COUNT SECONDS [PREFIX]: COUNT running jobs are cancelled, and some of their workers hang for SECONDS.
+	"cancel-now": infallible(func(sim *Simulation, args arguments) {
+		sim.users.cancelRunning(int(args.number(0)), args.duration(1), args.word(2))
+	}),
+	// cancel-at-end SHARE SECONDS: jobs are cancelled at the moment of their end.
+	"cancel-at-end": infallible(func(sim *Simulation, args arguments) {
+		sim.setFor(&sim.users.cancelAtEnd, args.number(0), args.duration(1))
+	}),
+	// close-looks SECONDS: users poll all controllers after each change.
+	"close-looks": infallible(func(sim *Simulation, args arguments) {
+		sim.users.closePollingUntil = sim.now + args.duration(0)
 	}),
-	// share, seconds
-	"cancel-at-end": infallible(func(sim *Simulation, a arguments) { sim.setFor(&sim.users.cancelAtEnd, a.number(0), a.duration(1)) }),
-	// seconds
-	"close-looks":  infallible(func(sim *Simulation, a arguments) { sim.users.closePollingUntil = sim.now + a.duration(0) }),
-	"odd-requests": infallible(func(sim *Simulation, a arguments) { sim.users.sendIrregularRequests(sim.now + a.duration(0)) }),
-	// TEAM GPUs=N, cores=N, guarantee=N: an operator changes a team's limit
-	"limit": func(sim *Simulation, a arguments) error { return sim.quota.changeLimit(a.word(0), a[1:]) },
-	// TEAM: the record of its account can't be read any more
-	"damage": infallible(func(sim *Simulation, a arguments) { sim.store.overwrite(wire.AccountKey(a.word(0)), []byte{0xc1}) }),
-	// what owners admit by themselves, for controllers that start from here on
-	"switch": infallible(func(sim *Simulation, a arguments) { sim.Admission = core.Admission(a.number(0)) }),
+	// odd-requests SECONDS: users send irregular requests.
+	"odd-requests": infallible(func(sim *Simulation, args arguments) {
+		sim.users.sendIrregularRequests(sim.now + args.duration(0))
+	}),
+	// limit TEAM cards=N cores=N guarantee=N: an operator changes a team's limits.
+	"limit": func(sim *Simulation, args arguments) error { return sim.quota.changeLimit(args.word(0), args.from(1)) },
+	// damage TEAM: the record of its account becomes unreadable.
+	"damage": infallible(func(sim *Simulation, args arguments) {
+		sim.store.overwrite(wire.AccountKey(args.word(0)), []byte{unusedMessagePackCode})
+	}),
+	// switch ADMISSION: what shard owners admit, for controllers that start from now on.
+	"switch": infallible(func(sim *Simulation, args arguments) { sim.Admission = core.Admission(args.number(0)) }),
 }
+
+// unusedMessagePackCode is the one byte that begins no MessagePack value.
+const unusedMessagePackCode = 0xc1
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -83,7 +83,7 @@
 	for _, ctrl := range sim.controllers {
 		ctrl.start()
 	}
-	sim.every(time.Second, sim.rules.check)
+	sim.every(ruleCheckInterval, sim.rules.check)
 }
 
 // Run runs the simulation until the given time, or until a rule is violated.
--- a/internal/simulation/state_faults.go
+++ b/internal/simulation/state_faults.go
@@ -37,19 +37,18 @@
 }
 
 // refuseController makes the service refuse a controller for d.
-func (store *stateService) refuseController(index int, d time.Duration) {
-	store.countFault(store.refused, index, d)
+func (store *stateService) refuseController(ctrl *controller, d time.Duration) {
+	store.countFault(store.refused, ctrl, d)
 }
 
 // hangWatch makes the watch of a controller hang for d.
-func (store *stateService) hangWatch(index int, d time.Duration) {
-	store.countFault(store.hungWatches, index, d)
+func (store *stateService) hangWatch(ctrl *controller, d time.Duration) {
+	store.countFault(store.hungWatches, ctrl, d)
 }
 
 // countFault counts a fault of a controller for d. Faults may overlap.
-func (store *stateService) countFault(faults map[string]int, index int, d time.Duration) {
+func (store *stateService) countFault(faults map[string]int, ctrl *controller, d time.Duration) {
 	store.sim.rules.faultsLast(d)
-	label := store.sim.controllers[index].label
-	faults[label]++
-	store.sim.after(d, func() { faults[label]--; store.notifyWatches() })
+	faults[ctrl.label]++
+	store.sim.after(d, func() { faults[ctrl.label]--; store.notifyWatches() })
 }
--- a/internal/simulation/state_records.go
+++ b/internal/simulation/state_records.go
@@ -8,41 +8,50 @@
 	"micaport/internal/wire"
 )
 
-func encodeRecordWrites(ws []core.Write) []recordWrite {
-	var out []recordWrite
-	for _, x := range ws {
-		write := recordWrite{key: x.Key, leaseID: x.LeaseID}
-		if x.Value != nil {
-			raw, err := wire.Encode(x.Value)
+// encodeRecordWrites encodes the values of a core's writes.
+func encodeRecordWrites(writes []core.Write) []recordWrite {
+	var encoded []recordWrite
+	for _, write := range writes {
+		record := recordWrite{key: write.Key, leaseID: write.LeaseID}
+		if write.Value != nil {
+			raw, err := wire.Encode(write.Value)
 			must(err)
-			write.raw = raw
+			record.raw = raw
 		}
-		out = append(out, write)
+		encoded = append(encoded, record)
 	}
-	return out
+	return encoded
 }
 
-// mustDecodeRecord decodes the value of a key; the simulation stores only valid ones.
+// mustDecodeRecord decodes the value of a key. Controllers write only valid ones.
 func mustDecodeRecord(key string, raw []byte) wire.Record {
-	v, err := wire.DecodeRecord(key, raw)
+	record, err := wire.DecodeRecord(key, raw)
 	must(err)
-	return v
+	return record
 }
 
-// encodedJSONSize is a value's size in the form in which the limit is meant; it is not
-// worked out for values that are far below it.
-func encodedJSONSize(raw []byte, least int) int {
-	if len(raw) <= least {
+// encodedJSONSize returns the size of a value in JSON, which the service's limit is about.
+// For values far below the limit, of at most approximate bytes, it returns their own size.
+func encodedJSONSize(raw []byte, approximate int) int {
+	if len(raw) <= approximate {
 		return len(raw)
 	}
-	var v any
-	must(wire.Decode(raw, &v))
-	text, err := json.Marshal(v)
+	var value any
+	must(wire.Decode(raw, &value))
+	text, err := json.Marshal(value)
 	must(err)
 	return len(text)
 }
 
-// leader is the controller whose claim stands.
+// revisionOf returns the revision of a record, or 0 if there is none.
+func (store *stateService) revisionOf(key string) uint64 {
+	if record := store.records[key]; record != nil {
+		return record.revision
+	}
+	return 0
+}
+
+// leader returns the claim of the leadership that stands, or nil.
 func (store *stateService) leader() *wire.Leader {
 	record := store.records[wire.LeaderKey]
 	if record == nil {
@@ -51,22 +60,23 @@
 	return mustDecodeRecord(wire.LeaderKey, record.raw).(*wire.Leader)
 }
 
-// shardOwner names the controller whose claim of a shard stands.
+// shardOwner returns the label of the controller whose claim of a shard stands, or "".
 func (store *stateService) shardOwner(shard string) string {
-	record := store.records[wire.ShardKey(shard)]
+	key := wire.ShardKey(shard)
+	record := store.records[key]
 	if record == nil {
 		return ""
 	}
-	return mustDecodeRecord(wire.ShardKey(shard), record.raw).(*wire.Shard).Owner
+	return mustDecodeRecord(key, record.raw).(*wire.Shard).Owner
 }
 
-// countOverflowKeys counts the overflow keys of records.
+// countOverflowKeys counts the overflow keys of jobs' records.
 func (store *stateService) countOverflowKeys() int {
-	k := 0
+	count := 0
 	for key := range store.records {
 		if strings.HasPrefix(key, wire.OverflowPrefix) {
-			k++
+			count++
 		}
 	}
-	return k
+	return count
 }
