--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -8,96 +8,101 @@
 	"micaport/internal/wire"
 )
 
-// stateService stands in for the state service.
+// leaseCheckInterval is how often expired leases are looked for.
+const leaseCheckInterval = 100 * time.Millisecond
+
+// conditionsPerOp is how many conditions a transaction may have for each write that it may
+// have.
+const conditionsPerOp = 4
+
+// stateService is a model of the state service: records with revisions, conditional
+// transactions, leases and watches.
 type stateService struct {
 	sim           *Simulation
 	revision      uint64
 	records       map[string]*storedRecord
 	leases        map[uint64]*storedLease
 	lastLeaseID   uint64
-	writeCredit   float64 // writes that the service takes now
+	writeCredit   float64 // writes that the service takes at once; see Settings.WriteRPS
 	writeCreditAt time.Duration
 
-	leaderSince   time.Duration // when the leadership was last claimed
-	leaderChanges int           // claims of leadership so far
-	shardClaims   int           // claims of shards so far
-
 	changes        []recordChange
-	watchPositions map[string]int // how many changes each controller's watch has delivered; -1: none yet
+	watchPositions map[string]int // how many changes each controller's watch has delivered; see watchNotStarted
+
+	leaderSince   time.Duration // when the present leader claimed the leadership
+	leaderChanges int           // claims of the leadership so far
+	shardClaims   int           // claims of shards so far
 
 	outage      bool
 	refused     map[string]int // how many faults make the service refuse a controller
 	hungWatches map[string]int // how many faults make a controller's watch hang
-	lateWrites  timedValue     // share of transactions without an answer that are carried out 2 to 12 s later
-	lostReplies timedValue     // share of transactions that are carried out at once and not answered
+	lateWrites  timedValue     // share of transactions carried out 2 to 12 s late and not answered
+	lostReplies timedValue     // share of transactions carried out at once and not answered
 	slowdown    timedValue     // factor on the latency
 }
 
+// storedRecord is the value of a key.
 type storedRecord struct {
 	raw      []byte
-	revision uint64
-	leaseID  uint64
+	revision uint64 // of its last write
+	leaseID  uint64 // of the lease that it is deleted with; 0: none
 }
 
+// storedLease is a lease that has not expired.
 type storedLease struct {
 	ttl       time.Duration
 	expiresAt time.Duration
 }
 
+// recordChange is a write that was carried out.
 type recordChange struct {
 	key      string
-	raw      []byte // nil: dropped
+	raw      []byte // nil: deleted
 	revision uint64
 }
 
+// recordWrite is a write of a transaction.
 type recordWrite struct {
 	key     string
-	raw     []byte
-	leaseID uint64
+	raw     []byte // nil: delete
+	leaseID uint64 // that the record is tied to; 0: none
 }
 
+// newStateService returns a state service without records.
 func newStateService(sim *Simulation) *stateService {
-	store := &stateService{sim: sim, records: map[string]*storedRecord{}, leases: map[uint64]*storedLease{}, refused: map[string]int{}, hungWatches: map[string]int{}, watchPositions: map[string]int{}}
-	sim.every(100*time.Millisecond, store.expireLeases)
+	store := &stateService{
+		sim: sim, records: map[string]*storedRecord{}, leases: map[uint64]*storedLease{},
+		refused: map[string]int{}, hungWatches: map[string]int{}, watchPositions: map[string]int{},
+	}
+	sim.every(leaseCheckInterval, store.expireLeases)
 	return store
 }
 
+// refuses reports whether the service refuses a controller now.
 func (store *stateService) refuses(ctrl *controller) bool {
 	return store.outage || store.refused[ctrl.label] > 0
 }
 
-func (store *stateService) commit(ctrl *controller, conditions []core.Condition, writes []recordWrite) (core.Outcome, uint64, []string) {
+// commit carries out a transaction: all writes, if every record has the revision that a
+// condition names, 0 for none. It returns the store's revision, and the keys of the
+// conditions that failed.
+func (store *stateService) commit(ctrl *controller, conditions []core.Condition, writes []recordWrite) (outcome core.Outcome, revision uint64, failed []string) {
 	if store.outage {
 		return core.Refused, 0, nil
 	}
-	if len(writes) > store.sim.MaxTransactionOps || len(conditions) > 4*store.sim.MaxTransactionOps {
-		store.sim.rules.violated("limits", "%s: transaction with %d writes and %d conditions", ctrl.label, len(writes), len(conditions))
-	}
-	if limit := store.sim.WriteRPS; limit > 0 {
-		store.writeCredit = min(limit, store.writeCredit+limit*(store.sim.now-store.writeCreditAt).Seconds())
-		store.writeCreditAt = store.sim.now
-		if store.writeCredit < float64(len(writes)) {
-			store.sim.meter.refusedCommits++
-			return core.Refused, 0, nil
-		}
-		store.writeCredit -= float64(len(writes))
+	store.checkLimits(ctrl, conditions, writes)
+	if !store.takeCredit(len(writes)) {
+		store.sim.meter.refusedCommits++
+		return core.Refused, 0, nil
 	}
 	for _, write := range writes {
-		if size := encodedJSONSize(write.raw, store.sim.MaxValueBytes/4); size > store.sim.MaxValueBytes {
-			store.sim.rules.violated("limits", "%s: value of %s has %d bytes", ctrl.label, write.key, size)
-		}
 		if write.leaseID != 0 && store.leases[write.leaseID] == nil {
 			return core.LeaseExpired, store.revision, nil
 		}
 	}
-	var failed []string
-	for _, c := range conditions {
-		have := uint64(0)
-		if record := store.records[c.Key]; record != nil {
-			have = record.revision
-		}
-		if have != c.Revision {
-			failed = append(failed, c.Key)
+	for _, condition := range conditions {
+		if store.revisionOf(condition.Key) != condition.Revision {
+			failed = append(failed, condition.Key)
 		}
 	}
 	if len(failed) > 0 {
@@ -109,7 +114,7 @@
 	}
 	store.revision++
 	for _, write := range writes {
-		store.apply(write, store.revision)
+		store.apply(write)
 	}
 	store.sim.quota.checkCommit(conditions, writes)
 	store.sim.leadership.checkCommit(ctrl, conditions, writes)
@@ -117,15 +122,46 @@
 	return core.OK, store.revision, nil
 }
 
-func (store *stateService) apply(write recordWrite, rev uint64) {
-	begins := write.key == wire.LeaderKey && write.raw != nil && store.sim.leadership.recordClaim(mustDecodeRecord(write.key, write.raw).(*wire.Leader), rev)
+// checkLimits checks that a transaction keeps the service's limits.
+func (store *stateService) checkLimits(ctrl *controller, conditions []core.Condition, writes []recordWrite) {
+	sim := store.sim
+	if len(writes) > sim.MaxTransactionOps || len(conditions) > conditionsPerOp*sim.MaxTransactionOps {
+		sim.rules.violated("limits", "%s: transaction with %d writes and %d conditions", ctrl.label, len(writes), len(conditions))
+	}
+	for _, write := range writes {
+		if size := encodedJSONSize(write.raw, sim.MaxValueBytes/4); size > sim.MaxValueBytes {
+			sim.rules.violated("limits", "%s: value of %s has %d bytes", ctrl.label, write.key, size)
+		}
+	}
+}
+
+// takeCredit uses up a number of the writes that the service takes now, or reports false if
+// it takes fewer.
+func (store *stateService) takeCredit(writes int) bool {
+	limit := store.sim.WriteRPS
+	if limit <= 0 {
+		return true
+	}
+	store.writeCredit = min(limit, store.writeCredit+limit*(store.sim.now-store.writeCreditAt).Seconds())
+	store.writeCreditAt = store.sim.now
+	if store.writeCredit < float64(writes) {
+		return false
+	}
+	store.writeCredit -= float64(writes)
+	return true
+}
+
+// apply carries out a write at the present revision.
+func (store *stateService) apply(write recordWrite) {
+	begins := write.key == wire.LeaderKey && write.raw != nil &&
+		store.sim.leadership.recordClaim(mustDecodeRecord(write.key, write.raw).(*wire.Leader))
 	if write.raw == nil {
 		if store.records[write.key] == nil {
 			return
 		}
 		delete(store.records, write.key)
 	} else {
-		store.records[write.key] = &storedRecord{raw: write.raw, revision: rev, leaseID: write.leaseID}
+		store.records[write.key] = &storedRecord{raw: write.raw, revision: store.revision, leaseID: write.leaseID}
 	}
 	if begins {
 		store.leaderChanges++
@@ -135,18 +171,19 @@
 	if strings.HasPrefix(write.key, wire.ShardPrefix) && write.raw != nil {
 		store.shardClaims++
 	}
-	store.changes = append(store.changes, recordChange{write.key, write.raw, rev})
+	store.changes = append(store.changes, recordChange{write.key, write.raw, store.revision})
 }
 
 // overwrite writes a key from outside the controllers.
 func (store *stateService) overwrite(key string, raw []byte) {
 	store.revision++
 	write := recordWrite{key: key, raw: raw}
-	store.apply(write, store.revision)
+	store.apply(write)
 	store.sim.quota.checkCommit(nil, []recordWrite{write})
 	store.notifyWatches()
 }
 
+// renewLease renews a lease, or makes one if the id is 0, and returns the id of a new one.
 func (store *stateService) renewLease(id uint64, ttl time.Duration) (core.Outcome, uint64) {
 	if store.outage {
 		return core.Refused, 0
@@ -164,6 +201,7 @@
 	return core.OK, 0
 }
 
+// expireLeases deletes the records of the leases that have expired.
 func (store *stateService) expireLeases() {
 	if store.outage {
 		return
@@ -175,14 +213,15 @@
 			continue
 		}
 		delete(store.leases, id)
-		for _, k := range sortedKeys(store.records) {
-			if store.records[k].leaseID == id {
-				if !changed {
-					store.revision++
-					changed = true
-				}
-				store.apply(recordWrite{key: k}, store.revision)
+		for _, key := range sortedKeys(store.records) {
+			if store.records[key].leaseID != id {
+				continue
+			}
+			if !changed {
+				store.revision++
+				changed = true
 			}
+			store.apply(recordWrite{key: key})
 		}
 	}
 	if changed {
--- a/internal/simulation/state_watch.go
+++ b/internal/simulation/state_watch.go
@@ -6,50 +6,69 @@
 	"micaport/internal/core"
 )
 
-// sendSnapshot gives a starting controller all there is, then lets its watch go on.
+// watchNotStarted is the position of a watch that has not delivered its snapshot yet.
+const watchNotStarted = -1
+
+// Timing of watches.
+const (
+	snapshotRetry     = 200 * time.Millisecond
+	longestWatchDelay = 40 // milliseconds, beyond the latency
+)
+
+// sendSnapshot delivers all records to an incarnation of a controller that starts, and lets
+// its watch go on from there.
 func (store *stateService) sendSnapshot(ctrl *controller, incarnation int) {
-	store.watchPositions[ctrl.label] = -1
-	store.sim.after(store.sim.network.latency(), func() {
-		if ctrl.incarnation != incarnation || !ctrl.running {
+	sim := store.sim
+	store.watchPositions[ctrl.label] = watchNotStarted
+	sim.after(sim.network.latency(), func() {
+		if !ctrl.isRunning(incarnation) {
 			return
 		}
 		if store.refuses(ctrl) {
-			store.sim.after(200*time.Millisecond, func() {
-				if ctrl.incarnation == incarnation && ctrl.running {
+			sim.after(snapshotRetry, func() {
+				if ctrl.isRunning(incarnation) {
 					store.sendSnapshot(ctrl, incarnation)
 				}
 			})
 			return
 		}
-		c := core.RecordsChanged{Reset: true, Revision: store.revision}
-		for _, k := range sortedKeys(store.records) {
-			record := store.records[k]
-			c.Events = append(c.Events, core.Event{Key: k, Revision: record.revision, Value: mustDecodeRecord(k, record.raw)})
+		snapshot := core.RecordsChanged{Reset: true, Revision: store.revision}
+		for _, key := range sortedKeys(store.records) {
+			record := store.records[key]
+			snapshot.Events = append(snapshot.Events, core.Event{Key: key, Revision: record.revision, Value: mustDecodeRecord(key, record.raw)})
 		}
 		store.watchPositions[ctrl.label] = len(store.changes)
-		ctrl.step(c)
+		ctrl.step(snapshot)
 	})
 }
 
-// notifyWatches sends each watch what it has not seen, in order.
+// notifyWatches delivers to each controller the changes that it has not seen, in order.
 func (store *stateService) notifyWatches() {
-	for _, ctrl := range store.sim.controllers {
+	sim := store.sim
+	for _, ctrl := range sim.controllers {
 		incarnation := ctrl.incarnation
-		store.sim.after(store.sim.network.latency()+time.Duration(store.sim.rng.IntN(40))*time.Millisecond, func() {
-			at := store.watchPositions[ctrl.label]
-			if ctrl.incarnation != incarnation || !ctrl.running || store.refuses(ctrl) || store.hungWatches[ctrl.label] > 0 || at < 0 || at >= len(store.changes) {
-				return
-			}
-			c := core.RecordsChanged{Revision: store.changes[len(store.changes)-1].revision}
-			for _, x := range store.changes[at:] {
-				e := core.Event{Key: x.key, Revision: x.revision}
-				if x.raw != nil {
-					e.Value = mustDecodeRecord(x.key, x.raw)
-				}
-				c.Events = append(c.Events, e)
+		sim.after(sim.network.latency()+time.Duration(sim.rng.IntN(longestWatchDelay))*time.Millisecond, func() {
+			if ctrl.isRunning(incarnation) && !store.refuses(ctrl) && store.hungWatches[ctrl.label] == 0 {
+				store.deliverChanges(ctrl)
 			}
-			store.watchPositions[ctrl.label] = len(store.changes)
-			ctrl.step(c)
 		})
 	}
 }
+
+// deliverChanges delivers the changes that a controller has not seen, if there are any.
+func (store *stateService) deliverChanges(ctrl *controller) {
+	position := store.watchPositions[ctrl.label]
+	if position == watchNotStarted || position >= len(store.changes) {
+		return
+	}
+	changed := core.RecordsChanged{Revision: store.changes[len(store.changes)-1].revision}
+	for _, change := range store.changes[position:] {
+		event := core.Event{Key: change.key, Revision: change.revision}
+		if change.raw != nil {
+			event.Value = mustDecodeRecord(change.key, change.raw)
+		}
+		changed.Events = append(changed.Events, event)
+	}
+	store.watchPositions[ctrl.label] = len(store.changes)
+	ctrl.step(changed)
+}
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -12,9 +12,21 @@
 // submission is a job as a script's line describes it.
 type submission struct {
 	spec        wire.JobSpec
-	runtime     time.Duration
-	alwaysFails bool
-	pinnedTo    int
+	runtime     time.Duration // of each task
+	alwaysFails bool          // each task fails
+	pinnedTo    int           // index of the controller that the user asks; -1: any
+}
+
+// newSubmission returns a job with the attributes that it has by default.
+func newSubmission(jobID string) *submission {
+	return &submission{
+		runtime: 20 * time.Second, pinnedTo: -1,
+		spec: wire.JobSpec{
+			ID: jobID, Class: "c", Team: "wide", Shape: wire.ShapeArray, Priority: "standard", TaskCount: 1,
+			Cores: 4, GPUs: 1, MemoryGB: 16, Image: "img", ImageGB: 2, ExpectedS: 20,
+			CheckpointIntervalS: 5, CheckpointTimeS: 2, AllowSpot: true,
+		},
+	}
 }
 
 // submissionFlags are attributes without a value.
@@ -55,25 +67,37 @@
 	"ask":    func(s *submission, x float64) { s.pinnedTo = int(x) },
 }
 
-// submitLine has a user submit a job: REF and attributes.
+// setAttribute sets an attribute of a script's line: a flag, or NAME=VALUE.
+func (s *submission) setAttribute(attribute string) error {
+	name, text, _ := strings.Cut(attribute, "=")
+	if set := submissionFlags[name]; set != nil {
+		set(s)
+		return nil
+	}
+	if set := submissionTexts[name]; set != nil {
+		set(s, text)
+		return nil
+	}
+	set := submissionNumbers[name]
+	if set == nil {
+		return fmt.Errorf("%w %s", errUnknownAttribute, name)
+	}
+	x, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		return fmt.Errorf("bad number in %s: %w", attribute, err)
+	}
+	set(s, x)
+	return nil
+}
+
+// submitLine makes a user submit a job: its id and attributes.
 func (users *userSet) submitLine(args []string) error {
-	s := &submission{runtime: 20 * time.Second, pinnedTo: -1, spec: wire.JobSpec{
-		ID: args[0], Class: "c", Team: "wide", Shape: "array", Priority: "standard", TaskCount: 1,
-		Cores: 4, GPUs: 1, MemoryGB: 16, Image: "img", ImageGB: 2, ExpectedS: 20, CheckpointIntervalS: 5, CheckpointTimeS: 2, AllowSpot: true}}
-	for _, arg := range args[1:] {
-		name, text, _ := strings.Cut(arg, "=")
-		x, _ := strconv.ParseFloat(text, 64)
-		if set := submissionFlags[name]; set != nil {
-			set(s)
-		} else if set := submissionTexts[name]; set != nil {
-			set(s, text)
-		} else if set := submissionNumbers[name]; set != nil {
-			set(s, x)
-		} else {
-			return fmt.Errorf("unknown attribute %s", name)
+	job := newSubmission(args[0])
+	for _, attribute := range args[1:] {
+		if err := job.setAttribute(attribute); err != nil {
+			return err
 		}
 	}
-	users.submit(s.spec, s.runtime, s.pinnedTo)
-	users.byJob[s.spec.ID].alwaysFails = s.alwaysFails
+	users.submit(job)
 	return nil
 }
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"net/http"
 	"time"
 
 	"micaport/internal/core"
@@ -9,158 +10,180 @@
 
 // simUser is a user with one job.
 type simUser struct {
-	sim             *Simulation
-	spec            wire.JobSpec
-	runtime         time.Duration
-	alwaysFails     bool // a job submitted with a mistake
+	sim         *Simulation
+	spec        wire.JobSpec
+	runtime     time.Duration // of each task
+	alwaysFails bool          // each task fails: the job was submitted with a mistake
+	pinnedTo    int           // index of the controller that the user asks; -1: any
+
+	submittedAt     time.Duration // for the first time
 	accepted        bool
-	lastStatus      string        // the last status heard
-	lastStatusAt    time.Duration // when
-	cancelledAt     time.Duration // when told; 0 if not
-	cancelRequested bool          // the user has asked to cancel
-	lastReply       wire.JobStatus
-	lastCode        int
-	lastAnsweredAt  time.Duration
-	submitCodes     []int
-	pinnedTo        int           // the controller it asks; -1: any
-	submittedAt     time.Duration // when it first submitted
+	cancelRequested bool          // the user has asked to cancel the job
+	cancelledAt     time.Duration // when that was confirmed; 0: it was not
 	startedAt       time.Duration // when all of a gang, or the first of other tasks, ran; 0: not yet
-	tasks           []*simTask    // its tasks on machines, in the order in which they came
+	tasks           []*simTask    // on machines, in the order in which they came
+
+	lastReply      wire.JobStatus
+	lastStatus     string        // the last status that was checked
+	lastStatusAt   time.Duration // when it was
+	lastCode       int           // the status code of the last poll
+	lastAnsweredAt time.Duration
+	submitCodes    []int // the status codes of all submissions
 
-	idleCapacitySince time.Duration // since when it waits though there is room; 0: it does not
+	idleCapacitySince time.Duration // since when the job waits though there is capacity; 0: it does not
 }
 
+// submissionBody returns the body of the job's submission.
 func (user *simUser) submissionBody() []byte {
-	s := user.spec
-	m := map[string]any{
-		"ref": s.ID, "job_class": s.Class, "studio": s.Team, "shape": s.Shape, "urgency": s.Priority,
-		"frames": s.TaskCount, "cores": s.Cores, "cards": s.GPUs, "memory_gb": s.MemoryGB, "toolkit": s.Image,
-		"size_gb": s.ImageGB, "rigs": nil, "hall": nil, "same_place": s.SameZone, "spread": s.Spread,
-		"loaner": s.AllowSpot, "expected_s": s.ExpectedS, "snapshot_every_s": s.CheckpointIntervalS, "snapshot_s": s.CheckpointTimeS,
+	spec := &user.spec
+	fields := map[string]any{
+		"ref": spec.ID, "job_class": spec.Class, "studio": spec.Team, "shape": spec.Shape, "urgency": spec.Priority,
+		"frames": spec.TaskCount, "cores": spec.Cores, "cards": spec.GPUs, "memory_gb": spec.MemoryGB, "toolkit": spec.Image,
+		"size_gb": spec.ImageGB, "rigs": nil, "hall": nil, "same_place": spec.SameZone, "spread": spec.Spread,
+		"loaner": spec.AllowSpot, "expected_s": spec.ExpectedS, "snapshot_every_s": spec.CheckpointIntervalS, "snapshot_s": spec.CheckpointTimeS,
 	}
-	if s.Zone != "" {
-		m["hall"] = s.Zone
+	if spec.Zone != "" {
+		fields["hall"] = spec.Zone
 	}
-	if s.MachineTypes != nil {
-		m["rigs"] = s.MachineTypes
+	if spec.MachineTypes != nil {
+		fields["rigs"] = spec.MachineTypes
 	}
-	if s.Dependencies != nil {
-		m["waits_on"] = s.Dependencies
+	if spec.Dependencies != nil {
+		fields["waits_on"] = spec.Dependencies
 	}
-	if s.DeadlineS > 0 {
-		m["due_s"] = s.DeadlineS
+	if spec.DeadlineS > 0 {
+		fields["due_s"] = spec.DeadlineS
 	}
-	b, err := wire.Encode(m)
+	body, err := wire.Encode(fields)
 	must(err)
-	return b
+	return body
 }
 
-func (user *simUser) submit(first time.Duration) { user.sendSubmission(first, user.submissionBody()) }
+// submit submits the job, repeatedly until it is accepted.
+func (user *simUser) submit() { user.sendSubmission(user.sim.now, user.submissionBody()) }
 
-func (user *simUser) sendSubmission(first time.Duration, body []byte) {
-	asked := user.sim.now
-	user.sim.users.request(wire.RequestSubmit, user.spec.ID, body, 5*time.Second, func(reply core.Reply) {
+// sendSubmission submits a body, repeatedly until it is accepted, refused for good, or was
+// first sent too long ago.
+func (user *simUser) sendSubmission(firstAt time.Duration, body []byte) {
+	askedAt := user.sim.now
+	user.sim.users.request(wire.RequestSubmit, user.spec.ID, body, changeTimeout, func(reply core.Reply) {
 		user.submitCodes = append(user.submitCodes, reply.Status)
-		switch {
-		case reply.Status == 200 || reply.Status == 201:
+		switch reply.Status {
+		case http.StatusOK, http.StatusCreated:
 			user.accepted = true
 			user.lastAnsweredAt = user.sim.now
-			user.checkStatus(asked, reply)
-		case reply.Status == 400 || reply.Status == 422:
+			user.checkStatus(askedAt, reply)
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			if user.accepted {
 				user.sim.rules.violated("forgotten", "%s: repeat got %d", user.spec.ID, reply.Status)
 			}
-		case user.sim.now-first < 60*time.Second:
-			user.sim.after(time.Second, func() { user.sendSubmission(first, body) })
+		default:
+			if user.sim.now-firstAt < submitAttempts {
+				user.sim.after(retryDelay, func() { user.sendSubmission(firstAt, body) })
+			}
 		}
 	})
 }
 
+// poll asks for the job's status, once the job is accepted.
 func (user *simUser) poll() {
 	if !user.accepted {
 		return
 	}
-	asked := user.sim.now
-	user.sim.users.request(wire.RequestStatus, user.spec.ID, nil, 2*time.Second, func(reply core.Reply) {
+	askedAt := user.sim.now
+	user.sim.users.request(wire.RequestStatus, user.spec.ID, nil, statusTimeout, func(reply core.Reply) {
 		user.lastCode = reply.Status
 		switch reply.Status {
-		case 200:
+		case http.StatusOK:
 			user.lastAnsweredAt = user.sim.now
-			user.checkStatus(asked, reply)
-		case 404:
+			user.checkStatus(askedAt, reply)
+		case http.StatusNotFound:
 			user.sim.rules.violated("forgotten", "%s: 404 after it was accepted", user.spec.ID)
 		}
 	})
 }
 
+// requestAt sends a request about the accepted job to a controller.
 func (user *simUser) requestAt(ctrl *controller, kind wire.RequestKind, body []byte) {
-	asked := user.sim.now
-	user.sim.users.requestAt(ctrl, kind, user.spec.ID, body, 2*time.Second, func(reply core.Reply) {
+	askedAt := user.sim.now
+	user.sim.users.requestAt(ctrl, kind, user.spec.ID, body, statusTimeout, func(reply core.Reply) {
 		switch reply.Status {
-		case 200, 201:
+		case http.StatusOK, http.StatusCreated:
 			user.lastAnsweredAt = user.sim.now
-			user.checkStatus(asked, reply)
-		case 404, 400, 422:
+			user.checkStatus(askedAt, reply)
+		case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 			user.sim.rules.violated("forgotten", "%s: %s got %d after it was accepted", user.spec.ID, kind, reply.Status)
 		}
 	})
 }
 
-// checkStatus checks an answer against what the user was told before.
-func (user *simUser) checkStatus(asked time.Duration, reply core.Reply) {
-	var s wire.JobStatus
-	switch b := reply.Body.(type) {
+// isFinal reports whether a job with a status is over.
+func isFinal(status string) bool {
+	return status == wire.StatusDone || status == wire.StatusCancelled
+}
+
+// checkStatus checks an answer against what the user was told before. One that was asked
+// for before the last one came may be older, and is ignored.
+func (user *simUser) checkStatus(askedAt time.Duration, reply core.Reply) {
+	var answer wire.JobStatus
+	switch body := reply.Body.(type) {
 	case wire.JobStatus:
-		s = b
+		answer = body
 	case []byte:
-		must(wire.Decode(b, &s))
+		must(wire.Decode(body, &answer))
 	}
-	if asked < user.lastStatusAt {
-		return // asked before the last answer came; may be older
+	if askedAt < user.lastStatusAt {
+		return
 	}
-	user.lastReply = s
-	if final := s.Status == wire.StatusDone || s.Status == wire.StatusCancelled; user.lastStatus == "" || final && s.Status != user.lastStatus {
+	user.lastReply = answer
+	status, last := answer.Status, user.lastStatus
+	if last == "" || isFinal(status) && status != last {
 		defer user.pollClosely()
 	}
-	if (user.lastStatus == wire.StatusDone || user.lastStatus == wire.StatusCancelled) && s.Status != user.lastStatus {
-		user.sim.rules.violated("went_back", "%s: %s after %s", user.spec.ID, s.Status, user.lastStatus)
+	if isFinal(last) && status != last {
+		user.sim.rules.violated("went_back", "%s: %s after %s", user.spec.ID, status, last)
 	}
-	if s.Status == wire.StatusCancelled && !user.cancelRequested && user.findDependency(func(dependency *simUser) bool { return dependency.cancelRequested }) == nil {
-		user.sim.rules.violated("went_back", "%s: withdrawn unasked", user.spec.ID)
-	}
-	if s.Status != wire.StatusDone && s.Status != wire.StatusCancelled {
-		if dependency := user.findDependency(func(dependency *simUser) bool {
-			return dependency.cancelledAt > 0 && asked-dependency.cancelledAt > user.sim.CancelDeadline
-		}); dependency != nil {
-			user.sim.rules.violated("orphaned", "%s: %s, though %s was withdrawn %v ago", user.spec.ID, s.Status, dependency.spec.ID, user.sim.now-dependency.cancelledAt)
+	switch status {
+	case wire.StatusCancelled:
+		requested := func(dependency *simUser) bool { return dependency.cancelRequested }
+		if !user.cancelRequested && user.findDependency(requested) == nil {
+			user.sim.rules.violated("went_back", "%s: cancelled without a request", user.spec.ID)
 		}
-	}
-	if s.Status == wire.StatusDone {
-		for t := range user.spec.TaskCount {
-			if !user.sim.users.completedTasks[wire.TaskName(user.spec.ID, t)] {
-				user.sim.rules.violated("not_done", "%s: called done, task %d is not", user.spec.ID, t)
-				break
-			}
+	case wire.StatusDone:
+		if !user.allTasksDone() {
+			user.sim.rules.violated("not_done", "%s: called done, and not all of its tasks are", user.spec.ID)
 		}
+	default:
+		user.checkOrphaned(askedAt, status)
+	}
+	user.lastStatus, user.lastStatusAt = status, user.sim.now
+}
+
+// checkOrphaned checks that no dependency of an unfinished job was cancelled too long ago.
+func (user *simUser) checkOrphaned(askedAt time.Duration, status string) {
+	dependency := user.findDependency(func(dependency *simUser) bool {
+		return dependency.cancelledAt > 0 && askedAt-dependency.cancelledAt > user.sim.CancelDeadline
+	})
+	if dependency != nil {
+		user.sim.rules.violated("orphaned", "%s: %s, though %s was cancelled %v ago", user.spec.ID, status, dependency.spec.ID, user.sim.now-dependency.cancelledAt)
 	}
-	user.lastStatus, user.lastStatusAt = s.Status, user.sim.now
 }
 
-// allTasksDone tells whether all tasks of a job have completed.
+// allTasksDone reports whether all tasks of the job have done their work.
 func (user *simUser) allTasksDone() bool {
-	for t := range user.spec.TaskCount {
-		if !user.sim.users.completedTasks[wire.TaskName(user.spec.ID, t)] {
+	for i := range user.spec.TaskCount {
+		if !user.sim.users.completedTasks[wire.TaskName(user.spec.ID, i)] {
 			return false
 		}
 	}
 	return true
 }
 
-// eachActiveTask is that of World for the tasks of one job.
-func (user *simUser) eachActiveTask(f func(worker *simWorker, task *simTask)) {
+// eachActiveTask calls a function for each task that is on a machine and has not exited.
+func (user *simUser) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
 	for _, task := range user.tasks {
 		if task.state != wire.TaskExited && !task.worker.terminated {
-			f(task.worker, task)
+			visit(task.worker, task)
 		}
 	}
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -2,91 +2,113 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 
 	"micaport/internal/core"
 	"micaport/internal/wire"
 )
 
+// Timing of users.
+const (
+	pollInterval   = 5 * time.Second // between the questions of a user for the job's status
+	retryDelay     = time.Second     // until a request that was not accepted is repeated
+	statusTimeout  = 2 * time.Second // how long a user waits for a status
+	changeTimeout  = 5 * time.Second // how long a user waits for the answer to a submission or cancellation
+	submitAttempts = time.Minute     // how long a user repeats a submission
+)
+
 // userSet is all users, each with one job.
 type userSet struct {
 	sim            *Simulation
 	byJob          map[string]*simUser
 	ordered        []*simUser      // in the order in which they came
 	completedTasks map[string]bool // by name
-	bulkCount      int             // jobs that were named by nextBulkID and its like
-	irregularCount int             // irregular requests that named jobs of their own
+	bulkCount      int             // jobs that were named by bulk, pipelines and the like
+	irregularCount int             // irregular requests with a job id of their own
 
 	cancelAtEnd       timedValue    // share of jobs that are cancelled at the moment of their end
 	closePollingUntil time.Duration // until when users poll all controllers after each change
 }
 
-// bulkIDPrefix is how the ids of jobs begin that "bulk" and "stream" submit.
+// bulkIDPrefix begins the ids of jobs that nextBulkID names.
 const bulkIDPrefix = "wk-9"
 
-// nextBulkID names one of many jobs.
+// nextBulkID returns a new id for one of many jobs.
 func (users *userSet) nextBulkID() string {
 	jobID := fmt.Sprintf("wk-%06d", 900000+users.bulkCount)
 	users.bulkCount++
 	return jobID
 }
 
-// submit has a user submit a job, repeatedly until it is accepted.
-func (users *userSet) submit(s wire.JobSpec, run time.Duration, only int) {
-	user := &simUser{sim: users.sim, spec: s, runtime: run, pinnedTo: only, submittedAt: users.sim.now}
-	users.byJob[s.ID] = user
+// submit makes a user submit a job, repeatedly until it is accepted, and ask for its status
+// from then on.
+func (users *userSet) submit(job *submission) {
+	user := &simUser{sim: users.sim, spec: job.spec, runtime: job.runtime, alwaysFails: job.alwaysFails, pinnedTo: job.pinnedTo, submittedAt: users.sim.now}
+	users.byJob[job.spec.ID] = user
 	users.ordered = append(users.ordered, user)
-	user.submit(users.sim.now)
-	users.sim.every(5*time.Second, user.poll)
+	user.submit()
+	users.sim.every(pollInterval, user.poll)
 }
 
-// cancel has a job's user cancel it, repeatedly until told so.
+// cancel makes a job's user cancel it, repeatedly until that is confirmed.
 func (users *userSet) cancel(jobID string) {
 	user := users.byJob[jobID]
 	user.cancelRequested = true
-	asked := users.sim.now
-	users.request(wire.RequestCancel, jobID, nil, 5*time.Second, func(reply core.Reply) {
-		if reply.Status != 200 {
-			users.sim.after(time.Second, func() { users.cancel(jobID) })
+	askedAt := users.sim.now
+	users.request(wire.RequestCancel, jobID, nil, changeTimeout, func(reply core.Reply) {
+		if reply.Status != http.StatusOK {
+			users.sim.after(retryDelay, func() { users.cancel(jobID) })
 			return
 		}
-		user.checkStatus(asked, reply)
+		user.checkStatus(askedAt, reply)
 		if user.lastStatus == wire.StatusCancelled && user.cancelledAt == 0 {
 			user.cancelledAt = users.sim.now
 		}
 	})
 }
 
-// request asks some controller that is up; code 0 means that no answer came.
-func (users *userSet) request(kind wire.RequestKind, jobID string, body []byte, patience time.Duration, f func(core.Reply)) {
-	ctrl := users.sim.controllers[users.sim.rng.IntN(len(users.sim.controllers))]
+// pollAll makes every user ask for the job's status a number of times within a second.
+func (users *userSet) pollAll(count int) {
+	for i := range count {
+		for _, user := range users.ordered {
+			users.sim.after(time.Duration(i)*time.Second/time.Duration(count), user.poll)
+		}
+	}
+}
+
+// request sends a request to the controller that the job's user is pinned to, or to any.
+// Receive is called once, with status 0 if no answer comes in time.
+func (users *userSet) request(kind wire.RequestKind, jobID string, body []byte, timeout time.Duration, receive func(core.Reply)) {
+	ctrl := users.sim.randomController()
 	if user := users.byJob[jobID]; user != nil && user.pinnedTo >= 0 {
 		ctrl = users.sim.controllers[user.pinnedTo]
 	}
-	users.requestAt(ctrl, kind, jobID, body, patience, f)
+	users.requestAt(ctrl, kind, jobID, body, timeout, receive)
 }
 
-// requestAt is at for one controller.
-func (users *userSet) requestAt(ctrl *controller, kind wire.RequestKind, jobID string, body []byte, patience time.Duration, f func(core.Reply)) {
+// requestAt is request for a controller.
+func (users *userSet) requestAt(ctrl *controller, kind wire.RequestKind, jobID string, body []byte, timeout time.Duration, receive func(core.Reply)) {
 	answered := false
-	get := func(reply core.Reply) {
+	receiveOnce := func(reply core.Reply) {
 		if !answered {
 			answered = true
-			f(reply)
+			receive(reply)
 		}
 	}
-	users.sim.after(patience, func() { get(core.Reply{}) })
+	users.sim.after(timeout, func() { receiveOnce(core.Reply{}) })
 	if ctrl.running {
-		ctrl.request(func(req uint64) core.Input {
-			return core.UserRequest{RequestID: req, Kind: kind, JobID: jobID, Body: body}
-		}, get)
+		ctrl.request(func(requestID uint64) core.Input {
+			return core.UserRequest{RequestID: requestID, Kind: kind, JobID: jobID, Body: body}
+		}, receiveOnce)
 	}
 }
 
-// eachActiveTask walks over the tasks that are on machines, in a fixed order. Tasks
-// that still fetch their image count, which is stricter than the protocol.
-func (users *userSet) eachActiveTask(f func(worker *simWorker, task *simTask)) {
+// eachActiveTask calls a function for each task that is on a machine and has not exited, in
+// a fixed order. Tasks that still fetch their image count, which is stricter than the
+// protocol.
+func (users *userSet) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
 	for _, user := range users.ordered {
-		user.eachActiveTask(f)
+		user.eachActiveTask(visit)
 	}
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -5,67 +5,84 @@
 	"time"
 )
 
-// simWorker is a worker as the protocol describes it.
+// simWorker is a worker of the protocol, on a machine of the cloud.
 type simWorker struct {
-	sim              *Simulation
-	machine          *cloudMachine
-	terminated       bool
-	hung             bool
-	failsTasks       bool
-	epoch            uint64
-	sequence         uint64
-	token            uint64
-	tasks            map[string]*simTask
-	images           map[string]bool
-	controllerIndex  int
-	awaitingReply    bool
-	heartbeatID      int
-	renewedAt        time.Duration // when the last answered report was sent
-	reclaimAt        time.Duration
-	heartbeatDue     bool
-	inboundCutUntil  time.Duration // until when no answer or command reaches it
-	outboundCutUntil time.Duration // until when it reaches no controller
-	lastHeartbeatAt  time.Duration
-	clockRate        float64
+	sim        *Simulation
+	machine    *cloudMachine
+	terminated bool
+	hung       bool
+	failsTasks bool
+	clockRate  float64             // of its clock, by the simulation's
+	epoch      uint64              // of its session; a new one begins when it loses its tasks
+	sequence   uint64              // of its last heartbeat
+	token      uint64              // the highest fencing token that it has seen
+	tasks      map[string]*simTask // by attemptName
+	images     map[string]bool     // that it has fetched
+
+	controllerIndex int // of the controller that it sends heartbeats to
+	awaitingReply   bool
+	heartbeatID     int // of the last heartbeat; replies to others are ignored
+	lastHeartbeatAt time.Duration
+	heartbeatDue    bool          // it has something to report at once
+	renewedAt       time.Duration // when the last heartbeat with a reply was sent, which renewed its lease
+	reclaimAt       time.Duration // when its machine will be gone; 0: it won't
+
+	inboundCutUntil  time.Duration // no reply or command reaches it until then
+	outboundCutUntil time.Duration // it reaches no controller until then
 }
 
+// workerLoopInterval is how often a worker checks its lease and whether to send a heartbeat.
+const workerLoopInterval = 500 * time.Millisecond
+
 // endpoint returns the worker as a party of the network.
 func (worker *simWorker) endpoint() endpoint {
 	return endpoint{worker.machine.Name, worker.machine.Zone}
 }
 
+// loop runs the worker until its machine is gone.
 func (worker *simWorker) loop() {
-	worker.sim.after(500*time.Millisecond, func() {
+	worker.sim.after(workerLoopInterval, func() {
 		if worker.terminated {
 			return
 		}
 		worker.checkLease()
-		period := time.Duration(float64(worker.sim.HeartbeatInterval) * (0.75 + 0.5*worker.sim.rng.Float64()))
-		if !worker.hung && !worker.awaitingReply && (worker.heartbeatDue || worker.sim.now-worker.lastHeartbeatAt >= period) {
+		interval := time.Duration(float64(worker.sim.HeartbeatInterval) * (0.75 + 0.5*worker.sim.rng.Float64()))
+		if !worker.hung && !worker.awaitingReply && (worker.heartbeatDue || worker.sim.now-worker.lastHeartbeatAt >= interval) {
 			worker.sendHeartbeat()
 		}
 		worker.loop()
 	})
 }
 
-// checkLease kills everything when the last answered report is too old.
+// checkLease begins a new epoch if the lease has expired.
 func (worker *simWorker) checkLease() {
 	if time.Duration(float64(worker.sim.now-worker.renewedAt)*worker.clockRate) > worker.sim.WorkerLease {
-		worker.dropTasks()
-		worker.epoch++
-		worker.renewedAt = worker.sim.now
-		worker.awaitingReply = false
-		worker.heartbeatID++
+		worker.beginEpoch()
 	}
 }
 
+// beginEpoch ends all tasks and begins a new epoch.
+func (worker *simWorker) beginEpoch() {
+	worker.dropTasks()
+	worker.epoch++
+	worker.renewedAt = worker.sim.now
+	worker.abandonHeartbeat()
+}
+
+// abandonHeartbeat makes the worker wait no longer for the reply to its last heartbeat.
+func (worker *simWorker) abandonHeartbeat() {
+	worker.awaitingReply = false
+	worker.heartbeatID++
+}
+
 // dropTasks loses all tasks.
 func (worker *simWorker) dropTasks() {
-	for _, name := range sortedKeys(worker.tasks) {
-		worker.removeTask(name)
+	for _, key := range sortedKeys(worker.tasks) {
+		worker.removeTask(key)
 	}
 }
 
+// addTask adds a task under its attemptName.
 func (worker *simWorker) addTask(key string, task *simTask) {
 	worker.tasks[key] = task
 	if task.user != nil {
@@ -73,6 +90,7 @@
 	}
 }
 
+// removeTask removes a task by its attemptName.
 func (worker *simWorker) removeTask(key string) {
 	task := worker.tasks[key]
 	delete(worker.tasks, key)
