--- /dev/null
+++ b/internal/simulation/expectations.go
@@ -0,0 +1,175 @@
+package simulation
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"micaport/internal/wire"
+)
+
+// expect checks the conditions of an "expect" line: "JOB CONDITION..." or one condition of
+// the simulation as a whole.
+//
+// The latter are NAME<=N and NAME>=N with a name of counts, deaf=0 and sick=0 for faults of
+// workers, and owner=SHARD:CONTROLLER|CONTROLLER. Conditions of a job are those of
+// jobExpectations, as NAME=N or NAME<=N, or its status as its user was last told.
+func (sim *Simulation) expect(args arguments) error {
+	condition := args.word(0)
+	if met, got, known := sim.evaluate(condition); known {
+		if !met {
+			return unmet(condition, got)
+		}
+		return nil
+	}
+	user := sim.users.byJob[condition]
+	if user == nil {
+		return errNoSuchJob
+	}
+	for _, condition := range args.from(1) {
+		if err := user.expect(condition); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// unmet returns the error of a condition that is not met.
+func unmet(condition string, got any) error { return fmt.Errorf("want %s, got %v", condition, got) }
+
+// counts returns the numbers that a script can bound.
+func (sim *Simulation) counts() map[string]int {
+	metered := max(1, int((sim.now - sim.meter.since).Seconds()))
+	return map[string]int{
+		"machines":    len(sim.fleet.running()),
+		"returned":    sim.cloud.deprovisioned,
+		"waiting":     sim.cloud.countBooting(),
+		"leaders":     sim.store.leaderChanges,
+		"claims":      sim.store.shardClaims,
+		"late_starts": sim.rules.lateStarts, // after the user was told that the job is cancelled
+		"more_keys":   sim.store.countOverflowKeys(),
+		"admitted":    sim.quota.admissions, // tasks, by shard owners
+		"shares":      sim.quota.countShares(),
+		"early":       sim.leadership.countEarly(), // leaders replaced before their lease expired
+		"takeover_ms": int(sim.leadership.slowestTakeover().Milliseconds()),
+		"heartbeats":  sim.leadership.heartbeats, // of leaders
+
+		// Since the last "meter":
+		"refused":          sim.meter.refusedCommits,
+		"looks_per_report": int(sim.coreWork()-sim.meter.coreWork) / max(1, sim.meter.heartbeats),
+		"bytes_per_s":      sim.meter.gossipBytes / metered,
+	}
+}
+
+// evaluate evaluates a condition of the simulation as a whole. It reports whether that is
+// met, what was found, and whether there is such a condition.
+func (sim *Simulation) evaluate(condition string) (met bool, got any, known bool) {
+	if name, limit, ok := strings.Cut(condition, "<="); ok {
+		return sim.evaluateBound(name, limit, func(got, bound int) bool { return got <= bound })
+	}
+	if name, limit, ok := strings.Cut(condition, ">="); ok {
+		return sim.evaluateBound(name, limit, func(got, bound int) bool { return got >= bound })
+	}
+	if claim, ok := strings.CutPrefix(condition, "owner="); ok {
+		shard, owners, _ := strings.Cut(claim, ":")
+		owner := sim.store.shardOwner(shard)
+		return slices.Contains(strings.Split(owners, "|"), owner), owner, true
+	}
+	switch condition {
+	case "deaf=0":
+		count := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.inboundCutUntil > sim.now })
+		return count == 0, count, true
+	case "sick=0":
+		count := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.failsTasks })
+		return count == 0, count, true
+	}
+	return false, nil, false
+}
+
+// evaluateBound evaluates a bound of one of the counts.
+func (sim *Simulation) evaluateBound(name, limit string, holds func(got, bound int) bool) (met bool, got any, known bool) {
+	count, known := sim.counts()[name]
+	if !known {
+		return false, nil, false
+	}
+	bound, err := strconv.Atoi(limit)
+	if err != nil {
+		return false, err, true
+	}
+	return holds(count, bound), count, true
+}
+
+// jobExpectation is a condition of a job with a number. It reports whether that is met and
+// what was found.
+type jobExpectation func(user *simUser, want int) (met bool, got any)
+
+// jobExpectations are the conditions of a job with a number, with their operator.
+var jobExpectations = map[string]jobExpectation{
+	"running=": func(user *simUser, want int) (bool, any) {
+		running := user.placement().running
+		return running == want, running
+	},
+	"zones=": func(user *simUser, want int) (bool, any) {
+		zones := len(user.placement().zones)
+		return zones == want, zones
+	},
+	"hosts=": func(user *simUser, want int) (bool, any) {
+		machines := len(user.placement().machines)
+		return machines == want, machines
+	},
+	// The status code of the last answer to a submission.
+	"code=": func(user *simUser, want int) (bool, any) {
+		codes := user.submitCodes
+		return len(codes) > 0 && codes[len(codes)-1] == want, codes
+	},
+	"starts<=": func(user *simUser, want int) (bool, any) {
+		starts := user.sim.rules.starts[user.spec.ID]
+		return starts <= want, starts
+	},
+	// Seconds from the beginning of the scenario.
+	"begun<=": func(user *simUser, want int) (bool, any) {
+		return user.startedAt > 0 && user.startedAt <= seconds(float64(want)), user.startedAt
+	},
+}
+
+// expect checks a condition of the user's job.
+func (user *simUser) expect(condition string) error {
+	i := strings.Index(condition, "=") + 1
+	if i == 0 {
+		if user.lastReply.Status != condition {
+			return unmet(condition, user.lastReply.Status)
+		}
+		return nil
+	}
+	evaluate := jobExpectations[condition[:i]]
+	if evaluate == nil {
+		return fmt.Errorf("%w %s", errUnknownExpectation, condition)
+	}
+	want, err := strconv.Atoi(condition[i:])
+	if err != nil {
+		return fmt.Errorf("bad number in %s: %w", condition, err)
+	}
+	if met, got := evaluate(user, want); !met {
+		return unmet(condition, got)
+	}
+	return nil
+}
+
+// jobPlacement is where the tasks of a job are, other than those that have exited.
+type jobPlacement struct {
+	running         int // of the tasks
+	zones, machines map[string]bool
+}
+
+// placement returns where the tasks of the user's job are.
+func (user *simUser) placement() jobPlacement {
+	placement := jobPlacement{zones: map[string]bool{}, machines: map[string]bool{}}
+	user.eachActiveTask(func(worker *simWorker, task *simTask) {
+		placement.zones[worker.machine.Zone], placement.machines[worker.machine.Name] = true, true
+		if task.state == wire.TaskRunning {
+			placement.running++
+		}
+	})
+	return placement
+}
--- /dev/null
+++ b/internal/simulation/loopback_cloud.go
@@ -0,0 +1,55 @@
+package simulation
+
+import (
+	"net/http"
+
+	"micaport/internal/core"
+	"micaport/internal/wire"
+)
+
+// cloudHandler serves the cloud's protocol to a controller.
+func (loopback *Loopback) cloudHandler(ctrl *controller) http.Handler {
+	mux := http.NewServeMux()
+	answer := func(w http.ResponseWriter, call core.CallCloud) {
+		reply, ok := postAndWait(loopback, func() serviceReply { return loopback.callCloud(ctrl, call) })
+		if !ok {
+			reply = unavailable
+		}
+		reply.write(w)
+	}
+	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) { answer(w, core.CallCloud{ListTypes: true}) })
+	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) { answer(w, core.CallCloud{ListMachines: true}) })
+	mux.HandleFunc("POST /hosts", func(w http.ResponseWriter, request *http.Request) {
+		var provision wire.ProvisionRequest
+		if readRequest(w, request, &provision) {
+			answer(w, core.CallCloud{Provision: &provision})
+		}
+	})
+	mux.HandleFunc("POST /hosts/return", func(w http.ResponseWriter, request *http.Request) {
+		var machines wire.MachineNames
+		if readRequest(w, request, &machines) {
+			answer(w, core.CallCloud{Deprovision: machines.Names})
+		}
+	})
+	return mux
+}
+
+// callCloud carries out a controller's call.
+func (loopback *Loopback) callCloud(ctrl *controller, call core.CallCloud) serviceReply {
+	loopback.leadership.checkCloudCall(ctrl, call)
+	if loopback.cloud.outage {
+		return unavailable
+	}
+	answer := loopback.cloud.call(call)
+	switch {
+	case answer.Outcome == core.NoCapacity:
+		return serviceReply{http.StatusServiceUnavailable, wire.Error{Error: "no capacity"}}
+	case answer.Outcome != core.OK:
+		return unavailable
+	case call.ListTypes:
+		return serviceReply{http.StatusOK, wire.MachineTypeList{MachineTypes: answer.MachineTypes}}
+	case call.ListMachines:
+		return serviceReply{http.StatusOK, wire.MachineList{Machines: answer.Machines}}
+	}
+	return serviceReply{http.StatusOK, wire.MachineNames{Names: answer.Names}}
+}
--- /dev/null
+++ b/internal/simulation/loopback_state.go
@@ -0,0 +1,204 @@
+package simulation
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"micaport/internal/core"
+	"micaport/internal/wire"
+)
+
+// storedRow is a key in the protocol of the state service.
+type storedRow struct {
+	Key   string             `msgpack:"k"`
+	Value msgpack.RawMessage `msgpack:"v"`
+	Rev   uint64             `msgpack:"key_rev"`
+}
+
+// commitRequest is a transaction in the protocol of the state service.
+type commitRequest struct {
+	If []struct {
+		Key string `msgpack:"k"`
+		Rev uint64 `msgpack:"key_rev"`
+	} `msgpack:"if"`
+	Writes []struct {
+		Put   string             `msgpack:"put"`
+		Value msgpack.RawMessage `msgpack:"v"`
+		Lease uint64             `msgpack:"permit"`
+		Drop  string             `msgpack:"drop"`
+	} `msgpack:"writes"`
+}
+
+// leaseRequest asks for a lease.
+type leaseRequest struct {
+	LifeMS int64 `msgpack:"life_ms"`
+}
+
+// stateHandler serves the state service's protocol to a controller.
+func (loopback *Loopback) stateHandler(ctrl *controller) http.Handler {
+	store := loopback.store
+	mux := http.NewServeMux()
+	answer := func(w http.ResponseWriter, run func() serviceReply) {
+		reply, ok := postAndWait(loopback, func() serviceReply {
+			if store.refuses(ctrl) {
+				return unavailable
+			}
+			return run()
+		})
+		if !ok {
+			reply = unavailable
+		}
+		reply.write(w)
+	}
+	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, request *http.Request) {
+		answer(w, func() serviceReply { return store.serveRecord(request.PathValue("key")) })
+	})
+	mux.HandleFunc("GET /store", func(w http.ResponseWriter, request *http.Request) {
+		answer(w, func() serviceReply { return store.servePage(request) })
+	})
+	mux.HandleFunc("POST /commit", func(w http.ResponseWriter, request *http.Request) {
+		var commit commitRequest
+		if readRequest(w, request, &commit) {
+			answer(w, func() serviceReply { return store.serveCommit(ctrl, &commit) })
+		}
+	})
+	mux.HandleFunc("POST /grants", func(w http.ResponseWriter, request *http.Request) {
+		var lease leaseRequest
+		if readRequest(w, request, &lease) {
+			answer(w, func() serviceReply {
+				_, id := store.renewLease(0, time.Duration(lease.LifeMS)*time.Millisecond)
+				return serviceReply{http.StatusOK, map[string]any{"permit": id}}
+			})
+		}
+	})
+	mux.HandleFunc("POST /grants/{id}/extend", func(w http.ResponseWriter, request *http.Request) {
+		id, _ := strconv.ParseUint(request.PathValue("id"), 10, 64)
+		answer(w, func() serviceReply { return store.serveRenewal(id) })
+	})
+	mux.HandleFunc("GET /watch", func(w http.ResponseWriter, request *http.Request) { loopback.serveWatch(ctrl, w, request) })
+	return mux
+}
+
+// atRevision is the body of an answer that tells only the store's revision.
+func (store *stateService) atRevision() map[string]any {
+	return map[string]any{"ledger_rev": store.revision}
+}
+
+// serveRecord answers with a record.
+func (store *stateService) serveRecord(key string) serviceReply {
+	record := store.records[key]
+	if record == nil {
+		return serviceReply{http.StatusNotFound, store.atRevision()}
+	}
+	return serviceReply{http.StatusOK, storedRow{key, record.raw, record.revision}}
+}
+
+// servePage answers with one page of a listing.
+func (store *stateService) servePage(request *http.Request) serviceReply {
+	query := request.URL.Query()
+	limit, _ := strconv.Atoi(query.Get("limit"))
+	rows, more := []storedRow{}, false
+	for _, key := range sortedKeys(store.records) {
+		if !strings.HasPrefix(key, query.Get("starts")) || key <= query.Get("from") {
+			continue
+		}
+		if more = len(rows) == limit; more {
+			break
+		}
+		rows = append(rows, storedRow{key, store.records[key].raw, store.records[key].revision})
+	}
+	return serviceReply{http.StatusOK, map[string]any{"rows": rows, "has_next": more, "ledger_rev": store.revision}}
+}
+
+// serveCommit carries out a transaction.
+func (store *stateService) serveCommit(ctrl *controller, commit *commitRequest) serviceReply {
+	var conditions []core.Condition
+	for _, x := range commit.If {
+		conditions = append(conditions, core.Condition{Key: x.Key, Revision: x.Rev})
+	}
+	var writes []recordWrite
+	for _, x := range commit.Writes {
+		if x.Drop != "" {
+			writes = append(writes, recordWrite{key: x.Drop})
+		} else {
+			writes = append(writes, recordWrite{key: x.Put, raw: x.Value, leaseID: x.Lease})
+		}
+	}
+	outcome, revision, failed := store.commit(ctrl, conditions, writes)
+	switch outcome {
+	case core.OK:
+		return serviceReply{http.StatusOK, map[string]any{"ledger_rev": revision}}
+	case core.Conflict:
+		return serviceReply{http.StatusConflict, map[string]any{"failed": failed, "ledger_rev": revision}}
+	case core.LeaseExpired:
+		return serviceReply{http.StatusBadRequest, wire.Error{Error: "no such lease"}}
+	}
+	return serviceReply{http.StatusTooManyRequests, wire.Error{Error: "too many changes"}}
+}
+
+// serveRenewal renews a lease.
+func (store *stateService) serveRenewal(id uint64) serviceReply {
+	if id == 0 || store.leases[id] == nil {
+		return serviceReply{http.StatusNotFound, store.atRevision()}
+	}
+	store.renewLease(id, 0)
+	return serviceReply{http.StatusOK, map[string]any{"permit": id}}
+}
+
+// watchPollInterval is how often the store is asked for changes on behalf of a watch.
+const watchPollInterval = 15 * time.Millisecond
+
+// watchProgress is what a watch finds when it looks for changes.
+type watchProgress struct {
+	events   []map[string]any
+	revision uint64
+	refused  bool // it has to hang
+}
+
+// serveWatch answers with the changes after a revision, once there are any or the time that
+// the controller gives is over.
+func (loopback *Loopback) serveWatch(ctrl *controller, w http.ResponseWriter, request *http.Request) {
+	from, _ := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
+	block, _ := strconv.Atoi(request.URL.Query().Get("block_ms"))
+	deadline := time.Now().Add(time.Duration(block) * time.Millisecond)
+	for {
+		progress, ok := postAndWait(loopback, func() watchProgress {
+			events, revision := loopback.store.changesSince(from)
+			return watchProgress{events, revision, loopback.store.refuses(ctrl)}
+		})
+		if !ok {
+			progress.revision = from
+		}
+		if !progress.refused && (len(progress.events) > 0 || time.Now().After(deadline)) {
+			serviceReply{http.StatusOK, map[string]any{"ledger_rev": progress.revision, "events": progress.events}}.write(w)
+			return
+		}
+		select {
+		case <-request.Context().Done():
+			return
+		case <-time.After(watchPollInterval):
+		}
+	}
+}
+
+// changesSince returns the changes after a revision in the service's protocol, and the
+// revision that they lead to.
+func (store *stateService) changesSince(from uint64) ([]map[string]any, uint64) {
+	first := len(store.changes)
+	for first > 0 && store.changes[first-1].revision > from {
+		first--
+	}
+	var events []map[string]any
+	for _, change := range store.changes[first:] {
+		if change.raw == nil {
+			events = append(events, map[string]any{"drop": change.key, "key_rev": change.revision})
+		} else {
+			events = append(events, map[string]any{"put": change.key, "v": msgpack.RawMessage(change.raw), "key_rev": change.revision})
+		}
+	}
+	return events, max(from, store.revision)
+}
--- /dev/null
+++ b/internal/simulation/quota_changes.go
@@ -0,0 +1,77 @@
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"micaport/internal/quota"
+	"micaport/internal/wire"
+)
+
+// errUnknownAmount is the error of a change that names no amount of an account.
+var errUnknownAmount = errors.New("unknown amount")
+
+// changeLimit changes a team's limits and guarantee as an operator does with the command
+// line. Args are NAME=VALUE, with a name of quotaAmounts.
+func (accounting *quotaAccounting) changeLimit(team string, args []string) error {
+	account := accounting.account(team)
+	change := quota.Change{Team: team, Version: account.Version}
+	for _, arg := range args {
+		if err := setAmount(&change, arg); err != nil {
+			return err
+		}
+	}
+	next, err := change.Apply(account)
+	if err != nil {
+		return fmt.Errorf("change of %s: %w", team, err)
+	}
+	raw, err := wire.Encode(next)
+	if err != nil {
+		return err
+	}
+	accounting.sim.store.overwrite(wire.AccountKey(team), raw)
+	return nil
+}
+
+// account returns a team's account as it is stored, or as the settings have it if it is not
+// or can't be read.
+func (accounting *quotaAccounting) account(team string) *wire.Account {
+	key := wire.AccountKey(team)
+	if record := accounting.sim.store.records[key]; record != nil {
+		if stored := mustDecodeRecord(key, record.raw).(*wire.Account); !stored.Unreadable {
+			return stored
+		}
+	}
+	account := &wire.Account{}
+	for _, configured := range accounting.sim.Teams {
+		if configured.Name == team {
+			account.Limit = wire.Resources{Cores: configured.MaxCores, GPUs: configured.MaxGPUs}
+			account.Guarantee = wire.Resources{Cores: configured.GuaranteedCores, GPUs: configured.GuaranteedGPUs}
+		}
+	}
+	return account
+}
+
+// quotaAmounts are the amounts of an account that a script can change.
+var quotaAmounts = map[string]func(*quota.Change) **float64{
+	"cards":     func(change *quota.Change) **float64 { return &change.GPUsLimit },
+	"cores":     func(change *quota.Change) **float64 { return &change.CoresLimit },
+	"guarantee": func(change *quota.Change) **float64 { return &change.GPUsGuarantee },
+}
+
+// setAmount sets an amount of a change as NAME=VALUE says.
+func setAmount(change *quota.Change, arg string) error {
+	name, value, _ := strings.Cut(arg, "=")
+	x, err := strconv.ParseFloat(value, 64)
+	if err != nil {
+		return fmt.Errorf("bad number in %s: %w", arg, err)
+	}
+	amount := quotaAmounts[name]
+	if amount == nil {
+		return fmt.Errorf("%w %s", errUnknownAmount, name)
+	}
+	*amount(change) = &x
+	return nil
+}
--- /dev/null
+++ b/internal/simulation/script_users.go
@@ -0,0 +1,99 @@
+package simulation
+
+import (
+	"time"
+
+	"micaport/internal/core"
+	"micaport/internal/wire"
+)
+
+// userCommands are what users and operators do. JOB is a job's id; ATTRIBUTES are those of
+// submitLine.
+var userCommands = map[string]scriptCommand{
+	// submit JOB ATTRIBUTES
+	"submit": func(sim *Simulation, args arguments) error { return sim.users.submitLine(args) },
+	// withdraw JOB: its user cancels it.
+	"withdraw": infallible(func(sim *Simulation, args arguments) { sim.users.cancel(args.word(0)) }),
+	// repeat JOB: a known job is submitted once more.
+	"repeat": infallible(func(sim *Simulation, args arguments) { sim.users.byJob[args.word(0)].submit() }),
+	// repeat-faulty JOB: a known job is submitted with its id and nothing else.
+	"repeat-faulty": func(sim *Simulation, args arguments) error {
+		body, err := wire.Encode(map[string]any{"ref": args.word(0)})
+		if err != nil {
+			return err
+		}
+		sim.users.byJob[args.word(0)].sendSubmission(sim.now, body)
+		return nil
+	},
+	// stick JOB CONTROLLER: its user asks that controller only.
+	"stick": infallible(func(sim *Simulation, args arguments) {
+		sim.users.byJob[args.word(0)].pinnedTo = sim.controllerNamed(args.word(1)).index
+	}),
+	// polls SECONDS COUNT: each user asks COUNT times a second.
+	"polls": infallible(func(sim *Simulation, args arguments) {
+		for second := range int(args.number(0)) {
+			sim.after(time.Duration(second)*time.Second, func() { sim.users.pollAll(int(args.number(1))) })
+		}
+	}),
+	// bulk COUNT SECONDS ATTRIBUTES: COUNT jobs, one a second, each cancelled SECONDS later if that is not 0.
+	"bulk": infallible(func(sim *Simulation, args arguments) {
+		for i := range int(args.number(0)) {
+			jobID := sim.users.nextBulkID()
+			sim.after(time.Duration(i)*time.Second, func() {
+				if sim.users.submitLine(append([]string{jobID}, args.from(2)...)) == nil && args.number(1) > 0 {
+					sim.after(args.duration(1)+time.Duration(sim.rng.IntN(2000))*time.Millisecond, func() { sim.users.cancel(jobID) })
+				}
+			})
+		}
+	}),
+	// stream RATE SECONDS SHARE ATTRIBUTES: RATE jobs a second, of which SHARE are cancelled.
+	"stream": infallible(func(sim *Simulation, args arguments) {
+		interval := seconds(1 / args.number(0))
+		for i := range int(args.number(0) * args.number(1)) {
+			jobID := sim.users.nextBulkID()
+			sim.after(time.Duration(i)*interval, func() {
+				if sim.users.submitLine(append([]string{jobID}, args.from(3)...)) == nil && sim.rng.Float64() < args.number(2) {
+					sim.after(time.Duration(sim.rng.IntN(12000))*time.Millisecond, func() { sim.users.cancel(jobID) })
+				}
+			})
+		}
+	}),
+	// fan-in JOB COUNT ATTRIBUTES: a job that depends on COUNT small ones, which come first.
+	"fan-in": func(sim *Simulation, args arguments) error {
+		return sim.users.submitFanIn(args.word(0), int(args.number(1)), args.from(2))
+	},
+	// pipelines RATE SECONDS SHARE SHARE: RATE a second, shares of which are cancelled, and submit their last job late.
+	"pipelines": infallible(func(sim *Simulation, args arguments) {
+		interval := seconds(1 / args.number(0))
+		for i := range int(args.number(0) * args.number(1)) {
+			sim.after(time.Duration(i)*interval, func() { sim.users.submitPipeline(args.number(2), args.number(3)) })
+		}
+	}),
+	// cancel-now COUNT SECONDS [PREFIX]: COUNT running jobs are cancelled, and some of their workers hang for SECONDS.
+	"cancel-now": infallible(func(sim *Simulation, args arguments) {
+		sim.users.cancelRunning(int(args.number(0)), args.duration(1), args.word(2))
+	}),
+	// cancel-at-end SHARE SECONDS: jobs are cancelled at the moment of their end.
+	"cancel-at-end": infallible(func(sim *Simulation, args arguments) {
+		sim.setFor(&sim.users.cancelAtEnd, args.number(0), args.duration(1))
+	}),
+	// close-looks SECONDS: users poll all controllers after each change.
+	"close-looks": infallible(func(sim *Simulation, args arguments) {
+		sim.users.closePollingUntil = sim.now + args.duration(0)
+	}),
+	// odd-requests SECONDS: users send irregular requests.
+	"odd-requests": infallible(func(sim *Simulation, args arguments) {
+		sim.users.sendIrregularRequests(sim.now + args.duration(0))
+	}),
+	// limit TEAM cards=N cores=N guarantee=N: an operator changes a team's limits.
+	"limit": func(sim *Simulation, args arguments) error { return sim.quota.changeLimit(args.word(0), args.from(1)) },
+	// damage TEAM: the record of its account becomes unreadable.
+	"damage": infallible(func(sim *Simulation, args arguments) {
+		sim.store.overwrite(wire.AccountKey(args.word(0)), []byte{unusedMessagePackCode})
+	}),
+	// switch ADMISSION: what shard owners admit, for controllers that start from now on.
+	"switch": infallible(func(sim *Simulation, args arguments) { sim.Admission = core.Admission(args.number(0)) }),
+}
+
+// unusedMessagePackCode is the one byte that begins no MessagePack value.
+const unusedMessagePackCode = 0xc1
