--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -51,17 +51,17 @@
 }
 
 // addObjective adds a start objective; of several for one class the shortest counts.
-func (forecast *arrivalForecast) addObjective(objective StartObjective) {
-	if class := forecast.class(objective.Class); class != nil {
+func (f *arrivalForecast) addObjective(objective StartObjective) {
+	if class := f.class(objective.Class); class != nil {
 		class.startWithin = min(class.startWithin, objective.Within)
 		return
 	}
-	forecast.classes = append(forecast.classes, &classArrivals{class: objective.Class, startWithin: objective.Within})
+	f.classes = append(f.classes, &classArrivals{class: objective.Class, startWithin: objective.Within})
 }
 
 // class returns what is counted of a class, or nil.
-func (forecast *arrivalForecast) class(name string) *classArrivals {
-	for _, class := range forecast.classes {
+func (f *arrivalForecast) class(name string) *classArrivals {
+	for _, class := range f.classes {
 		if class.class == name {
 			return class
 		}
@@ -71,12 +71,12 @@
 
 // noteArrival counts a new job of so many tasks if its class is counted, or has to be from now on
 // as its team has a guarantee.
-func (forecast *arrivalForecast) noteArrival(now Time, job *job, tasks int, guaranteed bool) {
+func (f *arrivalForecast) noteArrival(now Time, job *job, tasks int, guaranteed bool) {
 	name := job.Record.Spec.Class
-	class := forecast.class(name)
-	if class == nil && guaranteed && len(forecast.classes) < maxClasses {
+	class := f.class(name)
+	if class == nil && guaranteed && len(f.classes) < maxClasses {
 		class = &classArrivals{class: name, backfillGuard: true}
-		forecast.classes = append(forecast.classes, class)
+		f.classes = append(f.classes, class)
 	}
 	if class == nil {
 		return
@@ -87,8 +87,8 @@
 }
 
 // noteCompletion counts a job of such a class that has released its machines.
-func (forecast *arrivalForecast) noteCompletion(now Time, name string, tasks int) {
-	class := forecast.class(name)
+func (f *arrivalForecast) noteCompletion(now Time, name string, tasks int) {
+	class := f.class(name)
 	if class == nil {
 		return
 	}
@@ -97,8 +97,8 @@
 }
 
 // reserve is for how many tasks of a class to reserve capacity; see classArrivals.reserve.
-func (forecast *arrivalForecast) reserve(class *classArrivals, now, lead Time) int {
-	return class.reserve(now, forecast.countedFrom, lead)
+func (f *arrivalForecast) reserve(class *classArrivals, now, lead Time) int {
+	return class.reserve(now, f.countedFrom, lead)
 }
 
 // countsArrivals reports whether what comes and ends is counted. What comes while no machine
@@ -131,22 +131,22 @@
 }
 
 // dropOld drops what came or ended before the window.
-func (class *classArrivals) dropOld(now Time) {
+func (a *classArrivals) dropOld(now Time) {
 	old := func(a arrival) bool { return now-a.at > arrivalWindow }
-	class.jobs, class.completions = slices.DeleteFunc(class.jobs, old), slices.DeleteFunc(class.completions, old)
+	a.jobs, a.completions = slices.DeleteFunc(a.jobs, old), slices.DeleteFunc(a.completions, old)
 }
 
-// reserve is for how many tasks of the class to reserve capacity: as many as will probably
+// reserve is for how many tasks of the a to reserve capacity: as many as will probably
 // come during lead, the time that a machine takes to boot, less those that will end meanwhile
 // and release theirs, plus one standard deviation, as jobs come and go by chance and in
 // different sizes. It is never more than may come: where nothing comes any more, what
 // ends needs no replacement. The counts begin at since.
-func (class *classArrivals) reserve(now, since, lead Time) int {
-	class.dropOld(now)
+func (a *classArrivals) reserve(now, since, lead Time) int {
+	a.dropOld(now)
 	window := max(minForecastWindow, min(arrivalWindow, now-since))
 	share := lead.Seconds() / window.Seconds()
-	arriving, arrivingVariance := meanAndVariance(class.jobs, share)
-	ending, endingVariance := meanAndVariance(class.completions, share)
+	arriving, arrivingVariance := meanAndVariance(a.jobs, share)
+	ending, endingVariance := meanAndVariance(a.completions, share)
 	net := max(0, arriving-ending) + math.Sqrt(arrivingVariance+endingVariance)
 	return int(math.Round(min(net, arriving+math.Sqrt(arrivingVariance))))
 }
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -12,7 +12,7 @@
 	spot              bool
 }
 
-func (slot *slot) pool() machinePool { return machinePool{slot.machineType, slot.zone, slot.spot} }
+func (s *slot) pool() machinePool { return machinePool{s.machineType, s.zone, s.spot} }
 
 // autoscaler is the leader's memory of its calls to the cloud and of the machines that they
 // concern. All of it can be lost: a new leader rebuilds it from the cloud's machine list.
--- a/internal/core/autoscaler_boot_times.go
+++ b/internal/core/autoscaler_boot_times.go
@@ -36,26 +36,26 @@
 }
 
 // noteBooted notes that an expected machine is up.
-func (scaler *autoscaler) noteBooted(site site, name string) {
-	booting := scaler.booting[name]
+func (a *autoscaler) noteBooted(site site, name string) {
+	booting := a.booting[name]
 	if booting == nil {
 		return
 	}
-	delete(scaler.booting, name)
+	delete(a.booting, name)
 	if machineType := site.typeAt(booting.pool.machineType); machineType != nil && machineType.BootS > 0 {
-		scaler.recentBoots = append(scaler.recentBoots, boot{name, booting.provisionedAt, (site.now - booting.provisionedAt).Seconds() / machineType.BootS})
-		scaler.recentBoots = scaler.recentBoots[max(0, len(scaler.recentBoots)-maxRecentBoots):]
+		a.recentBoots = append(a.recentBoots, boot{name, booting.provisionedAt, (site.now - booting.provisionedAt).Seconds() / machineType.BootS})
+		a.recentBoots = a.recentBoots[max(0, len(a.recentBoots)-maxRecentBoots):]
 	}
 }
 
 // bootSlowdown is how many times longer than usual the last machines took to boot, from 1 to
 // maxBootFactor. It follows their 80th percentile, beyond the usual spread.
-func (scaler *autoscaler) bootSlowdown() float64 {
-	if len(scaler.recentBoots) == 0 {
+func (a *autoscaler) bootSlowdown() float64 {
+	if len(a.recentBoots) == 0 {
 		return 1
 	}
-	ratios := make([]float64, 0, len(scaler.recentBoots))
-	for _, boot := range scaler.recentBoots {
+	ratios := make([]float64, 0, len(a.recentBoots))
+	for _, boot := range a.recentBoots {
 		ratios = append(ratios, boot.ratio)
 	}
 	slices.Sort(ratios)
@@ -64,11 +64,11 @@
 
 // overdue reports whether a machine that has not reported yet is late, and whether it should
 // be deprovisioned.
-func (scaler *autoscaler) overdue(now Time, machineType *wire.MachineType, provisionedAt Time) (late, abandoned bool) {
+func (a *autoscaler) overdue(now Time, machineType *wire.MachineType, provisionedAt Time) (late, abandoned bool) {
 	lateFactor, giveUpFactor := lateBootFactor, giveUpBootFactor
-	if !slices.ContainsFunc(scaler.recentBoots, func(b boot) bool { return b.provisionedAt >= provisionedAt-sameBatchTime }) {
+	if !slices.ContainsFunc(a.recentBoots, func(b boot) bool { return b.provisionedAt >= provisionedAt-sameBatchTime }) {
 		lateFactor, giveUpFactor = 2*lateBootFactor, maxBootFactor
 	}
-	age, slowdown := (now - provisionedAt).Seconds(), scaler.bootSlowdown()
+	age, slowdown := (now - provisionedAt).Seconds(), a.bootSlowdown()
 	return age > lateFactor*slowdown*machineType.BootS+lateBootMargin, age > giveUpFactor*slowdown*machineType.BootS+giveUpBootMargin
 }
--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -13,7 +13,7 @@
 
 // reconcileMachineList compares the cloud's machine list, which lags, with the machines
 // that are expected or have reported, and has those deprovisioned that are of no use.
-func (scaler *autoscaler) reconcileMachineList(site site, list []wire.CloudMachine) {
+func (a *autoscaler) reconcileMachineList(site site, list []wire.CloudMachine) {
 	listed := make(map[string]bool, len(list))
 	var useless []string
 	for i := range list {
@@ -22,47 +22,47 @@
 		if machine := site.machineWithName(entry.Name); machine != nil && machine.returned {
 			continue
 		}
-		if scaler.reconcileMachine(site, entry) {
+		if a.reconcileMachine(site, entry) {
 			useless = append(useless, entry.Name)
 		}
 	}
-	for name, booting := range scaler.booting {
+	for name, booting := range a.booting {
 		if !listed[name] && (booting.listed || site.now-booting.provisionedAt > 3*site.cfg.CloudListLag+unlistedGrace) {
-			delete(scaler.booting, name)
+			delete(a.booting, name)
 		}
 	}
 	for _, name := range useless {
-		scaler.draining[name] = true
+		a.draining[name] = true
 	}
 }
 
 // reconcileMachine takes in an entry of the machine list and reports whether the machine is
 // to be deprovisioned.
-func (scaler *autoscaler) reconcileMachine(site site, entry *wire.CloudMachine) (useless bool) {
+func (a *autoscaler) reconcileMachine(site site, entry *wire.CloudMachine) (useless bool) {
 	switch {
 	case entry.Status == wire.MachineFailed:
 		return true
 	case site.hasReported(entry.Name):
-		scaler.noteBooted(site, entry.Name)
-		delete(scaler.unreportedSince, entry.Name)
+		a.noteBooted(site, entry.Name)
+		delete(a.unreportedSince, entry.Name)
 		return false
 	case entry.Status == wire.MachineBooting:
 		provisionedAt := site.now - Time(entry.AgeS*float64(second))
-		booting := scaler.booting[entry.Name]
+		booting := a.booting[entry.Name]
 		if booting == nil {
 			booting = &bootingMachine{pool: machinePool{site.names.MachineTypes.Of(entry.MachineType), site.names.Zones.Of(entry.Zone), entry.Spot}, provisionedAt: provisionedAt}
-			scaler.booting[entry.Name] = booting
+			a.booting[entry.Name] = booting
 		}
 		booting.listed = true
 		machineType := site.typeAt(site.names.MachineTypes.Find(entry.MachineType))
 		if machineType == nil {
 			return false
 		}
-		_, abandoned := scaler.overdue(site.now, machineType, provisionedAt)
+		_, abandoned := a.overdue(site.now, machineType, provisionedAt)
 		return abandoned
 	}
-	if scaler.unreportedSince[entry.Name] == 0 {
-		scaler.unreportedSince[entry.Name] = site.now
+	if a.unreportedSince[entry.Name] == 0 {
+		a.unreportedSince[entry.Name] = site.now
 	}
-	return site.now-scaler.unreportedSince[entry.Name] > site.cfg.WorkerLease+unreportedGrace
+	return site.now-a.unreportedSince[entry.Name] > site.cfg.WorkerLease+unreportedGrace
 }
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -21,8 +21,8 @@
 
 // addExpectedMachines adds the machines that are booting or requested as capacity to plan
 // with, unless they are overdue.
-func (pass *schedulingPass) addExpectedMachines() {
-	scaler, site := &pass.node.leader.autoscaler, pass.node.site()
+func (p *schedulingPass) addExpectedMachines() {
+	scaler, site := &p.node.leader.autoscaler, p.node.site()
 	names := make([]string, 0, len(scaler.booting))
 	for name := range scaler.booting {
 		names = append(names, name)
@@ -39,22 +39,22 @@
 				continue
 			}
 		}
-		pass.addExpectedMachine(booting.pool)
+		p.addExpectedMachine(booting.pool)
 	}
 	for _, provisioning := range scaler.provisions {
 		for range provisioning.request.Count {
-			pass.addExpectedMachine(provisioning.pool)
+			p.addExpectedMachine(provisioning.pool)
 		}
 	}
 }
 
 // addExpectedMachine adds a machine that is not up yet to the plan. It returns nil if the
 // machine type is not on offer any more.
-func (pass *schedulingPass) addExpectedMachine(pool machinePool) *slot {
-	slot := pass.node.newSlot(pool)
+func (p *schedulingPass) addExpectedMachine(pool machinePool) *slot {
+	slot := p.node.newSlot(pool)
 	if slot != nil {
-		pass.expected.add(slot)
-		pass.poolSizes[pool]++
+		p.expected.add(slot)
+		p.poolSizes[pool]++
 	}
 	return slot
 }
@@ -84,8 +84,8 @@
 
 // pools lists the pools that a job's tasks may run on, cheapest first and among equals the
 // one with the fewest machines.
-func (pass *schedulingPass) pools(job *job) []pricedPool {
-	n, spec := pass.node, job.Record.Spec
+func (p *schedulingPass) pools(job *job) []pricedPool {
+	n, spec := p.node, job.Record.Spec
 	list := make([]pricedPool, 0, 8)
 	for index, machineType := range n.machineTypes {
 		if machineType == nil || !fitsType(spec, machineType) {
@@ -105,28 +105,28 @@
 		}
 	}
 	slices.SortStableFunc(list, func(a, b pricedPool) int {
-		return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(pass.poolSizes[a.machinePool], pass.poolSizes[b.machinePool]))
+		return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(p.poolSizes[a.machinePool], p.poolSizes[b.machinePool]))
 	})
 	return list
 }
 
 // mayRequest reports whether machines may be requested from a pool now.
-func (scaler *autoscaler) mayRequest(now Time, pool machinePool) bool {
-	return now >= scaler.retryAt[pool]
+func (a *autoscaler) mayRequest(now Time, pool machinePool) bool {
+	return now >= a.retryAt[pool]
 }
 
 // hasShortage reports whether a pool was short of machines lately.
-func (scaler *autoscaler) hasShortage(now Time, pool machinePool) bool {
-	at, short := scaler.shortageAt[pool]
+func (a *autoscaler) hasShortage(now Time, pool machinePool) bool {
+	at, short := a.shortageAt[pool]
 	return short && now-at < shortageTime
 }
 
 // canProvision reports whether machines for a job can be counted on in a zone, or in any if
 // it is -1. A pool that was short of machines is asked again and again, but not counted on:
 // otherwise the capacity reserved on machines in use would be dropped at each try.
-func (pass *schedulingPass) canProvision(job *job, zone int) bool {
-	scaler, now := &pass.node.leader.autoscaler, pass.node.now
-	for _, pool := range pass.pools(job) {
+func (p *schedulingPass) canProvision(job *job, zone int) bool {
+	scaler, now := &p.node.leader.autoscaler, p.node.now
+	for _, pool := range p.pools(job) {
 		if (zone < 0 || pool.zone == zone) && scaler.mayRequest(now, pool.machinePool) && !scaler.hasShortage(now, pool.machinePool) {
 			return true
 		}
@@ -136,18 +136,18 @@
 
 // provisionFor plans to provision a machine for a task from the cheapest pool that accept
 // allows. It returns nil if there may be no more machines.
-func (pass *schedulingPass) provisionFor(job *job, accept func(*slot) bool) *slot {
-	n := pass.node
-	if job.suspect || n.cfg.MaxMachines > 0 && len(pass.available.all)+len(pass.expected.all) >= n.cfg.MaxMachines {
+func (p *schedulingPass) provisionFor(job *job, accept func(*slot) bool) *slot {
+	n := p.node
+	if job.suspect || n.cfg.MaxMachines > 0 && len(p.available.all)+len(p.expected.all) >= n.cfg.MaxMachines {
 		return nil
 	}
-	for _, pool := range pass.pools(job) {
+	for _, pool := range p.pools(job) {
 		if !n.leader.autoscaler.mayRequest(n.now, pool.machinePool) {
 			continue
 		}
 		if slot := n.newSlot(pool.machinePool); slot != nil && accept(slot) {
-			pass.provisions[pool.machinePool]++
-			return pass.addExpectedMachine(pool.machinePool)
+			p.provisions[pool.machinePool]++
+			return p.addExpectedMachine(pool.machinePool)
 		}
 	}
 	return nil
@@ -155,14 +155,14 @@
 
 // largestRequestsFirst lists the pools that a pass wants machines from: the largest number
 // first, as a call provisions maxProvisioned at most and calls are scarce.
-func (pass *schedulingPass) largestRequestsFirst() []machinePool {
-	pools := make([]machinePool, 0, len(pass.provisions))
-	for pool := range pass.provisions {
+func (p *schedulingPass) largestRequestsFirst() []machinePool {
+	pools := make([]machinePool, 0, len(p.provisions))
+	for pool := range p.provisions {
 		pools = append(pools, pool)
 	}
 	slices.SortFunc(pools, func(a, b machinePool) int {
 		return cmp.Or(
-			cmp.Compare(pass.provisions[b], pass.provisions[a]),
+			cmp.Compare(p.provisions[b], p.provisions[a]),
 			cmp.Compare(a.zone, b.zone),
 			cmp.Compare(a.machineType, b.machineType),
 			boolToInt(b.spot)-boolToInt(a.spot))
@@ -173,23 +173,23 @@
 // requestMachines turns what the pass wants to provision into requests. There are few open
 // requests at a time: what has to wait for a call is better planned anew and requested
 // in larger numbers.
-func (pass *schedulingPass) requestMachines() {
-	n, scaler := pass.node, &pass.node.leader.autoscaler
+func (p *schedulingPass) requestMachines() {
+	n, scaler := p.node, &p.node.leader.autoscaler
 	if n.cloudCallTime() == 0 {
 		return // what can't be sent yet is planned anew until it can
 	}
-	pools := pass.largestRequestsFirst()
+	pools := p.largestRequestsFirst()
 	for open := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.provisions); open > 0 && len(pools) > 0; open-- {
 		pool := pools[0]
-		if len(pass.available.all) == 0 {
+		if len(p.available.all) == 0 {
 			// No machine is up. Boot times differ by more than a factor of two, so that
 			// with some more machines the first are up sooner.
-			pass.provisions[pool] += min((pass.provisions[pool]+1)/2, maxExtraMachines)
+			p.provisions[pool] += min((p.provisions[pool]+1)/2, maxExtraMachines)
 		}
-		count := min(pass.provisions[pool], maxProvisioned)
+		count := min(p.provisions[pool], maxProvisioned)
 		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: n.now,
 			request: wire.ProvisionRequest{Name: n.provisionName(), MachineType: n.names.MachineTypes.Name(pool.machineType), Zone: n.names.Zones.Name(pool.zone), Spot: pool.spot, Count: count}})
-		if pass.provisions[pool] -= count; pass.provisions[pool] == 0 {
+		if p.provisions[pool] -= count; p.provisions[pool] == 0 {
 			pools = pools[1:]
 		} else {
 			pools = append(pools[1:], pool)
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -165,33 +165,33 @@
 }
 
 // provisionAnswered settles a provisioning request, or has it sent again.
-func (scaler *autoscaler) provisionAnswered(now Time, request *provisioning, answer CloudAnswered) {
+func (a *autoscaler) provisionAnswered(now Time, request *provisioning, answer CloudAnswered) {
 	settled := true
 	switch answer.Outcome {
 	case OK:
 		for _, name := range answer.Names {
-			scaler.booting[name] = &bootingMachine{pool: request.pool, provisionedAt: now}
+			a.booting[name] = &bootingMachine{pool: request.pool, provisionedAt: now}
 		}
 		if len(answer.Names) < request.request.Count {
-			scaler.noteShortage(now, request.pool)
+			a.noteShortage(now, request.pool)
 		}
 	case NoCapacity:
-		scaler.noteShortage(now, request.pool)
+		a.noteShortage(now, request.pool)
 	case Refused:
-		scaler.retryAt[request.pool] = now + refusedDelay
+		a.retryAt[request.pool] = now + refusedDelay
 	default:
 		// It may have been carried out: only a repetition under the same name tells.
 		request.sent, request.sendAt = false, now+provisionRetryDelay
 		settled = now-request.decidedAt > provisionRetryTime
 	}
 	if settled {
-		scaler.provisions = slices.DeleteFunc(scaler.provisions, func(other *provisioning) bool { return other == request })
+		a.provisions = slices.DeleteFunc(a.provisions, func(other *provisioning) bool { return other == request })
 	}
 }
 
 // noteShortage notes that a pool had fewer machines than requested.
-func (scaler *autoscaler) noteShortage(now Time, pool machinePool) {
-	scaler.retryAt[pool], scaler.shortageAt[pool] = now+noCapacityDelay, now
+func (a *autoscaler) noteShortage(now Time, pool machinePool) {
+	a.retryAt[pool], a.shortageAt[pool] = now+noCapacityDelay, now
 }
 
 // deprovision returns machines to the cloud.
@@ -230,8 +230,8 @@
 }
 
 // forget drops what is remembered of a machine that has been deprovisioned.
-func (scaler *autoscaler) forget(name string) {
-	delete(scaler.draining, name)
-	delete(scaler.booting, name)
-	delete(scaler.unreportedSince, name)
+func (a *autoscaler) forget(name string) {
+	delete(a.draining, name)
+	delete(a.booting, name)
+	delete(a.unreportedSince, name)
 }
--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -37,16 +37,16 @@
 // drainIdle marks machines that have been idle for long enough, except some spare ones of
 // each pool. Of idle, the machines without work, those count for which the pass has not
 // planned anything.
-func (scaler *autoscaler) drainIdle(site site, slots []*slot, idle map[*slot]bool) {
+func (a *autoscaler) drainIdle(site site, slots []*slot, idle map[*slot]bool) {
 	spares := map[machinePool]int{}
 	for _, slot := range slots {
 		name := slot.machine.name
 		if !idle[slot] || !slot.isIdle() || slot.reserved {
-			delete(scaler.idleSince, name)
+			delete(a.idleSince, name)
 			continue
 		}
-		if _, seen := scaler.idleSince[name]; !seen {
-			scaler.idleSince[name] = site.now
+		if _, seen := a.idleSince[name]; !seen {
+			a.idleSince[name] = site.now
 		}
 		timeout := site.cfg.IdleTimeout
 		if slot.errors > 0 {
@@ -58,24 +58,24 @@
 				continue
 			}
 		}
-		if site.now-scaler.idleSince[name] > timeout {
-			scaler.draining[name] = true
+		if site.now-a.idleSince[name] > timeout {
+			a.draining[name] = true
 		}
 	}
 }
 
 // drainUnhealthy marks machines that are lost, or unhealthy and empty, and unmarks those on
 // which their owners have placed something meanwhile.
-func (scaler *autoscaler) drainUnhealthy(site site) {
+func (a *autoscaler) drainUnhealthy(site site) {
 	for _, shard := range site.shards {
 		for _, machine := range shard.machines {
 			if machine.returned || !machine.view.known {
 				continue
 			}
 			if machine.view.unreachable || machine.view.unhealthy && len(machine.placements) == 0 {
-				scaler.draining[machine.name] = true
+				a.draining[machine.name] = true
 			} else if len(machine.placements) > 0 && !machine.draining {
-				delete(scaler.draining, machine.name)
+				delete(a.draining, machine.name)
 			}
 		}
 	}
@@ -83,12 +83,12 @@
 
 // drainedMachines lists machines that may be deprovisioned now, at most as many as one call
 // takes: their owners have drained them, or no controller hears them.
-func (scaler *autoscaler) drainedMachines(site site) []string {
+func (a *autoscaler) drainedMachines(site site) []string {
 	var drained []string
-	for name := range scaler.draining {
+	for name := range a.draining {
 		if machine := site.machineWithName(name); machine != nil {
 			if machine.returned {
-				delete(scaler.draining, name)
+				delete(a.draining, name)
 				continue
 			}
 			if machine.view.known && !machine.view.unreachable && !(machine.draining && len(machine.placements) == 0) {
@@ -102,6 +102,6 @@
 }
 
 // drainList names the machines that their owners are to drain, in order.
-func (leader *leaderState) drainList(*Node) []string {
-	return slices.Sorted(maps.Keys(leader.autoscaler.draining))
+func (l *leaderState) drainList(*Node) []string {
+	return slices.Sorted(maps.Keys(l.autoscaler.draining))
 }
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -127,46 +127,46 @@
 }
 
 // remaining is how many bytes are left in a job's record.
-func (capacity *recordCapacity) remaining(job *job) int {
-	left, known := capacity.left[job.Index]
+func (c *recordCapacity) remaining(job *job) int {
+	left, known := c.left[job.Index]
 	if !known {
 		record := job.Record
-		if changed := capacity.writer.records[job.Index]; changed != nil {
+		if changed := c.writer.records[job.Index]; changed != nil {
 			record = changed
 		}
-		left = capacity.node.listCapacity(job) - replica.TaskListBytes(record.ActiveTasks, record.DoneTasks)
-		capacity.left[job.Index] = left
+		left = c.node.listCapacity(job) - replica.TaskListBytes(record.ActiveTasks, record.DoneTasks)
+		c.left[job.Index] = left
 	}
 	return left
 }
 
 // allocate takes bytes of a job's record for one change, if there are more than twice as many.
-func (capacity *recordCapacity) allocate(job *job, bytes int) bool {
-	left := capacity.remaining(job)
+func (c *recordCapacity) allocate(job *job, bytes int) bool {
+	left := c.remaining(job)
 	if left <= 2*bytes {
 		return false
 	}
-	capacity.left[job.Index] = left - bytes
+	c.left[job.Index] = left - bytes
 	return true
 }
 
 // mayRemove reports whether the result of a task may be written.
-func (capacity *recordCapacity) mayRemove(key taskKey, machineName string) bool {
-	job := capacity.node.jobs[key.job]
+func (c *recordCapacity) mayRemove(key taskKey, machineName string) bool {
+	job := c.node.jobs[key.job]
 	if !job.LargeArray || job.Record.State != wire.JobLive {
 		return true
 	}
-	if capacity.allocate(job, wire.RunCost(machineName)+replica.TaskRangeBytes) {
+	if c.allocate(job, wire.RunCost(machineName)+replica.TaskRangeBytes) {
 		return true
 	}
-	at := capacity.node.activeTaskIndex(key, machineName)
+	at := c.node.activeTaskIndex(key, machineName)
 	if at < 0 {
 		return true
 	}
 	first, end := job.Record.ActiveTasks.Run(at)
 	for i := first; i < end; i++ {
 		other := &job.Record.ActiveTasks[i]
-		if _, ended := capacity.node.outcomes[taskKey{key.job, other.Task, other.Attempt}]; !ended {
+		if _, ended := c.node.outcomes[taskKey{key.job, other.Task, other.Attempt}]; !ended {
 			return false
 		}
 	}
@@ -177,8 +177,8 @@
 // ranges, as the lowest are granted first; should they not be, a task is rather started again,
 // which its machine answers with done at once, than a record made too large to be written
 // ever again.
-func (capacity *recordCapacity) recordable(job *job, record *wire.Job, key taskKey, outcome taskOutcome) taskOutcome {
-	if job.LargeArray && outcome.cause == wire.CauseDone && len(record.DoneTasks) > capacity.node.listCapacity(job)/(2*replica.TaskRangeBytes) &&
+func (c *recordCapacity) recordable(job *job, record *wire.Job, key taskKey, outcome taskOutcome) taskOutcome {
+	if job.LargeArray && outcome.cause == wire.CauseDone && len(record.DoneTasks) > c.node.listCapacity(job)/(2*replica.TaskRangeBytes) &&
 		!record.DoneTasks.Has(key.task-1) && !record.DoneTasks.Has(key.task+1) {
 		outcome.cause = causeLost
 	}
@@ -186,6 +186,6 @@
 }
 
 // mayAdd reports whether one more run may be added to a record.
-func (capacity *recordCapacity) mayAdd(job *job) bool {
-	return !job.LargeArray || capacity.allocate(job, capacity.node.taskRunBytes())
+func (c *recordCapacity) mayAdd(job *job) bool {
+	return !job.LargeArray || c.allocate(job, c.node.taskRunBytes())
 }
--- a/internal/core/run_time_estimator.go
+++ b/internal/core/run_time_estimator.go
@@ -22,23 +22,23 @@
 }
 
 // observe takes in a job that is done, unless it came without an estimate.
-func (estimator *runTimeEstimator) observe(class string, took Time, expectedS float64) {
+func (e *runTimeEstimator) observe(class string, took Time, expectedS float64) {
 	if expectedS <= 0 {
 		return
 	}
-	if estimator.ratios == nil {
-		estimator.ratios = map[string][]float64{}
+	if e.ratios == nil {
+		e.ratios = map[string][]float64{}
 	}
-	if _, known := estimator.ratios[class]; !known && len(estimator.ratios) >= maxClasses {
+	if _, known := e.ratios[class]; !known && len(e.ratios) >= maxClasses {
 		return
 	}
-	ratios := append(estimator.ratios[class], took.Seconds()/expectedS)
-	estimator.ratios[class] = ratios[max(0, len(ratios)-maxRunSamples):]
+	ratios := append(e.ratios[class], took.Seconds()/expectedS)
+	e.ratios[class] = ratios[max(0, len(ratios)-maxRunSamples):]
 }
 
 // correction is the factor by which estimates of a class are to be multiplied.
-func (estimator *runTimeEstimator) correction(class string) float64 {
-	ratios := estimator.ratios[class]
+func (e *runTimeEstimator) correction(class string) float64 {
+	ratios := e.ratios[class]
 	if len(ratios) < minRunSamples {
 		return 1
 	}
@@ -48,8 +48,8 @@
 }
 
 // estimate is how long a job probably takes once all its tasks are granted.
-func (estimator *runTimeEstimator) estimate(spec *wire.JobSpec) Time {
-	return Time(spec.ExpectedS * estimator.correction(spec.Class) * float64(second))
+func (e *runTimeEstimator) estimate(spec *wire.JobSpec) Time {
+	return Time(spec.ExpectedS * e.correction(spec.Class) * float64(second))
 }
 
 // runTime is how long a job probably takes once all its tasks are granted.
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -54,37 +54,37 @@
 }
 
 // mayCharge reports whether a team's limit allows tasks on a machine.
-func (pass *schedulingPass) mayCharge(job *job, tasks int, slot *slot) bool {
-	if pass.admission != nil {
-		return pass.mayAdmit(job, tasks, slot.shard)
+func (p *schedulingPass) mayCharge(job *job, tasks int, slot *slot) bool {
+	if p.admission != nil {
+		return p.mayAdmit(job, tasks, slot.shard)
 	}
-	return pass.hasQuota(job, tasks)
+	return p.hasQuota(job, tasks)
 }
 
 // mayAdmit reports whether we may admit tasks of a job in a shard of ours.
-func (pass *schedulingPass) mayAdmit(job *job, tasks, shardIndex int) bool {
-	if job.Team < 0 || !pass.node.mayActAsOwner(pass.node.shards[shardIndex]) {
+func (p *schedulingPass) mayAdmit(job *job, tasks, shardIndex int) bool {
+	if job.Team < 0 || !p.node.mayActAsOwner(p.node.shards[shardIndex]) {
 		return false
 	}
-	admitted := pass.admission.admitted[job.Team][shardIndex].Plus(job.Demand(tasks))
-	return pass.node.replica.Ledger().MayAdmit(job.Team, shardIndex, admitted, pass.node.replica.Revision())
+	admitted := p.admission.admitted[job.Team][shardIndex].Plus(job.Demand(tasks))
+	return p.node.replica.Ledger().MayAdmit(job.Team, shardIndex, admitted, p.node.replica.Revision())
 }
 
 // addAccountCondition makes the commit conditional on the account of a job's team, so that it fails
 // if the limit or a share has changed meanwhile. What is admitted counts for the pass.
-func (pass *schedulingPass) addAccountCondition(job *job, slots []*slot) {
-	if pass.admission != nil {
+func (p *schedulingPass) addAccountCondition(job *job, slots []*slot) {
+	if p.admission != nil {
 		for _, slot := range slots {
-			admitted := &pass.admission.admitted[job.Team][slot.shard]
+			admitted := &p.admission.admitted[job.Team][slot.shard]
 			*admitted = admitted.Plus(job.Demand(1))
 		}
 	}
-	if !pass.node.replica.WritesTeamAccounts() {
+	if !p.node.replica.WritesTeamAccounts() {
 		return
 	}
-	condition := Condition{Key: wire.AccountKey(pass.node.cfg.Teams[job.Team].Name), Revision: pass.node.replica.Ledger().Revision(job.Team)}
-	if !slices.Contains(pass.writer.conditions, condition) {
-		pass.writer.conditions = append(pass.writer.conditions, condition)
+	condition := Condition{Key: wire.AccountKey(p.node.cfg.Teams[job.Team].Name), Revision: p.node.replica.Ledger().Revision(job.Team)}
+	if !slices.Contains(p.writer.conditions, condition) {
+		p.writer.conditions = append(p.writer.conditions, condition)
 	}
 }
 
@@ -118,8 +118,8 @@
 }
 
 // isNewWithinGuarantee reports whether a job has just come and its team's guarantee covers it.
-func (queued *queuedJob) isNewWithinGuarantee() bool {
-	return queued.withinGuarantee && queued.job.Record.NextAttempt == 1 && len(queued.job.Record.ActiveTasks) == 0
+func (q *queuedJob) isNewWithinGuarantee() bool {
+	return q.withinGuarantee && q.job.Record.NextAttempt == 1 && len(q.job.Record.ActiveTasks) == 0
 }
 
 // leaderIsSilent reports whether there is no other leader, or none that can be heard to work.
--- a/internal/core/scheduler_backfill.go
+++ b/internal/core/scheduler_backfill.go
@@ -10,31 +10,31 @@
 
 // isBackfill reports whether a job is backfill. On-demand machines are neither provisioned for it
 // nor granted to it while idle, unless it has waited for long with nothing started.
-func (pass *schedulingPass) isBackfill(queued *queuedJob) bool {
+func (p *schedulingPass) isBackfill(queued *queuedJob) bool {
 	job := queued.job
-	if job.Priority > 0 || hasGuarantee(pass.node.replica.Quota(job.Team)) {
+	if job.Priority > 0 || hasGuarantee(p.node.replica.Quota(job.Team)) {
 		return false
 	}
-	return len(job.Record.ActiveTasks) > 0 || job.Record.NextAttempt > 1 || job.waitingSince == 0 || pass.node.now-job.waitingSince < backfillWaitTime
+	return len(job.Record.ActiveTasks) > 0 || job.Record.NextAttempt > 1 || job.waitingSince == 0 || p.node.now-job.waitingSince < backfillWaitTime
 }
 
 // splitBackfill moves backfill from the queues to queues of its own. It is served after capacity
 // has been reserved for what others will need at once.
-func (pass *schedulingPass) splitBackfill(queues []*teamQueue) (rest, backfill []*teamQueue) {
+func (p *schedulingPass) splitBackfill(queues []*teamQueue) (rest, backfill []*teamQueue) {
 	for _, queue := range queues {
-		if !slices.ContainsFunc(queue.jobs, pass.isBackfill) {
+		if !slices.ContainsFunc(queue.jobs, p.isBackfill) {
 			continue
 		}
 		backfillQueue := &teamQueue{team: queue.team}
 		queue.jobs = slices.DeleteFunc(queue.jobs, func(queued *queuedJob) bool {
-			isBackfill := pass.isBackfill(queued)
+			isBackfill := p.isBackfill(queued)
 			if isBackfill {
 				backfillQueue.jobs = append(backfillQueue.jobs, queued)
 			}
 			return isBackfill
 		})
 		backfill = append(backfill, backfillQueue)
-		pass.hasBackfill = true
+		p.hasBackfill = true
 	}
 	return queues, backfill
 }
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -41,18 +41,18 @@
 // reserveForGang reserves capacity for a gang that does not fit yet, in the zone where that costs
 // least: what is free, about to be released or expected. It provisions, preempts what it may
 // preempt, and as the last resort drains machines.
-func (pass *schedulingPass) reserveForGang(queued *queuedJob) {
+func (p *schedulingPass) reserveForGang(queued *queuedJob) {
 	spec := queued.job.Record.Spec
-	best := pass.cheapestReservation(queued)
+	best := p.cheapestReservation(queued)
 	queued.job.gangZone = best.zone
 	preempted := false
 	for _, source := range best.sources {
-		if queued == pass.longestWaitingGang && source.slot.machine != nil {
-			pass.reservations = append(pass.reservations, wire.Reservation{Host: source.slot.machine.name, Ref: queued.job.ID})
+		if queued == p.longestWaitingGang && source.slot.machine != nil {
+			p.reservations = append(p.reservations, wire.Reservation{Host: source.slot.machine.name, Ref: queued.job.ID})
 		}
 		switch {
 		case len(source.victims) > 0:
-			if pass.stopVictims(queued, source.victims) {
+			if p.stopVictims(queued, source.victims) {
 				preempted = true
 			}
 			source.slot.reserved = true
@@ -63,10 +63,10 @@
 		}
 	}
 	if preempted {
-		queued.job.preemptAt = pass.node.now + exitHeartbeats*pass.node.cfg.HeartbeatInterval
+		queued.job.preemptAt = p.node.now + exitHeartbeats*p.node.cfg.HeartbeatInterval
 	}
 	for range best.provision {
-		added := pass.provisionFor(queued.job, func(slot *slot) bool { return best.zone < 0 || slot.zone == best.zone })
+		added := p.provisionFor(queued.job, func(slot *slot) bool { return best.zone < 0 || slot.zone == best.zone })
 		if added == nil {
 			return
 		}
@@ -76,14 +76,14 @@
 
 // cheapestReservation works out how a gang gets its capacity at the least cost, in one zone if it
 // has to be in one.
-func (pass *schedulingPass) cheapestReservation(queued *queuedJob) *gangReservation {
-	mayPreempt := pass.mayPreempt(queued)
+func (p *schedulingPass) cheapestReservation(queued *queuedJob) *gangReservation {
+	mayPreempt := p.mayPreempt(queued)
 	if !queued.job.Record.Spec.SameZone || queued.job.Zone >= 0 {
-		return pass.searchReservation(queued, queued.job.Zone, mayPreempt)
+		return p.searchReservation(queued, queued.job.Zone, mayPreempt)
 	}
 	var best *gangReservation
-	for zone := range pass.node.names.Zones.Len() {
-		if reservation := pass.searchReservation(queued, zone, mayPreempt); best == nil || reservation.cost < best.cost {
+	for zone := range p.node.names.Zones.Len() {
+		if reservation := p.searchReservation(queued, zone, mayPreempt); best == nil || reservation.cost < best.cost {
 			best = reservation
 		}
 	}
@@ -100,9 +100,9 @@
 }
 
 // searchReservation works out how a gang gets its capacity in a zone, or in any if it is -1.
-func (pass *schedulingPass) searchReservation(queued *queuedJob, zone int, mayPreempt bool) *gangReservation {
-	search := &reservationSearch{pass: pass, queued: queued, zone: zone, seen: map[*slot]bool{}}
-	canProvision := pass.canProvision(queued.job, zone)
+func (p *schedulingPass) searchReservation(queued *queuedJob, zone int, mayPreempt bool) *gangReservation {
+	search := &reservationSearch{pass: p, queued: queued, zone: zone, seen: map[*slot]bool{}}
+	canProvision := p.canProvision(queued.job, zone)
 	search.addFree()
 	if mayPreempt || !canProvision {
 		search.addOccupied(mayPreempt, !canProvision)
@@ -117,56 +117,56 @@
 }
 
 // enough reports whether there are more sources than the choice needs.
-func (search *reservationSearch) enough() bool {
-	return len(search.sources) >= sourcesPerTask*len(search.queued.tasks)
+func (r *reservationSearch) enough() bool {
+	return len(r.sources) >= sourcesPerTask*len(r.queued.tasks)
 }
 
 // excludes reports whether a machine is in another zone.
-func (search *reservationSearch) excludes(slot *slot) bool {
-	return search.zone >= 0 && slot.zone != search.zone
+func (r *reservationSearch) excludes(slot *slot) bool {
+	return r.zone >= 0 && slot.zone != r.zone
 }
 
 // add adds a machine with free capacity, once for each task that fits.
-func (search *reservationSearch) add(slot *slot, cost float64) {
-	spec := search.queued.job.Record.Spec
-	if slot.reserved || search.seen[slot] || search.excludes(slot) || !slot.accepts(search.queued.job) || !slot.fitsAfterRelease(spec) {
+func (r *reservationSearch) add(slot *slot, cost float64) {
+	spec := r.queued.job.Record.Spec
+	if slot.reserved || r.seen[slot] || r.excludes(slot) || !slot.accepts(r.queued.job) || !slot.fitsAfterRelease(spec) {
 		return
 	}
-	search.seen[slot] = true
-	for trial := *slot; trial.fitsAfterRelease(spec) && !search.enough(); {
+	r.seen[slot] = true
+	for trial := *slot; trial.fitsAfterRelease(spec) && !r.enough(); {
 		trial.set = nil
 		trial.allocate(spec)
-		search.sources = append(search.sources, capacitySource{slot: slot, cost: cost})
+		r.sources = append(r.sources, capacitySource{slot: slot, cost: cost})
 	}
 }
 
 // addFree adds machines whose capacity is free, about to be released, or expected.
-func (search *reservationSearch) addFree() {
-	pass := search.pass
+func (r *reservationSearch) addFree() {
+	pass := r.pass
 	for _, class := range pass.available.classOrder {
-		if (search.zone < 0 || class.zone == search.zone) && search.queued.job.Allows(class.machineType, class.zone, class.spot) {
+		if (r.zone < 0 || class.zone == r.zone) && r.queued.job.Allows(class.machineType, class.zone, class.spot) {
 			for _, slot := range *pass.available.open[class] {
 				pass.node.workCount++
-				search.add(slot, 0)
+				r.add(slot, 0)
 			}
 		}
 	}
 	for _, slot := range pass.available.releasing {
-		search.add(slot, 0)
+		r.add(slot, 0)
 	}
 	for _, slot := range pass.expected.all {
-		if search.enough() {
+		if r.enough() {
 			break
 		}
-		search.add(slot, bootingCost)
+		r.add(slot, bootingCost)
 	}
 }
 
 // addOccupied adds machines whose tasks could be preempted, or may be waited for.
-func (search *reservationSearch) addOccupied(mayPreempt, mayDrain bool) {
-	pass, queued := search.pass, search.queued
+func (r *reservationSearch) addOccupied(mayPreempt, mayDrain bool) {
+	pass, queued := r.pass, r.queued
 	for _, slot := range pass.available.all {
-		if search.excludes(slot) || slot.reserved || search.seen[slot] || slot.machine.lowestPriority == noPriority || !slot.accepts(queued.job) {
+		if r.excludes(slot) || slot.reserved || r.seen[slot] || slot.machine.lowestPriority == noPriority || !slot.accepts(queued.job) {
 			continue
 		}
 		pass.node.workCount++
@@ -176,22 +176,22 @@
 				for _, victim := range victims {
 					cost += victim.cost / victimCostDivisor
 				}
-				search.sources = append(search.sources, capacitySource{slot: slot, victims: victims, cost: cost})
+				r.sources = append(r.sources, capacitySource{slot: slot, victims: victims, cost: cost})
 				continue
 			}
 		}
 		if mayDrain {
 			if _, fits := pass.victimsOn(queued, slot, true); fits {
-				search.sources = append(search.sources, capacitySource{slot: slot, drain: true, cost: drainCost})
+				r.sources = append(r.sources, capacitySource{slot: slot, drain: true, cost: drainCost})
 			}
 		}
 	}
 }
 
 // choose takes the cheapest sources, and machines to be provisioned for the rest.
-func (search *reservationSearch) choose(canProvision bool) *gangReservation {
-	tasks := len(search.queued.tasks)
-	reservation := &gangReservation{zone: search.zone, sources: search.sources[:min(len(search.sources), tasks)]}
+func (r *reservationSearch) choose(canProvision bool) *gangReservation {
+	tasks := len(r.queued.tasks)
+	reservation := &gangReservation{zone: r.zone, sources: r.sources[:min(len(r.sources), tasks)]}
 	for _, source := range reservation.sources {
 		reservation.cost += source.cost
 	}
@@ -200,7 +200,7 @@
 	if reservation.provision > 0 && !canProvision {
 		reservation.cost += noCapacityCost * float64(reservation.provision)
 	}
-	if search.zone >= 0 && search.zone == search.queued.job.gangZone {
+	if r.zone >= 0 && r.zone == r.queued.job.gangZone {
 		reservation.cost -= sameZoneBonus
 	}
 	return reservation
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -95,13 +95,13 @@
 }
 
 // addMachines adds the machines that tasks may be granted to.
-func (pass *schedulingPass) addMachines() {
-	for _, shard := range pass.node.shards {
+func (p *schedulingPass) addMachines() {
+	for _, shard := range p.node.shards {
 		for _, machine := range shard.machines {
-			pass.node.workCount++
-			if slot := pass.node.grantableSlot(machine); slot != nil {
-				pass.available.add(slot)
-				pass.poolSizes[slot.pool()]++
+			p.node.workCount++
+			if slot := p.node.grantableSlot(machine); slot != nil {
+				p.available.add(slot)
+				p.poolSizes[slot.pool()]++
 			}
 		}
 	}
@@ -133,22 +133,22 @@
 }
 
 // chargeTeams charges every team what its active tasks use, whatever their jobs' state.
-func (pass *schedulingPass) chargeTeams() {
-	for team := range pass.used {
-		pass.used[team].cores, pass.used[team].gpus = pass.node.replica.Ledger().Used(team).Decimal()
+func (p *schedulingPass) chargeTeams() {
+	for team := range p.used {
+		p.used[team].cores, p.used[team].gpus = p.node.replica.Ledger().Used(team).Decimal()
 	}
 }
 
 // charge counts tasks of a job against its team for the rest of the pass.
-func (pass *schedulingPass) charge(job *job, tasks int) {
-	pass.used[job.Team].add(job.Record.Spec, float64(tasks))
-	pass.added[job.Team] = pass.added[job.Team].Plus(job.Demand(tasks))
+func (p *schedulingPass) charge(job *job, tasks int) {
+	p.used[job.Team].add(job.Record.Spec, float64(tasks))
+	p.added[job.Team] = p.added[job.Team].Plus(job.Demand(tasks))
 }
 
 // chargeGrants allocates capacity for grants that their owners have not placed yet: on the
 // machine that the grant had in mind, or on the best of the shard.
-func (pass *schedulingPass) chargeGrants() {
-	n := pass.node
+func (p *schedulingPass) chargeGrants() {
+	n := p.node
 	var slots map[*machine]*slot
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
@@ -156,7 +156,7 @@
 			continue
 		}
 		if slots == nil {
-			slots = pass.available.byMachine()
+			slots = p.available.byMachine()
 		}
 		for _, task := range job.Record.ActiveTasks {
 			if task.Machine != "" {
@@ -164,7 +164,7 @@
 			}
 			target := slots[n.leader.grantHints[taskKey{job.Index, task.Task, task.Attempt}]]
 			if target == nil {
-				target = pass.available.best(job, func(slot *slot) bool { return slot.shard == task.Shard }, nil)
+				target = p.available.best(job, func(slot *slot) bool { return slot.shard == task.Shard }, nil)
 			}
 			if target != nil {
 				target.allocate(job.Record.Spec)
@@ -174,9 +174,9 @@
 }
 
 // byMachine indexes the slots of a set by their machines.
-func (set *slotSet) byMachine() map[*machine]*slot {
-	slots := make(map[*machine]*slot, len(set.all))
-	for _, slot := range set.all {
+func (s *slotSet) byMachine() map[*machine]*slot {
+	slots := make(map[*machine]*slot, len(s.all))
+	for _, slot := range s.all {
 		slots[slot.machine] = slot
 	}
 	return slots
@@ -193,9 +193,9 @@
 }
 
 // idleSlots returns the machines that are up and without any task.
-func (pass *schedulingPass) idleSlots() map[*slot]bool {
+func (p *schedulingPass) idleSlots() map[*slot]bool {
 	idle := map[*slot]bool{}
-	for _, slot := range pass.available.all {
+	for _, slot := range p.available.all {
 		if len(slot.machine.placements) == 0 && slot.isIdle() {
 			idle[slot] = true
 		}
@@ -205,39 +205,39 @@
 
 // announceReservations tells the owners which machines are reserved for the longest waiting gang,
 // if these have changed.
-func (pass *schedulingPass) announceReservations() {
-	n := pass.node
-	if slices.Equal(pass.reservations, n.leader.reservations) {
+func (p *schedulingPass) announceReservations() {
+	n := p.node
+	if slices.Equal(p.reservations, n.leader.reservations) {
 		return
 	}
-	n.leader.reservations = pass.reservations
+	n.leader.reservations = p.reservations
 	n.sendGossip(true)
 }
 
 // withinLimit reports whether a team's limit allows the leader to grant more tasks.
-func (pass *schedulingPass) withinLimit(job *job, tasks int) bool {
-	return job.Team >= 0 && pass.node.replica.Ledger().MayGrant(job.Team, pass.added[job.Team].Plus(job.Demand(tasks)), pass.node.replica.Revision())
+func (p *schedulingPass) withinLimit(job *job, tasks int) bool {
+	return job.Team >= 0 && p.node.replica.Ledger().MayGrant(job.Team, p.added[job.Team].Plus(job.Demand(tasks)), p.node.replica.Revision())
 }
 
 // hasQuota reports whether the limit allows tasks that wait, and notes where only the limit keeps
 // them waiting.
-func (pass *schedulingPass) hasQuota(job *job, tasks int) bool {
-	if pass.withinLimit(job, tasks) {
+func (p *schedulingPass) hasQuota(job *job, tasks int) bool {
+	if p.withinLimit(job, tasks) {
 		return true
 	}
 	if job.Team < 0 {
 		return false
 	}
 	// Shares need not be reclaimed for a job that is larger than the limit itself.
-	pass.atLimit[job.Team] = pass.atLimit[job.Team] || pass.node.replica.Ledger().Fits(job.Team, job.Demand(tasks))
+	p.atLimit[job.Team] = p.atLimit[job.Team] || p.node.replica.Ledger().Fits(job.Team, job.Demand(tasks))
 	return false
 }
 
 // logUtilization logs how much of the site is in use, for debugging.
-func (pass *schedulingPass) logUtilization(idle map[*slot]bool) {
-	n := pass.node
+func (p *schedulingPass) logUtilization(idle map[*slot]bool) {
+	n := p.node
 	spot, idleSpot, partlyFree := 0, 0, 0
-	for _, slot := range pass.available.all {
+	for _, slot := range p.available.all {
 		switch {
 		case slot.spot && idle[slot]:
 			idleSpot++
@@ -248,5 +248,5 @@
 			spot++
 		}
 	}
-	n.log(LogDebug, "utilization", "machines", len(pass.available.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", partlyFree, "expected", len(pass.expected.all), "provisioning_requests", len(n.leader.autoscaler.provisions), "unplaced_tasks", pass.unplacedTasks)
+	n.log(LogDebug, "utilization", "machines", len(p.available.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", partlyFree, "expected", len(p.expected.all), "provisioning_requests", len(n.leader.autoscaler.provisions), "unplaced_tasks", p.unplacedTasks)
 }
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -37,16 +37,16 @@
 
 // mayPreempt reports whether anything may be preempted for a job now. Tasks that have been
 // stopped for it take a heartbeat or two to go; until then no more are.
-func (pass *schedulingPass) mayPreempt(queued *queuedJob) bool {
-	n := pass.node
-	return n.cfg.Preempt && pass.preemptions < maxPreemptions && n.now-queued.job.waitingSince >= preemptionDelay && n.now >= queued.job.preemptAt &&
+func (p *schedulingPass) mayPreempt(queued *queuedJob) bool {
+	n := p.node
+	return n.cfg.Preempt && p.preemptions < maxPreemptions && n.now-queued.job.waitingSince >= preemptionDelay && n.now >= queued.job.preemptAt &&
 		(queued.job.Priority >= preemptingPriority || queued.withinGuarantee)
 }
 
 // mayPreemptJob reports whether the rules of preemption let a queued job preempt another, and
 // the queued job comes first in the queue as well: otherwise what was preempted would get its
 // place back and be preempted again.
-func (pass *schedulingPass) mayPreemptJob(queued *queuedJob, job *job) bool {
+func (p *schedulingPass) mayPreemptJob(queued *queuedJob, job *job) bool {
 	if job.Priority < queued.job.Priority {
 		return true
 	}
@@ -67,15 +67,15 @@
 
 // candidatesOn lists the tasks on a machine that may be preempted for a job, cheapest first, or
 // with all set those that may end by themselves: all but daemons.
-func (pass *schedulingPass) candidatesOn(queued *queuedJob, machine *machine, all bool) []victim {
+func (p *schedulingPass) candidatesOn(queued *queuedJob, machine *machine, all bool) []victim {
 	var candidates []victim
 	for i := range machine.placements {
 		placement := &machine.placements[i]
-		job := pass.node.jobs[placement.job]
+		job := p.node.jobs[placement.job]
 		if job == queued.job || placement.stop != wire.StopNone || job.Record.State != wire.JobLive || job.Record.Spec.Shape == wire.ShapeDaemon {
 			continue
 		}
-		if !all && (pass.writer.records[placement.job] != nil || !pass.mayPreemptJob(queued, job)) {
+		if !all && (p.writer.records[placement.job] != nil || !p.mayPreemptJob(queued, job)) {
 			continue
 		}
 		candidates = append(candidates, victim{job, placement.taskKey, preemptionCostOf(job)})
@@ -87,7 +87,7 @@
 // victimsOn returns the tasks to be preempted on a machine so that a task of a queued job fits,
 // cheapest first, and whether it then fits. With all set it asks instead whether the machine could
 // take the task once everything but daemons has ended.
-func (pass *schedulingPass) victimsOn(queued *queuedJob, slot *slot, all bool) ([]victim, bool) {
+func (p *schedulingPass) victimsOn(queued *queuedJob, slot *slot, all bool) ([]victim, bool) {
 	if slot.machine == nil {
 		return nil, false
 	}
@@ -95,7 +95,7 @@
 	trial := *slot
 	trial.set = nil
 	var chosen []victim
-	for _, candidate := range pass.candidatesOn(queued, slot.machine, all) {
+	for _, candidate := range p.candidatesOn(queued, slot.machine, all) {
 		if trial.fitsAfterRelease(spec) {
 			break
 		}
@@ -107,23 +107,23 @@
 
 // preempt stops tasks so that one task of a queued job fits: tasks of lower priority, or those that
 // another team runs beyond its guarantee when this one is within. It returns the machine, or nil.
-func (pass *schedulingPass) preempt(queued *queuedJob, allowed func(*slot) bool) *slot {
-	if !pass.mayPreempt(queued) {
+func (p *schedulingPass) preempt(queued *queuedJob, allowed func(*slot) bool) *slot {
+	if !p.mayPreempt(queued) {
 		return nil
 	}
 	var best []victim
 	var target *slot
 	bestCost := 0.0
-	for _, slot := range pass.available.all {
+	for _, slot := range p.available.all {
 		if slot.machine.lowestPriority > queued.job.Priority || slot.reserved || !slot.accepts(queued.job) || !allowed(slot) {
 			continue
 		}
-		pass.node.workCount++
-		victims, fits := pass.victimsOn(queued, slot, false)
+		p.node.workCount++
+		victims, fits := p.victimsOn(queued, slot, false)
 		if !fits {
 			continue
 		}
-		cost := pass.node.score(queued.job, slot)
+		cost := p.node.score(queued.job, slot)
 		for _, victim := range victims {
 			cost += victim.cost
 		}
@@ -131,19 +131,19 @@
 			best, bestCost, target = victims, cost, slot
 		}
 	}
-	if best == nil || !pass.stopVictims(queued, best) {
-		queued.job.preemptAt = pass.node.now + preemptionRetryDelay
+	if best == nil || !p.stopVictims(queued, best) {
+		queued.job.preemptAt = p.node.now + preemptionRetryDelay
 		return nil
 	}
-	queued.job.preemptAt = pass.node.now + exitHeartbeats*pass.node.cfg.HeartbeatInterval + Time(best[0].job.Record.Spec.CheckpointTimeS*float64(second))
+	queued.job.preemptAt = p.node.now + exitHeartbeats*p.node.cfg.HeartbeatInterval + Time(best[0].job.Record.Spec.CheckpointTimeS*float64(second))
 	return target
 }
 
 // stopVictims marks tasks to be stopped; a gang is stopped as a whole. It reports false if there is
 // no write left.
-func (pass *schedulingPass) stopVictims(queued *queuedJob, victims []victim) bool {
+func (p *schedulingPass) stopVictims(queued *queuedJob, victims []victim) bool {
 	for _, victim := range victims {
-		record := pass.writer.job(victim.job)
+		record := p.writer.job(victim.job)
 		if record == nil {
 			return false
 		}
@@ -156,8 +156,8 @@
 				}
 			}
 		}
-		pass.node.log(LogInfo, "preempting", "job", victim.job.ID, "task", victim.key.task, "for", queued.job.ID)
+		p.node.log(LogInfo, "preempting", "job", victim.job.ID, "task", victim.key.task, "for", queued.job.ID)
 	}
-	pass.preemptions++
+	p.preemptions++
 	return true
 }
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -148,15 +148,15 @@
 // rank puts urgent work first, and among equals work within a guarantee before the rest. It
 // must agree with mayPreemptJob: if what was preempted came before what it was preempted
 // for, the two would take turns.
-func (queued *queuedJob) rank() int { return 2*queued.job.Priority + boolToInt(queued.withinGuarantee) }
+func (q *queuedJob) rank() int { return 2*q.job.Priority + boolToInt(q.withinGuarantee) }
 
 // coresPerGPU is how many cores count as much as a GPU where use is compared without a guarantee.
 const coresPerGPU = 8
 
 // shareUsed is the share of its guarantee that a team uses; the team with the lowest is served
 // first. A team without a guarantee has used up its share by what it uses.
-func (pass *schedulingPass) shareUsed(team int) float64 {
-	used, quota := pass.used[team], pass.node.replica.Quota(team)
+func (p *schedulingPass) shareUsed(team int) float64 {
+	used, quota := p.used[team], p.node.replica.Quota(team)
 	switch {
 	case quota.GuaranteedGPUs > 0:
 		return used.gpus / quota.GuaranteedGPUs
@@ -169,32 +169,32 @@
 // serveQueues serves the teams in turn until their queues are empty: the most urgent head
 // first, and among equals the team that uses the least of its share. It returns how many
 // grants found no write left.
-func (pass *schedulingPass) serveQueues(queues []*teamQueue) (unwritten int) {
-	pass.serveLongestWaitingGang(queues)
-	for queue := pass.nextQueue(queues); queue != nil; queue = pass.nextQueue(queues) {
+func (p *schedulingPass) serveQueues(queues []*teamQueue) (unwritten int) {
+	p.serveLongestWaitingGang(queues)
+	for queue := p.nextQueue(queues); queue != nil; queue = p.nextQueue(queues) {
 		queued := queue.jobs[0]
 		more := false
 		if queued.job.Record.Spec.Shape == wire.ShapeGang {
-			pass.serveGang(queued)
+			p.serveGang(queued)
 		} else {
-			more = pass.serveTask(queued)
+			more = p.serveTask(queued)
 		}
 		if !more || len(queued.tasks) == 0 {
 			queue.jobs = queue.jobs[1:]
 		}
 	}
-	return pass.unwrittenGrants
+	return p.unwrittenGrants
 }
 
 // nextQueue returns the queue whose head is to be served next, or nil if all are empty.
-func (pass *schedulingPass) nextQueue(queues []*teamQueue) *teamQueue {
+func (p *schedulingPass) nextQueue(queues []*teamQueue) *teamQueue {
 	var next *teamQueue
 	for _, queue := range queues {
 		if len(queue.jobs) == 0 {
 			continue
 		}
 		if next == nil || queue.jobs[0].rank() > next.jobs[0].rank() ||
-			queue.jobs[0].rank() == next.jobs[0].rank() && pass.shareUsed(queue.team) < pass.shareUsed(next.team) {
+			queue.jobs[0].rank() == next.jobs[0].rank() && p.shareUsed(queue.team) < p.shareUsed(next.team) {
 			next = queue
 		}
 	}
@@ -203,12 +203,12 @@
 
 // serveLongestWaitingGang serves the gang that has waited longest beyond gangReservationDelay
 // before all queues.
-func (pass *schedulingPass) serveLongestWaitingGang(queues []*teamQueue) {
+func (p *schedulingPass) serveLongestWaitingGang(queues []*teamQueue) {
 	var longest *queuedJob
 	for _, queue := range queues {
 		for _, queued := range queue.jobs {
 			job := queued.job
-			if job.Record.Spec.Shape != wire.ShapeGang || job.waitingSince == 0 || pass.node.now-job.waitingSince < gangReservationDelay {
+			if job.Record.Spec.Shape != wire.ShapeGang || job.waitingSince == 0 || p.node.now-job.waitingSince < gangReservationDelay {
 				continue
 			}
 			if longest == nil || job.waitingSince < longest.job.waitingSince || job.waitingSince == longest.job.waitingSince && job.ID < longest.job.ID {
@@ -219,8 +219,8 @@
 	if longest == nil {
 		return
 	}
-	pass.longestWaitingGang = longest
-	pass.serveGang(longest)
+	p.longestWaitingGang = longest
+	p.serveGang(longest)
 	for _, queue := range queues {
 		queue.jobs = slices.DeleteFunc(queue.jobs, func(queued *queuedJob) bool { return queued == longest })
 	}
@@ -229,16 +229,16 @@
 // noteWaiting notes since when a job has waited. What was never granted has waited since it was
 // accepted: were the count to begin anew with each leader, a gang would never get its
 // reservation while leaders change every minute.
-func (pass *schedulingPass) noteWaiting(job *job) {
+func (p *schedulingPass) noteWaiting(job *job) {
 	if job.waitingSince != 0 {
 		return
 	}
-	job.waitingSince = pass.node.now
+	job.waitingSince = p.node.now
 	switch {
 	case job.Record.NextAttempt == 1 && job.Links != nil && len(job.Links.Dependencies) > 0:
 		job.waitingSince = job.Links.ReadyAt
 	case job.Record.NextAttempt == 1:
-		job.waitingSince -= max(0, Time(pass.node.cfg.WallClockMS()-job.Record.AcceptedAtMS)*time.Millisecond)
+		job.waitingSince -= max(0, Time(p.node.cfg.WallClockMS()-job.Record.AcceptedAtMS)*time.Millisecond)
 	}
 	if job.waitingSince == 0 {
 		job.waitingSince = -1 // 0 would say that it does not wait
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -9,8 +9,8 @@
 // reserveForArrivals plans capacity for what will come before a machine provisioned then could
 // be up: idle machines that it uses are not drained, and what is missing is provisioned. It
 // comes after all waiting work and grants nothing, so that any real task can have the capacity.
-func (pass *schedulingPass) reserveForArrivals() {
-	n := pass.node
+func (p *schedulingPass) reserveForArrivals() {
+	n := p.node
 	for _, class := range n.arrivals.classes {
 		job := n.sampleOf(class)
 		if job == nil {
@@ -18,8 +18,8 @@
 		}
 		lead := n.provisionTime(job)
 		if class.backfillGuard {
-			if pass.hasBackfill {
-				pass.reserveAgainstBackfill(job, n.arrivals.reserve(class, n.now, n.preemptionTime()))
+			if p.hasBackfill {
+				p.reserveAgainstBackfill(job, n.arrivals.reserve(class, n.now, n.preemptionTime()))
 			}
 			continue
 		}
@@ -29,7 +29,7 @@
 			continue
 		}
 		for range n.arrivals.reserve(class, n.now, lead) {
-			slot := pass.bestAnywhere(job, nil)
+			slot := p.bestAnywhere(job, nil)
 			if slot == nil {
 				break
 			}
@@ -41,17 +41,17 @@
 // bestAnywhere returns the best machine that is up, else the best that is expected, else one
 // that the pass now plans to provision, or nil. What accept (nil: any) says of a machine must
 // hold for its class.
-func (pass *schedulingPass) bestAnywhere(job *job, accept func(*slot) bool) *slot {
-	if slot := pass.available.best(job, accept, nil); slot != nil {
+func (p *schedulingPass) bestAnywhere(job *job, accept func(*slot) bool) *slot {
+	if slot := p.available.best(job, accept, nil); slot != nil {
 		return slot
 	}
-	if slot := pass.expected.best(job, accept, nil); slot != nil {
+	if slot := p.expected.best(job, accept, nil); slot != nil {
 		return slot
 	}
 	if accept == nil {
 		accept = acceptAny
 	}
-	return pass.provisionFor(job, accept)
+	return p.provisionFor(job, accept)
 }
 
 // acceptAny accepts every machine.
@@ -59,9 +59,9 @@
 
 // reserveAgainstBackfill reserves free capacity for tasks that will probably come before
 // backfill could be preempted for them.
-func (pass *schedulingPass) reserveAgainstBackfill(job *job, tasks int) {
+func (p *schedulingPass) reserveAgainstBackfill(job *job, tasks int) {
 	for range tasks {
-		slot := pass.available.best(job, nil, nil)
+		slot := p.available.best(job, nil, nil)
 		if slot == nil {
 			return
 		}
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -29,24 +29,24 @@
 
 // distributeShares writes the account of a team whose shares should change, at most one in a
 // commit. It comes last, so that it uses no write that a grant needs.
-func (pass *schedulingPass) distributeShares() {
-	n := pass.node
+func (p *schedulingPass) distributeShares() {
+	n := p.node
 	if !n.replica.WritesTeamAccounts() {
 		return
 	}
 	for team := range n.cfg.Teams {
-		if n.now-n.leader.sharesDistributedAt[team] < pass.shareIntervalFor(team) {
+		if n.now-n.leader.sharesDistributedAt[team] < p.shareIntervalFor(team) {
 			continue
 		}
-		account, reason := n.replica.Ledger().Distribute(team, pass.shareDemand(team))
+		account, reason := n.replica.Ledger().Distribute(team, p.shareDemand(team))
 		if reason == quota.Unchanged || !n.valueFits(account) {
 			continue
 		}
-		if pass.unwrittenGrants > 0 && reason != quota.Reclaimed {
+		if p.unwrittenGrants > 0 && reason != quota.Reclaimed {
 			return
 		}
 		key := wire.AccountKey(n.cfg.Teams[team].Name)
-		if pass.writer.addWrite(Write{Key: key, Value: account}, Condition{Key: key, Revision: n.replica.Ledger().Revision(team)}) {
+		if p.writer.addWrite(Write{Key: key, Value: account}, Condition{Key: key, Revision: n.replica.Ledger().Revision(team)}) {
 			n.leader.sharesDistributedAt[team], n.leader.sharesReclaimed[team] = n.now, reason == quota.Reclaimed
 			n.log(LogDebug, "quota shares distributed", "team", n.cfg.Teams[team].Name, "reason", int(reason), "shares", len(account.Shares))
 		}
@@ -56,22 +56,22 @@
 
 // shareIntervalFor is how long a team's account is not written again. Where writes are scarce
 // all intervals are the longest.
-func (pass *schedulingPass) shareIntervalFor(team int) Time {
+func (p *schedulingPass) shareIntervalFor(team int) Time {
 	interval := shareInterval
 	switch {
-	case pass.atLimit[team]:
+	case p.atLimit[team]:
 		interval = reclaimInterval
-	case pass.node.leader.sharesReclaimed[team]:
+	case p.node.leader.sharesReclaimed[team]:
 		interval = redistributeInterval
 	}
-	return interval + Time(pass.node.writeScarcity()*float64(shareInterval-interval))
+	return interval + Time(p.node.writeScarcity()*float64(shareInterval-interval))
 }
 
 // shareDemand is the demand that the shares of a team are distributed by.
-func (pass *schedulingPass) shareDemand(team int) quota.Demand {
-	n := pass.node
+func (p *schedulingPass) shareDemand(team int) quota.Demand {
+	n := p.node
 	demand := quota.Demand{
-		Owned: make([]bool, len(n.shards)), Blocked: pass.atLimit[team], Granted: pass.added[team],
+		Owned: make([]bool, len(n.shards)), Blocked: p.atLimit[team], Granted: p.added[team],
 		Enabled: n.cfg.Admission != AdmitNothing,
 	}
 	for i, shard := range n.shards {
--- a/internal/core/scheduler_stages.go
+++ b/internal/core/scheduler_stages.go
@@ -9,12 +9,12 @@
 
 // planNextStages plans capacity for jobs whose last dependencies will probably end before a
 // machine provisioned now is up.
-func (pass *schedulingPass) planNextStages() {
-	n := pass.node
+func (p *schedulingPass) planNextStages() {
+	n := p.node
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
 		if job.Record.Spec != nil && job.Team >= 0 && job.IsWaiting() && n.isRunnableBy(job, n.now+n.provisionTime(job)) {
-			pass.planStage(job)
+			p.planStage(job)
 		}
 	}
 }
@@ -43,19 +43,19 @@
 
 // planStage plans capacity for the tasks of a job, within its team's limit, and has machines
 // provisioned for those that find none.
-func (pass *schedulingPass) planStage(job *job) {
+func (p *schedulingPass) planStage(job *job) {
 	spec := job.Record.Spec
-	zoneTasks := make([]int, pass.node.names.Zones.Len())
+	zoneTasks := make([]int, p.node.names.Zones.Len())
 	allowed := func(slot *slot) bool { return allowsZone(spec, zoneTasks, slot.zone) }
-	for range min(job.Record.TaskCount, pass.node.maxActiveTasks(job)) {
-		if !pass.withinLimit(job, 1) {
+	for range min(job.Record.TaskCount, p.node.maxActiveTasks(job)) {
+		if !p.withinLimit(job, 1) {
 			return
 		}
-		slot := pass.bestAnywhere(job, allowed)
+		slot := p.bestAnywhere(job, allowed)
 		if slot == nil {
 			return
 		}
-		pass.charge(job, 1)
+		p.charge(job, 1)
 		zoneTasks[slot.zone]++
 		slot.allocate(spec)
 	}
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -29,8 +29,8 @@
 )
 
 // record returns the job's record with what this pass has added.
-func (pass *schedulingPass) record(job *job) *wire.Job {
-	if record := pass.writer.records[job.Index]; record != nil {
+func (p *schedulingPass) record(job *job) *wire.Job {
+	if record := p.writer.records[job.Index]; record != nil {
 		return record
 	}
 	return job.Record
@@ -46,10 +46,10 @@
 
 // isUnmet reports whether a task that needs no more, and may run at least wherever a job's task
 // may, has found no free slot in this pass already.
-func (pass *schedulingPass) isUnmet(job *job, avoidsIdle bool) bool {
+func (p *schedulingPass) isUnmet(job *job, avoidsIdle bool) bool {
 	spec := job.Record.Spec
-	for i := range pass.unmetDemands {
-		unmet := &pass.unmetDemands[i]
+	for i := range p.unmetDemands {
+		unmet := &p.unmetDemands[i]
 		if unmet.anyType && (unmet.zone < 0 || unmet.zone == job.Zone) && (unmet.allowSpot || !job.AllowSpot) && (!unmet.avoidsIdle || avoidsIdle) &&
 			unmet.cores <= spec.Cores+epsilon && unmet.gpus <= spec.GPUs+epsilon && unmet.memoryGB <= spec.MemoryGB+epsilon {
 			return true
@@ -60,38 +60,38 @@
 
 // noteUnmet remembers that a job's task found no free slot, unless that is due to the machines
 // that have failed the job.
-func (pass *schedulingPass) noteUnmet(job *job, avoidsIdle bool) {
-	if spec := job.Record.Spec; len(job.Record.FailedMachines) == 0 && len(pass.unmetDemands) < maxUnmetDemands {
-		pass.unmetDemands = append(pass.unmetDemands, unmetDemand{spec.Cores, spec.GPUs, spec.MemoryGB, job.Zone, job.AnyType, job.AllowSpot, avoidsIdle})
+func (p *schedulingPass) noteUnmet(job *job, avoidsIdle bool) {
+	if spec := job.Record.Spec; len(job.Record.FailedMachines) == 0 && len(p.unmetDemands) < maxUnmetDemands {
+		p.unmetDemands = append(p.unmetDemands, unmetDemand{spec.Cores, spec.GPUs, spec.MemoryGB, job.Zone, job.AnyType, job.AllowSpot, avoidsIdle})
 	}
 }
 
 // serveTask grants or plans the next tasks of an array or daemon, one or, of a large array, as
 // many as fit a machine, and reports whether to go on with the job.
-func (pass *schedulingPass) serveTask(queued *queuedJob) bool {
-	if queued.runBudget <= 0 || pass.admission == nil && !pass.hasQuota(queued.job, 1) {
+func (p *schedulingPass) serveTask(queued *queuedJob) bool {
+	if queued.runBudget <= 0 || p.admission == nil && !p.hasQuota(queued.job, 1) {
 		return false
 	}
 	if queued.zoneTasks == nil {
-		pass.countTasks(queued)
+		p.countTasks(queued)
 	}
-	allowed := pass.placementRule(queued)
-	if pass.admission != nil {
-		return pass.grantNow(queued, func(slot *slot) bool { return allowed(slot) && pass.mayAdmit(queued.job, 1, slot.shard) })
+	allowed := p.placementRule(queued)
+	if p.admission != nil {
+		return p.grantNow(queued, func(slot *slot) bool { return allowed(slot) && p.mayAdmit(queued.job, 1, slot.shard) })
 	}
-	if pass.grantNow(queued, allowed) {
+	if p.grantNow(queued, allowed) {
 		return true
 	}
 	queued.noFreeSlot = true
-	pass.unplacedTasks++
-	pass.noteWaiting(queued.job)
-	return pass.planOnReleasing(queued, allowed) || pass.planOnExpected(queued, allowed)
+	p.unplacedTasks++
+	p.noteWaiting(queued.job)
+	return p.planOnReleasing(queued, allowed) || p.planOnExpected(queued, allowed)
 }
 
 // countTasks counts a job's tasks by zone and by shard.
-func (pass *schedulingPass) countTasks(queued *queuedJob) {
-	queued.zoneTasks = pass.node.zoneTasks(pass.record(queued.job))
-	queued.shardTasks = make([]int, len(pass.node.shards))
+func (p *schedulingPass) countTasks(queued *queuedJob) {
+	queued.zoneTasks = p.node.zoneTasks(p.record(queued.job))
+	queued.shardTasks = make([]int, len(p.node.shards))
 	for i := range queued.job.Record.ActiveTasks {
 		queued.shardTasks[queued.job.Record.ActiveTasks[i].Shard]++
 	}
@@ -99,9 +99,9 @@
 
 // placementRule returns a function that reports whether the next task of a job may be planned
 // on a machine, up or expected, by its zone and kind.
-func (pass *schedulingPass) placementRule(queued *queuedJob) func(*slot) bool {
+func (p *schedulingPass) placementRule(queued *queuedJob) func(*slot) bool {
 	spec, zoneTasks := queued.job.Record.Spec, queued.zoneTasks
-	queued.avoidsIdle = pass.avoidsIdleOnDemand(queued)
+	queued.avoidsIdle = p.avoidsIdleOnDemand(queued)
 	return func(slot *slot) bool {
 		// This holds for expected machines too: planned on an on-demand one that it will not
 		// use, the task would wait while no spot machine is provisioned.
@@ -114,9 +114,9 @@
 
 // shardPenalty returns the cost, in seconds of waiting, of the next task of a job on a machine,
 // by the machine's shard.
-func (pass *schedulingPass) shardPenalty(queued *queuedJob) func(*slot) float64 {
-	job, scarcity := queued.job, pass.node.writeScarcity()
-	started := len(job.Record.ActiveTasks) > 0 || pass.writer.records[job.Index] != nil
+func (p *schedulingPass) shardPenalty(queued *queuedJob) func(*slot) float64 {
+	job, scarcity := queued.job, p.node.writeScarcity()
+	started := len(job.Record.ActiveTasks) > 0 || p.writer.records[job.Index] != nil
 	if job.LargeArray {
 		scarcity = largeArrayScarcity
 	}
@@ -127,8 +127,8 @@
 		case started && queued.shardTasks[slot.shard] == 0:
 			return newShardPenalty * scarcity
 		case job.LargeArray: // large arrays start in different shards
-			return foreignShardPenalty * float64(boolToInt(!started && slot.shard != job.Index%len(pass.node.shards)))
-		case !started && job.Priority == 0 && !pass.node.owns(pass.node.shards[slot.shard]):
+			return foreignShardPenalty * float64(boolToInt(!started && slot.shard != job.Index%len(p.node.shards)))
+		case !started && job.Priority == 0 && !p.node.owns(p.node.shards[slot.shard]):
 			return foreignShardPenalty * scarcity
 		}
 		return 0
@@ -137,17 +137,17 @@
 
 // hasNoZoneRule reports whether it makes no difference to a job's tasks where the others are,
 // so that what was found out for one holds for the rest.
-func (queued *queuedJob) hasNoZoneRule() bool {
-	return !queued.job.Record.Spec.Spread && !queued.job.Record.Spec.SameZone
+func (q *queuedJob) hasNoZoneRule() bool {
+	return !q.job.Record.Spec.Spread && !q.job.Record.Spec.SameZone
 }
 
 // runLengthOn is how many of a job's next tasks a machine takes at once.
-func (pass *schedulingPass) runLengthOn(queued *queuedJob, slot *slot) int {
+func (p *schedulingPass) runLengthOn(queued *queuedJob, slot *slot) int {
 	if !queued.job.LargeArray {
 		return 1
 	}
 	tasks := min(slot.capacityFor(queued.job.Record.Spec), len(queued.tasks), maxRunLength)
-	for tasks > 1 && !pass.mayCharge(queued.job, tasks, slot) {
+	for tasks > 1 && !p.mayCharge(queued.job, tasks, slot) {
 		tasks--
 	}
 	return max(1, tasks)
@@ -156,33 +156,33 @@
 // assigned notes that the next tasks of a job are planned on a machine. Tasks that only an
 // expected machine will take count in their zone too; otherwise all would be planned for the
 // same zone.
-func (queued *queuedJob) assigned(slot *slot, tasks int) {
-	slot.release(queued.job.Record.Spec, -tasks)
-	queued.zoneTasks[slot.zone] += tasks
-	queued.tasks = queued.tasks[tasks:]
-	queued.runBudget--
+func (q *queuedJob) assigned(slot *slot, tasks int) {
+	slot.release(q.job.Record.Spec, -tasks)
+	q.zoneTasks[slot.zone] += tasks
+	q.tasks = q.tasks[tasks:]
+	q.runBudget--
 }
 
 // grantNow grants the next tasks of a job to the best machine with free capacity.
-func (pass *schedulingPass) grantNow(queued *queuedJob, allowed func(*slot) bool) bool {
+func (p *schedulingPass) grantNow(queued *queuedJob, allowed func(*slot) bool) bool {
 	job := queued.job
-	if queued.noFreeSlot || pass.isUnmet(job, queued.avoidsIdle) {
+	if queued.noFreeSlot || p.isUnmet(job, queued.avoidsIdle) {
 		return false
 	}
-	target := pass.available.best(job, allowed, pass.shardPenalty(queued))
+	target := p.available.best(job, allowed, p.shardPenalty(queued))
 	if target == nil {
-		if queued.hasNoZoneRule() && pass.admission == nil { // a share of the limit says nothing about capacity
-			pass.noteUnmet(job, queued.avoidsIdle)
+		if queued.hasNoZoneRule() && p.admission == nil { // a share of the limit says nothing about capacity
+			p.noteUnmet(job, queued.avoidsIdle)
 		}
 		return false
 	}
 	// Without a write left the capacity is reserved all the same: neither what comes later may
 	// use it nor may the machine be drained as idle.
-	tasks := pass.runLengthOn(queued, target)
-	if pass.grant(job, queued.tasks[:tasks], slices.Repeat([]*slot{target}, tasks)) {
+	tasks := p.runLengthOn(queued, target)
+	if p.grant(job, queued.tasks[:tasks], slices.Repeat([]*slot{target}, tasks)) {
 		queued.shardTasks[target.shard] += tasks
 	} else {
-		pass.charge(job, tasks)
+		p.charge(job, tasks)
 	}
 	target.noteFetch(job)
 	queued.assigned(target, tasks)
@@ -192,17 +192,17 @@
 
 // planOnReleasing plans the next task of a job on capacity that is about to be released, or on
 // which it preempts other tasks. A large array takes such capacity when it is free.
-func (pass *schedulingPass) planOnReleasing(queued *queuedJob, allowed func(*slot) bool) bool {
+func (p *schedulingPass) planOnReleasing(queued *queuedJob, allowed func(*slot) bool) bool {
 	if queued.noReleasingSlot || queued.job.LargeArray {
 		return false
 	}
-	for _, slot := range pass.available.releasing {
+	for _, slot := range p.available.releasing {
 		if slot.accepts(queued.job) && slot.fitsAfterRelease(queued.job.Record.Spec) && allowed(slot) {
 			queued.assigned(slot, 1)
 			return true
 		}
 	}
-	if slot := pass.preempt(queued, allowed); slot != nil {
+	if slot := p.preempt(queued, allowed); slot != nil {
 		queued.assigned(slot, 1)
 		return true
 	}
@@ -212,22 +212,22 @@
 
 // planOnExpected plans the next tasks of a job on an expected machine, or on one to be
 // provisioned. A later pass grants them once the machine is up.
-func (pass *schedulingPass) planOnExpected(queued *queuedJob, allowed func(*slot) bool) bool {
+func (p *schedulingPass) planOnExpected(queued *queuedJob, allowed func(*slot) bool) bool {
 	job := queued.job
 	var target *slot
 	if !queued.noExpectedSlot {
-		target = pass.expected.best(job, allowed, nil)
+		target = p.expected.best(job, allowed, nil)
 		queued.noExpectedSlot = target == nil && queued.hasNoZoneRule()
 	}
 	if target == nil {
-		target = pass.provisionFor(job, func(slot *slot) bool { return allowed(slot) && (slot.spot || !pass.isBackfill(queued)) })
+		target = p.provisionFor(job, func(slot *slot) bool { return allowed(slot) && (slot.spot || !p.isBackfill(queued)) })
 	}
 	if target == nil {
 		return false
 	}
 	// Their use counts, so that no more is provisioned than the team may use.
-	tasks := pass.runLengthOn(queued, target)
-	pass.charge(job, tasks)
+	tasks := p.runLengthOn(queued, target)
+	p.charge(job, tasks)
 	queued.assigned(target, tasks)
 	return true
 }
@@ -235,21 +235,21 @@
 // avoidsIdleOnDemand reports whether a task that may run on spot machines should rather wait for
 // one than use an idle on-demand machine: those are for whole-machine gangs and daemons, and
 // cost several times more.
-func (pass *schedulingPass) avoidsIdleOnDemand(queued *queuedJob) bool {
+func (p *schedulingPass) avoidsIdleOnDemand(queued *queuedJob) bool {
 	job, spec := queued.job, queued.job.Record.Spec
-	if pass.isBackfill(queued) {
+	if p.isBackfill(queued) {
 		return true
 	}
-	if !spec.AllowSpot || job.Priority >= urgentPriority || job.waitingSince != 0 && pass.node.now-job.waitingSince > spotWaitTime {
+	if !spec.AllowSpot || job.Priority >= urgentPriority || job.waitingSince != 0 && p.node.now-job.waitingSince > spotWaitTime {
 		return false
 	}
-	for _, class := range pass.expected.classOrder {
-		if class.spot && float64(class.gpus) >= spec.GPUs && len(*pass.expected.open[class]) > 0 && job.Allows(class.machineType, class.zone, true) {
+	for _, class := range p.expected.classOrder {
+		if class.spot && float64(class.gpus) >= spec.GPUs && len(*p.expected.open[class]) > 0 && job.Allows(class.machineType, class.zone, true) {
 			return true
 		}
 	}
-	scaler := &pass.node.leader.autoscaler
-	return slices.ContainsFunc(pass.pools(job), func(pool pricedPool) bool {
-		return pool.spot && scaler.mayRequest(pass.node.now, pool.machinePool)
+	scaler := &p.node.leader.autoscaler
+	return slices.ContainsFunc(p.pools(job), func(pool pricedPool) bool {
+		return pool.spot && scaler.mayRequest(p.node.now, pool.machinePool)
 	})
 }
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -32,40 +32,40 @@
 }
 
 // noteFetch notes that a task's image will be fetched here.
-func (slot *slot) noteFetch(job *job) {
-	if !slot.images.Has(job.Image) {
-		slot.fetchGB += job.Record.Spec.ImageGB
+func (s *slot) noteFetch(job *job) {
+	if !s.images.Has(job.Image) {
+		s.fetchGB += job.Record.Spec.ImageGB
 	}
 }
 
 // fits reports whether there is free capacity for one more task.
-func (slot *slot) fits(spec *wire.JobSpec) bool {
-	return !slot.reserved && spec.Cores <= slot.cores+epsilon && spec.GPUs <= slot.gpus+epsilon && spec.MemoryGB <= slot.memoryGB+epsilon
+func (s *slot) fits(spec *wire.JobSpec) bool {
+	return !s.reserved && spec.Cores <= s.cores+epsilon && spec.GPUs <= s.gpus+epsilon && spec.MemoryGB <= s.memoryGB+epsilon
 }
 
 // fitsAfterRelease reports whether there will be capacity for one more task once all tasks
 // that have been told to stop have ended.
-func (slot *slot) fitsAfterRelease(spec *wire.JobSpec) bool {
-	return !slot.reserved && spec.Cores <= slot.cores+slot.releasingCores+epsilon && spec.GPUs <= slot.gpus+slot.releasingGPUs+epsilon && spec.MemoryGB <= slot.memoryGB+slot.releasingMemoryGB+epsilon
+func (s *slot) fitsAfterRelease(spec *wire.JobSpec) bool {
+	return !s.reserved && spec.Cores <= s.cores+s.releasingCores+epsilon && spec.GPUs <= s.gpus+s.releasingGPUs+epsilon && spec.MemoryGB <= s.memoryGB+s.releasingMemoryGB+epsilon
 }
 
 // allocate allocates the capacity for one task.
-func (slot *slot) allocate(spec *wire.JobSpec) { slot.release(spec, -1) }
+func (s *slot) allocate(spec *wire.JobSpec) { s.release(spec, -1) }
 
 // release returns the capacity of some tasks, or allocates it if the number is negative.
-func (slot *slot) release(spec *wire.JobSpec, tasks int) {
-	slot.cores += spec.Cores * float64(tasks)
-	slot.gpus += spec.GPUs * float64(tasks)
-	slot.memoryGB += spec.MemoryGB * float64(tasks)
-	if slot.set != nil {
-		slot.set.reclassify(slot)
+func (s *slot) release(spec *wire.JobSpec, tasks int) {
+	s.cores += spec.Cores * float64(tasks)
+	s.gpus += spec.GPUs * float64(tasks)
+	s.memoryGB += spec.MemoryGB * float64(tasks)
+	if s.set != nil {
+		s.set.reclassify(s)
 	}
 }
 
 // capacityFor is how many tasks fit, at most maxRunLength.
-func (slot *slot) capacityFor(spec *wire.JobSpec) int {
+func (s *slot) capacityFor(spec *wire.JobSpec) int {
 	tasks := maxRunLength
-	for _, resource := range [...]struct{ free, needed float64 }{{slot.cores, spec.Cores}, {slot.gpus, spec.GPUs}, {slot.memoryGB, spec.MemoryGB}} {
+	for _, resource := range [...]struct{ free, needed float64 }{{s.cores, spec.Cores}, {s.gpus, spec.GPUs}, {s.memoryGB, spec.MemoryGB}} {
 		if resource.needed > 0 {
 			tasks = min(tasks, int((resource.free+epsilon)/resource.needed))
 		}
@@ -74,16 +74,16 @@
 }
 
 // isIdle reports whether neither cores nor GPUs of the machine are in use.
-func (slot *slot) isIdle() bool {
-	return slot.cores > slot.typeInfo.Cores-epsilon && slot.gpus > slot.typeInfo.GPUs-epsilon
+func (s *slot) isIdle() bool {
+	return s.cores > s.typeInfo.Cores-epsilon && s.gpus > s.typeInfo.GPUs-epsilon
 }
 
 // isFull reports whether nothing is left for a task without GPUs, or else for one with
 // GPUs. A machine whose GPUs are all in use still serves the former: otherwise such tasks
 // would go to machines with free GPUs, which then could neither be drained nor take
 // whole-machine work.
-func (slot *slot) isFull(withoutGPU bool) bool {
-	return slot.cores <= epsilon || !withoutGPU && slot.typeInfo.GPUs > 0 && slot.gpus <= epsilon
+func (s *slot) isFull(withoutGPU bool) bool {
+	return s.cores <= epsilon || !withoutGPU && s.typeInfo.GPUs > 0 && s.gpus <= epsilon
 }
 
 // maxAvoidedMachines is up to how many machines that have failed a job are avoided. When as
@@ -91,14 +91,14 @@
 const maxAvoidedMachines = 2
 
 // accepts reports whether a job's tasks may run on the machine at all, whatever its capacity.
-func (slot *slot) accepts(job *job) bool {
-	if slot.reservedFor > 0 && slot.reservedFor != job.Index+1 {
+func (s *slot) accepts(job *job) bool {
+	if s.reservedFor > 0 && s.reservedFor != job.Index+1 {
 		return false
 	}
-	if failed := job.Record.FailedMachines; slot.machine != nil && len(failed) > 0 && len(failed) <= maxAvoidedMachines && slices.Contains(failed, slot.machine.name) {
+	if failed := job.Record.FailedMachines; s.machine != nil && len(failed) > 0 && len(failed) <= maxAvoidedMachines && slices.Contains(failed, s.machine.name) {
 		return false
 	}
-	return job.Allows(slot.machineType, slot.zone, slot.spot)
+	return job.Allows(s.machineType, s.zone, s.spot)
 }
 
 // slotOf returns the free capacity of a machine, or nil if its type is not known.
@@ -122,9 +122,9 @@
 }
 
 // classify works out the class of a slot.
-func (slot *slot) classify() slotClass {
-	return slotClass{shard: slot.shard, zone: slot.zone, machineType: slot.machineType, gpus: int(slot.gpus + epsilon), noGPU: slot.gpus <= epsilon, spot: slot.spot,
-		idle: slot.isIdle(), daemon: slot.daemon, faulty: slot.errors > 0}
+func (s *slot) classify() slotClass {
+	return slotClass{shard: s.shard, zone: s.zone, machineType: s.machineType, gpus: int(s.gpus + epsilon), noGPU: s.gpus <= epsilon, spot: s.spot,
+		idle: s.isIdle(), daemon: s.daemon, faulty: s.errors > 0}
 }
 
 // slotSet holds slots with an index by class and image, so that the cost of a choice grows
@@ -155,62 +155,62 @@
 }
 
 // add adds a slot, which must be in no other set.
-func (set *slotSet) add(slot *slot) {
-	slot.set = set
-	set.all = append(set.all, slot)
+func (s *slotSet) add(slot *slot) {
+	slot.set = s
+	s.all = append(s.all, slot)
 	if slot.releasingCores > 0 || slot.releasingGPUs > 0 {
-		set.releasing = append(set.releasing, slot)
+		s.releasing = append(s.releasing, slot)
 	}
 	slot.class = slot.classify()
-	set.addToClass(slot)
+	s.addToClass(slot)
 }
 
 // addToClass lists a slot under its class, unless nothing is left of it.
-func (set *slotSet) addToClass(slot *slot) {
+func (s *slotSet) addToClass(slot *slot) {
 	if slot.isFull(true) || slices.Contains(slot.listedIn, slot.class) {
 		return
 	}
 	slot.listedIn = append(slot.listedIn, slot.class)
-	list := set.open[slot.class]
+	list := s.open[slot.class]
 	if list == nil {
 		list = new(slotList)
-		set.open[slot.class] = list
-		set.classOrder = append(set.classOrder, slot.class)
+		s.open[slot.class] = list
+		s.classOrder = append(s.classOrder, slot.class)
 	}
 	*list = append(*list, slot)
 }
 
 // reclassify lists a slot under its new class when its capacity has changed. Searches drop it
 // from the list of its old class when they come upon it.
-func (set *slotSet) reclassify(slot *slot) {
+func (s *slotSet) reclassify(slot *slot) {
 	class := slot.classify()
 	if class != slot.class {
 		slot.class = class
-		set.addToClass(slot)
+		s.addToClass(slot)
 	}
 }
 
 // withImage lists the slots that have an image or are fetching it and that were not full when
 // the list was first asked for.
-func (set *slotSet) withImage(key imageList) []*slot {
-	list, built := set.byImage[key]
+func (s *slotSet) withImage(key imageList) []*slot {
+	list, built := s.byImage[key]
 	if !built {
-		for _, slot := range set.all {
-			if !slot.isFull(key.withoutGPU) && (slot.images.Has(key.image) || slot.machine != nil && set.node.usesImage(slot.machine, key.image)) {
+		for _, slot := range s.all {
+			if !slot.isFull(key.withoutGPU) && (slot.images.Has(key.image) || slot.machine != nil && s.node.usesImage(slot.machine, key.image)) {
 				list = append(list, slot)
 			}
 		}
-		set.byImage[key] = list
+		s.byImage[key] = list
 	}
 	return list
 }
 
 // capacityFor returns an upper bound of how many tasks of a job fit into the slots of shards
 // and zones that in allows.
-func (set *slotSet) capacityFor(job *job, in func(shardIndex, zone int) bool) int {
+func (s *slotSet) capacityFor(job *job, in func(shardIndex, zone int) bool) int {
 	const unbounded = 1 << 10 // tasks without whole GPUs: the class does not tell
 	spec, tasks := job.Record.Spec, 0
-	for _, class := range set.classOrder {
+	for _, class := range s.classOrder {
 		if !in(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
 			continue
 		}
@@ -221,7 +221,7 @@
 				tasksPerSlot = class.gpus / int(spec.GPUs)
 			}
 		}
-		tasks += tasksPerSlot * len(*set.open[class])
+		tasks += tasksPerSlot * len(*s.open[class])
 	}
 	return tasks
 }
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -63,18 +63,18 @@
 
 // noteRefusal notes that the service refused writes as too many: its next, lower rate may
 // be in force already. We keep to that for a while, twice as long after each refusal.
-func (budget *writeBudget) noteRefusal(now Time) {
-	if now < budget.reducedUntil {
+func (b *writeBudget) noteRefusal(now Time) {
+	if now < b.reducedUntil {
 		return
 	}
-	budget.reducedFor = max(minReducedTime, 2*budget.reducedFor)
-	budget.reducedUntil = now + budget.reducedFor
+	b.reducedFor = max(minReducedTime, 2*b.reducedFor)
+	b.reducedUntil = now + b.reducedFor
 }
 
 // serviceRate is how many writes a second the service allows, as far as is known; 0 or less
 // means that there is no limit.
-func (budget *writeBudget) serviceRate(now Time, cfg *Config) float64 {
-	if next := cfg.NextWriteRPS; next > 0 && now < budget.reducedUntil {
+func (b *writeBudget) serviceRate(now Time, cfg *Config) float64 {
+	if next := cfg.NextWriteRPS; next > 0 && now < b.reducedUntil {
 		return min(next, cfg.WriteRPS)
 	}
 	return cfg.WriteRPS
@@ -82,48 +82,48 @@
 
 // backgroundShare is the share of the writes that is distributed in proportion to need: nine
 // tenths, and less while users submit and cancel a lot.
-func (budget *writeBudget) backgroundShare(serviceRate float64) float64 {
-	return max(minBackgroundShare, min(maxBackgroundShare, idleBackgroundShare-userWriteWeight*budget.userWritesPerS/serviceRate))
+func (b *writeBudget) backgroundShare(serviceRate float64) float64 {
+	return max(minBackgroundShare, min(maxBackgroundShare, idleBackgroundShare-userWriteWeight*b.userWritesPerS/serviceRate))
 }
 
 // refill adds the writes that our rate has allowed since the last call.
-func (budget *writeBudget) refill(now Time, serviceRate float64, cfg *Config) {
+func (b *writeBudget) refill(now Time, serviceRate float64, cfg *Config) {
 	// All controllers together stay within the burst that the service allows.
 	most := max(float64(cfg.MaxBatchWrites), writeBurstSeconds*serviceRate/float64(len(cfg.Members))) + 1
-	budget.available = min(budget.available+budget.rate*(now-budget.availableAt).Seconds(), most)
-	budget.availableAt = now
+	b.available = min(b.available+b.rate*(now-b.availableAt).Seconds(), most)
+	b.availableAt = now
 }
 
 // updateRate works out our share of the writes from the records that we and all controllers
 // together have to write. Each counts one more than it has, so that it is never without.
-func (budget *writeBudget) updateRate(serviceRate float64, ownNeed, totalNeed float64, controllers int) {
-	all := serviceRate * budget.backgroundShare(serviceRate)
-	budget.backlogSeconds = (totalNeed - float64(controllers)) / all
-	budget.rate = max(all*ownNeed/totalNeed, all/float64(equalSharesPerMinimum*controllers))
+func (b *writeBudget) updateRate(serviceRate float64, ownNeed, totalNeed float64, controllers int) {
+	all := serviceRate * b.backgroundShare(serviceRate)
+	b.backlogSeconds = (totalNeed - float64(controllers)) / all
+	b.rate = max(all*ownNeed/totalNeed, all/float64(equalSharesPerMinimum*controllers))
 }
 
 // scarcity goes from 0, when what is decided is written at once, to 1, when what waits takes
 // fullScarcitySeconds and more or well over half of all writes are in use: then it pays to
 // write less, at some delay.
-func (budget *writeBudget) scarcity(serviceRate float64) float64 {
+func (b *writeBudget) scarcity(serviceRate float64) float64 {
 	if serviceRate <= 0 {
 		return 0
 	}
-	utilization := budget.writesPerS / serviceRate
-	return max(0, min(1, max(budget.backlogSeconds/fullScarcitySeconds, (utilization-freeUtilization)*scarcityByUtilization)))
+	utilization := b.writesPerS / serviceRate
+	return max(0, min(1, max(b.backlogSeconds/fullScarcitySeconds, (utilization-freeUtilization)*scarcityByUtilization)))
 }
 
 // observe counts writes of any controller that the watch has shown.
-func (budget *writeBudget) observe(now Time, writes int) {
-	budget.seenWrites += float64(writes)
-	elapsed := (now - budget.measuredAt).Seconds()
+func (b *writeBudget) observe(now Time, writes int) {
+	b.seenWrites += float64(writes)
+	elapsed := (now - b.measuredAt).Seconds()
 	if elapsed < measureSeconds {
 		return
 	}
 	weight := min(1, elapsed/averageSeconds)
-	budget.writesPerS += (budget.seenWrites/elapsed - budget.writesPerS) * weight
-	budget.userWritesPerS += (float64(budget.seenUserWrites)/elapsed - budget.userWritesPerS) * weight
-	budget.seenWrites, budget.seenUserWrites, budget.measuredAt = 0, 0, now
+	b.writesPerS += (b.seenWrites/elapsed - b.writesPerS) * weight
+	b.userWritesPerS += (float64(b.seenUserWrites)/elapsed - b.userWritesPerS) * weight
+	b.seenWrites, b.seenUserWrites, b.measuredAt = 0, 0, now
 }
 
 // writeRPS is how many writes a second the service allows, as far as is known.
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -43,33 +43,33 @@
 }
 
 // call carries out a controller's call.
-func (cloud *cloud) call(call core.CallCloud) core.CloudAnswered {
+func (c *cloud) call(call core.CallCloud) core.CloudAnswered {
 	answer := core.CloudAnswered{ID: call.ID, Outcome: core.OK}
 	switch {
 	case call.ListTypes:
-		answer.MachineTypes = []wire.MachineType{cloud.machineType}
+		answer.MachineTypes = []wire.MachineType{c.machineType}
 	case call.ListMachines:
-		answer.Machines = cloud.list()
+		answer.Machines = c.list()
 	case call.Provision != nil:
-		answer.Names = cloud.provisionOnce(call.Provision)
+		answer.Names = c.provisionOnce(call.Provision)
 		if len(answer.Names) == 0 {
 			answer.Outcome = core.NoCapacity
 		}
 	case call.Deprovision != nil:
 		for _, name := range call.Deprovision {
-			cloud.deprovisioned++
-			cloud.terminate(name)
+			c.deprovisioned++
+			c.terminate(name)
 		}
 	}
 	return answer
 }
 
 // list returns the machines that are listed: those older than cloudListLag.
-func (cloud *cloud) list() []wire.CloudMachine {
+func (c *cloud) list() []wire.CloudMachine {
 	var listed []wire.CloudMachine
-	for _, name := range sortedKeys(cloud.machines) {
-		machine := cloud.machines[name]
-		if age := cloud.sim.now - machine.createdAt; !machine.terminated && age > cloudListLag {
+	for _, name := range sortedKeys(c.machines) {
+		machine := c.machines[name]
+		if age := c.sim.now - machine.createdAt; !machine.terminated && age > cloudListLag {
 			row := machine.CloudMachine
 			row.AgeS = age.Seconds()
 			listed = append(listed, row)
@@ -79,9 +79,9 @@
 }
 
 // countBooting counts the machines that have not booted yet.
-func (cloud *cloud) countBooting() int {
+func (c *cloud) countBooting() int {
 	count := 0
-	for _, machine := range cloud.machines {
+	for _, machine := range c.machines {
 		if !machine.terminated && machine.Status == wire.MachineBooting {
 			count++
 		}
@@ -91,53 +91,53 @@
 
 // provisionOnce provisions machines and returns their names. A request whose name was used
 // already gets the machines of the first one, and has to be the same.
-func (cloud *cloud) provisionOnce(request *wire.ProvisionRequest) []string {
-	if names, known := cloud.provisioned[request.Name]; known {
-		if cloud.requests[request.Name] != *request {
-			cloud.sim.rules.violated("provision_name_reused", "%s for %+v and %+v", request.Name, cloud.requests[request.Name], *request)
+func (c *cloud) provisionOnce(request *wire.ProvisionRequest) []string {
+	if names, known := c.provisioned[request.Name]; known {
+		if c.requests[request.Name] != *request {
+			c.sim.rules.violated("provision_name_reused", "%s for %+v and %+v", request.Name, c.requests[request.Name], *request)
 		}
 		return names
 	}
-	names := cloud.provision(request)
+	names := c.provision(request)
 	if len(names) > 0 {
-		cloud.provisioned[request.Name], cloud.requests[request.Name] = names, *request
+		c.provisioned[request.Name], c.requests[request.Name] = names, *request
 	}
 	return names
 }
 
 // provision creates machines as far as there is capacity and returns their names.
-func (cloud *cloud) provision(request *wire.ProvisionRequest) []string {
+func (c *cloud) provision(request *wire.ProvisionRequest) []string {
 	used := 0
-	for _, machine := range cloud.machines {
+	for _, machine := range c.machines {
 		if !machine.terminated && machine.Zone == request.Zone && machine.Spot == request.Spot {
 			used++
 		}
 	}
-	if cloud.outOfCapacity {
+	if c.outOfCapacity {
 		return nil
 	}
 	var names []string
-	for range min(request.Count, max(0, cloud.sim.Capacity-used)) {
-		names = append(names, cloud.create(request))
+	for range min(request.Count, max(0, c.sim.Capacity-used)) {
+		names = append(names, c.create(request))
 	}
 	return names
 }
 
 // create creates a machine that boots, and returns its name.
-func (cloud *cloud) create(request *wire.ProvisionRequest) string {
-	sim := cloud.sim
-	name := fmt.Sprintf("vm-%06d", cloud.created)
-	cloud.created++
+func (c *cloud) create(request *wire.ProvisionRequest) string {
+	sim := c.sim
+	name := fmt.Sprintf("vm-%06d", c.created)
+	c.created++
 	machine := &cloudMachine{createdAt: sim.now, CloudMachine: wire.CloudMachine{
 		Name: name, Addr: name + ":1", MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Status: wire.MachineBooting,
 	}}
-	cloud.machines[name] = machine
+	c.machines[name] = machine
 	bootTime := time.Duration(float64(sim.BootTime) * (0.6 + 0.9*sim.rng.Float64()))
-	if sim.now < cloud.slowBoot.until {
-		if sim.rng.Float64() < cloud.neverBootShare {
+	if sim.now < c.slowBoot.until {
+		if sim.rng.Float64() < c.neverBootShare {
 			return name // it goes on booting, and is paid for, until it is deprovisioned
 		}
-		bootTime = time.Duration(float64(bootTime) * cloud.slowBoot.value)
+		bootTime = time.Duration(float64(bootTime) * c.slowBoot.value)
 	}
 	sim.after(bootTime, func() {
 		if !machine.terminated {
@@ -149,11 +149,11 @@
 }
 
 // terminate ends a machine and its worker.
-func (cloud *cloud) terminate(name string) {
-	if machine := cloud.machines[name]; machine != nil {
+func (c *cloud) terminate(name string) {
+	if machine := c.machines[name]; machine != nil {
 		machine.terminated = true
 	}
-	if worker := cloud.sim.fleet.workers[name]; worker != nil {
+	if worker := c.sim.fleet.workers[name]; worker != nil {
 		worker.terminated = true
 		worker.dropTasks()
 	}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -46,43 +46,43 @@
 )
 
 // endpoint returns the controller as a party of the network.
-func (ctrl *controller) endpoint() endpoint { return endpoint{ctrl.label, ctrl.zone} }
+func (c *controller) endpoint() endpoint { return endpoint{c.label, c.zone} }
 
 // start starts a new incarnation of the controller.
-func (ctrl *controller) start() {
-	sim := ctrl.sim
-	ctrl.running, ctrl.startedAt = true, sim.now
-	ctrl.incarnation++
-	ctrl.frozenUntil, ctrl.freezeBeforeEffects, ctrl.heldEffects, ctrl.queuedInputs = 0, false, nil, nil
-	ctrl.pendingReplies = map[uint64]func(core.Reply){}
+func (c *controller) start() {
+	sim := c.sim
+	c.running, c.startedAt = true, sim.now
+	c.incarnation++
+	c.frozenUntil, c.freezeBeforeEffects, c.heldEffects, c.queuedInputs = 0, false, nil, nil
+	c.pendingReplies = map[uint64]func(core.Reply){}
 	if sim.startController != nil {
-		sim.store.watchPositions[ctrl.label] = watchNotStarted // it watches over its protocol
-		sim.startController(ctrl)
+		sim.store.watchPositions[c.label] = watchNotStarted // it watches over its protocol
+		sim.startController(c)
 		return
 	}
-	ctrl.core = core.New(ctrl.coreConfig())
-	incarnation := ctrl.incarnation
-	sim.store.sendSnapshot(ctrl, incarnation)
+	c.core = core.New(c.coreConfig())
+	incarnation := c.incarnation
+	sim.store.sendSnapshot(c, incarnation)
 	var tick func()
 	tick = func() {
-		if ctrl.isRunning(incarnation) {
-			ctrl.step(core.Tick{})
+		if c.isRunning(incarnation) {
+			c.step(core.Tick{})
 			sim.after(tickInterval, tick)
 		}
 	}
-	sim.after(time.Duration(ctrl.index)*tickStagger, tick)
+	sim.after(time.Duration(c.index)*tickStagger, tick)
 }
 
 // isRunning reports whether an incarnation of the controller still runs.
-func (ctrl *controller) isRunning(incarnation int) bool {
-	return ctrl.incarnation == incarnation && ctrl.running
+func (c *controller) isRunning(incarnation int) bool {
+	return c.incarnation == incarnation && c.running
 }
 
 // coreConfig returns the configuration of the controller's core.
-func (ctrl *controller) coreConfig() core.Config {
-	sim := ctrl.sim
+func (c *controller) coreConfig() core.Config {
+	sim := c.sim
 	cfg := core.Config{
-		Self: ctrl.label, Zone: ctrl.zone, Incarnation: fmt.Sprintf("%s-%d", ctrl.label, ctrl.incarnation),
+		Self: c.label, Zone: c.zone, Incarnation: fmt.Sprintf("%s-%d", c.label, c.incarnation),
 		Zones: sim.Zones, Teams: sim.Teams, Admission: sim.Admission, EarlyTakeover: sim.EarlyTakeover,
 		HeartbeatInterval: sim.HeartbeatInterval, WorkerLease: sim.WorkerLease, GangWait: sim.GangWait,
 		OwnerValidity: config.Validity(sim.WorkerLease, sim.CancelDeadline), LeaderLease: leaderLease,
@@ -92,7 +92,7 @@
 		IdleTimeout: sim.IdleTimeout, SpareMachines: spareMachines, Preempt: true,
 		WallClockMS: func() int64 { return sim.now.Milliseconds() },
 	}
-	if ctrl.oldVersion {
+	if c.oldVersion {
 		cfg.Format = sim.OldFormat
 	}
 	if cfg.Format != 1 { // format 1 knows no limits that are to come
@@ -114,100 +114,100 @@
 }
 
 // step gives an input to the core and performs the effects, unless the controller is frozen.
-func (ctrl *controller) step(in core.Input) {
-	sim := ctrl.sim
-	if !ctrl.running {
+func (c *controller) step(in core.Input) {
+	sim := c.sim
+	if !c.running {
 		return
 	}
-	if sim.now < ctrl.frozenUntil && !ctrl.freezeBeforeEffects {
+	if sim.now < c.frozenUntil && !c.freezeBeforeEffects {
 		if _, tick := in.(core.Tick); !tick {
-			ctrl.queuedInputs = append(ctrl.queuedInputs, in)
+			c.queuedInputs = append(c.queuedInputs, in)
 		}
 		return
 	}
-	local := time.Duration(float64(sim.now-ctrl.startedAt) * ctrl.clockRate)
-	effects := ctrl.core.Step(local, in)
+	local := time.Duration(float64(sim.now-c.startedAt) * c.clockRate)
+	effects := c.core.Step(local, in)
 	if sim.observe != nil {
-		sim.observe(sim.now, ctrl.label, effects)
+		sim.observe(sim.now, c.label, effects)
 	}
-	if ctrl.freezeBeforeEffects {
-		ctrl.freezeBeforeEffects, ctrl.heldEffects = false, effects
+	if c.freezeBeforeEffects {
+		c.freezeBeforeEffects, c.heldEffects = false, effects
 		return
 	}
 	for _, effect := range effects {
-		ctrl.perform(effect)
+		c.perform(effect)
 	}
 }
 
 // deliver gives an input to the present incarnation of the controller after a delay.
-func (ctrl *controller) deliver(d time.Duration, in core.Input) {
-	incarnation := ctrl.incarnation
-	ctrl.sim.after(d, func() {
-		if ctrl.incarnation == incarnation {
-			ctrl.step(in)
+func (c *controller) deliver(d time.Duration, in core.Input) {
+	incarnation := c.incarnation
+	c.sim.after(d, func() {
+		if c.incarnation == incarnation {
+			c.step(in)
 		}
 	})
 }
 
 // request sends a request to the controller; reply is called at most once.
-func (ctrl *controller) request(input func(requestID uint64) core.Input, reply func(core.Reply)) {
-	if ctrl.sim.sendRequest != nil {
-		ctrl.sim.sendRequest(ctrl, input(0), reply)
+func (c *controller) request(input func(requestID uint64) core.Input, reply func(core.Reply)) {
+	if c.sim.sendRequest != nil {
+		c.sim.sendRequest(c, input(0), reply)
 		return
 	}
-	incarnation := ctrl.incarnation
-	ctrl.sim.after(ctrl.sim.network.latency(), func() {
-		if ctrl.isRunning(incarnation) {
-			ctrl.stepRequest(input, reply)
+	incarnation := c.incarnation
+	c.sim.after(c.sim.network.latency(), func() {
+		if c.isRunning(incarnation) {
+			c.stepRequest(input, reply)
 		}
 	})
 }
 
 // stepRequest gives a request to the core, whose reply goes to a function.
-func (ctrl *controller) stepRequest(input func(requestID uint64) core.Input, reply func(core.Reply)) {
-	ctrl.lastRequestID++
-	ctrl.pendingReplies[ctrl.lastRequestID] = reply
-	ctrl.step(input(ctrl.lastRequestID))
+func (c *controller) stepRequest(input func(requestID uint64) core.Input, reply func(core.Reply)) {
+	c.lastRequestID++
+	c.pendingReplies[c.lastRequestID] = reply
+	c.step(input(c.lastRequestID))
 }
 
 // randomController returns a controller drawn at random.
-func (sim *Simulation) randomController() *controller {
-	return sim.controllers[sim.rng.IntN(len(sim.controllers))]
+func (s *Simulation) randomController() *controller {
+	return s.controllers[s.rng.IntN(len(s.controllers))]
 }
 
 // labelled returns the index of the controller with a label, or -1.
-func (sim *Simulation) labelled(label string) int {
-	return slices.IndexFunc(sim.controllers, func(ctrl *controller) bool { return ctrl.label == label })
+func (s *Simulation) labelled(label string) int {
+	return slices.IndexFunc(s.controllers, func(ctrl *controller) bool { return ctrl.label == label })
 }
 
 // controllerNamed finds a controller by the name that scripts use: its index, its role
 // ("leader", "standby", or "other" for the one after the leader), or the shard that it owns
 // ("owner:SHARD"). Who has no holder is the first controller.
-func (sim *Simulation) controllerNamed(name string) *controller {
+func (s *Simulation) controllerNamed(name string) *controller {
 	leader := 0
-	if claim := sim.store.leader(); claim != nil {
-		leader = sim.labelled(claim.Controller)
+	if claim := s.store.leader(); claim != nil {
+		leader = s.labelled(claim.Controller)
 	}
 	if shard, ok := strings.CutPrefix(name, "owner:"); ok {
-		return sim.controllers[max(0, sim.labelled(sim.store.shardOwner(shard)))]
+		return s.controllers[max(0, s.labelled(s.store.shardOwner(shard)))]
 	}
 	switch name {
 	case "leader":
-		return sim.controllers[leader]
+		return s.controllers[leader]
 	case "standby":
-		return sim.controllers[max(0, sim.labelled(sim.leadership.standby))]
+		return s.controllers[max(0, s.labelled(s.leadership.standby))]
 	case "other":
-		return sim.controllers[(leader+1)%len(sim.controllers)]
+		return s.controllers[(leader+1)%len(s.controllers)]
 	}
 	index, _ := strconv.Atoi(name)
-	return sim.controllers[index]
+	return s.controllers[index]
 }
 
 // reachablePeer returns the peer with a label that the controller can reach, or nil.
-func (ctrl *controller) reachablePeer(label string) *controller {
-	index := ctrl.sim.labelled(label)
-	if index < 0 || ctrl.sim.network.isCut(ctrl.endpoint(), ctrl.sim.controllers[index].endpoint()) {
+func (c *controller) reachablePeer(label string) *controller {
+	index := c.sim.labelled(label)
+	if index < 0 || c.sim.network.isCut(c.endpoint(), c.sim.controllers[index].endpoint()) {
 		return nil
 	}
-	return ctrl.sim.controllers[index]
+	return c.sim.controllers[index]
 }
--- a/internal/simulation/controller_effects.go
+++ b/internal/simulation/controller_effects.go
@@ -8,40 +8,40 @@
 )
 
 // perform carries out an effect of the core.
-func (ctrl *controller) perform(effect core.Effect) {
+func (c *controller) perform(effect core.Effect) {
 	switch x := effect.(type) {
 	case core.Commit:
-		ctrl.commit(x)
+		c.commit(x)
 	case core.ReadJob:
-		ctrl.readJob(x)
+		c.readJob(x)
 	case core.RenewLease:
-		ctrl.renewLease(x)
+		c.renewLease(x)
 	case core.CallCloud:
-		ctrl.callCloud(x)
+		c.callCloud(x)
 	case core.SendCommands:
-		ctrl.sendCommands(x)
+		c.sendCommands(x)
 	case core.SendGossip:
-		ctrl.sendGossip(x)
+		c.sendGossip(x)
 	case core.SendHeartbeat:
-		ctrl.sendHeartbeat(x)
+		c.sendHeartbeat(x)
 	case core.SendDecisionLog:
-		ctrl.sendDecisionLog(x)
+		c.sendDecisionLog(x)
 	case core.Forward:
-		ctrl.forward(x)
+		c.forward(x)
 	case core.Log:
-		ctrl.sim.logf("%8.3f %s %s %v", ctrl.sim.now.Seconds(), ctrl.label, x.Text, x.Args)
+		c.sim.logf("%8.3f %s %s %v", c.sim.now.Seconds(), c.label, x.Text, x.Args)
 	case core.Reply:
-		if receive := ctrl.pendingReplies[x.RequestID]; receive != nil {
-			delete(ctrl.pendingReplies, x.RequestID)
+		if receive := c.pendingReplies[x.RequestID]; receive != nil {
+			delete(c.pendingReplies, x.RequestID)
 			receive(x)
 		}
 	}
 }
 
 // sendGossip delivers a message to a peer.
-func (ctrl *controller) sendGossip(x core.SendGossip) {
-	sim := ctrl.sim
-	peer := ctrl.reachablePeer(x.To)
+func (c *controller) sendGossip(x core.SendGossip) {
+	sim := c.sim
+	peer := c.reachablePeer(x.To)
 	if peer == nil || sim.network.loses(sim.rng) {
 		return
 	}
@@ -53,12 +53,12 @@
 }
 
 // sendHeartbeat delivers a leader's heartbeat to a peer.
-func (ctrl *controller) sendHeartbeat(x core.SendHeartbeat) {
-	watch := ctrl.sim.leadership
+func (c *controller) sendHeartbeat(x core.SendHeartbeat) {
+	watch := c.sim.leadership
 	watch.standby = x.Message.Standby
 	watch.heartbeats++
-	peer := ctrl.reachablePeer(x.To)
-	if peer == nil || ctrl.sim.network.loses(watch.rng) {
+	peer := c.reachablePeer(x.To)
+	if peer == nil || c.sim.network.loses(watch.rng) {
 		return
 	}
 	message := *x.Message
@@ -67,16 +67,16 @@
 
 // sendDecisionLog delivers a message of the decision log to the standby, and returns its
 // acknowledgement.
-func (ctrl *controller) sendDecisionLog(x core.SendDecisionLog) {
-	sim, watch := ctrl.sim, ctrl.sim.leadership
-	peer := ctrl.reachablePeer(x.To)
+func (c *controller) sendDecisionLog(x core.SendDecisionLog) {
+	sim, watch := c.sim, c.sim.leadership
+	peer := c.reachablePeer(x.To)
 	if peer == nil || sim.network.loses(watch.rng) {
 		return
 	}
-	incarnation, sender := peer.incarnation, ctrl.incarnation
+	incarnation, sender := peer.incarnation, c.incarnation
 	acknowledge := func(reply core.Reply) {
-		if ctrl.incarnation == sender && ctrl.reachablePeer(x.To) != nil && !sim.network.loses(watch.rng) {
-			ctrl.deliver(watch.latency(), core.DecisionLogAcknowledged{Ack: reply.Body.(wire.DecisionLogAck)})
+		if c.incarnation == sender && c.reachablePeer(x.To) != nil && !sim.network.loses(watch.rng) {
+			c.deliver(watch.latency(), core.DecisionLogAcknowledged{Ack: reply.Body.(wire.DecisionLogAck)})
 		}
 	}
 	sim.after(watch.latency(), func() {
@@ -89,22 +89,22 @@
 }
 
 // forward passes a user's request on to a peer. No answer is one with status 0.
-func (ctrl *controller) forward(x core.Forward) {
-	sim := ctrl.sim
-	peer := ctrl.reachablePeer(x.To)
+func (c *controller) forward(x core.Forward) {
+	sim := c.sim
+	peer := c.reachablePeer(x.To)
 	if peer == nil || !peer.running {
-		ctrl.deliver(time.Second, core.ForwardAnswered{RequestID: x.RequestID})
+		c.deliver(time.Second, core.ForwardAnswered{RequestID: x.RequestID})
 		return
 	}
-	incarnation := ctrl.incarnation
+	incarnation := c.incarnation
 	peer.request(func(requestID uint64) core.Input {
 		return core.UserRequest{RequestID: requestID, Kind: x.Call.Kind, JobID: x.Call.Ref, Body: x.Call.Body, Forwarded: true}
 	}, func(reply core.Reply) {
 		body, err := wire.Encode(reply.Body)
 		must(err)
-		if ctrl.incarnation == incarnation {
+		if c.incarnation == incarnation {
 			answer := wire.UserAnswer{Status: reply.Status, Body: body}
-			ctrl.deliver(sim.network.latency(), core.ForwardAnswered{RequestID: x.RequestID, Answer: answer})
+			c.deliver(sim.network.latency(), core.ForwardAnswered{RequestID: x.RequestID, Answer: answer})
 		}
 	})
 }
--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -12,13 +12,13 @@
 
 // findDependency returns a job that matches among those that this one depends on, directly
 // or through others, or nil.
-func (user *simUser) findDependency(matches func(*simUser) bool) *simUser {
+func (u *simUser) findDependency(matches func(*simUser) bool) *simUser {
 	seen := map[string]bool{}
-	pending := append([]string(nil), user.spec.Dependencies...)
+	pending := append([]string(nil), u.spec.Dependencies...)
 	for len(pending) > 0 {
 		jobID := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		dependency := user.sim.users.byJob[jobID]
+		dependency := u.sim.users.byJob[jobID]
 		if dependency == nil || seen[jobID] {
 			continue
 		}
@@ -32,18 +32,18 @@
 }
 
 // isBlocked reports whether the job can't run yet, or ever, because of a dependency.
-func (user *simUser) isBlocked() bool {
-	return user.findDependency(func(dependency *simUser) bool {
+func (u *simUser) isBlocked() bool {
+	return u.findDependency(func(dependency *simUser) bool {
 		return dependency.cancelRequested || dependency.alwaysFails || !dependency.allTasksDone()
 	}) != nil
 }
 
 // submitWhen submits a job with attributes and dependencies, once
 // each of the dependencies is ready.
-func (users *userSet) submitWhen(ready func(dependency *simUser) bool, jobID string, dependencies, attributes []string) {
+func (u *userSet) submitWhen(ready func(dependency *simUser) bool, jobID string, dependencies, attributes []string) {
 	for _, id := range dependencies {
-		if dependency := users.byJob[id]; dependency == nil || !ready(dependency) {
-			users.sim.after(acceptancePoll, func() { users.submitWhen(ready, jobID, dependencies, attributes) })
+		if dependency := u.byJob[id]; dependency == nil || !ready(dependency) {
+			u.sim.after(acceptancePoll, func() { u.submitWhen(ready, jobID, dependencies, attributes) })
 			return
 		}
 	}
@@ -51,14 +51,14 @@
 	if len(dependencies) > 0 {
 		line = append(line, "after="+strings.Join(dependencies, ","))
 	}
-	must(users.submitLine(line))
+	must(u.submitLine(line))
 }
 
 // isAccepted reports whether the job was accepted.
-func (user *simUser) isAccepted() bool { return user.accepted }
+func (u *simUser) isAccepted() bool { return u.accepted }
 
 // isOver reports whether the user was told that the job is done or cancelled.
-func (user *simUser) isOver() bool { return user.accepted && isFinal(user.lastStatus) }
+func (u *simUser) isOver() bool { return u.accepted && isFinal(u.lastStatus) }
 
 // Attributes of the jobs of a pipeline.
 const (
@@ -72,14 +72,14 @@
 // submitPipeline makes a user submit jobs whose dependencies form a diamond, each as soon as
 // its dependencies are accepted. A share submits the last one only when those are over, and
 // a share cancels one of the jobs after a while.
-func (users *userSet) submitPipeline(cancelShare, lateShare float64) {
-	sim := users.sim
+func (u *userSet) submitPipeline(cancelShare, lateShare float64) {
+	sim := u.sim
 	var all []string
 	submit := func(ready func(*simUser) bool, attributes string, dependencies ...string) string {
-		users.bulkCount++
-		jobID := fmt.Sprintf("wk-%06d", 800000+users.bulkCount)
+		u.bulkCount++
+		jobID := fmt.Sprintf("wk-%06d", 800000+u.bulkCount)
 		all = append(all, jobID)
-		users.submitWhen(ready, jobID, dependencies, strings.Fields(attributes))
+		u.submitWhen(ready, jobID, dependencies, strings.Fields(attributes))
 		return jobID
 	}
 	first := submit((*simUser).isAccepted, pipelineFirst)
@@ -95,8 +95,8 @@
 	submit(ready, pipelineLast, second...)
 	if sim.rng.Float64() < cancelShare {
 		sim.after(time.Duration(sim.rng.IntN(25000))*time.Millisecond, func() {
-			if user := users.byJob[all[sim.rng.IntN(len(all))]]; user != nil && user.accepted && !user.cancelRequested {
-				users.cancel(user.spec.ID)
+			if user := u.byJob[all[sim.rng.IntN(len(all))]]; user != nil && user.accepted && !user.cancelRequested {
+				u.cancel(user.spec.ID)
 			}
 		})
 	}
@@ -104,16 +104,16 @@
 
 // submitFanIn makes a user submit a number of small jobs at once and, as soon as all are
 // accepted, one that depends on each of them.
-func (users *userSet) submitFanIn(jobID string, count int, attributes []string) error {
+func (u *userSet) submitFanIn(jobID string, count int, attributes []string) error {
 	var dependencies []string
 	for range count {
-		users.bulkCount++
-		id := fmt.Sprintf("wk-%06d", 700000+users.bulkCount)
+		u.bulkCount++
+		id := fmt.Sprintf("wk-%06d", 700000+u.bulkCount)
 		dependencies = append(dependencies, id)
-		if err := users.submitLine([]string{id, "frames=1", "run=4", "cards=0", "cores=0.2", "mem=0.5", "gb=0.3", "class=part"}); err != nil {
+		if err := u.submitLine([]string{id, "frames=1", "run=4", "cards=0", "cores=0.2", "mem=0.5", "gb=0.3", "class=part"}); err != nil {
 			return err
 		}
 	}
-	users.submitWhen((*simUser).isAccepted, jobID, dependencies, attributes)
+	u.submitWhen((*simUser).isAccepted, jobID, dependencies, attributes)
 	return nil
 }
--- a/internal/simulation/event_loop.go
+++ b/internal/simulation/event_loop.go
@@ -14,25 +14,25 @@
 }
 
 // after schedules a function to run once, after d.
-func (loop *eventLoop) after(d time.Duration, run func()) {
-	loop.lastSequence++
-	heap.Push(&loop.queue, scheduledEvent{loop.now + d, loop.lastSequence, run})
+func (l *eventLoop) after(d time.Duration, run func()) {
+	l.lastSequence++
+	heap.Push(&l.queue, scheduledEvent{l.now + d, l.lastSequence, run})
 }
 
 // every schedules a function to run again and again, first after d.
-func (loop *eventLoop) every(d time.Duration, run func()) {
-	loop.after(d, func() { run(); loop.every(d, run) })
+func (l *eventLoop) every(d time.Duration, run func()) {
+	l.after(d, func() { run(); l.every(d, run) })
 }
 
 // runUntil runs the events that are due until the given time, unless stopped reports
 // true before one of them. The clock shows that time at least afterwards.
-func (loop *eventLoop) runUntil(until time.Duration, stopped func() bool) {
-	for len(loop.queue) > 0 && loop.queue[0].at <= until && !stopped() {
-		event := heap.Pop(&loop.queue).(scheduledEvent)
-		loop.now = event.at
+func (l *eventLoop) runUntil(until time.Duration, stopped func() bool) {
+	for len(l.queue) > 0 && l.queue[0].at <= until && !stopped() {
+		event := heap.Pop(&l.queue).(scheduledEvent)
+		l.now = event.at
 		event.run()
 	}
-	loop.now = max(loop.now, until)
+	l.now = max(l.now, until)
 }
 
 // scheduledEvent is a function that runs at a time.
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -15,15 +15,15 @@
 // The latter are NAME<=N and NAME>=N with a name of counts, deaf=0 and sick=0 for faults of
 // workers, and owner=SHARD:CONTROLLER|CONTROLLER. Conditions of a job are those of
 // jobExpectations, as NAME=N or NAME<=N, or its status as its user was last told.
-func (sim *Simulation) expect(args arguments) error {
+func (s *Simulation) expect(args arguments) error {
 	condition := args.word(0)
-	if met, got, known := sim.evaluate(condition); known {
+	if met, got, known := s.evaluate(condition); known {
 		if !met {
 			return unmet(condition, got)
 		}
 		return nil
 	}
-	user := sim.users.byJob[condition]
+	user := s.users.byJob[condition]
 	if user == nil {
 		return errNoSuchJob
 	}
@@ -39,57 +39,57 @@
 func unmet(condition string, got any) error { return fmt.Errorf("want %s, got %v", condition, got) }
 
 // counts returns the numbers that a script can bound.
-func (sim *Simulation) counts() map[string]int {
-	metered := max(1, int((sim.now - sim.meter.since).Seconds()))
+func (s *Simulation) counts() map[string]int {
+	metered := max(1, int((s.now - s.meter.since).Seconds()))
 	return map[string]int{
-		"machines":    len(sim.fleet.running()),
-		"returned":    sim.cloud.deprovisioned,
-		"waiting":     sim.cloud.countBooting(),
-		"leaders":     sim.store.leaderChanges,
-		"claims":      sim.store.shardClaims,
-		"late_starts": sim.rules.lateStarts, // after the user was told that the job is cancelled
-		"more_keys":   sim.store.countOverflowKeys(),
-		"admitted":    sim.quota.admissions, // tasks, by shard owners
-		"shares":      sim.quota.countShares(),
-		"early":       sim.leadership.countEarly(), // leaders replaced before their lease expired
-		"takeover_ms": int(sim.leadership.slowestTakeover().Milliseconds()),
-		"heartbeats":  sim.leadership.heartbeats, // of leaders
+		"machines":    len(s.fleet.running()),
+		"returned":    s.cloud.deprovisioned,
+		"waiting":     s.cloud.countBooting(),
+		"leaders":     s.store.leaderChanges,
+		"claims":      s.store.shardClaims,
+		"late_starts": s.rules.lateStarts, // after the user was told that the job is cancelled
+		"more_keys":   s.store.countOverflowKeys(),
+		"admitted":    s.quota.admissions, // tasks, by shard owners
+		"shares":      s.quota.countShares(),
+		"early":       s.leadership.countEarly(), // leaders replaced before their lease expired
+		"takeover_ms": int(s.leadership.slowestTakeover().Milliseconds()),
+		"heartbeats":  s.leadership.heartbeats, // of leaders
 
 		// Since the last "meter":
-		"refused":          sim.meter.refusedCommits,
-		"looks_per_report": int(sim.coreWork()-sim.meter.coreWork) / max(1, sim.meter.heartbeats),
-		"bytes_per_s":      sim.meter.gossipBytes / metered,
+		"refused":          s.meter.refusedCommits,
+		"looks_per_report": int(s.coreWork()-s.meter.coreWork) / max(1, s.meter.heartbeats),
+		"bytes_per_s":      s.meter.gossipBytes / metered,
 	}
 }
 
 // evaluate evaluates a condition of the simulation as a whole. It reports whether that is
 // met, what was found, and whether there is such a condition.
-func (sim *Simulation) evaluate(condition string) (met bool, got any, known bool) {
+func (s *Simulation) evaluate(condition string) (met bool, got any, known bool) {
 	if name, limit, ok := strings.Cut(condition, "<="); ok {
-		return sim.evaluateBound(name, limit, func(got, bound int) bool { return got <= bound })
+		return s.evaluateBound(name, limit, func(got, bound int) bool { return got <= bound })
 	}
 	if name, limit, ok := strings.Cut(condition, ">="); ok {
-		return sim.evaluateBound(name, limit, func(got, bound int) bool { return got >= bound })
+		return s.evaluateBound(name, limit, func(got, bound int) bool { return got >= bound })
 	}
 	if claim, ok := strings.CutPrefix(condition, "owner="); ok {
 		shard, owners, _ := strings.Cut(claim, ":")
-		owner := sim.store.shardOwner(shard)
+		owner := s.store.shardOwner(shard)
 		return slices.Contains(strings.Split(owners, "|"), owner), owner, true
 	}
 	switch condition {
 	case "deaf=0":
-		count := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.inboundCutUntil > sim.now })
+		count := s.fleet.countRunning(func(worker *simWorker) bool { return worker.inboundCutUntil > s.now })
 		return count == 0, count, true
 	case "sick=0":
-		count := sim.fleet.countRunning(func(worker *simWorker) bool { return worker.failsTasks })
+		count := s.fleet.countRunning(func(worker *simWorker) bool { return worker.failsTasks })
 		return count == 0, count, true
 	}
 	return false, nil, false
 }
 
 // evaluateBound evaluates a bound of one of the counts.
-func (sim *Simulation) evaluateBound(name, limit string, holds func(got, bound int) bool) (met bool, got any, known bool) {
-	count, known := sim.counts()[name]
+func (s *Simulation) evaluateBound(name, limit string, holds func(got, bound int) bool) (met bool, got any, known bool) {
+	count, known := s.counts()[name]
 	if !known {
 		return false, nil, false
 	}
@@ -134,11 +134,11 @@
 }
 
 // expect checks a condition of the user's job.
-func (user *simUser) expect(condition string) error {
+func (u *simUser) expect(condition string) error {
 	i := strings.Index(condition, "=") + 1
 	if i == 0 {
-		if user.lastReply.Status != condition {
-			return unmet(condition, user.lastReply.Status)
+		if u.lastReply.Status != condition {
+			return unmet(condition, u.lastReply.Status)
 		}
 		return nil
 	}
@@ -150,7 +150,7 @@
 	if err != nil {
 		return fmt.Errorf("bad number in %s: %w", condition, err)
 	}
-	if met, got := evaluate(user, want); !met {
+	if met, got := evaluate(u, want); !met {
 		return unmet(condition, got)
 	}
 	return nil
@@ -163,9 +163,9 @@
 }
 
 // placement returns where the tasks of the user's job are.
-func (user *simUser) placement() jobPlacement {
+func (u *simUser) placement() jobPlacement {
 	placement := jobPlacement{zones: map[string]bool{}, machines: map[string]bool{}}
-	user.eachActiveTask(func(worker *simWorker, task *simTask) {
+	u.eachActiveTask(func(worker *simWorker, task *simTask) {
 		placement.zones[worker.machine.Zone], placement.machines[worker.machine.Name] = true, true
 		if task.state == wire.TaskRunning {
 			placement.running++
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -90,9 +90,9 @@
 }
 
 // hasEnded reports whether a job has a record that says that it is over.
-func (store *stateService) hasEnded(jobID string) bool {
+func (s *stateService) hasEnded(jobID string) bool {
 	key := wire.JobKey(jobID)
-	record := store.records[key]
+	record := s.records[key]
 	return record != nil && mustDecodeRecord(key, record.raw).(*wire.Job).State != wire.JobLive
 }
 
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -9,11 +9,11 @@
 }
 
 // boot starts the worker of a machine that has booted.
-func (fleet *workerFleet) boot(machine *cloudMachine) {
-	sim := fleet.sim
+func (f *workerFleet) boot(machine *cloudMachine) {
+	sim := f.sim
 	worker := &simWorker{sim: sim, machine: machine, epoch: 1, tasks: map[string]*simTask{}, images: map[string]bool{},
 		controllerIndex: sim.rng.IntN(len(sim.controllers)), renewedAt: sim.now, clockRate: 1 - maxClockDrift*sim.rng.Float64()}
-	fleet.workers[machine.Name] = worker
+	f.workers[machine.Name] = worker
 	if sim.serveWorker != nil {
 		machine.Addr = sim.serveWorker(worker)
 	}
@@ -22,10 +22,10 @@
 }
 
 // running returns the workers whose machines run, ordered by machine.
-func (fleet *workerFleet) running() []*simWorker {
+func (f *workerFleet) running() []*simWorker {
 	var running []*simWorker
-	for _, name := range sortedKeys(fleet.workers) {
-		if worker := fleet.workers[name]; !worker.terminated {
+	for _, name := range sortedKeys(f.workers) {
+		if worker := f.workers[name]; !worker.terminated {
 			running = append(running, worker)
 		}
 	}
@@ -33,9 +33,9 @@
 }
 
 // countRunning counts the running workers that match.
-func (fleet *workerFleet) countRunning(matches func(*simWorker) bool) int {
+func (f *workerFleet) countRunning(matches func(*simWorker) bool) int {
 	count := 0
-	for _, worker := range fleet.running() {
+	for _, worker := range f.running() {
 		if matches(worker) {
 			count++
 		}
@@ -44,9 +44,9 @@
 }
 
 // hosting returns the worker that has a task, or nil.
-func (fleet *workerFleet) hosting(taskName string) *simWorker {
+func (f *workerFleet) hosting(taskName string) *simWorker {
 	var found *simWorker
-	fleet.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
+	f.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
 		if task.name() == taskName {
 			found = worker
 		}
@@ -55,8 +55,8 @@
 }
 
 // atAddress returns the worker that takes commands at an address, or nil.
-func (fleet *workerFleet) atAddress(address string) *simWorker {
-	for _, worker := range fleet.workers {
+func (f *workerFleet) atAddress(address string) *simWorker {
+	for _, worker := range f.workers {
 		if worker.machine.Addr == address {
 			return worker
 		}
@@ -79,8 +79,8 @@
 )
 
 // injectFault makes a worker fail for d.
-func (fleet *workerFleet) injectFault(fault workerFault, worker *simWorker, d time.Duration) {
-	sim := fleet.sim
+func (f *workerFleet) injectFault(fault workerFault, worker *simWorker, d time.Duration) {
+	sim := f.sim
 	sim.rules.faultsLast(d)
 	switch fault {
 	case faultHang:
--- a/internal/simulation/heartbeat_replay.go
+++ b/internal/simulation/heartbeat_replay.go
@@ -20,22 +20,22 @@
 }
 
 // observe is given each heartbeat that the network delivers.
-func (replays *heartbeatReplays) observe(heartbeat *wire.WorkerHeartbeat) {
-	sim := replays.sim
-	if sim.draw(replays.delayed) {
+func (r *heartbeatReplays) observe(heartbeat *wire.WorkerHeartbeat) {
+	sim := r.sim
+	if sim.draw(r.delayed) {
 		ctrl := sim.randomController()
 		delay := 2*time.Second + time.Duration(sim.rng.Int64N(int64(sim.WorkerLease*3/2)))
 		sim.after(delay, func() { ctrl.deliverHeartbeat(heartbeat) })
 	}
-	if len(replays.retained) < maxRetainedHeartbeats && sim.draw(replays.retention) {
-		replays.retained = append(replays.retained, heartbeat)
+	if len(r.retained) < maxRetainedHeartbeats && sim.draw(r.retention) {
+		r.retained = append(r.retained, heartbeat)
 	}
 }
 
 // deliverRetained delivers the retained heartbeats to every controller when a leader begins.
-func (replays *heartbeatReplays) deliverRetained() {
-	sim, retained := replays.sim, replays.retained
-	replays.retained = nil
+func (r *heartbeatReplays) deliverRetained() {
+	sim, retained := r.sim, r.retained
+	r.retained = nil
 	for _, heartbeat := range retained {
 		for _, ctrl := range sim.controllers {
 			sim.after(time.Duration(sim.rng.IntN(400))*time.Millisecond, func() { ctrl.deliverHeartbeat(heartbeat) })
@@ -44,8 +44,8 @@
 }
 
 // deliverHeartbeat delivers a copy of a worker's heartbeat, whose reply nobody reads.
-func (ctrl *controller) deliverHeartbeat(heartbeat *wire.WorkerHeartbeat) {
-	ctrl.request(heartbeatInput(heartbeat), func(core.Reply) {})
+func (c *controller) deliverHeartbeat(heartbeat *wire.WorkerHeartbeat) {
+	c.request(heartbeatInput(heartbeat), func(core.Reply) {})
 }
 
 // heartbeatInput returns the input of a core for a worker's heartbeat.
--- a/internal/simulation/irregular_requests.go
+++ b/internal/simulation/irregular_requests.go
@@ -16,19 +16,19 @@
 )
 
 // sendIrregularRequests sends irregular requests until a time.
-func (users *userSet) sendIrregularRequests(until time.Duration) {
-	if users.sim.now < until {
-		users.sendIrregularRequest()
-		users.sim.after(irregularInterval, func() { users.sendIrregularRequests(until) })
+func (u *userSet) sendIrregularRequests(until time.Duration) {
+	if u.sim.now < until {
+		u.sendIrregularRequest()
+		u.sim.after(irregularInterval, func() { u.sendIrregularRequests(until) })
 	}
 }
 
 // sendIrregularRequest repeats the submission of an unfinished job, cancels a job that is
 // done, or submits one that can't run or has an invalid field.
-func (users *userSet) sendIrregularRequest() {
-	sim := users.sim
+func (u *userSet) sendIrregularRequest() {
+	sim := u.sim
 	var unfinished, done []*simUser
-	for _, user := range users.ordered {
+	for _, user := range u.ordered {
 		switch {
 		case user.lastStatus == wire.StatusDone:
 			done = append(done, user)
@@ -44,17 +44,17 @@
 		user := done[sim.rng.IntN(len(done))]
 		user.requestAt(sim.randomController(), wire.RequestCancel, nil)
 	default:
-		users.submitInvalid()
+		u.submitInvalid()
 	}
 }
 
 // submitInvalid submits a job that can't run, or with an invalid field, and checks that it
 // is refused and not stored.
-func (users *userSet) submitInvalid() {
-	sim := users.sim
-	users.irregularCount++
+func (u *userSet) submitInvalid() {
+	sim := u.sim
+	u.irregularCount++
 	user := &simUser{sim: sim, spec: wire.JobSpec{
-		ID: fmt.Sprintf("wk-%06d", 700000+users.irregularCount), Class: "c", Team: "wide", Shape: wire.ShapeArray,
+		ID: fmt.Sprintf("wk-%06d", 700000+u.irregularCount), Class: "c", Team: "wide", Shape: wire.ShapeArray,
 		Priority: "standard", TaskCount: 1, Cores: 4, GPUs: 1, MemoryGB: 16, Image: "img", ImageGB: 2, ExpectedS: 20,
 	}}
 	want := http.StatusUnprocessableEntity
@@ -73,11 +73,11 @@
 		want = http.StatusBadRequest
 		body = withInvalidField(body, sim.rng.IntN(1<<20))
 	}
-	users.requestAt(sim.randomController(), wire.RequestSubmit, user.spec.ID, body, changeTimeout, func(reply core.Reply) {
-		users.checkRejection(user.spec.ID, want, reply.Status)
+	u.requestAt(sim.randomController(), wire.RequestSubmit, user.spec.ID, body, changeTimeout, func(reply core.Reply) {
+		u.checkRejection(user.spec.ID, want, reply.Status)
 	})
 	sim.after(inventedAfter, func() {
-		users.requestAt(sim.randomController(), wire.RequestStatus, user.spec.ID, nil, statusTimeout, func(reply core.Reply) {
+		u.requestAt(sim.randomController(), wire.RequestStatus, user.spec.ID, nil, statusTimeout, func(reply core.Reply) {
 			if reply.Status == http.StatusOK {
 				sim.rules.violated("invented", "%s is known though it was refused", user.spec.ID)
 			}
@@ -86,11 +86,11 @@
 }
 
 // checkRejection checks the answer to a job that must not be accepted.
-func (users *userSet) checkRejection(jobID string, want, status int) {
+func (u *userSet) checkRejection(jobID string, want, status int) {
 	switch status {
 	case want, 0, http.StatusServiceUnavailable:
 	default:
-		users.sim.rules.violated("accepted_wrongly", "%s got %d, not %d", jobID, status, want)
+		u.sim.rules.violated("accepted_wrongly", "%s got %d, not %d", jobID, status, want)
 	}
 }
 
--- a/internal/simulation/leadership.go
+++ b/internal/simulation/leadership.go
@@ -46,22 +46,22 @@
 }
 
 // latency draws the time that a message between leader and peers takes.
-func (watch *leadershipWatch) latency() time.Duration {
-	return time.Millisecond + time.Duration(watch.rng.IntN(6000))*time.Microsecond
+func (w *leadershipWatch) latency() time.Duration {
+	return time.Millisecond + time.Duration(w.rng.IntN(6000))*time.Microsecond
 }
 
 // current returns the tenure of the present leader, or nil if none has led.
-func (watch *leadershipWatch) current() *leaderTenure {
-	if len(watch.tenures) == 0 {
+func (w *leadershipWatch) current() *leaderTenure {
+	if len(w.tenures) == 0 {
 		return nil
 	}
-	return &watch.tenures[len(watch.tenures)-1]
+	return &w.tenures[len(w.tenures)-1]
 }
 
 // recordClaim records a claim that is about to be carried out. It reports whether a process
 // begins to lead with it; one that leads already may claim anew to be fenced.
-func (watch *leadershipWatch) recordClaim(claim *wire.Leader) bool {
-	sim, holder := watch.sim, watch.sim.store.leader()
+func (w *leadershipWatch) recordClaim(claim *wire.Leader) bool {
+	sim, holder := w.sim, w.sim.store.leader()
 	if holder != nil && *holder == (wire.Leader{Controller: claim.Controller, Incarnation: claim.Incarnation, Streak: holder.Streak}) {
 		return false
 	}
@@ -69,35 +69,35 @@
 	if early && (!holder.Fenced || claim.Streak == 0) {
 		sim.rules.violated("unfenced_takeover", "%s replaces %+v", claim.Controller, holder)
 	}
-	if away := watch.crashNextClaimant; away > 0 {
-		watch.crashNextClaimant = 0
+	if away := w.crashNextClaimant; away > 0 {
+		w.crashNextClaimant = 0
 		claimant := sim.controllers[sim.labelled(claim.Controller)]
 		sim.after(0, func() { claimant.crash(away) })
 	}
-	watch.tenures = append(watch.tenures, leaderTenure{controller: claim.Controller, early: early, failedAt: watch.failedAt})
-	watch.failedAt = 0
+	w.tenures = append(w.tenures, leaderTenure{controller: claim.Controller, early: early, failedAt: w.failedAt})
+	w.failedAt = 0
 	return true
 }
 
 // recordFailure records that a controller ends or freezes now.
-func (watch *leadershipWatch) recordFailure(ctrl *controller) {
-	if tenure := watch.current(); tenure != nil && tenure.controller == ctrl.label && watch.failedAt == 0 {
-		watch.failedAt = watch.sim.now
+func (w *leadershipWatch) recordFailure(ctrl *controller) {
+	if tenure := w.current(); tenure != nil && tenure.controller == ctrl.label && w.failedAt == 0 {
+		w.failedAt = w.sim.now
 	}
 }
 
 // recordConflict records a transaction that failed on its conditions.
-func (watch *leadershipWatch) recordConflict(writes []recordWrite) {
+func (w *leadershipWatch) recordConflict(writes []recordWrite) {
 	if slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey && write.raw != nil }) {
-		watch.failedClaims++
+		w.failedClaims++
 	}
 }
 
 // slowestTakeover returns the longest time from the failure of a leader until the first
 // decision of the next, of those that were replaced early.
-func (watch *leadershipWatch) slowestTakeover() time.Duration {
+func (w *leadershipWatch) slowestTakeover() time.Duration {
 	slowest := time.Duration(0)
-	for _, tenure := range watch.tenures {
+	for _, tenure := range w.tenures {
 		if tenure.early && tenure.failedAt > 0 && tenure.decidedAt > 0 {
 			slowest = max(slowest, tenure.decidedAt-tenure.failedAt)
 		}
@@ -106,9 +106,9 @@
 }
 
 // countEarly counts the takeovers that did not wait for the lease to expire.
-func (watch *leadershipWatch) countEarly() int {
+func (w *leadershipWatch) countEarly() int {
 	count := 0
-	for _, tenure := range watch.tenures {
+	for _, tenure := range w.tenures {
 		if tenure.early {
 			count++
 		}
@@ -118,46 +118,46 @@
 
 // checkCommit checks a transaction that has been carried out: if it is a leader's decision,
 // the controller leads.
-func (watch *leadershipWatch) checkCommit(ctrl *controller, conditions []core.Condition, writes []recordWrite) {
-	tenure := watch.current()
+func (w *leadershipWatch) checkCommit(ctrl *controller, conditions []core.Condition, writes []recordWrite) {
+	tenure := w.current()
 	underClaim := slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 })
 	isClaim := slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey })
 	if tenure == nil || !underClaim || isClaim {
 		return
 	}
 	if tenure.controller != ctrl.label {
-		watch.sim.rules.violated("foreign_decision", "%s decides under the claim of %s", ctrl.label, tenure.controller)
+		w.sim.rules.violated("foreign_decision", "%s decides under the claim of %s", ctrl.label, tenure.controller)
 	}
 	changesJob := slices.ContainsFunc(writes, func(write recordWrite) bool { return strings.HasPrefix(write.key, wire.JobPrefix) })
 	if tenure.decidedAt == 0 && changesJob {
-		tenure.decidedAt = watch.sim.now
+		tenure.decidedAt = w.sim.now
 	}
 }
 
 // checkCloudCall checks that a controller may provision or deprovision machines: it was not
 // replaced long ago, and no later leader has called the cloud.
-func (watch *leadershipWatch) checkCloudCall(ctrl *controller, call core.CallCloud) {
+func (w *leadershipWatch) checkCloudCall(ctrl *controller, call core.CallCloud) {
 	if call.Provision == nil && call.Deprovision == nil {
 		return
 	}
-	if watch.isStale(ctrl) {
-		watch.sim.rules.violated("stale_leader", "%s calls the cloud", ctrl.label)
+	if w.isStale(ctrl) {
+		w.sim.rules.violated("stale_leader", "%s calls the cloud", ctrl.label)
 	}
 	latest := -1
-	for i, tenure := range watch.tenures {
+	for i, tenure := range w.tenures {
 		if tenure.controller == ctrl.label {
 			latest = i
 		}
 	}
-	if latest < watch.lastCloudTenure {
-		watch.sim.rules.violated("two_leaders_at_cloud", "%s calls after %s", ctrl.label, watch.tenures[watch.lastCloudTenure].controller)
+	if latest < w.lastCloudTenure {
+		w.sim.rules.violated("two_leaders_at_cloud", "%s calls after %s", ctrl.label, w.tenures[w.lastCloudTenure].controller)
 	}
-	watch.lastCloudTenure = max(watch.lastCloudTenure, latest)
+	w.lastCloudTenure = max(w.lastCloudTenure, latest)
 }
 
 // isStale reports whether another controller has led for longer than staleLeaderAfter. A
 // stale leader would deprovision machines that are in use.
-func (watch *leadershipWatch) isStale(ctrl *controller) bool {
-	leader := watch.sim.store.leader()
-	return leader != nil && leader.Controller != ctrl.label && watch.sim.now-watch.sim.store.leaderSince > staleLeaderAfter
+func (w *leadershipWatch) isStale(ctrl *controller) bool {
+	leader := w.sim.store.leader()
+	return leader != nil && leader.Controller != ctrl.label && w.sim.now-w.sim.store.leaderSince > staleLeaderAfter
 }
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -59,16 +59,16 @@
 }
 
 // connectAll prepares the processes of all controllers.
-func (loopback *Loopback) connectAll() error {
-	for _, ctrl := range loopback.controllers {
-		proc, err := reserveAddresses(loopback.Seed, ctrl.index)
+func (l *Loopback) connectAll() error {
+	for _, ctrl := range l.controllers {
+		proc, err := reserveAddresses(l.Seed, ctrl.index)
 		if err != nil {
 			return fmt.Errorf("addresses of %s: %w", ctrl.label, err)
 		}
-		loopback.processes = append(loopback.processes, proc)
+		l.processes = append(l.processes, proc)
 	}
-	for _, ctrl := range loopback.controllers {
-		if err := loopback.connect(ctrl); err != nil {
+	for _, ctrl := range l.controllers {
+		if err := l.connect(ctrl); err != nil {
 			return fmt.Errorf("links of %s: %w", ctrl.label, err)
 		}
 	}
@@ -77,23 +77,23 @@
 
 // Play runs the simulation in step with the real clock until the given time, or until a
 // rule is violated.
-func (loopback *Loopback) Play(until time.Duration) {
-	for len(loopback.rules.violations) == 0 {
-		now := time.Since(loopback.startedAt)
+func (l *Loopback) Play(until time.Duration) {
+	for len(l.rules.violations) == 0 {
+		now := time.Since(l.startedAt)
 		if now >= until {
 			return
 		}
 		next := until
-		if len(loopback.queue) > 0 {
-			next = min(next, loopback.queue[0].at)
+		if len(l.queue) > 0 {
+			next = min(next, l.queue[0].at)
 		}
 		if next <= now {
-			loopback.Run(now)
+			l.Run(now)
 			continue
 		}
 		select {
-		case run := <-loopback.posted:
-			loopback.now = max(loopback.now, time.Since(loopback.startedAt))
+		case run := <-l.posted:
+			l.now = max(l.now, time.Since(l.startedAt))
 			run()
 		case <-time.After(next - now):
 		}
@@ -101,10 +101,10 @@
 }
 
 // post makes the simulation's goroutine run a function, unless Close is called before.
-func (loopback *Loopback) post(run func()) {
+func (l *Loopback) post(run func()) {
 	select {
-	case <-loopback.ctx.Done():
-	case loopback.posted <- run:
+	case <-l.ctx.Done():
+	case l.posted <- run:
 	}
 }
 
@@ -122,26 +122,26 @@
 }
 
 // Close ends all processes, links and servers.
-func (loopback *Loopback) Close() {
-	loopback.cancel()
-	for i, proc := range loopback.processes {
-		loopback.signal(loopback.controllers[i], syscall.SIGKILL)
+func (l *Loopback) Close() {
+	l.cancel()
+	for i, proc := range l.processes {
+		l.signal(l.controllers[i], syscall.SIGKILL)
 		proc.close()
 	}
-	for _, server := range loopback.servers {
+	for _, server := range l.servers {
 		server.Close()
 	}
-	loopback.client.CloseIdleConnections()
+	l.client.CloseIdleConnections()
 }
 
 // serve starts a server at an address of its own, until Close, and returns the address.
-func (loopback *Loopback) serve(handler http.Handler) (string, error) {
+func (l *Loopback) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: handler}
-	loopback.servers = append(loopback.servers, server)
+	l.servers = append(l.servers, server)
 	go func() { _ = server.Serve(listener) }() // until Close
 	return listener.Addr().String(), nil
 }
--- a/internal/simulation/loopback_cloud.go
+++ b/internal/simulation/loopback_cloud.go
@@ -8,10 +8,10 @@
 )
 
 // cloudHandler serves the cloud's protocol to a controller.
-func (loopback *Loopback) cloudHandler(ctrl *controller) http.Handler {
+func (l *Loopback) cloudHandler(ctrl *controller) http.Handler {
 	mux := http.NewServeMux()
 	answer := func(w http.ResponseWriter, call core.CallCloud) {
-		reply, ok := postAndWait(loopback, func() serviceReply { return loopback.callCloud(ctrl, call) })
+		reply, ok := postAndWait(l, func() serviceReply { return l.callCloud(ctrl, call) })
 		if !ok {
 			reply = unavailable
 		}
@@ -35,12 +35,12 @@
 }
 
 // callCloud carries out a controller's call.
-func (loopback *Loopback) callCloud(ctrl *controller, call core.CallCloud) serviceReply {
-	loopback.leadership.checkCloudCall(ctrl, call)
-	if loopback.cloud.outage {
+func (l *Loopback) callCloud(ctrl *controller, call core.CallCloud) serviceReply {
+	l.leadership.checkCloudCall(ctrl, call)
+	if l.cloud.outage {
 		return unavailable
 	}
-	answer := loopback.cloud.call(call)
+	answer := l.cloud.call(call)
 	switch {
 	case answer.Outcome == core.NoCapacity:
 		return serviceReply{http.StatusServiceUnavailable, wire.Error{Error: "no capacity"}}
--- a/internal/simulation/loopback_encoding.go
+++ b/internal/simulation/loopback_encoding.go
@@ -17,10 +17,10 @@
 var unavailable = serviceReply{http.StatusServiceUnavailable, wire.Error{Error: "trouble"}}
 
 // write writes the answer.
-func (reply serviceReply) write(w http.ResponseWriter) {
-	raw, err := wire.Encode(reply.body)
+func (r serviceReply) write(w http.ResponseWriter) {
+	raw, err := wire.Encode(r.body)
 	must(err)
-	w.WriteHeader(reply.status)
+	w.WriteHeader(r.status)
 	_, _ = w.Write(raw) // the controller may be gone
 }
 
--- a/internal/simulation/loopback_failover_test.go
+++ b/internal/simulation/loopback_failover_test.go
@@ -17,10 +17,10 @@
 }
 
 // submitSteadily submits jobs and gangs between two times, and cancels a tenth of them.
-func (loopback *Loopback) submitSteadily(interval, begin, end time.Duration, rng *rand.Rand) {
+func (l *Loopback) submitSteadily(interval, begin, end time.Duration, rng *rand.Rand) {
 	count := 0
-	loopback.every(interval, func() {
-		if loopback.now < begin || loopback.now > end {
+	l.every(interval, func() {
+		if l.now < begin || l.now > end {
 			return
 		}
 		jobID := fmt.Sprintf("wk-%06d", count)
@@ -28,9 +28,9 @@
 		if count%6 == 0 {
 			args = append(args, "shape=gang", "one_zone")
 		}
-		must(loopback.users.submitLine(args))
+		must(l.users.submitLine(args))
 		if rng.IntN(10) == 0 {
-			loopback.after(time.Duration(rng.IntN(3000))*time.Millisecond, func() { loopback.users.cancel(jobID) })
+			l.after(time.Duration(rng.IntN(3000))*time.Millisecond, func() { l.users.cancel(jobID) })
 		}
 		count++
 	})
@@ -38,20 +38,20 @@
 
 // failoverTimes returns the times from the failure of each leader until the next one's first
 // decision, in ms, and how many of the takeovers did not wait for the lease to expire.
-func (loopback *Loopback) failoverTimes() (times *hdrhistogram.Histogram, early int) {
+func (l *Loopback) failoverTimes() (times *hdrhistogram.Histogram, early int) {
 	times = hdrhistogram.New(1, 120_000, 3)
-	for _, tenure := range loopback.leadership.tenures {
+	for _, tenure := range l.leadership.tenures {
 		if tenure.failedAt > 0 && tenure.decidedAt > 0 {
 			must(times.RecordValue(max(1, (tenure.decidedAt - tenure.failedAt).Milliseconds())))
 		}
 	}
-	return times, loopback.leadership.countEarly()
+	return times, l.leadership.countEarly()
 }
 
 // countViolations counts the violations of a rule.
-func (sim *Simulation) countViolations(rule string) int {
+func (s *Simulation) countViolations(rule string) int {
 	count := 0
-	for _, violation := range sim.rules.violations {
+	for _, violation := range s.rules.violations {
 		var at, name string
 		if _, err := fmt.Sscan(violation, &at, &name); err == nil && name == rule+":" {
 			count++
--- a/internal/simulation/loopback_faults.go
+++ b/internal/simulation/loopback_faults.go
@@ -6,38 +6,38 @@
 )
 
 // Kill ends a controller's process with SIGKILL and starts it again after d.
-func (loopback *Loopback) Kill(ctrl *controller, d time.Duration) {
+func (l *Loopback) Kill(ctrl *controller, d time.Duration) {
 	if !ctrl.running {
 		return
 	}
 	ctrl.crash(d)
-	loopback.signal(ctrl, syscall.SIGKILL)
+	l.signal(ctrl, syscall.SIGKILL)
 }
 
 // Stop stops a controller's process with SIGSTOP and continues it after d.
-func (loopback *Loopback) Stop(ctrl *controller, d time.Duration) {
+func (l *Loopback) Stop(ctrl *controller, d time.Duration) {
 	if !ctrl.beginFailure(d) {
 		return
 	}
 	incarnation := ctrl.incarnation
-	loopback.signal(ctrl, syscall.SIGSTOP)
-	loopback.after(d, func() {
+	l.signal(ctrl, syscall.SIGSTOP)
+	l.after(d, func() {
 		if ctrl.isRunning(incarnation) {
-			loopback.signal(ctrl, syscall.SIGCONT)
+			l.signal(ctrl, syscall.SIGCONT)
 		}
 	})
 }
 
 // Isolate cuts a controller for d from the state service, or else from its peers. Each
 // direction has a state of its own.
-func (loopback *Loopback) Isolate(ctrl *controller, fromState bool, forward, backward linkState, d time.Duration) {
-	loopback.rules.faultsLast(d)
-	proc := loopback.processes[ctrl.index]
+func (l *Loopback) Isolate(ctrl *controller, fromState bool, forward, backward linkState, d time.Duration) {
+	l.rules.faultsLast(d)
+	proc := l.processes[ctrl.index]
 	var links []*proxy
 	if fromState {
 		links = append(links, proc.stateProxy)
 	} else {
-		for i, peer := range loopback.processes {
+		for i, peer := range l.processes {
 			if i != ctrl.index {
 				links = append(links, proc.peerProxies[i], peer.peerProxies[ctrl.index])
 			}
@@ -46,7 +46,7 @@
 	for _, link := range links {
 		link.set(forward, backward)
 	}
-	loopback.after(d, func() {
+	l.after(d, func() {
 		for _, link := range links {
 			link.set(linkUp, linkUp)
 		}
@@ -54,8 +54,8 @@
 }
 
 // signal sends a signal to a controller's process, if it was started.
-func (loopback *Loopback) signal(ctrl *controller, signal syscall.Signal) {
-	if command := loopback.processes[ctrl.index].command; command != nil && command.Process != nil {
+func (l *Loopback) signal(ctrl *controller, signal syscall.Signal) {
+	if command := l.processes[ctrl.index].command; command != nil && command.Process != nil {
 		_ = command.Process.Signal(signal) // it may have ended
 	}
 }
--- a/internal/simulation/loopback_http.go
+++ b/internal/simulation/loopback_http.go
@@ -16,17 +16,17 @@
 
 // sendRequest sends a worker's or user's request to a controller. No answer is a reply with
 // status 0.
-func (loopback *Loopback) sendRequest(ctrl *controller, in core.Input, receive func(core.Reply)) {
-	request, err := loopback.newRequest(loopback.processes[ctrl.index].frontProxy.address(), in)
+func (l *Loopback) sendRequest(ctrl *controller, in core.Input, receive func(core.Reply)) {
+	request, err := l.newRequest(l.processes[ctrl.index].frontProxy.address(), in)
 	must(err)
 	go func() { // until the client's timeout, or Close
-		reply := loopback.exchange(request, in)
-		loopback.post(func() { receive(reply) })
+		reply := l.exchange(request, in)
+		l.post(func() { receive(reply) })
 	}()
 }
 
 // newRequest returns the HTTP request for an input of a controller at an address.
-func (loopback *Loopback) newRequest(address string, in core.Input) (*http.Request, error) {
+func (l *Loopback) newRequest(address string, in core.Input) (*http.Request, error) {
 	method, path, body := http.MethodPost, "", []byte(nil)
 	switch x := in.(type) {
 	case core.WorkerReported:
@@ -48,12 +48,12 @@
 	if path == "" {
 		return nil, fmt.Errorf("no path for %T", in)
 	}
-	return http.NewRequestWithContext(loopback.ctx, method, "http://"+address+path, bytes.NewReader(body))
+	return http.NewRequestWithContext(l.ctx, method, "http://"+address+path, bytes.NewReader(body))
 }
 
 // exchange sends a request and returns the reply, or one with status 0.
-func (loopback *Loopback) exchange(request *http.Request, in core.Input) core.Reply {
-	response, err := loopback.client.Do(request)
+func (l *Loopback) exchange(request *http.Request, in core.Input) core.Reply {
+	response, err := l.client.Do(request)
 	if err != nil {
 		return core.Reply{}
 	}
@@ -90,7 +90,7 @@
 }
 
 // serveWorker serves a worker's address for commands and returns it.
-func (loopback *Loopback) serveWorker(worker *simWorker) string {
+func (l *Loopback) serveWorker(worker *simWorker) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, request *http.Request) {
 		var batch wire.CommandBatch
@@ -100,7 +100,7 @@
 			return
 		}
 		outcomes := make(chan core.Outcome, 1)
-		loopback.post(func() { worker.acceptCommands(batch, nil, func(outcome core.Outcome) { outcomes <- outcome }) })
+		l.post(func() { worker.acceptCommands(batch, nil, func(outcome core.Outcome) { outcomes <- outcome }) })
 		select {
 		case outcome := <-outcomes:
 			if outcome != core.OK {
@@ -109,7 +109,7 @@
 		case <-time.After(workerAnswerLimit):
 		}
 	})
-	address, err := loopback.serve(mux)
+	address, err := l.serve(mux)
 	must(err)
 	return address
 }
--- a/internal/simulation/loopback_process.go
+++ b/internal/simulation/loopback_process.go
@@ -42,13 +42,13 @@
 }
 
 // connect makes the links of a controller and writes its settings.
-func (loopback *Loopback) connect(ctrl *controller) error {
-	proc := loopback.processes[ctrl.index]
-	state, err := loopback.serve(loopback.stateHandler(ctrl))
+func (l *Loopback) connect(ctrl *controller) error {
+	proc := l.processes[ctrl.index]
+	state, err := l.serve(l.stateHandler(ctrl))
 	if err != nil {
 		return err
 	}
-	cloud, err := loopback.serve(loopback.cloudHandler(ctrl))
+	cloud, err := l.serve(l.cloudHandler(ctrl))
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	if proc.cloudProxy, err = newProxy(cloud); err != nil {
 		return err
 	}
-	for i, peer := range loopback.processes {
+	for i, peer := range l.processes {
 		if i == ctrl.index {
 			continue
 		}
@@ -69,21 +69,21 @@
 			return err
 		}
 	}
-	raw, err := json.Marshal(loopback.settings(ctrl))
+	raw, err := json.Marshal(l.settings(ctrl))
 	if err != nil {
 		return err
 	}
-	proc.settingsPath = filepath.Join(loopback.dir, ctrl.label+".json")
-	if proc.logFile, err = os.Create(filepath.Join(loopback.dir, ctrl.label+".log")); err != nil {
+	proc.settingsPath = filepath.Join(l.dir, ctrl.label+".json")
+	if proc.logFile, err = os.Create(filepath.Join(l.dir, ctrl.label+".log")); err != nil {
 		return err
 	}
 	return os.WriteFile(proc.settingsPath, raw, 0o600)
 }
 
 // close closes the links and the log of a process.
-func (proc *process) close() {
-	links := []*proxy{proc.frontProxy, proc.stateProxy, proc.cloudProxy}
-	for _, link := range proc.peerProxies {
+func (p *process) close() {
+	links := []*proxy{p.frontProxy, p.stateProxy, p.cloudProxy}
+	for _, link := range p.peerProxies {
 		links = append(links, link)
 	}
 	for _, link := range links {
@@ -91,14 +91,14 @@
 			link.close()
 		}
 	}
-	if proc.logFile != nil {
-		proc.logFile.Close()
+	if p.logFile != nil {
+		p.logFile.Close()
 	}
 }
 
 // settings returns the platform's settings for a controller.
-func (loopback *Loopback) settings(ctrl *controller) *config.Settings {
-	proc, sim := loopback.processes[ctrl.index], loopback.Simulation
+func (l *Loopback) settings(ctrl *controller) *config.Settings {
+	proc, sim := l.processes[ctrl.index], l.Simulation
 	s := &config.Settings{Label: ctrl.label, Zone: ctrl.zone, Bind: proc.publicAddress, ClusterBind: proc.peerAddress}
 	s.External.State, s.External.Cloud = proc.stateProxy.address(), proc.cloudProxy.address()
 	for i, peer := range sim.controllers {
@@ -127,42 +127,42 @@
 )
 
 // startProcess starts a controller's process, unless Close was called.
-func (loopback *Loopback) startProcess(ctrl *controller) {
-	if loopback.ctx.Err() != nil {
+func (l *Loopback) startProcess(ctrl *controller) {
+	if l.ctx.Err() != nil {
 		return
 	}
-	proc := loopback.processes[ctrl.index]
+	proc := l.processes[ctrl.index]
 	args := []string{"--config", proc.settingsPath}
-	if loopback.operatorFile != "" {
-		args = append(args, "--operator", loopback.operatorFile)
+	if l.operatorFile != "" {
+		args = append(args, "--operator", l.operatorFile)
 	}
-	command := exec.Command(loopback.binary, args...)
+	command := exec.Command(l.binary, args...)
 	command.Stderr = proc.logFile
 	proc.command = command
 	if err := command.Start(); err != nil {
-		loopback.rules.violated("start", "%s: %v", ctrl.label, err)
+		l.rules.violated("start", "%s: %v", ctrl.label, err)
 		return
 	}
 	incarnation := ctrl.incarnation
 	go func() { // until the process ends, which Close sees to
 		err := command.Wait()
-		loopback.post(func() {
+		l.post(func() {
 			if ctrl.isRunning(incarnation) {
-				loopback.rules.violated("ended_by_itself", "%s: %v", ctrl.label, err)
+				l.rules.violated("ended_by_itself", "%s: %v", ctrl.label, err)
 			}
 		})
 	}()
 }
 
 // Logs returns the end of each controller's log, for a failed test.
-func (loopback *Loopback) Logs(bytes int64) string {
+func (l *Loopback) Logs(bytes int64) string {
 	var logs strings.Builder
-	for i, proc := range loopback.processes {
+	for i, proc := range l.processes {
 		raw, err := os.ReadFile(proc.logFile.Name())
 		if err != nil {
 			raw = []byte(err.Error())
 		}
-		fmt.Fprintf(&logs, "--- %s\n%s\n", loopback.controllers[i].label, raw[max(0, int64(len(raw))-bytes):])
+		fmt.Fprintf(&logs, "--- %s\n%s\n", l.controllers[i].label, raw[max(0, int64(len(raw))-bytes):])
 	}
 	return logs.String()
 }
--- a/internal/simulation/loopback_state.go
+++ b/internal/simulation/loopback_state.go
@@ -39,11 +39,11 @@
 }
 
 // stateHandler serves the state service's protocol to a controller.
-func (loopback *Loopback) stateHandler(ctrl *controller) http.Handler {
-	store := loopback.store
+func (l *Loopback) stateHandler(ctrl *controller) http.Handler {
+	store := l.store
 	mux := http.NewServeMux()
 	answer := func(w http.ResponseWriter, run func() serviceReply) {
-		reply, ok := postAndWait(loopback, func() serviceReply {
+		reply, ok := postAndWait(l, func() serviceReply {
 			if store.refuses(ctrl) {
 				return unavailable
 			}
@@ -79,43 +79,43 @@
 		id, _ := strconv.ParseUint(request.PathValue("id"), 10, 64)
 		answer(w, func() serviceReply { return store.serveRenewal(id) })
 	})
-	mux.HandleFunc("GET /watch", func(w http.ResponseWriter, request *http.Request) { loopback.serveWatch(ctrl, w, request) })
+	mux.HandleFunc("GET /watch", func(w http.ResponseWriter, request *http.Request) { l.serveWatch(ctrl, w, request) })
 	return mux
 }
 
 // atRevision is the body of an answer that tells only the store's revision.
-func (store *stateService) atRevision() map[string]any {
-	return map[string]any{"ledger_rev": store.revision}
+func (s *stateService) atRevision() map[string]any {
+	return map[string]any{"ledger_rev": s.revision}
 }
 
 // serveRecord answers with a record.
-func (store *stateService) serveRecord(key string) serviceReply {
-	record := store.records[key]
+func (s *stateService) serveRecord(key string) serviceReply {
+	record := s.records[key]
 	if record == nil {
-		return serviceReply{http.StatusNotFound, store.atRevision()}
+		return serviceReply{http.StatusNotFound, s.atRevision()}
 	}
 	return serviceReply{http.StatusOK, storedRow{key, record.raw, record.revision}}
 }
 
 // servePage answers with one page of a listing.
-func (store *stateService) servePage(request *http.Request) serviceReply {
+func (s *stateService) servePage(request *http.Request) serviceReply {
 	query := request.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
 	rows, more := []storedRow{}, false
-	for _, key := range sortedKeys(store.records) {
+	for _, key := range sortedKeys(s.records) {
 		if !strings.HasPrefix(key, query.Get("starts")) || key <= query.Get("from") {
 			continue
 		}
 		if more = len(rows) == limit; more {
 			break
 		}
-		rows = append(rows, storedRow{key, store.records[key].raw, store.records[key].revision})
+		rows = append(rows, storedRow{key, s.records[key].raw, s.records[key].revision})
 	}
-	return serviceReply{http.StatusOK, map[string]any{"rows": rows, "has_next": more, "ledger_rev": store.revision}}
+	return serviceReply{http.StatusOK, map[string]any{"rows": rows, "has_next": more, "ledger_rev": s.revision}}
 }
 
 // serveCommit carries out a transaction.
-func (store *stateService) serveCommit(ctrl *controller, commit *commitRequest) serviceReply {
+func (s *stateService) serveCommit(ctrl *controller, commit *commitRequest) serviceReply {
 	var conditions []core.Condition
 	for _, x := range commit.If {
 		conditions = append(conditions, core.Condition{Key: x.Key, Revision: x.Rev})
@@ -128,7 +128,7 @@
 			writes = append(writes, recordWrite{key: x.Put, raw: x.Value, leaseID: x.Lease})
 		}
 	}
-	outcome, revision, failed := store.commit(ctrl, conditions, writes)
+	outcome, revision, failed := s.commit(ctrl, conditions, writes)
 	switch outcome {
 	case core.OK:
 		return serviceReply{http.StatusOK, map[string]any{"ledger_rev": revision}}
@@ -141,11 +141,11 @@
 }
 
 // serveRenewal renews a lease.
-func (store *stateService) serveRenewal(id uint64) serviceReply {
-	if id == 0 || store.leases[id] == nil {
-		return serviceReply{http.StatusNotFound, store.atRevision()}
+func (s *stateService) serveRenewal(id uint64) serviceReply {
+	if id == 0 || s.leases[id] == nil {
+		return serviceReply{http.StatusNotFound, s.atRevision()}
 	}
-	store.renewLease(id, 0)
+	s.renewLease(id, 0)
 	return serviceReply{http.StatusOK, map[string]any{"permit": id}}
 }
 
@@ -161,14 +161,14 @@
 
 // serveWatch answers with the changes after a revision, once there are any or the time that
 // the controller gives is over.
-func (loopback *Loopback) serveWatch(ctrl *controller, w http.ResponseWriter, request *http.Request) {
+func (l *Loopback) serveWatch(ctrl *controller, w http.ResponseWriter, request *http.Request) {
 	from, _ := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
 	block, _ := strconv.Atoi(request.URL.Query().Get("block_ms"))
 	deadline := time.Now().Add(time.Duration(block) * time.Millisecond)
 	for {
-		progress, ok := postAndWait(loopback, func() watchProgress {
-			events, revision := loopback.store.changesSince(from)
-			return watchProgress{events, revision, loopback.store.refuses(ctrl)}
+		progress, ok := postAndWait(l, func() watchProgress {
+			events, revision := l.store.changesSince(from)
+			return watchProgress{events, revision, l.store.refuses(ctrl)}
 		})
 		if !ok {
 			progress.revision = from
@@ -187,18 +187,18 @@
 
 // changesSince returns the changes after a revision in the service's protocol, and the
 // revision that they lead to.
-func (store *stateService) changesSince(from uint64) ([]map[string]any, uint64) {
-	first := len(store.changes)
-	for first > 0 && store.changes[first-1].revision > from {
+func (s *stateService) changesSince(from uint64) ([]map[string]any, uint64) {
+	first := len(s.changes)
+	for first > 0 && s.changes[first-1].revision > from {
 		first--
 	}
 	var events []map[string]any
-	for _, change := range store.changes[first:] {
+	for _, change := range s.changes[first:] {
 		if change.raw == nil {
 			events = append(events, map[string]any{"drop": change.key, "key_rev": change.revision})
 		} else {
 			events = append(events, map[string]any{"put": change.key, "v": msgpack.RawMessage(change.raw), "key_rev": change.revision})
 		}
 	}
-	return events, max(from, store.revision)
+	return events, max(from, s.revision)
 }
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -52,9 +52,9 @@
 }
 
 // countDone counts the jobs whose tasks are all done.
-func (users *userSet) countDone() int {
+func (u *userSet) countDone() int {
 	done := 0
-	for _, user := range users.ordered {
+	for _, user := range u.ordered {
 		if user.allTasksDone() {
 			done++
 		}
@@ -81,10 +81,10 @@
 var maxTasksByTeam = map[string]int{"red": 3, "blue": 8, "wide": 8}
 
 // submitContending submits jobs of all teams, some of them gangs, until a time.
-func (loopback *Loopback) submitContending(rng *rand.Rand, until time.Duration) {
+func (l *Loopback) submitContending(rng *rand.Rand, until time.Duration) {
 	count := 0
-	loopback.every(200*time.Millisecond, func() {
-		if loopback.now > until {
+	l.every(200*time.Millisecond, func() {
+		if l.now > until {
 			return
 		}
 		team := []string{"red", "blue", "wide"}[count%3]
@@ -97,30 +97,30 @@
 		if count%7 == 0 {
 			line = append(line, "shape=gang", "one_zone")
 		}
-		must(loopback.users.submitLine(line))
+		must(l.users.submitLine(line))
 		count++
 	})
 }
 
 // injectProcessFaults kills, stops and isolates controllers from 6 s on until a time. The
 // first to be killed is the leader.
-func (loopback *Loopback) injectProcessFaults(rng *rand.Rand, until time.Duration) {
+func (l *Loopback) injectProcessFaults(rng *rand.Rand, until time.Duration) {
 	faults := []func(ctrl, leader *controller, d time.Duration){
-		func(_, leader *controller, d time.Duration) { loopback.Kill(leader, d) },
-		func(_, leader *controller, d time.Duration) { loopback.Stop(leader, 2*d) },
-		func(ctrl, _ *controller, d time.Duration) { loopback.Kill(ctrl, d) },
-		func(ctrl, _ *controller, d time.Duration) { loopback.Stop(ctrl, d) },
-		func(ctrl, _ *controller, d time.Duration) { loopback.Isolate(ctrl, true, linkUp, linkHeld, d) },
-		func(ctrl, _ *controller, d time.Duration) { loopback.Isolate(ctrl, false, linkRefused, linkRefused, d) },
+		func(_, leader *controller, d time.Duration) { l.Kill(leader, d) },
+		func(_, leader *controller, d time.Duration) { l.Stop(leader, 2*d) },
+		func(ctrl, _ *controller, d time.Duration) { l.Kill(ctrl, d) },
+		func(ctrl, _ *controller, d time.Duration) { l.Stop(ctrl, d) },
+		func(ctrl, _ *controller, d time.Duration) { l.Isolate(ctrl, true, linkUp, linkHeld, d) },
+		func(ctrl, _ *controller, d time.Duration) { l.Isolate(ctrl, false, linkRefused, linkRefused, d) },
 	}
-	loopback.every(3*time.Second, func() {
-		if loopback.now < 6*time.Second || loopback.now > until {
+	l.every(3*time.Second, func() {
+		if l.now < 6*time.Second || l.now > until {
 			return
 		}
-		ctrl, leader := loopback.controllers[rng.IntN(len(loopback.controllers))], loopback.controllerNamed("leader")
+		ctrl, leader := l.controllers[rng.IntN(len(l.controllers))], l.controllerNamed("leader")
 		d := time.Duration(200+rng.IntN(4000)) * time.Millisecond
 		fault := faults[rng.IntN(len(faults))]
-		if loopback.now < 8*time.Second {
+		if l.now < 8*time.Second {
 			fault = faults[0]
 		}
 		fault(ctrl, leader, d)
--- a/internal/simulation/meter.go
+++ b/internal/simulation/meter.go
@@ -12,9 +12,9 @@
 }
 
 // coreWork returns how many machines the cores of all controllers have looked at so far.
-func (sim *Simulation) coreWork() uint64 {
+func (s *Simulation) coreWork() uint64 {
 	sum := uint64(0)
-	for _, ctrl := range sim.controllers {
+	for _, ctrl := range s.controllers {
 		sum += ctrl.core.Work()
 	}
 	return sum
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -32,33 +32,33 @@
 func linkName(from, to string) string { return from + "|" + to }
 
 // latency draws the time that a message takes.
-func (network *network) latency() time.Duration {
-	d := time.Millisecond + time.Duration(network.sim.rng.IntN(6000))*time.Microsecond
-	if network.sim.now < network.slowdown.until {
-		d = time.Duration(float64(d) * network.slowdown.value)
+func (n *network) latency() time.Duration {
+	d := time.Millisecond + time.Duration(n.sim.rng.IntN(6000))*time.Microsecond
+	if n.sim.now < n.slowdown.until {
+		d = time.Duration(float64(d) * n.slowdown.value)
 	}
 	return d
 }
 
 // setLossy makes the network lose and delay shares of the requests for d.
-func (network *network) setLossy(lossShare, lateShare float64, d time.Duration) {
-	network.lossShare, network.lateShare, network.lossyUntil = lossShare, lateShare, network.sim.now+d
+func (n *network) setLossy(lossShare, lateShare float64, d time.Duration) {
+	n.lossShare, n.lateShare, n.lossyUntil = lossShare, lateShare, n.sim.now+d
 }
 
 // loses draws whether a message is lost.
-func (network *network) loses(rng *rand.Rand) bool {
-	return network.sim.now < network.lossyUntil && rng.Float64() < network.lossShare
+func (n *network) loses(rng *rand.Rand) bool {
+	return n.sim.now < n.lossyUntil && rng.Float64() < n.lossShare
 }
 
 // setDuplicating makes the network deliver heartbeats and commands twice for d.
-func (network *network) setDuplicating(d, longestDelay time.Duration) {
-	network.duplicateUntil, network.duplicateDelay = network.sim.now+d, longestDelay
-	network.sim.rules.faultsLast(d + longestDelay)
+func (n *network) setDuplicating(d, longestDelay time.Duration) {
+	n.duplicateUntil, n.duplicateDelay = n.sim.now+d, longestDelay
+	n.sim.rules.faultsLast(d + longestDelay)
 }
 
 // duplicateAfter draws when the second delivery of a message happens.
-func (network *network) duplicateAfter() time.Duration {
-	return time.Second + time.Duration(network.sim.rng.Int64N(int64(network.duplicateDelay)))
+func (n *network) duplicateAfter() time.Duration {
+	return time.Second + time.Duration(n.sim.rng.Int64N(int64(n.duplicateDelay)))
 }
 
 // requestFate is what happens to a request.
@@ -69,29 +69,29 @@
 }
 
 // fate draws what happens to a request.
-func (network *network) fate() requestFate {
-	if network.sim.now < network.lossyUntil {
-		drawn := network.sim.rng.Float64()
+func (n *network) fate() requestFate {
+	if n.sim.now < n.lossyUntil {
+		drawn := n.sim.rng.Float64()
 		switch {
-		case drawn < network.lateShare:
-			return requestFate{delay: time.Duration(network.sim.rng.IntN(60000)) * time.Millisecond, runs: true}
-		case drawn < network.lateShare+network.lossShare/2:
+		case drawn < n.lateShare:
+			return requestFate{delay: time.Duration(n.sim.rng.IntN(60000)) * time.Millisecond, runs: true}
+		case drawn < n.lateShare+n.lossShare/2:
 			return requestFate{}
-		case drawn < network.lateShare+network.lossShare:
-			return requestFate{delay: network.latency(), runs: true}
+		case drawn < n.lateShare+n.lossShare:
+			return requestFate{delay: n.latency(), runs: true}
 		}
 	}
-	return requestFate{delay: network.latency(), runs: true, answered: true}
+	return requestFate{delay: n.latency(), runs: true, answered: true}
 }
 
 // isCut reports whether two endpoints can't reach each other now.
-func (network *network) isCut(a, b endpoint) bool {
-	return anyLink(a, b, func(link string) bool { return network.cuts[link] > 0 })
+func (n *network) isCut(a, b endpoint) bool {
+	return anyLink(a, b, func(link string) bool { return n.cuts[link] > 0 })
 }
 
 // isHeld reports whether a cut between two endpoints delivers afterwards what was sent.
-func (network *network) isHeld(a, b endpoint) bool {
-	return anyLink(a, b, func(link string) bool { return network.held[link] })
+func (n *network) isHeld(a, b endpoint) bool {
+	return anyLink(a, b, func(link string) bool { return n.held[link] })
 }
 
 // anyLink reports whether a link between two endpoints or their zones, in either
@@ -109,14 +109,14 @@
 
 // cut separates two endpoints for d. Endpoints are controllers and workers by name, zones
 // as "zone:a", and "cloud". With hold, what is sent during the cut arrives after it.
-func (network *network) cut(a, b string, d time.Duration, hold bool) {
-	network.sim.rules.faultsLast(d)
+func (n *network) cut(a, b string, d time.Duration, hold bool) {
+	n.sim.rules.faultsLast(d)
 	link := linkName(a, b)
-	network.cuts[link]++
-	network.held[link] = hold
-	network.sim.after(d, func() {
-		if network.cuts[link]--; network.cuts[link] == 0 {
-			delete(network.held, link)
+	n.cuts[link]++
+	n.held[link] = hold
+	n.sim.after(d, func() {
+		if n.cuts[link]--; n.cuts[link] == 0 {
+			delete(n.held, link)
 		}
 	})
 }
--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -58,9 +58,9 @@
 
 // checkCommit applies a transaction that has been carried out, and checks that it brings no
 // team above its limit and that its charges are conditional on the teams' accounts.
-func (accounting *quotaAccounting) checkCommit(conditions []core.Condition, writes []recordWrite) {
+func (a *quotaAccounting) checkCommit(conditions []core.Condition, writes []recordWrite) {
 	before := map[string]wire.Resources{}
-	for name, charge := range accounting.teams {
+	for name, charge := range a.teams {
 		before[name] = charge.total()
 	}
 	changed := map[string]bool{}
@@ -72,18 +72,18 @@
 			jobID, _ := wire.SplitOverflowKey(write.key)
 			changed[jobID] = true
 		case strings.HasPrefix(write.key, wire.AccountPrefix):
-			accounting.updateAccount(write)
+			a.updateAccount(write)
 		}
 	}
 	for jobID := range changed {
-		was := accounting.jobs[jobID]
-		accounting.updateJob(jobID)
-		accounting.checkFence(conditions, jobID, was)
+		was := a.jobs[jobID]
+		a.updateJob(jobID)
+		a.checkFence(conditions, jobID, was)
 	}
-	for name, charge := range accounting.teams {
+	for name, charge := range a.teams {
 		now, was := charge.total(), before[name]
 		if raisesAboveLimit(now.Cores, charge.limit.Cores, was.Cores) || raisesAboveLimit(now.GPUs, charge.limit.GPUs, was.GPUs) {
-			accounting.sim.rules.violated("quota", "revision %d charges %s %v, limit %v, before %v", accounting.sim.store.revision, name, now, charge.limit, was)
+			a.sim.rules.violated("quota", "revision %d charges %s %v, limit %v, before %v", a.sim.store.revision, name, now, charge.limit, was)
 		}
 	}
 }
@@ -91,15 +91,15 @@
 // checkFence checks that a commit which charges more for a job was conditional on the
 // team's account, if there is one. Without that it could be carried out after the limit was
 // lowered, or the share revoked.
-func (accounting *quotaAccounting) checkFence(conditions []core.Condition, jobID string, was jobCharge) {
-	now := accounting.jobs[jobID]
+func (a *quotaAccounting) checkFence(conditions []core.Condition, jobID string, was jobCharge) {
+	now := a.jobs[jobID]
 	if now.byLeader <= was.byLeader && now.countAdmitted() <= was.countAdmitted() {
 		return
 	}
 	key := wire.AccountKey(now.team)
 	fenced := slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == key })
-	if accounting.sim.store.records[key] != nil && !fenced {
-		accounting.sim.rules.violated("unfenced", "%s is charged to %s without a condition on its account", jobID, now.team)
+	if a.sim.store.records[key] != nil && !fenced {
+		a.sim.rules.violated("unfenced", "%s is charged to %s without a condition on its account", jobID, now.team)
 	}
 }
 
@@ -110,52 +110,52 @@
 }
 
 // updateAccount applies a write of a team's account.
-func (accounting *quotaAccounting) updateAccount(write recordWrite) {
+func (a *quotaAccounting) updateAccount(write recordWrite) {
 	name := wire.AccountTeam(write.key)
-	charge := accounting.teams[name]
+	charge := a.teams[name]
 	record, _ := mustDecodeRecord(write.key, write.raw).(*wire.Account)
 	charge.shares = map[int]wire.Resources{}
 	if record == nil || record.Unreadable {
 		return
 	}
 	charge.limit = record.Limit
-	highest := accounting.highestLimits[name]
-	accounting.highestLimits[name] = wire.Resources{Cores: max(highest.Cores, record.Limit.Cores), GPUs: max(highest.GPUs, record.Limit.GPUs)}
+	highest := a.highestLimits[name]
+	a.highestLimits[name] = wire.Resources{Cores: max(highest.Cores, record.Limit.Cores), GPUs: max(highest.GPUs, record.Limit.GPUs)}
 	for _, share := range record.Shares {
 		charge.shares[share.Shard] = wire.Resources{Cores: share.Cores, GPUs: share.GPUs}
 	}
 }
 
 // updateJob computes a job's charge anew from its record and its overflow keys.
-func (accounting *quotaAccounting) updateJob(jobID string) {
-	before := accounting.jobs[jobID]
-	accounting.applyCharge(before, -1)
-	delete(accounting.jobs, jobID)
-	charge, ok := accounting.readCharge(jobID)
+func (a *quotaAccounting) updateJob(jobID string) {
+	before := a.jobs[jobID]
+	a.applyCharge(before, -1)
+	delete(a.jobs, jobID)
+	charge, ok := a.readCharge(jobID)
 	if !ok {
 		return
 	}
-	accounting.jobs[jobID] = charge
-	if _, known := accounting.createdAt[jobID]; !known {
-		accounting.createdAt[jobID] = accounting.sim.now
+	a.jobs[jobID] = charge
+	if _, known := a.createdAt[jobID]; !known {
+		a.createdAt[jobID] = a.sim.now
 	}
-	if _, known := accounting.placedAt[jobID]; !known && charge.placed {
-		accounting.placedAt[jobID] = accounting.sim.now
+	if _, known := a.placedAt[jobID]; !known && charge.placed {
+		a.placedAt[jobID] = a.sim.now
 	}
-	accounting.applyCharge(charge, 1)
-	accounting.admissions += max(0, charge.countAdmitted()-before.countAdmitted())
+	a.applyCharge(charge, 1)
+	a.admissions += max(0, charge.countAdmitted()-before.countAdmitted())
 }
 
 // readCharge reads a job's charge from the store. It reports false if the job has no record
 // with its spec, or its team is unknown.
-func (accounting *quotaAccounting) readCharge(jobID string) (charge jobCharge, ok bool) {
-	records, key := accounting.sim.store.records, wire.JobKey(jobID)
+func (a *quotaAccounting) readCharge(jobID string) (charge jobCharge, ok bool) {
+	records, key := a.sim.store.records, wire.JobKey(jobID)
 	record := records[key]
 	if record == nil {
 		return jobCharge{}, false
 	}
 	job := mustDecodeRecord(key, record.raw).(*wire.Job)
-	if job.Spec == nil || accounting.teams[job.Spec.Team] == nil {
+	if job.Spec == nil || a.teams[job.Spec.Team] == nil {
 		return jobCharge{}, false
 	}
 	charge = jobCharge{team: job.Spec.Team, perTask: wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs}, admitted: map[int]int{}}
@@ -170,32 +170,32 @@
 }
 
 // add adds active tasks to a job's charge.
-func (charge *jobCharge) add(tasks wire.ActiveTasks) {
+func (c *jobCharge) add(tasks wire.ActiveTasks) {
 	for i := range tasks {
-		charge.placed = charge.placed || tasks[i].Machine != ""
+		c.placed = c.placed || tasks[i].Machine != ""
 		if tasks[i].Admitted {
-			charge.admitted[tasks[i].Shard]++
+			c.admitted[tasks[i].Shard]++
 		} else {
-			charge.byLeader++
+			c.byLeader++
 		}
 	}
 }
 
 // countAdmitted counts the tasks that shard owners have admitted.
-func (charge *jobCharge) countAdmitted() int {
+func (c *jobCharge) countAdmitted() int {
 	sum := 0
-	for _, count := range charge.admitted {
+	for _, count := range c.admitted {
 		sum += count
 	}
 	return sum
 }
 
 // applyCharge adds a job's charge to its team's, or removes it with sign -1.
-func (accounting *quotaAccounting) applyCharge(job jobCharge, sign int) {
+func (a *quotaAccounting) applyCharge(job jobCharge, sign int) {
 	if job.team == "" {
 		return
 	}
-	team := accounting.teams[job.team]
+	team := a.teams[job.team]
 	team.byLeader = addResources(team.byLeader, job.perTask, sign*job.byLeader)
 	for shard, count := range job.admitted {
 		team.admitted[shard] = addResources(team.admitted[shard], job.perTask, sign*count)
@@ -210,15 +210,15 @@
 // total returns what a team is charged: what the leader has admitted, and of each shard the
 // share or what was admitted, whichever is more. Unused parts of a share count too, since
 // the shard's owner may admit within it at any moment.
-func (charge *teamCharge) total() wire.Resources {
-	sum := charge.byLeader
-	for shard, share := range charge.shares {
-		used := charge.admitted[shard]
+func (c *teamCharge) total() wire.Resources {
+	sum := c.byLeader
+	for shard, share := range c.shares {
+		used := c.admitted[shard]
 		sum.Cores += max(share.Cores, used.Cores)
 		sum.GPUs += max(share.GPUs, used.GPUs)
 	}
-	for shard, used := range charge.admitted {
-		if _, shared := charge.shares[shard]; !shared {
+	for shard, used := range c.admitted {
+		if _, shared := c.shares[shard]; !shared {
 			sum = addResources(sum, used, 1)
 		}
 	}
@@ -226,9 +226,9 @@
 }
 
 // countShares counts the shares that are distributed.
-func (accounting *quotaAccounting) countShares() int {
+func (a *quotaAccounting) countShares() int {
 	count := 0
-	for _, charge := range accounting.teams {
+	for _, charge := range a.teams {
 		count += len(charge.shares)
 	}
 	return count
--- a/internal/simulation/quota_changes.go
+++ b/internal/simulation/quota_changes.go
@@ -15,8 +15,8 @@
 
 // changeLimit changes a team's limits and guarantee as an operator does with the command
 // line. Args are NAME=VALUE, with a name of quotaAmounts.
-func (accounting *quotaAccounting) changeLimit(team string, args []string) error {
-	account := accounting.account(team)
+func (a *quotaAccounting) changeLimit(team string, args []string) error {
+	account := a.account(team)
 	change := quota.Change{Team: team, Version: account.Version}
 	for _, arg := range args {
 		if err := setAmount(&change, arg); err != nil {
@@ -31,21 +31,21 @@
 	if err != nil {
 		return err
 	}
-	accounting.sim.store.overwrite(wire.AccountKey(team), raw)
+	a.sim.store.overwrite(wire.AccountKey(team), raw)
 	return nil
 }
 
 // account returns a team's account as it is stored, or as the settings have it if it is not
 // or can't be read.
-func (accounting *quotaAccounting) account(team string) *wire.Account {
+func (a *quotaAccounting) account(team string) *wire.Account {
 	key := wire.AccountKey(team)
-	if record := accounting.sim.store.records[key]; record != nil {
+	if record := a.sim.store.records[key]; record != nil {
 		if stored := mustDecodeRecord(key, record.raw).(*wire.Account); !stored.Unreadable {
 			return stored
 		}
 	}
 	account := &wire.Account{}
-	for _, configured := range accounting.sim.Teams {
+	for _, configured := range a.sim.Teams {
 		if configured.Name == team {
 			account.Limit = wire.Resources{Cores: configured.MaxCores, GPUs: configured.MaxGPUs}
 			account.Guarantee = wire.Resources{Cores: configured.GuaranteedCores, GPUs: configured.GuaranteedGPUs}
--- a/internal/simulation/random_faults.go
+++ b/internal/simulation/random_faults.go
@@ -64,23 +64,23 @@
 }
 
 // injectRandomFaults injects random faults every few seconds until the given time.
-func (sim *Simulation) injectRandomFaults(until time.Duration) {
-	if sim.now >= until {
+func (s *Simulation) injectRandomFaults(until time.Duration) {
+	if s.now >= until {
 		return
 	}
-	ctrl := sim.randomController()
-	d := time.Duration(1+sim.rng.IntN(40)) * time.Second
-	fault := randomFaults[sim.rng.IntN(len(randomFaults))]
-	fault(sim, ctrl, d)
-	sim.after(time.Duration(2+sim.rng.IntN(15))*time.Second, func() { sim.injectRandomFaults(until) })
+	ctrl := s.randomController()
+	d := time.Duration(1+s.rng.IntN(40)) * time.Second
+	fault := randomFaults[s.rng.IntN(len(randomFaults))]
+	fault(s, ctrl, d)
+	s.after(time.Duration(2+s.rng.IntN(15))*time.Second, func() { s.injectRandomFaults(until) })
 }
 
 // crashRepeatedly crashes controllers for a fraction of a second until the given time, also
 // during an election that the last crash has caused.
-func (sim *Simulation) crashRepeatedly(until time.Duration) {
-	if sim.now >= until {
+func (s *Simulation) crashRepeatedly(until time.Duration) {
+	if s.now >= until {
 		return
 	}
-	sim.randomController().crash(time.Duration(100+sim.rng.IntN(400)) * time.Millisecond)
-	sim.after(time.Duration(200+sim.rng.IntN(4000))*time.Millisecond, func() { sim.crashRepeatedly(until) })
+	s.randomController().crash(time.Duration(100+s.rng.IntN(400)) * time.Millisecond)
+	s.after(time.Duration(200+s.rng.IntN(4000))*time.Millisecond, func() { s.crashRepeatedly(until) })
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -27,72 +27,72 @@
 }
 
 // violated records that a rule was violated now.
-func (rules *ruleChecker) violated(rule, format string, args ...any) {
-	rules.violations = append(rules.violations, fmt.Sprintf("%.3fs %s: %s", rules.sim.now.Seconds(), rule, fmt.Sprintf(format, args...)))
+func (r *ruleChecker) violated(rule, format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf("%.3fs %s: %s", r.sim.now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
 // faultsLast records that a fault goes on for d from now.
-func (rules *ruleChecker) faultsLast(d time.Duration) {
-	rules.faultsEndAt = max(rules.faultsEndAt, rules.sim.now+d)
+func (r *ruleChecker) faultsLast(d time.Duration) {
+	r.faultsEndAt = max(r.faultsEndAt, r.sim.now+d)
 }
 
 // taskStarted checks the rules that the start of a task on a worker can violate.
-func (rules *ruleChecker) taskStarted(worker *simWorker, task *simTask) {
+func (r *ruleChecker) taskStarted(worker *simWorker, task *simTask) {
 	user, machine := task.user, worker.machine
-	rules.starts[task.jobID]++
+	r.starts[task.jobID]++
 	if user.cancelledAt > 0 {
-		rules.lateStarts++
+		r.lateStarts++
 	}
 	name := attemptName(task.name(), task.attempt)
-	if before := rules.attemptMachines[name]; before != "" && before != machine.Name {
-		rules.violated("attempt_recurs", "%s on %s and then on %s", name, before, machine.Name)
+	if before := r.attemptMachines[name]; before != "" && before != machine.Name {
+		r.violated("attempt_recurs", "%s on %s and then on %s", name, before, machine.Name)
 	}
-	rules.attemptMachines[name] = machine.Name
+	r.attemptMachines[name] = machine.Name
 	for _, jobID := range user.spec.Dependencies {
-		if dependency := rules.sim.users.byJob[jobID]; dependency == nil || !dependency.allTasksDone() {
-			rules.violated("too_early", "%s before %s is done", task.name(), jobID)
+		if dependency := r.sim.users.byJob[jobID]; dependency == nil || !dependency.allTasksDone() {
+			r.violated("too_early", "%s before %s is done", task.name(), jobID)
 		}
 	}
 	zones := map[string]int{}
 	user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
 		if other != task && other.index == task.index {
-			rules.violated("ran_twice", "%s: attempt %d on %s, attempt %d on %s", task.name(), task.attempt, machine.Name, other.attempt, otherWorker.machine.Name)
+			r.violated("ran_twice", "%s: attempt %d on %s, attempt %d on %s", task.name(), task.attempt, machine.Name, other.attempt, otherWorker.machine.Name)
 		}
 		zones[otherWorker.machine.Zone]++
 	})
-	if cores, gpus := rules.teamUsage(user.spec.Team); rules.exceedsHighestLimit(user.spec.Team, cores, gpus) {
-		rules.violated("quota", "%s uses %v GPUs and %v cores", user.spec.Team, gpus, cores)
+	if cores, gpus := r.teamUsage(user.spec.Team); r.exceedsHighestLimit(user.spec.Team, cores, gpus) {
+		r.violated("quota", "%s uses %v GPUs and %v cores", user.spec.Team, gpus, cores)
 	}
-	rules.checkPlacement(worker, task, zones)
-	if cancelled := rules.sim.now - user.cancelledAt; user.cancelledAt > 0 && cancelled > rules.sim.CancelDeadline {
-		rules.violated("ran_cancelled", "%s started %v after", task.jobID, cancelled)
+	r.checkPlacement(worker, task, zones)
+	if cancelled := r.sim.now - user.cancelledAt; user.cancelledAt > 0 && cancelled > r.sim.CancelDeadline {
+		r.violated("ran_cancelled", "%s started %v after", task.jobID, cancelled)
 	}
 }
 
 // checkPlacement checks that a job may use a machine, given how many of its tasks are in
 // each zone.
-func (rules *ruleChecker) checkPlacement(worker *simWorker, task *simTask, zones map[string]int) {
+func (r *ruleChecker) checkPlacement(worker *simWorker, task *simTask, zones map[string]int) {
 	spec, machine := &task.user.spec, worker.machine
 	switch {
 	case machine.Spot && !spec.AllowSpot:
-		rules.violated("wrong_place", "%s on a spot machine", task.jobID)
+		r.violated("wrong_place", "%s on a spot machine", task.jobID)
 	case spec.Zone != "" && spec.Zone != machine.Zone:
-		rules.violated("wrong_place", "%s in zone %s", task.jobID, machine.Zone)
+		r.violated("wrong_place", "%s in zone %s", task.jobID, machine.Zone)
 	case spec.SameZone && len(zones) > 1:
-		rules.violated("wrong_place", "%s in zones %v", task.jobID, zones)
+		r.violated("wrong_place", "%s in zones %v", task.jobID, zones)
 	case spec.Spread && zones[machine.Zone] > (spec.TaskCount+1)/2:
-		rules.violated("wrong_place", "%s has %d of %d tasks in zone %s", task.jobID, zones[machine.Zone], spec.TaskCount, machine.Zone)
+		r.violated("wrong_place", "%s has %d of %d tasks in zone %s", task.jobID, zones[machine.Zone], spec.TaskCount, machine.Zone)
 	}
 }
 
 // check checks the rules that hold at all times, once a ruleCheckInterval. Gang tasks look
 // for their peers then too.
-func (rules *ruleChecker) check() {
-	rules.checkAnswers()
-	rules.checkCancelled()
-	rules.checkWaitingJobs()
-	for _, name := range sortedKeys(rules.sim.fleet.workers) {
-		worker := rules.sim.fleet.workers[name]
+func (r *ruleChecker) check() {
+	r.checkAnswers()
+	r.checkCancelled()
+	r.checkWaitingJobs()
+	for _, name := range sortedKeys(r.sim.fleet.workers) {
+		worker := r.sim.fleet.workers[name]
 		if worker.terminated || worker.hung {
 			continue
 		}
@@ -104,9 +104,9 @@
 
 // checkAnswers checks that users get answers: most of them always, and each of them once
 // all faults are over.
-func (rules *ruleChecker) checkAnswers() {
-	now, answered, unanswered := rules.sim.now, 0, 0
-	for _, user := range rules.sim.users.byJob {
+func (r *ruleChecker) checkAnswers() {
+	now, answered, unanswered := r.sim.now, 0, 0
+	for _, user := range r.sim.users.byJob {
 		if !user.accepted {
 			continue
 		}
@@ -117,29 +117,29 @@
 		}
 	}
 	if unanswered > 0 && answered > unanswered {
-		rules.violated("forgotten", "%d jobs get no answers while %d do", unanswered, answered)
+		r.violated("forgotten", "%d jobs get no answers while %d do", unanswered, answered)
 	}
-	for _, user := range rules.sim.users.ordered {
-		quiet := now - max(user.lastAnsweredAt, rules.faultsEndAt)
+	for _, user := range r.sim.users.ordered {
+		quiet := now - max(user.lastAnsweredAt, r.faultsEndAt)
 		if user.accepted && user.cancelledAt == 0 && quiet > unansweredAtCalm {
-			rules.violated("forgotten", "%s: no answer for %v, the last was %d", user.spec.ID, quiet, user.lastCode)
+			r.violated("forgotten", "%s: no answer for %v, the last was %d", user.spec.ID, quiet, user.lastCode)
 		}
 	}
 }
 
 // checkCancelled checks that the tasks of cancelled jobs are gone by the deadline.
-func (rules *ruleChecker) checkCancelled() {
-	rules.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
-		cancelled := rules.sim.now - task.user.cancelledAt
-		if task.user.cancelledAt > 0 && cancelled > rules.sim.CancelDeadline {
-			rules.violated("ran_cancelled", "%s on %s %v after (%s)", task.name(), worker.machine.Name, cancelled, task.state)
+func (r *ruleChecker) checkCancelled() {
+	r.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
+		cancelled := r.sim.now - task.user.cancelledAt
+		if task.user.cancelledAt > 0 && cancelled > r.sim.CancelDeadline {
+			r.violated("ran_cancelled", "%s on %s %v after (%s)", task.name(), worker.machine.Name, cancelled, task.state)
 		}
 	})
 }
 
 // teamUsage returns what the tasks of a team that are on machines use.
-func (rules *ruleChecker) teamUsage(team string) (cores, gpus float64) {
-	for _, user := range rules.sim.users.ordered {
+func (r *ruleChecker) teamUsage(team string) (cores, gpus float64) {
+	for _, user := range r.sim.users.ordered {
 		if user.spec.Team == team {
 			user.eachActiveTask(func(*simWorker, *simTask) {
 				cores += user.spec.Cores
@@ -153,8 +153,8 @@
 // exceedsHighestLimit reports whether a use exceeds the highest limit that a team has had:
 // what was placed before the limit was lowered may start after. Whether it may be placed is
 // checked by quotaAccounting.
-func (rules *ruleChecker) exceedsHighestLimit(team string, cores, gpus float64) bool {
-	return exceedsLimit(rules.sim.quota.highestLimits[team], cores, gpus)
+func (r *ruleChecker) exceedsHighestLimit(team string, cores, gpus float64) bool {
+	return exceedsLimit(r.sim.quota.highestLimits[team], cores, gpus)
 }
 
 // exceedsLimit reports whether a use exceeds a limit, of which 0 is none.
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -36,8 +36,8 @@
 }
 
 // addRunningTask adds a running task of the user's job to a worker.
-func (user *simUser) addRunningTask(worker *simWorker, index int, attempt uint64) *simTask {
-	task := &simTask{user: user, worker: worker, jobID: user.spec.ID, index: index, attempt: attempt, state: wire.TaskRunning, stateSince: user.sim.now}
+func (u *simUser) addRunningTask(worker *simWorker, index int, attempt uint64) *simTask {
+	task := &simTask{user: u, worker: worker, jobID: u.spec.ID, index: index, attempt: attempt, state: wire.TaskRunning, stateSince: u.sim.now}
 	worker.addTask(task.name(), task)
 	return task
 }
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -17,11 +17,11 @@
 // underserved returns the kinds of jobs of which less than half have started at the end of
 // a scenario: each class, each team, and the largest jobs of each class, which have to
 // start in time.
-func (rules *ruleChecker) underserved() []string {
+func (r *ruleChecker) underserved() []string {
 	var judged []*simUser
 	largest := map[string]int{}
-	for _, user := range rules.sim.users.ordered {
-		if rules.shouldHaveStarted(user) {
+	for _, user := range r.sim.users.ordered {
+		if r.shouldHaveStarted(user) {
 			judged = append(judged, user)
 			largest[user.spec.Class] = max(largest[user.spec.Class], user.spec.TaskCount)
 		}
@@ -54,9 +54,9 @@
 
 // shouldHaveStarted reports whether a job came early enough to be judged by whether it has
 // started, and can run.
-func (rules *ruleChecker) shouldHaveStarted(user *simUser) bool {
+func (r *ruleChecker) shouldHaveStarted(user *simUser) bool {
 	return user.accepted && !user.cancelRequested && !user.alwaysFails &&
-		rules.sim.now-user.submittedAt > largestStartLimit && !user.isBlocked()
+		r.sim.now-user.submittedAt > largestStartLimit && !user.isBlocked()
 }
 
 // maxIdleCapacityWait is how long a job may wait, once all faults are over, while a machine
@@ -64,19 +64,19 @@
 const maxIdleCapacityWait = 90 * time.Second
 
 // checkWaitingJobs checks that no job waits for longer than maxIdleCapacityWait.
-func (rules *ruleChecker) checkWaitingJobs() {
-	now := rules.sim.now
-	if now < rules.faultsEndAt || now%waitingJobInterval >= ruleCheckInterval {
+func (r *ruleChecker) checkWaitingJobs() {
+	now := r.sim.now
+	if now < r.faultsEndAt || now%waitingJobInterval >= ruleCheckInterval {
 		return
 	}
 	var free []*freeCapacity
-	for _, user := range rules.sim.users.ordered {
+	for _, user := range r.sim.users.ordered {
 		if !user.isWaiting() {
 			user.idleCapacitySince = 0
 			continue
 		}
 		if free == nil {
-			free = rules.sim.fleet.freeCapacity()
+			free = r.sim.fleet.freeCapacity()
 		}
 		if !user.fits(free) {
 			user.idleCapacitySince = 0
@@ -85,19 +85,19 @@
 		if user.idleCapacitySince == 0 {
 			user.idleCapacitySince = now
 		}
-		if now-max(user.idleCapacitySince, rules.faultsEndAt) > maxIdleCapacityWait {
-			rules.violated("left_waiting", "%s waits beside room since %v", user.spec.ID, user.idleCapacitySince)
+		if now-max(user.idleCapacitySince, r.faultsEndAt) > maxIdleCapacityWait {
+			r.violated("left_waiting", "%s waits beside room since %v", user.spec.ID, user.idleCapacitySince)
 		}
 	}
 }
 
 // isWaiting reports whether a job that should run has no task on any machine.
-func (user *simUser) isWaiting() bool {
-	if !user.accepted || user.cancelRequested || user.alwaysFails || user.isBlocked() {
+func (u *simUser) isWaiting() bool {
+	if !u.accepted || u.cancelRequested || u.alwaysFails || u.isBlocked() {
 		return false
 	}
-	hasTask := slices.ContainsFunc(user.tasks, func(task *simTask) bool { return task.state != wire.TaskExited })
-	return !hasTask && !user.allTasksDone()
+	hasTask := slices.ContainsFunc(u.tasks, func(task *simTask) bool { return task.state != wire.TaskExited })
+	return !hasTask && !u.allTasksDone()
 }
 
 // freeCapacity is what is free on a worker's machine.
@@ -107,10 +107,10 @@
 }
 
 // freeCapacity returns what is free on each machine whose worker is healthy. It is not nil.
-func (fleet *workerFleet) freeCapacity() []*freeCapacity {
-	now, machineType := fleet.sim.now, &fleet.sim.cloud.machineType
+func (f *workerFleet) freeCapacity() []*freeCapacity {
+	now, machineType := f.sim.now, &f.sim.cloud.machineType
 	all := []*freeCapacity{}
-	for _, worker := range fleet.running() {
+	for _, worker := range f.running() {
 		if worker.hung || worker.failsTasks || worker.reclaimAt > 0 || now < worker.inboundCutUntil || now < worker.outboundCutUntil {
 			continue
 		}
@@ -126,21 +126,21 @@
 }
 
 // reserve takes the resources of one task.
-func (free *freeCapacity) reserve(spec *wire.JobSpec) {
-	free.cores -= spec.Cores
-	free.gpus -= spec.GPUs
-	free.memoryGB -= spec.MemoryGB
+func (f *freeCapacity) reserve(spec *wire.JobSpec) {
+	f.cores -= spec.Cores
+	f.gpus -= spec.GPUs
+	f.memoryGB -= spec.MemoryGB
 }
 
 // has reports whether one task fits.
-func (free *freeCapacity) has(spec *wire.JobSpec) bool {
-	return free.cores >= spec.Cores && free.gpus >= spec.GPUs && free.memoryGB >= spec.MemoryGB
+func (f *freeCapacity) has(spec *wire.JobSpec) bool {
+	return f.cores >= spec.Cores && f.gpus >= spec.GPUs && f.memoryGB >= spec.MemoryGB
 }
 
 // fits reports whether one task of an array or daemon, or all of a gang in one zone, fits
 // the free capacity and the team's limit.
-func (user *simUser) fits(free []*freeCapacity) bool {
-	spec, sim := &user.spec, user.sim
+func (u *simUser) fits(free []*freeCapacity) bool {
+	spec, sim := &u.spec, u.sim
 	need := 1
 	if spec.Shape == wire.ShapeGang {
 		need = spec.TaskCount
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -21,24 +21,24 @@
 type arguments []string
 
 // word returns an argument, or "" if there are fewer.
-func (args arguments) word(i int) string {
-	if i >= len(args) {
+func (a arguments) word(i int) string {
+	if i >= len(a) {
 		return ""
 	}
-	return args[i]
+	return a[i]
 }
 
 // number returns an argument as a number, or 0 if it is none.
-func (args arguments) number(i int) float64 {
-	x, _ := strconv.ParseFloat(args.word(i), 64)
+func (a arguments) number(i int) float64 {
+	x, _ := strconv.ParseFloat(a.word(i), 64)
 	return x
 }
 
 // duration returns an argument, which is in seconds.
-func (args arguments) duration(i int) time.Duration { return seconds(args.number(i)) }
+func (a arguments) duration(i int) time.Duration { return seconds(a.number(i)) }
 
 // from returns the arguments from one on.
-func (args arguments) from(i int) arguments { return args[min(i, len(args)):] }
+func (a arguments) from(i int) arguments { return a[min(i, len(a)):] }
 
 // scriptCommand carries out a command of a script.
 type scriptCommand func(*Simulation, arguments) error
@@ -49,10 +49,10 @@
 }
 
 // runCommand carries out one line of a script.
-func (sim *Simulation) runCommand(name string, args []string) error {
+func (s *Simulation) runCommand(name string, args []string) error {
 	for _, group := range commandGroups() {
 		if run := group[name]; run != nil {
-			return run(sim, args)
+			return run(s, args)
 		}
 	}
 	return fmt.Errorf("%w %s", errUnknownCommand, name)
@@ -60,7 +60,7 @@
 
 // runScript runs the lines of a script and returns its failed expectations and the rules
 // that were violated.
-func (sim *Simulation) runScript(text string) []string {
+func (s *Simulation) runScript(text string) []string {
 	var faults []string
 	last := time.Duration(0)
 	for _, line := range scriptLines(text) {
@@ -73,17 +73,17 @@
 			return []string{fmt.Sprintf("bad time in %q: %v", line, err)}
 		}
 		last = max(last, seconds(at))
-		sim.after(seconds(at), func() {
-			if err := sim.runCommand(words[2], words[3:]); err != nil {
+		s.after(seconds(at), func() {
+			if err := s.runCommand(words[2], words[3:]); err != nil {
 				faults = append(faults, fmt.Sprintf("%s: %v", line, err))
 			}
 		})
 	}
-	sim.Run(last + time.Millisecond)
-	if len(sim.rules.violations) == 0 {
-		faults = append(faults, sim.rules.underserved()...)
+	s.Run(last + time.Millisecond)
+	if len(s.rules.violations) == 0 {
+		faults = append(faults, s.rules.underserved()...)
 	}
-	return append(faults, sim.rules.violations...)
+	return append(faults, s.rules.violations...)
 }
 
 // scriptLines returns the lines of a section, without empty ones and comments.
--- a/internal/simulation/script_commands.go
+++ b/internal/simulation/script_commands.go
@@ -107,9 +107,9 @@
 
 // cutEndpoint returns the endpoint of a cut that a script names: the machine that has a
 // task ("host:TASK"), a controller by its role, or an endpoint as network.cut takes it.
-func (sim *Simulation) cutEndpoint(name string) (string, error) {
+func (s *Simulation) cutEndpoint(name string) (string, error) {
 	if task, ok := strings.CutPrefix(name, "host:"); ok {
-		worker := sim.fleet.hosting(task)
+		worker := s.fleet.hosting(task)
 		if worker == nil {
 			return "", errNoSuchWorker
 		}
@@ -117,7 +117,7 @@
 	}
 	switch name {
 	case "leader", "standby", "other":
-		return sim.controllerNamed(name).label, nil
+		return s.controllerNamed(name).label, nil
 	}
 	return name, nil
 }
