--- a/internal/simulation/service_calls.go
+++ b/internal/simulation/service_calls.go
@@ -20,33 +20,33 @@
 }
 
 // callService runs a request of a controller against a service.
-func (ctrl *controller) callService(call serviceCall) {
-	sim := ctrl.sim
+func (c *controller) callService(call serviceCall) {
+	sim := c.sim
 	if refusal := call.refusal(); refusal != nil {
-		ctrl.deliver(sim.network.latency(), refusal)
+		c.deliver(sim.network.latency(), refusal)
 		return
 	}
 	fate := call.fate()
 	answered := fate.answered && fate.delay < requestTimeout
-	incarnation := ctrl.incarnation
+	incarnation := c.incarnation
 	if fate.runs {
 		sim.after(fate.delay, func() {
 			answer := call.run()
-			if answered && ctrl.incarnation == incarnation {
-				ctrl.deliver(sim.network.latency(), answer)
+			if answered && c.incarnation == incarnation {
+				c.deliver(sim.network.latency(), answer)
 			}
 		})
 	}
 	if !answered {
-		ctrl.deliver(requestTimeout, call.lost)
+		c.deliver(requestTimeout, call.lost)
 	}
 }
 
 // refusedWith returns a function that gives the answer to a request if the state service
 // refuses this controller now, and nil otherwise.
-func (ctrl *controller) refusedWith(refusal core.Input) func() core.Input {
+func (c *controller) refusedWith(refusal core.Input) func() core.Input {
 	return func() core.Input {
-		if ctrl.sim.store.refuses(ctrl) {
+		if c.sim.store.refuses(c) {
 			return refusal
 		}
 		return nil
@@ -54,15 +54,15 @@
 }
 
 // commit sends a transaction to the state service.
-func (ctrl *controller) commit(x core.Commit) {
-	sim := ctrl.sim
+func (c *controller) commit(x core.Commit) {
+	sim := c.sim
 	writes := encodeRecordWrites(x.Writes)
-	ctrl.callService(serviceCall{
-		refusal: ctrl.refusedWith(core.Committed{ID: x.ID, Outcome: core.Refused}),
+	c.callService(serviceCall{
+		refusal: c.refusedWith(core.Committed{ID: x.ID, Outcome: core.Refused}),
 		fate:    func() requestFate { return sim.store.commitFate(len(writes)) },
 		run: func() core.Input {
 			refused := sim.meter.refusedCommits
-			outcome, revision, failed := sim.store.commit(ctrl, x.Conditions, writes)
+			outcome, revision, failed := sim.store.commit(c, x.Conditions, writes)
 			return core.Committed{ID: x.ID, Outcome: outcome, Revision: revision, Failed: failed, Limited: sim.meter.refusedCommits > refused}
 		},
 		lost: core.Committed{ID: x.ID, Outcome: core.Unknown},
@@ -70,13 +70,13 @@
 }
 
 // readJob reads the record of a job from the state service.
-func (ctrl *controller) readJob(x core.ReadJob) {
-	ctrl.callService(serviceCall{
-		refusal: ctrl.refusedWith(core.JobRead{ID: x.ID, Outcome: core.Refused}),
-		fate:    ctrl.sim.store.fate,
+func (c *controller) readJob(x core.ReadJob) {
+	c.callService(serviceCall{
+		refusal: c.refusedWith(core.JobRead{ID: x.ID, Outcome: core.Refused}),
+		fate:    c.sim.store.fate,
 		run: func() core.Input {
 			answer := core.JobRead{ID: x.ID, Outcome: core.NotFound}
-			if record := ctrl.sim.store.records[wire.JobKey(x.JobID)]; record != nil {
+			if record := c.sim.store.records[wire.JobKey(x.JobID)]; record != nil {
 				answer.Outcome, answer.Revision, answer.Job = core.OK, record.revision, new(wire.Job)
 				must(wire.Decode(record.raw, answer.Job))
 			}
@@ -87,12 +87,12 @@
 }
 
 // renewLease makes or renews a lease of the state service.
-func (ctrl *controller) renewLease(x core.RenewLease) {
-	ctrl.callService(serviceCall{
-		refusal: ctrl.refusedWith(core.LeaseAnswered{ID: x.ID, Outcome: core.Refused}),
-		fate:    ctrl.sim.store.fate,
+func (c *controller) renewLease(x core.RenewLease) {
+	c.callService(serviceCall{
+		refusal: c.refusedWith(core.LeaseAnswered{ID: x.ID, Outcome: core.Refused}),
+		fate:    c.sim.store.fate,
 		run: func() core.Input {
-			outcome, id := ctrl.sim.store.renewLease(x.LeaseID, x.TTL)
+			outcome, id := c.sim.store.renewLease(x.LeaseID, x.TTL)
 			return core.LeaseAnswered{ID: x.ID, Outcome: outcome, LeaseID: id}
 		},
 		lost: core.LeaseAnswered{ID: x.ID, Outcome: core.Unknown},
@@ -100,12 +100,12 @@
 }
 
 // callCloud sends a call to the cloud.
-func (ctrl *controller) callCloud(x core.CallCloud) {
-	sim := ctrl.sim
-	sim.leadership.checkCloudCall(ctrl, x)
-	ctrl.callService(serviceCall{
+func (c *controller) callCloud(x core.CallCloud) {
+	sim := c.sim
+	sim.leadership.checkCloudCall(c, x)
+	c.callService(serviceCall{
 		refusal: func() core.Input {
-			if sim.network.isCut(ctrl.endpoint(), cloudEndpoint) {
+			if sim.network.isCut(c.endpoint(), cloudEndpoint) {
 				return core.CloudAnswered{ID: x.ID, Outcome: core.Unknown}
 			}
 			if sim.cloud.outage {
--- a/internal/simulation/settings.go
+++ b/internal/simulation/settings.go
@@ -71,9 +71,9 @@
 
 // maxBatchWrites returns how many writes a controller may batch: its part of one and a half
 // seconds' writes, as the deployed program computes it.
-func (sim *Simulation) maxBatchWrites() int {
-	if sim.WriteRPS <= 0 {
-		return sim.MaxTransactionOps
+func (s *Simulation) maxBatchWrites() int {
+	if s.WriteRPS <= 0 {
+		return s.MaxTransactionOps
 	}
-	return max(2, int(1.5*sim.WriteRPS/float64(len(sim.ControllerZones))))
+	return max(2, int(1.5*s.WriteRPS/float64(len(s.ControllerZones))))
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -79,16 +79,16 @@
 const maxClockDrift = 0.0005
 
 // start starts the controllers and the checks.
-func (sim *Simulation) start() {
-	for _, ctrl := range sim.controllers {
+func (s *Simulation) start() {
+	for _, ctrl := range s.controllers {
 		ctrl.start()
 	}
-	sim.every(ruleCheckInterval, sim.rules.check)
+	s.every(ruleCheckInterval, s.rules.check)
 }
 
 // Run runs the simulation until the given time, or until a rule is violated.
-func (sim *Simulation) Run(until time.Duration) {
-	sim.runUntil(until, func() bool { return len(sim.rules.violations) > 0 })
+func (s *Simulation) Run(until time.Duration) {
+	s.runUntil(until, func() bool { return len(s.rules.violations) > 0 })
 }
 
 // must panics on an error that can't happen unless the simulation itself is wrong.
--- a/internal/simulation/state_records.go
+++ b/internal/simulation/state_records.go
@@ -44,16 +44,16 @@
 }
 
 // revisionOf returns the revision of a record, or 0 if there is none.
-func (store *stateService) revisionOf(key string) uint64 {
-	if record := store.records[key]; record != nil {
+func (s *stateService) revisionOf(key string) uint64 {
+	if record := s.records[key]; record != nil {
 		return record.revision
 	}
 	return 0
 }
 
 // leader returns the claim of the leadership that stands, or nil.
-func (store *stateService) leader() *wire.Leader {
-	record := store.records[wire.LeaderKey]
+func (s *stateService) leader() *wire.Leader {
+	record := s.records[wire.LeaderKey]
 	if record == nil {
 		return nil
 	}
@@ -61,9 +61,9 @@
 }
 
 // shardOwner returns the label of the controller whose claim of a shard stands, or "".
-func (store *stateService) shardOwner(shard string) string {
+func (s *stateService) shardOwner(shard string) string {
 	key := wire.ShardKey(shard)
-	record := store.records[key]
+	record := s.records[key]
 	if record == nil {
 		return ""
 	}
@@ -71,9 +71,9 @@
 }
 
 // countOverflowKeys counts the overflow keys of jobs' records.
-func (store *stateService) countOverflowKeys() int {
+func (s *stateService) countOverflowKeys() int {
 	count := 0
-	for key := range store.records {
+	for key := range s.records {
 		if strings.HasPrefix(key, wire.OverflowPrefix) {
 			count++
 		}
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -79,52 +79,52 @@
 }
 
 // refuses reports whether the service refuses a controller now.
-func (store *stateService) refuses(ctrl *controller) bool {
-	return store.outage || store.refused[ctrl.label] > 0
+func (s *stateService) refuses(ctrl *controller) bool {
+	return s.outage || s.refused[ctrl.label] > 0
 }
 
 // commit carries out a transaction: all writes, if every record has the revision that a
 // condition names, 0 for none. It returns the store's revision, and the keys of the
 // conditions that failed.
-func (store *stateService) commit(ctrl *controller, conditions []core.Condition, writes []recordWrite) (outcome core.Outcome, revision uint64, failed []string) {
-	if store.outage {
+func (s *stateService) commit(ctrl *controller, conditions []core.Condition, writes []recordWrite) (outcome core.Outcome, revision uint64, failed []string) {
+	if s.outage {
 		return core.Refused, 0, nil
 	}
-	store.checkLimits(ctrl, conditions, writes)
-	if !store.takeCredit(len(writes)) {
-		store.sim.meter.refusedCommits++
+	s.checkLimits(ctrl, conditions, writes)
+	if !s.takeCredit(len(writes)) {
+		s.sim.meter.refusedCommits++
 		return core.Refused, 0, nil
 	}
 	for _, write := range writes {
-		if write.leaseID != 0 && store.leases[write.leaseID] == nil {
-			return core.LeaseExpired, store.revision, nil
+		if write.leaseID != 0 && s.leases[write.leaseID] == nil {
+			return core.LeaseExpired, s.revision, nil
 		}
 	}
 	for _, condition := range conditions {
-		if store.revisionOf(condition.Key) != condition.Revision {
+		if s.revisionOf(condition.Key) != condition.Revision {
 			failed = append(failed, condition.Key)
 		}
 	}
 	if len(failed) > 0 {
-		store.sim.leadership.recordConflict(writes)
-		return core.Conflict, store.revision, failed
+		s.sim.leadership.recordConflict(writes)
+		return core.Conflict, s.revision, failed
 	}
 	if len(writes) == 0 {
-		return core.OK, store.revision, nil
+		return core.OK, s.revision, nil
 	}
-	store.revision++
+	s.revision++
 	for _, write := range writes {
-		store.apply(write)
+		s.apply(write)
 	}
-	store.sim.quota.checkCommit(conditions, writes)
-	store.sim.leadership.checkCommit(ctrl, conditions, writes)
-	store.notifyWatches()
-	return core.OK, store.revision, nil
+	s.sim.quota.checkCommit(conditions, writes)
+	s.sim.leadership.checkCommit(ctrl, conditions, writes)
+	s.notifyWatches()
+	return core.OK, s.revision, nil
 }
 
 // checkLimits checks that a transaction keeps the service's limits.
-func (store *stateService) checkLimits(ctrl *controller, conditions []core.Condition, writes []recordWrite) {
-	sim := store.sim
+func (s *stateService) checkLimits(ctrl *controller, conditions []core.Condition, writes []recordWrite) {
+	sim := s.sim
 	if len(writes) > sim.MaxTransactionOps || len(conditions) > conditionsPerOp*sim.MaxTransactionOps {
 		sim.rules.violated("limits", "%s: transaction with %d writes and %d conditions", ctrl.label, len(writes), len(conditions))
 	}
@@ -137,94 +137,94 @@
 
 // takeCredit uses up a number of the writes that the service takes now, or reports false if
 // it takes fewer.
-func (store *stateService) takeCredit(writes int) bool {
-	limit := store.sim.WriteRPS
+func (s *stateService) takeCredit(writes int) bool {
+	limit := s.sim.WriteRPS
 	if limit <= 0 {
 		return true
 	}
-	store.writeCredit = min(limit, store.writeCredit+limit*(store.sim.now-store.writeCreditAt).Seconds())
-	store.writeCreditAt = store.sim.now
-	if store.writeCredit < float64(writes) {
+	s.writeCredit = min(limit, s.writeCredit+limit*(s.sim.now-s.writeCreditAt).Seconds())
+	s.writeCreditAt = s.sim.now
+	if s.writeCredit < float64(writes) {
 		return false
 	}
-	store.writeCredit -= float64(writes)
+	s.writeCredit -= float64(writes)
 	return true
 }
 
 // apply carries out a write at the present revision.
-func (store *stateService) apply(write recordWrite) {
+func (s *stateService) apply(write recordWrite) {
 	begins := write.key == wire.LeaderKey && write.raw != nil &&
-		store.sim.leadership.recordClaim(mustDecodeRecord(write.key, write.raw).(*wire.Leader))
+		s.sim.leadership.recordClaim(mustDecodeRecord(write.key, write.raw).(*wire.Leader))
 	if write.raw == nil {
-		if store.records[write.key] == nil {
+		if s.records[write.key] == nil {
 			return
 		}
-		delete(store.records, write.key)
+		delete(s.records, write.key)
 	} else {
-		store.records[write.key] = &storedRecord{raw: write.raw, revision: store.revision, leaseID: write.leaseID}
+		s.records[write.key] = &storedRecord{raw: write.raw, revision: s.revision, leaseID: write.leaseID}
 	}
 	if begins {
-		store.leaderChanges++
-		store.leaderSince = store.sim.now
-		store.sim.replays.deliverRetained()
+		s.leaderChanges++
+		s.leaderSince = s.sim.now
+		s.sim.replays.deliverRetained()
 	}
 	if strings.HasPrefix(write.key, wire.ShardPrefix) && write.raw != nil {
-		store.shardClaims++
+		s.shardClaims++
 	}
-	store.changes = append(store.changes, recordChange{write.key, write.raw, store.revision})
+	s.changes = append(s.changes, recordChange{write.key, write.raw, s.revision})
 }
 
 // overwrite writes a key from outside the controllers.
-func (store *stateService) overwrite(key string, raw []byte) {
-	store.revision++
+func (s *stateService) overwrite(key string, raw []byte) {
+	s.revision++
 	write := recordWrite{key: key, raw: raw}
-	store.apply(write)
-	store.sim.quota.checkCommit(nil, []recordWrite{write})
-	store.notifyWatches()
+	s.apply(write)
+	s.sim.quota.checkCommit(nil, []recordWrite{write})
+	s.notifyWatches()
 }
 
 // renewLease renews a lease, or makes one if the id is 0, and returns the id of a new one.
-func (store *stateService) renewLease(id uint64, ttl time.Duration) (core.Outcome, uint64) {
-	if store.outage {
+func (s *stateService) renewLease(id uint64, ttl time.Duration) (core.Outcome, uint64) {
+	if s.outage {
 		return core.Refused, 0
 	}
 	if id == 0 {
-		store.lastLeaseID++
-		store.leases[store.lastLeaseID] = &storedLease{ttl: ttl, expiresAt: store.sim.now + ttl}
-		return core.OK, store.lastLeaseID
+		s.lastLeaseID++
+		s.leases[s.lastLeaseID] = &storedLease{ttl: ttl, expiresAt: s.sim.now + ttl}
+		return core.OK, s.lastLeaseID
 	}
-	lease := store.leases[id]
+	lease := s.leases[id]
 	if lease == nil {
 		return core.NotFound, 0
 	}
-	lease.expiresAt = store.sim.now + lease.ttl
+	lease.expiresAt = s.sim.now + lease.ttl
 	return core.OK, 0
 }
 
 // expireLeases deletes the records of the leases that have expired.
-func (store *stateService) expireLeases() {
-	if store.outage {
+func (s *stateService) expireLeases() {
+	if s.outage {
 		return
 	}
 	changed := false
-	for id := uint64(1); id <= store.lastLeaseID; id++ {
-		lease := store.leases[id]
-		if lease == nil || store.sim.now < lease.expiresAt {
+	for id := uint64(1); id <= s.lastLeaseID; id++ {
+		lease := s.leases[id]
+		if lease == nil || s.sim.now < lease.expiresAt {
 			continue
 		}
-		delete(store.leases, id)
-		for _, key := range sortedKeys(store.records) {
-			if store.records[key].leaseID != id {
+		delete(s.leases, id)
+		for _, key := range sortedKeys(s.records) {
+			if s.records[key].leaseID != id {
 				continue
 			}
 			if !changed {
-				store.revision++
+				s.revision++
 				changed = true
 			}
-			store.apply(recordWrite{key: key})
+			s.apply(recordWrite{key: key})
 		}
 	}
 	if changed {
-		store.notifyWatches()
+		s.notifyWatches()
 	}
 }
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -91,13 +91,13 @@
 }
 
 // submitLine makes a user submit a job: its id and attributes.
-func (users *userSet) submitLine(args []string) error {
+func (u *userSet) submitLine(args []string) error {
 	job := newSubmission(args[0])
 	for _, attribute := range args[1:] {
 		if err := job.setAttribute(attribute); err != nil {
 			return err
 		}
 	}
-	users.submit(job)
+	u.submit(job)
 	return nil
 }
--- a/internal/simulation/timed_value.go
+++ b/internal/simulation/timed_value.go
@@ -9,12 +9,12 @@
 }
 
 // setFor sets a share or factor for d.
-func (sim *Simulation) setFor(v *timedValue, value float64, d time.Duration) {
-	*v = timedValue{value, sim.now + d}
+func (s *Simulation) setFor(v *timedValue, value float64, d time.Duration) {
+	*v = timedValue{value, s.now + d}
 }
 
 // draw reports true with the probability that a share gives while it holds. It draws no
 // random number once the share has expired.
-func (sim *Simulation) draw(share timedValue) bool {
-	return sim.now < share.until && sim.rng.Float64() < share.value
+func (s *Simulation) draw(share timedValue) bool {
+	return s.now < share.until && s.rng.Float64() < share.value
 }
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -34,8 +34,8 @@
 }
 
 // submissionBody returns the body of the job's submission.
-func (user *simUser) submissionBody() []byte {
-	spec := &user.spec
+func (u *simUser) submissionBody() []byte {
+	spec := &u.spec
 	fields := map[string]any{
 		"ref": spec.ID, "job_class": spec.Class, "studio": spec.Team, "shape": spec.Shape, "urgency": spec.Priority,
 		"frames": spec.TaskCount, "cores": spec.Cores, "cards": spec.GPUs, "memory_gb": spec.MemoryGB, "toolkit": spec.Image,
@@ -60,59 +60,59 @@
 }
 
 // submit submits the job, repeatedly until it is accepted.
-func (user *simUser) submit() { user.sendSubmission(user.sim.now, user.submissionBody()) }
+func (u *simUser) submit() { u.sendSubmission(u.sim.now, u.submissionBody()) }
 
 // sendSubmission submits a body, repeatedly until it is accepted, refused for good, or was
 // first sent too long ago.
-func (user *simUser) sendSubmission(firstAt time.Duration, body []byte) {
-	askedAt := user.sim.now
-	user.sim.users.request(wire.RequestSubmit, user.spec.ID, body, changeTimeout, func(reply core.Reply) {
-		user.submitCodes = append(user.submitCodes, reply.Status)
+func (u *simUser) sendSubmission(firstAt time.Duration, body []byte) {
+	askedAt := u.sim.now
+	u.sim.users.request(wire.RequestSubmit, u.spec.ID, body, changeTimeout, func(reply core.Reply) {
+		u.submitCodes = append(u.submitCodes, reply.Status)
 		switch reply.Status {
 		case http.StatusOK, http.StatusCreated:
-			user.accepted = true
-			user.lastAnsweredAt = user.sim.now
-			user.checkStatus(askedAt, reply)
+			u.accepted = true
+			u.lastAnsweredAt = u.sim.now
+			u.checkStatus(askedAt, reply)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			if user.accepted {
-				user.sim.rules.violated("forgotten", "%s: repeat got %d", user.spec.ID, reply.Status)
+			if u.accepted {
+				u.sim.rules.violated("forgotten", "%s: repeat got %d", u.spec.ID, reply.Status)
 			}
 		default:
-			if user.sim.now-firstAt < submitAttempts {
-				user.sim.after(retryDelay, func() { user.sendSubmission(firstAt, body) })
+			if u.sim.now-firstAt < submitAttempts {
+				u.sim.after(retryDelay, func() { u.sendSubmission(firstAt, body) })
 			}
 		}
 	})
 }
 
 // poll asks for the job's status, once the job is accepted.
-func (user *simUser) poll() {
-	if !user.accepted {
+func (u *simUser) poll() {
+	if !u.accepted {
 		return
 	}
-	askedAt := user.sim.now
-	user.sim.users.request(wire.RequestStatus, user.spec.ID, nil, statusTimeout, func(reply core.Reply) {
-		user.lastCode = reply.Status
+	askedAt := u.sim.now
+	u.sim.users.request(wire.RequestStatus, u.spec.ID, nil, statusTimeout, func(reply core.Reply) {
+		u.lastCode = reply.Status
 		switch reply.Status {
 		case http.StatusOK:
-			user.lastAnsweredAt = user.sim.now
-			user.checkStatus(askedAt, reply)
+			u.lastAnsweredAt = u.sim.now
+			u.checkStatus(askedAt, reply)
 		case http.StatusNotFound:
-			user.sim.rules.violated("forgotten", "%s: 404 after it was accepted", user.spec.ID)
+			u.sim.rules.violated("forgotten", "%s: 404 after it was accepted", u.spec.ID)
 		}
 	})
 }
 
 // requestAt sends a request about the accepted job to a controller.
-func (user *simUser) requestAt(ctrl *controller, kind wire.RequestKind, body []byte) {
-	askedAt := user.sim.now
-	user.sim.users.requestAt(ctrl, kind, user.spec.ID, body, statusTimeout, func(reply core.Reply) {
+func (u *simUser) requestAt(ctrl *controller, kind wire.RequestKind, body []byte) {
+	askedAt := u.sim.now
+	u.sim.users.requestAt(ctrl, kind, u.spec.ID, body, statusTimeout, func(reply core.Reply) {
 		switch reply.Status {
 		case http.StatusOK, http.StatusCreated:
-			user.lastAnsweredAt = user.sim.now
-			user.checkStatus(askedAt, reply)
+			u.lastAnsweredAt = u.sim.now
+			u.checkStatus(askedAt, reply)
 		case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
-			user.sim.rules.violated("forgotten", "%s: %s got %d after it was accepted", user.spec.ID, kind, reply.Status)
+			u.sim.rules.violated("forgotten", "%s: %s got %d after it was accepted", u.spec.ID, kind, reply.Status)
 		}
 	})
 }
@@ -124,7 +124,7 @@
 
 // checkStatus checks an answer against what the user was told before. One that was asked
 // for before the last one came may be older, and is ignored.
-func (user *simUser) checkStatus(askedAt time.Duration, reply core.Reply) {
+func (u *simUser) checkStatus(askedAt time.Duration, reply core.Reply) {
 	var answer wire.JobStatus
 	switch body := reply.Body.(type) {
 	case wire.JobStatus:
@@ -132,47 +132,47 @@
 	case []byte:
 		must(wire.Decode(body, &answer))
 	}
-	if askedAt < user.lastStatusAt {
+	if askedAt < u.lastStatusAt {
 		return
 	}
-	user.lastReply = answer
-	status, last := answer.Status, user.lastStatus
+	u.lastReply = answer
+	status, last := answer.Status, u.lastStatus
 	if last == "" || isFinal(status) && status != last {
-		defer user.pollClosely()
+		defer u.pollClosely()
 	}
 	if isFinal(last) && status != last {
-		user.sim.rules.violated("went_back", "%s: %s after %s", user.spec.ID, status, last)
+		u.sim.rules.violated("went_back", "%s: %s after %s", u.spec.ID, status, last)
 	}
 	switch status {
 	case wire.StatusCancelled:
 		requested := func(dependency *simUser) bool { return dependency.cancelRequested }
-		if !user.cancelRequested && user.findDependency(requested) == nil {
-			user.sim.rules.violated("went_back", "%s: cancelled without a request", user.spec.ID)
+		if !u.cancelRequested && u.findDependency(requested) == nil {
+			u.sim.rules.violated("went_back", "%s: cancelled without a request", u.spec.ID)
 		}
 	case wire.StatusDone:
-		if !user.allTasksDone() {
-			user.sim.rules.violated("not_done", "%s: called done, and not all of its tasks are", user.spec.ID)
+		if !u.allTasksDone() {
+			u.sim.rules.violated("not_done", "%s: called done, and not all of its tasks are", u.spec.ID)
 		}
 	default:
-		user.checkOrphaned(askedAt, status)
+		u.checkOrphaned(askedAt, status)
 	}
-	user.lastStatus, user.lastStatusAt = status, user.sim.now
+	u.lastStatus, u.lastStatusAt = status, u.sim.now
 }
 
 // checkOrphaned checks that no dependency of an unfinished job was cancelled too long ago.
-func (user *simUser) checkOrphaned(askedAt time.Duration, status string) {
-	dependency := user.findDependency(func(dependency *simUser) bool {
-		return dependency.cancelledAt > 0 && askedAt-dependency.cancelledAt > user.sim.CancelDeadline
+func (u *simUser) checkOrphaned(askedAt time.Duration, status string) {
+	dependency := u.findDependency(func(dependency *simUser) bool {
+		return dependency.cancelledAt > 0 && askedAt-dependency.cancelledAt > u.sim.CancelDeadline
 	})
 	if dependency != nil {
-		user.sim.rules.violated("orphaned", "%s: %s, though %s was cancelled %v ago", user.spec.ID, status, dependency.spec.ID, user.sim.now-dependency.cancelledAt)
+		u.sim.rules.violated("orphaned", "%s: %s, though %s was cancelled %v ago", u.spec.ID, status, dependency.spec.ID, u.sim.now-dependency.cancelledAt)
 	}
 }
 
 // allTasksDone reports whether all tasks of the job have done their work.
-func (user *simUser) allTasksDone() bool {
-	for i := range user.spec.TaskCount {
-		if !user.sim.users.completedTasks[wire.TaskName(user.spec.ID, i)] {
+func (u *simUser) allTasksDone() bool {
+	for i := range u.spec.TaskCount {
+		if !u.sim.users.completedTasks[wire.TaskName(u.spec.ID, i)] {
 			return false
 		}
 	}
@@ -180,8 +180,8 @@
 }
 
 // eachActiveTask calls a function for each task that is on a machine and has not exited.
-func (user *simUser) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
-	for _, task := range user.tasks {
+func (u *simUser) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
+	for _, task := range u.tasks {
 		if task.state != wire.TaskExited && !task.worker.terminated {
 			visit(task.worker, task)
 		}
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -16,10 +16,10 @@
 // cancelRunning makes the users of some jobs that will run for long cancel them within a
 // fifth of a second, and workers that have their tasks hang for a while. Only jobs whose
 // ids begin with prefix are meant.
-func (users *userSet) cancelRunning(count int, hang time.Duration, prefix string) {
-	sim := users.sim
+func (u *userSet) cancelRunning(count int, hang time.Duration, prefix string) {
+	sim := u.sim
 	var long []*simUser
-	for _, user := range users.ordered {
+	for _, user := range u.ordered {
 		if user.accepted && !user.cancelRequested && strings.HasPrefix(user.spec.ID, prefix) && user.runsForLong() {
 			long = append(long, user)
 		}
@@ -27,7 +27,7 @@
 	sim.rng.Shuffle(len(long), func(i, k int) { long[i], long[k] = long[k], long[i] })
 	hung := 0
 	for _, user := range long[:min(count, len(long))] {
-		sim.after(time.Duration(sim.rng.IntN(200))*time.Millisecond, func() { users.cancel(user.spec.ID) })
+		sim.after(time.Duration(sim.rng.IntN(200))*time.Millisecond, func() { u.cancel(user.spec.ID) })
 		user.eachActiveTask(func(worker *simWorker, _ *simTask) {
 			if hang > 0 && hung < maxHungAtCancel && !worker.hung {
 				hung++
@@ -38,25 +38,25 @@
 }
 
 // runsForLong reports whether a task of the job runs and has long to go.
-func (user *simUser) runsForLong() bool {
+func (u *simUser) runsForLong() bool {
 	long := false
-	user.eachActiveTask(func(_ *simWorker, task *simTask) {
-		remaining := task.stateSince + user.runtime - user.sim.now
-		long = long || task.state == wire.TaskRunning && (user.spec.Shape == wire.ShapeDaemon || remaining > longRemaining)
+	u.eachActiveTask(func(_ *simWorker, task *simTask) {
+		remaining := task.stateSince + u.runtime - u.sim.now
+		long = long || task.state == wire.TaskRunning && (u.spec.Shape == wire.ShapeDaemon || remaining > longRemaining)
 	})
 	return long
 }
 
 // maybeCancelAtEnd makes some users cancel their job at the moment at which its last task
 // ends.
-func (users *userSet) maybeCancelAtEnd(user *simUser) {
-	sim := users.sim
-	if sim.now >= users.cancelAtEnd.until || user.cancelRequested || !user.allTasksDone() || !sim.draw(users.cancelAtEnd) {
+func (u *userSet) maybeCancelAtEnd(user *simUser) {
+	sim := u.sim
+	if sim.now >= u.cancelAtEnd.until || user.cancelRequested || !user.allTasksDone() || !sim.draw(u.cancelAtEnd) {
 		return
 	}
 	sim.after(time.Duration(sim.rng.IntN(1500))*time.Millisecond, func() {
 		if !user.cancelRequested {
-			users.cancel(user.spec.ID)
+			u.cancel(user.spec.ID)
 		}
 	})
 }
@@ -64,20 +64,20 @@
 // pollClosely polls all controllers again and again within milliseconds, repeats the
 // submission, and cancels some of the jobs that nextBulkID named at once, if users do so
 // now. checkStatus judges the answers.
-func (user *simUser) pollClosely() {
-	sim := user.sim
+func (u *simUser) pollClosely() {
+	sim := u.sim
 	if sim.now >= sim.users.closePollingUntil {
 		return
 	}
 	for i := range 3 {
 		for _, ctrl := range sim.controllers {
-			sim.after(time.Duration(i*4000+sim.rng.IntN(4000))*time.Microsecond, func() { user.requestAt(ctrl, wire.RequestStatus, nil) })
+			sim.after(time.Duration(i*4000+sim.rng.IntN(4000))*time.Microsecond, func() { u.requestAt(ctrl, wire.RequestStatus, nil) })
 		}
 	}
 	sim.after(time.Duration(sim.rng.IntN(5000))*time.Microsecond, func() {
-		user.requestAt(sim.randomController(), wire.RequestSubmit, user.submissionBody())
+		u.requestAt(sim.randomController(), wire.RequestSubmit, u.submissionBody())
 	})
-	if user.lastStatus != wire.StatusDone && !user.cancelRequested && strings.HasPrefix(user.spec.ID, bulkIDPrefix) && sim.rng.IntN(6) == 0 {
-		sim.after(time.Duration(sim.rng.IntN(8000))*time.Microsecond, func() { sim.users.cancel(user.spec.ID) })
+	if u.lastStatus != wire.StatusDone && !u.cancelRequested && strings.HasPrefix(u.spec.ID, bulkIDPrefix) && sim.rng.IntN(6) == 0 {
+		sim.after(time.Duration(sim.rng.IntN(8000))*time.Microsecond, func() { sim.users.cancel(u.spec.ID) })
 	}
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -35,60 +35,60 @@
 const bulkIDPrefix = "wk-9"
 
 // nextBulkID returns a new id for one of many jobs.
-func (users *userSet) nextBulkID() string {
-	jobID := fmt.Sprintf("wk-%06d", 900000+users.bulkCount)
-	users.bulkCount++
+func (u *userSet) nextBulkID() string {
+	jobID := fmt.Sprintf("wk-%06d", 900000+u.bulkCount)
+	u.bulkCount++
 	return jobID
 }
 
 // submit makes a user submit a job, repeatedly until it is accepted, and ask for its status
 // from then on.
-func (users *userSet) submit(job *submission) {
-	user := &simUser{sim: users.sim, spec: job.spec, runtime: job.runtime, alwaysFails: job.alwaysFails, pinnedTo: job.pinnedTo, submittedAt: users.sim.now}
-	users.byJob[job.spec.ID] = user
-	users.ordered = append(users.ordered, user)
+func (u *userSet) submit(job *submission) {
+	user := &simUser{sim: u.sim, spec: job.spec, runtime: job.runtime, alwaysFails: job.alwaysFails, pinnedTo: job.pinnedTo, submittedAt: u.sim.now}
+	u.byJob[job.spec.ID] = user
+	u.ordered = append(u.ordered, user)
 	user.submit()
-	users.sim.every(pollInterval, user.poll)
+	u.sim.every(pollInterval, user.poll)
 }
 
 // cancel makes a job's user cancel it, repeatedly until that is confirmed.
-func (users *userSet) cancel(jobID string) {
-	user := users.byJob[jobID]
+func (u *userSet) cancel(jobID string) {
+	user := u.byJob[jobID]
 	user.cancelRequested = true
-	askedAt := users.sim.now
-	users.request(wire.RequestCancel, jobID, nil, changeTimeout, func(reply core.Reply) {
+	askedAt := u.sim.now
+	u.request(wire.RequestCancel, jobID, nil, changeTimeout, func(reply core.Reply) {
 		if reply.Status != http.StatusOK {
-			users.sim.after(retryDelay, func() { users.cancel(jobID) })
+			u.sim.after(retryDelay, func() { u.cancel(jobID) })
 			return
 		}
 		user.checkStatus(askedAt, reply)
 		if user.lastStatus == wire.StatusCancelled && user.cancelledAt == 0 {
-			user.cancelledAt = users.sim.now
+			user.cancelledAt = u.sim.now
 		}
 	})
 }
 
 // pollAll makes every user ask for the job's status a number of times within a second.
-func (users *userSet) pollAll(count int) {
+func (u *userSet) pollAll(count int) {
 	for i := range count {
-		for _, user := range users.ordered {
-			users.sim.after(time.Duration(i)*time.Second/time.Duration(count), user.poll)
+		for _, user := range u.ordered {
+			u.sim.after(time.Duration(i)*time.Second/time.Duration(count), user.poll)
 		}
 	}
 }
 
 // request sends a request to the controller that the job's user is pinned to, or to any.
 // Receive is called once, with status 0 if no answer comes in time.
-func (users *userSet) request(kind wire.RequestKind, jobID string, body []byte, timeout time.Duration, receive func(core.Reply)) {
-	ctrl := users.sim.randomController()
-	if user := users.byJob[jobID]; user != nil && user.pinnedTo >= 0 {
-		ctrl = users.sim.controllers[user.pinnedTo]
+func (u *userSet) request(kind wire.RequestKind, jobID string, body []byte, timeout time.Duration, receive func(core.Reply)) {
+	ctrl := u.sim.randomController()
+	if user := u.byJob[jobID]; user != nil && user.pinnedTo >= 0 {
+		ctrl = u.sim.controllers[user.pinnedTo]
 	}
-	users.requestAt(ctrl, kind, jobID, body, timeout, receive)
+	u.requestAt(ctrl, kind, jobID, body, timeout, receive)
 }
 
 // requestAt is request for a controller.
-func (users *userSet) requestAt(ctrl *controller, kind wire.RequestKind, jobID string, body []byte, timeout time.Duration, receive func(core.Reply)) {
+func (u *userSet) requestAt(ctrl *controller, kind wire.RequestKind, jobID string, body []byte, timeout time.Duration, receive func(core.Reply)) {
 	answered := false
 	receiveOnce := func(reply core.Reply) {
 		if !answered {
@@ -96,7 +96,7 @@
 			receive(reply)
 		}
 	}
-	users.sim.after(timeout, func() { receiveOnce(core.Reply{}) })
+	u.sim.after(timeout, func() { receiveOnce(core.Reply{}) })
 	if ctrl.running {
 		ctrl.request(func(requestID uint64) core.Input {
 			return core.UserRequest{RequestID: requestID, Kind: kind, JobID: jobID, Body: body}
@@ -107,8 +107,8 @@
 // eachActiveTask calls a function for each task that is on a machine and has not exited, in
 // a fixed order. Tasks that still fetch their image count, which is stricter than the
 // protocol.
-func (users *userSet) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
-	for _, user := range users.ordered {
+func (u *userSet) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
+	for _, user := range u.ordered {
 		user.eachActiveTask(visit)
 	}
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -35,65 +35,65 @@
 const workerLoopInterval = 500 * time.Millisecond
 
 // endpoint returns the worker as a party of the network.
-func (worker *simWorker) endpoint() endpoint {
-	return endpoint{worker.machine.Name, worker.machine.Zone}
+func (w *simWorker) endpoint() endpoint {
+	return endpoint{w.machine.Name, w.machine.Zone}
 }
 
 // loop runs the worker until its machine is gone.
-func (worker *simWorker) loop() {
-	worker.sim.after(workerLoopInterval, func() {
-		if worker.terminated {
+func (w *simWorker) loop() {
+	w.sim.after(workerLoopInterval, func() {
+		if w.terminated {
 			return
 		}
-		worker.checkLease()
-		interval := time.Duration(float64(worker.sim.HeartbeatInterval) * (0.75 + 0.5*worker.sim.rng.Float64()))
-		if !worker.hung && !worker.awaitingReply && (worker.heartbeatDue || worker.sim.now-worker.lastHeartbeatAt >= interval) {
-			worker.sendHeartbeat()
+		w.checkLease()
+		interval := time.Duration(float64(w.sim.HeartbeatInterval) * (0.75 + 0.5*w.sim.rng.Float64()))
+		if !w.hung && !w.awaitingReply && (w.heartbeatDue || w.sim.now-w.lastHeartbeatAt >= interval) {
+			w.sendHeartbeat()
 		}
-		worker.loop()
+		w.loop()
 	})
 }
 
 // checkLease begins a new epoch if the lease has expired.
-func (worker *simWorker) checkLease() {
-	if time.Duration(float64(worker.sim.now-worker.renewedAt)*worker.clockRate) > worker.sim.WorkerLease {
-		worker.beginEpoch()
+func (w *simWorker) checkLease() {
+	if time.Duration(float64(w.sim.now-w.renewedAt)*w.clockRate) > w.sim.WorkerLease {
+		w.beginEpoch()
 	}
 }
 
 // beginEpoch ends all tasks and begins a new epoch.
-func (worker *simWorker) beginEpoch() {
-	worker.dropTasks()
-	worker.epoch++
-	worker.renewedAt = worker.sim.now
-	worker.abandonHeartbeat()
+func (w *simWorker) beginEpoch() {
+	w.dropTasks()
+	w.epoch++
+	w.renewedAt = w.sim.now
+	w.abandonHeartbeat()
 }
 
 // abandonHeartbeat makes the worker wait no longer for the reply to its last heartbeat.
-func (worker *simWorker) abandonHeartbeat() {
-	worker.awaitingReply = false
-	worker.heartbeatID++
+func (w *simWorker) abandonHeartbeat() {
+	w.awaitingReply = false
+	w.heartbeatID++
 }
 
 // dropTasks loses all tasks.
-func (worker *simWorker) dropTasks() {
-	for _, key := range sortedKeys(worker.tasks) {
-		worker.removeTask(key)
+func (w *simWorker) dropTasks() {
+	for _, key := range sortedKeys(w.tasks) {
+		w.removeTask(key)
 	}
 }
 
 // addTask adds a task under its attemptName.
-func (worker *simWorker) addTask(key string, task *simTask) {
-	worker.tasks[key] = task
+func (w *simWorker) addTask(key string, task *simTask) {
+	w.tasks[key] = task
 	if task.user != nil {
 		task.user.tasks = append(task.user.tasks, task)
 	}
 }
 
 // removeTask removes a task by its attemptName.
-func (worker *simWorker) removeTask(key string) {
-	task := worker.tasks[key]
-	delete(worker.tasks, key)
+func (w *simWorker) removeTask(key string) {
+	task := w.tasks[key]
+	delete(w.tasks, key)
 	if task.user != nil {
 		task.user.tasks = slices.DeleteFunc(task.user.tasks, func(other *simTask) bool { return other == task })
 	}
--- a/internal/simulation/worker_commands.go
+++ b/internal/simulation/worker_commands.go
@@ -16,30 +16,30 @@
 
 // sendCommands sends commands to a worker's address. What is held back or late may be
 // carried out long after the sender has given up, and twice.
-func (ctrl *controller) sendCommands(x core.SendCommands) {
-	sim := ctrl.sim
+func (c *controller) sendCommands(x core.SendCommands) {
+	sim := c.sim
 	worker := sim.fleet.atAddress(x.Address)
 	if worker == nil || worker.terminated || sim.now < worker.inboundCutUntil {
-		ctrl.answerCommands(connectionRefused, x, core.Refused)
+		c.answerCommands(connectionRefused, x, core.Refused)
 		return
 	}
-	isCut := func() bool { return sim.network.isCut(worker.endpoint(), ctrl.endpoint()) }
+	isCut := func() bool { return sim.network.isCut(worker.endpoint(), c.endpoint()) }
 	if !isCut() {
-		ctrl.deliverCommands(worker, x)
+		c.deliverCommands(worker, x)
 		return
 	}
-	if !sim.network.isHeld(worker.endpoint(), ctrl.endpoint()) || sim.rng.IntN(2) == 0 {
-		ctrl.answerCommands(connectionRefused, x, core.Refused)
+	if !sim.network.isHeld(worker.endpoint(), c.endpoint()) || sim.rng.IntN(2) == 0 {
+		c.answerCommands(connectionRefused, x, core.Refused)
 		return
 	}
 	// The connection stood already when the cut began.
-	ctrl.answerCommands(commandTimeout, x, core.Unknown)
+	c.answerCommands(commandTimeout, x, core.Unknown)
 	worker.acceptCommands(x.Batch, isCut, ignoreOutcome)
 }
 
 // answerCommands delivers the outcome of commands to the controller after a delay.
-func (ctrl *controller) answerCommands(d time.Duration, x core.SendCommands, outcome core.Outcome) {
-	ctrl.deliver(d, core.CommandsAnswered{ID: x.ID, Outcome: outcome})
+func (c *controller) answerCommands(d time.Duration, x core.SendCommands, outcome core.Outcome) {
+	c.deliver(d, core.CommandsAnswered{ID: x.ID, Outcome: outcome})
 }
 
 // ignoreOutcome is given the outcome of commands whose sender does not wait for it.
@@ -47,16 +47,16 @@
 
 // deliverCommands delivers commands to a worker that the controller reaches, as the network
 // has it.
-func (ctrl *controller) deliverCommands(worker *simWorker, x core.SendCommands) {
-	sim, fate := ctrl.sim, ctrl.sim.network.fate()
-	incarnation, answered := ctrl.incarnation, false
-	waits := func() bool { return !answered && ctrl.incarnation == incarnation }
+func (c *controller) deliverCommands(worker *simWorker, x core.SendCommands) {
+	sim, fate := c.sim, c.sim.network.fate()
+	incarnation, answered := c.incarnation, false
+	waits := func() bool { return !answered && c.incarnation == incarnation }
 	if fate.runs {
 		sim.after(fate.delay, func() {
 			worker.acceptCommands(x.Batch, nil, func(outcome core.Outcome) {
 				if fate.answered && waits() {
 					answered = true
-					ctrl.answerCommands(sim.network.latency(), x, outcome)
+					c.answerCommands(sim.network.latency(), x, outcome)
 				}
 			})
 		})
@@ -67,7 +67,7 @@
 	sim.after(commandTimeout, func() {
 		if waits() {
 			answered = true
-			ctrl.answerCommands(0, x, core.Unknown)
+			c.answerCommands(0, x, core.Unknown)
 		}
 	})
 }
@@ -75,41 +75,41 @@
 // acceptCommands carries out commands that came to the worker's address, once it runs and
 // nothing holds them back any more. Done is given the outcome; it is not called if the
 // machine is gone.
-func (worker *simWorker) acceptCommands(batch wire.CommandBatch, held func() bool, done func(core.Outcome)) {
-	if worker.terminated {
+func (w *simWorker) acceptCommands(batch wire.CommandBatch, held func() bool, done func(core.Outcome)) {
+	if w.terminated {
 		return
 	}
-	if worker.hung || held != nil && held() {
-		worker.sim.after(commandRetry, func() { worker.acceptCommands(batch, held, done) })
+	if w.hung || held != nil && held() {
+		w.sim.after(commandRetry, func() { w.acceptCommands(batch, held, done) })
 		return
 	}
-	worker.checkLease()
-	if batch.Token < worker.token || batch.Epoch != worker.epoch {
+	w.checkLease()
+	if batch.Token < w.token || batch.Epoch != w.epoch {
 		done(core.Conflict)
 		return
 	}
-	worker.token = batch.Token
+	w.token = batch.Token
 	for _, command := range batch.Commands {
-		worker.execute(command)
+		w.execute(command)
 	}
-	worker.sequence++ // its answer shows what it does, as a heartbeat would
+	w.sequence++ // its answer shows what it does, as a heartbeat would
 	done(core.OK)
 }
 
 // execute carries out one command.
-func (worker *simWorker) execute(command wire.Command) {
+func (w *simWorker) execute(command wire.Command) {
 	jobID, index, err := wire.SplitTaskName(command.Task)
 	must(err)
 	key := attemptName(command.Task, command.Attempt)
-	task := worker.tasks[key]
+	task := w.tasks[key]
 	switch {
 	case command.Op == wire.CommandStart && task == nil:
-		worker.startTask(key, &simTask{user: worker.sim.users.byJob[jobID], worker: worker, jobID: jobID, index: index,
-			attempt: command.Attempt, state: wire.TaskFetching, stateSince: worker.sim.now})
+		w.startTask(key, &simTask{user: w.sim.users.byJob[jobID], worker: w, jobID: jobID, index: index,
+			attempt: command.Attempt, state: wire.TaskFetching, stateSince: w.sim.now})
 	case command.Op == wire.CommandKill && task != nil && task.state != wire.TaskExited:
-		worker.killTask(task, command.GraceS)
+		w.killTask(task, command.GraceS)
 	case command.Op == wire.CommandClear && task != nil && task.state == wire.TaskExited:
-		worker.removeTask(key)
-		worker.heartbeatDue = true
+		w.removeTask(key)
+		w.heartbeatDue = true
 	}
 }
--- a/internal/simulation/worker_heartbeat.go
+++ b/internal/simulation/worker_heartbeat.go
@@ -15,19 +15,19 @@
 )
 
 // newHeartbeat returns a heartbeat of the worker as it is now.
-func (worker *simWorker) newHeartbeat() *wire.WorkerHeartbeat {
-	worker.sequence++
-	machine := worker.machine
+func (w *simWorker) newHeartbeat() *wire.WorkerHeartbeat {
+	w.sequence++
+	machine := w.machine
 	heartbeat := &wire.WorkerHeartbeat{
 		Machine: machine.Name, Addr: machine.Addr, MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot,
-		Epoch: worker.epoch, Sequence: worker.sequence, Token: worker.token,
+		Epoch: w.epoch, Sequence: w.sequence, Token: w.token,
 	}
-	if worker.reclaimAt > 0 {
-		left := (worker.reclaimAt - worker.sim.now).Seconds()
+	if w.reclaimAt > 0 {
+		left := (w.reclaimAt - w.sim.now).Seconds()
 		heartbeat.ReclaimS = &left
 	}
-	for _, key := range sortedKeys(worker.tasks) {
-		heartbeat.Tasks = append(heartbeat.Tasks, worker.tasks[key].status())
+	for _, key := range sortedKeys(w.tasks) {
+		heartbeat.Tasks = append(heartbeat.Tasks, w.tasks[key].status())
 	}
 	return heartbeat
 }
@@ -43,24 +43,24 @@
 }
 
 // sendHeartbeat sends a heartbeat to the worker's controller.
-func (worker *simWorker) sendHeartbeat() {
-	sim := worker.sim
-	worker.awaitingReply, worker.heartbeatDue, worker.lastHeartbeatAt = true, false, sim.now
+func (w *simWorker) sendHeartbeat() {
+	sim := w.sim
+	w.awaitingReply, w.heartbeatDue, w.lastHeartbeatAt = true, false, sim.now
 	sim.meter.heartbeats++
-	worker.heartbeatID++
+	w.heartbeatID++
 	pending := &pendingHeartbeat{
-		worker: worker, recipient: sim.controllers[worker.controllerIndex], message: worker.newHeartbeat(),
-		id: worker.heartbeatID, epoch: worker.epoch, sentAt: sim.now,
+		worker: w, recipient: sim.controllers[w.controllerIndex], message: w.newHeartbeat(),
+		id: w.heartbeatID, epoch: w.epoch, sentAt: sim.now,
 	}
 	sim.after(heartbeatTimeout, func() {
-		if worker.heartbeatID == pending.id && worker.awaitingReply {
+		if w.heartbeatID == pending.id && w.awaitingReply {
 			pending.tryNextController()
 		}
 	})
 	switch {
-	case sim.now < worker.outboundCutUntil:
+	case sim.now < w.outboundCutUntil:
 	case pending.isCut():
-		if sim.network.isHeld(worker.endpoint(), pending.recipient.endpoint()) {
+		if sim.network.isHeld(w.endpoint(), pending.recipient.endpoint()) {
 			sim.after(time.Second, pending.deliverAfterCut)
 		}
 	case sim.network.loses(sim.rng):
@@ -72,91 +72,91 @@
 }
 
 // deliver delivers the heartbeat, and perhaps copies of it to any controller.
-func (pending *pendingHeartbeat) deliver() {
-	sim := pending.worker.sim
-	sim.replays.observe(pending.message)
+func (p *pendingHeartbeat) deliver() {
+	sim := p.worker.sim
+	sim.replays.observe(p.message)
 	if sim.now < sim.network.duplicateUntil {
 		ctrl := sim.randomController()
-		sim.after(sim.network.duplicateAfter(), func() { ctrl.deliverHeartbeat(pending.message) })
+		sim.after(sim.network.duplicateAfter(), func() { ctrl.deliverHeartbeat(p.message) })
 	}
-	pending.recipient.request(heartbeatInput(pending.message), pending.receiveReply)
+	p.recipient.request(heartbeatInput(p.message), p.receiveReply)
 }
 
 // isCut reports whether the worker and the controller can't reach each other now.
-func (pending *pendingHeartbeat) isCut() bool {
-	return pending.worker.sim.network.isCut(pending.worker.endpoint(), pending.recipient.endpoint())
+func (p *pendingHeartbeat) isCut() bool {
+	return p.worker.sim.network.isCut(p.worker.endpoint(), p.recipient.endpoint())
 }
 
 // deliverAfterCut delivers the heartbeat once the cut is over, when its reply would be too
 // late.
-func (pending *pendingHeartbeat) deliverAfterCut() {
-	if pending.isCut() {
-		pending.worker.sim.after(time.Second, pending.deliverAfterCut)
+func (p *pendingHeartbeat) deliverAfterCut() {
+	if p.isCut() {
+		p.worker.sim.after(time.Second, p.deliverAfterCut)
 		return
 	}
-	pending.recipient.deliverHeartbeat(pending.message)
+	p.recipient.deliverHeartbeat(p.message)
 }
 
 // redirect makes the worker send its next heartbeat to another controller after a while.
-func (pending *pendingHeartbeat) redirect(wait time.Duration, controllerIndex int) {
-	worker := pending.worker
+func (p *pendingHeartbeat) redirect(wait time.Duration, controllerIndex int) {
+	worker := p.worker
 	worker.controllerIndex = controllerIndex
 	worker.sim.after(wait, func() {
-		if worker.heartbeatID == pending.id && !worker.terminated {
+		if worker.heartbeatID == p.id && !worker.terminated {
 			worker.awaitingReply, worker.heartbeatDue = false, true
 		}
 	})
 }
 
 // tryNextController redirects the worker to the next controller in turn.
-func (pending *pendingHeartbeat) tryNextController() {
-	worker := pending.worker
-	pending.redirect(retryInterval, (worker.controllerIndex+1)%len(worker.sim.controllers))
+func (p *pendingHeartbeat) tryNextController() {
+	worker := p.worker
+	p.redirect(retryInterval, (worker.controllerIndex+1)%len(worker.sim.controllers))
 }
 
 // receiveReply delivers the reply to the worker, unless it is lost.
-func (pending *pendingHeartbeat) receiveReply(reply core.Reply) {
-	sim := pending.worker.sim
-	if sim.now < pending.worker.inboundCutUntil || pending.isCut() || sim.network.loses(sim.rng) {
+func (p *pendingHeartbeat) receiveReply(reply core.Reply) {
+	sim := p.worker.sim
+	if sim.now < p.worker.inboundCutUntil || p.isCut() || sim.network.loses(sim.rng) {
 		return
 	}
-	sim.after(sim.network.latency(), func() { pending.handleReply(reply) })
+	sim.after(sim.network.latency(), func() { p.handleReply(reply) })
 }
 
 // handleReply carries out a reply that has arrived, if the worker still waits for it.
-func (pending *pendingHeartbeat) handleReply(reply core.Reply) {
-	worker, sim := pending.worker, pending.worker.sim
-	if worker.terminated || worker.hung || worker.heartbeatID != pending.id || !worker.awaitingReply || worker.epoch != pending.epoch {
+func (p *pendingHeartbeat) handleReply(reply core.Reply) {
+	worker, sim := p.worker, p.worker.sim
+	if worker.terminated || worker.hung || worker.heartbeatID != p.id || !worker.awaitingReply || worker.epoch != p.epoch {
 		return
 	}
 	switch reply.Status {
 	case http.StatusOK:
 		worker.awaitingReply = false
-		worker.applyReply(reply.Body.(wire.HeartbeatReply), pending.sentAt)
+		worker.applyReply(reply.Body.(wire.HeartbeatReply), p.sentAt)
 	case http.StatusMisdirectedRequest:
 		owner := sim.labelled(reply.Body.(wire.Redirect).Owner)
 		if owner < 0 || owner == worker.controllerIndex {
-			pending.tryNextController()
+			p.tryNextController()
 			return
 		}
-		pending.redirect(time.Duration(sim.rng.IntN(500))*time.Millisecond, owner)
+		p.redirect(time.Duration(sim.rng.IntN(500))*time.Millisecond, owner)
 	default:
-		pending.tryNextController()
+		p.tryNextController()
 	}
 }
 
 // applyReply carries out the reply to an accepted heartbeat, which renews the lease from
 // when that was sent. A reply under a lower fencing token than the highest seen is ignored.
-func (worker *simWorker) applyReply(reply wire.HeartbeatReply, sentAt time.Duration) {
-	if reply.Token < worker.token {
+func (w *simWorker) applyReply(reply wire.HeartbeatReply, sentAt time.Duration) {
+	if reply.Token < w.token {
 		return
 	}
-	if reply.Token > worker.token {
-		worker.token = reply.Token
-		worker.heartbeatDue = true
+	if reply.Token > w.token {
+		w.token = reply.Token
+		w.heartbeatDue = true
 	}
-	worker.renewedAt = sentAt
+	w.renewedAt = sentAt
 	for _, command := range reply.Commands {
-		worker.execute(command)
+		w.execute(command)
 	}
 }
--- a/internal/simulation/worker_task.go
+++ b/internal/simulation/worker_task.go
@@ -28,48 +28,48 @@
 }
 
 // name returns the name of the task, which all its attempts share.
-func (task *simTask) name() string { return wire.TaskName(task.jobID, task.index) }
+func (t *simTask) name() string { return wire.TaskName(t.jobID, t.index) }
 
 // status returns the task as a heartbeat shows it.
-func (task *simTask) status() wire.TaskStatus {
-	return wire.TaskStatus{Task: task.name(), Attempt: task.attempt, State: task.state, ExitCause: task.exitCause, CheckpointSaved: task.checkpointSaved}
+func (t *simTask) status() wire.TaskStatus {
+	return wire.TaskStatus{Task: t.name(), Attempt: t.attempt, State: t.state, ExitCause: t.exitCause, CheckpointSaved: t.checkpointSaved}
 }
 
 // startTask accepts a task, fetches its image and runs it, or rejects it.
-func (worker *simWorker) startTask(key string, task *simTask) {
-	sim, user := worker.sim, task.user
-	worker.heartbeatDue = true
-	worker.addTask(key, task)
-	if cause := worker.rejectionCause(task); cause != "" {
+func (w *simWorker) startTask(key string, task *simTask) {
+	sim, user := w.sim, task.user
+	w.heartbeatDue = true
+	w.addTask(key, task)
+	if cause := w.rejectionCause(task); cause != "" {
 		task.state, task.exitCause = wire.TaskExited, cause
 		return
 	}
-	sim.rules.taskStarted(worker, task)
+	sim.rules.taskStarted(w, task)
 	fetchTime := time.Duration(0)
-	if !worker.images[user.spec.Image] {
+	if !w.images[user.spec.Image] {
 		fetchTime = seconds(user.spec.ImageGB / sim.cloud.machineType.FetchGBs * (0.7 + 0.6*sim.rng.Float64()))
 	}
-	worker.schedule(task, fetchTime, func() {
-		worker.images[user.spec.Image] = true
+	w.schedule(task, fetchTime, func() {
+		w.images[user.spec.Image] = true
 		task.stateSince = sim.now
 		if user.spec.Shape == wire.ShapeGang {
-			worker.setState(task, wire.TaskWaitingForGang)
+			w.setState(task, wire.TaskWaitingForGang)
 			task.startGangIfComplete()
 			return
 		}
-		worker.runTask(task)
+		w.runTask(task)
 	})
 }
 
 // rejectionCause returns why the worker rejects a task, or "".
-func (worker *simWorker) rejectionCause(task *simTask) string {
+func (w *simWorker) rejectionCause(task *simTask) string {
 	if task.user == nil || task.index >= task.user.spec.TaskCount {
 		return wire.CauseUnknownJob
 	}
 	spec := &task.user.spec
 	cores, gpus, memoryGB := spec.Cores, spec.GPUs, spec.MemoryGB
-	for _, key := range sortedKeys(worker.tasks) {
-		other := worker.tasks[key]
+	for _, key := range sortedKeys(w.tasks) {
+		other := w.tasks[key]
 		if other == task || other.state == wire.TaskExited {
 			continue
 		}
@@ -80,7 +80,7 @@
 		gpus += other.user.spec.GPUs
 		memoryGB += other.user.spec.MemoryGB
 	}
-	machineType := &worker.sim.cloud.machineType
+	machineType := &w.sim.cloud.machineType
 	if cores > machineType.Cores || gpus > machineType.GPUs || memoryGB > machineType.MemoryGB {
 		return wire.CauseNoCapacity
 	}
@@ -88,82 +88,82 @@
 }
 
 // killTask stops a task. It saves a checkpoint first if the grace period allows.
-func (worker *simWorker) killTask(task *simTask, graceS float64) {
+func (w *simWorker) killTask(task *simTask, graceS float64) {
 	spec := &task.user.spec
 	if task.state == wire.TaskRunning && spec.CheckpointIntervalS > 0 && graceS >= spec.CheckpointTimeS {
-		worker.setState(task, wire.TaskCheckpointing)
-		worker.schedule(task, seconds(spec.CheckpointTimeS), func() {
+		w.setState(task, wire.TaskCheckpointing)
+		w.schedule(task, seconds(spec.CheckpointTimeS), func() {
 			task.checkpointSaved = true
-			worker.exitTask(task, wire.CauseStopped)
+			w.exitTask(task, wire.CauseStopped)
 		})
 		return
 	}
 	if task.state == wire.TaskCheckpointing && graceS > 0 {
 		return
 	}
-	worker.exitTask(task, wire.CauseStopped)
+	w.exitTask(task, wire.CauseStopped)
 }
 
 // schedule runs a function for a task after d, or once the worker no longer hangs, unless
 // the task is gone or something else is scheduled for it by then.
-func (worker *simWorker) schedule(task *simTask, d time.Duration, run func()) {
+func (w *simWorker) schedule(task *simTask, d time.Duration, run func()) {
 	task.generation++
 	generation := task.generation
 	key := attemptName(task.name(), task.attempt)
 	var attempt func()
 	attempt = func() {
-		if task.generation != generation || worker.terminated || worker.tasks[key] != task {
+		if task.generation != generation || w.terminated || w.tasks[key] != task {
 			return
 		}
-		if worker.hung {
-			worker.sim.after(time.Second, attempt)
+		if w.hung {
+			w.sim.after(time.Second, attempt)
 			return
 		}
 		run()
 	}
-	worker.sim.after(d, attempt)
+	w.sim.after(d, attempt)
 }
 
 // setState changes the state of a task, which a heartbeat reports at once.
-func (worker *simWorker) setState(task *simTask, state string) {
-	task.state, worker.heartbeatDue = state, true
+func (w *simWorker) setState(task *simTask, state string) {
+	task.state, w.heartbeatDue = state, true
 }
 
 // exitTask ends a task.
-func (worker *simWorker) exitTask(task *simTask, cause string) {
+func (w *simWorker) exitTask(task *simTask, cause string) {
 	task.generation++
 	task.exitCause = cause
-	worker.setState(task, wire.TaskExited)
+	w.setState(task, wire.TaskExited)
 }
 
 // runTask runs a task whose image is there, and whose gang waits with it.
-func (worker *simWorker) runTask(task *simTask) {
+func (w *simWorker) runTask(task *simTask) {
 	user := task.user
-	worker.setState(task, wire.TaskRunning)
+	w.setState(task, wire.TaskRunning)
 	if user.startedAt == 0 {
-		user.startedAt = worker.sim.now
+		user.startedAt = w.sim.now
 	}
 	switch {
-	case worker.failsTasks || user.alwaysFails:
-		worker.schedule(task, time.Second, func() { worker.exitTask(task, wire.CauseError) })
+	case w.failsTasks || user.alwaysFails:
+		w.schedule(task, time.Second, func() { w.exitTask(task, wire.CauseError) })
 	case user.spec.Shape == wire.ShapeDaemon:
 		task.generation++
-	case worker.sim.users.completedTasks[task.name()]:
-		worker.exitTask(task, wire.CauseDone)
+	case w.sim.users.completedTasks[task.name()]:
+		w.exitTask(task, wire.CauseDone)
 	default:
-		worker.schedule(task, user.runtime, func() { worker.completeTask(task) })
+		w.schedule(task, user.runtime, func() { w.completeTask(task) })
 	}
 }
 
 // completeTask ends a task that has done its work; with one task of a gang all are done.
-func (worker *simWorker) completeTask(task *simTask) {
-	user, completed := task.user, worker.sim.users.completedTasks
+func (w *simWorker) completeTask(task *simTask) {
+	user, completed := task.user, w.sim.users.completedTasks
 	completed[task.name()] = true
 	if user.spec.Shape == wire.ShapeGang {
 		for i := range user.spec.TaskCount {
 			completed[wire.TaskName(task.jobID, i)] = true
 		}
 	}
-	worker.exitTask(task, wire.CauseDone)
-	worker.sim.users.maybeCancelAtEnd(user)
+	w.exitTask(task, wire.CauseDone)
+	w.sim.users.maybeCancelAtEnd(user)
 }
