--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -19,6 +19,7 @@
 
 	"micaport/internal/config"
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/msgpackhttp"
 	"micaport/internal/wire"
 )
@@ -125,13 +126,13 @@
 			c.yieldToUrgent(ctx)
 		}
 		if c.limiter.Wait(ctx) != nil {
-			c.post(core.CloudAnswered{ID: call.ID, Outcome: core.Refused})
+			c.post(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused})
 			return
 		}
 		if urgent {
 			deadline := c.deadline(call, decided)
 			if time.Now().After(deadline) {
-				c.post(core.CloudAnswered{ID: call.ID, Outcome: core.Refused})
+				c.post(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused})
 				return
 			}
 			ctx = context.WithValue(ctx, dialDeadline{}, deadline)
@@ -142,7 +143,7 @@
 
 // perform makes a call now.
 func (c *Client) perform(ctx context.Context, call core.CallCloud) core.CloudAnswered {
-	result := core.CloudAnswered{ID: call.ID, Outcome: core.Refused}
+	result := core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}
 	switch {
 	case call.ListTypes:
 		var list wire.MachineTypeList
@@ -173,52 +174,52 @@
 }
 
 // listMachines fetches all pages of the list of machines, each within the rate limit.
-func (c *Client) listMachines(ctx context.Context) ([]wire.CloudMachine, core.Outcome) {
+func (c *Client) listMachines(ctx context.Context) ([]wire.CloudMachine, kv.Outcome) {
 	var machines []wire.CloudMachine
 	query := url.Values{"limit": {listPageSize}}
 	for {
 		var page wire.MachineList
-		if outcome := c.exchange(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); outcome != core.OK {
+		if outcome := c.exchange(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); outcome != kv.OK {
 			return nil, outcome
 		}
 		machines = append(machines, page.Machines...)
 		if !page.HasNext || len(page.Machines) == 0 {
-			return machines, core.OK
+			return machines, kv.OK
 		}
 		query.Set("from", page.Machines[len(page.Machines)-1].Name)
 		c.yieldToUrgent(ctx)
 		if c.limiter.Wait(ctx) != nil {
-			return nil, core.Refused
+			return nil, kv.Refused
 		}
 	}
 }
 
 // exchange sends a request, decodes the response into target unless that is nil, and returns
 // what is certain about the request's effect.
-func (c *Client) exchange(ctx context.Context, method, path string, body, target any) core.Outcome {
+func (c *Client) exchange(ctx context.Context, method, path string, body, target any) kv.Outcome {
 	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
 		Method: method, URL: c.baseURL + path, Body: body, MaxResponseBytes: maxResponseBytes,
 	})
 	switch {
 	case errors.Is(err, msgpackhttp.ErrNotSent):
-		return core.Refused
+		return kv.Refused
 	case err != nil:
-		return core.Unknown
+		return kv.Unknown
 	}
 	switch response.Status {
 	case http.StatusOK:
 		if target != nil && response.Decode(target) != nil {
-			return core.Unknown
+			return kv.Unknown
 		}
-		return core.OK
+		return kv.OK
 	case http.StatusServiceUnavailable:
 		var refusal wire.Error
 		if response.Decode(&refusal) == nil && refusal.Error == noCapacityText {
-			return core.NoCapacity
+			return kv.NoCapacity
 		}
-		return core.Refused
+		return kv.Refused
 	case http.StatusTooManyRequests, http.StatusBadRequest:
-		return core.Refused
+		return kv.Refused
 	}
-	return core.Unknown
+	return kv.Unknown
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/msgpackhttp"
 	"micaport/internal/wire"
 )
@@ -39,13 +40,13 @@
 	for _, test := range []struct {
 		status int
 		body   any
-		want   core.Outcome
+		want   kv.Outcome
 	}{
-		{http.StatusOK, object{"hosts": []string{"vm-1"}}, core.OK},
-		{http.StatusServiceUnavailable, object{"error": "no capacity"}, core.NoCapacity},
-		{http.StatusServiceUnavailable, object{"error": "trouble"}, core.Refused},
-		{http.StatusTooManyRequests, object{}, core.Refused},
-		{http.StatusInternalServerError, object{}, core.Unknown},
+		{http.StatusOK, object{"hosts": []string{"vm-1"}}, kv.OK},
+		{http.StatusServiceUnavailable, object{"error": "no capacity"}, kv.NoCapacity},
+		{http.StatusServiceUnavailable, object{"error": "trouble"}, kv.Refused},
+		{http.StatusTooManyRequests, object{}, kv.Refused},
+		{http.StatusInternalServerError, object{}, kv.Unknown},
 	} {
 		result := call(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method != http.MethodPost || r.URL.Path != "/hosts" {
@@ -53,7 +54,7 @@
 			}
 			msgpackhttp.Respond(w, test.status, test.body)
 		}, provision)
-		if result.ID != 4 || result.Outcome != test.want || (test.want == core.OK) != (len(result.Names) == 1) {
+		if result.ID != 4 || result.Outcome != test.want || (test.want == kv.OK) != (len(result.Names) == 1) {
 			t.Errorf("status %d, body %v: got %+v, want outcome %d", test.status, test.body, result, test.want)
 		}
 	}
@@ -70,7 +71,7 @@
 			t.Errorf("received %s", r.URL)
 		}
 	}, core.CallCloud{ListMachines: true})
-	if result.Outcome != core.OK || len(result.Machines) != 2 || result.Machines[0].AgeS != 3.5 || result.Machines[1].Name != "vm-2" {
+	if result.Outcome != kv.OK || len(result.Machines) != 2 || result.Machines[0].AgeS != 3.5 || result.Machines[1].Name != "vm-2" {
 		t.Errorf("got %+v", result)
 	}
 }
@@ -83,7 +84,7 @@
 		sent = true
 		msgpackhttp.Respond(w, http.StatusOK, object{})
 	}, core.CallCloud{ID: 5, Deprovision: []string{"vm-1"}, ValidFor: time.Nanosecond})
-	if sent || result.Outcome != core.Refused || result.ID != 5 {
+	if sent || result.Outcome != kv.Refused || result.ID != 5 {
 		t.Errorf("sent: %v, got %+v", sent, result)
 	}
 }
--- a/internal/core/ancestor_search.go
+++ b/internal/core/ancestor_search.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"micaport/internal/kv"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -64,13 +65,13 @@
 
 func (s *ancestorSearch) jobRead(n *Node, read JobRead) {
 	switch {
-	case read.Outcome == OK && read.Job.State == wire.JobCancelled:
+	case read.Outcome == kv.OK && read.Job.State == wire.JobCancelled:
 		s.answerCancelled(n)
-	case read.Outcome == OK && read.Job.State == wire.JobLive && read.Job.HasDependencies():
+	case read.Outcome == kv.OK && read.Job.State == wire.JobLive && read.Job.HasDependencies():
 		if s.addDependencies(n, s.reading, read.Job) {
 			s.visitNext(n)
 		}
-	case read.Outcome == OK:
+	case read.Outcome == kv.OK:
 		s.visitNext(n)
 	case n.mayRetry(s.request, read.Outcome):
 		s.unvisited = append(s.unvisited, s.reading)
--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -136,7 +136,7 @@
 	a.jobs, a.completions = slices.DeleteFunc(a.jobs, old), slices.DeleteFunc(a.completions, old)
 }
 
-// reserve is for how many tasks of the a to reserve capacity: as many as will probably
+// reserve is for how many tasks of the class to reserve capacity: as many as will probably
 // come during lead, the time that a machine takes to boot, less those that will end meanwhile
 // and release theirs, plus one standard deviation, as jobs come and go by chance and in
 // different sizes. It is never more than may come: where nothing comes any more, what
--- a/internal/core/arrival_forecast_test.go
+++ b/internal/core/arrival_forecast_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
 	"micaport/internal/wire"
 )
 
@@ -39,11 +41,11 @@
 // TestFollowersCountArrivals: a controller that does not lead counts too. A new leader that began
 // without any count reserved nothing for a minute.
 func TestFollowersCountArrivals(t *testing.T) {
-	n := New(Config{Self: "n0", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
+	n := New(Config{Self: "n0", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		StartObjectives: []StartObjective{{Class: "c", Within: 20 * second}}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
-	n.Step(second, RecordsChanged{Reset: true, Revision: 1, Events: []Event{{Key: wire.LeaderKey, Revision: 1, Value: &wire.Leader{Controller: "n1"}}}})
+	n.Step(second, RecordsChanged{Reset: true, Revision: 1, Events: []kv.Event{{Key: wire.LeaderKey, Revision: 1, Value: &wire.Leader{Controller: "n1"}}}})
 	write := func(revision uint64, id string, record *wire.Job) {
-		n.Step(second, RecordsChanged{Revision: revision, Events: []Event{{Key: wire.JobKey(id), Revision: revision, Value: record}}})
+		n.Step(second, RecordsChanged{Revision: revision, Events: []kv.Event{{Key: wire.JobKey(id), Revision: revision, Value: record}}})
 	}
 	gang := func(id string) *wire.Job {
 		return &wire.Job{TaskCount: 2, NextAttempt: 2, Spec: &wire.JobSpec{ID: id, Class: "c", Shape: wire.ShapeGang, TaskCount: 2, Image: "i"},
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -45,7 +46,7 @@
 
 func (r cloudRequest) resume(n *Node, result Result) {
 	answer := result.(CloudAnswered)
-	if answer.Outcome != Unknown {
+	if answer.Outcome != kv.Unknown {
 		n.cloudUnreachableSince = 0
 	} else if n.cloudUnreachableSince == 0 {
 		n.cloudUnreachableSince = n.now
@@ -93,7 +94,7 @@
 type typesRequest struct{}
 
 func (typesRequest) cloudAnswered(n *Node, answer CloudAnswered) {
-	if answer.Outcome == OK && len(answer.MachineTypes) > 0 {
+	if answer.Outcome == kv.OK && len(answer.MachineTypes) > 0 {
 		n.updateMachineTypes(answer.MachineTypes)
 	}
 }
@@ -126,8 +127,8 @@
 	for len(types) > 1 && !n.valueFits(&wire.MachineTypeCache{Types: types}) {
 		types = types[:len(types)-1] // better some than none
 	}
-	n.transact(ClassBackground, []Condition{n.leaderCondition()},
-		[]Write{{Key: wire.MachineTypesKey, Value: &wire.MachineTypeCache{Types: types}}}, ignoreResult{})
+	n.transact(ClassBackground, []kv.Condition{n.leaderCondition()},
+		[]kv.Write{{Key: wire.MachineTypesKey, Value: &wire.MachineTypeCache{Types: types}}}, ignoreResult{})
 }
 
 // listRequest is a fetch of the machine list under way.
@@ -141,7 +142,7 @@
 	scaler.listing = false
 	furtherPages := Time(len(answer.Machines) / machinesPerPage)
 	scaler.listAt = n.now + max(minListInterval, n.cfg.CloudListLag/2, Time(float64(furtherPages*callsPerListPage*second)/max(n.cfg.CloudRPS, minCloudRPS)))
-	if answer.Outcome == OK {
+	if answer.Outcome == kv.OK {
 		scaler.reconcileMachineList(n.site(), answer.Machines)
 	}
 }
@@ -156,7 +157,7 @@
 	if n.leader.tenure != r.tenure {
 		return
 	}
-	if answer.Outcome == OK {
+	if answer.Outcome == kv.OK {
 		request := &r.provisioning.request
 		n.log(LogInfo, "machines provisioned", "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot, "requested", request.Count, "received", len(answer.Names))
 	}
@@ -168,16 +169,16 @@
 func (a *autoscaler) provisionAnswered(now Time, request *provisioning, answer CloudAnswered) {
 	settled := true
 	switch answer.Outcome {
-	case OK:
+	case kv.OK:
 		for _, name := range answer.Names {
 			a.booting[name] = &bootingMachine{pool: request.pool, provisionedAt: now}
 		}
 		if len(answer.Names) < request.request.Count {
 			a.noteShortage(now, request.pool)
 		}
-	case NoCapacity:
+	case kv.NoCapacity:
 		a.noteShortage(now, request.pool)
-	case Refused:
+	case kv.Refused:
 		a.retryAt[request.pool] = now + refusedDelay
 	default:
 		// It may have been carried out: only a repetition under the same name tells.
@@ -207,7 +208,7 @@
 }
 
 func (r deprovisionRequest) cloudAnswered(n *Node, answer CloudAnswered) {
-	if answer.Outcome == OK {
+	if answer.Outcome == kv.OK {
 		for _, name := range r.names {
 			n.machineNamed(name).returned = true
 		}
@@ -217,7 +218,7 @@
 	}
 	scaler := &n.leader.autoscaler
 	scaler.deprovisioning = false
-	if answer.Outcome != OK {
+	if answer.Outcome != kv.OK {
 		scaler.deprovisionAt = n.now + deprovisionRetryDelay
 		return
 	}
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"testing"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -53,12 +54,12 @@
 		retryAt   Time
 		short     bool
 	}{
-		"all machines":     {answer: CloudAnswered{Outcome: OK, Names: []string{"vm-1", "vm-2"}}, decidedAt: now, booting: 2},
-		"some machines":    {answer: CloudAnswered{Outcome: OK, Names: []string{"vm-1"}}, decidedAt: now, booting: 1, retryAt: now + noCapacityDelay, short: true},
-		"no capacity":      {answer: CloudAnswered{Outcome: NoCapacity}, decidedAt: now, retryAt: now + noCapacityDelay, short: true},
-		"refused":          {answer: CloudAnswered{Outcome: Refused}, decidedAt: now, retryAt: now + refusedDelay},
-		"unknown":          {answer: CloudAnswered{Outcome: Unknown}, decidedAt: now, open: true},
-		"unknown for long": {answer: CloudAnswered{Outcome: Unknown}, decidedAt: now - provisionRetryTime - 1},
+		"all machines":     {answer: CloudAnswered{Outcome: kv.OK, Names: []string{"vm-1", "vm-2"}}, decidedAt: now, booting: 2},
+		"some machines":    {answer: CloudAnswered{Outcome: kv.OK, Names: []string{"vm-1"}}, decidedAt: now, booting: 1, retryAt: now + noCapacityDelay, short: true},
+		"no capacity":      {answer: CloudAnswered{Outcome: kv.NoCapacity}, decidedAt: now, retryAt: now + noCapacityDelay, short: true},
+		"refused":          {answer: CloudAnswered{Outcome: kv.Refused}, decidedAt: now, retryAt: now + refusedDelay},
+		"unknown":          {answer: CloudAnswered{Outcome: kv.Unknown}, decidedAt: now, open: true},
+		"unknown for long": {answer: CloudAnswered{Outcome: kv.Unknown}, decidedAt: now - provisionRetryTime - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := &provisioning{pool: pool, request: wire.ProvisionRequest{Name: "r-1-1", Count: 2}, sent: true, decidedAt: test.decidedAt}
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -17,16 +18,16 @@
 	active          bool
 	inFlight        bool
 	outcomeUnknown  bool // an earlier sending may yet be carried out
-	conditions      []Condition
-	writes          []Write
-	linkedWrites    []Write // writes that belong together with others of the batch
-	awaitedRevision uint64  // revision that the replica must reach
+	conditions      []kv.Condition
+	writes          []kv.Write
+	linkedWrites    []kv.Write // writes that belong together with others of the batch
+	awaitedRevision uint64     // revision that the replica must reach
 	retryAt         Time
 	generation      uint64
 }
 
 // start makes a new batch and sends it.
-func (b *batch) start(n *Node, conditions []Condition, writes, linked []Write) {
+func (b *batch) start(n *Node, conditions []kv.Condition, writes, linked []kv.Write) {
 	b.generation++
 	b.active, b.inFlight, b.outcomeUnknown, b.awaitedRevision = true, false, false, 0
 	b.conditions, b.writes, b.linkedWrites = conditions, writes, linked
@@ -60,16 +61,16 @@
 	b.inFlight = false
 	n.log(LogDebug, "batch committed", "role", b.role, "writes", len(b.writes), "outcome", int(result.Outcome))
 	switch result.Outcome {
-	case OK:
+	case kv.OK:
 		b.awaitedRevision = max(result.Revision, 1)
-	case Conflict:
+	case kv.Conflict:
 		n.log(LogDebug, "commit conflict", "role", b.role, "revision", result.Revision)
 		if b.removeConflicts(result.Failed) {
 			b.send(n)
 			return
 		}
 		b.awaitedRevision = max(result.Revision, 1)
-	case TooLarge:
+	case kv.TooLarge:
 		// Never sent again as it is. Whether an earlier sending, before the limits fell,
 		// was carried out is told by its conditions alone.
 		if b.outcomeUnknown && len(b.writes) > 0 {
@@ -79,7 +80,7 @@
 		}
 		b.active = false
 		b.retryAt = n.now + tooLargeRetryDelay
-	case Refused, LeaseExpired:
+	case kv.Refused, kv.LeaseExpired:
 		if !b.outcomeUnknown {
 			b.active = false
 		}
@@ -122,10 +123,10 @@
 			return false
 		}
 	}
-	b.conditions = slices.DeleteFunc(b.conditions, func(c Condition) bool { return slices.Contains(failed, c.Key) })
+	b.conditions = slices.DeleteFunc(b.conditions, func(c kv.Condition) bool { return slices.Contains(failed, c.Key) })
 	// With a record go its overflow keys: written without it, under no condition any
 	// more, they would lose tasks that are running.
-	b.writes = slices.DeleteFunc(b.writes, func(w Write) bool { return slices.Contains(failed, recordOf(w.Key)) })
+	b.writes = slices.DeleteFunc(b.writes, func(w kv.Write) bool { return slices.Contains(failed, recordOf(w.Key)) })
 	return len(b.writes) > 0
 }
 
@@ -145,7 +146,7 @@
 		return false
 	}
 	key := wire.JobKey(job.ID)
-	return slices.ContainsFunc(b.writes, func(w Write) bool { return w.Key == key })
+	return slices.ContainsFunc(b.writes, func(w kv.Write) bool { return w.Key == key })
 }
 
 // drop forgets the batch; the role that made it has been lost, and with it
--- a/internal/core/dependency_check.go
+++ b/internal/core/dependency_check.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -63,9 +64,9 @@
 	check := r.request.dependencies
 	check.readsPending--
 	switch read.Outcome {
-	case OK:
+	case kv.OK:
 		check.read[r.jobID] = dependencyState{read.Job.State, isDaemon(read.Job)}
-	case NotFound:
+	case kv.NotFound:
 		check.read[r.jobID] = dependencyState{state: jobNeverAccepted}
 	default:
 		delete(check.read, r.jobID)
--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -4,6 +4,8 @@
 	"net/http"
 	"testing"
 
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
 	"micaport/internal/wire"
 )
 
@@ -64,7 +66,7 @@
 // Before every controller has recorded that it reads them, a job with dependencies is
 // answered 503, and nothing new is written.
 func TestNothingNewBeforeAllAreUpgraded(t *testing.T) {
-	n := chained(Member{Name: "n0", Zone: "a"}, Member{Name: "n1", Zone: "a"})
+	n := chained(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
 	see(n, 2, "wk-000001", wire.JobLive, nil)
 	submit := func(id uint64) UserRequest {
 		return UserRequest{RequestID: id, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", "wk-000001")}
@@ -82,12 +84,12 @@
 		}
 	}
 	n.storeOK = true
-	n.Step(n.now+1, RecordsChanged{Revision: 9, Events: []Event{{Key: wire.FormatPrefix + "n1", Revision: 9, Value: &wire.SupportedFormat{Format: 2}}}})
+	n.Step(n.now+1, RecordsChanged{Revision: 9, Events: []kv.Event{{Key: wire.FormatPrefix + "n1", Revision: 9, Value: &wire.SupportedFormat{Format: 2}}}})
 	if reply, wrote = settle(n, submit(2), nil); reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
 		t.Errorf("after the upgrade: answered with %+v, wrote %+v", reply, wrote)
 	}
 	// The format never goes back.
-	n.Step(n.now+1, RecordsChanged{Revision: 10, Events: []Event{{Key: wire.FormatPrefix + "n1", Revision: 10, Value: &wire.SupportedFormat{Format: 1}}}})
+	n.Step(n.now+1, RecordsChanged{Revision: 10, Events: []kv.Event{{Key: wire.FormatPrefix + "n1", Revision: 10, Value: &wire.SupportedFormat{Format: 1}}}})
 	if !n.replica.WritesDependencies() {
 		t.Error("went back to the format before")
 	}
--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"micaport/internal/kv"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -22,7 +23,7 @@
 	check := request.dependencies
 	list := replica.DependencyListName(check.jobIDs)
 	values := replica.SplitDependencyList(check.jobIDs, n.cfg.MaxValueBytes)
-	var writes []Write
+	var writes []kv.Write
 	var numbers []int
 	maxWrites := max(1, min(n.cfg.MaxTransactionOps, maxTransactionBytes/n.cfg.MaxValueBytes))
 	for i, ids := range values {
@@ -31,7 +32,7 @@
 		if n.replica.HasDependencyList(request.JobID, key) || check.writtenKeys[number] || len(writes) == maxWrites {
 			continue
 		}
-		writes = append(writes, Write{Key: key, Value: &wire.DependencyList{JobIDs: ids}})
+		writes = append(writes, kv.Write{Key: key, Value: &wire.DependencyList{JobIDs: ids}})
 		numbers = append(numbers, number)
 	}
 	if len(writes) > 0 {
@@ -45,7 +46,7 @@
 }
 
 func (w dependencyListWrite) committed(n *Node, result Committed) {
-	if result.Outcome == OK {
+	if result.Outcome == kv.OK {
 		for _, number := range w.numbers {
 			w.request.dependencies.writtenKeys[number] = true
 		}
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -5,11 +5,13 @@
 	"net/http"
 	"testing"
 
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
 	"micaport/internal/wire"
 )
 
 // smallValues is a controller whose records hold few names.
-func smallValues(members ...Member) *Node {
+func smallValues(members ...ownership.Member) *Node {
 	return chainedWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
 }
 
@@ -24,10 +26,10 @@
 }
 
 // changesOf makes the events by which a watch shows writes.
-func changesOf(revision int, writes []Write) RecordsChanged {
-	var events []Event
+func changesOf(revision int, writes []kv.Write) RecordsChanged {
+	var events []kv.Event
 	for i, write := range writes {
-		events = append(events, Event{Key: write.Key, Revision: uint64(revision + i), Value: write.Value})
+		events = append(events, kv.Event{Key: write.Key, Revision: uint64(revision + i), Value: write.Value})
 	}
 	return RecordsChanged{Revision: uint64(revision + len(writes)), Events: events}
 }
@@ -53,8 +55,8 @@
 		}
 	}
 
-	listing := append([]Write{wrote[len(wrote)-1]}, wrote[:len(wrote)-1]...)
-	for name, order := range map[string][]Write{"watch": wrote, "listing": listing} {
+	listing := append([]kv.Write{wrote[len(wrote)-1]}, wrote[:len(wrote)-1]...)
+	for name, order := range map[string][]kv.Write{"watch": wrote, "listing": listing} {
 		t.Run(name, func(t *testing.T) {
 			other := smallValues()
 			seeMany(other, count)
@@ -82,7 +84,7 @@
 func TestDependencyListIsContinued(t *testing.T) {
 	n := smallValues()
 	ids := seeMany(n, 900)
-	submit := func(requestID uint64, allowed int) (reply *Reply, wrote []Write) {
+	submit := func(requestID uint64, allowed int) (reply *Reply, wrote []kv.Write) {
 		t.Helper()
 		inputs := []Input{UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}}
 		for len(inputs) > 0 {
@@ -98,11 +100,11 @@
 						t.Errorf("%d writes in a transaction, at most %d are allowed", len(effect.Writes), n.cfg.MaxTransactionOps)
 					}
 					if allowed--; allowed < 0 {
-						inputs = append(inputs, Committed{ID: effect.ID, Outcome: Refused, Limited: true})
+						inputs = append(inputs, Committed{ID: effect.ID, Outcome: kv.Refused, Limited: true})
 						continue
 					}
 					wrote = append(wrote, effect.Writes...)
-					inputs = append(inputs, changesOf(2000+len(wrote), effect.Writes), Committed{ID: effect.ID, Outcome: OK})
+					inputs = append(inputs, changesOf(2000+len(wrote), effect.Writes), Committed{ID: effect.ID, Outcome: kv.OK})
 				case Reply:
 					reply = &effect
 				}
@@ -133,9 +135,9 @@
 // Before every controller reads such lists none is written: the submission is answered 503,
 // while one that its record has room for is accepted.
 func TestNoDependencyListBeforeAllReadIt(t *testing.T) {
-	n := smallValues(Member{Name: "n0", Zone: "a"}, Member{Name: "n1", Zone: "a"})
+	n := smallValues(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
 	reads := func(revision uint64, name string, format int) {
-		n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []Event{{Key: wire.FormatPrefix + name, Revision: revision, Value: &wire.SupportedFormat{Format: format}}}})
+		n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []kv.Event{{Key: wire.FormatPrefix + name, Revision: revision, Value: &wire.SupportedFormat{Format: format}}}})
 	}
 	submit := func(requestID uint64, id string, dependencies []string) UserRequest {
 		t.Helper()
@@ -184,7 +186,7 @@
 	spec := &wire.JobSpec{ID: "wk-000100", Team: "t", Shape: wire.ShapeArray, TaskCount: 1}
 	record := &wire.Job{Spec: spec, TaskCount: 1, NextAttempt: 1, DependencyList: "x", DependencyListKeys: 2}
 	see(n, 9, "wk-000001", wire.JobDone, nil)
-	n.Step(n.now+1, RecordsChanged{Revision: 11, Events: []Event{
+	n.Step(n.now+1, RecordsChanged{Revision: 11, Events: []kv.Event{
 		{Key: wire.DependencyListKey("wk-000100", "x", 1), Revision: 10, Value: &wire.DependencyList{JobIDs: []string{"wk-000001"}}},
 		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: record},
 	}})
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -1,6 +1,9 @@
 package core
 
-import "micaport/internal/wire"
+import (
+	"micaport/internal/kv"
+	"micaport/internal/wire"
+)
 
 // A start that was sent to a worker's own address may be carried out at any time
 // while the worker's epoch and the owner's term last, and so may a copy of it. Until
@@ -129,14 +132,14 @@
 		return
 	}
 	switch result.(CommandsAnswered).Outcome {
-	case OK:
+	case kv.OK:
 		for _, key := range b.keys {
 			if start, sent := b.machine.directStarts[key]; sent {
 				start.acknowledged = true
 				b.machine.directStarts[key] = start
 			}
 		}
-	case Refused, Conflict:
+	case kv.Refused, kv.Conflict:
 		// Certainly not carried out, now or later: the answers to heartbeats start them.
 		for _, key := range b.keys {
 			delete(b.machine.directStarts, key)
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"testing"
 
+	"micaport/internal/kv"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -35,13 +36,13 @@
 func TestDirectStartMayStillArrive(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		outcome Outcome
+		outcome kv.Outcome
 		gone    bool
 	}{
-		{"unknown", Unknown, false},
-		{"acknowledged", OK, false},
-		{"refused", Refused, true},
-		{"other epoch or token", Conflict, true},
+		{"unknown", kv.Unknown, false},
+		{"acknowledged", kv.OK, false},
+		{"refused", kv.Refused, true},
+		{"other epoch or token", kv.Conflict, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d, job, start := placedDirectly(t)
@@ -62,12 +63,12 @@
 func TestDirectStartComesTooLate(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		outcome Outcome
+		outcome kv.Outcome
 		status  int
 	}{
-		{"unknown", Unknown, http.StatusServiceUnavailable},
-		{"acknowledged", OK, http.StatusOK},
-		{"refused", Refused, http.StatusOK},
+		{"unknown", kv.Unknown, http.StatusServiceUnavailable},
+		{"acknowledged", kv.OK, http.StatusOK},
+		{"refused", kv.Refused, http.StatusOK},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d, job, start := placedDirectly(t)
@@ -91,7 +92,7 @@
 // cancel_s by as much.
 func TestDirectStartOfJobCancelledUnseen(t *testing.T) {
 	d, job, start := placedDirectly(t)
-	d.step(CommandsAnswered{ID: start.ID, Outcome: Unknown})
+	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.Unknown})
 	d.lag = true
 	d.wait(11 * second)
 	d.lag = false
@@ -108,7 +109,7 @@
 // copy of the start.
 func TestDirectStartIsNotCleared(t *testing.T) {
 	d, _, start := placedDirectly(t)
-	d.step(CommandsAnswered{ID: start.ID, Outcome: OK})
+	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.OK})
 	exited := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.CauseError}
 	d.report(9, start.Batch.Token, exited)
 	d.wait(second)
@@ -129,7 +130,7 @@
 // dropped.
 func TestForgottenMachineReportsAgain(t *testing.T) {
 	d, job, start := placedDirectly(t)
-	d.step(CommandsAnswered{ID: start.ID, Outcome: Conflict})
+	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.Conflict})
 	withoutTasks := replica.CloneRecord(job)
 	withoutTasks.ActiveTasks = nil
 	d.put(withoutTasks)
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -5,30 +5,6 @@
 	"micaport/internal/wire"
 )
 
-// Types of requests to the state service and of what is known of them.
-type (
-	// Condition demands that a key is at a revision.
-	Condition = kv.Condition
-	// Write puts or deletes a key.
-	Write = kv.Write
-	// Event is a change of a key.
-	Event = kv.Event
-	// Outcome is what is known of a request.
-	Outcome = kv.Outcome
-)
-
-// Outcomes; see package kv.
-const (
-	OK           = kv.OK
-	Conflict     = kv.Conflict
-	NotFound     = kv.NotFound
-	Refused      = kv.Refused
-	Unknown      = kv.Unknown
-	LeaseExpired = kv.LeaseExpired
-	NoCapacity   = kv.NoCapacity
-	TooLarge     = kv.TooLarge
-)
-
 // RequestClass orders requests when the budget is short.
 type RequestClass int
 
@@ -70,8 +46,8 @@
 	// Commit is a transaction on the state service.
 	Commit struct {
 		ID         uint64
-		Conditions []Condition
-		Writes     []Write
+		Conditions []kv.Condition
+		Writes     []kv.Write
 		Class      RequestClass
 	}
 	// ReadJob fetches a job's record.
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"micaport/internal/failover"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -28,7 +29,7 @@
 
 // initFailover begins with no leader to watch.
 func (n *Node) initFailover() {
-	cfg := failover.Config{Self: n.cfg.Self, Early: n.cfg.EarlyTakeover, LeaseTTL: n.cfg.LeaderLease}
+	cfg := failover.Config{Self: n.cfg.Self, Early: n.cfg.EarlyFailover, LeaseTTL: n.cfg.LeaderLease}
 	for _, m := range n.cfg.Members {
 		cfg.Members = append(cfg.Members, m.Name)
 	}
@@ -97,7 +98,7 @@
 // standby, and while we suspect it.
 func (n *Node) needsLeaderLease() bool {
 	f := n.failover.follower
-	return n.cfg.EarlyTakeover && (f.IsStandby() || f.SuspectedAt() > 0)
+	return n.cfg.EarlyFailover && (f.IsStandby() || f.SuspectedAt() > 0)
 }
 
 // claimEarly replaces a leader whose lease has not ended. The claim is conditional on the
@@ -113,5 +114,5 @@
 		From: replaced, To: n.cfg.Self, Replaced: n.leadership.Term(), At: n.cfg.WallClockMS(), SilenceMS: evidence.Silence.Milliseconds(), Broken: evidence.Broken,
 		Suspecting: evidence.Suspecting, Hearing: evidence.Hearing, Members: evidence.Members, StagesMS: n.stagesMS(),
 	})
-	n.sendClaim(n.newClaim(s.follower.Streak(n.now)), n.leadership.Term(), Write{Key: wire.TakeoversKey, Value: record})
+	n.sendClaim(n.newClaim(s.follower.Streak(n.now)), n.leadership.Term(), kv.Write{Key: wire.TakeoversKey, Value: record})
 }
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -7,6 +7,9 @@
 	"time"
 
 	"micaport/internal/failover"
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -23,12 +26,12 @@
 // newMember is n1 of n0, n1 and n2, which replaces leaders early; all read the newest format.
 func newMember(t *testing.T) *member {
 	t.Helper()
-	m := &member{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "a"}}, Zones: []string{"a"},
-		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second, EarlyTakeover: true,
+	m := &member{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "a"}}, Zones: []string{"a"},
+		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second, EarlyFailover: true,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 7 }})}
-	var events []Event
+	var events []kv.Event
 	for _, label := range []string{"n0", "n1", "n2"} {
-		events = append(events, Event{Key: wire.FormatPrefix + label, Revision: 3, Value: &wire.SupportedFormat{Format: wire.Format}})
+		events = append(events, kv.Event{Key: wire.FormatPrefix + label, Revision: 3, Value: &wire.SupportedFormat{Format: wire.Format}})
 	}
 	m.step(RecordsChanged{Reset: true, Revision: m.rev, Events: events})
 	return m
@@ -38,7 +41,7 @@
 	for _, e := range m.n.Step(m.now, in) {
 		switch x := e.(type) {
 		case RenewLease:
-			m.step(LeaseAnswered{ID: x.ID, Outcome: OK, LeaseID: max(x.LeaseID, 7)})
+			m.step(LeaseAnswered{ID: x.ID, Outcome: kv.OK, LeaseID: max(x.LeaseID, 7)})
 		case Commit:
 			m.commits = append(m.commits, x)
 		case CallCloud:
@@ -61,7 +64,7 @@
 // lead lets the records show that a controller leads, and gives the term.
 func (m *member) lead(node, life string, fenced bool, streak int) uint64 {
 	m.rev++
-	m.step(RecordsChanged{Revision: m.rev, Events: []Event{{Key: wire.LeaderKey, Revision: m.rev, Value: &wire.Leader{Controller: node, Incarnation: life, Fenced: fenced, Streak: streak}}}})
+	m.step(RecordsChanged{Revision: m.rev, Events: []kv.Event{{Key: wire.LeaderKey, Revision: m.rev, Value: &wire.Leader{Controller: node, Incarnation: life, Fenced: fenced, Streak: streak}}}})
 	return m.rev
 }
 
@@ -73,7 +76,7 @@
 // take removes the commits that are conditional on the leader key and gives them.
 func (m *member) take() (taken []Commit) {
 	m.commits = slices.DeleteFunc(m.commits, func(c Commit) bool {
-		is := slices.ContainsFunc(c.Conditions, func(c Condition) bool { return c.Key == wire.LeaderKey })
+		is := slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.LeaderKey })
 		if is {
 			taken = append(taken, c)
 		}
@@ -103,7 +106,7 @@
 	m.suspect(term)
 	m.wait(300*time.Millisecond, 0)
 	claims := m.take()
-	if len(claims) != 1 || !slices.Equal(claims[0].Conditions, []Condition{{Key: wire.LeaderKey, Revision: term}}) || len(claims[0].Writes) != 2 {
+	if len(claims) != 1 || !slices.Equal(claims[0].Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}) || len(claims[0].Writes) != 2 {
 		t.Fatalf("claims %+v", claims)
 	}
 	claim, record := claims[0].Writes[0].Value.(*wire.Leader), claims[0].Writes[1].Value.(*wire.Takeovers)
@@ -153,7 +156,7 @@
 	m.rev++
 	job := lowJob(wire.JobLive)
 	job.Spec.Priority = "high"
-	m.step(RecordsChanged{Revision: m.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Revision: m.rev, Value: job}}})
+	m.step(RecordsChanged{Revision: m.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: m.rev, Value: job}}})
 }
 
 // calls gives the provisioning and deprovisioning calls that the cloud was asked for.
@@ -170,7 +173,7 @@
 	if m.n.failover.firstPassDone {
 		t.Error("a pass was made without proof")
 	}
-	m.step(Committed{ID: proof.ID, Outcome: OK, Revision: m.rev})
+	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
 	m.wait(second, 0)
 	if !m.n.failover.firstPassDone {
 		t.Error("no pass was made with a proof")
@@ -181,7 +184,7 @@
 		}
 		m.wait(50*time.Millisecond, 0)
 		for _, c := range m.take() {
-			m.step(Committed{ID: c.ID, Outcome: OK, Revision: m.rev})
+			m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.rev})
 		}
 	}
 	m.wait(2*second, 0)
@@ -199,7 +202,7 @@
 // watch hangs.
 func TestReplacedLeaderLearnsByItsProof(t *testing.T) {
 	m, proof := takenOver(t)
-	m.step(Committed{ID: proof.ID, Outcome: Conflict, Revision: m.rev + 5, Failed: []string{wire.LeaderKey}})
+	m.step(Committed{ID: proof.ID, Outcome: kv.Conflict, Revision: m.rev + 5, Failed: []string{wire.LeaderKey}})
 	if m.n.isLeader() {
 		t.Error("it still leads")
 	}
@@ -209,7 +212,7 @@
 func TestNewLeaderSettlesItsOwnCommits(t *testing.T) {
 	m, proof := takenOver(t)
 	m.n.batch.active, m.n.batch.outcomeUnknown = true, true
-	m.step(Committed{ID: proof.ID, Outcome: OK, Revision: m.rev})
+	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
 	if m.n.mayDecide() {
 		t.Error("it decides")
 	}
@@ -222,7 +225,7 @@
 // A leader that stood still decides nothing until a proof sent afterwards has settled.
 func TestPauseVoidsProofs(t *testing.T) {
 	m, proof := takenOver(t)
-	m.step(Committed{ID: proof.ID, Outcome: OK, Revision: m.rev})
+	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
 	if !m.n.mayDecide() {
 		t.Fatal("not proven")
 	}
@@ -231,7 +234,7 @@
 	m.now += 3 * second
 	m.step(Tick{})
 	for _, c := range late { // sent before the pause, answered after it
-		m.step(Committed{ID: c.ID, Outcome: OK, Revision: m.rev})
+		m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.rev})
 	}
 	if m.n.mayDecide() || m.n.cloudCallTime() > 0 {
 		t.Error("a proof outlived the pause")
@@ -259,10 +262,10 @@
 	m.suspect(term)
 	m.wait(100*time.Millisecond, 0)
 	claims := m.take()
-	m.step(Committed{ID: claims[0].ID, Outcome: OK, Revision: m.rev + 9})
+	m.step(Committed{ID: claims[0].ID, Outcome: kv.OK, Revision: m.rev + 9})
 	m.wait(3*second, 0)
 	for _, c := range m.take() {
-		if slices.Equal(c.Conditions, []Condition{{Key: wire.LeaderKey, Revision: m.rev + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
+		if slices.Equal(c.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: m.rev + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
 			return
 		}
 	}
@@ -279,7 +282,7 @@
 	m.wait(500*time.Millisecond, 0)
 	claims := m.take()
 	last := claims[len(claims)-1]
-	if !slices.Equal(last.Conditions, []Condition{{Key: wire.LeaderKey, Revision: term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
+	if !slices.Equal(last.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
 		t.Fatalf("claims %+v", claims)
 	}
 	tenure := m.n.leader.tenure
@@ -296,7 +299,7 @@
 		t.Fatal("the cloud is closed without a takeover")
 	}
 	fresh := New(m.n.cfg)
-	fresh.Step(second, RecordsChanged{Reset: true, Revision: 5, Events: []Event{{Key: wire.TakeoversKey, Revision: 4, Value: &wire.Takeovers{}}}})
+	fresh.Step(second, RecordsChanged{Reset: true, Revision: 5, Events: []kv.Event{{Key: wire.TakeoversKey, Revision: 4, Value: &wire.Takeovers{}}}})
 	if want := second + failover.CloudFenceTime(5*second); fresh.cloudOpensAt() != want {
 		t.Errorf("it opens at %v, not %v", fresh.cloudOpensAt(), want)
 	}
--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"micaport/internal/gang"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -62,10 +63,10 @@
 
 // setGangState writes the record of an attempt in another state.
 func (w *writer) setGangState(attempt *gang.Attempt, state wire.GangState) {
-	w.addWrite(Write{Key: attempt.Key, Value: attempt.WithState(state)}, Condition{Key: attempt.Key, Revision: attempt.Revision})
+	w.addWrite(kv.Write{Key: attempt.Key, Value: attempt.WithState(state)}, kv.Condition{Key: attempt.Key, Revision: attempt.Revision})
 }
 
 // removeGang deletes the record of an attempt.
 func (w *writer) removeGang(attempt *gang.Attempt) {
-	w.addWrite(Write{Key: attempt.Key}, Condition{Key: attempt.Key, Revision: attempt.Revision})
+	w.addWrite(kv.Write{Key: attempt.Key}, kv.Condition{Key: attempt.Key, Revision: attempt.Revision})
 }
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"micaport/internal/ownership"
 	"micaport/internal/wire"
 )
 
@@ -40,7 +41,7 @@
 
 // isPeer reports whether a name is that of another controller.
 func (n *Node) isPeer(name string) bool {
-	return name != n.cfg.Self && slices.ContainsFunc(n.cfg.Members, func(member Member) bool { return member.Name == name })
+	return name != n.cfg.Self && slices.ContainsFunc(n.cfg.Members, func(member ownership.Member) bool { return member.Name == name })
 }
 
 // receiveShards takes in which shards a peer owns. A newer term than the replica shows
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -84,7 +85,7 @@
 	for i := range builder.names.Len() {
 		builder.record.Names = append(builder.record.Names, builder.names.Name(i))
 	}
-	n.transact(ClassBackground, nil, []Write{{Key: wire.ImagePrefix + n.cfg.Self, Value: builder.record}}, ignoreResult{})
+	n.transact(ClassBackground, nil, []kv.Write{{Key: wire.ImagePrefix + n.cfg.Self, Value: builder.record}}, ignoreResult{})
 }
 
 // putImageCache takes in an image cache record.
--- a/internal/core/inputs.go
+++ b/internal/core/inputs.go
@@ -1,6 +1,9 @@
 package core
 
-import "micaport/internal/wire"
+import (
+	"micaport/internal/kv"
+	"micaport/internal/wire"
+)
 
 // Input is something that the core is told: one of the types below.
 type Input interface{ input() }
@@ -59,29 +62,29 @@
 	// Committed is the result of Commit.
 	Committed struct {
 		ID       uint64
-		Outcome  Outcome
+		Outcome  kv.Outcome
 		Revision uint64
 		Failed   []string // after Conflict: the keys that were not as demanded
 		Limited  bool     // the service said that there were too many puts
 	}
-	// CommandsAnswered is the result of Direct: OK when the worker has carried the
+	// CommandsAnswered is the result of Direct: kv.OK when the worker has carried the
 	// orders out, Conflict when it never will, as its epoch or token is
 	// another, Refused when they were not sent.
 	CommandsAnswered struct {
 		ID      uint64
-		Outcome Outcome
+		Outcome kv.Outcome
 	}
 	// JobRead is the result of Read.
 	JobRead struct {
 		ID       uint64
-		Outcome  Outcome
+		Outcome  kv.Outcome
 		Revision uint64
 		Job      *wire.Job
 	}
 	// LeaseAnswered is the result of Lease.
 	LeaseAnswered struct {
 		ID      uint64
-		Outcome Outcome
+		Outcome kv.Outcome
 		LeaseID uint64
 	}
 	// RecordsChanged are events of the watch, in order, up to revision Rev. Reset
@@ -89,12 +92,12 @@
 	RecordsChanged struct {
 		Reset    bool
 		Revision uint64
-		Events   []Event
+		Events   []kv.Event
 	}
 	// CloudAnswered is the result of Cloud.
 	CloudAnswered struct {
 		ID           uint64
-		Outcome      Outcome
+		Outcome      kv.Outcome
 		MachineTypes []wire.MachineType
 		Machines     []wire.CloudMachine
 		Names        []string
--- a/internal/core/job_queries.go
+++ b/internal/core/job_queries.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"micaport/internal/kv"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -17,9 +18,9 @@
 
 func (q jobQuery) jobRead(n *Node, read JobRead) {
 	switch read.Outcome {
-	case OK:
+	case kv.OK:
 		q.found(n, read)
-	case NotFound:
+	case kv.NotFound:
 		q.notFound(n)
 	default:
 		if n.mayRetry(q.request, read.Outcome) {
@@ -74,12 +75,12 @@
 	}
 	stored := replica.StoredRecord{Tasks: record.ActiveTasks, OverflowKeys: record.OverflowKeys, UnknownKeys: record.OverflowKeys}
 	writes := n.replica.SplitRecord(request.JobID, stored, record)
-	n.transact(ClassUser, []Condition{{Key: wire.JobKey(request.JobID), Revision: read.Revision}}, writes, jobCancellation{request, record.DoneTasks.Count()})
+	n.transact(ClassUser, []kv.Condition{{Key: wire.JobKey(request.JobID), Revision: read.Revision}}, writes, jobCancellation{request, record.DoneTasks.Count()})
 }
 
 func (c jobCancellation) committed(n *Node, result Committed) {
 	outcome := result.Outcome
-	if outcome == OK {
+	if outcome == kv.OK {
 		n.answer(c.request, http.StatusOK, wire.JobStatus{JobID: c.request.JobID, Status: wire.StatusCancelled, Done: c.done})
 		return
 	}
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -34,7 +34,7 @@
 func (n *Node) maxActiveTasks(job *job) int {
 	switch {
 	case job.LargeArray:
-		return max(n.replica.MaxSingleTasks(), n.cfg.MaxBulkTasks)
+		return max(n.replica.MaxSingleTasks(), n.cfg.MaxLargeArrayTasks)
 	case job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeGang:
 		return job.Record.TaskCount // all or none
 	case job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeDaemon:
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"micaport/internal/ownership"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -13,7 +14,7 @@
 // was cleared when full, none ever did.
 func TestEachOfManyGrantsTimesOut(t *testing.T) {
 	const grants = 12_000
-	n := New(Config{Self: "n0", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
+	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
 	record := &wire.Job{Spec: &wire.JobSpec{ID: "wk-1", Shape: wire.ShapeArray, TaskCount: grants}, TaskCount: grants, NextAttempt: 2}
 	for task := range grants {
 		record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1})
@@ -52,7 +53,7 @@
 // its tasks.
 func TestEveryStrayMachineIsNamed(t *testing.T) {
 	const machines = 2_000
-	n := New(Config{Self: "n0", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"}, HeartbeatInterval: 3 * second, WorkerLease: 30 * second,
+	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"}, HeartbeatInterval: 3 * second, WorkerLease: 30 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
 	n.now = 100 * second
 	for i := range machines {
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -1,6 +1,9 @@
 package core
 
-import "micaport/internal/failover"
+import (
+	"micaport/internal/failover"
+	"micaport/internal/kv"
+)
 
 // The proofs by which a leader that may be replaced early knows that it has not been, and
 // which fence its calls to the cloud.
@@ -8,7 +11,7 @@
 // fenceClaim makes a new claim of ours once all controllers read that it is fenced. It
 // waits for what was decided under the old one.
 func (n *Node) fenceClaim() {
-	if !n.cfg.EarlyTakeover || !n.replica.WritesEarlyFailover() || n.leadership.Record().Fenced || n.leader.batch.active || !n.leadership.MayClaimAgain(n.now) {
+	if !n.cfg.EarlyFailover || !n.replica.WritesEarlyFailover() || n.leadership.Record().Fenced || n.leader.batch.active || !n.leadership.MayClaimAgain(n.now) {
 		return
 	}
 	n.sendClaim(n.newClaim(0), n.leadership.Term())
@@ -21,7 +24,7 @@
 	if !n.fenced() || !n.failover.fence.Due(n.now) {
 		return
 	}
-	n.transact(ClassLease, []Condition{n.leaderCondition()}, nil, leaderProof{term: term, sentAt: n.now})
+	n.transact(ClassLease, []kv.Condition{n.leaderCondition()}, nil, leaderProof{term: term, sentAt: n.now})
 }
 
 // leaderProof is a proof under way that a claim of the leadership stands.
@@ -33,9 +36,9 @@
 func (p leaderProof) committed(n *Node, result Committed) {
 	switch {
 	case n.leadership.Term() != p.term:
-	case result.Outcome == Conflict:
+	case result.Outcome == kv.Conflict:
 		n.leadership.Replaced(p.term) // the replica does not show it yet
-	case result.Outcome == OK && p.sentAt >= n.resumedAt:
+	case result.Outcome == kv.OK && p.sentAt >= n.resumedAt:
 		n.failover.fence.AddProof(p.sentAt, result.Revision)
 		n.settleProofs()
 	}
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -3,6 +3,9 @@
 import (
 	"testing"
 
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -11,15 +14,15 @@
 // the leader's is about to change, so what the next leader granted to its shards
 // was never placed.
 func TestResignedLeaderForgetsItsBatch(t *testing.T) {
-	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
-		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
+	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
+		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
 	n := d.n
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	n.putLeader(&wire.Leader{Controller: "n0", Incarnation: "x"}, 5)
 	d.put(&wire.Job{TaskCount: 1, NextAttempt: 1, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, TaskCount: 1, Image: "i"}})
 	job := n.jobNamed("wk-000001")
-	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []Write{{Key: wire.JobKey(job.ID), Value: job.Record}}}
+	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []kv.Write{{Key: wire.JobKey(job.ID), Value: job.Record}}}
 	if !n.leader.batch.changes(job) || !n.isLeader() {
 		t.Fatal("the leader's commit is not under way")
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -2,6 +2,7 @@
 
 import (
 	"micaport/internal/failover"
+	"micaport/internal/kv"
 	"micaport/internal/leadership"
 	"micaport/internal/wire"
 )
@@ -12,7 +13,7 @@
 func (n *Node) initLeadership() {
 	n.leadership = leadership.New(leadership.Config{
 		Self: n.cfg.Self, Incarnation: n.cfg.Incarnation, Rank: n.ownership.Rank(), LeaseTTL: n.cfg.LeaderLease,
-		HeartbeatInterval: n.cfg.HeartbeatInterval, EarlyFailover: n.cfg.EarlyTakeover,
+		HeartbeatInterval: n.cfg.HeartbeatInterval, EarlyFailover: n.cfg.EarlyFailover,
 	})
 }
 
@@ -20,8 +21,8 @@
 func (n *Node) isLeader() bool { return n.leadership.IsLeader() }
 
 // leaderCondition makes a transaction fail unless this leader's claim still stands.
-func (n *Node) leaderCondition() Condition {
-	return Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}
+func (n *Node) leaderCondition() kv.Condition {
+	return kv.Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}
 }
 
 // putLeader applies the claim of the leadership, or its end.
@@ -66,17 +67,17 @@
 func (n *Node) newClaim(streak int) *wire.Leader {
 	claim := &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}
 	if n.replica.WritesEarlyFailover() {
-		claim.Fenced, claim.Streak = n.cfg.EarlyTakeover, streak
+		claim.Fenced, claim.Streak = n.cfg.EarlyFailover, streak
 	}
 	return claim
 }
 
 // sendClaim claims the leadership, conditional on the revision of the claim that stands; 0:
 // there is none.
-func (n *Node) sendClaim(claim *wire.Leader, standing uint64, more ...Write) {
+func (n *Node) sendClaim(claim *wire.Leader, standing uint64, more ...kv.Write) {
 	n.leadership.ClaimSent(n.now)
-	writes := []Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leadership.Lease.ID}}
-	n.transact(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: standing}}, append(writes, more...), leaderClaim{})
+	writes := []kv.Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leadership.Lease.ID}}
+	n.transact(ClassLease, []kv.Condition{{Key: wire.LeaderKey, Revision: standing}}, append(writes, more...), leaderClaim{})
 }
 
 // leaderClaim is a claim of the leadership under way.
@@ -90,7 +91,7 @@
 func (n *Node) dropUnseenClaim() {
 	if term, unseen := n.leadership.UnseenClaim(n.now, n.replica.Revision()); unseen {
 		n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
-		n.transact(ClassLease, []Condition{{Key: wire.LeaderKey, Revision: term}}, []Write{{Key: wire.LeaderKey}}, ignoreResult{})
+		n.transact(ClassLease, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}, []kv.Write{{Key: wire.LeaderKey}}, ignoreResult{})
 	}
 }
 
@@ -140,7 +141,7 @@
 		return false
 	}
 	n.log(LogInfo, "resigning leadership", "reason", "isolated", "term", n.leadership.Term())
-	n.transact(ClassLease, []Condition{n.leaderCondition()}, []Write{{Key: wire.LeaderKey}}, resignation{})
+	n.transact(ClassLease, []kv.Condition{n.leaderCondition()}, []kv.Write{{Key: wire.LeaderKey}}, resignation{})
 	return true
 }
 
@@ -148,7 +149,7 @@
 type resignation struct{}
 
 func (resignation) committed(n *Node, result Committed) {
-	if result.Outcome == Refused {
+	if result.Outcome == kv.Refused {
 		n.leadership.ResignRefused()
 	}
 }
--- a/internal/core/leadership_status.go
+++ b/internal/core/leadership_status.go
@@ -6,7 +6,7 @@
 func (n *Node) leadershipStatus() wire.LeadershipStatus {
 	s := &n.failover
 	status := wire.LeadershipStatus{
-		Controller: n.cfg.Self, Term: n.leadership.Term(), Revision: n.replica.Revision(), Agreed: n.replica.AgreedFormat(), Served: n.storeOK, Early: n.cfg.EarlyTakeover,
+		Controller: n.cfg.Self, Term: n.leadership.Term(), Revision: n.replica.Revision(), Agreed: n.replica.AgreedFormat(), Served: n.storeOK, Early: n.cfg.EarlyFailover,
 		Standby: s.follower.Standby(), PauseMS: s.follower.MinTenure().Milliseconds(),
 	}
 	if n.leadership.Record() == nil {
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -42,7 +43,7 @@
 		// the leader would plan without most of them for a while.
 		n.mailboxAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
 	}
-	n.transact(ClassBackground, nil, []Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: value}}, ignoreResult{})
+	n.transact(ClassBackground, nil, []kv.Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: value}}, ignoreResult{})
 }
 
 // mailboxBase reports whether some peer can't be reached directly, and gives the version
--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -4,23 +4,26 @@
 	"testing"
 	"time"
 
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
 // chained is a controller alone, after its upgrade, that knows a machine type.
-func chained(members ...Member) *Node { return chainedWith(func(*Config) {}, members...) }
+func chained(members ...ownership.Member) *Node { return chainedWith(func(*Config) {}, members...) }
 
 // chainedWith is chained with a changed configuration.
-func chainedWith(change func(*Config), members ...Member) *Node {
+func chainedWith(change func(*Config), members ...ownership.Member) *Node {
 	if members == nil {
-		members = []Member{{Name: "n0", Zone: "a"}}
+		members = []ownership.Member{{Name: "n0", Zone: "a"}}
 	}
-	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []Team{{Name: "t"}},
+	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: members, Zones: []string{"a"}, Teams: []replica.Team{{Name: "t"}},
 		HeartbeatInterval: 4 * second, WorkerLease: 30 * second, OwnerValidity: 23 * second, LeaderLease: 5 * second, MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8,
 		WallClockMS: func() int64 { return 1_000_000 }}
 	change(&cfg)
 	n := New(cfg)
-	n.Step(second, RecordsChanged{Reset: true, Revision: 1, Events: []Event{{Key: wire.FormatPrefix + "n0", Revision: 1, Value: &wire.SupportedFormat{Format: wire.Format}}}})
+	n.Step(second, RecordsChanged{Reset: true, Revision: 1, Events: []kv.Event{{Key: wire.FormatPrefix + "n0", Revision: 1, Value: &wire.SupportedFormat{Format: wire.Format}}}})
 	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 	return n
 }
@@ -36,7 +39,7 @@
 	if state != wire.JobLive {
 		record.Spec = nil
 	}
-	n.Step(n.now+1, RecordsChanged{Revision: uint64(revision), Events: []Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
+	n.Step(n.now+1, RecordsChanged{Revision: uint64(revision), Events: []kv.Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
 }
 
 // submission is the body of a submission.
@@ -57,7 +60,7 @@
 
 // settle plays a state service with the given records until nothing is under way, and
 // gives the reply to a request, with what was written for users.
-func settle(n *Node, in Input, stored map[string]*wire.Job) (reply *Reply, wrote []Write) {
+func settle(n *Node, in Input, stored map[string]*wire.Job) (reply *Reply, wrote []kv.Write) {
 	inputs := []Input{in}
 	for len(inputs) > 0 {
 		in, inputs = inputs[0], inputs[1:]
@@ -65,15 +68,15 @@
 			switch effect := e.(type) {
 			case ReadJob:
 				if record := stored[effect.JobID]; record != nil {
-					inputs = append(inputs, JobRead{ID: effect.ID, Outcome: OK, Revision: 7, Job: record})
+					inputs = append(inputs, JobRead{ID: effect.ID, Outcome: kv.OK, Revision: 7, Job: record})
 				} else {
-					inputs = append(inputs, JobRead{ID: effect.ID, Outcome: NotFound})
+					inputs = append(inputs, JobRead{ID: effect.ID, Outcome: kv.NotFound})
 				}
 			case Commit:
 				if effect.Class == ClassUser && len(effect.Writes) > 0 {
 					wrote = append(wrote, effect.Writes...)
 				}
-				inputs = append(inputs, Committed{ID: effect.ID, Outcome: OK, Revision: n.replica.Revision()})
+				inputs = append(inputs, Committed{ID: effect.ID, Outcome: kv.OK, Revision: n.replica.Revision()})
 			case Reply:
 				reply = &effect
 			}
@@ -96,7 +99,7 @@
 	for _, e := range d.n.Step(d.now, in) {
 		switch effect := e.(type) {
 		case RenewLease:
-			d.step(LeaseAnswered{ID: effect.ID, Outcome: OK, LeaseID: max(effect.LeaseID, 7)})
+			d.step(LeaseAnswered{ID: effect.ID, Outcome: kv.OK, LeaseID: max(effect.LeaseID, 7)})
 		case Commit:
 			d.commit(effect)
 		case Log:
@@ -109,7 +112,7 @@
 // commit carries out a transaction, and shows it to the controller unless the watch hangs.
 func (d *drive) commit(commit Commit) {
 	if d.lag {
-		d.step(Committed{ID: commit.ID, Outcome: OK, Revision: d.rev + 1})
+		d.step(Committed{ID: commit.ID, Outcome: kv.OK, Revision: d.rev + 1})
 		return
 	}
 	if len(commit.Writes) > 0 {
@@ -117,9 +120,9 @@
 	}
 	changes := RecordsChanged{Revision: d.rev}
 	for _, write := range commit.Writes {
-		changes.Events = append(changes.Events, Event{Key: write.Key, Revision: d.rev, Value: write.Value})
+		changes.Events = append(changes.Events, kv.Event{Key: write.Key, Revision: d.rev, Value: write.Value})
 	}
-	d.step(Committed{ID: commit.ID, Outcome: OK, Revision: d.rev})
+	d.step(Committed{ID: commit.ID, Outcome: kv.OK, Revision: d.rev})
 	d.step(changes)
 }
 
@@ -134,7 +137,7 @@
 // put shows the controller a record of the job wk-000001.
 func (d *drive) put(job *wire.Job) {
 	d.rev++
-	d.step(RecordsChanged{Revision: d.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: job}}})
+	d.step(RecordsChanged{Revision: d.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: job}}})
 }
 
 // report sends a heartbeat of the machine vm-1, and drops the effects before it.
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -30,7 +31,7 @@
 		d.now += 50 * time.Millisecond
 		for _, e := range n.Step(d.now, Tick{}) {
 			if l, is := e.(RenewLease); is {
-				n.Step(d.now, LeaseAnswered{ID: l.ID, Outcome: OK, LeaseID: max(l.LeaseID, 7)})
+				n.Step(d.now, LeaseAnswered{ID: l.ID, Outcome: kv.OK, LeaseID: max(l.LeaseID, 7)})
 			}
 			c, is := e.(Commit)
 			if !is {
@@ -48,13 +49,13 @@
 				if j, is := w.Value.(*wire.Job); is {
 					named = j.OverflowKeys
 				}
-				if !slices.ContainsFunc(c.Conditions, func(c Condition) bool { return c.Key == wire.JobKey("wk-000001") }) {
+				if !slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.JobKey("wk-000001") }) {
 					t.Fatalf("%s is written under %+v", w.Key, c.Conditions)
 				}
-				ch.Events = append(ch.Events, Event{Key: w.Key, Revision: d.rev, Value: w.Value})
+				ch.Events = append(ch.Events, kv.Event{Key: w.Key, Revision: d.rev, Value: w.Value})
 			}
 			ch.Revision = d.rev
-			n.Step(d.now, Committed{ID: c.ID, Outcome: OK, Revision: d.rev})
+			n.Step(d.now, Committed{ID: c.ID, Outcome: kv.OK, Revision: d.rev})
 			n.Step(d.now, ch)
 		}
 	}
@@ -89,8 +90,8 @@
 	n := chained()
 	n.cfg.WriteRPS, n.cfg.NextWriteRPS = 20, 15
 	refuse := func() {
-		n.transact(ClassBackground, nil, []Write{{Key: "m/i/n0", Value: &wire.ImageCache{}}}, ignoreResult{})
-		n.Step(n.now+1, Committed{ID: n.nextID, Outcome: Refused, Limited: true})
+		n.transact(ClassBackground, nil, []kv.Write{{Key: "m/i/n0", Value: &wire.ImageCache{}}}, ignoreResult{})
+		n.Step(n.now+1, Committed{ID: n.nextID, Outcome: kv.Refused, Limited: true})
 	}
 	if n.writeRPS() != 20 {
 		t.Fatalf("begins with %v", n.writeRPS())
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -5,6 +5,9 @@
 	"testing"
 	"time"
 
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -18,8 +21,8 @@
 // ownerWith is owner with a changed configuration.
 func ownerWith(t *testing.T, change func(*Config)) (d *drive, term uint64) {
 	t.Helper()
-	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"},
-		Teams: []Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
+	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"},
+		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }}
 	change(&cfg)
 	d = &drive{rev: 1, n: New(cfg)}
@@ -101,7 +104,7 @@
 	j := lowJob(wire.JobLive)
 	j.Spec.Priority = "high"
 	n.out = nil
-	n.recordsChanged(RecordsChanged{Revision: d.rev, Events: []Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: j}}})
+	n.recordsChanged(RecordsChanged{Revision: d.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: j}}})
 	for range 100 {
 		d.now += 50 * time.Millisecond
 		for _, e := range n.Step(d.now, Tick{}) {
@@ -109,7 +112,7 @@
 			if !is || len(c.Writes) == 0 || c.Writes[0].Key != wire.JobKey("wk-000001") {
 				continue
 			}
-			if !slices.Contains(c.Conditions, Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}) || !slices.Contains(c.Conditions, Condition{Key: wire.JobKey("wk-000001"), Revision: d.rev}) {
+			if !slices.Contains(c.Conditions, kv.Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}) || !slices.Contains(c.Conditions, kv.Condition{Key: wire.JobKey("wk-000001"), Revision: d.rev}) {
 				t.Errorf("granted under %+v", c.Conditions)
 			}
 			return
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -5,6 +5,8 @@
 	"runtime"
 	"testing"
 
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
 	"micaport/internal/wire"
 )
 
@@ -24,11 +26,11 @@
 		jobs           = 100_000
 		maxBytesPerJob = 450
 	)
-	n := New(Config{Self: "n0", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
+	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
 		WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 1})
 	seeRecord := func(revision int, id string, record *wire.Job) {
-		n.Step(second, RecordsChanged{Revision: uint64(revision), Events: []Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
+		n.Step(second, RecordsChanged{Revision: uint64(revision), Events: []kv.Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
 	}
 	before := heapBytes()
 	for i := range jobs {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -48,7 +49,7 @@
 
 // applyEvents takes events in. Further active tasks change together with their job's
 // record; what several transactions did to one is taken in as it stands in the end.
-func (n *Node) applyEvents(events []Event) {
+func (n *Node) applyEvents(events []kv.Event) {
 	var last map[string]int
 	for i, e := range events {
 		if needs, is := e.Value.(*wire.DependencyList); is {
@@ -75,7 +76,7 @@
 }
 
 // applyEvent takes one event in.
-func (n *Node) applyEvent(e Event) {
+func (n *Node) applyEvent(e kv.Event) {
 	switch v := e.Value.(type) {
 	case *wire.SupportedFormat:
 		n.replica.PutFormat(e.Key[len(wire.FormatPrefix):], v)
@@ -107,7 +108,7 @@
 }
 
 // applyDelete takes in that a key is gone. Jobs' records are never dropped.
-func (n *Node) applyDelete(e Event) {
+func (n *Node) applyDelete(e kv.Event) {
 	switch {
 	case e.Key == wire.LeaderKey:
 		n.putLeader(nil, e.Revision)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -1,5 +1,7 @@
 package core
 
+import "micaport/internal/kv"
+
 // Requests under way to the state service, the cloud and workers. What goes on when the
 // result of one comes is a value whose type names the request, so that a dump of
 // Node.pending shows what is under way.
@@ -47,14 +49,14 @@
 	if committed.Limited && t.writes > 0 {
 		n.budget.noteRefusal(n.now)
 	}
-	if committed.Outcome == TooLarge {
+	if committed.Outcome == kv.TooLarge {
 		n.log(LogError, "transaction exceeds the limits of the state service", "writes", t.writes, "conditions", t.conditions)
 	}
 	t.next.committed(n, committed)
 }
 
 // transact sends a compare-and-swap transaction.
-func (n *Node) transact(class RequestClass, conditions []Condition, writes []Write, next committer) {
+func (n *Node) transact(class RequestClass, conditions []kv.Condition, writes []kv.Write, next committer) {
 	id := n.continueWith(transaction{conditions: len(conditions), writes: len(writes), next: next})
 	if class == ClassBackground {
 		n.budget.available -= float64(len(writes))
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"micaport/internal/kv"
 	"micaport/internal/quota"
 	"micaport/internal/wire"
 )
@@ -82,7 +83,7 @@
 	if !p.node.replica.WritesTeamAccounts() {
 		return
 	}
-	condition := Condition{Key: wire.AccountKey(p.node.cfg.Teams[job.Team].Name), Revision: p.node.replica.Ledger().Revision(job.Team)}
+	condition := kv.Condition{Key: wire.AccountKey(p.node.cfg.Teams[job.Team].Name), Revision: p.node.replica.Ledger().Revision(job.Team)}
 	if !slices.Contains(p.writer.conditions, condition) {
 		p.writer.conditions = append(p.writer.conditions, condition)
 	}
--- a/internal/core/scheduler_grant.go
+++ b/internal/core/scheduler_grant.go
@@ -1,6 +1,9 @@
 package core
 
-import "micaport/internal/wire"
+import (
+	"micaport/internal/kv"
+	"micaport/internal/wire"
+)
 
 // grant writes tasks of a job to the shards of the slots, task by task, as one attempt. It reports
 // false if there is no write left for the job.
@@ -69,7 +72,7 @@
 		}
 	}
 	key := wire.GangKey(job.ID, attempt)
-	return p.writer.addWrite(Write{Key: key, Value: gang}, Condition{Key: key, Revision: 0})
+	return p.writer.addWrite(kv.Write{Key: key, Value: gang}, kv.Condition{Key: key, Revision: 0})
 }
 
 // mayAssignMachine reports whether the leader may choose the machine in the grant, since it owns
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -86,10 +87,12 @@
 }
 
 // hasGuarantee reports whether a team has a guarantee of anything.
-func hasGuarantee(team *Team) bool { return team.GuaranteedGPUs > 0 || team.GuaranteedCores > 0 }
+func hasGuarantee(team *replica.Team) bool {
+	return team.GuaranteedGPUs > 0 || team.GuaranteedCores > 0
+}
 
 // guarantees reports whether a team has a guarantee that covers a use.
-func guarantees(team *Team, used usage) bool {
+func guarantees(team *replica.Team, used usage) bool {
 	return hasGuarantee(team) && !exceeds(used.gpus, team.GuaranteedGPUs) && !exceeds(used.cores, team.GuaranteedCores)
 }
 
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"micaport/internal/kv"
 	"micaport/internal/quota"
 	"micaport/internal/wire"
 )
@@ -46,7 +47,7 @@
 			return
 		}
 		key := wire.AccountKey(n.cfg.Teams[team].Name)
-		if p.writer.addWrite(Write{Key: key, Value: account}, Condition{Key: key, Revision: n.replica.Ledger().Revision(team)}) {
+		if p.writer.addWrite(kv.Write{Key: key, Value: account}, kv.Condition{Key: key, Revision: n.replica.Ledger().Revision(team)}) {
 			n.leader.sharesDistributedAt[team], n.leader.sharesReclaimed[team] = n.now, reason == quota.Reclaimed
 			n.log(LogDebug, "quota shares distributed", "team", n.cfg.Teams[team].Name, "reason", int(reason), "shares", len(account.Shares))
 		}
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -4,12 +4,13 @@
 	"math"
 	"testing"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
 // leading makes a controller the leader of a site without machines.
 func leading(n *Node) {
-	n.Step(n.now+1, RecordsChanged{Revision: 1000, Events: []Event{{Key: wire.LeaderKey, Revision: 1000, Value: &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}}}})
+	n.Step(n.now+1, RecordsChanged{Revision: 1000, Events: []kv.Event{{Key: wire.LeaderKey, Revision: 1000, Value: &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}}}})
 	n.leader.autoscaler = newAutoscaler()
 }
 
@@ -17,7 +18,7 @@
 func granted(n *Node, revision uint64, id string, expectedS float64) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
 	record := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
-	n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []Event{{Key: wire.JobKey(id), Revision: revision, Value: record}}})
+	n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []kv.Event{{Key: wire.JobKey(id), Revision: revision, Value: record}}})
 	n.jobNamed(id).grantedAt = n.now
 }
 
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"micaport/internal/kv"
 	"micaport/internal/ownership"
 	"micaport/internal/wire"
 )
@@ -86,8 +87,8 @@
 	for _, shard := range n.shards {
 		condition, claim, due := n.ownership.NextClaim(n.now, shard.Shard, func() bool { return n.mayClaim(shard) })
 		if due {
-			writes := append([]Write{claim}, n.replica.SupportedFormatWrites()...)
-			n.transact(ClassLease, []Condition{condition}, writes, shardClaim{})
+			writes := append([]kv.Write{claim}, n.replica.SupportedFormatWrites()...)
+			n.transact(ClassLease, []kv.Condition{condition}, writes, shardClaim{})
 		}
 	}
 }
@@ -152,7 +153,7 @@
 type shardClaim struct{}
 
 func (shardClaim) committed(n *Node, result Committed) {
-	if result.Outcome == LeaseExpired {
+	if result.Outcome == kv.LeaseExpired {
 		n.ownership.Lease.Ended(n.now)
 	}
 }
@@ -168,7 +169,7 @@
 type ownershipProof struct{ proof ownership.Proof }
 
 func (p ownershipProof) committed(n *Node, result Committed) {
-	if result.Outcome == OK {
+	if result.Outcome == kv.OK {
 		n.ownership.Succeeded(p.proof, result.Revision)
 		n.ownership.Settle(n.now, n.replica.Revision())
 	}
@@ -179,9 +180,9 @@
 const storeSilence = 3 * time.Second
 
 // noteStoreOutcome notes whether the state service serves this controller.
-func (n *Node) noteStoreOutcome(outcome Outcome) {
+func (n *Node) noteStoreOutcome(outcome kv.Outcome) {
 	switch outcome {
-	case OK, Conflict, NotFound, LeaseExpired, TooLarge:
+	case kv.OK, kv.Conflict, kv.NotFound, kv.LeaseExpired, kv.TooLarge:
 		if !n.storeOK {
 			// In an outage owners run out of validity and their workers go round in
 			// vain. That says nothing about the owners afterwards.
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -4,13 +4,14 @@
 	"fmt"
 	"testing"
 
+	"micaport/internal/ownership"
 	"micaport/internal/wire"
 )
 
 // Machines are named in order of their creation; a weak hash put runs of
 // neighbours into one shard and left the other without work.
 func TestPartsShareNeighbours(t *testing.T) {
-	n := New(Config{Self: "n0", Members: []Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}, Zones: []string{"a", "b"}})
+	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}, Zones: []string{"a", "b"}})
 	for start := 0; start < 200; start += 20 {
 		count := map[int]int{}
 		for i := range 20 {
@@ -65,7 +66,7 @@
 		{"an earlier life of ours took it", []*wire.Shard{claim("n1", "a"), claim("n0", "old")}, 1*second + validity},
 		{"a peer took it and its claim went", []*wire.Shard{claim("n1", "a"), claim("n2", "b"), nil}, 1*second + validity},
 	} {
-		n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity})
+		n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity})
 		shard := n.shards[0]
 		n.replica.Reached(0, true)
 		rev := uint64(1)
@@ -78,7 +79,7 @@
 			t.Errorf("%s: bound %v, not %v", c.name, shard.OwnedSince, c.bound)
 		}
 	}
-	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
+	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 5})
 	n.putShard(n.shards[0], claim("n0", "x"), 6)
 	if b := n.shards[0].OwnedSince; b != second+validity {
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"time"
 
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -70,7 +71,7 @@
 	query := revisionQuery{status.waiting}
 	status.waiting, status.querying, status.queryAt = nil, true, n.now+n.statusInterval()
 	// Whether the condition holds makes no difference: either answer names the revision.
-	n.transact(ClassUser, []Condition{n.leaderCondition()}, nil, query)
+	n.transact(ClassUser, []kv.Condition{n.leaderCondition()}, nil, query)
 }
 
 // committed takes the revision that the state service has named.
@@ -78,7 +79,7 @@
 	status := &n.users.status
 	status.querying = false
 	switch result.Outcome {
-	case OK, Conflict:
+	case kv.OK, kv.Conflict:
 		status.batches = append(status.batches, statusBatch{revision: result.Revision, since: n.now, requests: q.requests})
 		n.answerStatusRequests()
 	default:
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"slices"
 
+	"micaport/internal/kv"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -52,7 +53,7 @@
 		return // answered, or dependencyListWrite comes back here
 	}
 	key := wire.JobKey(spec.ID)
-	n.transact(ClassUser, []Condition{{Key: key, Revision: 0}}, []Write{{Key: key, Value: record}}, jobSubmission{request, status})
+	n.transact(ClassUser, []kv.Condition{{Key: key, Revision: 0}}, []kv.Write{{Key: key, Value: record}}, jobSubmission{request, status})
 }
 
 // rejectSubmission refuses a submission for good, unless the job turns out to exist: then
@@ -71,10 +72,10 @@
 func (s jobSubmission) committed(n *Node, result Committed) {
 	spec := s.request.spec
 	switch result.Outcome {
-	case OK:
+	case kv.OK:
 		n.log(LogDebug, "job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.TaskCount, "image", spec.Image, "image_gb", spec.ImageGB, "expected_s", spec.ExpectedS)
 		n.answer(s.request, http.StatusCreated, wire.JobStatus{JobID: spec.ID, Status: s.status})
-	case Conflict:
+	case kv.Conflict:
 		n.readJob(s.request)
 	default:
 		if n.mayRetry(s.request, result.Outcome) {
--- a/internal/core/takeover_record.go
+++ b/internal/core/takeover_record.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"micaport/internal/failover"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -70,5 +71,5 @@
 		return
 	}
 	last.StagesMS = n.stagesMS()
-	n.transact(ClassBackground, []Condition{n.leaderCondition()}, []Write{{Key: wire.TakeoversKey, Value: record}}, ignoreResult{})
+	n.transact(ClassBackground, []kv.Condition{n.leaderCondition()}, []kv.Write{{Key: wire.TakeoversKey, Value: record}}, ignoreResult{})
 }
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"micaport/internal/kv"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -162,11 +163,11 @@
 
 // mayRetry reports whether a request whose last call to the state service had the given
 // outcome may be tried again. If not, it has been answered or handed to a peer.
-func (n *Node) mayRetry(request *pendingRequest, outcome Outcome) bool {
+func (n *Node) mayRetry(request *pendingRequest, outcome kv.Outcome) bool {
 	switch {
 	case !n.users.isOpen(request):
 		return false
-	case outcome == Refused:
+	case outcome == kv.Refused:
 		if !n.forwardToPeer(request) {
 			n.answerUnavailable(request, storeUnavailable)
 		}
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"micaport/internal/kv"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -12,8 +13,8 @@
 	records      map[int]*wire.Job // changed copies, by index of their job
 	order        []int             // of these jobs
 	shards       map[int]bool      // for which this controller speaks as the owner, by index
-	linkedWrites []Write           // of other keys, which belong together with the rest
-	conditions   []Condition       // besides those on the changed records
+	linkedWrites []kv.Write        // of other keys, which belong together with the rest
+	conditions   []kv.Condition    // besides those on the changed records
 	bytes        int               // estimate of the size of the transaction
 	maxWrites    int
 	exitedTasks  map[taskKey]bool // whose end is in the changed records
@@ -65,7 +66,7 @@
 }
 
 // addWrite adds a write of another key under a condition, and tells whether there was room.
-func (w *writer) addWrite(write Write, condition Condition) bool {
+func (w *writer) addWrite(write kv.Write, condition kv.Condition) bool {
 	if len(w.order)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
 		return false
 	}
@@ -83,7 +84,7 @@
 	conditions := w.conditions
 	for i, shard := range w.node.shards {
 		if w.shards[i] {
-			conditions = append(conditions, Condition{Key: wire.ShardKey(shard.Name), Revision: shard.Term})
+			conditions = append(conditions, kv.Condition{Key: wire.ShardKey(shard.Name), Revision: shard.Term})
 		}
 	}
 	writes := w.linkedWrites
@@ -93,7 +94,7 @@
 		if len(writes)+len(changed) > w.node.cfg.MaxTransactionOps {
 			continue
 		}
-		conditions = append(conditions, Condition{Key: wire.JobKey(job.ID), Revision: job.Revision})
+		conditions = append(conditions, kv.Condition{Key: wire.JobKey(job.ID), Revision: job.Revision})
 		writes = append(writes, changed...)
 	}
 	if len(writes) > 0 {
@@ -103,7 +104,7 @@
 
 // writesOf gives the writes of a job's changed record and of its overflow keys. Where they
 // don't fit a transaction and this one is empty, overflow keys are written ahead.
-func (w *writer) writesOf(job *job, empty bool) []Write {
+func (w *writer) writesOf(job *job, empty bool) []kv.Write {
 	record := w.records[job.Index]
 	record.OverflowKeys = 0
 	replica.CompactRecord(record)
--- a/internal/failoverctl/status.go
+++ b/internal/failoverctl/status.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"micaport/internal/config"
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
 // Records reads the records on the state service; *store.AdminClient does.
 type Records interface {
-	List(ctx context.Context, prefix string) (map[string]core.Event, error)
+	List(ctx context.Context, prefix string) (map[string]kv.Event, error)
 }
 
 // Query asks the controller at an address (host:port) for its status; peer.QueryLeadership
--- a/internal/failoverctl/status_test.go
+++ b/internal/failoverctl/status_test.go
@@ -10,17 +10,17 @@
 	"time"
 
 	"micaport/internal/config"
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
 // fakeRecords is a state service with a record of takeovers, or one that fails.
 type fakeRecords struct{ err error }
 
-func (r fakeRecords) List(context.Context, string) (map[string]core.Event, error) {
+func (r fakeRecords) List(context.Context, string) (map[string]kv.Event, error) {
 	record := &wire.Takeovers{List: []wire.Takeover{{From: "n2", To: "n0", Replaced: 9, At: 1764640000000, SilenceMS: 1010, Broken: true,
 		Suspecting: 2, Members: 3, StagesMS: []int64{1001, 1010, 1040}}}}
-	return map[string]core.Event{wire.TakeoversKey: {Key: wire.TakeoversKey, Value: record}}, r.err
+	return map[string]kv.Event{wire.TakeoversKey: {Key: wire.TakeoversKey, Value: record}}, r.err
 }
 
 // query answers for n0, the leader, and n1, its standby; n2 can't be reached.
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -137,7 +137,7 @@
 }
 
 // Announced lists the attempts that the leader tells owners of: those that are being tried,
-// and confirmed ones with OK set.
+// and confirmed ones with kv.OK set.
 func (s *Attempts) Announced() []wire.GangHold {
 	var announced []wire.GangHold
 	for _, a := range s.Sorted() {
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -29,7 +29,7 @@
 // Outcome is what is known of a request to the state service or the cloud.
 type Outcome int
 
-// Outcomes. Only OK, Conflict and NotFound say for certain what happened; Refused says
+// Outcomes. Only kv.OK, Conflict and kv.NotFound say for certain what happened; Refused says
 // that nothing did.
 const (
 	OK Outcome = iota
--- a/internal/quotactl/accounts.go
+++ b/internal/quotactl/accounts.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"micaport/internal/config"
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/quota"
 	"micaport/internal/wire"
 )
@@ -54,7 +54,7 @@
 
 // newAccount returns a team's account as stored or, without a readable record, as the
 // settings define it. The shares of an invalid record are left out.
-func newAccount(team *config.Team, stored map[string]core.Event, shards int) Account {
+func newAccount(team *config.Team, stored map[string]kv.Event, shards int) Account {
 	record := &wire.Account{
 		Limit:     wire.Resources{Cores: team.MaxCores, GPUs: team.MaxGPUs},
 		Guarantee: wire.Resources{Cores: team.GuaranteedCores, GPUs: team.GuaranteedGPUs},
@@ -106,7 +106,7 @@
 }
 
 // activeTasks returns the active tasks of a job's record and of its overflow records.
-func activeTasks(jobID string, job *wire.Job, overflows map[string]core.Event) wire.ActiveTasks {
+func activeTasks(jobID string, job *wire.Job, overflows map[string]kv.Event) wire.ActiveTasks {
 	active := slices.Clone(job.ActiveTasks)
 	for i := 1; i <= job.OverflowKeys; i++ {
 		if overflow, ok := overflows[wire.OverflowKey(jobID, i)].Value.(*wire.Overflow); ok {
--- a/internal/quotactl/apply.go
+++ b/internal/quotactl/apply.go
@@ -5,7 +5,7 @@
 	"errors"
 	"fmt"
 
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/quota"
 	"micaport/internal/wire"
 )
@@ -43,13 +43,13 @@
 // plan is the transaction for a list of changes.
 type plan struct {
 	accounts   map[string]*wire.Account // of all teams, after the transaction
-	conditions []core.Condition
-	writes     []core.Write
+	conditions []kv.Condition
+	writes     []kv.Write
 	violations []error // changes that are not possible
 }
 
 // newPlan applies changes to the stored accounts.
-func newPlan(site *Site, changes []quota.Change, stored map[string]core.Event) *plan {
+func newPlan(site *Site, changes []quota.Change, stored map[string]kv.Event) *plan {
 	planned := &plan{accounts: map[string]*wire.Account{}}
 	accounts := map[string]Account{}
 	for i := range site.Teams {
@@ -70,8 +70,8 @@
 		}
 		planned.accounts[change.Team] = changed
 		key := wire.AccountKey(change.Team)
-		planned.conditions = append(planned.conditions, core.Condition{Key: key, Revision: account.revision})
-		planned.writes = append(planned.writes, core.Write{Key: key, Value: changed})
+		planned.conditions = append(planned.conditions, kv.Condition{Key: key, Revision: account.revision})
+		planned.writes = append(planned.writes, kv.Write{Key: key, Value: changed})
 	}
 	return planned
 }
--- a/internal/quotactl/quotactl_test.go
+++ b/internal/quotactl/quotactl_test.go
@@ -10,32 +10,33 @@
 	"testing"
 
 	"micaport/internal/config"
-	"micaport/internal/core"
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
 	"micaport/internal/quota"
 	"micaport/internal/wire"
 )
 
 // fakeRecords is a state service in memory.
 type fakeRecords struct {
-	records  map[string]core.Event
+	records  map[string]kv.Event
 	revision uint64
 	race     func() // called between the reads and the write of a change
 }
 
 func (r *fakeRecords) write(key string, value wire.Record) {
 	r.revision++
-	r.records[key] = core.Event{Key: key, Revision: r.revision, Value: value}
+	r.records[key] = kv.Event{Key: key, Revision: r.revision, Value: value}
 }
 
-func (r *fakeRecords) List(_ context.Context, prefix string) (map[string]core.Event, error) {
+func (r *fakeRecords) List(_ context.Context, prefix string) (map[string]kv.Event, error) {
 	found := maps.Clone(r.records)
-	maps.DeleteFunc(found, func(key string, _ core.Event) bool { return !strings.HasPrefix(key, prefix) })
+	maps.DeleteFunc(found, func(key string, _ kv.Event) bool { return !strings.HasPrefix(key, prefix) })
 	return found, nil
 }
 
 var errConflict = errors.New("conflict")
 
-func (r *fakeRecords) Commit(_ context.Context, conditions []core.Condition, writes []core.Write) error {
+func (r *fakeRecords) Commit(_ context.Context, conditions []kv.Condition, writes []kv.Write) error {
 	if r.race != nil {
 		r.race()
 	}
@@ -52,13 +53,13 @@
 
 // newSite returns a site of two controllers and two teams, and its records.
 func newSite() (*fakeRecords, *Site) {
-	records := &fakeRecords{records: map[string]core.Event{}}
+	records := &fakeRecords{records: map[string]kv.Event{}}
 	for _, label := range []string{"n0", "n1"} {
 		records.write(wire.FormatPrefix+label, &wire.SupportedFormat{Format: wire.FormatTeamAccounts})
 	}
 	records.write(wire.MachineTypesKey, &wire.MachineTypeCache{Types: []wire.MachineType{{Name: "g2", Cores: 16, GPUs: 2}}})
 	return records, &Site{
-		Shards: core.Shards([]string{"a", "b"}, []core.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "b"}}), Controllers: []string{"n0", "n1"},
+		Shards: ownership.ShardIDs([]string{"a", "b"}, []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "b"}}), Controllers: []string{"n0", "n1"},
 		Teams: []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 4, MaxGPUs: 8}}, TxnOps: 4, MaxMachines: 6,
 	}
 }
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -8,21 +8,22 @@
 	"strings"
 
 	"micaport/internal/config"
-	"micaport/internal/core"
+	"micaport/internal/kv"
+	"micaport/internal/ownership"
 	"micaport/internal/quota"
 	"micaport/internal/wire"
 )
 
 // Records reads and changes the records on the state service; *store.AdminClient does.
 type Records interface {
-	List(ctx context.Context, prefix string) (map[string]core.Event, error)
-	Commit(ctx context.Context, conditions []core.Condition, writes []core.Write) error
+	List(ctx context.Context, prefix string) (map[string]kv.Event, error)
+	Commit(ctx context.Context, conditions []kv.Condition, writes []kv.Write) error
 }
 
 // Site is what the commands need to know of a deployment.
 type Site struct {
-	Shards      []core.ShardID // in the order in which records number them
-	Controllers []string       // labels
+	Shards      []ownership.ShardID // in the order in which records number them
+	Controllers []string            // labels
 	Teams       []config.Team
 	TxnOps      int // writes in a transaction
 	MaxMachines int // as operators bound them; 0 is no bound
@@ -31,12 +32,12 @@
 // NewSite derives a site from the settings.
 func NewSite(settings *config.Settings, operator config.OperatorSettings) *Site {
 	site := &Site{Teams: settings.Deployment.Teams, TxnOps: settings.StateLimits().TxnOps, MaxMachines: operator.MaxMachines}
-	var members []core.Member
+	var members []ownership.Member
 	for _, controller := range settings.Controllers() {
-		members = append(members, core.Member{Name: controller.Label, Zone: controller.Zone})
+		members = append(members, ownership.Member{Name: controller.Label, Zone: controller.Zone})
 		site.Controllers = append(site.Controllers, controller.Label)
 	}
-	site.Shards = core.Shards(settings.Deployment.Zones, members)
+	site.Shards = ownership.ShardIDs(settings.Deployment.Zones, members)
 	return site
 }
 
@@ -63,7 +64,7 @@
 // canHold returns quota.ErrBeyondTheSite if the guarantees of all accounts together exceed
 // what the site can have. It can tell only if the operators bound the number of machines and
 // the leader has recorded the machine types.
-func (s *Site) canHold(accounts map[string]*wire.Account, stored map[string]core.Event) error {
+func (s *Site) canHold(accounts map[string]*wire.Account, stored map[string]kv.Event) error {
 	machineTypes, ok := stored[wire.MachineTypesKey].Value.(*wire.MachineTypeCache)
 	if !ok || s.MaxMachines == 0 {
 		return nil
--- a/internal/server/core_config.go
+++ b/internal/server/core_config.go
@@ -8,6 +8,8 @@
 
 	"micaport/internal/config"
 	"micaport/internal/core"
+	"micaport/internal/ownership"
+	"micaport/internal/replica"
 )
 
 const (
@@ -53,23 +55,23 @@
 		OwnerValidity:     settings.Validity(),
 		LeaderLease:       config.LeaderLease,
 
-		MaxTransactionOps: limits.TxnOps,
-		MaxValueBytes:     limits.ValueBytes,
-		CurrentValueBytes: int(deployment.State.ValueKB * bytesPerKB),
-		MaxBatchWrites:    max(minBatchWrites, int(batchSeconds*deployment.State.WriteRPS/float64(controllers))),
-		MaxBulkTasks:      int(maxLargeArrayTasksPerCore * deployment.Limits.CoreShare),
-		StateRPS:          limits.RPS,
-		WriteRPS:          deployment.State.WriteRPS,
-		NextWriteRPS:      limits.WriteRPS,
-		CloudRPS:          deployment.Cloud.RPS,
-		CloudListLag:      config.Seconds(deployment.Cloud.ListLagS),
+		MaxTransactionOps:  limits.TxnOps,
+		MaxValueBytes:      limits.ValueBytes,
+		CurrentValueBytes:  int(deployment.State.ValueKB * bytesPerKB),
+		MaxBatchWrites:     max(minBatchWrites, int(batchSeconds*deployment.State.WriteRPS/float64(controllers))),
+		MaxLargeArrayTasks: int(maxLargeArrayTasksPerCore * deployment.Limits.CoreShare),
+		StateRPS:           limits.RPS,
+		WriteRPS:           deployment.State.WriteRPS,
+		NextWriteRPS:       limits.WriteRPS,
+		CloudRPS:           deployment.Cloud.RPS,
+		CloudListLag:       config.Seconds(deployment.Cloud.ListLagS),
 
 		IdleTimeout:   config.Seconds(operator.IdleReturnS),
 		SpareMachines: operator.SpareMachines,
 		MaxMachines:   operator.MaxMachines,
 		Preempt:       operator.Preempt,
 		Admission:     admissions[operator.Admission],
-		EarlyTakeover: operator.Takeover == config.TakeoverEarly,
+		EarlyFailover: operator.Takeover == config.TakeoverEarly,
 		WallClockMS:   func() int64 { return time.Now().UnixMilli() },
 	}
 }
@@ -80,10 +82,10 @@
 }
 
 // members lists all controllers, this one first.
-func members(settings *config.Settings) []core.Member {
-	var all []core.Member
+func members(settings *config.Settings) []ownership.Member {
+	var all []ownership.Member
 	for _, controller := range settings.Controllers() {
-		all = append(all, core.Member{Name: controller.Label, Zone: controller.Zone})
+		all = append(all, ownership.Member{Name: controller.Label, Zone: controller.Zone})
 	}
 	return all
 }
@@ -100,10 +102,10 @@
 }
 
 // teams translates the guarantees and quotas of teams.
-func teams(settings []config.Team) []core.Team {
-	var translated []core.Team
+func teams(settings []config.Team) []replica.Team {
+	var translated []replica.Team
 	for _, team := range settings {
-		translated = append(translated, core.Team{
+		translated = append(translated, replica.Team{
 			Name:            team.Name,
 			GuaranteedCores: team.GuaranteedCores, GuaranteedGPUs: team.GuaranteedGPUs,
 			MaxCores: team.MaxCores, MaxGPUs: team.MaxGPUs,
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -44,7 +45,7 @@
 
 // call carries out a controller's call.
 func (c *cloud) call(call core.CallCloud) core.CloudAnswered {
-	answer := core.CloudAnswered{ID: call.ID, Outcome: core.OK}
+	answer := core.CloudAnswered{ID: call.ID, Outcome: kv.OK}
 	switch {
 	case call.ListTypes:
 		answer.MachineTypes = []wire.MachineType{c.machineType}
@@ -53,7 +54,7 @@
 	case call.Provision != nil:
 		answer.Names = c.provisionOnce(call.Provision)
 		if len(answer.Names) == 0 {
-			answer.Outcome = core.NoCapacity
+			answer.Outcome = kv.NoCapacity
 		}
 	case call.Deprovision != nil:
 		for _, name := range call.Deprovision {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -9,6 +9,7 @@
 
 	"micaport/internal/config"
 	"micaport/internal/core"
+	"micaport/internal/ownership"
 )
 
 // controller is a controller: a core, its clock and what waits for it. With real processes
@@ -83,11 +84,11 @@
 	sim := c.sim
 	cfg := core.Config{
 		Self: c.label, Zone: c.zone, Incarnation: fmt.Sprintf("%s-%d", c.label, c.incarnation),
-		Zones: sim.Zones, Teams: sim.Teams, Admission: sim.Admission, EarlyTakeover: sim.EarlyTakeover,
+		Zones: sim.Zones, Teams: sim.Teams, Admission: sim.Admission, EarlyFailover: sim.EarlyTakeover,
 		HeartbeatInterval: sim.HeartbeatInterval, WorkerLease: sim.WorkerLease, GangWait: sim.GangWait,
 		OwnerValidity: config.Validity(sim.WorkerLease, sim.CancelDeadline), LeaderLease: leaderLease,
 		MaxTransactionOps: sim.MaxTransactionOps, MaxValueBytes: sim.MaxValueBytes,
-		MaxBulkTasks: maxBulkTasks, MaxBatchWrites: sim.maxBatchWrites(),
+		MaxLargeArrayTasks: maxBulkTasks, MaxBatchWrites: sim.maxBatchWrites(),
 		CloudListLag: cloudListLag, CloudRPS: coreCloudRPS, StateRPS: coreStateRPS, WriteRPS: sim.WriteRPS,
 		IdleTimeout: sim.IdleTimeout, SpareMachines: spareMachines, Preempt: true,
 		WallClockMS: func() int64 { return sim.now.Milliseconds() },
@@ -100,7 +101,7 @@
 		cfg.MaxTransactionOps, cfg.NextWriteRPS = lowerLimit(cfg.MaxTransactionOps, sim.NextMaxTransactionOps), sim.NextWriteRPS
 	}
 	for _, peer := range sim.controllers {
-		cfg.Members = append(cfg.Members, core.Member{Name: peer.label, Zone: peer.zone})
+		cfg.Members = append(cfg.Members, ownership.Member{Name: peer.label, Zone: peer.zone})
 	}
 	return cfg
 }
--- a/internal/simulation/controller_faults.go
+++ b/internal/simulation/controller_faults.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 )
 
 // beginFailure records that the controller ends or freezes now, for d. It reports false if
@@ -53,7 +54,7 @@
 	c.heldEffects, c.queuedInputs, c.freezeBeforeEffects = nil, nil, false
 	for _, effect := range effects {
 		if call, is := effect.(core.CallCloud); is && (call.Provision != nil || call.Deprovision != nil) && d > call.ValidFor {
-			c.step(core.CloudAnswered{ID: call.ID, Outcome: core.Refused}) // as the cloud client does
+			c.step(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}) // as the cloud client does
 			continue
 		}
 		c.perform(effect)
--- a/internal/simulation/leadership.go
+++ b/internal/simulation/leadership.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -118,9 +119,9 @@
 
 // checkCommit checks a transaction that has been carried out: if it is a leader's decision,
 // the controller leads.
-func (w *leadershipWatch) checkCommit(ctrl *controller, conditions []core.Condition, writes []recordWrite) {
+func (w *leadershipWatch) checkCommit(ctrl *controller, conditions []kv.Condition, writes []recordWrite) {
 	tenure := w.current()
-	underClaim := slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 })
+	underClaim := slices.ContainsFunc(conditions, func(c kv.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 })
 	isClaim := slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey })
 	if tenure == nil || !underClaim || isClaim {
 		return
--- a/internal/simulation/loopback_cloud.go
+++ b/internal/simulation/loopback_cloud.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -42,9 +43,9 @@
 	}
 	answer := l.cloud.call(call)
 	switch {
-	case answer.Outcome == core.NoCapacity:
+	case answer.Outcome == kv.NoCapacity:
 		return serviceReply{http.StatusServiceUnavailable, wire.Error{Error: "no capacity"}}
-	case answer.Outcome != core.OK:
+	case answer.Outcome != kv.OK:
 		return unavailable
 	case call.ListTypes:
 		return serviceReply{http.StatusOK, wire.MachineTypeList{MachineTypes: answer.MachineTypes}}
--- a/internal/simulation/loopback_http.go
+++ b/internal/simulation/loopback_http.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -99,11 +100,11 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		outcomes := make(chan core.Outcome, 1)
-		l.post(func() { worker.acceptCommands(batch, nil, func(outcome core.Outcome) { outcomes <- outcome }) })
+		outcomes := make(chan kv.Outcome, 1)
+		l.post(func() { worker.acceptCommands(batch, nil, func(outcome kv.Outcome) { outcomes <- outcome }) })
 		select {
 		case outcome := <-outcomes:
-			if outcome != core.OK {
+			if outcome != kv.OK {
 				w.WriteHeader(http.StatusConflict)
 			}
 		case <-time.After(workerAnswerLimit):
--- a/internal/simulation/loopback_state.go
+++ b/internal/simulation/loopback_state.go
@@ -8,7 +8,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -116,9 +116,9 @@
 
 // serveCommit carries out a transaction.
 func (s *stateService) serveCommit(ctrl *controller, commit *commitRequest) serviceReply {
-	var conditions []core.Condition
+	var conditions []kv.Condition
 	for _, x := range commit.If {
-		conditions = append(conditions, core.Condition{Key: x.Key, Revision: x.Rev})
+		conditions = append(conditions, kv.Condition{Key: x.Key, Revision: x.Rev})
 	}
 	var writes []recordWrite
 	for _, x := range commit.Writes {
@@ -130,11 +130,11 @@
 	}
 	outcome, revision, failed := s.commit(ctrl, conditions, writes)
 	switch outcome {
-	case core.OK:
+	case kv.OK:
 		return serviceReply{http.StatusOK, map[string]any{"ledger_rev": revision}}
-	case core.Conflict:
+	case kv.Conflict:
 		return serviceReply{http.StatusConflict, map[string]any{"failed": failed, "ledger_rev": revision}}
-	case core.LeaseExpired:
+	case kv.LeaseExpired:
 		return serviceReply{http.StatusBadRequest, wire.Error{Error: "no such lease"}}
 	}
 	return serviceReply{http.StatusTooManyRequests, wire.Error{Error: "too many changes"}}
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -10,6 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"micaport/internal/core"
+	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -82,7 +83,7 @@
 	const begin, end = 60 * time.Second, 300 * time.Second
 	s := Defaults()
 	s.Seed, s.ControllerZones, s.Capacity, s.IdleTimeout, s.Admission, s.WriteRPS = seed+1, []string{"a", "b", "a", "b", "a"}, 100, 400*time.Second, admission, 60
-	s.Teams = []core.Team{{Name: "pool", GuaranteedGPUs: 120, MaxGPUs: 120}, {Name: "warm", MaxGPUs: 1000}}
+	s.Teams = []replica.Team{{Name: "pool", GuaranteedGPUs: 120, MaxGPUs: 120}, {Name: "warm", MaxGPUs: 1000}}
 	sim := New(s, discardLog)
 	must(sim.users.submitLine([]string{"wk-000000", "team=warm", "frames=80", "run=30", "cards=2", "ordinary"}))
 	load.faults(sim)
--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -58,7 +58,7 @@
 
 // checkCommit applies a transaction that has been carried out, and checks that it brings no
 // team above its limit and that its charges are conditional on the teams' accounts.
-func (a *quotaAccounting) checkCommit(conditions []core.Condition, writes []recordWrite) {
+func (a *quotaAccounting) checkCommit(conditions []kv.Condition, writes []recordWrite) {
 	before := map[string]wire.Resources{}
 	for name, charge := range a.teams {
 		before[name] = charge.total()
@@ -91,13 +91,13 @@
 // checkFence checks that a commit which charges more for a job was conditional on the
 // team's account, if there is one. Without that it could be carried out after the limit was
 // lowered, or the share revoked.
-func (a *quotaAccounting) checkFence(conditions []core.Condition, jobID string, was jobCharge) {
+func (a *quotaAccounting) checkFence(conditions []kv.Condition, jobID string, was jobCharge) {
 	now := a.jobs[jobID]
 	if now.byLeader <= was.byLeader && now.countAdmitted() <= was.countAdmitted() {
 		return
 	}
 	key := wire.AccountKey(now.team)
-	fenced := slices.ContainsFunc(conditions, func(c core.Condition) bool { return c.Key == key })
+	fenced := slices.ContainsFunc(conditions, func(c kv.Condition) bool { return c.Key == key })
 	if a.sim.store.records[key] != nil && !fenced {
 		a.sim.rules.violated("unfenced", "%s is charged to %s without a condition on its account", jobID, now.team)
 	}
--- a/internal/simulation/quota_accounting_test.go
+++ b/internal/simulation/quota_accounting_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -67,13 +67,13 @@
 	for task := range c.tasks {
 		job.ActiveTasks = append(job.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1, Machine: "vm-000001", Epoch: 1, Admitted: c.admitted})
 	}
-	conditions := []core.Condition{{Key: wire.JobKey(jobID)}}
+	conditions := []kv.Condition{{Key: wire.JobKey(jobID)}}
 	if c.fenced {
 		key := wire.AccountKey("red")
-		conditions = append(conditions, core.Condition{Key: key, Revision: sim.store.revisionOf(key)})
+		conditions = append(conditions, kv.Condition{Key: key, Revision: sim.store.revisionOf(key)})
 	}
-	writes := encodeRecordWrites([]core.Write{{Key: wire.JobKey(jobID), Value: job}})
-	if outcome, _, _ := sim.store.commit(nil, conditions, writes); outcome != core.OK {
-		t.Fatalf("the commit of %s came to %v, want %v", jobID, outcome, core.OK)
+	writes := encodeRecordWrites([]kv.Write{{Key: wire.JobKey(jobID), Value: job}})
+	if outcome, _, _ := sim.store.commit(nil, conditions, writes); outcome != kv.OK {
+		t.Fatalf("the commit of %s came to %v, want %v", jobID, outcome, kv.OK)
 	}
 }
--- a/internal/simulation/service_calls.go
+++ b/internal/simulation/service_calls.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -58,44 +59,44 @@
 	sim := c.sim
 	writes := encodeRecordWrites(x.Writes)
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.Committed{ID: x.ID, Outcome: core.Refused}),
+		refusal: c.refusedWith(core.Committed{ID: x.ID, Outcome: kv.Refused}),
 		fate:    func() requestFate { return sim.store.commitFate(len(writes)) },
 		run: func() core.Input {
 			refused := sim.meter.refusedCommits
 			outcome, revision, failed := sim.store.commit(c, x.Conditions, writes)
 			return core.Committed{ID: x.ID, Outcome: outcome, Revision: revision, Failed: failed, Limited: sim.meter.refusedCommits > refused}
 		},
-		lost: core.Committed{ID: x.ID, Outcome: core.Unknown},
+		lost: core.Committed{ID: x.ID, Outcome: kv.Unknown},
 	})
 }
 
 // readJob reads the record of a job from the state service.
 func (c *controller) readJob(x core.ReadJob) {
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.JobRead{ID: x.ID, Outcome: core.Refused}),
+		refusal: c.refusedWith(core.JobRead{ID: x.ID, Outcome: kv.Refused}),
 		fate:    c.sim.store.fate,
 		run: func() core.Input {
-			answer := core.JobRead{ID: x.ID, Outcome: core.NotFound}
+			answer := core.JobRead{ID: x.ID, Outcome: kv.NotFound}
 			if record := c.sim.store.records[wire.JobKey(x.JobID)]; record != nil {
-				answer.Outcome, answer.Revision, answer.Job = core.OK, record.revision, new(wire.Job)
+				answer.Outcome, answer.Revision, answer.Job = kv.OK, record.revision, new(wire.Job)
 				must(wire.Decode(record.raw, answer.Job))
 			}
 			return answer
 		},
-		lost: core.JobRead{ID: x.ID, Outcome: core.Unknown},
+		lost: core.JobRead{ID: x.ID, Outcome: kv.Unknown},
 	})
 }
 
 // renewLease makes or renews a lease of the state service.
 func (c *controller) renewLease(x core.RenewLease) {
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.LeaseAnswered{ID: x.ID, Outcome: core.Refused}),
+		refusal: c.refusedWith(core.LeaseAnswered{ID: x.ID, Outcome: kv.Refused}),
 		fate:    c.sim.store.fate,
 		run: func() core.Input {
 			outcome, id := c.sim.store.renewLease(x.LeaseID, x.TTL)
 			return core.LeaseAnswered{ID: x.ID, Outcome: outcome, LeaseID: id}
 		},
-		lost: core.LeaseAnswered{ID: x.ID, Outcome: core.Unknown},
+		lost: core.LeaseAnswered{ID: x.ID, Outcome: kv.Unknown},
 	})
 }
 
@@ -106,15 +107,15 @@
 	c.callService(serviceCall{
 		refusal: func() core.Input {
 			if sim.network.isCut(c.endpoint(), cloudEndpoint) {
-				return core.CloudAnswered{ID: x.ID, Outcome: core.Unknown}
+				return core.CloudAnswered{ID: x.ID, Outcome: kv.Unknown}
 			}
 			if sim.cloud.outage {
-				return core.CloudAnswered{ID: x.ID, Outcome: core.Refused}
+				return core.CloudAnswered{ID: x.ID, Outcome: kv.Refused}
 			}
 			return nil
 		},
 		fate: sim.network.fate,
 		run:  func() core.Input { return sim.cloud.call(x) },
-		lost: core.CloudAnswered{ID: x.ID, Outcome: core.Unknown},
+		lost: core.CloudAnswered{ID: x.ID, Outcome: kv.Unknown},
 	})
 }
--- a/internal/simulation/settings.go
+++ b/internal/simulation/settings.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/replica"
 )
 
 // Settings of a simulation. Defaults returns those of a small deployment.
@@ -11,7 +12,7 @@
 	Seed              uint64
 	ControllerZones   []string // the zone of each controller
 	Zones             []string
-	Teams             []core.Team
+	Teams             []replica.Team
 	HeartbeatInterval time.Duration // of workers
 	WorkerLease       time.Duration // a worker without a reply for as long ends its tasks
 	GangWait          time.Duration // a gang task waits as long for its peers
@@ -48,7 +49,7 @@
 		Seed:            1,
 		ControllerZones: []string{"a", "b", "a"},
 		Zones:           []string{"a", "b"},
-		Teams: []core.Team{
+		Teams: []replica.Team{
 			{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8},
 			{Name: "blue", GuaranteedGPUs: 4, MaxGPUs: 8},
 			{Name: "wide", MaxGPUs: 1000},
--- a/internal/simulation/state_records.go
+++ b/internal/simulation/state_records.go
@@ -4,12 +4,12 @@
 	"encoding/json"
 	"strings"
 
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
 // encodeRecordWrites encodes the values of a core's writes.
-func encodeRecordWrites(writes []core.Write) []recordWrite {
+func encodeRecordWrites(writes []kv.Write) []recordWrite {
 	var encoded []recordWrite
 	for _, write := range writes {
 		record := recordWrite{key: write.Key, leaseID: write.LeaseID}
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -86,18 +86,18 @@
 // commit carries out a transaction: all writes, if every record has the revision that a
 // condition names, 0 for none. It returns the store's revision, and the keys of the
 // conditions that failed.
-func (s *stateService) commit(ctrl *controller, conditions []core.Condition, writes []recordWrite) (outcome core.Outcome, revision uint64, failed []string) {
+func (s *stateService) commit(ctrl *controller, conditions []kv.Condition, writes []recordWrite) (outcome kv.Outcome, revision uint64, failed []string) {
 	if s.outage {
-		return core.Refused, 0, nil
+		return kv.Refused, 0, nil
 	}
 	s.checkLimits(ctrl, conditions, writes)
 	if !s.takeCredit(len(writes)) {
 		s.sim.meter.refusedCommits++
-		return core.Refused, 0, nil
+		return kv.Refused, 0, nil
 	}
 	for _, write := range writes {
 		if write.leaseID != 0 && s.leases[write.leaseID] == nil {
-			return core.LeaseExpired, s.revision, nil
+			return kv.LeaseExpired, s.revision, nil
 		}
 	}
 	for _, condition := range conditions {
@@ -107,10 +107,10 @@
 	}
 	if len(failed) > 0 {
 		s.sim.leadership.recordConflict(writes)
-		return core.Conflict, s.revision, failed
+		return kv.Conflict, s.revision, failed
 	}
 	if len(writes) == 0 {
-		return core.OK, s.revision, nil
+		return kv.OK, s.revision, nil
 	}
 	s.revision++
 	for _, write := range writes {
@@ -119,11 +119,11 @@
 	s.sim.quota.checkCommit(conditions, writes)
 	s.sim.leadership.checkCommit(ctrl, conditions, writes)
 	s.notifyWatches()
-	return core.OK, s.revision, nil
+	return kv.OK, s.revision, nil
 }
 
 // checkLimits checks that a transaction keeps the service's limits.
-func (s *stateService) checkLimits(ctrl *controller, conditions []core.Condition, writes []recordWrite) {
+func (s *stateService) checkLimits(ctrl *controller, conditions []kv.Condition, writes []recordWrite) {
 	sim := s.sim
 	if len(writes) > sim.MaxTransactionOps || len(conditions) > conditionsPerOp*sim.MaxTransactionOps {
 		sim.rules.violated("limits", "%s: transaction with %d writes and %d conditions", ctrl.label, len(writes), len(conditions))
@@ -184,21 +184,21 @@
 }
 
 // renewLease renews a lease, or makes one if the id is 0, and returns the id of a new one.
-func (s *stateService) renewLease(id uint64, ttl time.Duration) (core.Outcome, uint64) {
+func (s *stateService) renewLease(id uint64, ttl time.Duration) (kv.Outcome, uint64) {
 	if s.outage {
-		return core.Refused, 0
+		return kv.Refused, 0
 	}
 	if id == 0 {
 		s.lastLeaseID++
 		s.leases[s.lastLeaseID] = &storedLease{ttl: ttl, expiresAt: s.sim.now + ttl}
-		return core.OK, s.lastLeaseID
+		return kv.OK, s.lastLeaseID
 	}
 	lease := s.leases[id]
 	if lease == nil {
-		return core.NotFound, 0
+		return kv.NotFound, 0
 	}
 	lease.expiresAt = s.sim.now + lease.ttl
-	return core.OK, 0
+	return kv.OK, 0
 }
 
 // expireLeases deletes the records of the leases that have expired.
--- a/internal/simulation/state_watch.go
+++ b/internal/simulation/state_watch.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 )
 
 // watchNotStarted is the position of a watch that has not delivered its snapshot yet.
@@ -35,7 +36,7 @@
 		snapshot := core.RecordsChanged{Reset: true, Revision: s.revision}
 		for _, key := range sortedKeys(s.records) {
 			record := s.records[key]
-			snapshot.Events = append(snapshot.Events, core.Event{Key: key, Revision: record.revision, Value: mustDecodeRecord(key, record.raw)})
+			snapshot.Events = append(snapshot.Events, kv.Event{Key: key, Revision: record.revision, Value: mustDecodeRecord(key, record.raw)})
 		}
 		s.watchPositions[ctrl.label] = len(s.changes)
 		ctrl.step(snapshot)
@@ -63,7 +64,7 @@
 	}
 	changed := core.RecordsChanged{Revision: s.changes[len(s.changes)-1].revision}
 	for _, change := range s.changes[position:] {
-		event := core.Event{Key: change.key, Revision: change.revision}
+		event := kv.Event{Key: change.key, Revision: change.revision}
 		if change.raw != nil {
 			event.Value = mustDecodeRecord(change.key, change.raw)
 		}
--- a/internal/simulation/worker_commands.go
+++ b/internal/simulation/worker_commands.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -20,7 +21,7 @@
 	sim := c.sim
 	worker := sim.fleet.atAddress(x.Address)
 	if worker == nil || worker.terminated || sim.now < worker.inboundCutUntil {
-		c.answerCommands(connectionRefused, x, core.Refused)
+		c.answerCommands(connectionRefused, x, kv.Refused)
 		return
 	}
 	isCut := func() bool { return sim.network.isCut(worker.endpoint(), c.endpoint()) }
@@ -29,21 +30,21 @@
 		return
 	}
 	if !sim.network.isHeld(worker.endpoint(), c.endpoint()) || sim.rng.IntN(2) == 0 {
-		c.answerCommands(connectionRefused, x, core.Refused)
+		c.answerCommands(connectionRefused, x, kv.Refused)
 		return
 	}
 	// The connection stood already when the cut began.
-	c.answerCommands(commandTimeout, x, core.Unknown)
+	c.answerCommands(commandTimeout, x, kv.Unknown)
 	worker.acceptCommands(x.Batch, isCut, ignoreOutcome)
 }
 
 // answerCommands delivers the outcome of commands to the controller after a delay.
-func (c *controller) answerCommands(d time.Duration, x core.SendCommands, outcome core.Outcome) {
+func (c *controller) answerCommands(d time.Duration, x core.SendCommands, outcome kv.Outcome) {
 	c.deliver(d, core.CommandsAnswered{ID: x.ID, Outcome: outcome})
 }
 
 // ignoreOutcome is given the outcome of commands whose sender does not wait for it.
-func ignoreOutcome(core.Outcome) {}
+func ignoreOutcome(kv.Outcome) {}
 
 // deliverCommands delivers commands to a worker that the controller reaches, as the network
 // has it.
@@ -53,7 +54,7 @@
 	waits := func() bool { return !answered && c.incarnation == incarnation }
 	if fate.runs {
 		sim.after(fate.delay, func() {
-			worker.acceptCommands(x.Batch, nil, func(outcome core.Outcome) {
+			worker.acceptCommands(x.Batch, nil, func(outcome kv.Outcome) {
 				if fate.answered && waits() {
 					answered = true
 					c.answerCommands(sim.network.latency(), x, outcome)
@@ -67,7 +68,7 @@
 	sim.after(commandTimeout, func() {
 		if waits() {
 			answered = true
-			c.answerCommands(0, x, core.Unknown)
+			c.answerCommands(0, x, kv.Unknown)
 		}
 	})
 }
@@ -75,7 +76,7 @@
 // acceptCommands carries out commands that came to the worker's address, once it runs and
 // nothing holds them back any more. Done is given the outcome; it is not called if the
 // machine is gone.
-func (w *simWorker) acceptCommands(batch wire.CommandBatch, held func() bool, done func(core.Outcome)) {
+func (w *simWorker) acceptCommands(batch wire.CommandBatch, held func() bool, done func(kv.Outcome)) {
 	if w.terminated {
 		return
 	}
@@ -85,7 +86,7 @@
 	}
 	w.checkLease()
 	if batch.Token < w.token || batch.Epoch != w.epoch {
-		done(core.Conflict)
+		done(kv.Conflict)
 		return
 	}
 	w.token = batch.Token
@@ -93,7 +94,7 @@
 		w.execute(command)
 	}
 	w.sequence++ // its answer shows what it does, as a heartbeat would
-	done(core.OK)
+	done(kv.OK)
 }
 
 // execute carries out one command.
--- a/internal/store/admin_client.go
+++ b/internal/store/admin_client.go
@@ -7,6 +7,7 @@
 	"net/http"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 )
 
 // AdminClient reads and changes records for the operators' commands, one request at a time.
@@ -33,12 +34,12 @@
 
 // List returns all records below a prefix by key. Errors wrap ErrUnreachable, and a
 // *StatusError if the service answered.
-func (a *AdminClient) List(ctx context.Context, prefix string) (map[string]core.Event, error) {
+func (a *AdminClient) List(ctx context.Context, prefix string) (map[string]kv.Event, error) {
 	_, listed, err := a.client.list(ctx, prefix)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
-	records := map[string]core.Event{}
+	records := map[string]kv.Event{}
 	for _, record := range listed {
 		records[record.Key] = record
 	}
@@ -47,15 +48,15 @@
 
 // Commit carries out a conditional transaction. Errors wrap ErrUnreachable, ErrConflict or
 // ErrUncertain.
-func (a *AdminClient) Commit(ctx context.Context, conditions []core.Condition, writes []core.Write) error {
+func (a *AdminClient) Commit(ctx context.Context, conditions []kv.Condition, writes []kv.Write) error {
 	var answer response
 	outcome := a.client.call(ctx, core.ClassUser, http.MethodPost, "/commit", newTransaction(conditions, writes), &answer)
 	switch outcome {
-	case core.OK:
+	case kv.OK:
 		return nil
-	case core.Conflict:
+	case kv.Conflict:
 		return fmt.Errorf("%w: %v", ErrConflict, answer.Failed)
-	case core.Refused, core.TooLarge:
+	case kv.Refused, kv.TooLarge:
 		return fmt.Errorf("%w: refused", ErrUnreachable)
 	default:
 		return ErrUncertain
--- a/internal/store/admin_client_test.go
+++ b/internal/store/admin_client_test.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"testing"
 
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/msgpackhttp"
 	"micaport/internal/wire"
 )
@@ -50,7 +50,7 @@
 		address := startService(t, func(w http.ResponseWriter, _ *http.Request) {
 			msgpackhttp.Respond(w, test.status, object{"failed": []string{"m/a"}})
 		})
-		err := NewAdminClient(address).Commit(t.Context(), nil, []core.Write{{Key: "m/a"}})
+		err := NewAdminClient(address).Commit(t.Context(), nil, []kv.Write{{Key: "m/a"}})
 		if !errors.Is(err, test.want) || (err != nil && err.Error() != test.text) {
 			t.Errorf("status %d: got %v, want %q", test.status, err, test.text)
 		}
--- a/internal/store/listing.go
+++ b/internal/store/listing.go
@@ -8,7 +8,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -38,7 +38,7 @@
 // list reads all records below a prefix, in the order of their keys, and returns them with
 // the revision of the first page. Values that can't be decoded are left out. Pages are of
 // different revisions: a record may have changed since the returned one.
-func (c *Client) list(ctx context.Context, prefix string) (revision uint64, records []core.Event, err error) {
+func (c *Client) list(ctx context.Context, prefix string) (revision uint64, records []kv.Event, err error) {
 	query := url.Values{"starts": {prefix}, "limit": {listPageSize}}
 	for first := true; ; first = false {
 		var current page
@@ -55,7 +55,7 @@
 		for _, r := range current.Rows {
 			query.Set("from", r.Key)
 			if value, err := wire.DecodeRecord(r.Key, r.Value); err == nil && value != nil {
-				records = append(records, core.Event{Key: r.Key, Revision: r.Revision, Value: value})
+				records = append(records, kv.Event{Key: r.Key, Revision: r.Revision, Value: value})
 			}
 		}
 		if !current.HasNext || len(current.Rows) == 0 {
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -10,6 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -63,7 +64,7 @@
 func (c *Client) Commit(ctx context.Context, request core.Commit) {
 	c.running.Go(func() {
 		if request.Class == core.ClassBackground && !c.waitForBackground(ctx) {
-			c.post(core.Committed{ID: request.ID, Outcome: core.Refused})
+			c.post(core.Committed{ID: request.ID, Outcome: kv.Refused})
 			return
 		}
 		var answer response
@@ -80,7 +81,7 @@
 }
 
 // newTransaction translates a transaction of the core; a write without a value is a deletion.
-func newTransaction(conditions []core.Condition, writes []core.Write) transaction {
+func newTransaction(conditions []kv.Condition, writes []kv.Write) transaction {
 	body := transaction{Conditions: []condition{}} // not nil: the field is required
 	for _, required := range conditions {
 		body.Conditions = append(body.Conditions, condition{required.Key, required.Revision})
@@ -101,10 +102,10 @@
 		var answer response
 		outcome := c.call(ctx, core.ClassUser, http.MethodGet, "/store/"+wire.JobKey(request.JobID), nil, &answer)
 		result := core.JobRead{ID: request.ID, Outcome: outcome, Revision: answer.KeyRevision}
-		if outcome == core.OK {
+		if outcome == kv.OK {
 			result.Job = new(wire.Job)
 			if err := wire.Decode(answer.Value, result.Job); err != nil {
-				result.Outcome = core.Unknown
+				result.Outcome = kv.Unknown
 			}
 		}
 		c.post(result)
@@ -122,8 +123,8 @@
 		}
 		var answer response
 		outcome := c.call(ctx, core.ClassLease, http.MethodPost, path, body, &answer)
-		if outcome == core.OK && created && answer.Lease == 0 {
-			outcome = core.Unknown
+		if outcome == kv.OK && created && answer.Lease == 0 {
+			outcome = kv.Unknown
 		}
 		c.post(core.LeaseAnswered{ID: request.ID, Outcome: outcome, LeaseID: answer.Lease})
 	})
@@ -131,21 +132,21 @@
 
 // call sends a request, repeats it while the service limits the rate, and returns what is
 // certain about its effect.
-func (c *Client) call(ctx context.Context, class core.RequestClass, method, path string, body any, answer *response) core.Outcome {
+func (c *Client) call(ctx context.Context, class core.RequestClass, method, path string, body any, answer *response) kv.Outcome {
 	select {
 	case c.inFlight <- struct{}{}:
 		defer func() { <-c.inFlight }()
 	case <-time.After(slotTimeout):
 		if class != core.ClassLease { // lease renewals go on without a slot
-			return core.Refused
+			return kv.Refused
 		}
 	case <-ctx.Done():
-		return core.Refused
+		return kv.Refused
 	}
 	for attempt := 0; ; attempt++ {
 		status, err := c.exchange(ctx, c.http, method, path, body, answer)
 		if err != nil {
-			return core.Unknown
+			return kv.Unknown
 		}
 		if status != http.StatusTooManyRequests {
 			return outcomeOf(status, answer)
@@ -153,31 +154,31 @@
 		answer.rateLimited = true
 		// The core rather decides background requests anew than have them repeated.
 		if attempt == maxRateLimitRetries || class == core.ClassBackground {
-			return core.Refused
+			return kv.Refused
 		}
 		jitter := time.Duration(rand.IntN(rateLimitJitterMS)*(attempt+1)) * time.Millisecond
 		if sleep(ctx, rateLimitBackoff+jitter) != nil {
-			return core.Refused
+			return kv.Refused
 		}
 	}
 }
 
 // outcomeOf translates a status other than 429.
-func outcomeOf(status int, answer *response) core.Outcome {
+func outcomeOf(status int, answer *response) kv.Outcome {
 	switch status {
 	case http.StatusOK:
-		return core.OK
+		return kv.OK
 	case http.StatusConflict:
-		return core.Conflict
+		return kv.Conflict
 	case http.StatusNotFound:
-		return core.NotFound
+		return kv.NotFound
 	case http.StatusBadRequest:
 		if answer.Error == leaseExpiredText {
-			return core.LeaseExpired
+			return kv.LeaseExpired
 		}
-		return core.TooLarge
+		return kv.TooLarge
 	case http.StatusServiceUnavailable:
-		return core.Refused
+		return kv.Refused
 	}
-	return core.Unknown
+	return kv.Unknown
 }
--- a/internal/store/requests_test.go
+++ b/internal/store/requests_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/msgpackhttp"
 	"micaport/internal/wire"
 )
@@ -16,16 +17,16 @@
 	for _, test := range []struct {
 		status    int
 		errorText string
-		want      core.Outcome
+		want      kv.Outcome
 		revision  uint64
 	}{
-		{http.StatusOK, "", core.OK, 7},
-		{http.StatusConflict, "", core.Conflict, 7},
-		{http.StatusBadRequest, "no such lease", core.LeaseExpired, 7},
-		{http.StatusBadRequest, "value too large", core.TooLarge, 7},
-		{http.StatusBadRequest, "", core.TooLarge, 7},
-		{http.StatusServiceUnavailable, "", core.Refused, 0},
-		{http.StatusInternalServerError, "", core.Unknown, 0},
+		{http.StatusOK, "", kv.OK, 7},
+		{http.StatusConflict, "", kv.Conflict, 7},
+		{http.StatusBadRequest, "no such lease", kv.LeaseExpired, 7},
+		{http.StatusBadRequest, "value too large", kv.TooLarge, 7},
+		{http.StatusBadRequest, "", kv.TooLarge, 7},
+		{http.StatusServiceUnavailable, "", kv.Refused, 0},
+		{http.StatusInternalServerError, "", kv.Unknown, 0},
 	} {
 		var sent object
 		client, inputs := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
@@ -37,8 +38,8 @@
 		})
 		client.Commit(t.Context(), core.Commit{
 			ID:         3,
-			Conditions: []core.Condition{{Key: "m/a", Revision: 5}},
-			Writes:     []core.Write{{Key: "m/p/x", Value: &wire.Shard{Owner: "n0"}, LeaseID: 9}, {Key: "m/b"}},
+			Conditions: []kv.Condition{{Key: "m/a", Revision: 5}},
+			Writes:     []kv.Write{{Key: "m/p/x", Value: &wire.Shard{Owner: "n0"}, LeaseID: 9}, {Key: "m/b"}},
 		})
 		if result := next[core.Committed](t, inputs); result.ID != 3 || result.Outcome != test.want || result.Revision != test.revision {
 			t.Errorf("status %d %q: got %+v, want outcome %d, revision %d", test.status, test.errorText, result, test.want, test.revision)
@@ -61,8 +62,8 @@
 			connection.Close()
 		}
 	})
-	client.Commit(t.Context(), core.Commit{ID: 1, Class: core.ClassUser, Writes: []core.Write{{Key: "m/b"}}})
-	if result := next[core.Committed](t, inputs); result.Outcome != core.Unknown {
+	client.Commit(t.Context(), core.Commit{ID: 1, Class: core.ClassUser, Writes: []kv.Write{{Key: "m/b"}}})
+	if result := next[core.Committed](t, inputs); result.Outcome != kv.Unknown {
 		t.Errorf("got %+v", result)
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -81,7 +82,7 @@
 		msgpackhttp.Respond(w, http.StatusOK, object{"v": object{"st": 1, "n": 4}, "key_rev": 12})
 	})
 	client.ReadJob(t.Context(), core.ReadJob{ID: 2, JobID: "wk-1"})
-	if result := next[core.JobRead](t, inputs); result.Outcome != core.OK || result.Revision != 12 || result.Job.State != wire.JobDone || result.Job.TaskCount != 4 {
+	if result := next[core.JobRead](t, inputs); result.Outcome != kv.OK || result.Revision != 12 || result.Job.State != wire.JobDone || result.Job.TaskCount != 4 {
 		t.Errorf("got %+v", result)
 	}
 }
@@ -98,15 +99,15 @@
 		}
 	})
 	client.RenewLease(t.Context(), core.RenewLease{ID: 1, TTL: 5 * time.Second})
-	if result := next[core.LeaseAnswered](t, inputs); result.Outcome != core.OK || result.LeaseID != 41 {
+	if result := next[core.LeaseAnswered](t, inputs); result.Outcome != kv.OK || result.LeaseID != 41 {
 		t.Errorf("got %+v", result)
 	}
 	client.RenewLease(t.Context(), core.RenewLease{ID: 2, LeaseID: 41})
-	if result := next[core.LeaseAnswered](t, inputs); result.Outcome != core.OK {
+	if result := next[core.LeaseAnswered](t, inputs); result.Outcome != kv.OK {
 		t.Errorf("got %+v", result)
 	}
 	client.RenewLease(t.Context(), core.RenewLease{ID: 3, LeaseID: 42})
-	if result := next[core.LeaseAnswered](t, inputs); result.Outcome != core.NotFound {
+	if result := next[core.LeaseAnswered](t, inputs); result.Outcome != kv.NotFound {
 		t.Errorf("got %+v", result)
 	}
 }
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -11,6 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -90,13 +91,13 @@
 }
 
 // events translates changes. Values that can't be decoded are left out.
-func events(changed []change) []core.Event {
-	var translated []core.Event
+func events(changed []change) []kv.Event {
+	var translated []kv.Event
 	for _, e := range changed {
 		if e.Drop != "" {
-			translated = append(translated, core.Event{Key: e.Drop, Revision: e.Revision})
+			translated = append(translated, kv.Event{Key: e.Drop, Revision: e.Revision})
 		} else if value, err := wire.DecodeRecord(e.Put, e.Value); err == nil && value != nil {
-			translated = append(translated, core.Event{Key: e.Put, Revision: e.Revision, Value: value})
+			translated = append(translated, kv.Event{Key: e.Put, Revision: e.Revision, Value: value})
 		}
 	}
 	return translated
--- a/internal/wire/gossip.go
+++ b/internal/wire/gossip.go
@@ -31,7 +31,7 @@
 	Names    []string               // names that Hosts refers to by index
 	Hosts    []MachineInfo          // the sender's machines that have changed
 	Holds    []GangHold             // room that the sender holds for gang attempts
-	Tries    []GangHold             // of the leader: gang attempts that wait for holds, confirmed if OK
+	Tries    []GangHold             // of the leader: gang attempts that wait for holds, confirmed if kv.OK
 	Kept     []Reservation          // of the leader: machines reserved for jobs that wait for room
 	Retire   []string               // of the leader: machines to drain for deprovisioning
 	Returned []string               // of the leader: machines that the cloud has confirmed to be deprovisioned
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -10,6 +10,7 @@
 
 	"micaport/internal/config"
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/msgpackhttp"
 )
 
@@ -53,7 +54,7 @@
 	select {
 	case c.inFlight <- struct{}{}:
 	default:
-		c.running.Go(func() { c.post(core.CommandsAnswered{ID: commands.ID, Outcome: core.Refused}) })
+		c.running.Go(func() { c.post(core.CommandsAnswered{ID: commands.ID, Outcome: kv.Refused}) })
 		return
 	}
 	c.running.Go(func() {
@@ -64,23 +65,23 @@
 }
 
 // exchange sends a batch and returns what is certain about its effect.
-func (c *CommandClient) exchange(ctx context.Context, commands core.SendCommands) core.Outcome {
+func (c *CommandClient) exchange(ctx context.Context, commands core.SendCommands) kv.Outcome {
 	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
 		Method: http.MethodPost, URL: "http://" + commands.Address + "/orders", Body: commands.Batch,
 		NoReplay: true, MaxResponseBytes: maxCommandResponse,
 	})
 	switch response.Status { // known even if the body of the response broke off
 	case http.StatusOK:
-		return core.OK
+		return kv.OK
 	case http.StatusConflict, http.StatusBadRequest:
-		return core.Conflict
+		return kv.Conflict
 	}
 	var network *net.OpError
 	switch {
 	case errors.Is(err, msgpackhttp.ErrNotSent):
-		return core.Refused
+		return kv.Refused
 	case errors.As(err, &network) && network.Op == "dial":
-		return core.Refused // a connection that was given up does not complete later
+		return kv.Refused // a connection that was given up does not complete later
 	}
-	return core.Unknown
+	return kv.Unknown
 }
--- a/internal/worker/commands_test.go
+++ b/internal/worker/commands_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"micaport/internal/core"
+	"micaport/internal/kv"
 	"micaport/internal/wire"
 )
 
@@ -49,7 +50,7 @@
 	}))
 	t.Cleanup(server.Close)
 	t.Cleanup(func() { close(hang) }) // before the server closes, which waits for its handlers
-	results := make(chan core.Outcome, 1)
+	results := make(chan kv.Outcome, 1)
 	client := NewCommandClient(func(input core.Input) { results <- input.(core.CommandsAnswered).Outcome })
 	client.http.Timeout = 300 * time.Millisecond
 	address := server.Listener.Addr().String()
@@ -57,13 +58,13 @@
 		name    string
 		address string
 		status  int32
-		want    core.Outcome
+		want    kv.Outcome
 	}{
-		{"carried out", address, http.StatusOK, core.OK},
-		{"another token or epoch", address, http.StatusConflict, core.Conflict},
-		{"failure of the worker", address, http.StatusInternalServerError, core.Unknown},
-		{"no response", address, noResponse, core.Unknown},
-		{"refused connection", unusedAddress(t), http.StatusOK, core.Refused},
+		{"carried out", address, http.StatusOK, kv.OK},
+		{"another token or epoch", address, http.StatusConflict, kv.Conflict},
+		{"failure of the worker", address, http.StatusInternalServerError, kv.Unknown},
+		{"no response", address, noResponse, kv.Unknown},
+		{"refused connection", unusedAddress(t), http.StatusOK, kv.Refused},
 	} {
 		status.Store(test.status)
 		client.Send(t.Context(), core.SendCommands{ID: 1, Address: test.address, Batch: wire.CommandBatch{Token: 41, Epoch: 3,
