--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,12 @@
-// Package core is the state machine of a controller. It has no input or
-// output of its own: Step takes an input and the steady time, and returns what
-// is to be sent, written and answered. The same inputs always give the same
-// effects.
+// Package core is the state machine of a controller. It has no input or output of its own:
+// Step takes an input and the steady time, and returns the effects that are to be carried
+// out. The same inputs always give the same effects.
+//
+// Node routes inputs to its parts and gathers their effects. What a part decides stands in a
+// package of its own where that has a clean seam (replica, ownership, leadership, failover,
+// gang, quota); the rest is in files here by subject: users' requests, heartbeats of workers,
+// placement by owners, the scheduler (scheduler_*.go), the autoscaler (autoscaler_*.go) and
+// gossip.
 package core
 
 import (
@@ -15,17 +20,16 @@
 	"micaport/internal/wire"
 )
 
-// Node is the state machine of one controller. It is made of what its roles know and
-// remember; apart from the records all of it can be lost.
+// Node is the state machine of one controller. Everything in it can be lost: the records in
+// the state service are the sole truth.
 type Node struct {
 	cfg Config
-	now Time
-	out []Effect // effects of the present step
+	now Time     // of the present step
+	out []Effect // of the present step
 
 	nextID  uint64
 	pending map[uint64]continuation // requests under way, by id
 
-	names   *replica.Names
 	replica *replica.Replica
 	jobs    []*job // by index of their id, as in the replica
 	gangs   *gang.Attempts
@@ -52,76 +56,13 @@
 	workCount             uint64 // machines looked at so far
 }
 
-// topology is what there is at the site. Names are mapped to indices where they come in.
-type topology struct {
-	offeredTypes   []wire.MachineType
-	typesFetchedAt Time                // when the cloud last told of the machine types
-	typesRevision  uint64              // of the stored machine types
-	machineTypes   []*wire.MachineType // by index of their name; nil: not on offer
-
-	shards   []*shard
-	machines []*machine
-}
-
-// storeState is how we stand with the state service.
-type storeState struct {
-	storeOK         bool
-	storeOKSince    Time // since when it has served us
-	storeAnsweredAt Time // last proof that it serves us
-
-	formatAt Time // when our record of the formats that we read is written, if it is not there
-}
-
-// gossipState is what we tell the other controllers and hear of them.
-type gossipState struct {
-	peers              map[string]*peer
-	gossipAt           Time
-	gossipSentAt       Time
-	version            uint64       // of our view of our own machines
-	changeLog          []viewChange // of our machines, in order of version
-	strayMachines      []int        // machines of others that came here lately
-	reservedMachines   map[int]int  // machines that the leader keeps for a job
-	reservedMachinesAt Time
-	draining           []int // machines that the leader wants emptied
-	ownViewAt          Time
-
-	refusedSince map[string]Time
-	mailboxAt    Time
-}
-
-// ownerState is what we remember as the owner of shards.
-type ownerState struct {
-	heldReplies   []heldReply
-	heldRepliesAt Time
-	unstarted     []int // machines of ours with a task that they have not shown
-	batch         batch
-	placementAt   Time
-	outcomes      map[taskKey]taskOutcome // what became of tasks, not yet in their records
-	gangsToStop   map[int]bool            // gangs to be stopped in good order
-	grantSeenAt   map[taskKey]Time
-
-	admissionAt    Time // when we next look for work to admit by ourselves
-	cleanupAt      Time
-	imageCacheAt   Time
-	imageCacheSize int // entries in the record of images as last written
-}
-
-// peer is what we have last heard of another controller.
-type peer struct {
-	heardAt   Time
-	message   *wire.Gossip
-	version   uint64 // how far we have taken in its changes
-	byMailbox bool   // heard through the state service only
-	broken    bool   // our connection to it has broken since
-}
-
-// New makes a node. Its shards follow from the settings alone.
+// New makes the state machine of a controller that has just started.
 func New(cfg Config) *Node {
 	n := &Node{
-		cfg:     cfg,
-		names:   &replica.Names{},
-		pending: map[uint64]continuation{},
-		gangs:   gang.NewAttempts(),
+		cfg:      cfg,
+		topology: topology{names: &replica.Names{}},
+		pending:  map[uint64]continuation{},
+		gangs:    gang.NewAttempts(),
 		gossipState: gossipState{
 			peers:            map[string]*peer{},
 			reservedMachines: map[int]int{},
@@ -216,11 +157,10 @@
 	n.sendHeldReplies()
 	n.sendDirectStarts()
 	if n.now >= n.ownViewAt {
-		// Changes on our machines are told at once, silence now and then.
 		n.ownViewAt = n.now + second
-		was := n.version
+		before := n.version
 		n.updateOwnViews()
-		n.sendGossip(n.version != was)
+		n.sendGossip(n.version != before) // changes are told at once
 	}
 	n.runLeader()
 	n.sendGossip(false)
@@ -231,8 +171,10 @@
 	n.expireRequests()
 }
 
+// emit adds an effect to those of the present step.
 func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
 
+// log emits a line of the log: a constant message, and attributes as pairs of key and value.
 func (n *Node) log(level LogLevel, text string, args ...any) {
 	n.emit(Log{Level: level, Text: text, Args: args})
 }
--- /dev/null
+++ b/internal/core/decision_adoption.go
@@ -0,0 +1,140 @@
+package core
+
+import (
+	"cmp"
+	"slices"
+
+	"micaport/internal/wire"
+)
+
+// How a new leader goes on from the last one's decision log.
+
+// adoptDecisions goes on from what the leader of a term told this controller as its standby.
+func (n *Node) adoptDecisions(term uint64) {
+	facts := n.failover.replica.Of(term)
+	if len(facts) == 0 {
+		return
+	}
+	slices.SortFunc(facts, func(a, b wire.Fact) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
+	for _, index := range n.replica.Live() {
+		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // of when it last led itself
+	}
+	adopted := 0
+	for i := range facts {
+		if n.adoptFact(&facts[i]) {
+			adopted++
+		}
+	}
+	slices.SortFunc(n.leader.autoscaler.recentBoots, func(a, b boot) int { return cmp.Compare(a.provisionedAt, b.provisionedAt) })
+	n.log(LogInfo, "adopted decision log of previous leader", "term", term, "facts", len(facts), "adopted", adopted)
+}
+
+// adoptFact adopts a fact unless something contradicts it, and tells whether it did. Kinds of
+// later versions are skipped.
+func (n *Node) adoptFact(fact *wire.Fact) bool {
+	switch fact.Kind {
+	case wire.FactProvisioning, wire.FactBackoff, wire.FactCapacityShortage:
+		return n.adoptPoolFact(fact)
+	case wire.FactWaitingSince, wire.FactGangZone, wire.FactPreemptedAt, wire.FactQueuePosition:
+		return n.adoptJobFact(fact)
+	case wire.FactBootTime, wire.FactReturned:
+		n.adoptHistory(fact)
+		return true
+	}
+	machine := n.knownMachine(fact.Name)
+	if machine != nil && machine.returned {
+		return false
+	}
+	return n.adoptMachineFact(fact, machine)
+}
+
+// adoptPoolFact adopts a fact about a pool or a provisioning request. A request under way is
+// repeated under its own name, which the cloud answers as it did the first time.
+func (n *Node) adoptPoolFact(fact *wire.Fact) bool {
+	scaler := &n.leader.autoscaler
+	pool, known := poolOf(fact, n.names)
+	if !known {
+		return false
+	}
+	switch fact.Kind {
+	case wire.FactProvisioning:
+		if fact.Count <= 0 {
+			return false
+		}
+		request := wire.ProvisionRequest{Name: fact.Name, MachineType: fact.MachineType, Zone: fact.Zone, Spot: fact.Spot, Count: fact.Count}
+		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: timeOf(fact), sendAt: n.now, request: request})
+	case wire.FactBackoff:
+		scaler.retryAt[pool] = timeOf(fact)
+	case wire.FactCapacityShortage:
+		scaler.shortageAt[pool] = timeOf(fact)
+	}
+	return true
+}
+
+// adoptJobFact adopts a fact about a job that still waits.
+func (n *Node) adoptJobFact(fact *wire.Fact) bool {
+	job := n.jobNamed(fact.Name)
+	if job == nil || job.Record == nil || job.Record.State != wire.JobLive {
+		return false
+	}
+	switch fact.Kind {
+	case wire.FactWaitingSince:
+		job.waitingSince = waitTimeOf(fact)
+	case wire.FactGangZone:
+		zone := n.names.Zones.Find(fact.Zone)
+		if zone < 0 {
+			return false
+		}
+		job.gangZone = zone
+	case wire.FactQueuePosition:
+		job.queuePosition = queuePosition{waitingSince: waitTimeOf(fact), droppedAttempts: fact.Count}
+	case wire.FactPreemptedAt:
+		job.preemptAt = timeOf(fact)
+	}
+	return true
+}
+
+// adoptHistory adopts what has happened to a machine, which nothing can contradict.
+func (n *Node) adoptHistory(fact *wire.Fact) {
+	if fact.Kind == wire.FactBootTime {
+		scaler := &n.leader.autoscaler
+		scaler.recentBoots = append(scaler.recentBoots, boot{fact.Name, timeOf(fact), fact.Ratio})
+		return
+	}
+	n.machineNamed(fact.Name).returned = true
+	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, timeOf(fact)})
+}
+
+// adoptMachineFact adopts a fact about a machine, which is nil if it has not been seen.
+func (n *Node) adoptMachineFact(fact *wire.Fact, machine *machine) bool {
+	scaler := &n.leader.autoscaler
+	hasReported := machine != nil && machine.view.known
+	switch fact.Kind {
+	case wire.FactBooting:
+		pool, known := poolOf(fact, n.names)
+		if !known || hasReported {
+			return false
+		}
+		scaler.booting[fact.Name] = &bootingMachine{pool: pool, provisionedAt: timeOf(fact), listed: fact.Seen}
+	case wire.FactIdle:
+		scaler.idleSince[fact.Name] = timeOf(fact)
+	case wire.FactDraining:
+		if machine != nil && len(machine.placements) > 0 {
+			return false
+		}
+		scaler.draining[fact.Name] = true
+	case wire.FactUnreported:
+		if hasReported {
+			return false
+		}
+		scaler.unreportedSince[fact.Name] = timeOf(fact)
+	case wire.FactReserved:
+		if machine == nil || n.names.Jobs.Find(fact.JobID) < 0 {
+			return false
+		}
+		n.leader.reservations = append(n.leader.reservations, wire.Reservation{Host: fact.Name, Ref: fact.JobID})
+	default:
+		return false
+	}
+	return true
+}
--- /dev/null
+++ b/internal/core/decision_facts.go
@@ -0,0 +1,129 @@
+package core
+
+import (
+	"cmp"
+	"time"
+
+	"micaport/internal/replica"
+	"micaport/internal/wire"
+)
+
+// The facts of the decision log. Their times are in milliseconds of the leader's steady
+// clock, of which the follower's replica of the log makes its own.
+
+// factTime is a time as a fact has it; never 0, which is none.
+func factTime(t Time) int64 { return max(1, t.Milliseconds()) }
+
+// waitFactTime is a time from when a job has waited. It may be before the start of this
+// process, and thus negative.
+func waitFactTime(t Time) int64 { return cmp.Or(t.Milliseconds(), -1) }
+
+// timeOf is the reverse of factTime.
+func timeOf(fact *wire.Fact) Time { return Time(fact.At) * time.Millisecond }
+
+// waitTimeOf is the reverse of waitFactTime.
+func waitTimeOf(fact *wire.Fact) Time { return cmp.Or(timeOf(fact), -1) }
+
+// Decisions lists what the controller knows as the leader alone, with times of its own
+// steady clock; nothing if it does not lead.
+func (n *Node) Decisions() []wire.Fact {
+	if !n.isLeader() {
+		return nil
+	}
+	return n.leaderFacts()
+}
+
+// leaderFacts lists what only the leader knows.
+func (n *Node) leaderFacts() []wire.Fact {
+	facts := n.leader.autoscaler.facts(n.now, n.names)
+	for _, reserved := range n.leader.reservations {
+		facts = append(facts, wire.Fact{Kind: wire.FactReserved, Name: reserved.Host, JobID: reserved.Ref})
+	}
+	for _, returned := range n.leader.returned {
+		if n.now-returned.at <= returnedAnnounceTime {
+			facts = append(facts, wire.Fact{Kind: wire.FactReturned, Name: returned.name, At: factTime(returned.at)})
+		}
+	}
+	for _, index := range n.replica.Live() {
+		facts = n.jobs[index].appendFacts(facts, n.now, n.names)
+	}
+	return facts
+}
+
+// appendFacts adds what only the leader knows of the job.
+func (j *job) appendFacts(facts []wire.Fact, now Time, names *replica.Names) []wire.Fact {
+	if j.waitingSince != 0 {
+		facts = append(facts, wire.Fact{Kind: wire.FactWaitingSince, Name: j.ID, At: waitFactTime(j.waitingSince)})
+	}
+	if j.gangZone >= 0 && j.waitingSince != 0 {
+		facts = append(facts, wire.Fact{Kind: wire.FactGangZone, Name: j.ID, Zone: names.Zones.Name(j.gangZone)})
+	}
+	if position := j.queuePosition; position.waitingSince != 0 {
+		facts = append(facts, wire.Fact{Kind: wire.FactQueuePosition, Name: j.ID, At: waitFactTime(position.waitingSince), Count: position.droppedAttempts})
+	}
+	if j.preemptAt > now {
+		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.preemptAt)})
+	}
+	return facts
+}
+
+// facts lists what only the leader knows of its dealings with the cloud.
+func (a *autoscaler) facts(now Time, names *replica.Names) []wire.Fact {
+	var facts []wire.Fact
+	for name, booting := range a.booting {
+		fact := poolFact(wire.FactBooting, name, booting.pool, booting.provisionedAt, names)
+		fact.Seen = booting.listed
+		facts = append(facts, fact)
+	}
+	for _, provisioning := range a.provisions {
+		fact := poolFact(wire.FactProvisioning, provisioning.request.Name, provisioning.pool, provisioning.decidedAt, names)
+		fact.Count = provisioning.request.Count
+		facts = append(facts, fact)
+	}
+	for _, boot := range a.recentBoots {
+		facts = append(facts, wire.Fact{Kind: wire.FactBootTime, Name: boot.name, At: factTime(boot.provisionedAt), Ratio: boot.ratio})
+	}
+	for pool, at := range a.retryAt {
+		if at > now {
+			facts = append(facts, poolFact(wire.FactBackoff, poolName(pool, names), pool, at, names))
+		}
+	}
+	for pool, at := range a.shortageAt {
+		if now-at < shortageTime {
+			facts = append(facts, poolFact(wire.FactCapacityShortage, poolName(pool, names), pool, at, names))
+		}
+	}
+	for name, at := range a.idleSince {
+		facts = append(facts, wire.Fact{Kind: wire.FactIdle, Name: name, At: factTime(at)})
+	}
+	for name := range a.draining {
+		facts = append(facts, wire.Fact{Kind: wire.FactDraining, Name: name})
+	}
+	for name, at := range a.unreportedSince {
+		facts = append(facts, wire.Fact{Kind: wire.FactUnreported, Name: name, At: factTime(at)})
+	}
+	return facts
+}
+
+// poolFact is a fact about a pool, or about a machine or a request of it.
+func poolFact(kind wire.FactKind, name string, pool machinePool, at Time, names *replica.Names) wire.Fact {
+	return wire.Fact{
+		Kind: kind, Name: name, At: factTime(at),
+		MachineType: names.MachineTypes.Name(pool.machineType), Zone: names.Zones.Name(pool.zone), Spot: pool.spot,
+	}
+}
+
+// poolName names a pool in facts.
+func poolName(pool machinePool, names *replica.Names) string {
+	name := names.MachineTypes.Name(pool.machineType) + "/" + names.Zones.Name(pool.zone)
+	if pool.spot {
+		name += "/spot"
+	}
+	return name
+}
+
+// poolOf is the pool of a fact, if its names are known.
+func poolOf(fact *wire.Fact, names *replica.Names) (pool machinePool, known bool) {
+	pool = machinePool{machineType: names.MachineTypes.Find(fact.MachineType), zone: names.Zones.Find(fact.Zone), spot: fact.Spot}
+	return pool, pool.machineType >= 0 && pool.zone >= 0
+}
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -58,25 +58,25 @@
 	}
 }
 
-// Pauses of a job that fails wherever it runs, and the machines after which it counts
-// as such.
+// How long a job is left alone that fails wherever it runs, and after how many errors in a
+// row, on as many machines, it counts as such.
 const (
-	errorsBeforePause = 3
-	firstErrorPause   = 5 * second
-	longestErrorPause = 120 * second
-	maxPauseDoublings = 5
+	errorsBeforeBackoff = 3
+	minErrorBackoff     = 5 * second
+	maxErrorBackoff     = 120 * second
+	maxBackoffDoublings = 5
 )
 
 // noteErrors makes a job that fails everywhere wait, longer each time, and suspects the
 // job rather than the machines.
 func (n *Node) noteErrors(job *job) {
 	record := job.Record
-	if record.ConsecutiveErrors > job.errorsSeen && record.ConsecutiveErrors >= errorsBeforePause {
-		doublings := min(record.ConsecutiveErrors-errorsBeforePause, maxPauseDoublings)
-		job.retryAt = n.now + min(firstErrorPause<<doublings, longestErrorPause)
+	if record.ConsecutiveErrors > job.errorsSeen && record.ConsecutiveErrors >= errorsBeforeBackoff {
+		doublings := min(record.ConsecutiveErrors-errorsBeforeBackoff, maxBackoffDoublings)
+		job.retryAt = n.now + min(minErrorBackoff<<doublings, maxErrorBackoff)
 	}
 	job.errorsSeen = record.ConsecutiveErrors
-	if record.ConsecutiveErrors >= errorsBeforePause && len(record.FailedMachines) >= errorsBeforePause && len(record.DoneTasks) == 0 {
+	if record.ConsecutiveErrors >= errorsBeforeBackoff && len(record.FailedMachines) >= errorsBeforeBackoff && len(record.DoneTasks) == 0 {
 		job.suspect = true
 	} else if record.State == wire.JobDone || len(record.DoneTasks) > 0 {
 		job.suspect = false
@@ -102,6 +102,7 @@
 	}
 }
 
+// unindexPlacements takes a job's tasks off their machines.
 func (n *Node) unindexPlacements(job *job) {
 	last := ""
 	for i := range job.Record.ActiveTasks {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -1,121 +1,116 @@
 package core
 
 import (
-	"slices"
-
 	"micaport/internal/indexset"
 	"micaport/internal/wire"
 )
 
-// machine is what we know of a machine.
+// machine is what this controller knows of a machine.
 type machine struct {
-	index       int
+	index       int // of its name
 	name        string
-	machineType int // -1 while unknown
-	zone        int
+	machineType int // index; -1 while unknown
+	zone        int // index; -1 while unknown
 	spot        bool
-	shard       int
-	placements  []placement // tasks that the replica puts on it
+	shard       int         // index; -1: in none
+	placements  []placement // tasks that the records put on it, by job
+	images      indexset.Set
 
-	used           resourceUse // what they take; good while usedKnown
+	used           resourceUse // by the placements; valid while usedKnown is set
 	usedKnown      bool
-	lowestPriority int // urgency of the least urgent task that may be stopped
+	lowestPriority int // of the tasks that may be stopped; noPriority if there are none
+
+	workerState
+
+	// What its owner tells, whoever that is.
+	view             machineView
+	viewTerm         uint64 // the owner's term
+	unconfirmedSince Time   // since when the view is unconfirmed
+	viewVersion      uint64 // of this controller's own view, for gossip
+	returned         bool   // the cloud has confirmed that it is gone
+
+	misdirected
+}
 
-	// As its owner.
-	term            uint64 // the term in which the following was learnt
-	epoch, sequence uint64
-	heartbeats      int  // heard in this term
-	tokenConfirmed  bool // it has shown that it knows our term
-	newlyBooted     bool // it has only just come to life
-	heartbeatAt     Time // last report in this term
-	answeredAt      Time // last report answered with 200
-	ignoredReplies  int  // answers in a row that had no effect
-	unresponsive    bool // hears neither answers nor commands
-	reclaimAt       Time // when the cloud takes it away; 0: not announced
-	reportedTasks   map[taskKey]string
-	startSentAt     map[taskKey]uint64 // report that was last answered with the start
+// workerState is what the owner of a machine has learnt of its worker in the present term.
+type workerState struct {
+	term            uint64             // the term in which this was learnt
+	epoch, sequence uint64             // of the last heartbeat
+	heartbeats      int                // in this term
+	heartbeatAt     Time               // of the last in this term
+	tokenConfirmed  bool               // a heartbeat has shown the token of this term
+	newlyBooted     bool               // it reports for the first time, and can't know any token
+	answeredAt      Time               // when a heartbeat was last answered with 200
+	ignoredReplies  int                // replies in a row that had no effect
+	unresponsive    bool               // neither replies nor commands reach it
+	reclaimAt       Time               // when the cloud takes it away; 0: not announced
+	address         string             // of the worker, for commands
+	reportedTasks   map[taskKey]string // states, by the last heartbeat
+	startSentAt     map[taskKey]uint64 // sequence of the heartbeat that was last answered with the start
 	directStarts    map[taskKey]directStart
-	leaseExpiring   bool // no longer answered, so that its epoch ends
-	address         string
-	heldReplies     int          // answers to it that wait
-	unstartedListed bool         // among those with a task that they have not shown
-	unclearedTasks  int          // ended tasks in its last report that must not be cleared
+	unclearedTasks  int  // exited tasks in its last heartbeat that must not be cleared
+	heldReplies     int  // replies to it that wait
+	unstartedListed bool // it is listed among those with a task that they have not shown
+	leaseExpiring   bool // it gets no replies, so that its epoch ends
+
 	failedJobs      map[int]bool // jobs that failed on it since its last success
 	unhealthy       bool
 	draining        bool
-	noCapacityUntil Time
-
-	images indexset.Set
-
-	// As seen from anywhere.
-	view             machineView
-	viewTerm         uint64 // the term in which it was told
-	unconfirmedSince Time   // since when it is said to be unsure
-	viewVersion      uint64 // of our own view, for the peers
-	returned         bool
+	noCapacityUntil Time // nothing is placed on it before this: it refused a task
+}
 
-	redirectedAt, bouncedAt, bouncingSince Time   // see redirect
-	strayListed                            bool   // listed among those that came here
-	strayEpoch, straySequence              uint64 // the newest of its reports that came here
+// misdirected is what a controller that does not own a machine remembers of heartbeats that
+// came here.
+type misdirected struct {
+	redirectedAt  Time   // when it was last redirected to its owner; 0: not
+	bouncedAt     Time   // when it last came back; 0: not
+	bouncingSince Time   // since when it has come back again and again
+	strayListed   bool   // it is listed among the machines that came here
+	strayEpoch    uint64 // of the newest heartbeat that came here
+	straySequence uint64
 }
 
 // machineView is what the owner of a machine tells of it.
 type machineView struct {
-	known                                                    bool
-	reclaimed, draining, unhealthy, unreachable, unconfirmed bool // unsure: not yet shown to obey us
-	missedHeartbeats                                         int  // 1: two reports are missing, 2: three
-	errors                                                   int
-	images                                                   int // how many, so that a new one shows as a change
+	known            bool
+	reclaimed        bool // the cloud takes it away
+	draining         bool
+	unhealthy        bool // it fails jobs
+	unreachable      bool
+	unconfirmed      bool // it has not yet shown the token of its owner's term
+	missedHeartbeats int  // 1: two heartbeats are missing, 2: three
+	errors           int  // jobs that failed on it since its last success
+	images           int  // how many, so that a new one shows as a change
 }
 
 // placement is a task that a record puts on a machine.
 type placement struct {
 	taskKey
-	shard       int
+	shard       int // index
 	stop        wire.StopRequest
 	epoch       uint64
 	activeIndex int // its place among the active tasks of the record
 }
 
+// taskKey names an attempt of a task.
 type taskKey struct {
-	job, task int
+	job, task int // index of the job, number of the task
 	attempt   uint64
 }
 
-// resourceUse is an amount of a machine.
+// resourceUse is how much of a machine is used, and how much of that will be released as
+// tasks have been told to stop.
 type resourceUse struct {
 	cores, gpus, memoryGB                            float64
-	releasingCores, releasingGPUs, releasingMemoryGB float64 // the part that is about to be free
-	daemon                                           bool
+	releasingCores, releasingGPUs, releasingMemoryGB float64
+	daemon                                           bool // a daemon is among the tasks
 }
 
-func (n *Node) machineNamed(name string) *machine {
-	index := n.names.Machines.Of(name)
-	if index == len(n.machines) {
-		n.machines = append(n.machines, &machine{index: index, name: name, shard: -1, machineType: -1, zone: -1})
-	}
-	return n.machines[index]
-}
-
-// setShard notes whose machine it is.
-func (n *Node) setShard(h *machine, part int) {
-	if h.shard != part {
-		if h.shard >= 0 {
-			shard := n.shards[h.shard]
-			shard.machines = slices.DeleteFunc(shard.machines, func(x *machine) bool { return x == h })
-		}
-		h.shard = part
-		if part >= 0 {
-			n.shards[part].machines = append(n.shards[part].machines, h)
-		}
-	}
-	if part >= 0 {
-		h.zone = n.shards[part].Zone
-	}
-}
+// noPriority is higher than any priority.
+const noPriority = 99
 
-// usageOf computes what the records place on a machine: it is there until it
-// is proven gone.
+// usageOf adds up what the tasks take that the records put on a machine. They are there
+// until they are proven gone.
 func (n *Node) usageOf(machine *machine) *resourceUse {
 	if machine.usedKnown {
 		return &machine.used
@@ -128,20 +123,18 @@
 		if spec == nil {
 			continue
 		}
-		t := &machine.used
-		t.cores += spec.Cores
-		t.gpus += spec.GPUs
-		t.memoryGB += spec.MemoryGB
-		t.daemon = t.daemon || spec.Shape == wire.ShapeDaemon
+		used := &machine.used
+		used.cores += spec.Cores
+		used.gpus += spec.GPUs
+		used.memoryGB += spec.MemoryGB
+		used.daemon = used.daemon || spec.Shape == wire.ShapeDaemon
 		if p.stop != wire.StopNone || job.Record.State != wire.JobLive {
-			t.releasingCores += spec.Cores
-			t.releasingGPUs += spec.GPUs
-			t.releasingMemoryGB += spec.MemoryGB
+			used.releasingCores += spec.Cores
+			used.releasingGPUs += spec.GPUs
+			used.releasingMemoryGB += spec.MemoryGB
 		} else if spec.Shape != wire.ShapeDaemon {
 			machine.lowestPriority = min(machine.lowestPriority, job.Priority)
 		}
 	}
 	return &machine.used
 }
-
-const noPriority = 99
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -7,8 +7,6 @@
 	"micaport/internal/wire"
 )
 
-// the replica, as the watch of the state service shows them.
-
 // recordsChanged takes events of the watch into the replica.
 func (n *Node) recordsChanged(c RecordsChanged) {
 	if c.Reset {
@@ -47,8 +45,8 @@
 	}
 }
 
-// applyEvents takes events in. Further active tasks change together with their job's
-// record; what several transactions did to one is taken in as it stands in the end.
+// applyEvents applies events in order. Overflow keys change together with their job's record;
+// of several changes of one only the last counts, so that the record is complete.
 func (n *Node) applyEvents(events []kv.Event) {
 	var last map[string]int
 	for i, e := range events {
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"time"
-
 	"micaport/internal/kv"
 	"micaport/internal/ownership"
 	"micaport/internal/wire"
@@ -32,16 +30,6 @@
 // mayActAsOwner tells whether this controller may act as the owner of a shard now.
 func (n *Node) mayActAsOwner(shard *shard) bool { return n.ownership.MayAct(n.now, shard.Shard) }
 
-// shardWithKey is the shard whose claim has a key, or nil.
-func (n *Node) shardWithKey(key string) *shard {
-	for _, shard := range n.shards {
-		if wire.ShardKey(shard.Name) == key {
-			return shard
-		}
-	}
-	return nil
-}
-
 // putShard applies the claim of a shard, or its end.
 func (n *Node) putShard(shard *shard, claim *wire.Shard, revision uint64) {
 	change := n.ownership.Put(n.now, shard.Shard, claim, revision)
@@ -174,27 +162,3 @@
 		n.ownership.Settle(n.now, n.replica.Revision())
 	}
 }
-
-// storeSilence is how long the state service may not have answered before it counts as not
-// serving this controller.
-const storeSilence = 3 * time.Second
-
-// noteStoreOutcome notes whether the state service serves this controller.
-func (n *Node) noteStoreOutcome(outcome kv.Outcome) {
-	switch outcome {
-	case kv.OK, kv.Conflict, kv.NotFound, kv.LeaseExpired, kv.TooLarge:
-		if !n.storeOK {
-			// In an outage owners run out of validity and their workers go round in
-			// vain. That says nothing about the owners afterwards.
-			n.storeOKSince = n.now
-			for _, shard := range n.shards {
-				shard.forgetBounces()
-			}
-		}
-		n.storeOK, n.storeAnsweredAt = true, n.now
-	default:
-		if n.now-n.storeAnsweredAt > storeSilence {
-			n.storeOK = false
-		}
-	}
-}
--- a/internal/ownership/shards.go
+++ b/internal/ownership/shards.go
@@ -23,7 +23,7 @@
 	Zone string
 }
 
-// ownership.ShardID names a shard: the zone whose machines it holds, and the controller that is
+// ShardID names a shard: the zone whose machines it holds, and the controller that is
 // meant to own it, which is "" in a zone without controllers.
 type ShardID struct{ Zone, Home string }
 
