--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -72,8 +72,11 @@
 // none of its heartbeats waits for an answer.
 func (n *Node) acceptsCommands(machine *machine) bool {
 	shard := n.shards[machine.shard]
-	return n.mayActAsOwner(shard) && machine.term == shard.Term && machine.tokenConfirmed && machine.heldReplies == 0 && machine.ignoredReplies == 0 && !machine.unresponsive && !machine.returned &&
-		machine.reclaimAt == 0 && machine.address != "" && n.now-machine.heartbeatAt < 2*n.cfg.HeartbeatInterval
+	if !n.mayActAsOwner(shard) || machine.term != shard.Term || machine.returned || machine.reclaimAt != 0 || machine.address == "" {
+		return false
+	}
+	responsive := machine.tokenConfirmed && machine.ignoredReplies == 0 && !machine.unresponsive && n.now-machine.heartbeatAt < 2*n.cfg.HeartbeatInterval
+	return responsive && machine.heldReplies == 0
 }
 
 // directStartBatch is a number of direct starts under way to a machine.
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -41,8 +41,11 @@
 	silent := n.now - machine.heartbeatAt
 	failedJobs := n.failedJobCount(machine)
 	machine.unhealthy = machine.unhealthy && failedJobs > 0 // the jobs may have turned out to be at fault
-	view := machineView{known: true, reclaimed: machine.reclaimAt > 0, draining: machine.draining, unhealthy: machine.unhealthy, unconfirmed: !machine.tokenConfirmed && !machine.newlyBooted,
-		errors: failedJobs, images: n.imageCount(machine)}
+	view := machineView{
+		known: true, reclaimed: machine.reclaimAt > 0, draining: machine.draining, unhealthy: machine.unhealthy,
+		unconfirmed: !machine.tokenConfirmed && !machine.newlyBooted,
+		errors:      failedJobs, images: n.imageCount(machine),
+	}
 	switch {
 	case silent > 3*n.cfg.HeartbeatInterval:
 		view.missedHeartbeats = 2
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -31,7 +31,10 @@
 // reconcile compares a heartbeat with the records and gives the commands that
 // bring the machine in line.
 func (n *Node) reconcile(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) []wire.Command {
-	r := &reconciliation{node: n, machine: machine, heartbeat: heartbeat, tokenCurrent: heartbeat.Token == shard.Term, reported: make(map[taskKey]bool, len(heartbeat.Tasks)), previousStates: machine.reportedTasks}
+	r := &reconciliation{
+		node: n, machine: machine, heartbeat: heartbeat, tokenCurrent: heartbeat.Token == shard.Term,
+		reported: make(map[taskKey]bool, len(heartbeat.Tasks)), previousStates: machine.reportedTasks,
+	}
 	machine.reportedTasks, machine.unclearedTasks = make(map[taskKey]string, len(heartbeat.Tasks)), 0
 	for i := range heartbeat.Tasks {
 		r.reportedTask(&heartbeat.Tasks[i])
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -203,7 +203,10 @@
 		return
 	}
 	best.take(record.Spec)
-	record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: lost.Task, Attempt: writer.attempt(job, record), Shard: lost.Shard, Machine: best.machine.name, Epoch: best.machine.epoch, Admitted: lost.Admitted})
+	record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{
+		Task: lost.Task, Attempt: writer.attempt(job, record), Shard: lost.Shard, Admitted: lost.Admitted,
+		Machine: best.machine.name, Epoch: best.machine.epoch,
+	})
 	n.log(LogDebug, "task replaced", "job", job.ID, "task", lost.Task, "machine", best.machine.name)
 }
 
