--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -89,7 +89,7 @@
 	n := chained()
 	n.cfg.WriteRPS, n.cfg.NextWriteRPS = 20, 15
 	refuse := func() {
-		n.commit(ClassBackground, nil, []Write{{Key: "m/i/n0", Value: &wire.ImageCache{}}}, func(Committed) {})
+		n.transact(ClassBackground, nil, []Write{{Key: "m/i/n0", Value: &wire.ImageCache{}}}, ignoreResult{})
 		n.Step(n.now+1, Committed{ID: n.nextID, Outcome: Refused, Limited: true})
 	}
 	if n.writeRPS() != 20 {
--- /dev/null
+++ b/internal/core/scheduler_stages_test.go
@@ -0,0 +1,102 @@
+package core
+
+import (
+	"math"
+	"testing"
+
+	"micaport/internal/wire"
+)
+
+// leading makes a controller the leader of a site without machines.
+func leading(n *Node) {
+	n.Step(n.now+1, RecordsChanged{Revision: 1000, Events: []Event{{Key: wire.LeaderKey, Revision: 1000, Value: &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}}}})
+	n.leader.autoscaler = newAutoscaler()
+}
+
+// granted shows a job whose only task is on a machine, as granted by this leader.
+func granted(n *Node, revision uint64, id string, expectedS float64) {
+	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
+	record := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
+	n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []Event{{Key: wire.JobKey(id), Revision: revision, Value: record}}})
+	n.jobNamed(id).grantedAt = n.now
+}
+
+// plannedMachines returns how many machines a pass that only plans stages wants to provision.
+func plannedMachines(t *testing.T, n *Node) int {
+	t.Helper()
+	pass := n.newSchedulingPass(newWriter(n))
+	pass.planNextStages()
+	if len(pass.writer.order) > 0 {
+		t.Fatalf("planning ahead granted tasks of %d jobs", len(pass.writer.order))
+	}
+	machines := 0
+	for _, count := range pass.provisions {
+		machines += count
+	}
+	return machines
+}
+
+// TestStageIsPlannedAhead: capacity for a stage is planned from when what it depends on will probably
+// end before a machine provisioned now is up, and not before; nor for one that will never run.
+func TestStageIsPlannedAhead(t *testing.T) {
+	wide := func(spec *wire.JobSpec) { spec.Cores, spec.TaskCount = 8, 3 }
+	for name, test := range map[string]struct {
+		expectedS float64 // of the dependency
+		after     Time
+		cancelled bool
+		want      int
+	}{
+		"ends soon":                   {expectedS: 10, want: 3},
+		"ends much later":             {expectedS: 300, want: 0},
+		"much later, but soon by now": {expectedS: 300, after: 295 * second, want: 3},
+		"will never run":              {expectedS: 10, cancelled: true, want: 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			n := chained()
+			leading(n)
+			granted(n, 2000, "wk-000001", test.expectedS)
+			see(n, 2001, "wk-000002", wire.JobLive, nil)
+			see(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
+			n.jobNamed("wk-000003").Record.TaskCount = 3
+			if test.cancelled {
+				n.jobNamed("wk-000003").Links.AncestorCancelled = true
+			}
+			n.now += test.after
+			if got := plannedMachines(t, n); got != test.want {
+				t.Errorf("%d machines are planned, want %d", got, test.want)
+			}
+		})
+	}
+	t.Run("another dependency is not granted", func(t *testing.T) {
+		n := chained()
+		leading(n)
+		granted(n, 2000, "wk-000001", 10)
+		see(n, 2001, "wk-000002", wire.JobLive, nil)
+		see(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
+		if got := plannedMachines(t, n); got != 0 {
+			t.Errorf("%d machines are planned, want none", got)
+		}
+	})
+}
+
+// TestLatestStartFollowsCorrectedRunTimes: the deadlines within a chain follow from the run times that
+// the stages really have.
+func TestLatestStartFollowsCorrectedRunTimes(t *testing.T) {
+	n := chained()
+	for range minRunSamples {
+		n.runTimeEstimator.observe("c", 30*second, 10)
+	}
+	see(n, 2, "wk-000001", wire.JobLive, nil)
+	see(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
+	const estimateMS, reportMS, dueMS = 10_000, 4_000, 1_100_000
+	if got, want := n.jobNamed("wk-000001").Links.DeadlineMS, int64(dueMS-3*estimateMS-reportMS); got != want {
+		t.Errorf("deadline of the first stage = %d, want %d", got, want)
+	}
+	if got, want := n.latestStart(n.jobNamed("wk-000002")), int64(dueMS-3*estimateMS); got != want {
+		t.Errorf("latest start of the last stage = %d, want %d", got, want)
+	}
+	see(n, 4, "wk-000003", wire.JobLive, nil)
+	if got := n.latestStart(n.jobNamed("wk-000003")); got != math.MaxInt64 {
+		t.Errorf("latest start of a job outside of chains = %d, want none", got)
+	}
+}
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -108,7 +108,7 @@
 type outcomePass struct {
 	writer  *writer
 	slots   *lazySlots
-	records *recordRoom
+	records *recordCapacity
 	firstAt map[int]Time // by job: when its first outcome that is not yet written was noted
 }
 
