--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -42,14 +42,72 @@
 	maxClasses = 64
 )
 
+// arrivalForecast counts what comes and ends of each class that has a start objective or belongs
+// to a team with a guarantee. Every controller counts, so that a new leader has the statistics at
+// once.
+type arrivalForecast struct {
+	classes     []*classArrivals
+	countedFrom Time // since when arrivals are counted; 0: not yet
+}
+
+// addObjective adds a start objective; of several for one class the shortest counts.
+func (f *arrivalForecast) addObjective(objective StartObjective) {
+	if class := f.class(objective.Class); class != nil {
+		class.startWithin = min(class.startWithin, objective.Within)
+		return
+	}
+	f.classes = append(f.classes, &classArrivals{class: objective.Class, startWithin: objective.Within})
+}
+
+// class returns what is counted of a class, or nil.
+func (f *arrivalForecast) class(name string) *classArrivals {
+	for _, class := range f.classes {
+		if class.class == name {
+			return class
+		}
+	}
+	return nil
+}
+
+// noteArrival counts a new job of so many tasks if its class is counted, or has to be from now on
+// as its team has a guarantee.
+func (f *arrivalForecast) noteArrival(now Time, job *job, tasks int, guaranteed bool) {
+	name := job.Record.Spec.Class
+	class := f.class(name)
+	if class == nil && guaranteed && len(f.classes) < maxClasses {
+		class = &classArrivals{class: name, backfillGuard: true}
+		f.classes = append(f.classes, class)
+	}
+	if class == nil {
+		return
+	}
+	class.dropOld(now)
+	class.sample = job
+	class.jobs = append(class.jobs, arrival{now, tasks})
+}
+
+// noteCompletion counts a job of such a class that has released its machines.
+func (f *arrivalForecast) noteCompletion(now Time, name string, tasks int) {
+	class := f.class(name)
+	if class == nil {
+		return
+	}
+	class.dropOld(now)
+	class.completions = append(class.completions, arrival{now, tasks})
+}
+
+// reserve is for how many tasks of a class to reserve capacity; see classArrivals.reserve.
+func (f *arrivalForecast) reserve(class *classArrivals, now, lead Time) int {
+	return class.reserve(now, f.countedFrom, lead)
+}
+
 // countsArrivals reports whether what comes and ends is counted. What comes while no machine
-// is up yet is a backlog and says nothing about the rate. Every controller counts, so that a
-// new leader has the statistics at once.
+// is up yet is a backlog and says nothing about the rate.
 func (n *Node) countsArrivals() bool {
-	if n.countedFrom == 0 && n.replica.Loaded() && n.anyMachineUp() {
-		n.countedFrom = n.now
+	if n.arrivals.countedFrom == 0 && n.replica.Loaded() && n.anyMachineUp() {
+		n.arrivals.countedFrom = n.now
 	}
-	return n.countedFrom > 0
+	return n.arrivals.countedFrom > 0
 }
 
 // anyMachineUp reports whether any shard has a machine.
@@ -59,40 +117,23 @@
 
 // noteArrival counts a new job if its class has a start objective or its team a guarantee.
 func (n *Node) noteArrival(job *job) {
-	if !n.countsArrivals() {
-		return
-	}
-	class := job.Record.Spec.Class
-	if job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team]) && len(n.arrivals) < maxClasses &&
-		!slices.ContainsFunc(n.arrivals, func(known *classArrivals) bool { return known.class == class }) {
-		n.arrivals = append(n.arrivals, &classArrivals{class: class, backfillGuard: true})
-	}
-	for _, arrivals := range n.arrivals {
-		if arrivals.class == class {
-			arrivals.dropOld(n.now)
-			arrivals.sample = job
-			arrivals.jobs = append(arrivals.jobs, arrival{n.now, min(job.Record.TaskCount, n.replica.MaxSingleTasks())})
-		}
+	if n.countsArrivals() {
+		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
+		n.arrivals.noteArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxSingleTasks()), guaranteed)
 	}
 }
 
 // noteCompletion counts a job of such a class that has released its machines.
 func (n *Node) noteCompletion(was *wire.Job) {
-	if !n.countsArrivals() || was.Spec == nil || was.State != wire.JobLive {
-		return
-	}
-	for _, arrivals := range n.arrivals {
-		if arrivals.class == was.Spec.Class {
-			arrivals.dropOld(n.now)
-			arrivals.completions = append(arrivals.completions, arrival{n.now, len(was.ActiveTasks)})
-		}
+	if n.countsArrivals() && was.Spec != nil && was.State == wire.JobLive {
+		n.arrivals.noteCompletion(n.now, was.Spec.Class, len(was.ActiveTasks))
 	}
 }
 
 // dropOld drops what came or ended before the window.
-func (class *classArrivals) dropOld(now Time) {
+func (a *classArrivals) dropOld(now Time) {
 	old := func(a arrival) bool { return now-a.at > arrivalWindow }
-	class.jobs, class.completions = slices.DeleteFunc(class.jobs, old), slices.DeleteFunc(class.completions, old)
+	a.jobs, a.completions = slices.DeleteFunc(a.jobs, old), slices.DeleteFunc(a.completions, old)
 }
 
 // reserve is for how many tasks of the class to reserve capacity: as many as will probably
@@ -100,12 +141,12 @@
 // and release theirs, plus one standard deviation, as jobs come and go by chance and in
 // different sizes. It is never more than may come: where nothing comes any more, what
 // ends needs no replacement. The counts begin at since.
-func (class *classArrivals) reserve(now, since, lead Time) int {
-	class.dropOld(now)
+func (a *classArrivals) reserve(now, since, lead Time) int {
+	a.dropOld(now)
 	window := max(minForecastWindow, min(arrivalWindow, now-since))
 	share := lead.Seconds() / window.Seconds()
-	arriving, arrivingVariance := meanAndVariance(class.jobs, share)
-	ending, endingVariance := meanAndVariance(class.completions, share)
+	arriving, arrivingVariance := meanAndVariance(a.jobs, share)
+	ending, endingVariance := meanAndVariance(a.completions, share)
 	net := max(0, arriving-ending) + math.Sqrt(arrivingVariance+endingVariance)
 	return int(math.Round(min(net, arriving+math.Sqrt(arrivingVariance))))
 }
--- /dev/null
+++ b/internal/simulation/cloud.go
@@ -0,0 +1,161 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"micaport/internal/core"
+	"micaport/internal/kv"
+	"micaport/internal/wire"
+)
+
+// cloud is a model of the cloud that provides machines, all of one type.
+type cloud struct {
+	sim         *Simulation
+	machineType wire.MachineType
+	machines    map[string]*cloudMachine
+	provisioned map[string][]string              // the machines of each provision request, by its name
+	requests    map[string]wire.ProvisionRequest // by name
+	created     int                              // machines so far
+
+	deprovisioned  int // machines that controllers have returned
+	outage         bool
+	outOfCapacity  bool
+	slowBoot       timedValue // factor on the boot time
+	neverBootShare float64    // share of the machines that never boot while slowBoot holds
+}
+
+// cloudMachine is a machine that was provisioned.
+type cloudMachine struct {
+	wire.CloudMachine
+	createdAt  time.Duration
+	terminated bool
+}
+
+// newCloud returns a cloud without machines.
+func newCloud(sim *Simulation) *cloud {
+	return &cloud{
+		sim: sim, machines: map[string]*cloudMachine{}, provisioned: map[string][]string{}, requests: map[string]wire.ProvisionRequest{},
+		machineType: wire.MachineType{
+			Name: "g2", Cores: 16, GPUs: 2, MemoryGB: 64, ImageCacheGB: 60, FetchGBs: 0.5,
+			PricePerHour: 6, SpotPricePerHour: 2, BootS: sim.BootTime.Seconds(), Zones: sim.Zones,
+		},
+	}
+}
+
+// call carries out a controller's call.
+func (c *cloud) call(call core.CallCloud) core.CloudAnswered {
+	answer := core.CloudAnswered{ID: call.ID, Outcome: kv.OK}
+	switch {
+	case call.ListTypes:
+		answer.MachineTypes = []wire.MachineType{c.machineType}
+	case call.ListMachines:
+		answer.Machines = c.list()
+	case call.Provision != nil:
+		answer.Names = c.provisionOnce(call.Provision)
+		if len(answer.Names) == 0 {
+			answer.Outcome = kv.NoCapacity
+		}
+	case call.Deprovision != nil:
+		for _, name := range call.Deprovision {
+			c.deprovisioned++
+			c.terminate(name)
+		}
+	}
+	return answer
+}
+
+// list returns the machines that are listed: those older than cloudListLag.
+func (c *cloud) list() []wire.CloudMachine {
+	var listed []wire.CloudMachine
+	for _, name := range sortedKeys(c.machines) {
+		machine := c.machines[name]
+		if age := c.sim.now - machine.createdAt; !machine.terminated && age > cloudListLag {
+			row := machine.CloudMachine
+			row.AgeS = age.Seconds()
+			listed = append(listed, row)
+		}
+	}
+	return listed
+}
+
+// countBooting counts the machines that have not booted yet.
+func (c *cloud) countBooting() int {
+	count := 0
+	for _, machine := range c.machines {
+		if !machine.terminated && machine.Status == wire.MachineBooting {
+			count++
+		}
+	}
+	return count
+}
+
+// provisionOnce provisions machines and returns their names. A request whose name was used
+// already gets the machines of the first one, and has to be the same.
+func (c *cloud) provisionOnce(request *wire.ProvisionRequest) []string {
+	if names, known := c.provisioned[request.Name]; known {
+		if c.requests[request.Name] != *request {
+			c.sim.rules.violated("provision_name_reused", "%s for %+v and %+v", request.Name, c.requests[request.Name], *request)
+		}
+		return names
+	}
+	names := c.provision(request)
+	if len(names) > 0 {
+		c.provisioned[request.Name], c.requests[request.Name] = names, *request
+	}
+	return names
+}
+
+// provision creates machines as far as there is capacity and returns their names.
+func (c *cloud) provision(request *wire.ProvisionRequest) []string {
+	used := 0
+	for _, machine := range c.machines {
+		if !machine.terminated && machine.Zone == request.Zone && machine.Spot == request.Spot {
+			used++
+		}
+	}
+	if c.outOfCapacity {
+		return nil
+	}
+	var names []string
+	for range min(request.Count, max(0, c.sim.Capacity-used)) {
+		names = append(names, c.create(request))
+	}
+	return names
+}
+
+// create creates a machine that boots, and returns its name.
+func (c *cloud) create(request *wire.ProvisionRequest) string {
+	sim := c.sim
+	name := fmt.Sprintf("vm-%06d", c.created)
+	c.created++
+	machine := &cloudMachine{createdAt: sim.now, CloudMachine: wire.CloudMachine{
+		Name: name, Addr: name + ":1", MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Status: wire.MachineBooting,
+	}}
+	c.machines[name] = machine
+	bootTime := time.Duration(float64(sim.BootTime) * (0.6 + 0.9*sim.rng.Float64()))
+	if sim.now < c.slowBoot.until {
+		if sim.rng.Float64() < c.neverBootShare {
+			return name // it goes on booting, and is paid for, until it is deprovisioned
+		}
+		bootTime = time.Duration(float64(bootTime) * c.slowBoot.value)
+	}
+	sim.after(bootTime, func() {
+		if !machine.terminated {
+			machine.Status = wire.MachineRunning
+			sim.fleet.boot(machine)
+		}
+	})
+	return name
+}
+
+// terminate ends a machine and its worker.
+func (c *cloud) terminate(name string) {
+	if machine := c.machines[name]; machine != nil {
+		machine.terminated = true
+	}
+	if worker := c.sim.fleet.workers[name]; worker != nil {
+		worker.terminated = true
+		worker.dropTasks()
+	}
+}
--- /dev/null
+++ b/internal/simulation/controller.go
@@ -0,0 +1,214 @@
+package simulation
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"micaport/internal/config"
+	"micaport/internal/core"
+	"micaport/internal/ownership"
+)
+
+// controller is a controller: a core, its clock and what waits for it. With real processes
+// it has no core, and only its state is tracked here.
+type controller struct {
+	sim            *Simulation
+	index          int // in Simulation.controllers
+	label          string
+	zone           string
+	core           *core.Node
+	running        bool
+	oldVersion     bool // it runs the version before, which reads Settings.OldFormat
+	incarnation    int  // how often it was started
+	startedAt      time.Duration
+	clockRate      float64 // of its clock, by the simulation's
+	pendingReplies map[uint64]func(core.Reply)
+	lastRequestID  uint64
+
+	frozenUntil         time.Duration
+	queuedInputs        []core.Input  // that arrived while it was frozen
+	heldEffects         []core.Effect // decided on when it froze, and not performed yet
+	freezeBeforeEffects bool          // it takes one more step, and freezes before its effects
+}
+
+// Timing of a controller.
+const (
+	tickInterval  = 50 * time.Millisecond
+	tickStagger   = 7 * time.Millisecond // between the first ticks of two controllers
+	leaderLease   = 5 * time.Second
+	cloudListLag  = 4 * time.Second // a new machine is listed after it
+	maxBulkTasks  = 600
+	coreCloudRPS  = 2
+	coreStateRPS  = 250
+	spareMachines = 1
+)
+
+// endpoint returns the controller as a party of the network.
+func (c *controller) endpoint() endpoint { return endpoint{c.label, c.zone} }
+
+// start starts a new incarnation of the controller.
+func (c *controller) start() {
+	sim := c.sim
+	c.running, c.startedAt = true, sim.now
+	c.incarnation++
+	c.frozenUntil, c.freezeBeforeEffects, c.heldEffects, c.queuedInputs = 0, false, nil, nil
+	c.pendingReplies = map[uint64]func(core.Reply){}
+	if sim.startController != nil {
+		sim.store.watchPositions[c.label] = watchNotStarted // it watches over its protocol
+		sim.startController(c)
+		return
+	}
+	c.core = core.New(c.coreConfig())
+	incarnation := c.incarnation
+	sim.store.sendSnapshot(c, incarnation)
+	var tick func()
+	tick = func() {
+		if c.isRunning(incarnation) {
+			c.step(core.Tick{})
+			sim.after(tickInterval, tick)
+		}
+	}
+	sim.after(time.Duration(c.index)*tickStagger, tick)
+}
+
+// isRunning reports whether an incarnation of the controller still runs.
+func (c *controller) isRunning(incarnation int) bool {
+	return c.incarnation == incarnation && c.running
+}
+
+// coreConfig returns the configuration of the controller's core.
+func (c *controller) coreConfig() core.Config {
+	sim := c.sim
+	cfg := core.Config{
+		Self: c.label, Zone: c.zone, Incarnation: fmt.Sprintf("%s-%d", c.label, c.incarnation),
+		Zones: sim.Zones, Teams: sim.Teams, Admission: sim.Admission, EarlyFailover: sim.EarlyTakeover,
+		HeartbeatInterval: sim.HeartbeatInterval, WorkerLease: sim.WorkerLease, GangWait: sim.GangWait,
+		OwnerValidity: config.Validity(sim.WorkerLease, sim.CancelDeadline), LeaderLease: leaderLease,
+		MaxTransactionOps: sim.MaxTransactionOps, MaxValueBytes: sim.MaxValueBytes,
+		MaxLargeArrayTasks: maxBulkTasks, MaxBatchWrites: sim.maxBatchWrites(),
+		CloudListLag: cloudListLag, CloudRPS: coreCloudRPS, StateRPS: coreStateRPS, WriteRPS: sim.WriteRPS,
+		IdleTimeout: sim.IdleTimeout, SpareMachines: spareMachines, Preempt: true,
+		WallClockMS: func() int64 { return sim.now.Milliseconds() },
+	}
+	if c.oldVersion {
+		cfg.Format = sim.OldFormat
+	}
+	if cfg.Format != 1 { // format 1 knows no limits that are to come
+		cfg.CurrentValueBytes, cfg.MaxValueBytes = cfg.MaxValueBytes, lowerLimit(cfg.MaxValueBytes, sim.NextMaxValueBytes)
+		cfg.MaxTransactionOps, cfg.NextWriteRPS = lowerLimit(cfg.MaxTransactionOps, sim.NextMaxTransactionOps), sim.NextWriteRPS
+	}
+	for _, peer := range sim.controllers {
+		cfg.Members = append(cfg.Members, ownership.Member{Name: peer.label, Zone: peer.zone})
+	}
+	return cfg
+}
+
+// lowerLimit returns the lower of a limit and the next one, of which 0 is none.
+func lowerLimit(now, next int) int {
+	if next > 0 {
+		return min(now, next)
+	}
+	return now
+}
+
+// step gives an input to the core and performs the effects, unless the controller is frozen.
+func (c *controller) step(in core.Input) {
+	sim := c.sim
+	if !c.running {
+		return
+	}
+	if sim.now < c.frozenUntil && !c.freezeBeforeEffects {
+		if _, tick := in.(core.Tick); !tick {
+			c.queuedInputs = append(c.queuedInputs, in)
+		}
+		return
+	}
+	local := time.Duration(float64(sim.now-c.startedAt) * c.clockRate)
+	effects := c.core.Step(local, in)
+	if sim.observe != nil {
+		sim.observe(sim.now, c.label, effects)
+	}
+	if c.freezeBeforeEffects {
+		c.freezeBeforeEffects, c.heldEffects = false, effects
+		return
+	}
+	for _, effect := range effects {
+		c.perform(effect)
+	}
+}
+
+// deliver gives an input to the present incarnation of the controller after a delay.
+func (c *controller) deliver(d time.Duration, in core.Input) {
+	incarnation := c.incarnation
+	c.sim.after(d, func() {
+		if c.incarnation == incarnation {
+			c.step(in)
+		}
+	})
+}
+
+// request sends a request to the controller; reply is called at most once.
+func (c *controller) request(input func(requestID uint64) core.Input, reply func(core.Reply)) {
+	if c.sim.sendRequest != nil {
+		c.sim.sendRequest(c, input(0), reply)
+		return
+	}
+	incarnation := c.incarnation
+	c.sim.after(c.sim.network.latency(), func() {
+		if c.isRunning(incarnation) {
+			c.stepRequest(input, reply)
+		}
+	})
+}
+
+// stepRequest gives a request to the core, whose reply goes to a function.
+func (c *controller) stepRequest(input func(requestID uint64) core.Input, reply func(core.Reply)) {
+	c.lastRequestID++
+	c.pendingReplies[c.lastRequestID] = reply
+	c.step(input(c.lastRequestID))
+}
+
+// randomController returns a controller drawn at random.
+func (s *Simulation) randomController() *controller {
+	return s.controllers[s.rng.IntN(len(s.controllers))]
+}
+
+// labelled returns the index of the controller with a label, or -1.
+func (s *Simulation) labelled(label string) int {
+	return slices.IndexFunc(s.controllers, func(ctrl *controller) bool { return ctrl.label == label })
+}
+
+// controllerNamed finds a controller by the name that scripts use: its index, its role
+// ("leader", "standby", or "other" for the one after the leader), or the shard that it owns
+// ("owner:SHARD"). Who has no holder is the first controller.
+func (s *Simulation) controllerNamed(name string) *controller {
+	leader := 0
+	if claim := s.store.leader(); claim != nil {
+		leader = s.labelled(claim.Controller)
+	}
+	if shard, ok := strings.CutPrefix(name, "owner:"); ok {
+		return s.controllers[max(0, s.labelled(s.store.shardOwner(shard)))]
+	}
+	switch name {
+	case "leader":
+		return s.controllers[leader]
+	case "standby":
+		return s.controllers[max(0, s.labelled(s.leadership.standby))]
+	case "other":
+		return s.controllers[(leader+1)%len(s.controllers)]
+	}
+	index, _ := strconv.Atoi(name)
+	return s.controllers[index]
+}
+
+// reachablePeer returns the peer with a label that the controller can reach, or nil.
+func (c *controller) reachablePeer(label string) *controller {
+	index := c.sim.labelled(label)
+	if index < 0 || c.sim.network.isCut(c.endpoint(), c.sim.controllers[index].endpoint()) {
+		return nil
+	}
+	return c.sim.controllers[index]
+}
--- /dev/null
+++ b/internal/simulation/gang.go
@@ -0,0 +1,56 @@
+package simulation
+
+import "micaport/internal/wire"
+
+// startGangIfComplete runs all tasks of a gang once they wait with the same attempt.
+func (t *simTask) startGangIfComplete() {
+	var waiting []*simTask
+	for _, other := range t.user.tasks {
+		if other.attempt == t.attempt && other.state == wire.TaskWaitingForGang && !other.worker.terminated && !other.worker.hung {
+			waiting = append(waiting, other)
+		}
+	}
+	if len(waiting) < t.user.spec.TaskCount {
+		return
+	}
+	for _, other := range waiting {
+		other.worker.runTask(other)
+	}
+}
+
+// checkGang ends a gang task whose peers have not come, or are missing, for too long.
+func (w *simWorker) checkGang(task *simTask) {
+	if task.user == nil || task.user.spec.Shape != wire.ShapeGang {
+		return
+	}
+	now := w.sim.now
+	switch task.state {
+	case wire.TaskWaitingForGang:
+		if now-task.stateSince > w.sim.GangWait {
+			w.exitTask(task, wire.CauseGangIncomplete)
+		} else {
+			task.startGangIfComplete()
+		}
+	case wire.TaskRunning:
+		switch {
+		case task.countGang() == task.user.spec.TaskCount || w.sim.users.completedTasks[task.name()]:
+			task.peerMissingSince = 0
+		case task.peerMissingSince == 0:
+			task.peerMissingSince = now
+		case now-task.peerMissingSince > w.sim.GangPeerTimeout:
+			w.exitTask(task, wire.CausePeerLost)
+		}
+	}
+}
+
+// countGang counts the tasks of a gang that run with the attempt of this one, itself
+// included.
+func (t *simTask) countGang() int {
+	count := 0
+	t.user.eachActiveTask(func(worker *simWorker, other *simTask) {
+		if other.attempt == t.attempt && !worker.hung && (other.state == wire.TaskRunning || other.state == wire.TaskCheckpointing) {
+			count++
+		}
+	})
+	return count
+}
--- /dev/null
+++ b/internal/simulation/loopback_http.go
@@ -0,0 +1,116 @@
+package simulation
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"micaport/internal/core"
+	"micaport/internal/kv"
+	"micaport/internal/wire"
+)
+
+// workerAnswerLimit is how long a worker's server waits until commands are carried out.
+const workerAnswerLimit = 4 * time.Second
+
+// sendRequest sends a worker's or user's request to a controller. No answer is a reply with
+// status 0.
+func (l *Loopback) sendRequest(ctrl *controller, in core.Input, receive func(core.Reply)) {
+	request, err := l.newRequest(l.processes[ctrl.index].frontProxy.address(), in)
+	must(err)
+	go func() { // until the client's timeout, or Close
+		reply := l.exchange(request, in)
+		l.post(func() { receive(reply) })
+	}()
+}
+
+// newRequest returns the HTTP request for an input of a controller at an address.
+func (l *Loopback) newRequest(address string, in core.Input) (*http.Request, error) {
+	method, path, body := http.MethodPost, "", []byte(nil)
+	switch x := in.(type) {
+	case core.WorkerReported:
+		raw, err := wire.Encode(x.Heartbeat)
+		if err != nil {
+			return nil, err
+		}
+		path, body = "/v1/report", raw
+	case core.UserRequest:
+		switch x.Kind {
+		case wire.RequestSubmit:
+			path, body = "/api/jobs", x.Body
+		case wire.RequestStatus:
+			method, path = http.MethodGet, "/api/jobs/"+x.JobID
+		case wire.RequestCancel:
+			path = "/api/jobs/" + x.JobID + "/withdraw"
+		}
+	}
+	if path == "" {
+		return nil, fmt.Errorf("no path for %T", in)
+	}
+	return http.NewRequestWithContext(l.ctx, method, "http://"+address+path, bytes.NewReader(body))
+}
+
+// exchange sends a request and returns the reply, or one with status 0.
+func (l *Loopback) exchange(request *http.Request, in core.Input) core.Reply {
+	response, err := l.client.Do(request)
+	if err != nil {
+		return core.Reply{}
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		return core.Reply{}
+	}
+	return decodeReply(in, response.StatusCode, body)
+}
+
+// decodeReply returns a reply as the models expect it: replies to heartbeats are decoded. A
+// malformed one is as none.
+func decodeReply(in core.Input, status int, body []byte) core.Reply {
+	reply := core.Reply{Status: status, Body: body}
+	if _, heartbeat := in.(core.WorkerReported); !heartbeat {
+		return reply
+	}
+	var err error
+	switch status {
+	case http.StatusOK:
+		var answer wire.HeartbeatReply
+		err = wire.Decode(body, &answer)
+		reply.Body = answer
+	case http.StatusMisdirectedRequest:
+		var answer wire.Redirect
+		err = wire.Decode(body, &answer)
+		reply.Body = answer
+	}
+	if err != nil {
+		return core.Reply{}
+	}
+	return reply
+}
+
+// serveWorker serves a worker's address for commands and returns it.
+func (l *Loopback) serveWorker(worker *simWorker) string {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, request *http.Request) {
+		var batch wire.CommandBatch
+		body, err := io.ReadAll(request.Body)
+		if err != nil || wire.Decode(body, &batch) != nil {
+			w.WriteHeader(http.StatusBadRequest)
+			return
+		}
+		outcomes := make(chan kv.Outcome, 1)
+		l.post(func() { worker.acceptCommands(batch, nil, func(outcome kv.Outcome) { outcomes <- outcome }) })
+		select {
+		case outcome := <-outcomes:
+			if outcome != kv.OK {
+				w.WriteHeader(http.StatusConflict)
+			}
+		case <-time.After(workerAnswerLimit):
+		}
+	})
+	address, err := l.serve(mux)
+	must(err)
+	return address
+}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -7,202 +7,157 @@
 	"micaport/internal/wire"
 )
 
-// present walks over the tasks that are on machines, in a fixed order. Tasks
-// that still fetch their image count, which is stricter than the protocol.
-func (w *World) present(f func(k *workerSim, t *taskSim)) {
-	for _, u := range w.order {
-		u.present(f)
-	}
+// Limits on how long the answers to a job's user may stay away.
+const (
+	unansweredAfter    = 90 * time.Second // of one user, while others get answers
+	answeredWithin     = 6 * time.Second  // of those others
+	unansweredAtCalm   = 75 * time.Second // of any user, once all faults are over
+	ruleCheckInterval  = time.Second
+	waitingJobInterval = 5 * time.Second // between checks of the jobs that wait
+)
+
+// ruleChecker checks the rules of the protocol and collects violations.
+type ruleChecker struct {
+	sim             *Simulation
+	violations      []string
+	attemptMachines map[string]string // the machine of every attempt of a task
+	starts          map[string]int    // starts of tasks by job
+	lateStarts      int               // starts after the user was told that the job is cancelled
+	faultsEndAt     time.Duration     // when the last fault ends, as far as is known
 }
 
-// present is that of World for the tasks of one job.
-func (u *userSim) present(f func(k *workerSim, t *taskSim)) {
-	for _, t := range u.on {
-		if t.state != wire.TaskExited && !t.k.off {
-			f(t.k, t)
-		}
-	}
+// violated records that a rule was violated now.
+func (r *ruleChecker) violated(rule, format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf("%.3fs %s: %s", r.sim.now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// started checks the rules that a start can break.
-func (w *World) started(k *workerSim, t *taskSim) {
-	sp := &t.u.spec
-	w.Starts[t.ref]++
-	if t.u.withdrawn > 0 {
-		w.lateStarts++
+// faultsLast records that a fault goes on for d from now.
+func (r *ruleChecker) faultsLast(d time.Duration) {
+	r.faultsEndAt = max(r.faultsEndAt, r.sim.now+d)
+}
+
+// taskStarted checks the rules that the start of a task on a worker can violate.
+func (r *ruleChecker) taskStarted(worker *simWorker, task *simTask) {
+	user, machine := task.user, worker.machine
+	r.starts[task.jobID]++
+	if user.cancelledAt > 0 {
+		r.lateStarts++
 	}
-	name := fmt.Sprintf("%s/%d#%d", t.ref, t.task, t.attempt)
-	if at := w.attempts[name]; at != "" && at != k.m.Name {
-		w.broke("attempt_recurs", "%s on %s and then on %s", name, at, k.m.Name)
+	name := attemptName(task.name(), task.attempt)
+	if before := r.attemptMachines[name]; before != "" && before != machine.Name {
+		r.violated("attempt_recurs", "%s on %s and then on %s", name, before, machine.Name)
 	}
-	w.attempts[name] = k.m.Name
-	for _, ref := range sp.Dependencies {
-		if a := w.users[ref]; a == nil || !a.ended() {
-			w.broke("too_early", "%s/%d before %s is done", t.ref, t.task, ref)
+	r.attemptMachines[name] = machine.Name
+	for _, jobID := range user.spec.Dependencies {
+		if dependency := r.sim.users.byJob[jobID]; dependency == nil || !dependency.allTasksDone() {
+			r.violated("too_early", "%s before %s is done", task.name(), jobID)
 		}
 	}
 	zones := map[string]int{}
-	t.u.present(func(k2 *workerSim, x *taskSim) {
-		if x != t && x.task == t.task {
-			w.broke("ran_twice", "%s/%d: attempt %d on %s, attempt %d on %s", t.ref, t.task, t.attempt, k.m.Name, x.attempt, k2.m.Name)
+	user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
+		if other != task && other.index == task.index {
+			r.violated("ran_twice", "%s: attempt %d on %s, attempt %d on %s", task.name(), task.attempt, machine.Name, other.attempt, otherWorker.machine.Name)
 		}
-		zones[k2.m.Zone]++
+		zones[otherWorker.machine.Zone]++
 	})
-	if cores, cards := w.teamUse(sp.Team); w.overLimit(sp.Team, cores, cards) {
-		w.broke("quota", "%s uses %v cards and %v cores", sp.Team, cards, cores)
+	if cores, gpus := r.teamUsage(user.spec.Team); r.exceedsHighestLimit(user.spec.Team, cores, gpus) {
+		r.violated("quota", "%s uses %v GPUs and %v cores", user.spec.Team, gpus, cores)
 	}
-	switch {
-	case k.m.Spot && !sp.AllowSpot:
-		w.broke("wrong_place", "%s on a spot machine", t.ref)
-	case sp.Zone != "" && sp.Zone != k.m.Zone:
-		w.broke("wrong_place", "%s in zone %s", t.ref, k.m.Zone)
-	case sp.SameZone && len(zones) > 1:
-		w.broke("wrong_place", "%s in zones %v", t.ref, zones)
-	case sp.Spread && zones[k.m.Zone] > (sp.TaskCount+1)/2:
-		w.broke("wrong_place", "%s has %d of %d tasks in zone %s", t.ref, zones[k.m.Zone], sp.TaskCount, k.m.Zone)
+	r.checkPlacement(worker, task, zones)
+	if cancelled := r.sim.now - user.cancelledAt; user.cancelledAt > 0 && cancelled > r.sim.CancelDeadline {
+		r.violated("ran_cancelled", "%s started %v after", task.jobID, cancelled)
 	}
-	if t.u.withdrawn > 0 && w.now-t.u.withdrawn > w.Cancel {
-		w.broke("ran_cancelled", "%s started %v after", t.ref, w.now-t.u.withdrawn)
+}
+
+// checkPlacement checks that a job may use a machine, given how many of its tasks are in
+// each zone.
+func (r *ruleChecker) checkPlacement(worker *simWorker, task *simTask, zones map[string]int) {
+	spec, machine := &task.user.spec, worker.machine
+	switch {
+	case machine.Spot && !spec.AllowSpot:
+		r.violated("wrong_place", "%s on a spot machine", task.jobID)
+	case spec.Zone != "" && spec.Zone != machine.Zone:
+		r.violated("wrong_place", "%s in zone %s", task.jobID, machine.Zone)
+	case spec.SameZone && len(zones) > 1:
+		r.violated("wrong_place", "%s in zones %v", task.jobID, zones)
+	case spec.Spread && zones[machine.Zone] > (spec.TaskCount+1)/2:
+		r.violated("wrong_place", "%s has %d of %d tasks in zone %s", task.jobID, zones[machine.Zone], spec.TaskCount, machine.Zone)
 	}
 }
 
-// check looks at the world every second.
-func (w *World) check() {
-	served, mute := 0, 0
-	for _, ref := range sortedKeys(w.users) {
-		u := w.users[ref]
-		if !u.accepted {
+// check checks the rules that hold at all times, once a ruleCheckInterval. Gang tasks look
+// for their peers then too.
+func (r *ruleChecker) check() {
+	r.checkAnswers()
+	r.checkCancelled()
+	r.checkWaitingJobs()
+	for _, name := range sortedKeys(r.sim.fleet.workers) {
+		worker := r.sim.fleet.workers[name]
+		if worker.terminated || worker.hung {
 			continue
 		}
-		if w.now-u.lastOK > 90*time.Second {
-			mute++
-		} else if w.now-u.lastOK < 6*time.Second {
-			served++
-		}
-	}
-	if mute > 0 && served > mute {
-		w.broke("forgotten", "%d jobs get no answers while %d do", mute, served)
-	}
-	// Once all troubles are over each job is judged by itself.
-	for _, u := range w.order {
-		if quiet := w.now - max(u.lastOK, w.calm); u.accepted && u.withdrawn == 0 && quiet > 75*time.Second {
-			w.broke("forgotten", "%s: no answer for %v, the last was %d", u.spec.ID, quiet, u.lastCode)
+		for _, key := range sortedKeys(worker.tasks) {
+			worker.checkGang(worker.tasks[key])
 		}
 	}
-	w.present(func(k *workerSim, t *taskSim) {
-		if u := t.u; u.withdrawn > 0 && w.now-u.withdrawn > w.Cancel {
-			w.broke("ran_cancelled", "%s/%d on %s %v after (%s)", t.ref, t.task, k.m.Name, w.now-u.withdrawn, t.state)
-		}
-	})
-	w.leftWaiting()
-	for _, name := range sortedKeys(w.workers) {
-		k := w.workers[name]
-		if k.off || k.hung {
+}
+
+// checkAnswers checks that users get answers: most of them always, and each of them once
+// all faults are over.
+func (r *ruleChecker) checkAnswers() {
+	now, answered, unanswered := r.sim.now, 0, 0
+	for _, user := range r.sim.users.byJob {
+		if !user.accepted {
 			continue
 		}
-		for _, key := range sortedKeys(k.tasks) {
-			w.gangTask(k, k.tasks[key])
+		if now-user.lastAnsweredAt > unansweredAfter {
+			unanswered++
+		} else if now-user.lastAnsweredAt < answeredWithin {
+			answered++
 		}
 	}
-}
-
-// gangTask plays a gang task's view of its peers.
-func (w *World) gangTask(k *workerSim, t *taskSim) {
-	if t.u == nil || t.u.spec.Shape != wire.ShapeGang {
-		return
+	if unanswered > 0 && answered > unanswered {
+		r.violated("forgotten", "%d jobs get no answers while %d do", unanswered, answered)
 	}
-	switch t.state {
-	case wire.TaskWaitingForGang:
-		if w.now-t.since > w.GangWait {
-			k.end(t, wire.CauseGangIncomplete)
-		} else {
-			w.gather(t)
-		}
-	case wire.TaskRunning:
-		peers := 0
-		t.u.present(func(k2 *workerSim, x *taskSim) {
-			if x.attempt == t.attempt && !k2.hung && (x.state == wire.TaskRunning || x.state == wire.TaskCheckpointing) {
-				peers++
-			}
-		})
-		if peers == t.u.spec.TaskCount || w.done[wire.TaskName(t.ref, t.task)] {
-			t.lostAt = 0
-		} else if t.lostAt == 0 {
-			t.lostAt = w.now
-		} else if w.now-t.lostAt > w.GangPeer {
-			k.end(t, wire.CausePeerLost)
+	for _, user := range r.sim.users.ordered {
+		quiet := now - max(user.lastAnsweredAt, r.faultsEndAt)
+		if user.accepted && user.cancelledAt == 0 && quiet > unansweredAtCalm {
+			r.violated("forgotten", "%s: no answer for %v, the last was %d", user.spec.ID, quiet, user.lastCode)
 		}
 	}
 }
 
-// beginWithin is how long the largest jobs of a class may take to begin.
-const beginWithin = 240 * time.Second
-
-// served checks what is checked at the end of a day: at least half of every
-// class, of every team and of the largest jobs of each class has begun, the
-// largest in time. Jobs that came too late to be judged, that were cancelled
-// or that can't run are left out.
-func (w *World) served() []string {
-	type share struct{ begun, all int }
-	shares := map[string]*share{}
-	largest := map[string]int{}
-	count := func(what string, begun bool) {
-		s := shares[what]
-		if s == nil {
-			s = &share{}
-			shares[what] = s
-		}
-		s.all++
-		s.begun += map[bool]int{true: 1}[begun]
-	}
-	judged := func(u *userSim) bool {
-		return u.accepted && !u.asked && !u.fails && w.now-u.since > beginWithin && !u.held()
-	}
-	for _, u := range w.order {
-		if judged(u) {
-			largest[u.spec.Class] = max(largest[u.spec.Class], u.spec.TaskCount)
+// checkCancelled checks that the tasks of cancelled jobs are gone by the deadline.
+func (r *ruleChecker) checkCancelled() {
+	r.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
+		cancelled := r.sim.now - task.user.cancelledAt
+		if task.user.cancelledAt > 0 && cancelled > r.sim.CancelDeadline {
+			r.violated("ran_cancelled", "%s on %s %v after (%s)", task.name(), worker.machine.Name, cancelled, task.state)
 		}
-	}
-	for _, u := range w.order {
-		if !judged(u) {
-			continue
-		}
-		count("class "+u.spec.Class, u.begun > 0)
-		count("team "+u.spec.Team, u.begun > 0)
-		if u.spec.TaskCount == largest[u.spec.Class] {
-			count("largest of class "+u.spec.Class, u.begun > 0 && u.begun-u.since <= beginWithin)
-		}
-	}
-	var faults []string
-	for _, what := range sortedKeys(shares) {
-		if s := shares[what]; 2*s.begun < s.all {
-			faults = append(faults, fmt.Sprintf("served: %d of %d of %s", s.begun, s.all, what))
-		}
-	}
-	return faults
+	})
 }
 
-// teamUse is what the tasks of a team that are on machines take.
-func (w *World) teamUse(team string) (cores, cards float64) {
-	for _, u := range w.order {
-		if u.spec.Team == team {
-			u.present(func(*workerSim, *taskSim) {
-				cores += u.spec.Cores
-				cards += u.spec.GPUs
+// teamUsage returns what the tasks of a team that are on machines use.
+func (r *ruleChecker) teamUsage(team string) (cores, gpus float64) {
+	for _, user := range r.sim.users.ordered {
+		if user.spec.Team == team {
+			user.eachActiveTask(func(*simWorker, *simTask) {
+				cores += user.spec.Cores
+				gpus += user.spec.GPUs
 			})
 		}
 	}
-	return cores, cards
+	return cores, gpus
 }
 
-// overLimit tells whether a use is beyond a team's limit, or where operators have changed
-// that, beyond the highest that has been in force: what was placed before a limit was
-// lowered may start after. What is placed is judged by the accounting.
-func (w *World) overLimit(team string, cores, cards float64) bool {
-	return beyond(w.accounting.highest[team], cores, cards)
+// exceedsHighestLimit reports whether a use exceeds the highest limit that a team has had:
+// what was placed before the limit was lowered may start after. Whether it may be placed is
+// checked by quotaAccounting.
+func (r *ruleChecker) exceedsHighestLimit(team string, cores, gpus float64) bool {
+	return exceedsLimit(r.sim.quota.highestLimits[team], cores, gpus)
 }
 
-// beyond tells whether a use is beyond a limit, in which 0 is none.
-func beyond(limit wire.Resources, cores, cards float64) bool {
-	return limit.GPUs > 0 && cards > limit.GPUs+rounding || limit.Cores > 0 && cores > limit.Cores+rounding
+// exceedsLimit reports whether a use exceeds a limit, of which 0 is none.
+func exceedsLimit(limit wire.Resources, cores, gpus float64) bool {
+	return limit.GPUs > 0 && gpus > limit.GPUs+quotaTolerance || limit.Cores > 0 && cores > limit.Cores+quotaTolerance
 }
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -9,140 +10,169 @@
 	"micaport/internal/wire"
 )
 
-// still is a world with a user's job and a machine, whose controllers do nothing.
-func still(shape string, frames int) (*World, *userSim, *workerSim) {
-	w := New(Defaults(), func(string, ...any) {})
-	for _, n := range w.nodes {
-		n.up = false
+// idleSimulation returns a simulation with a user's job and a worker, whose controllers do
+// not run.
+func idleSimulation(shape string, taskCount int) (*Simulation, *simUser, *simWorker) {
+	sim := New(Defaults(), discardLog)
+	for _, ctrl := range sim.controllers {
+		ctrl.running = false
 	}
-	w.now = 400 * time.Second
-	u := &userSim{w: w, only: -1, accepted: true, lastOK: w.now, spec: wire.JobSpec{ID: "wk-000001", Class: "c", Team: "red", Shape: shape, TaskCount: frames, Cores: 4, GPUs: 1, MemoryGB: 16, AllowSpot: true}}
-	w.users[u.spec.ID] = u
-	w.order = append(w.order, u)
-	return w, u, addMachine(w, "vm-000001")
+	sim.now = 400 * time.Second
+	user := &simUser{sim: sim, pinnedTo: -1, accepted: true, lastAnsweredAt: sim.now, spec: wire.JobSpec{
+		ID: "wk-000001", Class: "c", Team: "red", Shape: shape, TaskCount: taskCount, Cores: 4, GPUs: 1, MemoryGB: 16, AllowSpot: true,
+	}}
+	sim.users.byJob[user.spec.ID] = user
+	sim.users.ordered = append(sim.users.ordered, user)
+	return sim, user, addWorker(sim, "vm-000001")
 }
 
-func addMachine(w *World, name string) *workerSim {
-	m := &machine{CloudMachine: wire.CloudMachine{Name: name, Zone: "a", MachineType: "g2"}}
-	w.cloud.hosts[name] = m
-	k := &workerSim{w: w, m: m, session: 1, tasks: map[string]*taskSim{}, images: map[string]bool{}, answered: w.now, drift: 1}
-	w.workers[name] = k
-	return k
+// addWorker adds a machine with a worker.
+func addWorker(sim *Simulation, name string) *simWorker {
+	machine := &cloudMachine{CloudMachine: wire.CloudMachine{Name: name, Zone: "a", MachineType: "g2"}}
+	sim.cloud.machines[name] = machine
+	worker := &simWorker{sim: sim, machine: machine, epoch: 1, tasks: map[string]*simTask{}, images: map[string]bool{}, renewedAt: sim.now, clockRate: 1}
+	sim.fleet.workers[name] = worker
+	return worker
 }
 
-func (u *userSim) runs(k *workerSim, task int, attempt uint64) *taskSim {
-	t := &taskSim{u: u, k: k, ref: u.spec.ID, task: task, attempt: attempt, state: wire.TaskRunning, since: u.w.now}
-	k.add(wire.TaskName(u.spec.ID, task), t)
-	return t
+// addRunningTask adds a running task of the user's job to a worker.
+func (u *simUser) addRunningTask(worker *simWorker, index int, attempt uint64) *simTask {
+	task := &simTask{user: u, worker: worker, jobID: u.spec.ID, index: index, attempt: attempt, state: wire.TaskRunning, stateSince: u.sim.now}
+	worker.addTask(task.name(), task)
+	return task
 }
 
-// TestChecksFire shows for each check of the simulation that it sees what it
-// is there for, and that it is quiet where nothing is wrong.
-func TestChecksFire(t *testing.T) {
+// TestRulesAreChecked shows for each rule of the simulation that a violation is found, and
+// that none is found where nothing is wrong.
+func TestRulesAreChecked(t *testing.T) {
 	answer := func(status string) core.Reply {
-		return core.Reply{Status: 200, Body: wire.JobStatus{JobID: "wk-000001", Status: status}}
+		return core.Reply{Status: http.StatusOK, Body: wire.JobStatus{JobID: "wk-000001", Status: status}}
 	}
-	for _, c := range []struct {
-		rule string // "" if nothing may fire
-		do   func(w *World, u *userSim, k *workerSim)
+	for _, test := range []struct {
+		name string
+		rule string // that is violated; "" if none is
+		do   func(sim *Simulation, user *simUser, worker *simWorker)
 	}{
-		{"", func(w *World, u *userSim, k *workerSim) { u.runs(k, 0, 1); w.check() }},
-		{"ran_twice", func(w *World, u *userSim, k *workerSim) {
-			u.runs(k, 0, 1)
-			k2 := addMachine(w, "vm-000002")
-			w.started(k2, u.runs(k2, 0, 2))
+		{"a running task", "", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.addRunningTask(worker, 0, 1)
+			sim.rules.check()
 		}},
-		{"quota", func(w *World, u *userSim, k *workerSim) {
+		{"two attempts of a task", "ran_twice", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.addRunningTask(worker, 0, 1)
+			otherWorker := addWorker(sim, "vm-000002")
+			sim.rules.taskStarted(otherWorker, user.addRunningTask(otherWorker, 0, 2))
+		}},
+		{"a team above its limit", "quota", func(sim *Simulation, user *simUser, worker *simWorker) {
 			for i := range 9 {
-				w.started(k, u.runs(k, i, uint64(i+1)))
+				sim.rules.taskStarted(worker, user.addRunningTask(worker, i, uint64(i+1)))
 			}
 		}},
-		{"wrong_place", func(w *World, u *userSim, k *workerSim) { u.spec.Zone = "b"; w.started(k, u.runs(k, 0, 1)) }},
-		{"wrong_place", func(w *World, u *userSim, k *workerSim) {
-			u.spec.AllowSpot, k.m.Spot = false, true
-			w.started(k, u.runs(k, 0, 1))
-		}},
-		{"ran_cancelled", func(w *World, u *userSim, k *workerSim) {
-			u.asked, u.withdrawn = true, w.now-w.Cancel-time.Millisecond
-			w.started(k, u.runs(k, 0, 1))
-		}},
-		{"ran_cancelled", func(w *World, u *userSim, k *workerSim) { // on a machine that hangs
-			u.runs(k, 0, 1)
-			k.hung, u.asked, u.withdrawn = true, true, w.now-w.Cancel-time.Millisecond
-			w.check()
-		}},
-		{"", func(w *World, u *userSim, k *workerSim) {
-			u.asked, u.withdrawn = true, w.now-w.Cancel
-			u.runs(k, 0, 1)
-			w.check()
-		}},
-		{"forgotten", func(w *World, u *userSim, k *workerSim) {
-			u.runs(k, 0, 1)
-			u.lastOK = w.now - 76*time.Second
-			w.check()
-		}},
-		{"went_back", func(w *World, u *userSim, _ *workerSim) {
-			u.spec.TaskCount = 0
-			u.hear(w.now, answer(wire.StatusDone))
-			u.hear(w.now, answer(wire.StatusRunning))
-		}},
-		{"went_back", func(w *World, u *userSim, _ *workerSim) {
-			u.asked = true
-			u.hear(w.now, answer(wire.StatusCancelled))
-			u.hear(w.now, answer(wire.StatusPending))
-		}},
-		{"went_back", func(w *World, u *userSim, _ *workerSim) { u.hear(w.now, answer(wire.StatusCancelled)) }},
-		{"not_done", func(w *World, u *userSim, _ *workerSim) { u.hear(w.now, answer(wire.StatusDone)) }},
-		{"accepted_wrongly", func(w *World, _ *userSim, _ *workerSim) { w.judgeOdd("wk-700001", 422, 201) }},
-		{"accepted_wrongly", func(w *World, _ *userSim, _ *workerSim) { w.judgeOdd("wk-700001", 400, 422) }},
-		{"", func(w *World, _ *userSim, _ *workerSim) { w.judgeOdd("wk-700001", 400, 503) }},
-		{"left_waiting", func(w *World, u *userSim, _ *workerSim) { u.besideRoom = w.now - 91*time.Second; w.leftWaiting() }},
-		{"", func(w *World, u *userSim, _ *workerSim) { u.besideRoom = w.now - 89*time.Second; w.leftWaiting() }},
-		{"", func(w *World, u *userSim, _ *workerSim) { // no machine that it may use has room
-			u.spec.Zone, u.besideRoom = "b", w.now-91*time.Second
-			w.leftWaiting()
-		}},
-		{"", func(w *World, u *userSim, k *workerSim) { // its team is at its limit
-			u.besideRoom = w.now - 91*time.Second
-			v := &userSim{w: w, only: -1, accepted: true, spec: u.spec}
-			v.spec.ID, v.spec.GPUs = "wk-000002", 8
-			w.order = append(w.order, v)
-			v.runs(addMachine(w, "vm-000002"), 0, 1)
-			w.leftWaiting()
+		{"a task outside its zone", "wrong_place", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.spec.Zone = "b"
+			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
+		}},
+		{"a task that may not use spot machines", "wrong_place", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.spec.AllowSpot, worker.machine.Spot = false, true
+			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
+		}},
+		{"a start after the cancel deadline", "ran_cancelled", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.cancelRequested, user.cancelledAt = true, sim.now-sim.CancelDeadline-time.Millisecond
+			sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
+		}},
+		{"a task on a hung worker after the cancel deadline", "ran_cancelled", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.addRunningTask(worker, 0, 1)
+			worker.hung, user.cancelRequested, user.cancelledAt = true, true, sim.now-sim.CancelDeadline-time.Millisecond
+			sim.rules.check()
+		}},
+		{"a task at the cancel deadline", "", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.cancelRequested, user.cancelledAt = true, sim.now-sim.CancelDeadline
+			user.addRunningTask(worker, 0, 1)
+			sim.rules.check()
+		}},
+		{"a user without answers", "forgotten", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.addRunningTask(worker, 0, 1)
+			user.lastAnsweredAt = sim.now - 76*time.Second
+			sim.rules.check()
+		}},
+		{"done, then running", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.spec.TaskCount = 0
+			user.checkStatus(sim.now, answer(wire.StatusDone))
+			user.checkStatus(sim.now, answer(wire.StatusRunning))
+		}},
+		{"cancelled, then pending", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.cancelRequested = true
+			user.checkStatus(sim.now, answer(wire.StatusCancelled))
+			user.checkStatus(sim.now, answer(wire.StatusPending))
+		}},
+		{"cancelled without a request", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.checkStatus(sim.now, answer(wire.StatusCancelled))
+		}},
+		{"done with a task that is not", "not_done", func(sim *Simulation, user *simUser, _ *simWorker) { user.checkStatus(sim.now, answer(wire.StatusDone)) }},
+		{"a refused job accepted", "accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) {
+			sim.users.checkRejection("wk-700001", http.StatusUnprocessableEntity, http.StatusCreated)
+		}},
+		{"a malformed job refused as one that can not run", "accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) {
+			sim.users.checkRejection("wk-700001", http.StatusBadRequest, http.StatusUnprocessableEntity)
+		}},
+		{"a malformed job answered with unavailable", "", func(sim *Simulation, _ *simUser, _ *simWorker) {
+			sim.users.checkRejection("wk-700001", http.StatusBadRequest, http.StatusServiceUnavailable)
+		}},
+		{"a job that waits beside free capacity for too long", "left_waiting", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.idleCapacitySince = sim.now - 91*time.Second
+			sim.rules.checkWaitingJobs()
+		}},
+		{"a job that waits beside free capacity", "", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.idleCapacitySince = sim.now - 89*time.Second
+			sim.rules.checkWaitingJobs()
+		}},
+		{"a job whose zone has no free capacity", "", func(sim *Simulation, user *simUser, _ *simWorker) {
+			user.spec.Zone, user.idleCapacitySince = "b", sim.now-91*time.Second
+			sim.rules.checkWaitingJobs()
+		}},
+		{"a job whose team is at its limit", "", func(sim *Simulation, user *simUser, worker *simWorker) {
+			user.idleCapacitySince = sim.now - 91*time.Second
+			other := &simUser{sim: sim, pinnedTo: -1, accepted: true, spec: user.spec}
+			other.spec.ID, other.spec.GPUs = "wk-000002", 8
+			sim.users.ordered = append(sim.users.ordered, other)
+			other.addRunningTask(addWorker(sim, "vm-000002"), 0, 1)
+			sim.rules.checkWaitingJobs()
 		}},
 	} {
-		w, u, k := still(wire.ShapeArray, 1)
-		c.do(w, u, k)
-		switch {
-		case c.rule == "" && len(w.Broken) > 0:
-			t.Errorf("fired without cause: %v", w.Broken)
-		case c.rule != "" && (len(w.Broken) == 0 || !strings.Contains(w.Broken[0], c.rule)):
-			t.Errorf("%s did not fire: %v", c.rule, w.Broken)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			sim, user, worker := idleSimulation(wire.ShapeArray, 1)
+			test.do(sim, user, worker)
+			violations := sim.rules.violations
+			switch {
+			case test.rule == "" && len(violations) > 0:
+				t.Errorf("got %v, want no violation", violations)
+			case test.rule != "" && (len(violations) == 0 || !strings.Contains(violations[0], test.rule)):
+				t.Errorf("got %v, want a violation of %s", violations, test.rule)
+			}
+		})
 	}
 }
 
-// TestLateStartsAreCounted: a start that a worker carries out after its user was
-// told that the job is cancelled is within the rules for cancel_s, and counted.
+// TestLateStartsAreCounted: a start that a worker carries out soon after the user was told
+// that the job is cancelled violates no rule, and is counted.
 func TestLateStartsAreCounted(t *testing.T) {
-	w, u, k := still(wire.ShapeArray, 1)
-	u.asked, u.withdrawn = true, w.now-time.Second
-	w.started(k, u.runs(k, 0, 1))
-	if w.lateStarts != 1 || len(w.Broken) > 0 {
-		t.Errorf("%d counted, %v", w.lateStarts, w.Broken)
+	sim, user, worker := idleSimulation(wire.ShapeArray, 1)
+	user.cancelRequested, user.cancelledAt = true, sim.now-time.Second
+	sim.rules.taskStarted(worker, user.addRunningTask(worker, 0, 1))
+	if sim.rules.lateStarts != 1 || len(sim.rules.violations) > 0 {
+		t.Errorf("got %d late starts and violations %v, want 1 and none", sim.rules.lateStarts, sim.rules.violations)
 	}
 }
 
-// TestSubmissionsLackAField: what the odd requests send is faulty each time.
-func TestSubmissionsLackAField(t *testing.T) {
-	_, u, _ := still(wire.ShapeArray, 1)
-	u.spec.Priority, u.spec.Image = "low", "img"
-	if _, _, err := wire.ParseJobSpec(u.body()); err != nil {
+// TestInvalidFieldsAreRejected: submissions of withInvalidField are invalid, each of them.
+func TestInvalidFieldsAreRejected(t *testing.T) {
+	_, user, _ := idleSimulation(wire.ShapeArray, 1)
+	user.spec.Priority, user.spec.Image = "low", "img"
+	if _, _, err := wire.ParseJobSpec(user.submissionBody()); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 64 {
-		if ref, _, err := wire.ParseJobSpec(lacking(u.body(), i)); err == nil || ref != u.spec.ID {
-			t.Errorf("%d: taken for sound (%q, %v)", i, ref, err)
+		if jobID, _, err := wire.ParseJobSpec(withInvalidField(user.submissionBody(), i)); err == nil || jobID != user.spec.ID {
+			t.Errorf("pick %d: got job %q and error %v, want %q and an error", i, jobID, err, user.spec.ID)
 		}
 	}
 }
--- /dev/null
+++ b/internal/simulation/user.go
@@ -0,0 +1,189 @@
+package simulation
+
+import (
+	"net/http"
+	"time"
+
+	"micaport/internal/core"
+	"micaport/internal/wire"
+)
+
+// simUser is a user with one job.
+type simUser struct {
+	sim         *Simulation
+	spec        wire.JobSpec
+	runtime     time.Duration // of each task
+	alwaysFails bool          // each task fails: the job was submitted with a mistake
+	pinnedTo    int           // index of the controller that the user asks; -1: any
+
+	submittedAt     time.Duration // for the first time
+	accepted        bool
+	cancelRequested bool          // the user has asked to cancel the job
+	cancelledAt     time.Duration // when that was confirmed; 0: it was not
+	startedAt       time.Duration // when all of a gang, or the first of other tasks, ran; 0: not yet
+	tasks           []*simTask    // on machines, in the order in which they came
+
+	lastReply      wire.JobStatus
+	lastStatus     string        // the last status that was checked
+	lastStatusAt   time.Duration // when it was
+	lastCode       int           // the status code of the last poll
+	lastAnsweredAt time.Duration
+	submitCodes    []int // the status codes of all submissions
+
+	idleCapacitySince time.Duration // since when the job waits though there is capacity; 0: it does not
+}
+
+// submissionBody returns the body of the job's submission.
+func (u *simUser) submissionBody() []byte {
+	spec := &u.spec
+	fields := map[string]any{
+		"ref": spec.ID, "job_class": spec.Class, "studio": spec.Team, "shape": spec.Shape, "urgency": spec.Priority,
+		"frames": spec.TaskCount, "cores": spec.Cores, "cards": spec.GPUs, "memory_gb": spec.MemoryGB, "toolkit": spec.Image,
+		"size_gb": spec.ImageGB, "rigs": nil, "hall": nil, "same_place": spec.SameZone, "spread": spec.Spread,
+		"loaner": spec.AllowSpot, "expected_s": spec.ExpectedS, "snapshot_every_s": spec.CheckpointIntervalS, "snapshot_s": spec.CheckpointTimeS,
+	}
+	if spec.Zone != "" {
+		fields["hall"] = spec.Zone
+	}
+	if spec.MachineTypes != nil {
+		fields["rigs"] = spec.MachineTypes
+	}
+	if spec.Dependencies != nil {
+		fields["waits_on"] = spec.Dependencies
+	}
+	if spec.DeadlineS > 0 {
+		fields["due_s"] = spec.DeadlineS
+	}
+	body, err := wire.Encode(fields)
+	must(err)
+	return body
+}
+
+// submit submits the job, repeatedly until it is accepted.
+func (u *simUser) submit() { u.sendSubmission(u.sim.now, u.submissionBody()) }
+
+// sendSubmission submits a body, repeatedly until it is accepted, refused for good, or was
+// first sent too long ago.
+func (u *simUser) sendSubmission(firstAt time.Duration, body []byte) {
+	askedAt := u.sim.now
+	u.sim.users.request(wire.RequestSubmit, u.spec.ID, body, changeTimeout, func(reply core.Reply) {
+		u.submitCodes = append(u.submitCodes, reply.Status)
+		switch reply.Status {
+		case http.StatusOK, http.StatusCreated:
+			u.accepted = true
+			u.lastAnsweredAt = u.sim.now
+			u.checkStatus(askedAt, reply)
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
+			if u.accepted {
+				u.sim.rules.violated("forgotten", "%s: repeat got %d", u.spec.ID, reply.Status)
+			}
+		default:
+			if u.sim.now-firstAt < submitAttempts {
+				u.sim.after(retryDelay, func() { u.sendSubmission(firstAt, body) })
+			}
+		}
+	})
+}
+
+// poll asks for the job's status, once the job is accepted.
+func (u *simUser) poll() {
+	if !u.accepted {
+		return
+	}
+	askedAt := u.sim.now
+	u.sim.users.request(wire.RequestStatus, u.spec.ID, nil, statusTimeout, func(reply core.Reply) {
+		u.lastCode = reply.Status
+		switch reply.Status {
+		case http.StatusOK:
+			u.lastAnsweredAt = u.sim.now
+			u.checkStatus(askedAt, reply)
+		case http.StatusNotFound:
+			u.sim.rules.violated("forgotten", "%s: 404 after it was accepted", u.spec.ID)
+		}
+	})
+}
+
+// requestAt sends a request about the accepted job to a controller.
+func (u *simUser) requestAt(ctrl *controller, kind wire.RequestKind, body []byte) {
+	askedAt := u.sim.now
+	u.sim.users.requestAt(ctrl, kind, u.spec.ID, body, statusTimeout, func(reply core.Reply) {
+		switch reply.Status {
+		case http.StatusOK, http.StatusCreated:
+			u.lastAnsweredAt = u.sim.now
+			u.checkStatus(askedAt, reply)
+		case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
+			u.sim.rules.violated("forgotten", "%s: %s got %d after it was accepted", u.spec.ID, kind, reply.Status)
+		}
+	})
+}
+
+// isFinal reports whether a job with a status is over.
+func isFinal(status string) bool {
+	return status == wire.StatusDone || status == wire.StatusCancelled
+}
+
+// checkStatus checks an answer against what the user was told before. One that was asked
+// for before the last one came may be older, and is ignored.
+func (u *simUser) checkStatus(askedAt time.Duration, reply core.Reply) {
+	var answer wire.JobStatus
+	switch body := reply.Body.(type) {
+	case wire.JobStatus:
+		answer = body
+	case []byte:
+		must(wire.Decode(body, &answer))
+	}
+	if askedAt < u.lastStatusAt {
+		return
+	}
+	u.lastReply = answer
+	status, last := answer.Status, u.lastStatus
+	if last == "" || isFinal(status) && status != last {
+		defer u.pollClosely()
+	}
+	if isFinal(last) && status != last {
+		u.sim.rules.violated("went_back", "%s: %s after %s", u.spec.ID, status, last)
+	}
+	switch status {
+	case wire.StatusCancelled:
+		requested := func(dependency *simUser) bool { return dependency.cancelRequested }
+		if !u.cancelRequested && u.findDependency(requested) == nil {
+			u.sim.rules.violated("went_back", "%s: cancelled without a request", u.spec.ID)
+		}
+	case wire.StatusDone:
+		if !u.allTasksDone() {
+			u.sim.rules.violated("not_done", "%s: called done, and not all of its tasks are", u.spec.ID)
+		}
+	default:
+		u.checkOrphaned(askedAt, status)
+	}
+	u.lastStatus, u.lastStatusAt = status, u.sim.now
+}
+
+// checkOrphaned checks that no dependency of an unfinished job was cancelled too long ago.
+func (u *simUser) checkOrphaned(askedAt time.Duration, status string) {
+	dependency := u.findDependency(func(dependency *simUser) bool {
+		return dependency.cancelledAt > 0 && askedAt-dependency.cancelledAt > u.sim.CancelDeadline
+	})
+	if dependency != nil {
+		u.sim.rules.violated("orphaned", "%s: %s, though %s was cancelled %v ago", u.spec.ID, status, dependency.spec.ID, u.sim.now-dependency.cancelledAt)
+	}
+}
+
+// allTasksDone reports whether all tasks of the job have done their work.
+func (u *simUser) allTasksDone() bool {
+	for i := range u.spec.TaskCount {
+		if !u.sim.users.completedTasks[wire.TaskName(u.spec.ID, i)] {
+			return false
+		}
+	}
+	return true
+}
+
+// eachActiveTask calls a function for each task that is on a machine and has not exited.
+func (u *simUser) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
+	for _, task := range u.tasks {
+		if task.state != wire.TaskExited && !task.worker.terminated {
+			visit(task.worker, task)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/worker_heartbeat.go
@@ -0,0 +1,162 @@
+package simulation
+
+import (
+	"net/http"
+	"time"
+
+	"micaport/internal/core"
+	"micaport/internal/wire"
+)
+
+// Timing of a worker's heartbeats.
+const (
+	heartbeatTimeout = 4 * time.Second // how long a worker waits for the reply
+	retryInterval    = time.Second     // until it tries the next controller
+)
+
+// newHeartbeat returns a heartbeat of the worker as it is now.
+func (w *simWorker) newHeartbeat() *wire.WorkerHeartbeat {
+	w.sequence++
+	machine := w.machine
+	heartbeat := &wire.WorkerHeartbeat{
+		Machine: machine.Name, Addr: machine.Addr, MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot,
+		Epoch: w.epoch, Sequence: w.sequence, Token: w.token,
+	}
+	if w.reclaimAt > 0 {
+		left := (w.reclaimAt - w.sim.now).Seconds()
+		heartbeat.ReclaimS = &left
+	}
+	for _, key := range sortedKeys(w.tasks) {
+		heartbeat.Tasks = append(heartbeat.Tasks, w.tasks[key].status())
+	}
+	return heartbeat
+}
+
+// pendingHeartbeat is a heartbeat that waits for its reply.
+type pendingHeartbeat struct {
+	worker    *simWorker
+	recipient *controller
+	message   *wire.WorkerHeartbeat
+	id        int    // simWorker.heartbeatID when it was sent
+	epoch     uint64 // of the worker then
+	sentAt    time.Duration
+}
+
+// sendHeartbeat sends a heartbeat to the worker's controller.
+func (w *simWorker) sendHeartbeat() {
+	sim := w.sim
+	w.awaitingReply, w.heartbeatDue, w.lastHeartbeatAt = true, false, sim.now
+	sim.meter.heartbeats++
+	w.heartbeatID++
+	pending := &pendingHeartbeat{
+		worker: w, recipient: sim.controllers[w.controllerIndex], message: w.newHeartbeat(),
+		id: w.heartbeatID, epoch: w.epoch, sentAt: sim.now,
+	}
+	sim.after(heartbeatTimeout, func() {
+		if w.heartbeatID == pending.id && w.awaitingReply {
+			pending.tryNextController()
+		}
+	})
+	switch {
+	case sim.now < w.outboundCutUntil:
+	case pending.isCut():
+		if sim.network.isHeld(w.endpoint(), pending.recipient.endpoint()) {
+			sim.after(time.Second, pending.deliverAfterCut)
+		}
+	case sim.network.loses(sim.rng):
+		// It may be held back instead, and reach a controller that has taken over meanwhile.
+		sim.after(time.Duration(sim.rng.IntN(60000))*time.Millisecond, func() { sim.randomController().deliverHeartbeat(pending.message) })
+	default:
+		pending.deliver()
+	}
+}
+
+// deliver delivers the heartbeat, and perhaps copies of it to any controller.
+func (p *pendingHeartbeat) deliver() {
+	sim := p.worker.sim
+	sim.replays.observe(p.message)
+	if sim.now < sim.network.duplicateUntil {
+		ctrl := sim.randomController()
+		sim.after(sim.network.duplicateAfter(), func() { ctrl.deliverHeartbeat(p.message) })
+	}
+	p.recipient.request(heartbeatInput(p.message), p.receiveReply)
+}
+
+// isCut reports whether the worker and the controller can't reach each other now.
+func (p *pendingHeartbeat) isCut() bool {
+	return p.worker.sim.network.isCut(p.worker.endpoint(), p.recipient.endpoint())
+}
+
+// deliverAfterCut delivers the heartbeat once the cut is over, when its reply would be too
+// late.
+func (p *pendingHeartbeat) deliverAfterCut() {
+	if p.isCut() {
+		p.worker.sim.after(time.Second, p.deliverAfterCut)
+		return
+	}
+	p.recipient.deliverHeartbeat(p.message)
+}
+
+// redirect makes the worker send its next heartbeat to another controller after a while.
+func (p *pendingHeartbeat) redirect(wait time.Duration, controllerIndex int) {
+	worker := p.worker
+	worker.controllerIndex = controllerIndex
+	worker.sim.after(wait, func() {
+		if worker.heartbeatID == p.id && !worker.terminated {
+			worker.awaitingReply, worker.heartbeatDue = false, true
+		}
+	})
+}
+
+// tryNextController redirects the worker to the next controller in turn.
+func (p *pendingHeartbeat) tryNextController() {
+	worker := p.worker
+	p.redirect(retryInterval, (worker.controllerIndex+1)%len(worker.sim.controllers))
+}
+
+// receiveReply delivers the reply to the worker, unless it is lost.
+func (p *pendingHeartbeat) receiveReply(reply core.Reply) {
+	sim := p.worker.sim
+	if sim.now < p.worker.inboundCutUntil || p.isCut() || sim.network.loses(sim.rng) {
+		return
+	}
+	sim.after(sim.network.latency(), func() { p.handleReply(reply) })
+}
+
+// handleReply carries out a reply that has arrived, if the worker still waits for it.
+func (p *pendingHeartbeat) handleReply(reply core.Reply) {
+	worker, sim := p.worker, p.worker.sim
+	if worker.terminated || worker.hung || worker.heartbeatID != p.id || !worker.awaitingReply || worker.epoch != p.epoch {
+		return
+	}
+	switch reply.Status {
+	case http.StatusOK:
+		worker.awaitingReply = false
+		worker.applyReply(reply.Body.(wire.HeartbeatReply), p.sentAt)
+	case http.StatusMisdirectedRequest:
+		owner := sim.labelled(reply.Body.(wire.Redirect).Owner)
+		if owner < 0 || owner == worker.controllerIndex {
+			p.tryNextController()
+			return
+		}
+		p.redirect(time.Duration(sim.rng.IntN(500))*time.Millisecond, owner)
+	default:
+		p.tryNextController()
+	}
+}
+
+// applyReply carries out the reply to an accepted heartbeat, which renews the lease from
+// when that was sent. A reply under a lower fencing token than the highest seen is ignored.
+func (w *simWorker) applyReply(reply wire.HeartbeatReply, sentAt time.Duration) {
+	if reply.Token < w.token {
+		return
+	}
+	if reply.Token > w.token {
+		w.token = reply.Token
+		w.heartbeatDue = true
+	}
+	w.renewedAt = sentAt
+	for _, command := range reply.Commands {
+		w.execute(command)
+	}
+}
