--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -21,7 +21,7 @@
 		n.answerUnavailable(request, "machine types are not known yet")
 		return
 	}
-	if err := n.checkFeasible(spec); err != nil {
+	if err := n.rejectReason(spec); err != nil {
 		n.rejectSubmission(request, err)
 		return
 	}
@@ -125,8 +125,8 @@
 	errNamesTooLong  = errors.New("its names are too long to be recorded") // even without its dependencies
 )
 
-// checkFeasible returns why a job can never run, or nil.
-func (n *Node) checkFeasible(spec *wire.JobSpec) error {
+// rejectReason returns why a job can never run, or nil.
+func (n *Node) rejectReason(spec *wire.JobSpec) error {
 	index := n.names.Teams.Find(spec.Team)
 	if index < 0 {
 		return errUnknownTeam
