--- a/internal/simulation/measure_failover_test.go
+++ b/internal/simulation/measure_failover_test.go
@@ -20,11 +20,11 @@
 	takeoverWorkers  = flag.Int("takeover.workers", 40, "how many workers each site has, of 400 at most")
 )
 
-// failureSpacing lies between two failures at a site: the streak of early takeovers ends
-// meanwhile, so that each may be an early one.
+// failureSpacing is the time between two failures of a deployment's leader: the streak of
+// early takeovers ends meanwhile, so that each may be an early one.
 const failureSpacing = 18 * time.Second
 
-// stageNames are those of wire.Takeover's stages.
+// stageNames are the names of the stages of wire.Takeover, in their order.
 var stageNames = []string{"suspected", "claimed", "seen", "caught up", "decided"}
 
 // failoverSample is what the deployments of one kind of failure and one setting have shown.
@@ -33,10 +33,11 @@
 	total      waitHistogram            // from the failure to the first decision
 	stages     map[string]waitHistogram // from the last heartbeat, of early takeovers
 	early      int
-	workersUp  []int // workers that were up at the end, by site
+	workersUp  []int // workers that ran at the end, by deployment
 	violations []string
 }
 
+// newFailoverSample returns an empty sample.
 func newFailoverSample() *failoverSample {
 	s := &failoverSample{total: newWaitHistogram(), stages: map[string]waitHistogram{}}
 	for _, name := range stageNames {
@@ -54,8 +55,8 @@
 	s.early += early
 	s.workersUp = append(s.workersUp, len(loopback.fleet.running()))
 	s.violations = append(s.violations, loopback.rules.violations...)
-	for _, x := range seen {
-		for i, ms := range x.StagesMS {
+	for _, takeover := range seen {
+		for i, ms := range takeover.StagesMS {
 			must(s.stages[stageNames[i]].RecordValue(max(1, ms)))
 		}
 	}
@@ -70,8 +71,8 @@
 		for _, takeover := range []string{"lease", "early"} {
 			sample := newFailoverSample()
 			var wait sync.WaitGroup
-			for site := range *takeoverSites {
-				wait.Go(func() { measureSite(t, binary, failure, takeover, uint64(site), sample) })
+			for deployment := range *takeoverSites {
+				wait.Go(func() { measureDeployment(t, binary, failure, takeover, uint64(deployment), sample) })
 			}
 			wait.Wait()
 			t.Logf("%s, %s: %v; %d early; %d sites of 5 controllers at once, workers up at each %v", failure, takeover, sample.total, sample.early, *takeoverSites, sample.workersUp)
@@ -87,8 +88,8 @@
 	}
 }
 
-// measureSite runs one deployment.
-func measureSite(t *testing.T, binary, failure, takeover string, seed uint64, sample *failoverSample) {
+// measureDeployment runs one deployment of five controllers whose leaders fail.
+func measureDeployment(t *testing.T, binary, failure, takeover string, seed uint64, sample *failoverSample) {
 	const begin = 12 * time.Second
 	end := begin + time.Duration(*takeoverFailures)*failureSpacing
 	operator := operatorFile(t, "[standby]\ntakeover = "+takeover+"\n[placement]\nidle_return_s = 600\n")
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -16,6 +16,7 @@
 // waitHistogram is a distribution of waiting times in milliseconds.
 type waitHistogram struct{ *hdrhistogram.Histogram }
 
+// newWaitHistogram returns an empty distribution of up to ten minutes.
 func newWaitHistogram() waitHistogram { return waitHistogram{hdrhistogram.New(1, 600_000, 3)} }
 
 func (h waitHistogram) String() string {
@@ -81,7 +82,7 @@
 func measureAdmissionLoad(t *testing.T, load admissionLoad, admission core.Admission, seed uint64, histogram waitHistogram, used *float64) int {
 	const begin, end = 60 * time.Second, 300 * time.Second
 	s := Defaults()
-	s.Seed, s.ControllerZones, s.Capacity, s.IdleTimeout, s.Admission, s.WriteRPS = seed+1, []string{"a", "b", "a", "b", "a"}, 100, 400*time.Second, admission, 60
+	s.Seed, s.ControllerZones, s.Capacity, s.IdleTimeout, s.Admission, s.WriteRPS = seed+1, loopbackZones, 100, 400*time.Second, admission, 60
 	s.Teams = []core.Team{{Name: "pool", GuaranteedGPUs: 120, MaxGPUs: 120}, {Name: "warm", MaxGPUs: 1000}}
 	sim := New(s, discardLog)
 	must(sim.users.submitLine([]string{"wk-000000", "team=warm", "frames=80", "run=30", "cards=2", "ordinary"}))
@@ -97,8 +98,8 @@
 	sim.every(time.Second, func() {
 		if sim.now > begin+20*time.Second && sim.now < end {
 			sum += sim.quota.teams["pool"].byLeader.GPUs
-			for _, r := range sim.quota.teams["pool"].admitted {
-				sum += r.GPUs
+			for _, admitted := range sim.quota.teams["pool"].admitted {
+				sum += admitted.GPUs
 			}
 			samples++
 		}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -7,8 +7,9 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
-	"sort"
+	"slices"
 	"time"
 
 	"micaport/internal/core"
@@ -100,11 +101,4 @@
 
 // sortedKeys returns the keys of a map in order, since the order of a range over a map
 // would make runs of the same seed differ.
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	return keys
-}
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
