--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -163,14 +163,14 @@
 
 // sampleOf returns the newest job of the class that still has its specification, or nil: a
 // finished record has dropped it.
-func (n *Node) sampleOf(class *classArrivals) *job {
+func (s *site) sampleOf(class *classArrivals) *job {
 	usable := func(job *job) bool {
 		return job != nil && job.Record != nil && job.Record.Spec != nil && job.Team >= 0
 	}
 	if !usable(class.sample) {
 		class.sample = nil
-		for _, index := range n.replica.Live() {
-			if job := n.jobs[index]; usable(job) && job.Record.Spec.Class == class.class {
+		for _, index := range s.replica.Live() {
+			if job := s.jobs[index]; usable(job) && job.Record.Spec.Class == class.class {
 				class.sample = job
 			}
 		}
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
 
@@ -57,39 +56,3 @@
 		idleSince: map[string]Time{}, unreportedSince: map[string]Time{},
 	}
 }
-
-// site is what the autoscaler needs to know of its controller: the time, the settings, and
-// the machines and machine types that there are.
-type site struct {
-	now   Time
-	cfg   *Config
-	names *replica.Names
-	*topology
-}
-
-// site gives the autoscaler its view of this moment.
-func (n *Node) site() site {
-	return site{now: n.now, cfg: &n.cfg, names: n.names, topology: &n.topology}
-}
-
-// typeAt returns the machine type with an index, or nil if it is not on offer.
-func (t *topology) typeAt(index int) *wire.MachineType {
-	if index < 0 || index >= len(t.machineTypes) {
-		return nil
-	}
-	return t.machineTypes[index]
-}
-
-// machineWithName returns a machine that is known already, or nil.
-func (s site) machineWithName(name string) *machine {
-	if index := s.names.Machines.Find(name); index >= 0 {
-		return s.machines[index]
-	}
-	return nil
-}
-
-// hasReported reports whether the machine's owner has heard of it.
-func (s site) hasReported(name string) bool {
-	machine := s.machineWithName(name)
-	return machine != nil && machine.view.known
-}
--- a/internal/core/autoscaler_boot_times.go
+++ b/internal/core/autoscaler_boot_times.go
@@ -36,7 +36,7 @@
 }
 
 // noteBooted notes that an expected machine is up.
-func (a *autoscaler) noteBooted(site site, name string) {
+func (a *autoscaler) noteBooted(site *site, name string) {
 	booting := a.booting[name]
 	if booting == nil {
 		return
--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -13,13 +13,13 @@
 
 // reconcileMachineList compares the cloud's machine list, which lags, with the machines
 // that are expected or have reported, and has those deprovisioned that are of no use.
-func (a *autoscaler) reconcileMachineList(site site, list []wire.CloudMachine) {
+func (a *autoscaler) reconcileMachineList(site *site, list []wire.CloudMachine) {
 	listed := make(map[string]bool, len(list))
 	var useless []string
 	for i := range list {
 		entry := &list[i]
 		listed[entry.Name] = true
-		if machine := site.machineWithName(entry.Name); machine != nil && machine.returned {
+		if machine := site.knownMachine(entry.Name); machine != nil && machine.returned {
 			continue
 		}
 		if a.reconcileMachine(site, entry) {
@@ -38,7 +38,7 @@
 
 // reconcileMachine takes in an entry of the machine list and reports whether the machine is
 // to be deprovisioned.
-func (a *autoscaler) reconcileMachine(site site, entry *wire.CloudMachine) (useless bool) {
+func (a *autoscaler) reconcileMachine(site *site, entry *wire.CloudMachine) (useless bool) {
 	switch {
 	case entry.Status == wire.MachineFailed:
 		return true
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -22,7 +22,7 @@
 // addExpectedMachines adds the machines that are booting or requested as capacity to plan
 // with, unless they are overdue.
 func (p *schedulingPass) addExpectedMachines() {
-	scaler, site := &p.node.leader.autoscaler, p.node.site()
+	scaler, site := &p.node.leader.autoscaler, &p.node.site
 	names := make([]string, 0, len(scaler.booting))
 	for name := range scaler.booting {
 		names = append(names, name)
@@ -61,13 +61,13 @@
 
 // newSlot returns the capacity of a machine yet to come, or nil if its type is not on offer.
 // It is in the first shard of its zone, as its name, which decides on the shard, is not known.
-func (n *Node) newSlot(pool machinePool) *slot {
-	machineType := n.typeAt(pool.machineType)
+func (s *site) newSlot(pool machinePool) *slot {
+	machineType := s.typeAt(pool.machineType)
 	if machineType == nil {
 		return nil
 	}
 	shardIndex := -1
-	for _, shard := range n.shards {
+	for _, shard := range s.shards {
 		if shard.Zone == pool.zone {
 			shardIndex = shard.Index
 			break
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -143,7 +143,7 @@
 	furtherPages := Time(len(answer.Machines) / machinesPerPage)
 	scaler.listAt = n.now + max(minListInterval, n.cfg.CloudListLag/2, Time(float64(furtherPages*callsPerListPage*second)/max(n.cfg.CloudRPS, minCloudRPS)))
 	if answer.Outcome == kv.OK {
-		scaler.reconcileMachineList(n.site(), answer.Machines)
+		scaler.reconcileMachineList(&n.site, answer.Machines)
 	}
 }
 
--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -19,7 +19,7 @@
 // scaleIn drains machines that have been idle, are unhealthy or are lost, and deprovisions
 // those that their owners have drained.
 func (n *Node) scaleIn(pass *schedulingPass, idle map[*slot]bool) {
-	scaler, site := &n.leader.autoscaler, n.site()
+	scaler, site := &n.leader.autoscaler, &n.site
 	if n.now < scaler.scaleInAt {
 		return
 	}
@@ -37,7 +37,7 @@
 // drainIdle marks machines that have been idle for long enough, except some spare ones of
 // each pool. Of idle, the machines without work, those count for which the pass has not
 // planned anything.
-func (a *autoscaler) drainIdle(site site, slots []*slot, idle map[*slot]bool) {
+func (a *autoscaler) drainIdle(site *site, slots []*slot, idle map[*slot]bool) {
 	spares := map[machinePool]int{}
 	for _, slot := range slots {
 		name := slot.machine.name
@@ -66,7 +66,7 @@
 
 // drainUnhealthy marks machines that are lost, or unhealthy and empty, and unmarks those on
 // which their owners have placed something meanwhile.
-func (a *autoscaler) drainUnhealthy(site site) {
+func (a *autoscaler) drainUnhealthy(site *site) {
 	for _, shard := range site.shards {
 		for _, machine := range shard.machines {
 			if machine.returned || !machine.view.known {
@@ -83,10 +83,10 @@
 
 // drainedMachines lists machines that may be deprovisioned now, at most as many as one call
 // takes: their owners have drained them, or no controller hears them.
-func (a *autoscaler) drainedMachines(site site) []string {
+func (a *autoscaler) drainedMachines(site *site) []string {
 	var drained []string
 	for name := range a.draining {
-		if machine := site.machineWithName(name); machine != nil {
+		if machine := site.knownMachine(name); machine != nil {
 			if machine.returned {
 				delete(a.draining, name)
 				continue
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -104,7 +104,7 @@
 		scaler.draining[name] = true
 	}
 	scaler.draining["vm-unheard-of"] = true
-	if got, want := scaler.drainedMachines(n.site()), []string{"vm-drained", "vm-silent", "vm-unheard-of", "vm-unreachable"}; !slices.Equal(got, want) {
+	if got, want := scaler.drainedMachines(&n.site), []string{"vm-drained", "vm-silent", "vm-unheard-of", "vm-unreachable"}; !slices.Equal(got, want) {
 		t.Errorf("drainedMachines = %v, want %v", got, want)
 	}
 	if scaler.draining["vm-returned"] {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,7 +15,6 @@
 
 	"micaport/internal/gang"
 	"micaport/internal/leadership"
-	"micaport/internal/ownership"
 	"micaport/internal/replica"
 	"micaport/internal/wire"
 )
@@ -23,21 +22,15 @@
 // Node is the state machine of one controller. Everything in it can be lost: the records in
 // the state service are the sole truth.
 type Node struct {
-	cfg Config
-	now Time     // of the present step
-	out []Effect // of the present step
+	site
 
+	out     []Effect // of the present step
 	nextID  uint64
 	pending map[uint64]continuation // requests under way, by id
 
-	replica *replica.Replica
-	jobs    []*job // by index of their id, as in the replica
-	gangs   *gang.Attempts
-
-	ownership  *ownership.Table
 	leadership *leadership.Leadership
+	gangs      *gang.Attempts
 
-	topology
 	storeState
 	gossipState
 	ownerState
@@ -59,10 +52,9 @@
 // New makes the state machine of a controller that has just started.
 func New(cfg Config) *Node {
 	n := &Node{
-		cfg:      cfg,
-		topology: topology{names: &replica.Names{}},
-		pending:  map[uint64]continuation{},
-		gangs:    gang.NewAttempts(),
+		site:    site{cfg: cfg, topology: topology{names: &replica.Names{}}},
+		pending: map[uint64]continuation{},
+		gangs:   gang.NewAttempts(),
 		gossipState: gossipState{
 			peers:            map[string]*peer{},
 			reservedMachines: map[int]int{},
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -29,8 +29,8 @@
 // the replica may show it late, and its lease ends the epoch in time. A job that is not
 // cancelled doesn't need this: answers repeat the start, after which the worker knows the
 // attempt.
-func (n *Node) mayStartTooLate(job *job, start directStart) bool {
-	return !start.acknowledged && job.Record.State == wire.JobCancelled && n.now-job.closedAt > n.cfg.OwnerValidity/2
+func (s *site) mayStartTooLate(job *job, start directStart) bool {
+	return !start.acknowledged && job.Record.State == wire.JobCancelled && s.now-job.closedAt > s.cfg.OwnerValidity/2
 }
 
 // awaitDirectStart has a machine end its epoch where a direct start may be on its way that
@@ -73,12 +73,12 @@
 
 // acceptsCommands reports whether a worker carries out the present owner's commands, and
 // none of its heartbeats waits for an answer.
-func (n *Node) acceptsCommands(machine *machine) bool {
-	shard := n.shards[machine.shard]
-	if !n.mayActAsOwner(shard) || machine.term != shard.Term || machine.returned || machine.reclaimAt != 0 || machine.address == "" {
+func (s *site) acceptsCommands(machine *machine) bool {
+	shard := s.shards[machine.shard]
+	if !s.mayActAsOwner(shard) || machine.term != shard.Term || machine.returned || machine.reclaimAt != 0 || machine.address == "" {
 		return false
 	}
-	responsive := machine.tokenConfirmed && machine.ignoredReplies == 0 && !machine.unresponsive && n.now-machine.heartbeatAt < 2*n.cfg.HeartbeatInterval
+	responsive := machine.tokenConfirmed && machine.ignoredReplies == 0 && !machine.unresponsive && s.now-machine.heartbeatAt < 2*s.cfg.HeartbeatInterval
 	return responsive && machine.heldReplies == 0
 }
 
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -11,19 +11,19 @@
 // The owner's side of gang transactions; see package gang.
 
 // gangSituation is what the next step of an attempt depends on.
-func (n *Node) gangSituation(attempt *gang.Attempt) gang.Situation {
-	job := n.jobNamed(attempt.JobID)
+func (s *site) gangSituation(attempt *gang.Attempt) gang.Situation {
+	job := s.jobNamed(attempt.JobID)
 	known := job != nil && job.Record != nil
 	return gang.Situation{
-		Age: n.now - attempt.SeenAt, HeartbeatInterval: n.cfg.HeartbeatInterval,
+		Age: s.now - attempt.SeenAt, HeartbeatInterval: s.cfg.HeartbeatInterval,
 		Unplaced: known && hasUnplacedTask(job.Record, attempt.Record.Attempt),
 		JobLive:  known && job.Record.State == wire.JobLive,
-		Owner:    slices.ContainsFunc(attempt.Record.Shards, n.mayActInShard),
+		Owner:    slices.ContainsFunc(attempt.Record.Shards, s.mayActInShard),
 	}
 }
 
 // mayActInShard tells whether this controller may act as the owner of a shard, by index.
-func (n *Node) mayActInShard(shard int) bool { return n.mayActAsOwner(n.shards[shard]) }
+func (s *site) mayActInShard(shard int) bool { return s.mayActAsOwner(s.shards[shard]) }
 
 // hasUnplacedTask tells whether a record has a task of an attempt without a machine.
 func hasUnplacedTask(record *wire.Job, attempt uint64) bool {
@@ -100,7 +100,7 @@
 		}
 		return
 	}
-	chosen := n.chooseAll(job, mine, slots)
+	chosen := chooseAll(job, mine, slots)
 	if chosen == nil && !n.grantTimedOut(key) {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // chooseAll finds machines for all the tasks or for none.
-func (n *Node) chooseAll(job *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
+func chooseAll(job *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
 	var chosen []*slot
 	spec := job.Record.Spec
 	for _, task := range tasks {
@@ -156,7 +156,7 @@
 // holdForGang holds capacity for our tasks of a gang, or denies it, and tells the leader at
 // once.
 func (n *Node) holdForGang(job *job, attempt *gang.Attempt, mine []wire.ActiveTask, slots *slotSet) {
-	chosen := n.chooseAll(job, mine, slots)
+	chosen := chooseAll(job, mine, slots)
 	if chosen == nil {
 		if !attempt.Denied {
 			attempt.Denied = true
@@ -179,7 +179,7 @@
 	machines := n.heldMachines(attempt, mine)
 	if machines == nil {
 		attempt.Held = nil
-		for _, slot := range n.chooseAll(job, mine, slots) {
+		for _, slot := range chooseAll(job, mine, slots) {
 			slot.allocate(job.Record.Spec)
 			machines = append(machines, slot.machine)
 		}
@@ -205,14 +205,14 @@
 }
 
 // heldMachines gives the machines that are held for tasks, or nil unless all accept tasks.
-func (n *Node) heldMachines(attempt *gang.Attempt, mine []wire.ActiveTask) []*machine {
+func (s *site) heldMachines(attempt *gang.Attempt, mine []wire.ActiveTask) []*machine {
 	machines := make([]*machine, len(mine))
 	for i, task := range mine {
 		index, held := attempt.Held[task.Task]
-		if !held || !n.acceptsTasks(n.machines[index]) {
+		if !held || !s.acceptsTasks(s.machines[index]) {
 			return nil
 		}
-		machines[i] = n.machines[index]
+		machines[i] = s.machines[index]
 	}
 	return machines
 }
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -27,8 +27,8 @@
 
 // isOwnGrant reports whether a task has been granted to a shard of this controller and has
 // no machine yet.
-func (n *Node) isOwnGrant(task wire.ActiveTask) bool {
-	return task.Machine == "" && n.mayActAsOwner(n.shards[task.Shard])
+func (s *site) isOwnGrant(task wire.ActiveTask) bool {
+	return task.Machine == "" && s.mayActAsOwner(s.shards[task.Shard])
 }
 
 func (n *Node) placeJob(writer *writer, job *job, slots *slotSet) {
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -12,7 +12,7 @@
 // machine would ignore what is cached after all controllers have restarted.
 
 // imageCount is the number of images on a machine.
-func (n *Node) imageCount(machine *machine) int {
+func (s *site) imageCount(machine *machine) int {
 	count := 0
 	machine.images.Each(func(int) { count++ })
 	return count
@@ -105,14 +105,14 @@
 
 // pendingFetchGB sums the sizes of the images that a machine is fetching or about to
 // fetch.
-func (n *Node) pendingFetchGB(machine *machine) float64 {
+func (s *site) pendingFetchGB(machine *machine) float64 {
 	sum := 0.0
 	for i := range machine.placements {
-		job := n.jobs[machine.placements[i].job]
+		job := s.jobs[machine.placements[i].job]
 		if job.Record.Spec == nil || machine.images.Has(job.Image) {
 			continue
 		}
-		if !n.fetchesImage(machine.placements[:i], job.Image) {
+		if !s.fetchesImage(machine.placements[:i], job.Image) {
 			sum += job.Record.Spec.ImageGB
 		}
 	}
@@ -120,9 +120,9 @@
 }
 
 // fetchesImage reports whether one of the placed tasks is of a job with an image.
-func (n *Node) fetchesImage(placements []placement, image int) bool {
+func (s *site) fetchesImage(placements []placement, image int) bool {
 	for i := range placements {
-		if n.jobs[placements[i].job].Image == image {
+		if s.jobs[placements[i].job].Image == image {
 			return true
 		}
 	}
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -48,12 +48,12 @@
 // noteClosed notes since when a job is recorded as done or cancelled. The replica may have
 // lagged behind. What it knew at the last proof that has settled did not hold this
 // change, so it was made after that was sent.
-func (n *Node) noteClosed(job *job) {
+func (s *site) noteClosed(job *job) {
 	if job.Record.State == wire.JobLive || job.closedAt != 0 {
 		return
 	}
-	job.closedAt = n.now
-	if provenAt := n.ownership.ProvenAt(); provenAt > 0 {
+	job.closedAt = s.now
+	if provenAt := s.ownership.ProvenAt(); provenAt > 0 {
 		job.closedAt = provenAt
 	}
 }
@@ -69,11 +69,11 @@
 
 // noteErrors makes a job that fails everywhere wait, longer each time, and suspects the
 // job rather than the machines.
-func (n *Node) noteErrors(job *job) {
+func (s *site) noteErrors(job *job) {
 	record := job.Record
 	if record.ConsecutiveErrors > job.errorsSeen && record.ConsecutiveErrors >= errorsBeforeBackoff {
 		doublings := min(record.ConsecutiveErrors-errorsBeforeBackoff, maxBackoffDoublings)
-		job.retryAt = n.now + min(minErrorBackoff<<doublings, maxErrorBackoff)
+		job.retryAt = s.now + min(minErrorBackoff<<doublings, maxErrorBackoff)
 	}
 	job.errorsSeen = record.ConsecutiveErrors
 	if record.ConsecutiveErrors >= errorsBeforeBackoff && len(record.FailedMachines) >= errorsBeforeBackoff && len(record.DoneTasks) == 0 {
@@ -103,12 +103,12 @@
 }
 
 // unindexPlacements takes a job's tasks off their machines.
-func (n *Node) unindexPlacements(job *job) {
+func (s *site) unindexPlacements(job *job) {
 	last := ""
 	for i := range job.Record.ActiveTasks {
 		if task := &job.Record.ActiveTasks[i]; task.Machine != last && task.Machine != "" {
 			last = task.Machine
-			machine := n.machineNamed(task.Machine)
+			machine := s.machineNamed(task.Machine)
 			machine.placements = slices.DeleteFunc(machine.placements, func(p placement) bool { return p.job == job.Index })
 			machine.usedKnown = false
 		}
@@ -116,29 +116,29 @@
 }
 
 // waitingTasks lists up to limit tasks that wait to be granted.
-func (n *Node) waitingTasks(job *job, limit int) []int {
+func (s *site) waitingTasks(job *job, limit int) []int {
 	if !job.pendingKnown {
-		job.pending, job.pendingKnown = replica.PendingTasks(job.Record, n.maxActiveTasks(job)), true
+		job.pending, job.pendingKnown = replica.PendingTasks(job.Record, s.maxActiveTasks(job)), true
 	}
 	return job.pending[:max(0, min(limit, len(job.pending)))]
 }
 
 // usageChanged forgets what was worked out for the machines that a job is on.
-func (n *Node) usageChanged(job *job) {
+func (s *site) usageChanged(job *job) {
 	if job.Record == nil {
 		return
 	}
 	for i := range job.Record.ActiveTasks {
 		if task := &job.Record.ActiveTasks[i]; task.Machine != "" {
-			n.machineNamed(task.Machine).usedKnown = false
+			s.machineNamed(task.Machine).usedKnown = false
 		}
 	}
 }
 
 // jobNamed is the job with an id, or nil if the id has not been seen.
-func (n *Node) jobNamed(id string) *job {
-	if index := n.names.Jobs.Find(id); index >= 0 {
-		return n.jobs[index]
+func (s *site) jobNamed(id string) *job {
+	if index := s.names.Jobs.Find(id); index >= 0 {
+		return s.jobs[index]
 	}
 	return nil
 }
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -31,35 +31,35 @@
 func grantableCapacity(bytes int) int { return bytes * 7 / 8 }
 
 // maxActiveTasks bounds the active tasks of a job.
-func (n *Node) maxActiveTasks(job *job) int {
+func (s *site) maxActiveTasks(job *job) int {
 	switch {
 	case job.LargeArray:
-		return max(n.replica.MaxSingleTasks(), n.cfg.MaxLargeArrayTasks)
+		return max(s.replica.MaxSingleTasks(), s.cfg.MaxLargeArrayTasks)
 	case job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeGang:
 		return job.Record.TaskCount // all or none
 	case job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeDaemon:
-		return max(n.replica.MaxSingleTasks(), grantableCapacity(n.plannableListCapacity(job))/n.taskRunBytes())
+		return max(s.replica.MaxSingleTasks(), grantableCapacity(s.plannableListCapacity(job))/s.taskRunBytes())
 	}
-	return n.replica.MaxSingleTasks()
+	return s.replica.MaxSingleTasks()
 }
 
 // listCapacity is how many bytes the lists of a large array may take, in all its keys. In each key
 // some are left that no run fits into.
-func (n *Node) listCapacity(job *job) int {
-	return max(minListCapacity, n.replica.ValueBytes()-job.BaseBytes+n.replica.OverflowKeys()*(n.cfg.MaxValueBytes-replica.OverflowFrameBytes-2*n.taskRunBytes()))
+func (s *site) listCapacity(job *job) int {
+	return max(minListCapacity, s.replica.ValueBytes()-job.BaseBytes+s.replica.OverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowFrameBytes-2*s.taskRunBytes()))
 }
 
 // plannableListCapacity is that for what is yet to be granted, by the limits that hold at all times.
-func (n *Node) plannableListCapacity(job *job) int {
-	return max(minListCapacity, n.listCapacity(job)-n.replica.ValueBytes()+n.cfg.MaxValueBytes)
+func (s *site) plannableListCapacity(job *job) int {
+	return max(minListCapacity, s.listCapacity(job)-s.replica.ValueBytes()+s.cfg.MaxValueBytes)
 }
 
 // taskRunBytes is how many bytes one more run on some machine takes.
-func (n *Node) taskRunBytes() int {
-	if len(n.machines) == 0 {
+func (s *site) taskRunBytes() int {
+	if len(s.machines) == 0 {
 		return wire.RunCost(defaultMachineName)
 	}
-	return wire.RunCost(n.machines[len(n.machines)-1].name) + 1
+	return wire.RunCost(s.machines[len(s.machines)-1].name) + 1
 }
 
 // outcomeDelayFor is how long a result waits for others of the same job when writes are scarce: one
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -137,9 +137,9 @@
 }
 
 // machineCount counts those that we know and that may still be there.
-func (n *Node) machineCount() int {
+func (s *site) machineCount() int {
 	c := 0
-	for _, shard := range n.shards {
+	for _, shard := range s.shards {
 		c += len(shard.machines)
 	}
 	return c
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -111,14 +111,14 @@
 
 // usageOf adds up what the tasks take that the records put on a machine. They are there
 // until they are proven gone.
-func (n *Node) usageOf(machine *machine) *resourceUse {
+func (s *site) usageOf(machine *machine) *resourceUse {
 	if machine.usedKnown {
 		return &machine.used
 	}
 	machine.used, machine.usedKnown, machine.lowestPriority = resourceUse{}, true, noPriority
 	for i := range machine.placements {
 		p := &machine.placements[i]
-		job := n.jobs[p.job]
+		job := s.jobs[p.job]
 		spec := job.Record.Spec
 		if spec == nil {
 			continue
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -59,9 +59,9 @@
 }
 
 // setView takes the view that the owner of a machine has of it.
-func (n *Node) setView(machine *machine, view machineView, term uint64) {
+func (s *site) setView(machine *machine, view machineView, term uint64) {
 	if view.unconfirmed && (!machine.view.unconfirmed || machine.viewTerm != term) {
-		machine.unconfirmedSince = n.now
+		machine.unconfirmedSince = s.now
 	}
 	machine.view, machine.viewTerm = view, term
 }
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -88,9 +88,9 @@
 }
 
 // valueFits reports whether a value is within the limits of the state service.
-func (n *Node) valueFits(v any) bool {
+func (s *site) valueFits(v any) bool {
 	size, err := wire.JSONSize(v)
-	return err == nil && size <= n.cfg.MaxValueBytes
+	return err == nil && size <= s.cfg.MaxValueBytes
 }
 
 // readMailbox takes in a message that was left with the state service, unless the
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -47,16 +47,16 @@
 }
 
 // acceptsTasks reports whether the owner of a machine may place tasks on it.
-func (n *Node) acceptsTasks(machine *machine) bool {
-	if machine.shard < 0 || machine.term != n.shards[machine.shard].Term {
+func (s *site) acceptsTasks(machine *machine) bool {
+	if machine.shard < 0 || machine.term != s.shards[machine.shard].Term {
 		return false
 	}
 	switch {
 	case !machine.tokenConfirmed && !machine.newlyBooted,
 		machine.ignoredReplies > 0,
-		n.now-machine.heartbeatAt >= 3*n.cfg.HeartbeatInterval:
+		s.now-machine.heartbeatAt >= 3*s.cfg.HeartbeatInterval:
 		return false // its worker may not carry out a start
-	case machine.reclaimAt != 0, machine.draining, machine.returned, machine.unhealthy, n.now < machine.noCapacityUntil:
+	case machine.reclaimAt != 0, machine.draining, machine.returned, machine.unhealthy, s.now < machine.noCapacityUntil:
 		return false
 	}
 	return true
--- a/internal/core/placement_score.go
+++ b/internal/core/placement_score.go
@@ -34,7 +34,7 @@
 )
 
 // fetchSeconds is how long the image of a job would take to reach the machine.
-func (n *Node) fetchSeconds(job *job, slot *slot) float64 {
+func (s *site) fetchSeconds(job *job, slot *slot) float64 {
 	if slot.images.Has(job.Image) {
 		return 0
 	}
@@ -43,16 +43,16 @@
 		rate = slot.typeInfo.FetchGBs
 	}
 	seconds := (job.Record.Spec.ImageGB + slot.fetchGB/fetchSharing) / rate
-	if slot.machine != nil && n.usesImage(slot.machine, job.Image) {
+	if slot.machine != nil && s.usesImage(slot.machine, job.Image) {
 		return seconds / fetchUnderWay
 	}
 	return seconds
 }
 
 // score ranks a machine for a task, in seconds of waiting; lower is better.
-func (n *Node) score(job *job, slot *slot) float64 {
+func (s *site) score(job *job, slot *slot) float64 {
 	spec := job.Record.Spec
-	score := n.fetchSeconds(job, slot)
+	score := s.fetchSeconds(job, slot)
 	score += freeGPUCost * (slot.gpus - spec.GPUs)
 	if spec.AllowSpot && !slot.spot {
 		if slot.isIdle() {
@@ -73,10 +73,10 @@
 
 // zoneTasks counts a job's active tasks in each zone. Tasks of old attempts count until they
 // are proven gone.
-func (n *Node) zoneTasks(record *wire.Job) []int {
-	tasks := make([]int, n.names.Zones.Len())
+func (s *site) zoneTasks(record *wire.Job) []int {
+	tasks := make([]int, s.names.Zones.Len())
 	for i := range record.ActiveTasks {
-		tasks[n.shards[record.ActiveTasks[i].Shard].Zone]++
+		tasks[s.shards[record.ActiveTasks[i].Shard].Zone]++
 	}
 	return tasks
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -152,21 +152,21 @@
 }
 
 // activeTask finds a placed task in the replica, or gives nil.
-func (n *Node) activeTask(key taskKey, machineName string) *wire.ActiveTask {
-	if at := n.activeTaskIndex(key, machineName); at >= 0 {
-		return &n.jobs[key.job].Record.ActiveTasks[at]
+func (s *site) activeTask(key taskKey, machineName string) *wire.ActiveTask {
+	if at := s.activeTaskIndex(key, machineName); at >= 0 {
+		return &s.jobs[key.job].Record.ActiveTasks[at]
 	}
 	return nil
 }
 
 // activeTaskIndex gives a placed task's index among the active tasks of its record, or -1.
-func (n *Node) activeTaskIndex(key taskKey, machineName string) int {
-	index := n.names.Machines.Find(machineName)
+func (s *site) activeTaskIndex(key taskKey, machineName string) int {
+	index := s.names.Machines.Find(machineName)
 	if key.job < 0 || index < 0 {
 		return -1
 	}
-	for i := range n.machines[index].placements {
-		if placed := &n.machines[index].placements[i]; placed.taskKey == key {
+	for i := range s.machines[index].placements {
+		if placed := &s.machines[index].placements[i]; placed.taskKey == key {
 			return placed.activeIndex
 		}
 	}
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -77,10 +77,10 @@
 }
 
 // jobsByAge lists the live jobs, the one that became runnable first in front.
-func (n *Node) jobsByAge() []int {
-	order := slices.Clone(n.replica.Live())
+func (s *site) jobsByAge() []int {
+	order := slices.Clone(s.replica.Live())
 	slices.SortFunc(order, func(a, b int) int {
-		first, second := n.jobs[a], n.jobs[b]
+		first, second := s.jobs[a], s.jobs[b]
 		return cmp.Or(cmp.Compare(first.RunnableSinceMS(), second.RunnableSinceMS()), cmp.Compare(first.ID, second.ID))
 	})
 	return order
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -71,7 +71,7 @@
 
 // preemptionTime is how long it takes to preempt a task: two heartbeats of its machine, and
 // some time for the writes.
-func (n *Node) preemptionTime() Time { return 2*n.cfg.HeartbeatInterval + second }
+func (s *site) preemptionTime() Time { return 2*s.cfg.HeartbeatInterval + second }
 
 // fitsBesideGPUWork reports whether a job's tasks need no GPUs where all machines that they
 // may run on have some: they run beside work that does, and machines with GPUs need not be
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -25,10 +25,10 @@
 }
 
 // owns tells whether the replica shows the shard as claimed by this process.
-func (n *Node) owns(shard *shard) bool { return n.ownership.Owns(shard.Shard) }
+func (s *site) owns(shard *shard) bool { return s.ownership.Owns(shard.Shard) }
 
 // mayActAsOwner tells whether this controller may act as the owner of a shard now.
-func (n *Node) mayActAsOwner(shard *shard) bool { return n.ownership.MayAct(n.now, shard.Shard) }
+func (s *site) mayActAsOwner(shard *shard) bool { return s.ownership.MayAct(s.now, shard.Shard) }
 
 // putShard applies the claim of a shard, or its end.
 func (n *Node) putShard(shard *shard, claim *wire.Shard, revision uint64) {
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -57,15 +57,15 @@
 
 // isGone reports whether a machine has been returned, or has been silent for far longer
 // than its lease.
-func (n *Node) isGone(shard *shard, machine *machine) bool {
-	timeout := 3 * n.cfg.WorkerLease
+func (s *site) isGone(shard *shard, machine *machine) bool {
+	timeout := 3 * s.cfg.WorkerLease
 	switch {
 	case machine.returned:
 		return true
-	case n.mayActAsOwner(shard) && machine.term == shard.Term && n.now-machine.heartbeatAt > timeout:
+	case s.mayActAsOwner(shard) && machine.term == shard.Term && s.now-machine.heartbeatAt > timeout:
 		return true
 	}
-	return machine.view.unreachable && !n.owns(shard) && n.now-shard.ChangedAt > timeout
+	return machine.view.unreachable && !s.owns(shard) && s.now-shard.ChangedAt > timeout
 }
 
 // forget drops what is known of a machine; it is learnt anew if it reports again.
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -102,16 +102,16 @@
 }
 
 // slotOf returns the free capacity of a machine, or nil if its type is not known.
-func (n *Node) slotOf(machine *machine) *slot {
-	machineType := n.typeAt(machine.machineType)
+func (s *site) slotOf(machine *machine) *slot {
+	machineType := s.typeAt(machine.machineType)
 	if machineType == nil {
 		return nil
 	}
-	used := n.usageOf(machine)
+	used := s.usageOf(machine)
 	return &slot{machine: machine, shard: machine.shard, zone: machine.zone, machineType: machine.machineType, spot: machine.spot, typeInfo: machineType,
 		cores: machineType.Cores - used.cores, gpus: machineType.GPUs - used.gpus, memoryGB: machineType.MemoryGB - used.memoryGB,
 		releasingCores: used.releasingCores, releasingGPUs: used.releasingGPUs, releasingMemoryGB: used.releasingMemoryGB, daemon: used.daemon,
-		images: machine.images, errors: machine.view.errors, fetchGB: n.pendingFetchGB(machine)}
+		images: machine.images, errors: machine.view.errors, fetchGB: s.pendingFetchGB(machine)}
 }
 
 // slotClass is what slots have in common for a choice among them.
@@ -227,9 +227,9 @@
 }
 
 // usesImage reports whether a task on the machine uses an image.
-func (n *Node) usesImage(machine *machine, image int) bool {
+func (s *site) usesImage(machine *machine, image int) bool {
 	for i := range machine.placements {
-		if n.jobs[machine.placements[i].job].Image == image {
+		if s.jobs[machine.placements[i].job].Image == image {
 			return true
 		}
 	}
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -85,8 +85,8 @@
 }
 
 // newRecord is the record of a job that is accepted now.
-func (n *Node) newRecord(spec *wire.JobSpec) *wire.Job {
-	return &wire.Job{Spec: spec, TaskCount: spec.TaskCount, AcceptedAtMS: n.cfg.WallClockMS(), NextAttempt: 1}
+func (s *site) newRecord(spec *wire.JobSpec) *wire.Job {
+	return &wire.Job{Spec: spec, TaskCount: spec.TaskCount, AcceptedAtMS: s.cfg.WallClockMS(), NextAttempt: 1}
 }
 
 // fitJobRecord makes a new job's record fit a value, if need be by writing its
@@ -112,9 +112,9 @@
 }
 
 // jobRecordFits reports whether a value holds a record and a few lists of active tasks.
-func (n *Node) jobRecordFits(record *wire.Job) bool {
+func (s *site) jobRecordFits(record *wire.Job) bool {
 	const lists = 2
-	return replica.BaseBytes(record)+lists*(n.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= n.cfg.MaxValueBytes
+	return replica.BaseBytes(record)+lists*(s.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
 }
 
 // Reasons for which a job can never run.
@@ -126,12 +126,12 @@
 )
 
 // rejectReason returns why a job can never run, or nil.
-func (n *Node) rejectReason(spec *wire.JobSpec) error {
-	index := n.names.Teams.Find(spec.Team)
+func (s *site) rejectReason(spec *wire.JobSpec) error {
+	index := s.names.Teams.Find(spec.Team)
 	if index < 0 {
 		return errUnknownTeam
 	}
-	if !slices.ContainsFunc(n.offeredTypes, func(machineType wire.MachineType) bool {
+	if !slices.ContainsFunc(s.offeredTypes, func(machineType wire.MachineType) bool {
 		return typeAllowed(spec, machineType.Name) && fitsType(spec, &machineType) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone))
 	}) {
 		return errNoMachineType
@@ -140,7 +140,7 @@
 	if spec.Shape != wire.ShapeArray {
 		atOnce = float64(spec.TaskCount)
 	}
-	team := n.replica.Quota(index)
+	team := s.replica.Quota(index)
 	if exceeds(spec.Cores*atOnce, team.MaxCores) || exceeds(spec.GPUs*atOnce, team.MaxGPUs) {
 		return errOverQuota
 	}
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -84,10 +84,10 @@
 // there. A job that has failed on three machines and never succeeded says nothing
 // against them: a few such jobs once quarantined one sound machine after the other,
 // until their users cancelled them.
-func (n *Node) failedJobCount(machine *machine) int {
+func (s *site) failedJobCount(machine *machine) int {
 	count := 0
 	for index := range machine.failedJobs {
-		count += boolToInt(!n.jobs[index].suspect)
+		count += boolToInt(!s.jobs[index].suspect)
 	}
 	return count
 }
@@ -96,8 +96,8 @@
 // daemon or gang that is to start anew, a user who waits for the end of a job.
 // The end of one task of an array among others can wait behind placements; by
 // the time its turn comes, one write often serves several.
-func (n *Node) isUrgentOutcome(key taskKey, outcome taskOutcome) bool {
-	job := n.jobs[key.job]
+func (s *site) isUrgentOutcome(key taskKey, outcome taskOutcome) bool {
+	job := s.jobs[key.job]
 	if job.Record == nil || job.Record.State != wire.JobLive {
 		return false
 	}
@@ -182,10 +182,10 @@
 // awaitsNewEpoch reports whether a lost task should wait a moment for its machine. One
 // that has lost its epoch is the best place for the same task, as it has the image,
 // once it has shown that it knows the owner's token.
-func (n *Node) awaitsNewEpoch(outcome taskOutcome) bool {
-	machine := n.machineNamed(outcome.machine)
-	return outcome.cause == causeLost && machine.shard >= 0 && n.now-outcome.at < epochDelay && machine.term == n.shards[machine.shard].Term &&
-		!machine.tokenConfirmed && n.now-machine.heartbeatAt < epochDelay
+func (s *site) awaitsNewEpoch(outcome taskOutcome) bool {
+	machine := s.machineNamed(outcome.machine)
+	return outcome.cause == causeLost && machine.shard >= 0 && s.now-outcome.at < epochDelay && machine.term == s.shards[machine.shard].Term &&
+		!machine.tokenConfirmed && s.now-machine.heartbeatAt < epochDelay
 }
 
 // replaceLostTask places a task that its machine has lost on another machine of the same
--- a/internal/core/topology.go
+++ b/internal/core/topology.go
@@ -69,3 +69,17 @@
 	}
 	return nil
 }
+
+// typeAt returns the machine type with an index, or nil if it is not on offer.
+func (t *topology) typeAt(index int) *wire.MachineType {
+	if index < 0 || index >= len(t.machineTypes) {
+		return nil
+	}
+	return t.machineTypes[index]
+}
+
+// hasReported reports whether the machine's owner has heard of it.
+func (t *topology) hasReported(name string) bool {
+	machine := t.knownMachine(name)
+	return machine != nil && machine.view.known
+}
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -61,14 +61,14 @@
 const silenceShift = 8
 
 // machineInfo is the view of an own machine in a message.
-func (n *Node) machineInfo(machine *machine, names *wire.Interner) wire.MachineInfo {
+func (s *site) machineInfo(machine *machine, names *wire.Interner) wire.MachineInfo {
 	view := &machine.view
-	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(n.names.Zones.Name(machine.zone)), Errors: view.errors,
+	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(s.names.Zones.Name(machine.zone)), Errors: view.errors,
 		Flags: wire.Flags(machine.spot, view.reclaimed, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<silenceShift}
 	if machine.machineType >= 0 {
-		info.Rig = names.Of(n.names.MachineTypes.Name(machine.machineType))
+		info.Rig = names.Of(s.names.MachineTypes.Name(machine.machineType))
 	}
-	machine.images.Each(func(image int) { info.Images = append(info.Images, names.Of(n.names.Images.Name(image))) })
+	machine.images.Each(func(image int) { info.Images = append(info.Images, names.Of(s.names.Images.Name(image))) })
 	return info
 }
 
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -138,8 +138,8 @@
 // replyLikelyLost reports whether a worker may have waited for the last answer until its
 // timeout of 4 s. A heartbeat that comes sooner was on its way before, as all those are
 // that a network cut has delayed.
-func (n *Node) replyLikelyLost(machine *machine) bool {
-	return machine.answeredAt > 0 && n.now-machine.answeredAt > 3*second
+func (s *site) replyLikelyLost(machine *machine) bool {
+	return machine.answeredAt > 0 && s.now-machine.answeredAt > 3*second
 }
 
 // maxIgnoredReplies is how many answers in a row may be without effect before a
@@ -148,7 +148,7 @@
 
 // manyUnresponsive reports whether so many machines seem unresponsive that the fault is
 // rather this controller's: answers that come too late are dropped as well.
-func (n *Node) manyUnresponsive(shard *shard) bool {
+func (s *site) manyUnresponsive(shard *shard) bool {
 	all, unresponsive := 0, 0
 	for _, machine := range shard.machines {
 		if machine.term == shard.Term && !machine.returned {
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -76,7 +76,7 @@
 
 // startsWaiting reports whether a task is placed on the machine that the machine has not
 // reported.
-func (n *Node) startsWaiting(machine *machine) bool {
+func (s *site) startsWaiting(machine *machine) bool {
 	for i := range machine.placements {
 		if _, reported := machine.reportedTasks[machine.placements[i].taskKey]; !reported {
 			return true
