--- a/internal/core/ancestor_search_test.go
+++ b/internal/core/ancestor_search_test.go
@@ -17,20 +17,20 @@
 		"wk-000001": {State: wire.JobCancelled, TaskCount: 1}, "wk-000002": {TaskCount: 1, Spec: spec("wk-000001")},
 		"wk-000003": {TaskCount: 1, Spec: spec("wk-000002")}, "wk-000005": {TaskCount: 1, Spec: spec()}, "wk-000006": {TaskCount: 1, Spec: spec("wk-000005")},
 	}
-	n := chained()
+	n := newTestNode()
 	for i, id := range []string{"wk-000001", "wk-000002", "wk-000003", "wk-000005", "wk-000006"} {
 		var dependencies []string
 		if record := stored[id]; record.Spec != nil {
 			dependencies = record.Spec.Dependencies
 		}
-		see(n, 2+i, id, wire.JobLive, nil, dependencies...)
+		showJob(n, 2+i, id, wire.JobLive, nil, dependencies...)
 	}
 	for _, test := range []struct{ name, id, status string }{
 		{"below a cancelled job", "wk-000003", wire.StatusCancelled},
 		{"below a live job", "wk-000006", wire.StatusPending},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			reply, wrote := settle(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submission(t, test.id)}, stored)
+			reply, wrote := runRequest(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submission(t, test.id)}, stored)
 			if reply == nil || reply.Status != http.StatusOK || reply.Body.(wire.JobStatus).Status != test.status || len(wrote) > 0 {
 				t.Errorf("answered with %+v, wrote %+v, want %s", reply, wrote, test.status)
 			}
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatalf("encoding a submission: %v", err)
 	}
-	reply, _ := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: body}, stored)
+	reply, _ := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: body}, stored)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 {
 		t.Errorf("answered with %+v", reply)
 	}
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -88,7 +88,7 @@
 // TestDrainedMachines: only machines that their owners have drained, or that no controller hears, are
 // deprovisioned.
 func TestDrainedMachines(t *testing.T) {
-	n := chained()
+	n := newTestNode()
 	scaler := newAutoscaler()
 	for name, prepare := range map[string]func(*machine){
 		"vm-busy":        func(m *machine) { m.draining, m.placements = true, []placement{{}} },
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -37,7 +37,7 @@
 
 	leader   leaderState
 	failover failoverState
-	users    userState
+	users    pendingRequests
 
 	budget           writeBudget
 	runTimeEstimator runTimeEstimator
@@ -52,19 +52,11 @@
 // New makes the state machine of a controller that has just started.
 func New(cfg Config) *Node {
 	n := &Node{
-		site:    site{cfg: cfg, topology: topology{names: &replica.Names{}}},
-		pending: map[uint64]continuation{},
-		gangs:   gang.NewAttempts(),
-		gossipState: gossipState{
-			peers:            map[string]*peer{},
-			reservedMachines: map[int]int{},
-			refusedSince:     map[string]Time{},
-		},
-		ownerState: ownerState{
-			outcomes:    map[taskKey]taskOutcome{},
-			gangsToStop: map[int]bool{},
-			grantSeenAt: map[taskKey]Time{},
-		},
+		site:        site{cfg: cfg, topology: topology{names: &replica.Names{}}},
+		pending:     map[uint64]continuation{},
+		gangs:       gang.NewAttempts(),
+		gossipState: newGossipState(),
+		ownerState:  newOwnerState(),
 	}
 	if n.cfg.Format == 0 {
 		n.cfg.Format = wire.Format
@@ -146,14 +138,9 @@
 	n.claimLeader()
 	n.proveOwnership()
 	n.runOwner()
-	n.sendHeldReplies()
+	n.sendDelayedReplies()
 	n.sendDirectStarts()
-	if n.now >= n.ownViewAt {
-		n.ownViewAt = n.now + second
-		before := n.version
-		n.updateOwnViews()
-		n.sendGossip(n.version != before) // changes are told at once
-	}
+	n.shareOwnViews()
 	n.runLeader()
 	n.sendGossip(false)
 	n.writeImageCache()
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -12,22 +12,22 @@
 // shows at the bottom at once, and the end of the top costs by the jobs that depend on it.
 func TestLongAndWideChains(t *testing.T) {
 	const many = 10_000
-	n := chained()
+	n := newTestNode()
 	name := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
-	see(n, 2, name(0), wire.JobLive, nil)
+	showJob(n, 2, name(0), wire.JobLive, nil)
 	for i := 1; i < many; i++ {
-		see(n, 2+i, name(i), wire.JobLive, nil, name(i-1))
+		showJob(n, 2+i, name(i), wire.JobLive, nil, name(i-1))
 	}
 	for i := 1; i < many; i++ {
-		see(n, 2+many+i, name(many+i), wire.JobLive, nil, name(0))
+		showJob(n, 2+many+i, name(many+i), wire.JobLive, nil, name(0))
 	}
 	n.putLeader(nil, 4*many)
-	see(n, 5*many, name(0), wire.JobCancelled, nil)
+	showJob(n, 5*many, name(0), wire.JobCancelled, nil)
 	if n.replica.UnrecordedCancellations() != 2*many-2 {
 		t.Errorf("%d jobs were visited, not %d once each", n.replica.UnrecordedCancellations(), 2*many-2)
 	}
 	for _, i := range []int{1, many - 1, many + 1, 2*many - 1} {
-		reply, _ := settle(n, UserRequest{RequestID: uint64(i), Kind: wire.RequestStatus, JobID: name(i)}, nil)
+		reply, _ := runRequest(n, UserRequest{RequestID: uint64(i), Kind: wire.RequestStatus, JobID: name(i)}, nil)
 		if reply == nil || reply.Status != http.StatusOK || reply.Body.(wire.JobStatus).Status != wire.StatusCancelled {
 			t.Errorf("%s: answered with %+v, want %s", name(i), reply, wire.StatusCancelled)
 		}
@@ -37,11 +37,11 @@
 // The priority and the deadline of the last job hold for all that it depends on, each with
 // the time left that those after it take; a job with open dependencies is in no queue.
 func TestAncestorsInheritPriorityAndDeadline(t *testing.T) {
-	n := chained()
-	see(n, 2, "wk-000001", wire.JobLive, nil)
-	see(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
-	see(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001")
-	see(n, 5, "wk-000004", wire.JobLive, func(spec *wire.JobSpec) { spec.Priority, spec.DeadlineS = "high", 100 }, "wk-000002", "wk-000003")
+	n := newTestNode()
+	showJob(n, 2, "wk-000001", wire.JobLive, nil)
+	showJob(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
+	showJob(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001")
+	showJob(n, 5, "wk-000004", wire.JobLive, func(spec *wire.JobSpec) { spec.Priority, spec.DeadlineS = "high", 100 }, "wk-000002", "wk-000003")
 	due := int64(1_000_000 + 100_000)
 	for i, want := range []int64{due - 2*14_000, due - 14_000, due - 14_000, due} {
 		if job := n.jobs[i]; job.Links.DeadlineMS != want || job.Priority != 2 {
@@ -59,7 +59,7 @@
 	if got := queued(); len(got) != 1 || got[0] != "wk-000001" {
 		t.Errorf("queued at first: %v, want wk-000001", got)
 	}
-	see(n, 9, "wk-000001", wire.JobDone, nil)
+	showJob(n, 9, "wk-000001", wire.JobDone, nil)
 	if got := queued(); len(got) != 2 {
 		t.Errorf("queued after wk-000001 is done: %v, want two jobs", got)
 	}
@@ -68,15 +68,15 @@
 // Finished jobs stay in the replica for good, but without their links. Jobs that
 // come later and name them, or were cancelled before their dependencies ended, do no harm.
 func TestFinishedJobsDropLinks(t *testing.T) {
-	n := chained()
-	see(n, 2, "wk-000001", wire.JobLive, nil)
-	see(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
-	see(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001", "wk-000002")
-	see(n, 5, "wk-000002", wire.JobCancelled, nil)
-	see(n, 6, "wk-000001", wire.JobDone, nil)
-	see(n, 7, "wk-000003", wire.JobCancelled, nil)
-	see(n, 8, "wk-000004", wire.JobLive, nil, "wk-000001")
-	see(n, 9, "wk-000005", wire.JobLive, nil, "wk-000002")
+	n := newTestNode()
+	showJob(n, 2, "wk-000001", wire.JobLive, nil)
+	showJob(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
+	showJob(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001", "wk-000002")
+	showJob(n, 5, "wk-000002", wire.JobCancelled, nil)
+	showJob(n, 6, "wk-000001", wire.JobDone, nil)
+	showJob(n, 7, "wk-000003", wire.JobCancelled, nil)
+	showJob(n, 8, "wk-000004", wire.JobLive, nil, "wk-000001")
+	showJob(n, 9, "wk-000005", wire.JobLive, nil, "wk-000002")
 	for i := range 3 {
 		if n.jobs[i].Links != nil {
 			t.Errorf("%s has the links %+v", n.jobs[i].ID, n.jobs[i].Links)
--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -40,13 +40,13 @@
 		{"itself", []string{"wk-000100"}, http.StatusUnprocessableEntity, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			n := chained()
-			see(n, 2, "wk-000001", wire.JobLive, nil)
-			see(n, 3, "wk-000002", wire.JobDone, nil)
-			see(n, 4, "wk-000003", wire.JobCancelled, nil)
-			see(n, 5, "wk-000004", wire.JobLive, nil, "wk-000003")
-			see(n, 6, "wk-000005", wire.JobLive, func(spec *wire.JobSpec) { spec.Shape = wire.ShapeDaemon })
-			reply, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", test.dependencies...)}, stored)
+			n := newTestNode()
+			showJob(n, 2, "wk-000001", wire.JobLive, nil)
+			showJob(n, 3, "wk-000002", wire.JobDone, nil)
+			showJob(n, 4, "wk-000003", wire.JobCancelled, nil)
+			showJob(n, 5, "wk-000004", wire.JobLive, nil, "wk-000003")
+			showJob(n, 6, "wk-000005", wire.JobLive, func(spec *wire.JobSpec) { spec.Shape = wire.ShapeDaemon })
+			reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", test.dependencies...)}, stored)
 			if reply == nil || reply.Status != test.status {
 				t.Fatalf("answered with %+v, want status %d", reply, test.status)
 			}
@@ -66,18 +66,18 @@
 // Before every controller has recorded that it reads them, a job with dependencies is
 // answered 503, and nothing new is written.
 func TestNothingNewBeforeAllAreUpgraded(t *testing.T) {
-	n := chained(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
-	see(n, 2, "wk-000001", wire.JobLive, nil)
+	n := newTestNode(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
+	showJob(n, 2, "wk-000001", wire.JobLive, nil)
 	submit := func(id uint64) UserRequest {
 		return UserRequest{RequestID: id, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", "wk-000001")}
 	}
-	reply, wrote := settle(n, submit(1), nil)
+	reply, wrote := runRequest(n, submit(1), nil)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 || n.replica.OverflowKeys() > 0 {
 		t.Errorf("before the upgrade: answered with %+v, wrote %+v", reply, wrote)
 	}
 	// Nor is it forwarded to a peer, which may be of the version before.
 	n.storeOK = false
-	n.peers["n1"] = &peer{heardAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
+	n.peers["n1"] = &peer{receivedAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
 	for _, e := range n.Step(n.now+1, submit(3)) {
 		if _, is := e.(Forward); is {
 			t.Error("forwarded before all are upgraded")
@@ -85,7 +85,7 @@
 	}
 	n.storeOK = true
 	n.Step(n.now+1, RecordsChanged{Revision: 9, Events: []kv.Event{{Key: wire.FormatPrefix + "n1", Revision: 9, Value: &wire.SupportedFormat{Format: 2}}}})
-	if reply, wrote = settle(n, submit(2), nil); reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
+	if reply, wrote = runRequest(n, submit(2), nil); reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
 		t.Errorf("after the upgrade: answered with %+v, wrote %+v", reply, wrote)
 	}
 	// The format never goes back.
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -12,14 +12,14 @@
 
 // smallValues is a controller whose records hold few names.
 func smallValues(members ...ownership.Member) *Node {
-	return chainedWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
+	return newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
 }
 
 // seeMany shows a controller a number of live jobs.
 func seeMany(n *Node, count int) (ids []string) {
 	for i := range count {
 		id := fmt.Sprintf("wk-%06d", 1000+i)
-		see(n, 10+i, id, wire.JobLive, nil)
+		showJob(n, 10+i, id, wire.JobLive, nil)
 		ids = append(ids, id)
 	}
 	return ids
@@ -41,7 +41,7 @@
 	const count = 900
 	n := smallValues()
 	ids := seeMany(n, count)
-	reply, wrote := settle(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}, nil)
+	reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}, nil)
 	if reply == nil || reply.Status != http.StatusCreated {
 		t.Fatalf("answered with %+v, want status %d", reply, http.StatusCreated)
 	}
@@ -66,12 +66,12 @@
 				t.Fatalf("the links are %+v, %d lists are staged, want %d open dependencies", job.Links, other.replica.StagedDependencyLists(), count)
 			}
 			for i, id := range ids[:count-1] {
-				see(other, 3000+i, id, wire.JobDone, nil)
+				showJob(other, 3000+i, id, wire.JobDone, nil)
 			}
 			if !job.IsWaiting() {
 				t.Error("the job no longer waits though one dependency is not done")
 			}
-			see(other, 5000, ids[count-1], wire.JobCancelled, nil)
+			showJob(other, 5000, ids[count-1], wire.JobCancelled, nil)
 			if job.State() != wire.JobCancelled {
 				t.Error("the job is not cancelled though a dependency is")
 			}
@@ -146,13 +146,13 @@
 	reads(5, "n0", wire.Format)
 	reads(6, "n1", wire.FormatDependencies)
 	ids := seeMany(n, 300)
-	reply, wrote := settle(n, submit(1, "wk-000100", ids), nil)
+	reply, wrote := runRequest(n, submit(1, "wk-000100", ids), nil)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 {
 		t.Errorf("long list: answered with %+v, %d writes", reply, len(wrote))
 	}
 	// Nor is it forwarded to a peer, which may answer 422.
 	n.storeOK = false
-	n.peers["n1"] = &peer{heardAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
+	n.peers["n1"] = &peer{receivedAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
 	forwards := func(requestID uint64, dependencies []string) (count int) {
 		t.Helper()
 		for _, e := range n.Step(n.now+1, submit(requestID, "wk-000102", dependencies)) {
@@ -169,12 +169,12 @@
 		t.Error("a short list is not forwarded")
 	}
 	n.storeOK = true
-	reply, wrote = settle(n, submit(2, "wk-000101", ids[:5]), nil)
+	reply, wrote = runRequest(n, submit(2, "wk-000101", ids[:5]), nil)
 	if reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
 		t.Errorf("short list: answered with %+v, %d writes", reply, len(wrote))
 	}
 	reads(2000, "n1", wire.Format)
-	if reply, _ = settle(n, submit(3, "wk-000100", ids), nil); reply == nil || reply.Status != http.StatusCreated {
+	if reply, _ = runRequest(n, submit(3, "wk-000100", ids), nil); reply == nil || reply.Status != http.StatusCreated {
 		t.Errorf("long list after the upgrade: answered with %+v", reply)
 	}
 }
@@ -185,7 +185,7 @@
 	n := smallValues()
 	spec := &wire.JobSpec{ID: "wk-000100", Team: "t", Shape: wire.ShapeArray, TaskCount: 1}
 	record := &wire.Job{Spec: spec, TaskCount: 1, NextAttempt: 1, DependencyList: "x", DependencyListKeys: 2}
-	see(n, 9, "wk-000001", wire.JobDone, nil)
+	showJob(n, 9, "wk-000001", wire.JobDone, nil)
 	n.Step(n.now+1, RecordsChanged{Revision: 11, Events: []kv.Event{
 		{Key: wire.DependencyListKey("wk-000100", "x", 1), Revision: 10, Value: &wire.DependencyList{JobIDs: []string{"wk-000001"}}},
 		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: record},
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -79,7 +79,7 @@
 		return false
 	}
 	responsive := machine.tokenConfirmed && machine.ignoredReplies == 0 && !machine.unresponsive && s.now-machine.heartbeatAt < 2*s.cfg.HeartbeatInterval
-	return responsive && machine.heldReplies == 0
+	return responsive && machine.delayedReplies == 0
 }
 
 // directStartBatch is a number of direct starts under way to a machine.
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -11,7 +11,7 @@
 
 // placedDirectly is a controller with one machine that has confirmed its token and on which
 // a task of a job has just been placed, and the start that it sends.
-func placedDirectly(t *testing.T) (*drive, *wire.Job, *SendCommands) {
+func placedDirectly(t *testing.T) (*controllerHarness, *wire.Job, *SendCommands) {
 	t.Helper()
 	d, term := owner(t)
 	job := &wire.Job{TaskCount: 1, NextAttempt: 2, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeDaemon, Priority: "standard", TaskCount: 1, Image: "i"},
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -19,7 +19,7 @@
 	if !slices.IsSorted(message.Strays) { // a peer of an earlier version doesn't sort them
 		message.Strays = slices.Sorted(slices.Values(message.Strays))
 	}
-	p := &peer{heardAt: n.now, message: message}
+	p := &peer{receivedAt: n.now, message: message}
 	if last != nil && last.message.Life == message.Life {
 		if message.UpS < last.message.UpS {
 			return // overtaken by a newer one
--- a/internal/core/gossip_state.go
+++ b/internal/core/gossip_state.go
@@ -2,28 +2,31 @@
 
 import "micaport/internal/wire"
 
-// gossipState is what this controller tells the others and hears from them.
+// gossipState is what this controller tells the others and what they have told.
 type gossipState struct {
-	peers              map[string]*peer
-	gossipAt           Time
-	gossipSentAt       Time
-	version            uint64       // of our view of our own machines
-	changeLog          []viewChange // of our machines, in order of version
-	strayMachines      []int        // machines of others that came here lately
-	reservedMachines   map[int]int  // machines that the leader keeps for a job
-	reservedMachinesAt Time
-	draining           []int // machines that the leader wants emptied
-	ownViewAt          Time
+	peers        map[string]*peer // by name; a controller that was never heard is absent
+	refusedSince map[string]Time  // by name: since when the state service has refused a peer
+	gossipAt     Time             // when the next message is due
+	gossipSentAt Time
+	mailboxAt    Time // no message to the mailbox before this
 
-	refusedSince map[string]Time
-	mailboxAt    Time
+	views               viewLog
+	ownViewsAt          Time  // when the views of this controller's machines are next brought up to date
+	misdirectedMachines []int // machines of other owners that came here lately
+
+	reserved reservations
+	draining []int // own machines that the leader wants to be emptied
+}
+
+func newGossipState() gossipState {
+	return gossipState{peers: map[string]*peer{}, refusedSince: map[string]Time{}, reserved: reservations{jobs: map[int]int{}}}
 }
 
-// peer is what was last heard from another controller.
+// peer is the last message of another controller.
 type peer struct {
-	heardAt   Time
-	message   *wire.Gossip
-	version   uint64 // how far we have taken in its changes
-	byMailbox bool   // heard through the state service only
-	broken    bool   // our connection to it has broken since
+	receivedAt Time
+	message    *wire.Gossip
+	version    uint64 // of its machines' views, up to which they have been taken in
+	byMailbox  bool   // the message came through the state service
+	broken     bool   // the connection to it has broken since
 }
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -14,6 +14,20 @@
 // gives it back.
 const grantTimeout = 2500 * time.Millisecond
 
+// grantTimes are the times at which an owner first looked for room for grants.
+type grantTimes map[taskKey]Time
+
+// timedOut reports whether a grant has waited too long for room. It counts from the
+// first call for the grant.
+func (g grantTimes) timedOut(key taskKey, now Time) bool {
+	at, seen := g[key]
+	if !seen {
+		g[key] = now
+		return false
+	}
+	return now-at > grantTimeout
+}
+
 // placeGranted chooses machines for the tasks granted to this controller's shards.
 func (n *Node) placeGranted(writer *writer, room *lazySlots) {
 	for _, index := range n.replica.Live() {
@@ -122,13 +136,5 @@
 	})
 }
 
-// grantTimedOut reports whether a grant has waited too long for room. It counts from the
-// first call for the grant.
-func (n *Node) grantTimedOut(key taskKey) bool {
-	at, seen := n.grantSeenAt[key]
-	if !seen {
-		n.grantSeenAt[key] = n.now
-		return false
-	}
-	return n.now-at > grantTimeout
-}
+// grantTimedOut reports whether a grant has waited too long for room.
+func (n *Node) grantTimedOut(key taskKey) bool { return n.grantSeenAt.timedOut(key, n.now) }
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -58,14 +58,14 @@
 	n.now = 100 * second
 	for i := range machines {
 		machine := n.machineNamed(fmt.Sprintf("vm-%06d", i))
-		machine.redirectedAt, machine.strayListed, machine.view.missedHeartbeats = n.now, true, 2
-		n.strayMachines = append(n.strayMachines, machine.index)
+		machine.redirectedAt, machine.misdirectedListed, machine.view.missedHeartbeats = n.now, true, 2
+		n.misdirectedMachines = append(n.misdirectedMachines, machine.index)
 	}
-	strays := n.strayMachineNames()
+	strays := n.missedMachineNames()
 	if len(strays) != machines {
 		t.Fatalf("%d of %d machines are named", len(strays), machines)
 	}
-	n.peers["n1"] = &peer{heardAt: n.now, message: &wire.Gossip{From: "n1", Strays: strays}}
+	n.peers["n1"] = &peer{receivedAt: n.now, message: &wire.Gossip{From: "n1", Strays: strays}}
 	for _, machine := range n.machines {
 		if n.isUnreachable(machine, 4*n.cfg.HeartbeatInterval, true) {
 			t.Fatalf("%s counts as lost though it has turned to a peer", machine.name)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -194,7 +194,7 @@
 		return false
 	}
 	owner := n.peers[shard.Record.Owner]
-	return n.owns(shard) || owner != nil && n.now-owner.heardAt < ownerHeardWithin
+	return n.owns(shard) || owner != nil && n.now-owner.receivedAt < ownerHeardWithin
 }
 
 // provisionName is unique for ever: no two leaders share a term.
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -33,7 +33,7 @@
 	var list []failover.Candidate
 	for _, m := range n.cfg.Members {
 		if p := n.peers[m.Name]; p != nil && m.Name != n.cfg.Self && !p.byMailbox && !p.broken {
-			list = append(list, failover.Candidate{Name: m.Name, Silence: n.now - p.heardAt, StoreOK: p.message.StoreOK, CutOff: p.message.CutOff})
+			list = append(list, failover.Candidate{Name: m.Name, Silence: n.now - p.receivedAt, StoreOK: p.message.StoreOK, CutOff: p.message.CutOff})
 		}
 	}
 	return list
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -20,16 +20,31 @@
 	n.drainMachines(message.Retire)
 }
 
+// reservations are the machines that the leader reserves for gangs.
+type reservations struct {
+	jobs       map[int]int // by machine
+	receivedAt Time
+}
+
+// reservationTimeout is how long reservations hold after the leader's last message.
+const reservationTimeout = 5 * second
+
+// jobOf is the job for which a machine is reserved, if any.
+func (r *reservations) jobOf(machine int, now Time) (job int, reserved bool) {
+	job, reserved = r.jobs[machine]
+	return job, reserved && now-r.receivedAt < reservationTimeout
+}
+
 // takeReservations takes in which machines the leader reserves for gangs. Owners choose the
 // machines of tasks; before they knew the reservations they filled the machines again as
 // soon as a task on them had ended.
 func (n *Node) takeReservations(reservations []wire.Reservation) {
-	clear(n.reservedMachines)
-	n.reservedMachinesAt = n.now
+	clear(n.reserved.jobs)
+	n.reserved.receivedAt = n.now
 	for _, reservation := range reservations {
 		machine, job := n.names.Machines.Find(reservation.Host), n.names.Jobs.Find(reservation.Ref)
 		if machine >= 0 && job >= 0 {
-			n.reservedMachines[machine] = job
+			n.reserved.jobs[machine] = job
 		}
 	}
 }
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -14,7 +14,7 @@
 // the leader's is about to change, so what the next leader granted to its shards
 // was never placed.
 func TestResignedLeaderForgetsItsBatch(t *testing.T) {
-	d := &drive{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
+	d := &controllerHarness{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
 	n := d.n
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -112,7 +112,7 @@
 		return false
 	}
 	for _, peer := range n.peers {
-		if !peer.byMailbox && n.now-peer.heardAt < peerSilence {
+		if !peer.byMailbox && n.now-peer.receivedAt < peerSilence {
 			return false
 		}
 	}
@@ -127,7 +127,7 @@
 // isolated itself.
 func (n *Node) hasSuccessor() bool {
 	for _, peer := range n.peers {
-		if n.now-peer.heardAt < successorSilence && peer.message.StoreOK && !peer.message.CutOff {
+		if n.now-peer.receivedAt < successorSilence && peer.message.StoreOK && !peer.message.CutOff {
 			return true
 		}
 	}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -49,7 +49,7 @@
 	startSentAt     map[taskKey]uint64 // sequence of the heartbeat that was last answered with the start
 	directStarts    map[taskKey]directStart
 	unclearedTasks  int  // exited tasks in its last heartbeat that must not be cleared
-	heldReplies     int  // replies to it that wait
+	delayedReplies  int  // replies to it that wait
 	unstartedListed bool // it is listed among those with a task that they have not shown
 	leaseExpiring   bool // it gets no replies, so that its epoch ends
 
@@ -62,12 +62,12 @@
 // misdirected is what a controller that does not own a machine remembers of heartbeats that
 // came here.
 type misdirected struct {
-	redirectedAt  Time   // when it was last redirected to its owner; 0: not
-	bouncedAt     Time   // when it last came back; 0: not
-	bouncingSince Time   // since when it has come back again and again
-	strayListed   bool   // it is listed among the machines that came here
-	strayEpoch    uint64 // of the newest heartbeat that came here
-	straySequence uint64
+	redirectedAt        Time   // when it was last redirected to its owner; 0: not
+	bouncedAt           Time   // when it last came back; 0: not
+	bouncingSince       Time   // since when it has come back again and again
+	misdirectedListed   bool   // it is listed among the machines that came here
+	misdirectedEpoch    uint64 // of the newest heartbeat that came here
+	misdirectedSequence uint64
 }
 
 // machineView is what the owner of a machine tells of it.
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -1,5 +1,21 @@
 package core
 
+// ownViewsInterval is the time between two looks at the views of own machines when no
+// heartbeat changes one.
+const ownViewsInterval = second
+
+// shareOwnViews brings the views of this controller's own machines up to date if it is
+// time, and has changes sent to the peers at once.
+func (n *Node) shareOwnViews() {
+	if n.now < n.ownViewsAt {
+		return
+	}
+	n.ownViewsAt = n.now + ownViewsInterval
+	before := n.views.version
+	n.updateOwnViews()
+	n.sendGossip(n.views.version != before)
+}
+
 // updateOwnViews brings the views of this controller's own machines up to date.
 func (n *Node) updateOwnViews() {
 	for _, shard := range n.shards {
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -38,7 +38,7 @@
 	if !n.valueFits(value) {
 		return
 	}
-	if value.Ver < n.version {
+	if value.Ver < n.views.version {
 		// There are more changes than fit. With hundreds of machines up at once
 		// the leader would plan without most of them for a while.
 		n.mailboxAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
@@ -49,13 +49,13 @@
 // mailboxBase reports whether some peer can't be reached directly, and gives the version
 // of the views that all those have seen.
 func (n *Node) mailboxBase() (base uint64, silent bool) {
-	base = n.version
+	base = n.views.version
 	for _, member := range n.cfg.Members {
 		if member.Name == n.cfg.Self {
 			continue
 		}
 		p := n.peers[member.Name]
-		if p != nil && !p.byMailbox && n.now-p.heardAt <= peerAliveTime {
+		if p != nil && !p.byMailbox && n.now-p.receivedAt <= peerAliveTime {
 			continue
 		}
 		silent = true
@@ -97,7 +97,7 @@
 // peer is reachable directly or the message is an old one.
 func (n *Node) readMailbox(message *wire.Gossip) {
 	if p := n.peers[message.From]; p != nil {
-		direct := !p.byMailbox && n.now-p.heardAt < peerAliveTime
+		direct := !p.byMailbox && n.now-p.receivedAt < peerAliveTime
 		old := p.message.Life == message.Life && message.UpS <= p.message.UpS
 		if direct || old {
 			return
--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -10,11 +10,13 @@
 	"micaport/internal/wire"
 )
 
-// chained is a controller alone, after its upgrade, that knows a machine type.
-func chained(members ...ownership.Member) *Node { return chainedWith(func(*Config) {}, members...) }
+// newTestNode is a controller alone, after its upgrade, that knows a machine type.
+func newTestNode(members ...ownership.Member) *Node {
+	return newTestNodeWith(func(*Config) {}, members...)
+}
 
-// chainedWith is chained with a changed configuration.
-func chainedWith(change func(*Config), members ...ownership.Member) *Node {
+// newTestNodeWith is newTestNode with a changed configuration.
+func newTestNodeWith(change func(*Config), members ...ownership.Member) *Node {
 	if members == nil {
 		members = []ownership.Member{{Name: "n0", Zone: "a"}}
 	}
@@ -28,9 +30,9 @@
 	return n
 }
 
-// see shows a controller the record of a job, with a specification that mod changes
+// showJob shows a controller the record of a job, with a specification that mod changes
 // unless it is nil.
-func see(n *Node, revision int, id string, state wire.JobState, mod func(*wire.JobSpec), dependencies ...string) {
+func showJob(n *Node, revision int, id string, state wire.JobState, mod func(*wire.JobSpec), dependencies ...string) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: dependencies}
 	if mod != nil {
 		mod(spec)
@@ -58,9 +60,9 @@
 	return body
 }
 
-// settle plays a state service with the given records until nothing is under way, and
+// runRequest plays a state service with the given records until nothing is under way, and
 // gives the reply to a request, with what was written for users.
-func settle(n *Node, in Input, stored map[string]*wire.Job) (reply *Reply, wrote []kv.Write) {
+func runRequest(n *Node, in Input, stored map[string]*wire.Job) (reply *Reply, wrote []kv.Write) {
 	inputs := []Input{in}
 	for len(inputs) > 0 {
 		in, inputs = inputs[0], inputs[1:]
@@ -85,9 +87,9 @@
 	return reply, wrote
 }
 
-// drive is a controller alone with a state service that carries everything
+// controllerHarness is a controller alone with a state service that carries everything
 // out at once.
-type drive struct {
+type controllerHarness struct {
 	n   *Node
 	now Time
 	rev uint64
@@ -95,7 +97,7 @@
 	lag bool     // the watch hangs: checks name a revision that the replica has not reached
 }
 
-func (d *drive) step(in Input) {
+func (d *controllerHarness) step(in Input) {
 	for _, e := range d.n.Step(d.now, in) {
 		switch effect := e.(type) {
 		case RenewLease:
@@ -110,7 +112,7 @@
 }
 
 // commit carries out a transaction, and shows it to the controller unless the watch hangs.
-func (d *drive) commit(commit Commit) {
+func (d *controllerHarness) commit(commit Commit) {
 	if d.lag {
 		d.step(Committed{ID: commit.ID, Outcome: kv.OK, Revision: d.rev + 1})
 		return
@@ -127,7 +129,7 @@
 }
 
 // wait lets time pass, with a tick every 50 ms.
-func (d *drive) wait(duration Time) {
+func (d *controllerHarness) wait(duration Time) {
 	for end := d.now + duration; d.now < end; {
 		d.now += 50 * time.Millisecond
 		d.step(Tick{})
@@ -135,19 +137,19 @@
 }
 
 // put shows the controller a record of the job wk-000001.
-func (d *drive) put(job *wire.Job) {
+func (d *controllerHarness) put(job *wire.Job) {
 	d.rev++
 	d.step(RecordsChanged{Revision: d.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: job}}})
 }
 
 // report sends a heartbeat of the machine vm-1, and drops the effects before it.
-func (d *drive) report(seq, token uint64, tasks ...wire.TaskStatus) {
+func (d *controllerHarness) report(seq, token uint64, tasks ...wire.TaskStatus) {
 	d.out = nil
 	d.step(WorkerReported{RequestID: seq, Heartbeat: &wire.WorkerHeartbeat{Machine: "vm-1", Addr: "10.0.0.9:1", MachineType: "g", Zone: "a", Epoch: 1, Sequence: seq, Token: token, Tasks: tasks}})
 }
 
 // reply is the first answer since the last heartbeat, or nil.
-func (d *drive) reply() *Reply {
+func (d *controllerHarness) reply() *Reply {
 	for _, e := range d.out {
 		if reply, ok := e.(Reply); ok {
 			return &reply
@@ -157,7 +159,7 @@
 }
 
 // commands are those in the answer to the last heartbeat, which comes within 4 s.
-func (d *drive) commands(t *testing.T) []wire.Command {
+func (d *controllerHarness) commands(t *testing.T) []wire.Command {
 	t.Helper()
 	d.wait(4 * second)
 	reply := d.reply()
@@ -169,7 +171,7 @@
 
 // directStarts are the first commands since the last heartbeat that went to the worker's
 // own address, or nil.
-func (d *drive) directStarts() *SendCommands {
+func (d *controllerHarness) directStarts() *SendCommands {
 	for _, e := range d.out {
 		if commands, ok := e.(SendCommands); ok {
 			return &commands
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -67,14 +67,14 @@
 // A cancellation reads and writes the job's own record: what is in overflow keys stays
 // there, and with it the specification, which says what the tasks charge.
 func TestWithdrawalLeavesFurtherKeys(t *testing.T) {
-	n := chainedWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 })
+	n := newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 })
 	for _, own := range []int{0, 2} {
 		record := lowJob(wire.JobLive)
 		record.OverflowKeys, record.TaskCount = 1, 9
 		for i := range own {
 			record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: i, Attempt: 1, Machine: "vm-1", Epoch: 1})
 		}
-		r, wrote := settle(n, UserRequest{RequestID: uint64(own + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": record})
+		r, wrote := runRequest(n, UserRequest{RequestID: uint64(own + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": record})
 		if r == nil || r.Status != 200 || len(wrote) != 1 {
 			t.Fatalf("answered with %+v, wrote %+v", r, wrote)
 		}
@@ -87,7 +87,7 @@
 // Once the service has refused puts as too many, the rate that is to come is kept to,
 // for longer each time.
 func TestRateFollowsRefusals(t *testing.T) {
-	n := chained()
+	n := newTestNode()
 	n.cfg.WriteRPS, n.cfg.NextWriteRPS = 20, 15
 	refuse := func() {
 		n.transact(ClassBackground, nil, []kv.Write{{Key: "m/i/n0", Value: &wire.ImageCache{}}}, ignoreResult{})
--- a/internal/core/owned_capacity.go
+++ b/internal/core/owned_capacity.go
@@ -12,9 +12,6 @@
 	return r.set
 }
 
-// reservationTimeout is how long the leader's reservations hold after its last message.
-const reservationTimeout = 5 * second
-
 // ownedSlots lists the room on the machines of this controller's shards, less what is
 // reserved for gangs and what its scheduler is about to place there.
 func (n *Node) ownedSlots() *slotSet {
@@ -44,7 +41,7 @@
 	if slot == nil {
 		return nil
 	}
-	if job, reserved := n.reservedMachines[machine.index]; reserved && n.now-n.reservedMachinesAt < reservationTimeout {
+	if job, reserved := n.reserved.jobOf(machine.index, n.now); reserved {
 		slot.reservedFor = job + 1
 	}
 	// A task that has ended leaves its room though its record still shows it: the new
--- a/internal/core/owner_state.go
+++ b/internal/core/owner_state.go
@@ -1,18 +1,22 @@
 package core
 
-// ownerState is what this controller remembers as the owner of shards.
+// ownerState is what a controller knows as the owner of shards.
 type ownerState struct {
-	heldReplies   []heldReply
-	heldRepliesAt Time
-	unstarted     []int // machines of ours with a task that they have not shown
-	batch         batch
-	placementAt   Time
-	outcomes      map[taskKey]taskOutcome // what became of tasks, not yet in their records
-	gangsToStop   map[int]bool            // gangs to be stopped in good order
-	grantSeenAt   map[taskKey]Time
+	batch       batch
+	placementAt Time // when the next pass is due
+	outcomes    taskOutcomes
+	gangsToStop map[int]bool // jobs that have to save and exit as a machine is to be reclaimed
+	grantSeenAt grantTimes
 
-	admissionAt    Time // when we next look for work to admit by ourselves
-	cleanupAt      Time
-	imageCacheAt   Time
-	imageCacheSize int // entries in the record of images as last written
+	replies   delayedReplies
+	unstarted []int // own machines with a task that they have not reported
+
+	admissionAt    Time // no work is admitted without the leader before this
+	forgetAt       Time // when machines that are gone are next dropped
+	imageCacheAt   Time // when the image cache record is next written
+	imageCacheSize int  // images of machines in the record as last written
+}
+
+func newOwnerState() ownerState {
+	return ownerState{outcomes: taskOutcomes{}, gangsToStop: map[int]bool{}, grantSeenAt: grantTimes{}}
 }
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -13,19 +13,19 @@
 
 // owner is a controller alone that owns its shard and has heard a machine with its
 // term, in a report with the given number.
-func owner(t *testing.T) (d *drive, term uint64) {
+func owner(t *testing.T) (d *controllerHarness, term uint64) {
 	t.Helper()
 	return ownerWith(t, func(*Config) {})
 }
 
 // ownerWith is owner with a changed configuration.
-func ownerWith(t *testing.T, change func(*Config)) (d *drive, term uint64) {
+func ownerWith(t *testing.T, change func(*Config)) (d *controllerHarness, term uint64) {
 	t.Helper()
 	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }}
 	change(&cfg)
-	d = &drive{rev: 1, n: New(cfg)}
+	d = &controllerHarness{rev: 1, n: New(cfg)}
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	d.wait(2 * second)
 	term = d.n.shards[0].Term
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -22,7 +22,7 @@
 	n.leader.planNeeded = true
 	n.ownership.Settle(n.now, n.replica.Revision())
 	n.settleProofs()
-	n.heldRepliesAt = 0
+	n.replies.checkAt = 0
 	n.batch.settle(n)
 	n.leader.batch.settle(n)
 }
--- a/internal/core/request_forwarding.go
+++ b/internal/core/request_forwarding.go
@@ -21,7 +21,7 @@
 	}
 	for _, member := range n.cfg.Members {
 		p := n.peers[member.Name]
-		if p != nil && p.message.StoreOK && n.now-p.heardAt < peerAliveTime {
+		if p != nil && p.message.StoreOK && n.now-p.receivedAt < peerAliveTime {
 			request.forwardedToPeer = true
 			n.emit(Forward{RequestID: request.RequestID, To: member.Name, Call: wire.UserCall{Kind: request.Kind, Ref: request.JobID, Body: request.Body}})
 			return true
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -130,7 +130,7 @@
 		return true
 	}
 	peer := n.peers[leader.Controller]
-	return peer == nil || n.now-peer.heardAt > leaderTimeout || !peer.message.StoreOK
+	return peer == nil || n.now-peer.receivedAt > leaderTimeout || !peer.message.StoreOK
 }
 
 // isHomeShardOwned reports whether it is the turn of one of our shards to admit a job.
@@ -164,7 +164,7 @@
 		return false
 	}
 	owner := n.peers[shard.Record.Owner]
-	return n.owns(shard) || owner != nil && n.now-owner.heardAt < leaderTimeout
+	return n.owns(shard) || owner != nil && n.now-owner.receivedAt < leaderTimeout
 }
 
 // defersToOwner reports whether we, as the leader, leave a new job to the owner of its home
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -119,8 +119,8 @@
 	if shard.Record == nil {
 		return nil
 	}
-	if owner := n.peers[shard.Record.Owner]; shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.heardAt > silentOwnerTime) {
-		if owner != nil && n.now-owner.heardAt > 3*n.cfg.WorkerLease || n.now-shard.ChangedAt > 3*n.cfg.WorkerLease && machine.viewTerm != shard.Term {
+	if owner := n.peers[shard.Record.Owner]; shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.receivedAt > silentOwnerTime) {
+		if owner != nil && n.now-owner.receivedAt > 3*n.cfg.WorkerLease || n.now-shard.ChangedAt > 3*n.cfg.WorkerLease && machine.viewTerm != shard.Term {
 			return nil
 		}
 	} else if view.missedHeartbeats > 1 || machine.viewTerm != shard.Term && n.now-shard.ChangedAt > 4*n.cfg.HeartbeatInterval {
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -53,11 +53,11 @@
 		"will never run":              {expectedS: 10, cancelled: true, want: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := chained()
+			n := newTestNode()
 			leading(n)
 			granted(n, 2000, "wk-000001", test.expectedS)
-			see(n, 2001, "wk-000002", wire.JobLive, nil)
-			see(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
+			showJob(n, 2001, "wk-000002", wire.JobLive, nil)
+			showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
 			n.jobNamed("wk-000003").Record.TaskCount = 3
 			if test.cancelled {
 				n.jobNamed("wk-000003").Links.AncestorCancelled = true
@@ -69,11 +69,11 @@
 		})
 	}
 	t.Run("another dependency is not granted", func(t *testing.T) {
-		n := chained()
+		n := newTestNode()
 		leading(n)
 		granted(n, 2000, "wk-000001", 10)
-		see(n, 2001, "wk-000002", wire.JobLive, nil)
-		see(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
+		showJob(n, 2001, "wk-000002", wire.JobLive, nil)
+		showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
 		if got := plannedMachines(t, n); got != 0 {
 			t.Errorf("%d machines are planned, want none", got)
 		}
@@ -83,12 +83,12 @@
 // TestLatestStartFollowsCorrectedRunTimes: the deadlines within a chain follow from the run times that
 // the stages really have.
 func TestLatestStartFollowsCorrectedRunTimes(t *testing.T) {
-	n := chained()
+	n := newTestNode()
 	for range minRunSamples {
 		n.runTimeEstimator.observe("c", 30*second, 10)
 	}
-	see(n, 2, "wk-000001", wire.JobLive, nil)
-	see(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
+	showJob(n, 2, "wk-000001", wire.JobLive, nil)
+	showJob(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
 	const estimateMS, reportMS, dueMS = 10_000, 4_000, 1_100_000
 	if got, want := n.jobNamed("wk-000001").Links.DeadlineMS, int64(dueMS-3*estimateMS-reportMS); got != want {
 		t.Errorf("deadline of the first stage = %d, want %d", got, want)
@@ -96,7 +96,7 @@
 	if got, want := n.latestStart(n.jobNamed("wk-000002")), int64(dueMS-3*estimateMS); got != want {
 		t.Errorf("latest start of the last stage = %d, want %d", got, want)
 	}
-	see(n, 4, "wk-000003", wire.JobLive, nil)
+	showJob(n, 4, "wk-000003", wire.JobLive, nil)
 	if got := n.latestStart(n.jobNamed("wk-000003")); got != math.MaxInt64 {
 		t.Errorf("latest start of a job outside of chains = %d, want none", got)
 	}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -105,7 +105,7 @@
 func (n *Node) evidenceAgainst(shard *shard) ownership.Evidence {
 	owner := n.peers[shard.Record.Owner]
 	e := ownership.Evidence{
-		OwnerSilent:     owner == nil || n.now-owner.heardAt > ownerSilence,
+		OwnerSilent:     owner == nil || n.now-owner.receivedAt > ownerSilence,
 		OwnerRefusedFor: n.peerRefusedFor(shard.Record.Owner),
 		StoreOK:         n.storeOK,
 		StoreAnswered:   n.now-n.storeAnsweredAt < storeAnswerAge,
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -40,10 +40,10 @@
 // forgetMachines drops what is known of machines that are gone, so that their number
 // costs nothing.
 func (n *Node) forgetMachines() {
-	if n.now < n.cleanupAt {
+	if n.now < n.forgetAt {
 		return
 	}
-	n.cleanupAt = n.now + forgetInterval
+	n.forgetAt = n.now + forgetInterval
 	n.forgetPlacedGrants()
 	for _, shard := range n.shards {
 		for i := len(shard.machines) - 1; i >= 0; i-- {
@@ -87,7 +87,7 @@
 	peerReachable := false
 	for _, member := range n.cfg.Members {
 		p := n.peers[member.Name]
-		if p == nil || n.now-p.heardAt > peerAliveTime {
+		if p == nil || n.now-p.receivedAt > peerAliveTime {
 			continue
 		}
 		peerReachable = true
--- a/internal/core/slots_test.go
+++ b/internal/core/slots_test.go
@@ -24,7 +24,7 @@
 		"with two GPUs and more cores than any machine has": {30, 2, none},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := chained()
+			n := newTestNode()
 			n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 24, GPUs: 2, MemoryGB: 96, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 			set := newSlotSet(n)
 			var slots []*slot
@@ -87,7 +87,7 @@
 		"without GPU where machines without exist": {types: []wire.MachineType{withGPU, withoutGPU}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := chained()
+			n := newTestNode()
 			if test.types != nil {
 				n.setMachineTypes(test.types)
 			}
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -20,7 +20,7 @@
 		shard.forgetBounces()
 	}
 	for _, p := range n.peers {
-		p.heardAt += gap
+		p.receivedAt += gap
 	}
 	n.storeAnsweredAt += gap
 	n.cloudUnreachableSince = 0
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -17,6 +17,9 @@
 	term    uint64 // of the shard when the end was noted
 }
 
+// taskOutcomes are the ends of tasks that their records do not show yet.
+type taskOutcomes map[taskKey]taskOutcome
+
 // causeLost is the cause of the end of a task of which no machine reports anything more.
 const causeLost = "lost"
 
@@ -77,7 +80,7 @@
 	if n.failedJobCount(machine) >= jobsBeforeQuarantine || job.Record.DoneTasks.Count() > 0 {
 		machine.unhealthy = true
 	}
-	n.ownViewAt = 0 // the leader has to know before it grants more to the machine
+	n.ownViewsAt = 0 // the leader has to know before it grants more to the machine
 }
 
 // failedJobCount counts the jobs that failed on a machine since a task last succeeded
@@ -118,7 +121,7 @@
 	if len(n.outcomes) == 0 {
 		return
 	}
-	keys := n.sortedOutcomes()
+	keys := n.outcomes.sorted()
 	pass := outcomePass{writer: writer, slots: room, records: newRecordCapacity(n, writer), firstAt: map[int]Time{}}
 	for _, key := range keys {
 		if at, seen := pass.firstAt[key.job]; !seen || n.outcomes[key].at < at {
@@ -172,9 +175,9 @@
 	}
 }
 
-// sortedOutcomes lists the tasks whose ends have been noted, sorted by key.
-func (n *Node) sortedOutcomes() []taskKey {
-	return slices.SortedFunc(maps.Keys(n.outcomes), func(a, b taskKey) int {
+// sorted lists the tasks whose ends have been noted, sorted by key.
+func (o taskOutcomes) sorted() []taskKey {
+	return slices.SortedFunc(maps.Keys(o), func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 	})
 }
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -48,8 +48,8 @@
 	notUpgraded      = "not before all controllers have been upgraded"
 )
 
-// userState holds the requests of users that have not been answered.
-type userState struct {
+// pendingRequests holds the requests of users that have not been answered.
+type pendingRequests struct {
 	requests map[uint64]*pendingRequest // by request id
 	expireAt Time                       // next search for requests that are overdue
 	status   statusQueries
@@ -88,7 +88,7 @@
 }
 
 // add notes a request that has come at a time.
-func (u *userState) add(r UserRequest, now Time) *pendingRequest {
+func (u *pendingRequests) add(r UserRequest, now Time) *pendingRequest {
 	timeout := submitTimeout
 	if r.Kind == wire.RequestStatus {
 		timeout = statusTimeout
@@ -102,7 +102,7 @@
 }
 
 // isOpen reports whether a request still has to be answered.
-func (u *userState) isOpen(request *pendingRequest) bool {
+func (u *pendingRequests) isOpen(request *pendingRequest) bool {
 	_, open := u.requests[request.RequestID]
 	return open
 }
@@ -191,7 +191,7 @@
 }
 
 // overdue lists the requests whose deadline has passed, sorted by id.
-func (u *userState) overdue(now Time) []*pendingRequest {
+func (u *pendingRequests) overdue(now Time) []*pendingRequest {
 	var late []*pendingRequest
 	for _, request := range u.requests {
 		if now >= request.deadline {
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -17,29 +17,40 @@
 	machine int
 }
 
+// viewLog is the change log.
+type viewLog struct {
+	version uint64       // of the last change
+	changes []viewChange // in order of version
+}
+
 // minChangeLog is how many entries the change log may have besides two for each machine
 // before those that are out of date are dropped.
 const minChangeLog = 64
 
 // noteViewChange adds a change of the view of an own machine to the change log.
 func (n *Node) noteViewChange(machine *machine) {
-	n.version++
-	machine.viewVersion = n.version
-	n.changeLog = append(n.changeLog, viewChange{n.version, machine.index})
-	if len(n.changeLog) > 2*len(n.machines)+minChangeLog {
-		n.changeLog = slices.DeleteFunc(n.changeLog, func(c viewChange) bool { return n.machines[c.machine].viewVersion != c.version })
+	log := &n.views
+	log.version++
+	machine.viewVersion = log.version
+	log.changes = append(log.changes, viewChange{log.version, machine.index})
+	if len(log.changes) > 2*len(n.machines)+minChangeLog {
+		log.changes = slices.DeleteFunc(log.changes, func(c viewChange) bool { return n.machines[c.machine].viewVersion != c.version })
 	}
 }
 
+// after lists the changes after a version.
+func (l *viewLog) after(base uint64) []viewChange {
+	return l.changes[sort.Search(len(l.changes), func(i int) bool { return l.changes[i].version > base }):]
+}
+
 // withViewChanges completes a message with the views of up to limit machines that changed
 // after the version base. It always takes the earliest changes, so that the receiver has
 // all there is up to the version that the message names, and a message that is lost or
 // repeated does no harm.
 func (n *Node) withViewChanges(message wire.Gossip, base uint64, limit int) *wire.Gossip {
-	message.Since, message.Ver = base, n.version
+	message.Since, message.Ver = base, n.views.version
 	var names wire.Interner
-	first := sort.Search(len(n.changeLog), func(i int) bool { return n.changeLog[i].version > base })
-	for _, change := range n.changeLog[first:] {
+	for _, change := range n.views.after(base) {
 		machine := n.machines[change.machine]
 		n.workCount++
 		if machine.viewVersion != change.version || machine.shard < 0 || !n.mayActAsOwner(n.shards[machine.shard]) || !machine.view.known {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -81,7 +81,7 @@
 	// The first heartbeat of a machine that no owner has known: the worker can't have any
 	// owner's token yet.
 	machine.newlyBooted = firstReports && heartbeat.Token == 0 && !machine.view.known && len(machine.placements) == 0
-	n.ownViewAt = 0
+	n.ownViewsAt = 0
 }
 
 // noteEpoch forgets what was sent to a machine in the last epoch of its worker.
@@ -105,7 +105,7 @@
 func (n *Node) noteToken(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
-		n.ownViewAt = 0
+		n.ownViewsAt = 0
 	} else if machine.heartbeats > 0 && !machine.tokenConfirmed && n.replyLikelyLost(machine) {
 		machine.ignoredReplies++
 	}
@@ -132,7 +132,7 @@
 	if unresponsive && !machine.unresponsive {
 		n.log(LogInfo, "machine unresponsive", "machine", machine.name)
 	}
-	machine.unresponsive, n.ownViewAt = unresponsive, 0
+	machine.unresponsive, n.ownViewsAt = unresponsive, 0
 }
 
 // replyLikelyLost reports whether a worker may have waited for the last answer until its
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -35,9 +35,9 @@
 	if !late {
 		n.noteRedirect(shard, machine)
 	}
-	if !machine.strayListed {
-		machine.strayListed = true
-		n.strayMachines = append(n.strayMachines, machine.index)
+	if !machine.misdirectedListed {
+		machine.misdirectedListed = true
+		n.misdirectedMachines = append(n.misdirectedMachines, machine.index)
 	}
 	n.emit(Reply{RequestID: requestID, Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Owner: shard.Record.Owner}})
 }
@@ -59,10 +59,10 @@
 // isRedirectedCopy reports whether a heartbeat that came to another controller than the
 // owner is a copy of what came before.
 func (m *machine) isRedirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
-	if m.strayEpoch > heartbeat.Epoch || m.strayEpoch == heartbeat.Epoch && m.straySequence >= heartbeat.Sequence {
+	if m.misdirectedEpoch > heartbeat.Epoch || m.misdirectedEpoch == heartbeat.Epoch && m.misdirectedSequence >= heartbeat.Sequence {
 		return true
 	}
-	m.strayEpoch, m.straySequence = heartbeat.Epoch, heartbeat.Sequence
+	m.misdirectedEpoch, m.misdirectedSequence = heartbeat.Epoch, heartbeat.Sequence
 	return false
 }
 
@@ -72,7 +72,7 @@
 // each other for as long as they came.
 func (n *Node) ownerHearsMachine(shard *shard, machine *machine) bool {
 	owner := n.peers[shard.Record.Owner]
-	if owner == nil || n.now-owner.heardAt > peerAliveTime {
+	if owner == nil || n.now-owner.receivedAt > peerAliveTime {
 		return false
 	}
 	if machine.viewTerm != shard.Term {
@@ -86,20 +86,20 @@
 // yet, which proves nothing.
 func (n *Node) ownerMissesMachine(shard *shard, machine *machine) bool {
 	owner := n.peers[shard.Record.Owner]
-	return owner != nil && n.now-owner.heardAt < peerAliveTime && owner.message.UpS >= 4*n.cfg.HeartbeatInterval.Seconds() &&
+	return owner != nil && n.now-owner.receivedAt < peerAliveTime && owner.message.UpS >= 4*n.cfg.HeartbeatInterval.Seconds() &&
 		machine.viewTerm == shard.Term && machine.view.missedHeartbeats > 0
 }
 
-// strayMachineNames names the machines of other owners that came here lately although
+// missedMachineNames names the machines of other owners that came here lately although
 // their owners miss their heartbeats, sorted by name. Peers need all of these, as one
 // that is left out counts as lost and is returned, and no others: after an owner's
 // failure its machines, thousands at a large site, all come to its peers at once.
-func (n *Node) strayMachineNames() []string {
+func (n *Node) missedMachineNames() []string {
 	var names []string
-	n.strayMachines = slices.DeleteFunc(n.strayMachines, func(index int) bool {
+	n.misdirectedMachines = slices.DeleteFunc(n.misdirectedMachines, func(index int) bool {
 		machine := n.machines[index]
 		if machine.redirectedAt == 0 || n.now-machine.redirectedAt >= redirectedTime {
-			machine.strayListed = false
+			machine.misdirectedListed = false
 			return true
 		}
 		if machine.view.missedHeartbeats > 0 {
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -21,12 +21,12 @@
 	// and a start that is decided meanwhile reaches it at once instead of with its next
 	// heartbeat.
 	idleReplyDelay = 2500 * time.Millisecond
-	// heldRepliesInterval is the time between two looks at the delayed answers.
-	heldRepliesInterval = 40 * time.Millisecond
+	// delayedRepliesInterval is the time between two looks at the delayed answers.
+	delayedRepliesInterval = 40 * time.Millisecond
 )
 
-// heldReply is a heartbeat whose answer is delayed.
-type heldReply struct {
+// delayedReply is a heartbeat whose answer is delayed.
+type delayedReply struct {
 	WorkerReported
 	shard   *shard
 	machine *machine
@@ -34,6 +34,12 @@
 	until   Time   // when it is answered at the latest
 }
 
+// delayedReplies are the heartbeats whose answers are delayed.
+type delayedReplies struct {
+	waiting []delayedReply
+	checkAt Time // when they are next looked at
+}
+
 // answerWorker answers a worker's heartbeat.
 func (n *Node) answerWorker(requestID uint64, shard *shard, machine *machine, commands []wire.Command) {
 	machine.answeredAt = n.now
@@ -87,31 +93,32 @@
 
 // delayReply answers a heartbeat after a delay at the latest.
 func (n *Node) delayReply(in WorkerReported, shard *shard, machine *machine, delay Time) {
-	n.heldReplies = append(n.heldReplies, heldReply{WorkerReported: in, shard: shard, machine: machine, term: shard.Term, until: n.now + delay})
-	machine.heldReplies++
+	n.replies.waiting = append(n.replies.waiting, delayedReply{WorkerReported: in, shard: shard, machine: machine, term: shard.Term, until: n.now + delay})
+	machine.delayedReplies++
 }
 
-// sendHeldReplies answers the heartbeats whose delay is over.
-func (n *Node) sendHeldReplies() {
-	if len(n.heldReplies) == 0 || n.now < n.heldRepliesAt {
+// sendDelayedReplies answers the heartbeats whose delay is over.
+func (n *Node) sendDelayedReplies() {
+	replies := &n.replies
+	if len(replies.waiting) == 0 || n.now < replies.checkAt {
 		return
 	}
-	n.heldRepliesAt = n.now + heldRepliesInterval
-	n.heldReplies = slices.DeleteFunc(n.heldReplies, n.sendHeldReply)
+	replies.checkAt = n.now + delayedRepliesInterval
+	replies.waiting = slices.DeleteFunc(replies.waiting, n.sendDelayedReply)
 }
 
-// sendHeldReply answers a heartbeat unless it has to wait on, and reports whether it did.
-func (n *Node) sendHeldReply(reply heldReply) bool {
+// sendDelayedReply answers a heartbeat unless it has to wait on, and reports whether it did.
+func (n *Node) sendDelayedReply(reply delayedReply) bool {
 	shard, machine := reply.shard, reply.machine
 	if shard.Term != reply.term || !n.mayActAsOwner(shard) || machine.epoch != reply.Heartbeat.Epoch || machine.sequence != reply.Heartbeat.Sequence {
-		machine.heldReplies--
+		machine.delayedReplies--
 		n.redirect(reply.RequestID, shard, machine, false)
 		return true
 	}
 	if n.now < reply.until && (n.hasPendingOutcomes(machine) || !n.startsWaiting(machine)) && !machine.draining {
 		return false
 	}
-	machine.heldReplies--
+	machine.delayedReplies--
 	if commands := n.reconcile(shard, machine, reply.Heartbeat); !machine.leaseExpiring {
 		n.answerWorker(reply.RequestID, shard, machine, commands)
 	} else {
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -159,7 +159,7 @@
 			continue
 		}
 		need++
-		if peer := n.peers[member.Name]; peer != nil && n.now-peer.heardAt < silentPeerTime {
+		if peer := n.peers[member.Name]; peer != nil && n.now-peer.receivedAt < silentPeerTime {
 			need += float64(peer.message.Need)
 		}
 	}
