--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -43,30 +43,35 @@
 
 // observeLeader takes in a change of the leader's record.
 func (n *Node) observeLeader() {
-	s, rec := &n.failover, n.leadership.Record()
 	claim := failover.Claim{Term: n.leadership.Term()}
-	if rec != nil {
-		claim.Controller, claim.Incarnation, claim.Fenced, claim.Streak = rec.Controller, rec.Incarnation, rec.Fenced, rec.Streak
+	if record := n.leadership.Record(); record != nil {
+		claim.Controller, claim.Incarnation, claim.Fenced, claim.Streak = record.Controller, record.Incarnation, record.Fenced, record.Streak
 	}
-	s.follower.Observe(n.now, claim)
+	n.failover.observe(n.now, claim, n.isLeader(), n.cfg.LeaderLease)
+}
+
+// observe takes in a change of the claim that stands; leads says that it is this process's.
+func (f *failoverState) observe(now Time, claim failover.Claim, leads bool, leaseTTL Time) {
+	f.follower.Observe(now, claim)
 	if claim.Streak > 0 {
-		s.earlyClaimSeenAt = n.now
+		f.earlyClaimSeenAt = now
 	}
-	s.firstPassDone, s.standby, s.heartbeatAt = false, "", n.now
-	if !n.isLeader() {
-		s.takeover.End()
+	f.firstPassDone, f.standby, f.heartbeatAt = false, "", now
+	if !leads {
+		f.takeover.End()
 		return
 	}
-	s.fence.Begin(n.now, n.cfg.LeaderLease, n.cloudOpensAt())
-	s.takeover.Reach(failover.Seen, n.now)
+	f.fence.Begin(now, leaseTTL, f.cloudOpensAt(leaseTTL))
+	f.takeover.Reach(failover.Seen, now)
 }
 
-// cloudOpensAt is when no leader that was replaced early can call the cloud any more.
-func (n *Node) cloudOpensAt() Time {
-	if n.failover.earlyClaimSeenAt == 0 {
+// cloudOpensAt is when no leader that was replaced early can call the cloud any more; 0:
+// none was.
+func (f *failoverState) cloudOpensAt(leaseTTL Time) Time {
+	if f.earlyClaimSeenAt == 0 {
 		return 0
 	}
-	return n.failover.earlyClaimSeenAt + failover.CloudFenceTime(n.cfg.LeaderLease)
+	return f.earlyClaimSeenAt + failover.CloudFenceTime(leaseTTL)
 }
 
 // runFailover does what is due for heartbeats, proofs and the lease of a candidate.
@@ -110,9 +115,9 @@
 	s.takeover.Begin(n.now, replaced, s.follower.SuspectedAt(), evidence)
 	n.log(LogInfo, "claiming leadership early", "leader", replaced, "silence", evidence.Silence, "broken", evidence.Broken,
 		"suspecting", evidence.Suspecting, "hearing", evidence.Hearing, "members", evidence.Members)
-	record := n.withTakeover(wire.Takeover{
+	record := s.withTakeover(wire.Takeover{
 		From: replaced, To: n.cfg.Self, Replaced: n.leadership.Term(), At: n.cfg.WallClockMS(), SilenceMS: evidence.Silence.Milliseconds(), Broken: evidence.Broken,
-		Suspecting: evidence.Suspecting, Hearing: evidence.Hearing, Members: evidence.Members, StagesMS: n.stagesMS(),
-	})
+		Suspecting: evidence.Suspecting, Hearing: evidence.Hearing, Members: evidence.Members, StagesMS: s.stagesMS(),
+	}, n.valueFits)
 	n.sendClaim(n.newClaim(s.follower.Streak(n.now)), n.leadership.Term(), kv.Write{Key: wire.TakeoversKey, Value: record})
 }
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -62,7 +62,7 @@
 	n.draining = slices.DeleteFunc(n.draining, func(index int) bool {
 		machine := n.machines[index]
 		// A leader that was replaced early may still return what it had asked for.
-		if machine.draining && !asked[machine.name] && n.now >= n.cloudOpensAt() {
+		if machine.draining && !asked[machine.name] && n.now >= n.failover.cloudOpensAt(n.cfg.LeaderLease) {
 			machine.draining = false
 		}
 		return !machine.draining || machine.returned
--- a/internal/core/takeover_record.go
+++ b/internal/core/takeover_record.go
@@ -14,8 +14,8 @@
 // maxRecordedTakeovers is how many takeovers the record lists, where a value has room for them.
 const maxRecordedTakeovers = 8
 
-// putTakeovers takes in the record of the last takeovers. One that is listed when we
-// start may have been made a moment ago.
+// putTakeovers applies the record. A takeover that is listed when the process starts may have
+// been made a moment ago.
 func (n *Node) putTakeovers(record *wire.Takeovers) {
 	n.failover.takeovers = record
 	if !n.replica.Loaded() {
@@ -23,53 +23,58 @@
 	}
 }
 
-// withTakeover is the record of the last takeovers with one more, as many as a value holds.
-func (n *Node) withTakeover(t wire.Takeover) *wire.Takeovers {
+// withTakeover is the record with one more takeover, and as many of the others as fit a value.
+func (f *failoverState) withTakeover(takeover wire.Takeover, fits func(any) bool) *wire.Takeovers {
 	record := &wire.Takeovers{}
-	if n.failover.takeovers != nil {
-		record.List = slices.Clone(n.failover.takeovers.List)
+	if f.takeovers != nil {
+		record.List = slices.Clone(f.takeovers.List)
 	}
-	record.List = append(record.List, t)
-	for len(record.List) > 1 && (len(record.List) > maxRecordedTakeovers || !n.valueFits(record)) {
+	record.List = append(record.List, takeover)
+	for len(record.List) > 1 && (len(record.List) > maxRecordedTakeovers || !fits(record)) {
 		record.List = record.List[1:]
 	}
 	return record
 }
 
-// stagesMS are the times of the stages of our takeover so far.
-func (n *Node) stagesMS() []int64 {
+// completed is the record with the stages of this controller's takeover, or nil if the last
+// takeover is not its own.
+func (f *failoverState) completed(self string) *wire.Takeovers {
+	if f.takeovers == nil || len(f.takeovers.List) == 0 {
+		return nil
+	}
+	record := &wire.Takeovers{List: slices.Clone(f.takeovers.List)}
+	last := &record.List[len(record.List)-1]
+	if last.To != self {
+		return nil
+	}
+	last.StagesMS = f.stagesMS()
+	return record
+}
+
+// stagesMS are the times of the stages of this controller's takeover so far, in
+// milliseconds from the last heartbeat of the leader before.
+func (f *failoverState) stagesMS() []int64 {
 	var stages []int64
-	for stage := failover.Suspected; stage <= failover.Decided && n.failover.takeover.Reached(stage); stage++ {
-		stages = append(stages, n.failover.takeover.After(stage).Milliseconds())
+	for stage := failover.Suspected; stage <= failover.Decided && f.takeover.Reached(stage); stage++ {
+		stages = append(stages, f.takeover.After(stage).Milliseconds())
 	}
 	return stages
 }
 
-// notePlanned notes that a pass over the queues was made.
+// notePlanned notes that this leader has made a scheduling pass. The first completes its
+// takeover.
 func (n *Node) notePlanned() {
-	s := &n.failover
-	if s.firstPassDone {
+	f := &n.failover
+	if f.firstPassDone {
 		return
 	}
-	s.firstPassDone = true
-	if !s.takeover.Reach(failover.Decided, n.now) {
+	f.firstPassDone = true
+	if !f.takeover.Reach(failover.Decided, n.now) {
 		return
 	}
-	n.log(LogInfo, "failover completed", "previous_leader", s.takeover.From, "stages_ms", fmt.Sprint(n.stagesMS()))
-	n.recordStages()
-	s.takeover.End()
-}
-
-// recordStages completes the entry of our takeover.
-func (n *Node) recordStages() {
-	if n.failover.takeovers == nil || len(n.failover.takeovers.List) == 0 {
-		return
-	}
-	record := &wire.Takeovers{List: slices.Clone(n.failover.takeovers.List)}
-	last := &record.List[len(record.List)-1]
-	if last.To != n.cfg.Self {
-		return
+	n.log(LogInfo, "failover completed", "previous_leader", f.takeover.From, "stages_ms", fmt.Sprint(f.stagesMS()))
+	if record := f.completed(n.cfg.Self); record != nil {
+		n.transact(ClassBackground, []kv.Condition{n.leaderCondition()}, []kv.Write{{Key: wire.TakeoversKey, Value: record}}, ignoreResult{})
 	}
-	last.StagesMS = n.stagesMS()
-	n.transact(ClassBackground, []kv.Condition{n.leaderCondition()}, []kv.Write{{Key: wire.TakeoversKey, Value: record}}, ignoreResult{})
+	f.takeover.End()
 }
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -68,14 +68,14 @@
 	return &message
 }
 
-// silenceShift is the lowest bit of the missed heartbeats in the flags of a machine.
-const silenceShift = 8
+// missedHeartbeatsShift is the lowest bit of the missed heartbeats in the flags of a machine.
+const missedHeartbeatsShift = 8
 
 // machineInfo is the view of an own machine in a message.
 func (s *site) machineInfo(machine *machine, names *wire.Interner) wire.MachineInfo {
 	view := &machine.view
 	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(s.names.Zones.Name(machine.zone)), Errors: view.errors,
-		Flags: wire.Flags(machine.spot, view.reclaimed, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<silenceShift}
+		Flags: wire.Flags(machine.spot, view.reclaimed, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<missedHeartbeatsShift}
 	if machine.machineType >= 0 {
 		info.Rig = names.Of(s.names.MachineTypes.Name(machine.machineType))
 	}
@@ -87,5 +87,5 @@
 func viewOf(info *wire.MachineInfo) machineView {
 	flags := info.Flags
 	return machineView{known: true, reclaimed: flags&wire.FlagReclaimed != 0, draining: flags&wire.FlagDraining != 0, unhealthy: flags&wire.FlagUnhealthy != 0,
-		unreachable: flags&wire.FlagUnreachable != 0, unconfirmed: flags&wire.FlagUnconfirmed != 0, missedHeartbeats: flags >> silenceShift, errors: info.Errors}
+		unreachable: flags&wire.FlagUnreachable != 0, unconfirmed: flags&wire.FlagUnconfirmed != 0, missedHeartbeats: flags >> missedHeartbeatsShift, errors: info.Errors}
 }
