--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -109,7 +109,7 @@
 		}
 		n.machineTypes[index] = &types[i]
 	}
-	n.leader.planNeeded = true
+	n.leader.passNeeded = true
 }
 
 // updateMachineTypes replaces the machine types by those that the cloud has listed, and
@@ -162,7 +162,7 @@
 		n.log(LogInfo, "machines provisioned", "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot, "requested", request.Count, "received", len(answer.Names))
 	}
 	n.leader.autoscaler.provisionAnswered(n.now, r.provisioning, answer)
-	n.leader.planNeeded = true
+	n.leader.passNeeded = true
 }
 
 // provisionAnswered settles a provisioning request, or has it sent again.
--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -13,7 +13,7 @@
 // receiveGangHolds takes in owners' answers; only the leader acts on them.
 func (n *Node) receiveGangHolds(answers []wire.GangHold) {
 	if n.gangs.Receive(answers) {
-		n.leader.planNeeded = true
+		n.leader.passNeeded = true
 	}
 }
 
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -61,7 +61,7 @@
 		n.workCount++
 		n.receiveMachine(message, &message.Hosts[i])
 	}
-	n.leader.planNeeded = n.leader.planNeeded || len(message.Hosts) > 0
+	n.leader.passNeeded = n.leader.passNeeded || len(message.Hosts) > 0
 }
 
 func (n *Node) receiveMachine(message *wire.Gossip, info *wire.MachineInfo) {
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -46,7 +46,7 @@
 // listCapacity is how many bytes the lists of a large array may take, in all its keys. In each key
 // some are left that no run fits into.
 func (s *site) listCapacity(job *job) int {
-	return max(minListCapacity, s.replica.ValueBytes()-job.BaseBytes+s.replica.OverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowFrameBytes-2*s.taskRunBytes()))
+	return max(minListCapacity, s.replica.ValueBytes()-job.BaseBytes+s.replica.OverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowHeaderBytes-2*s.taskRunBytes()))
 }
 
 // plannableListCapacity is that for what is yet to be granted, by the limits that hold at all times.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -13,8 +13,8 @@
 type leaderState struct {
 	tenure     int   // counts how often this process began or ceased to lead
 	batch      batch // of the last scheduling pass
-	planNeeded bool  // something has changed since the last pass
-	planAt     Time  // not before this is another pass made
+	passNeeded bool  // something has changed since the last pass
+	nextPassAt Time  // not before this is another pass made
 
 	grantHints     map[taskKey]*machine // the machine that a grant had in mind
 	hintsCleanupAt Time
@@ -66,22 +66,22 @@
 	l.returned, l.reservations = nil, nil
 	l.sharesDistributedAt = neverDistributed(len(l.sharesDistributedAt))
 	l.sharesReclaimed = make([]bool, len(l.sharesDistributedAt))
-	l.planNeeded = true
+	l.passNeeded = true
 }
 
 const (
-	// afterStallDelay is what a leader leaves its peers after a stall to report; they do so
+	// firstPassDelayAfterStall is what a leader leaves its peers after a stall to report; they do so
 	// every second.
-	afterStallDelay = 2 * second
-	// gatherDelay is what a new leader leaves the owners to tell what there is.
-	gatherDelay = 700 * time.Millisecond
-	// idlePlanInterval lies between two scheduling passes when nothing has changed.
-	idlePlanInterval = second
+	firstPassDelayAfterStall = 2 * second
+	// firstPassDelay is what a new leader leaves the owners to tell what there is.
+	firstPassDelay = 700 * time.Millisecond
+	// idlePassInterval lies between two scheduling passes when nothing has changed.
+	idlePassInterval = second
 	// A pass looks at every unfinished job and every machine, if briefly; with thousands of
 	// them the share of a core that a controller has allows fewer passes.
-	planInterval           = 120 * time.Millisecond
-	planIntervalPerJob     = 300 * time.Microsecond
-	planIntervalPerMachine = 100 * time.Microsecond
+	passInterval           = 120 * time.Millisecond
+	passIntervalPerJob     = 300 * time.Microsecond
+	passIntervalPerMachine = 100 * time.Microsecond
 )
 
 // runLeader does what is due as the leader: calls to the cloud, and a scheduling pass.
@@ -89,29 +89,29 @@
 	if !n.isLeader() || n.resign() || !n.leadership.LeaseHolds(n.now) {
 		return
 	}
-	if n.resumedAt > 0 && n.now-n.resumedAt < afterStallDelay || !n.mayDecide() {
+	if n.resumedAt > 0 && n.now-n.resumedAt < firstPassDelayAfterStall || !n.mayDecide() {
 		return
 	}
 	n.runCloudCalls()
-	if n.planDue() && n.leader.batch.ready(n) {
-		n.plan()
+	if n.passDue() && n.leader.batch.ready(n) {
+		n.decide()
 	}
 }
 
-// planDue tells whether it is time for a scheduling pass.
-func (n *Node) planDue() bool {
+// passDue tells whether it is time for a scheduling pass.
+func (n *Node) passDue() bool {
 	leader := &n.leader
-	if n.now < leader.planAt || !leader.planNeeded && n.now < leader.planAt+idlePlanInterval {
+	if n.now < leader.nextPassAt || !leader.passNeeded && n.now < leader.nextPassAt+idlePassInterval {
 		return false
 	}
-	return n.offeredTypes != nil && n.now-n.leadership.Since() >= gatherDelay
+	return n.offeredTypes != nil && n.now-n.leadership.Since() >= firstPassDelay
 }
 
-// plan decides what is to be done about gangs and waiting jobs, and commits it as one batch.
-func (n *Node) plan() {
+// decide decides what is to be done about gangs and waiting jobs, and commits it as one batch.
+func (n *Node) decide() {
 	leader := &n.leader
-	leader.planAt = n.now + planInterval + Time(len(n.replica.Live()))*planIntervalPerJob + Time(n.machineCount())*planIntervalPerMachine
-	leader.planNeeded, leader.pendingPlacements = false, nil
+	leader.nextPassAt = n.now + passInterval + Time(len(n.replica.Live()))*passIntervalPerJob + Time(n.machineCount())*passIntervalPerMachine
+	leader.passNeeded, leader.pendingPlacements = false, nil
 	writer := newWriter(n)
 	writer.conditions = append(writer.conditions, n.leaderCondition())
 	n.cleanUpHints()
@@ -150,8 +150,8 @@
 	unownedGrantTimeout = 8 * second
 	// ownedGrantTimeout is that of a shard with one, which may wait for its turn to write.
 	ownedGrantTimeout = 40 * second
-	// ownerHeardWithin is how long ago an owner was heard that counts as there.
-	ownerHeardWithin = 5 * second
+	// ownerResponseTimeout is how long ago an owner was heard that counts as there.
+	ownerResponseTimeout = 5 * second
 )
 
 // revokeUnownedGrants revokes grants that no owner has placed for a while. Nothing can have
@@ -178,7 +178,7 @@
 			continue
 		}
 		timeout := unownedGrantTimeout
-		if n.ownerIsHeard(n.shards[task.Shard]) {
+		if n.ownerResponds(n.shards[task.Shard]) {
 			timeout = ownedGrantTimeout
 		}
 		if n.now-job.ChangedAt >= timeout && n.gangs.Find(job.ID, task.Attempt) == nil {
@@ -188,13 +188,13 @@
 	return false
 }
 
-// ownerIsHeard tells whether a shard has an owner that can be heard.
-func (n *Node) ownerIsHeard(shard *shard) bool {
+// ownerResponds tells whether a shard has an owner that can be heard.
+func (n *Node) ownerResponds(shard *shard) bool {
 	if shard.Record == nil {
 		return false
 	}
 	owner := n.peers[shard.Record.Owner]
-	return n.owns(shard) || owner != nil && n.now-owner.receivedAt < ownerHeardWithin
+	return n.owns(shard) || owner != nil && n.now-owner.receivedAt < ownerResponseTimeout
 }
 
 // provisionName is unique for ever: no two leaders share a term.
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -98,14 +98,14 @@
 // How long the cloud may not answer, and peers may not be heard, before this controller
 // counts as isolated.
 const (
-	cloudSilence = 4 * second
-	peerSilence  = 6 * second
+	cloudUnreachableTimeout = 4 * second
+	peerSilence             = 6 * second
 )
 
 // isolated tells whether this controller reaches neither the cloud nor any other
 // controller. Refusals don't count: they are the same for everyone.
 func (n *Node) isolated() bool {
-	if n.cloudUnreachableSince > 0 && n.now-n.cloudUnreachableSince > cloudSilence {
+	if n.cloudUnreachableSince > 0 && n.now-n.cloudUnreachableSince > cloudUnreachableTimeout {
 		return true
 	}
 	if len(n.cfg.Members) < 2 {
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -31,7 +31,7 @@
 			if view := n.ownView(shard, machine, othersReport); view != machine.view || machine.viewTerm != shard.Term {
 				n.setView(machine, view, shard.Term)
 				n.noteViewChange(machine)
-				n.leader.planNeeded = true
+				n.leader.passNeeded = true
 			}
 		}
 	}
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -19,7 +19,7 @@
 		n.countWrites(len(c.Events))
 	}
 	n.replica.Reached(c.Revision, c.Reset)
-	n.leader.planNeeded = true
+	n.leader.passNeeded = true
 	n.ownership.Settle(n.now, n.replica.Revision())
 	n.settleProofs()
 	n.replies.checkAt = 0
--- a/internal/core/replica_observer.go
+++ b/internal/core/replica_observer.go
@@ -48,8 +48,8 @@
 // JobReady lets the leader look for work soon.
 func (o *replicaObserver) JobReady(*replica.Job) {
 	leader := &o.node.leader
-	leader.planNeeded = true
-	leader.planAt = min(leader.planAt, o.node.now+stageDelay)
+	leader.passNeeded = true
+	leader.nextPassAt = min(leader.nextPassAt, o.node.now+stageDelay)
 }
 
 // JobArrived counts the job among the arrivals of its class.
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -175,5 +175,5 @@
 		return false
 	}
 	home := n.homeShard(job)
-	return home != nil && !n.owns(home) && n.ownerIsHeard(home) && n.replica.Ledger().MayAdmit(job.Team, home.Index, job.Demand(1), n.replica.Revision())
+	return home != nil && !n.owns(home) && n.ownerResponds(home) && n.replica.Ledger().MayAdmit(job.Team, home.Index, job.Demand(1), n.replica.Revision())
 }
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -77,7 +77,7 @@
 	}
 	for i, shard := range n.shards {
 		// Our own shards need no share: we grant there as the leader.
-		demand.Owned[i] = shard.Record != nil && !n.owns(shard) && n.ownerIsHeard(shard)
+		demand.Owned[i] = shard.Record != nil && !n.owns(shard) && n.ownerResponds(shard)
 	}
 	return demand
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -38,7 +38,7 @@
 	}
 	// What machines did under the last owner says nothing about this one. Where it
 	// counted, two peers took the shard from each other in turns.
-	shard.forgetBounces()
+	shard.forgetRedirects()
 	n.discardOutcomes(shard)
 	switch change {
 	case ownership.Claimed:
@@ -59,8 +59,8 @@
 	}
 }
 
-// forgetBounces forgets which of a shard's machines came here although they were redirected.
-func (s *shard) forgetBounces() {
+// forgetRedirects forgets which of a shard's machines came here although they were redirected.
+func (s *shard) forgetRedirects() {
 	for _, machine := range s.machines {
 		machine.redirectedAt, machine.bouncedAt = 0, 0
 	}
--- a/internal/core/store_state.go
+++ b/internal/core/store_state.go
@@ -28,7 +28,7 @@
 			// vain. That says nothing about the owners afterwards.
 			n.storeOKSince = n.now
 			for _, shard := range n.shards {
-				shard.forgetBounces()
+				shard.forgetRedirects()
 			}
 		}
 		n.storeOK, n.storeAnsweredAt = true, n.now
--- a/internal/failover/election.go
+++ b/internal/failover/election.go
@@ -10,13 +10,13 @@
 	CutOff  bool          // it lacks a connection to the cloud, or to all other controllers
 }
 
-// maxCandidateSilence is the silence from which on a candidate is not eligible: two and a half
+// candidateHeartbeatTimeout is the silence from which on a candidate is not eligible: two and a half
 // intervals of the messages that controllers send each other every second.
-const maxCandidateSilence = 2500 * time.Millisecond
+const candidateHeartbeatTimeout = 2500 * time.Millisecond
 
 // Eligible reports whether a candidate could take over.
 func (c Candidate) Eligible() bool {
-	return c.Silence < maxCandidateSilence && c.StoreOK && !c.CutOff
+	return c.Silence < candidateHeartbeatTimeout && c.StoreOK && !c.CutOff
 }
 
 // Elect returns the name of the standby: the present one as long as it is eligible, otherwise the
--- a/internal/failover/election_test.go
+++ b/internal/failover/election_test.go
@@ -17,7 +17,7 @@
 		{"the first by name", "", []Candidate{eligible("c"), eligible("b")}, "b"},
 		{"the present one stays", "c", []Candidate{eligible("b"), eligible("c")}, "c"},
 		{"the state service refuses the present one", "c", []Candidate{eligible("b"), {Name: "c"}}, "b"},
-		{"one is cut off, one is silent", "c", []Candidate{{Name: "b", StoreOK: true, CutOff: true}, {Name: "c", StoreOK: true, Silence: maxCandidateSilence}, eligible("d")}, "d"},
+		{"one is cut off, one is silent", "c", []Candidate{{Name: "b", StoreOK: true, CutOff: true}, {Name: "c", StoreOK: true, Silence: candidateHeartbeatTimeout}, eligible("d")}, "d"},
 		{"no candidates", "c", nil, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/replica/dependency_list.go
+++ b/internal/replica/dependency_list.go
@@ -16,8 +16,8 @@
 const (
 	// dependencyListNameBytes is how much of the hash of a list its name keeps.
 	dependencyListNameBytes = 16
-	// dependencyListFrameBytes bounds what a value takes besides the ids in it.
-	dependencyListFrameBytes = 24
+	// dependencyListHeaderBytes bounds what a value takes besides the ids in it.
+	dependencyListHeaderBytes = 24
 	// idOverheadBytes is what an id takes besides its characters: quotes and a comma.
 	idOverheadBytes = 3
 )
@@ -36,7 +36,7 @@
 		cost := len(id) + idOverheadBytes
 		if size+cost > valueBytes {
 			chunks = append(chunks, nil)
-			size = dependencyListFrameBytes
+			size = dependencyListHeaderBytes
 		}
 		last := len(chunks) - 1
 		chunks[last] = append(chunks[last], id)
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -7,8 +7,8 @@
 const (
 	// TaskRangeBytes bounds what a range of done tasks takes.
 	TaskRangeBytes = 16
-	// OverflowFrameBytes bounds what the value of an overflow key takes besides its tasks.
-	OverflowFrameBytes = 16
+	// OverflowHeaderBytes bounds what the value of an overflow key takes besides its tasks.
+	OverflowHeaderBytes = 16
 
 	// maxListBytes is what the task lists of a job may take in all. Each overflow key
 	// costs a write for each change, so there are no more than make this much; it is
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -100,7 +100,7 @@
 	if key == ownKey {
 		return s.replica.ValueBytes() - s.baseBytes - TaskRangeBytes*len(s.record.DoneTasks)
 	}
-	return s.replica.cfg.MaxValueBytes - OverflowFrameBytes
+	return s.replica.cfg.MaxValueBytes - OverflowHeaderBytes
 }
 
 // moveAll puts all tasks into the record itself.
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -36,14 +36,14 @@
 
 // Timing of a controller.
 const (
-	tickInterval  = 50 * time.Millisecond
-	tickStagger   = 7 * time.Millisecond // between the first ticks of two controllers
-	leaderLease   = 5 * time.Second
-	cloudListLag  = 4 * time.Second // a new machine is listed after it
-	maxBulkTasks  = 600
-	coreCloudRPS  = 2
-	coreStateRPS  = 250
-	spareMachines = 1
+	tickInterval       = 50 * time.Millisecond
+	tickStagger        = 7 * time.Millisecond // between the first ticks of two controllers
+	leaderLease        = 5 * time.Second
+	cloudListLag       = 4 * time.Second // a new machine is listed after it
+	maxLargeArrayTasks = 600
+	coreCloudRPS       = 2
+	coreStateRPS       = 250
+	spareMachines      = 1
 )
 
 // endpoint returns the controller as a party of the network.
@@ -88,7 +88,7 @@
 		HeartbeatInterval: sim.HeartbeatInterval, WorkerLease: sim.WorkerLease, GangWait: sim.GangWait,
 		OwnerValidity: config.Validity(sim.WorkerLease, sim.CancelDeadline), LeaderLease: leaderLease,
 		MaxTransactionOps: sim.MaxTransactionOps, MaxValueBytes: sim.MaxValueBytes,
-		MaxLargeArrayTasks: maxBulkTasks, MaxBatchWrites: sim.maxBatchWrites(),
+		MaxLargeArrayTasks: maxLargeArrayTasks, MaxBatchWrites: sim.maxBatchWrites(),
 		CloudListLag: cloudListLag, CloudRPS: coreCloudRPS, StateRPS: coreStateRPS, WriteRPS: sim.WriteRPS,
 		IdleTimeout: sim.IdleTimeout, SpareMachines: spareMachines, Preempt: true,
 		WallClockMS: func() int64 { return sim.now.Milliseconds() },
--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -76,8 +76,8 @@
 	sim := u.sim
 	var all []string
 	submit := func(ready func(*simUser) bool, attributes string, dependencies ...string) string {
-		u.bulkCount++
-		jobID := fmt.Sprintf("wk-%06d", 800000+u.bulkCount)
+		u.generatedJobs++
+		jobID := fmt.Sprintf("wk-%06d", 800000+u.generatedJobs)
 		all = append(all, jobID)
 		u.submitWhen(ready, jobID, dependencies, strings.Fields(attributes))
 		return jobID
@@ -107,8 +107,8 @@
 func (u *userSet) submitFanIn(jobID string, count int, attributes []string) error {
 	var dependencies []string
 	for range count {
-		u.bulkCount++
-		id := fmt.Sprintf("wk-%06d", 700000+u.bulkCount)
+		u.generatedJobs++
+		id := fmt.Sprintf("wk-%06d", 700000+u.generatedJobs)
 		dependencies = append(dependencies, id)
 		if err := u.submitLine([]string{id, "frames=1", "run=4", "cards=0", "cores=0.2", "mem=0.5", "gb=0.3", "class=part"}); err != nil {
 			return err
--- a/internal/simulation/random_faults.go
+++ b/internal/simulation/random_faults.go
@@ -55,7 +55,9 @@
 		sim.setFor(&sim.store.lostReplies, 0.3, d)
 		sim.rules.faultsLast(d)
 	},
-	22: func(sim *Simulation, _ *controller, d time.Duration) { sim.users.cancelRunning(3, d, bulkIDPrefix) },
+	22: func(sim *Simulation, _ *controller, d time.Duration) {
+		sim.users.cancelRunning(3, d, generatedIDPrefix)
+	},
 }
 
 // crashBriefly crashes a controller for ten seconds at most.
--- a/internal/simulation/script_users.go
+++ b/internal/simulation/script_users.go
@@ -38,7 +38,7 @@
 	// bulk COUNT SECONDS ATTRIBUTES: COUNT jobs, one a second, each cancelled SECONDS later if that is not 0.
 	"bulk": infallible(func(sim *Simulation, args arguments) {
 		for i := range int(args.number(0)) {
-			jobID := sim.users.nextBulkID()
+			jobID := sim.users.nextGeneratedID()
 			sim.after(time.Duration(i)*time.Second, func() {
 				if sim.users.submitLine(append([]string{jobID}, args.from(2)...)) == nil && args.number(1) > 0 {
 					sim.after(args.duration(1)+time.Duration(sim.rng.IntN(2000))*time.Millisecond, func() { sim.users.cancel(jobID) })
@@ -50,7 +50,7 @@
 	"stream": infallible(func(sim *Simulation, args arguments) {
 		interval := seconds(1 / args.number(0))
 		for i := range int(args.number(0) * args.number(1)) {
-			jobID := sim.users.nextBulkID()
+			jobID := sim.users.nextGeneratedID()
 			sim.after(time.Duration(i)*interval, func() {
 				if sim.users.submitLine(append([]string{jobID}, args.from(3)...)) == nil && sim.rng.Float64() < args.number(2) {
 					sim.after(time.Duration(sim.rng.IntN(12000))*time.Millisecond, func() { sim.users.cancel(jobID) })
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -62,7 +62,7 @@
 }
 
 // pollClosely polls all controllers again and again within milliseconds, repeats the
-// submission, and cancels some of the jobs that nextBulkID named at once, if users do so
+// submission, and cancels some of the jobs that nextGeneratedID named at once, if users do so
 // now. checkStatus judges the answers.
 func (u *simUser) pollClosely() {
 	sim := u.sim
@@ -77,7 +77,7 @@
 	sim.after(time.Duration(sim.rng.IntN(5000))*time.Microsecond, func() {
 		u.requestAt(sim.randomController(), wire.RequestSubmit, u.submissionBody())
 	})
-	if u.lastStatus != wire.StatusDone && !u.cancelRequested && strings.HasPrefix(u.spec.ID, bulkIDPrefix) && sim.rng.IntN(6) == 0 {
+	if u.lastStatus != wire.StatusDone && !u.cancelRequested && strings.HasPrefix(u.spec.ID, generatedIDPrefix) && sim.rng.IntN(6) == 0 {
 		sim.after(time.Duration(sim.rng.IntN(8000))*time.Microsecond, func() { sim.users.cancel(u.spec.ID) })
 	}
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -24,20 +24,20 @@
 	byJob          map[string]*simUser
 	ordered        []*simUser      // in the order in which they came
 	completedTasks map[string]bool // by name
-	bulkCount      int             // jobs that were named by bulk, pipelines and the like
+	generatedJobs  int             // jobs named by the simulation: of the commands bulk, pipelines and the like
 	irregularCount int             // irregular requests with a job id of their own
 
 	cancelAtEnd       timedValue    // share of jobs that are cancelled at the moment of their end
 	closePollingUntil time.Duration // until when users poll all controllers after each change
 }
 
-// bulkIDPrefix begins the ids of jobs that nextBulkID names.
-const bulkIDPrefix = "wk-9"
+// generatedIDPrefix begins the ids of jobs that nextGeneratedID names.
+const generatedIDPrefix = "wk-9"
 
-// nextBulkID returns a new id for one of many jobs.
-func (u *userSet) nextBulkID() string {
-	jobID := fmt.Sprintf("wk-%06d", 900000+u.bulkCount)
-	u.bulkCount++
+// nextGeneratedID returns a new id for one of many jobs.
+func (u *userSet) nextGeneratedID() string {
+	jobID := fmt.Sprintf("wk-%06d", 900000+u.generatedJobs)
+	u.generatedJobs++
 	return jobID
 }
 
