--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -84,7 +84,11 @@
 		return request
 	})
 	if !ok {
-		reply = core.Reply{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: OverloadedText}, RetryAfterS: overloadedRetryS}
+		reply = core.Reply{
+			Status:      http.StatusServiceUnavailable,
+			Body:        wire.Error{Error: OverloadedText},
+			RetryAfterS: overloadedRetryS,
+		}
 	}
 	WriteReply(w, reply)
 }
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -73,7 +73,16 @@
 			break
 		}
 	}
-	return &slot{shard: shardIndex, zone: pool.zone, machineType: pool.machineType, spot: pool.spot, typeInfo: machineType, cores: machineType.Cores, gpus: machineType.GPUs, memoryGB: machineType.MemoryGB}
+	return &slot{
+		shard:       shardIndex,
+		zone:        pool.zone,
+		machineType: pool.machineType,
+		spot:        pool.spot,
+		typeInfo:    machineType,
+		cores:       machineType.Cores,
+		gpus:        machineType.GPUs,
+		memoryGB:    machineType.MemoryGB,
+	}
 }
 
 // pricedPool is a pool with the price of a machine per hour.
@@ -127,7 +136,9 @@
 func (p *schedulingPass) canProvision(job *job, zone int) bool {
 	scaler, now := &p.node.leader.autoscaler, p.node.now
 	for _, pool := range p.pools(job) {
-		if (zone < 0 || pool.zone == zone) && scaler.mayRequest(now, pool.machinePool) && !scaler.hasShortage(now, pool.machinePool) {
+		if (zone < 0 || pool.zone == zone) &&
+			scaler.mayRequest(now, pool.machinePool) &&
+			!scaler.hasShortage(now, pool.machinePool) {
 			return true
 		}
 	}
@@ -188,7 +199,13 @@
 		}
 		count := min(p.provisions[pool], maxProvisioned)
 		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: n.now,
-			request: wire.ProvisionRequest{Name: n.provisionName(), MachineType: n.names.MachineTypes.Name(pool.machineType), Zone: n.names.Zones.Name(pool.zone), Spot: pool.spot, Count: count}})
+			request: wire.ProvisionRequest{
+				Name:        n.provisionName(),
+				MachineType: n.names.MachineTypes.Name(pool.machineType),
+				Zone:        n.names.Zones.Name(pool.zone),
+				Spot:        pool.spot,
+				Count:       count,
+			}})
 		if p.provisions[pool] -= count; p.provisions[pool] == 0 {
 			pools = pools[1:]
 		} else {
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -159,7 +159,10 @@
 	}
 	if answer.Outcome == kv.OK {
 		request := &r.provisioning.request
-		n.log(LogInfo, "machines provisioned", "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot, "requested", request.Count, "received", len(answer.Names))
+		n.log(LogInfo, "machines provisioned",
+			"machine_type", request.MachineType, "zone", request.Zone,
+			"spot", request.Spot, "requested", request.Count,
+			"received", len(answer.Names))
 	}
 	n.leader.autoscaler.provisionAnswered(n.now, r.provisioning, answer)
 	n.leader.passNeeded = true
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -29,8 +29,13 @@
 // start makes a new batch and sends it.
 func (b *batch) start(n *Node, conditions []kv.Condition, writes, linked []kv.Write) {
 	b.generation++
-	b.active, b.inFlight, b.outcomeUnknown, b.awaitedRevision = true, false, false, 0
-	b.conditions, b.writes, b.linkedWrites = conditions, writes, linked
+	b.active = true
+	b.inFlight = false
+	b.outcomeUnknown = false
+	b.awaitedRevision = 0
+	b.conditions = conditions
+	b.writes = writes
+	b.linkedWrites = linked
 	b.send(n)
 }
 
@@ -153,5 +158,7 @@
 // the condition under which the batch could still be carried out.
 func (b *batch) drop() {
 	b.generation++
-	b.active, b.inFlight, b.retryAt = false, false, 0
+	b.active = false
+	b.inFlight = false
+	b.retryAt = 0
 }
--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -61,8 +61,19 @@
 		if fact.Count <= 0 {
 			return false
 		}
-		request := wire.ProvisionRequest{Name: fact.Name, MachineType: fact.MachineType, Zone: fact.Zone, Spot: fact.Spot, Count: fact.Count}
-		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: timeOf(fact), sendAt: n.now, request: request})
+		request := wire.ProvisionRequest{
+			Name:        fact.Name,
+			MachineType: fact.MachineType,
+			Zone:        fact.Zone,
+			Spot:        fact.Spot,
+			Count:       fact.Count,
+		}
+		scaler.provisions = append(scaler.provisions, &provisioning{
+			pool:      pool,
+			decidedAt: timeOf(fact),
+			sendAt:    n.now,
+			request:   request,
+		})
 	case wire.FactBackoff:
 		scaler.retryAt[pool] = timeOf(fact)
 	case wire.FactCapacityShortage:
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -59,7 +59,12 @@
 		facts = append(facts, wire.Fact{Kind: wire.FactGangZone, Name: j.ID, Zone: names.Zones.Name(j.gangZone)})
 	}
 	if position := j.queuePosition; position.waitingSince != 0 {
-		facts = append(facts, wire.Fact{Kind: wire.FactQueuePosition, Name: j.ID, At: waitFactTime(position.waitingSince), Count: position.droppedAttempts})
+		facts = append(facts, wire.Fact{
+			Kind:  wire.FactQueuePosition,
+			Name:  j.ID,
+			At:    waitFactTime(position.waitingSince),
+			Count: position.droppedAttempts,
+		})
 	}
 	if j.preemptAt > now {
 		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.preemptAt)})
@@ -81,7 +86,12 @@
 		facts = append(facts, fact)
 	}
 	for _, boot := range a.recentBoots {
-		facts = append(facts, wire.Fact{Kind: wire.FactBootTime, Name: boot.name, At: factTime(boot.provisionedAt), Ratio: boot.ratio})
+		facts = append(facts, wire.Fact{
+			Kind:  wire.FactBootTime,
+			Name:  boot.name,
+			At:    factTime(boot.provisionedAt),
+			Ratio: boot.ratio,
+		})
 	}
 	for pool, at := range a.retryAt {
 		if at > now {
--- a/internal/core/dependency_check.go
+++ b/internal/core/dependency_check.go
@@ -34,7 +34,11 @@
 // whether all are known; if not, createJob is called once they are.
 func (n *Node) findDependencies(request *pendingRequest) bool {
 	if request.dependencies == nil {
-		request.dependencies = &dependencyCheck{jobIDs: request.spec.Dependencies, read: map[string]dependencyState{}, writtenKeys: map[int]bool{}}
+		request.dependencies = &dependencyCheck{
+			jobIDs:      request.spec.Dependencies,
+			read:        map[string]dependencyState{},
+			writtenKeys: map[int]bool{},
+		}
 	}
 	for _, id := range request.spec.Dependencies {
 		if job := n.jobNamed(id); job != nil && job.Record != nil {
--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -41,7 +41,9 @@
 	}
 	spec := *record.Spec
 	spec.Dependencies = nil
-	record.Spec, record.DependencyList, record.DependencyListKeys = &spec, list, len(values)
+	record.Spec = &spec
+	record.DependencyList = list
+	record.DependencyListKeys = len(values)
 	return true
 }
 
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -75,10 +75,14 @@
 // none of its heartbeats waits for an answer.
 func (s *site) acceptsCommands(machine *machine) bool {
 	shard := s.shards[machine.shard]
-	if !s.mayActAsOwner(shard) || machine.term != shard.Term || machine.returned || machine.reclaimAt != 0 || machine.address == "" {
+	if !s.mayActAsOwner(shard) || machine.term != shard.Term ||
+		machine.returned || machine.reclaimAt != 0 ||
+		machine.address == "" {
 		return false
 	}
-	responsive := machine.tokenConfirmed && machine.ignoredReplies == 0 && !machine.unresponsive && s.now-machine.heartbeatAt < 2*s.cfg.HeartbeatInterval
+	responsive := machine.tokenConfirmed && machine.ignoredReplies == 0 &&
+		!machine.unresponsive &&
+		s.now-machine.heartbeatAt < 2*s.cfg.HeartbeatInterval
 	return responsive && machine.delayedReplies == 0
 }
 
@@ -96,14 +100,19 @@
 	for i := range machine.placements {
 		placed := &machine.placements[i]
 		key, job := placed.taskKey, n.jobs[placed.job]
-		if len(machine.directStarts)+len(commands) >= maxDirectStarts || job.Priority == 0 || !n.needsDirectStart(machine, placed) {
+		if len(machine.directStarts)+len(commands) >= maxDirectStarts ||
+			job.Priority == 0 || !n.needsDirectStart(machine, placed) {
 			continue
 		}
 		active := n.activeTask(key, machine.name)
 		if active == nil || n.delaysGangStart(job, active) {
 			continue
 		}
-		commands = append(commands, wire.Command{Op: wire.CommandStart, Task: wire.TaskName(job.ID, key.task), Attempt: key.attempt})
+		commands = append(commands, wire.Command{
+			Op:      wire.CommandStart,
+			Task:    wire.TaskName(job.ID, key.task),
+			Attempt: key.attempt,
+		})
 		keys = append(keys, key)
 	}
 	if len(commands) == 0 {
@@ -113,14 +122,20 @@
 		machine.directStarts[key] = directStart{sentAt: n.now}
 	}
 	id := n.continueWith(directStartBatch{machine, machine.term, machine.epoch, keys})
-	n.emit(SendCommands{ID: id, Address: machine.address, Batch: wire.CommandBatch{Token: machine.term, Epoch: machine.epoch, Commands: commands}})
+	n.emit(SendCommands{
+		ID:      id,
+		Address: machine.address,
+		Batch:   wire.CommandBatch{Token: machine.term, Epoch: machine.epoch, Commands: commands},
+	})
 }
 
 // needsDirectStart reports whether a task is to run on a machine, and no start of it has
 // been sent.
 func (n *Node) needsDirectStart(machine *machine, placed *placement) bool {
 	key := placed.taskKey
-	if placed.epoch != machine.epoch || placed.stop != wire.StopNone || n.jobs[placed.job].Record.State != wire.JobLive || machine.startSentAt[key] > 0 {
+	if placed.epoch != machine.epoch || placed.stop != wire.StopNone ||
+		n.jobs[placed.job].Record.State != wire.JobLive ||
+		machine.startSentAt[key] > 0 {
 		return false
 	}
 	_, reported := machine.reportedTasks[key]
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -45,7 +45,10 @@
 func (n *Node) observeLeader() {
 	claim := failover.Claim{Term: n.leadership.Term()}
 	if record := n.leadership.Record(); record != nil {
-		claim.Controller, claim.Incarnation, claim.Fenced, claim.Streak = record.Controller, record.Incarnation, record.Fenced, record.Streak
+		claim.Controller = record.Controller
+		claim.Incarnation = record.Incarnation
+		claim.Fenced = record.Fenced
+		claim.Streak = record.Streak
 	}
 	n.failover.observe(n.now, claim, n.isLeader(), n.cfg.LeaderLease)
 }
@@ -56,7 +59,9 @@
 	if claim.Streak > 0 {
 		f.earlyClaimSeenAt = now
 	}
-	f.firstPassDone, f.standby, f.heartbeatAt = false, "", now
+	f.firstPassDone = false
+	f.standby = ""
+	f.heartbeatAt = now
 	if !leads {
 		f.takeover.End()
 		return
--- a/internal/core/gang_stop.go
+++ b/internal/core/gang_stop.go
@@ -27,7 +27,8 @@
 func (n *Node) stopReclaimedGangs(writer *writer) {
 	for _, index := range slices.Sorted(maps.Keys(n.gangsToStop)) {
 		job := n.jobs[index]
-		if job.Record == nil || job.Record.State != wire.JobLive || !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Stop == wire.StopNone }) {
+		if job.Record == nil || job.Record.State != wire.JobLive ||
+			!slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Stop == wire.StopNone }) {
 			delete(n.gangsToStop, index)
 			continue
 		}
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -41,7 +41,8 @@
 
 // isPeer reports whether a name is that of another controller.
 func (s *site) isPeer(name string) bool {
-	return name != s.cfg.Self && slices.ContainsFunc(s.cfg.Members, func(member ownership.Member) bool { return member.Name == name })
+	return name != s.cfg.Self &&
+		slices.ContainsFunc(s.cfg.Members, func(member ownership.Member) bool { return member.Name == name })
 }
 
 // receiveShards takes in which shards a peer owns. A newer term than the replica shows
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -76,7 +76,9 @@
 		job.retryAt = s.now + min(minErrorBackoff<<doublings, maxErrorBackoff)
 	}
 	job.errorsSeen = record.ConsecutiveErrors
-	if record.ConsecutiveErrors >= errorsBeforeBackoff && len(record.FailedMachines) >= errorsBeforeBackoff && len(record.DoneTasks) == 0 {
+	if record.ConsecutiveErrors >= errorsBeforeBackoff &&
+		len(record.FailedMachines) >= errorsBeforeBackoff &&
+		len(record.DoneTasks) == 0 {
 		job.suspect = true
 	} else if record.State == wire.JobDone || len(record.DoneTasks) > 0 {
 		job.suspect = false
@@ -96,7 +98,13 @@
 		for at > 0 && machine.placements[at-1].job > job.Index {
 			at--
 		}
-		machine.placements = slices.Insert(machine.placements, at, placement{shard: task.Shard, stop: task.Stop, epoch: task.Epoch, activeIndex: i, taskKey: taskKey{job.Index, task.Task, task.Attempt}})
+		machine.placements = slices.Insert(machine.placements, at, placement{
+			shard:       task.Shard,
+			stop:        task.Stop,
+			epoch:       task.Epoch,
+			activeIndex: i,
+			taskKey:     taskKey{job.Index, task.Task, task.Attempt},
+		})
 		machine.usedKnown = false
 		n.noteUnstarted(machine, taskKey{job.Index, task.Task, task.Attempt})
 	}
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -67,7 +67,8 @@
 // many a second. Those of low priority can wait for longer than work that somebody needs.
 func (n *Node) outcomeDelayFor(job *job) Time {
 	delay := Time(float64(outcomeDelay) * n.writeScarcity())
-	if job.Record == nil || job.Record.Spec == nil || job.Record.State != wire.JobLive || job.Record.Spec.Shape != wire.ShapeArray || len(job.Record.ActiveTasks) < 2 {
+	if job.Record == nil || job.Record.Spec == nil || job.Record.State != wire.JobLive ||
+		job.Record.Spec.Shape != wire.ShapeArray || len(job.Record.ActiveTasks) < 2 {
 		return delay
 	}
 	if job.Priority == 0 {
@@ -178,7 +179,8 @@
 // which its machine answers with done at once, than a record made too large to be written
 // ever again.
 func (c *recordCapacity) recordable(job *job, record *wire.Job, key taskKey, outcome taskOutcome) taskOutcome {
-	if job.LargeArray && outcome.cause == wire.CauseDone && len(record.DoneTasks) > c.node.listCapacity(job)/(2*replica.TaskRangeBytes) &&
+	if job.LargeArray && outcome.cause == wire.CauseDone &&
+		len(record.DoneTasks) > c.node.listCapacity(job)/(2*replica.TaskRangeBytes) &&
 		!record.DoneTasks.Has(key.task-1) && !record.DoneTasks.Has(key.task+1) {
 		outcome.cause = causeLost
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -123,7 +123,9 @@
 	n.reportExcess()
 	n.recordCancellations(writer)
 	n.budget.pendingGrants = len(writer.order) + unwritten
-	n.log(LogDebug, "scheduling pass", "machines", n.machineCount(), "changed_jobs", len(writer.order), "unwritten_grants", unwritten)
+	n.log(LogDebug, "scheduling pass",
+		"machines", n.machineCount(), "changed_jobs", len(writer.order),
+		"unwritten_grants", unwritten)
 	writer.send(&leader.batch)
 	n.notePlanned()
 }
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -23,7 +23,12 @@
 	}
 	for _, m := range n.cfg.Members {
 		if m.Name != n.cfg.Self {
-			n.emit(SendHeartbeat{To: m.Name, Message: &wire.LeaderHeartbeat{From: n.cfg.Self, Life: n.cfg.Incarnation, Term: n.leadership.Term(), Standby: s.standby}})
+			n.emit(SendHeartbeat{To: m.Name, Message: &wire.LeaderHeartbeat{
+				From:    n.cfg.Self,
+				Life:    n.cfg.Incarnation,
+				Term:    n.leadership.Term(),
+				Standby: s.standby,
+			}})
 		}
 	}
 }
@@ -33,7 +38,12 @@
 	var list []failover.Candidate
 	for _, m := range n.cfg.Members {
 		if p := n.peers[m.Name]; p != nil && m.Name != n.cfg.Self && !p.byMailbox && !p.broken {
-			list = append(list, failover.Candidate{Name: m.Name, Silence: n.now - p.receivedAt, StoreOK: p.message.StoreOK, CutOff: p.message.CutOff})
+			list = append(list, failover.Candidate{
+				Name:    m.Name,
+				Silence: n.now - p.receivedAt,
+				StoreOK: p.message.StoreOK,
+				CutOff:  p.message.CutOff,
+			})
 		}
 	}
 	return list
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -71,7 +71,9 @@
 
 // drainIfEmpty drains a machine if it is this controller's own and has no tasks.
 func (n *Node) drainIfEmpty(machine *machine) {
-	if machine.shard < 0 || !n.owns(n.shards[machine.shard]) || len(machine.placements) > 0 || len(machine.reportedTasks) > 0 || machine.draining {
+	if machine.shard < 0 || !n.owns(n.shards[machine.shard]) ||
+		len(machine.placements) > 0 || len(machine.reportedTasks) > 0 ||
+		machine.draining {
 		return
 	}
 	machine.draining = true
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -11,7 +11,9 @@
 // fenceClaim makes a new claim of ours once all controllers read that it is fenced. It
 // waits for what was decided under the old one.
 func (n *Node) fenceClaim() {
-	if !n.cfg.EarlyFailover || !n.replica.WritesEarlyFailover() || n.leadership.Record().Fenced || n.leader.batch.active || !n.leadership.MayClaimAgain(n.now) {
+	if !n.cfg.EarlyFailover || !n.replica.WritesEarlyFailover() ||
+		n.leadership.Record().Fenced || n.leader.batch.active ||
+		!n.leadership.MayClaimAgain(n.now) {
 		return
 	}
 	n.sendClaim(n.newClaim(0), n.leadership.Term())
--- a/internal/core/leadership_status.go
+++ b/internal/core/leadership_status.go
@@ -12,7 +12,9 @@
 	if n.leadership.Record() == nil {
 		return status
 	}
-	status.Leader, status.Fenced, status.Streak = n.leadership.Record().Controller, n.leadership.Record().Fenced, n.leadership.Record().Streak
+	status.Leader = n.leadership.Record().Controller
+	status.Fenced = n.leadership.Record().Fenced
+	status.Streak = n.leadership.Record().Streak
 	if n.isLeader() {
 		status.Standby = s.standby
 		status.LogMessages, status.LogFacts = s.publisher.Lag()
@@ -24,6 +26,8 @@
 	}
 	status.LogDropped = s.replica.Dropped()
 	evidence := s.follower.Evidence(n.now)
-	status.SilenceMS, status.Suspected, status.Suspecting = evidence.Silence.Milliseconds(), s.follower.SuspectedAt() > 0, evidence.Suspecting
+	status.SilenceMS = evidence.Silence.Milliseconds()
+	status.Suspected = s.follower.SuspectedAt() > 0
+	status.Suspecting = evidence.Suspecting
 	return status
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -115,7 +115,9 @@
 	if machine.usedKnown {
 		return &machine.used
 	}
-	machine.used, machine.usedKnown, machine.lowestPriority = resourceUse{}, true, noPriority
+	machine.used = resourceUse{}
+	machine.usedKnown = true
+	machine.lowestPriority = noPriority
 	for i := range machine.placements {
 		p := &machine.placements[i]
 		job := s.jobs[p.job]
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -80,7 +80,9 @@
 	for count := len(value.Hosts); count > 1 && !n.valueFits(value); {
 		// Where values are small the rest of the message takes most of one.
 		count /= 2
-		message.Returned, message.Retire, message.Strays = message.Returned[:len(message.Returned)/2], message.Retire[:len(message.Retire)/2], message.Strays[:len(message.Strays)/2]
+		message.Returned = message.Returned[:len(message.Returned)/2]
+		message.Retire = message.Retire[:len(message.Retire)/2]
+		message.Strays = message.Strays[:len(message.Strays)/2]
 		message.Kept, message.Holds = message.Kept[:min(len(message.Kept), mailboxListEntries*count)], message.Holds[:min(len(message.Holds), mailboxListEntries*count)]
 		value = n.withViewChanges(message, base, count)
 	}
--- a/internal/core/overflow.go
+++ b/internal/core/overflow.go
@@ -11,7 +11,8 @@
 	n.leader.recordsFit = true
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
-		if job.Record.Spec == nil || job.Record.OverflowKeys > 0 || job.BaseBytes+replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks) <= n.cfg.MaxValueBytes {
+		if job.Record.Spec == nil || job.Record.OverflowKeys > 0 ||
+			job.BaseBytes+replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks) <= n.cfg.MaxValueBytes {
 			continue
 		}
 		n.leader.recordsFit = false
--- a/internal/core/placement_score.go
+++ b/internal/core/placement_score.go
@@ -65,7 +65,8 @@
 		score += firstDaemonCost
 	}
 	score += errorCost * float64(slot.errors)
-	if slot.machine != nil && len(job.Record.FailedMachines) > 0 && slices.Contains(job.Record.FailedMachines, slot.machine.name) {
+	if slot.machine != nil && len(job.Record.FailedMachines) > 0 &&
+		slices.Contains(job.Record.FailedMachines, slot.machine.name) {
 		score += failedJobCost
 	}
 	return score
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -75,7 +75,10 @@
 	machine.reportedTasks[key] = status.State
 	job := n.jobs[key.job]
 	if r.previousStates[key] != status.State {
-		n.log(LogDebug, "task state changed", "job", job.ID, "class", job.Record.Spec.Class, "task", task, "attempt", status.Attempt, "machine", machine.name, "state", status.State)
+		n.log(LogDebug, "task state changed",
+			"job", job.ID, "class", job.Record.Spec.Class,
+			"task", task, "attempt", status.Attempt,
+			"machine", machine.name, "state", status.State)
 	}
 	if status.State != wire.TaskFetching {
 		machine.images.Add(job.Image)
--- a/internal/core/request_forwarding.go
+++ b/internal/core/request_forwarding.go
@@ -23,7 +23,11 @@
 		p := n.peers[member.Name]
 		if p != nil && p.message.StoreOK && n.now-p.receivedAt < peerAliveTime {
 			request.forwardedToPeer = true
-			n.emit(Forward{RequestID: request.RequestID, To: member.Name, Call: wire.UserCall{Kind: request.Kind, Ref: request.JobID, Body: request.Body}})
+			n.emit(Forward{
+				RequestID: request.RequestID,
+				To:        member.Name,
+				Call:      wire.UserCall{Kind: request.Kind, Ref: request.JobID, Body: request.Body},
+			})
 			return true
 		}
 	}
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -170,10 +170,13 @@
 // defersToOwner reports whether we, as the leader, leave a new job to the owner of its home
 // shard for a moment. A job that the owner does not admit is ours after that.
 func (n *Node) defersToOwner(job *job) bool {
-	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() || !n.replica.WritesTeamAccounts() || n.now-job.ChangedAt >= ownerFirstTime ||
+	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() ||
+		!n.replica.WritesTeamAccounts() ||
+		n.now-job.ChangedAt >= ownerFirstTime ||
 		job.Record.NextAttempt != 1 || len(job.Record.ActiveTasks) > 0 || !job.withinGuarantee {
 		return false
 	}
 	home := n.homeShard(job)
-	return home != nil && !n.owns(home) && n.ownerResponds(home) && n.replica.Ledger().MayAdmit(job.Team, home.Index, job.Demand(1), n.replica.Revision())
+	return home != nil && !n.owns(home) && n.ownerResponds(home) &&
+		n.replica.Ledger().MayAdmit(job.Team, home.Index, job.Demand(1), n.replica.Revision())
 }
--- a/internal/core/scheduler_backfill.go
+++ b/internal/core/scheduler_backfill.go
@@ -15,7 +15,9 @@
 	if job.Priority > 0 || hasGuarantee(p.node.replica.Quota(job.Team)) {
 		return false
 	}
-	return len(job.Record.ActiveTasks) > 0 || job.Record.NextAttempt > 1 || job.waitingSince == 0 || p.node.now-job.waitingSince < backfillWaitTime
+	return len(job.Record.ActiveTasks) > 0 || job.Record.NextAttempt > 1 ||
+		job.waitingSince == 0 ||
+		p.node.now-job.waitingSince < backfillWaitTime
 }
 
 // splitBackfill moves backfill from the queues to queues of its own. It is served after capacity
--- a/internal/core/scheduler_gang.go
+++ b/internal/core/scheduler_gang.go
@@ -124,7 +124,9 @@
 	tasks := len(queued.tasks)
 	for _, shard := range p.node.shards {
 		inShard := func(shardIndex, _ int) bool { return shardIndex == shard.Index }
-		if !p.node.mayActAsOwner(shard) || !p.mayAdmit(queued.job, tasks, shard.Index) || p.available.capacityFor(queued.job, inShard) < tasks {
+		if !p.node.mayActAsOwner(shard) ||
+			!p.mayAdmit(queued.job, tasks, shard.Index) ||
+			p.available.capacityFor(queued.job, inShard) < tasks {
 			continue
 		}
 		chosen, _ := p.pickSlots(queued, func(slot *slot) bool { return slot.shard == shard.Index })
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -166,7 +166,9 @@
 func (r *reservationSearch) addOccupied(mayPreempt, mayDrain bool) {
 	pass, queued := r.pass, r.queued
 	for _, slot := range pass.available.all {
-		if r.excludes(slot) || slot.reserved || r.seen[slot] || slot.machine.lowestPriority == noPriority || !slot.accepts(queued.job) {
+		if r.excludes(slot) || slot.reserved || r.seen[slot] ||
+			slot.machine.lowestPriority == noPriority ||
+			!slot.accepts(queued.job) {
 			continue
 		}
 		pass.node.workCount++
--- a/internal/core/scheduler_grant.go
+++ b/internal/core/scheduler_grant.go
@@ -36,7 +36,9 @@
 	p.charge(job, len(tasks))
 	p.addAccountCondition(job, slots)
 	job.grantedAt = n.now
-	n.log(LogDebug, "tasks granted", "job", job.ID, "attempt", attempt, "tasks", len(tasks), "shard", n.shards[slots[0].shard].Name)
+	n.log(LogDebug, "tasks granted",
+		"job", job.ID, "attempt", attempt,
+		"tasks", len(tasks), "shard", n.shards[slots[0].shard].Name)
 	return true
 }
 
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -112,15 +112,19 @@
 // through the state service only, what it said last has to do.
 func (n *Node) grantableSlot(machine *machine) *slot {
 	view := &machine.view
-	if machine.returned || !view.known || view.reclaimed || view.unhealthy || view.unreachable || machine.draining || view.unconfirmed && n.now-machine.unconfirmedSince > unconfirmedTime {
+	if machine.returned || !view.known || view.reclaimed || view.unhealthy ||
+		view.unreachable || machine.draining ||
+		view.unconfirmed && n.now-machine.unconfirmedSince > unconfirmedTime {
 		return nil
 	}
 	shard := n.shards[machine.shard]
 	if shard.Record == nil {
 		return nil
 	}
-	if owner := n.peers[shard.Record.Owner]; shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.receivedAt > silentOwnerTime) {
-		if owner != nil && n.now-owner.receivedAt > 3*n.cfg.WorkerLease || n.now-shard.ChangedAt > 3*n.cfg.WorkerLease && machine.viewTerm != shard.Term {
+	owner := n.peers[shard.Record.Owner]
+	if shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.receivedAt > silentOwnerTime) {
+		if owner != nil && n.now-owner.receivedAt > 3*n.cfg.WorkerLease ||
+			n.now-shard.ChangedAt > 3*n.cfg.WorkerLease && machine.viewTerm != shard.Term {
 			return nil
 		}
 	} else if view.missedHeartbeats > 1 || machine.viewTerm != shard.Term && n.now-shard.ChangedAt > 4*n.cfg.HeartbeatInterval {
@@ -216,7 +220,8 @@
 
 // withinLimit reports whether a team's limit allows the leader to grant more tasks.
 func (p *schedulingPass) withinLimit(job *job, tasks int) bool {
-	return job.Team >= 0 && p.node.replica.Ledger().MayGrant(job.Team, p.added[job.Team].Plus(job.Demand(tasks)), p.node.replica.Revision())
+	return job.Team >= 0 &&
+		p.node.replica.Ledger().MayGrant(job.Team, p.added[job.Team].Plus(job.Demand(tasks)), p.node.replica.Revision())
 }
 
 // hasQuota reports whether the limit allows tasks that wait, and notes where only the limit keeps
@@ -248,5 +253,9 @@
 			spot++
 		}
 	}
-	n.log(LogDebug, "utilization", "machines", len(p.available.all), "spot", spot, "idle", len(idle), "idle_spot", idleSpot, "partly_free", partlyFree, "expected", len(p.expected.all), "provisioning_requests", len(n.leader.autoscaler.provisions), "unplaced_tasks", p.unplacedTasks)
+	n.log(LogDebug, "utilization",
+		"machines", len(p.available.all), "spot", spot,
+		"idle", len(idle), "idle_spot", idleSpot,
+		"partly_free", partlyFree, "expected", len(p.expected.all),
+		"provisioning_requests", len(n.leader.autoscaler.provisions), "unplaced_tasks", p.unplacedTasks)
 }
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -39,7 +39,9 @@
 // stopped for it take a heartbeat or two to go; until then no more are.
 func (p *schedulingPass) mayPreempt(queued *queuedJob) bool {
 	n := p.node
-	return n.cfg.Preempt && p.preemptions < maxPreemptions && n.now-queued.job.waitingSince >= preemptionDelay && n.now >= queued.job.preemptAt &&
+	return n.cfg.Preempt && p.preemptions < maxPreemptions &&
+		n.now-queued.job.waitingSince >= preemptionDelay &&
+		n.now >= queued.job.preemptAt &&
 		(queued.job.Priority >= preemptingPriority || queued.withinGuarantee)
 }
 
@@ -72,7 +74,9 @@
 	for i := range machine.placements {
 		placement := &machine.placements[i]
 		job := p.node.jobs[placement.job]
-		if job == queued.job || placement.stop != wire.StopNone || job.Record.State != wire.JobLive || job.Record.Spec.Shape == wire.ShapeDaemon {
+		if job == queued.job || placement.stop != wire.StopNone ||
+			job.Record.State != wire.JobLive ||
+			job.Record.Spec.Shape == wire.ShapeDaemon {
 			continue
 		}
 		if !all && (p.writer.records[placement.job] != nil || !p.mayPreemptJob(queued, job)) {
@@ -128,7 +132,9 @@
 			cost += victim.cost
 		}
 		if best == nil || cost < bestCost {
-			best, bestCost, target = victims, cost, slot
+			best = victims
+			bestCost = cost
+			target = slot
 		}
 	}
 	if best == nil || !p.stopVictims(queued, best) {
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -109,7 +109,12 @@
 // queuedTasks lists the tasks of a job that may be granted now; none where the job has to wait
 // for its own earlier tasks.
 func (n *Node) queuedTasks(job *job) *queuedJob {
-	queued := &queuedJob{job: job, withinGuarantee: job.withinGuarantee, latestStartMS: n.latestStart(job), runBudget: len(job.Record.ActiveTasks) + job.Record.TaskCount}
+	queued := &queuedJob{
+		job:             job,
+		withinGuarantee: job.withinGuarantee,
+		latestStartMS:   n.latestStart(job),
+		runBudget:       len(job.Record.ActiveTasks) + job.Record.TaskCount,
+	}
 	if job.Record.Spec.Shape == wire.ShapeGang {
 		queued.tasks = n.waitingTasks(job, job.Record.TaskCount)
 		return queued
@@ -211,10 +216,13 @@
 	for _, queue := range queues {
 		for _, queued := range queue.jobs {
 			job := queued.job
-			if job.Record.Spec.Shape != wire.ShapeGang || job.waitingSince == 0 || p.node.now-job.waitingSince < gangReservationDelay {
+			if job.Record.Spec.Shape != wire.ShapeGang ||
+				job.waitingSince == 0 ||
+				p.node.now-job.waitingSince < gangReservationDelay {
 				continue
 			}
-			if longest == nil || job.waitingSince < longest.job.waitingSince || job.waitingSince == longest.job.waitingSince && job.ID < longest.job.ID {
+			if longest == nil || job.waitingSince < longest.job.waitingSince ||
+				job.waitingSince == longest.job.waitingSince && job.ID < longest.job.ID {
 				longest = queued
 			}
 		}
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -81,7 +81,9 @@
 		return false
 	}
 	for index, machineType := range t.machineTypes {
-		if machineType != nil && machineType.GPUs == 0 && (job.AnyType || job.MachineTypes.Has(index)) && fitsType(job.Record.Spec, machineType) {
+		if machineType != nil && machineType.GPUs == 0 &&
+			(job.AnyType || job.MachineTypes.Has(index)) &&
+			fitsType(job.Record.Spec, machineType) {
 			return false
 		}
 	}
@@ -93,7 +95,9 @@
 func (t *topology) provisionTime(job *job) Time {
 	shortest := 0.0 // in seconds
 	for index, machineType := range t.machineTypes {
-		if machineType != nil && (job.AnyType || job.MachineTypes.Has(index)) && fitsType(job.Record.Spec, machineType) && (shortest == 0 || machineType.BootS < shortest) {
+		if machineType != nil && (job.AnyType || job.MachineTypes.Has(index)) &&
+			fitsType(job.Record.Spec, machineType) &&
+			(shortest == 0 || machineType.BootS < shortest) {
 			shortest = machineType.BootS
 		}
 	}
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -49,7 +49,9 @@
 		key := wire.AccountKey(n.cfg.Teams[team].Name)
 		if p.writer.addWrite(kv.Write{Key: key, Value: account}, kv.Condition{Key: key, Revision: n.replica.Ledger().Revision(team)}) {
 			n.leader.sharesDistributedAt[team], n.leader.sharesReclaimed[team] = n.now, reason == quota.Reclaimed
-			n.log(LogDebug, "quota shares distributed", "team", n.cfg.Teams[team].Name, "reason", int(reason), "shares", len(account.Shares))
+			n.log(LogDebug, "quota shares distributed",
+				"team", n.cfg.Teams[team].Name, "reason", int(reason),
+				"shares", len(account.Shares))
 		}
 		return
 	}
--- a/internal/core/scheduler_stages.go
+++ b/internal/core/scheduler_stages.go
@@ -34,7 +34,8 @@
 			continue
 		}
 		granted := len(dependency.Record.ActiveTasks) > 0 && len(n.waitingTasks(dependency, 1)) == 0
-		if dependency.Record.Spec == nil || !granted || max(dependency.grantedAt, dependency.ReadySince())+n.runTime(dependency.Record.Spec) > at {
+		if dependency.Record.Spec == nil || !granted ||
+			max(dependency.grantedAt, dependency.ReadySince())+n.runTime(dependency.Record.Spec) > at {
 			return false
 		}
 	}
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -50,7 +50,9 @@
 	spec := job.Record.Spec
 	for i := range p.unmetDemands {
 		unmet := &p.unmetDemands[i]
-		if unmet.anyType && (unmet.zone < 0 || unmet.zone == job.Zone) && (unmet.allowSpot || !job.AllowSpot) && (!unmet.avoidsIdle || avoidsIdle) &&
+		if unmet.anyType && (unmet.zone < 0 || unmet.zone == job.Zone) &&
+			(unmet.allowSpot || !job.AllowSpot) &&
+			(!unmet.avoidsIdle || avoidsIdle) &&
 			unmet.cores <= spec.Cores+epsilon && unmet.gpus <= spec.GPUs+epsilon && unmet.memoryGB <= spec.MemoryGB+epsilon {
 			return true
 		}
@@ -244,7 +246,9 @@
 		return false
 	}
 	for _, class := range p.expected.classOrder {
-		if class.spot && float64(class.gpus) >= spec.GPUs && len(*p.expected.open[class]) > 0 && job.Allows(class.machineType, class.zone, true) {
+		if class.spot && float64(class.gpus) >= spec.GPUs &&
+			len(*p.expected.open[class]) > 0 &&
+			job.Allows(class.machineType, class.zone, true) {
 			return true
 		}
 	}
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -70,7 +70,12 @@
 
 // forget drops what is known of a machine; it is learnt anew if it reports again.
 func (m *machine) forget() {
-	m.view, m.reportedTasks, m.startSentAt, m.directStarts, m.failedJobs, m.images = machineView{}, nil, nil, nil, nil, nil
+	m.view = machineView{}
+	m.reportedTasks = nil
+	m.startSentAt = nil
+	m.directStarts = nil
+	m.failedJobs = nil
+	m.images = nil
 	m.term = 0
 }
 
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -46,7 +46,9 @@
 // fitsAfterRelease reports whether there will be capacity for one more task once all tasks
 // that have been told to stop have ended.
 func (s *slot) fitsAfterRelease(spec *wire.JobSpec) bool {
-	return !s.reserved && spec.Cores <= s.cores+s.releasingCores+epsilon && spec.GPUs <= s.gpus+s.releasingGPUs+epsilon && spec.MemoryGB <= s.memoryGB+s.releasingMemoryGB+epsilon
+	return !s.reserved && spec.Cores <= s.cores+s.releasingCores+epsilon &&
+		spec.GPUs <= s.gpus+s.releasingGPUs+epsilon &&
+		spec.MemoryGB <= s.memoryGB+s.releasingMemoryGB+epsilon
 }
 
 // allocate allocates the capacity for one task.
@@ -95,7 +97,9 @@
 	if s.reservedFor > 0 && s.reservedFor != job.Index+1 {
 		return false
 	}
-	if failed := job.Record.FailedMachines; s.machine != nil && len(failed) > 0 && len(failed) <= maxAvoidedMachines && slices.Contains(failed, s.machine.name) {
+	failed := job.Record.FailedMachines
+	avoided := len(failed) > 0 && len(failed) <= maxAvoidedMachines
+	if s.machine != nil && avoided && slices.Contains(failed, s.machine.name) {
 		return false
 	}
 	return job.Allows(s.machineType, s.zone, s.spot)
@@ -196,7 +200,8 @@
 	list, built := s.byImage[key]
 	if !built {
 		for _, slot := range s.all {
-			if !slot.isFull(key.withoutGPU) && (slot.images.Has(key.image) || slot.machine != nil && s.node.usesImage(slot.machine, key.image)) {
+			if !slot.isFull(key.withoutGPU) &&
+				(slot.images.Has(key.image) || slot.machine != nil && s.node.usesImage(slot.machine, key.image)) {
 				list = append(list, slot)
 			}
 		}
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -69,7 +69,9 @@
 		return
 	}
 	query := revisionQuery{status.waiting}
-	status.waiting, status.querying, status.queryAt = nil, true, n.now+n.statusInterval()
+	status.waiting = nil
+	status.querying = true
+	status.queryAt = n.now + n.statusInterval()
 	// Whether the condition holds makes no difference: either answer names the revision.
 	n.transact(ClassUser, []kv.Condition{n.leaderCondition()}, nil, query)
 }
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -73,7 +73,11 @@
 	spec := s.request.spec
 	switch result.Outcome {
 	case kv.OK:
-		n.log(LogDebug, "job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.TaskCount, "image", spec.Image, "image_gb", spec.ImageGB, "expected_s", spec.ExpectedS)
+		n.log(LogDebug, "job accepted",
+			"job", spec.ID, "class", spec.Class,
+			"team", spec.Team, "tasks", spec.TaskCount,
+			"image", spec.Image, "image_gb", spec.ImageGB,
+			"expected_s", spec.ExpectedS)
 		n.answer(s.request, http.StatusCreated, wire.JobStatus{JobID: spec.ID, Status: s.status})
 	case kv.Conflict:
 		n.readJob(s.request)
@@ -99,7 +103,9 @@
 	bare := *record.Spec
 	bare.Dependencies = nil
 	withoutList := *record
-	withoutList.Spec, withoutList.DependencyList, withoutList.DependencyListKeys = &bare, replica.DependencyListName(nil), wire.MaxTasks
+	withoutList.Spec = &bare
+	withoutList.DependencyList = replica.DependencyListName(nil)
+	withoutList.DependencyListKeys = wire.MaxTasks
 	switch {
 	case !n.jobRecordFits(&withoutList):
 		n.rejectSubmission(request, errNamesTooLong)
@@ -132,7 +138,8 @@
 		return errUnknownTeam
 	}
 	if !slices.ContainsFunc(s.offeredTypes, func(machineType wire.MachineType) bool {
-		return typeAllowed(spec, machineType.Name) && fitsType(spec, &machineType) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone))
+		return typeAllowed(spec, machineType.Name) && fitsType(spec, &machineType) &&
+			(spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone))
 	}) {
 		return errNoMachineType
 	}
@@ -163,5 +170,7 @@
 
 // fitsType reports whether a task of a job fits an empty machine of a type.
 func fitsType(spec *wire.JobSpec, machineType *wire.MachineType) bool {
-	return spec.Cores <= machineType.Cores+epsilon && spec.GPUs <= machineType.GPUs+epsilon && spec.MemoryGB <= machineType.MemoryGB+epsilon
+	return spec.Cores <= machineType.Cores+epsilon &&
+		spec.GPUs <= machineType.GPUs+epsilon &&
+		spec.MemoryGB <= machineType.MemoryGB+epsilon
 }
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -63,7 +63,10 @@
 	case wire.CauseNoCapacity:
 		machine.noCapacityUntil = n.now + 2*n.cfg.HeartbeatInterval
 	}
-	n.log(LogDebug, "task exited", "job", job.ID, "task", key.task, "attempt", key.attempt, "machine", machine.name, "cause", status.ExitCause)
+	n.log(LogDebug, "task exited",
+		"job", job.ID, "task", key.task,
+		"attempt", key.attempt, "machine", machine.name,
+		"cause", status.ExitCause)
 }
 
 // noteFailure notes that a task of a job has failed on a machine, and quarantines the
@@ -187,7 +190,9 @@
 // once it has shown that it knows the owner's token.
 func (s *site) awaitsNewEpoch(outcome taskOutcome) bool {
 	machine := s.machineNamed(outcome.machine)
-	return outcome.cause == causeLost && machine.shard >= 0 && s.now-outcome.at < epochDelay && machine.term == s.shards[machine.shard].Term &&
+	return outcome.cause == causeLost && machine.shard >= 0 &&
+		s.now-outcome.at < epochDelay &&
+		machine.term == s.shards[machine.shard].Term &&
 		!machine.tokenConfirmed && s.now-machine.heartbeatAt < epochDelay
 }
 
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -134,7 +134,8 @@
 func (n *Node) statusOf(request *pendingRequest, record *wire.Job) any {
 	// The replica may know that a job which the record depends on has been cancelled:
 	// that is final, also where the record itself doesn't say so yet.
-	if job := n.jobNamed(request.JobID); record.State == wire.JobLive && job != nil && job.Record != nil && job.State() == wire.JobCancelled {
+	job := n.jobNamed(request.JobID)
+	if record.State == wire.JobLive && job != nil && job.Record != nil && job.State() == wire.JobCancelled {
 		return wire.JobStatus{JobID: request.JobID, Status: wire.StatusCancelled}
 	}
 	return replica.JobStatus(request.JobID, record)
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -53,7 +53,9 @@
 	for _, change := range n.views.after(base) {
 		machine := n.machines[change.machine]
 		n.workCount++
-		if machine.viewVersion != change.version || machine.shard < 0 || !n.mayActAsOwner(n.shards[machine.shard]) || !machine.view.known {
+		if machine.viewVersion != change.version || machine.shard < 0 ||
+			!n.mayActAsOwner(n.shards[machine.shard]) ||
+			!machine.view.known {
 			continue
 		}
 		if len(message.Hosts) >= limit {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -23,7 +23,9 @@
 		return
 	}
 	n.setShard(machine, index)
-	machine.machineType, machine.spot, machine.address = n.names.MachineTypes.Of(heartbeat.MachineType), heartbeat.Spot, heartbeat.Addr
+	machine.machineType = n.names.MachineTypes.Of(heartbeat.MachineType)
+	machine.spot = heartbeat.Spot
+	machine.address = heartbeat.Addr
 	if !n.replica.Loaded() || !n.mayActAsOwner(shard) || heartbeat.Token > shard.Term {
 		n.redirect(in.RequestID, shard, machine, machine.isRedirectedCopy(heartbeat))
 		return
@@ -75,7 +77,12 @@
 		machine.newlyBooted = machine.newlyBooted && firstReports
 		return
 	}
-	machine.term, machine.answeredAt, machine.heartbeats, machine.tokenConfirmed, machine.ignoredReplies, machine.unresponsive = shard.Term, 0, 0, false, 0, false
+	machine.term = shard.Term
+	machine.answeredAt = 0
+	machine.heartbeats = 0
+	machine.tokenConfirmed = false
+	machine.ignoredReplies = 0
+	machine.unresponsive = false
 	machine.leaseExpiring = false
 	machine.startSentAt, machine.directStarts = map[taskKey]uint64{}, map[taskKey]directStart{}
 	// The first heartbeat of a machine that no owner has known: the worker can't have any
@@ -92,7 +99,9 @@
 	// Its lease ran out although it was answered a short while ago: the answers don't
 	// reach it. Only heartbeats with the current token show that: those that were delayed
 	// in a network cut arrive together with the next epoch.
-	if machine.tokenConfirmed && machine.heartbeats > 1 && machine.answeredAt > 0 && n.now-machine.answeredAt < n.cfg.WorkerLease*3/4 {
+	if machine.tokenConfirmed && machine.heartbeats > 1 &&
+		machine.answeredAt > 0 &&
+		n.now-machine.answeredAt < n.cfg.WorkerLease*3/4 {
 		machine.ignoredReplies = maxIgnoredReplies
 	}
 	clear(machine.startSentAt)
@@ -113,7 +122,9 @@
 
 // noteHeartbeat notes when and what a machine has reported.
 func (n *Node) noteHeartbeat(machine *machine, heartbeat *wire.WorkerHeartbeat) {
-	machine.epoch, machine.sequence, machine.heartbeatAt = heartbeat.Epoch, heartbeat.Sequence, n.now
+	machine.epoch = heartbeat.Epoch
+	machine.sequence = heartbeat.Sequence
+	machine.heartbeatAt = n.now
 	machine.bouncedAt, machine.redirectedAt = 0, 0
 	machine.heartbeats++
 	machine.reclaimAt = 0
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -59,7 +59,8 @@
 // isRedirectedCopy reports whether a heartbeat that came to another controller than the
 // owner is a copy of what came before.
 func (m *machine) isRedirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
-	if m.misdirectedEpoch > heartbeat.Epoch || m.misdirectedEpoch == heartbeat.Epoch && m.misdirectedSequence >= heartbeat.Sequence {
+	if m.misdirectedEpoch > heartbeat.Epoch ||
+		m.misdirectedEpoch == heartbeat.Epoch && m.misdirectedSequence >= heartbeat.Sequence {
 		return true
 	}
 	m.misdirectedEpoch, m.misdirectedSequence = heartbeat.Epoch, heartbeat.Sequence
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -93,7 +93,13 @@
 
 // delayReply answers a heartbeat after a delay at the latest.
 func (n *Node) delayReply(in WorkerReported, shard *shard, machine *machine, delay Time) {
-	n.replies.waiting = append(n.replies.waiting, delayedReply{WorkerReported: in, shard: shard, machine: machine, term: shard.Term, until: n.now + delay})
+	n.replies.waiting = append(n.replies.waiting, delayedReply{
+		WorkerReported: in,
+		shard:          shard,
+		machine:        machine,
+		term:           shard.Term,
+		until:          n.now + delay,
+	})
 	machine.delayedReplies++
 }
 
@@ -110,7 +116,9 @@
 // sendDelayedReply answers a heartbeat unless it has to wait on, and reports whether it did.
 func (n *Node) sendDelayedReply(reply delayedReply) bool {
 	shard, machine := reply.shard, reply.machine
-	if shard.Term != reply.term || !n.mayActAsOwner(shard) || machine.epoch != reply.Heartbeat.Epoch || machine.sequence != reply.Heartbeat.Sequence {
+	if shard.Term != reply.term || !n.mayActAsOwner(shard) ||
+		machine.epoch != reply.Heartbeat.Epoch ||
+		machine.sequence != reply.Heartbeat.Sequence {
 		machine.delayedReplies--
 		n.redirect(reply.RequestID, shard, machine, false)
 		return true
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -123,7 +123,9 @@
 	weight := min(1, elapsed/averageSeconds)
 	b.writesPerS += (b.seenWrites/elapsed - b.writesPerS) * weight
 	b.userWritesPerS += (float64(b.seenUserWrites)/elapsed - b.userWritesPerS) * weight
-	b.seenWrites, b.seenUserWrites, b.measuredAt = 0, 0, now
+	b.seenWrites = 0
+	b.seenUserWrites = 0
+	b.measuredAt = now
 }
 
 // writeRPS is how many writes a second the service allows, as far as is known.
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -56,7 +56,9 @@
 	}
 	for _, name := range f.config.Members {
 		opinion, known := f.opinions[name]
-		if !known || name == f.config.Self || name == f.claim.Controller || now-opinion.receivedAt > opinionLifetime || opinion.Term != f.claim.Term {
+		if !known || name == f.config.Self || name == f.claim.Controller ||
+			now-opinion.receivedAt > opinionLifetime ||
+			opinion.Term != f.claim.Term {
 			continue
 		}
 		if opinion.Suspected {
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -68,7 +68,9 @@
 // Resumed voids all proofs after a pause of the process, in which the leader may have been
 // replaced.
 func (f *Fence) Resumed(now time.Duration) {
-	f.proven, f.pending, f.nextAt = false, nil, now
+	f.proven = false
+	f.pending = nil
+	f.nextAt = now
 }
 
 // Due reports whether a proof is due, and if so schedules the next one.
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -49,7 +49,9 @@
 	if p.standby == standby && p.term == term {
 		return
 	}
-	p.standby, p.term, p.inFlight = standby, term, false
+	p.standby = standby
+	p.term = term
+	p.inFlight = false
 	p.restart()
 }
 
@@ -105,7 +107,10 @@
 		From: self, Life: incarnation, Term: p.term, Sequence: p.sequence, Reset: p.reset,
 		NowMS: now.Milliseconds(), Facts: raw, Checksum: crc32.ChecksumIEEE(raw),
 	}
-	p.reset, p.inFlight, p.sentAt, p.refused = false, true, now, false
+	p.reset = false
+	p.inFlight = true
+	p.sentAt = now
+	p.refused = false
 	return p.standby, message
 }
 
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -43,7 +43,9 @@
 		return r.refuse(ack)
 	}
 	if message.Reset {
-		r.controller, r.incarnation, r.term = message.From, message.Life, message.Term
+		r.controller = message.From
+		r.incarnation = message.Life
+		r.term = message.Term
 		r.offset = now - time.Duration(message.NowMS)*time.Millisecond
 		clear(r.facts)
 	}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -142,7 +142,11 @@
 	var announced []wire.GangHold
 	for _, a := range s.Sorted() {
 		if a.Record.State != wire.GangDropped {
-			announced = append(announced, wire.GangHold{Ref: a.JobID, Attempt: a.Record.Attempt, OK: a.Record.State == wire.GangConfirmed})
+			announced = append(announced, wire.GangHold{
+				Ref:     a.JobID,
+				Attempt: a.Record.Attempt,
+				OK:      a.Record.State == wire.GangConfirmed,
+			})
 		}
 	}
 	return announced
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -227,7 +227,9 @@
 	if l.isolatedSince == 0 {
 		l.isolatedSince = now
 	}
-	if now < l.nextResignAt || now-l.since < minTermBeforeResigning || now-l.isolatedSince < l.cfg.HeartbeatInterval+isolationNotice || !successor() {
+	if now < l.nextResignAt || now-l.since < minTermBeforeResigning ||
+		now-l.isolatedSince < l.cfg.HeartbeatInterval+isolationNotice ||
+		!successor() {
 		return false
 	}
 	l.nextResignAt = now + resignInterval
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -77,7 +77,10 @@
 		return Stale
 	}
 	before, owned := s.Record, t.Owns(s)
-	s.Record, s.Term, s.ClaimableSince, s.ChangedAt = record, revision, now, now
+	s.Record = record
+	s.Term = revision
+	s.ClaimableSince = now
+	s.ChangedAt = now
 	if before != nil && record != nil && before.Owner != record.Owner {
 		// Taken over while its owner lived, which may act until its validity has run out,
 		// whoever claims the shard next, and when. An owner that took a shard, ended and
@@ -108,7 +111,9 @@
 
 // Resumed voids all proofs after a stall of the process, as much may have changed.
 func (t *Table) Resumed(now Time) {
-	t.resumedAt, t.pending, t.checkAt = now, nil, 0
+	t.resumedAt = now
+	t.pending = nil
+	t.checkAt = 0
 	for _, s := range t.shards {
 		s.proven = false
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -38,7 +38,9 @@
 	if revision <= account.revision {
 		return nil
 	}
-	account.record, account.revision, account.err = record, revision, nil
+	account.record = record
+	account.revision = revision
+	account.err = nil
 	if record != nil {
 		account.err = Validate(record, l.shards)
 	}
--- a/internal/quotactl/accounts.go
+++ b/internal/quotactl/accounts.go
@@ -77,7 +77,9 @@
 			record = storedRecord
 		}
 	}
-	account.record, account.Version, account.Shares = record, record.Version, record.Shares
+	account.record = record
+	account.Version = record.Version
+	account.Shares = record.Shares
 	account.Limit, account.Guarantee = record.Limit, record.Guarantee
 	return account
 }
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -33,7 +33,9 @@
 	if record != nil && record.State != wire.JobLive && len(record.ActiveTasks) == 0 && len(record.DoneTasks) == 0 {
 		record = r.sharedFinishedRecord(record)
 	}
-	job.Record, job.Revision, job.ChangedAt = record, revision, r.now
+	job.Record = record
+	job.Revision = revision
+	job.ChangedAt = r.now
 	if record == nil {
 		r.setLive(job, false)
 		return
--- a/internal/replica/record.go
+++ b/internal/replica/record.go
@@ -24,7 +24,9 @@
 	if record.State == wire.JobLive || len(record.ActiveTasks) > 0 || record.OverflowKeys > 0 {
 		return
 	}
-	record.Spec, record.FailedMachines, record.ConsecutiveErrors = nil, nil, 0
+	record.Spec = nil
+	record.FailedMachines = nil
+	record.ConsecutiveErrors = 0
 	if record.State == wire.JobDone {
 		record.DoneTasks = nil
 	}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -54,7 +54,10 @@
 	sim := c.sim
 	c.running, c.startedAt = true, sim.now
 	c.incarnation++
-	c.frozenUntil, c.freezeBeforeEffects, c.heldEffects, c.queuedInputs = 0, false, nil, nil
+	c.frozenUntil = 0
+	c.freezeBeforeEffects = false
+	c.heldEffects = nil
+	c.queuedInputs = nil
 	c.pendingReplies = map[uint64]func(core.Reply){}
 	if sim.startController != nil {
 		sim.store.watchPositions[c.label] = watchNotStarted // it watches over its protocol
--- a/internal/simulation/controller_faults.go
+++ b/internal/simulation/controller_faults.go
@@ -51,7 +51,9 @@
 // the inputs that arrived meanwhile.
 func (c *controller) thaw(d time.Duration) {
 	effects, inputs := c.heldEffects, c.queuedInputs
-	c.heldEffects, c.queuedInputs, c.freezeBeforeEffects = nil, nil, false
+	c.heldEffects = nil
+	c.queuedInputs = nil
+	c.freezeBeforeEffects = false
 	for _, effect := range effects {
 		if call, is := effect.(core.CallCloud); is && (call.Provision != nil || call.Deprovision != nil) && d > call.ValidFor {
 			c.step(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}) // as the cloud client does
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -6,7 +6,9 @@
 func (t *simTask) startGangIfComplete() {
 	var waiting []*simTask
 	for _, other := range t.user.tasks {
-		if other.attempt == t.attempt && other.state == wire.TaskWaitingForGang && !other.worker.terminated && !other.worker.hung {
+		if other.attempt == t.attempt &&
+			other.state == wire.TaskWaitingForGang &&
+			!other.worker.terminated && !other.worker.hung {
 			waiting = append(waiting, other)
 		}
 	}
@@ -48,7 +50,8 @@
 func (t *simTask) countGang() int {
 	count := 0
 	t.user.eachActiveTask(func(worker *simWorker, other *simTask) {
-		if other.attempt == t.attempt && !worker.hung && (other.state == wire.TaskRunning || other.state == wire.TaskCheckpointing) {
+		if other.attempt == t.attempt && !worker.hung &&
+			(other.state == wire.TaskRunning || other.state == wire.TaskCheckpointing) {
 			count++
 		}
 	})
--- a/internal/simulation/irregular_requests.go
+++ b/internal/simulation/irregular_requests.go
@@ -62,7 +62,9 @@
 	case 0:
 		user.spec.Cores = 1000 // fits no machine
 	case 1:
-		user.spec.Team, user.spec.Shape, user.spec.TaskCount = "red", wire.ShapeGang, 9 // exceeds the team's limit
+		user.spec.Team = "red"
+		user.spec.Shape = wire.ShapeGang
+		user.spec.TaskCount = 9 // exceeds the team's limit
 	case 2:
 		user.spec.Team = "nobody"
 	default:
--- a/internal/simulation/leadership.go
+++ b/internal/simulation/leadership.go
@@ -63,8 +63,11 @@
 // begins to lead with it; one that leads already may claim anew to be fenced.
 func (w *leadershipWatch) recordClaim(claim *wire.Leader) bool {
 	sim, holder := w.sim, w.sim.store.leader()
-	if holder != nil && *holder == (wire.Leader{Controller: claim.Controller, Incarnation: claim.Incarnation, Streak: holder.Streak}) {
-		return false
+	if holder != nil {
+		same := wire.Leader{Controller: claim.Controller, Incarnation: claim.Incarnation, Streak: holder.Streak}
+		if *holder == same {
+			return false
+		}
 	}
 	early := holder != nil && holder.Controller != claim.Controller
 	if early && (!holder.Fenced || claim.Streak == 0) {
--- a/internal/simulation/loopback_process.go
+++ b/internal/simulation/loopback_process.go
@@ -109,9 +109,17 @@
 	d := &s.Deployment
 	d.Zones = sim.Zones
 	for _, t := range sim.Teams {
-		d.Teams = append(d.Teams, config.Team{Name: t.Name, GuaranteedCores: t.GuaranteedCores, MaxCores: t.MaxCores, GuaranteedGPUs: t.GuaranteedGPUs, MaxGPUs: t.MaxGPUs})
+		d.Teams = append(d.Teams, config.Team{
+			Name:            t.Name,
+			GuaranteedCores: t.GuaranteedCores,
+			MaxCores:        t.MaxCores,
+			GuaranteedGPUs:  t.GuaranteedGPUs,
+			MaxGPUs:         t.MaxGPUs,
+		})
 	}
-	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = sim.HeartbeatInterval.Seconds(), sim.WorkerLease.Seconds(), sim.CancelDeadline.Seconds()
+	d.Workers.ReportS = sim.HeartbeatInterval.Seconds()
+	d.Workers.LeaseS = sim.WorkerLease.Seconds()
+	d.Workers.CancelS = sim.CancelDeadline.Seconds()
 	d.Workers.GangWaitS, d.Workers.GangPeerS = sim.GangWait.Seconds(), sim.GangPeerTimeout.Seconds()
 	d.State.RPS, d.State.WriteRPS = stateRPS, sim.WriteRPS
 	d.State.ValueKB, d.State.TxnOps = float64(sim.MaxValueBytes)/1024, sim.MaxTransactionOps
--- a/internal/simulation/loopback_state.go
+++ b/internal/simulation/loopback_state.go
@@ -197,7 +197,11 @@
 		if change.raw == nil {
 			events = append(events, map[string]any{"drop": change.key, "key_rev": change.revision})
 		} else {
-			events = append(events, map[string]any{"put": change.key, "v": msgpack.RawMessage(change.raw), "key_rev": change.revision})
+			events = append(events, map[string]any{
+				"put":     change.key,
+				"v":       msgpack.RawMessage(change.raw),
+				"key_rev": change.revision,
+			})
 		}
 	}
 	return events, max(from, s.revision)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -42,7 +42,9 @@
 
 // setLossy makes the network lose and delay shares of the requests for d.
 func (n *network) setLossy(lossShare, lateShare float64, d time.Duration) {
-	n.lossShare, n.lateShare, n.lossyUntil = lossShare, lateShare, n.sim.now+d
+	n.lossShare = lossShare
+	n.lateShare = lateShare
+	n.lossyUntil = n.sim.now + d
 }
 
 // loses draws whether a message is lost.
--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -158,7 +158,11 @@
 	if job.Spec == nil || a.teams[job.Spec.Team] == nil {
 		return jobCharge{}, false
 	}
-	charge = jobCharge{team: job.Spec.Team, perTask: wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs}, admitted: map[int]int{}}
+	charge = jobCharge{
+		team:     job.Spec.Team,
+		perTask:  wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs},
+		admitted: map[int]int{},
+	}
 	charge.add(job.ActiveTasks)
 	for i := 1; i <= job.OverflowKeys; i++ {
 		key := wire.OverflowKey(jobID, i)
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -111,7 +111,9 @@
 	now, machineType := f.sim.now, &f.sim.cloud.machineType
 	all := []*freeCapacity{}
 	for _, worker := range f.running() {
-		if worker.hung || worker.failsTasks || worker.reclaimAt > 0 || now < worker.inboundCutUntil || now < worker.outboundCutUntil {
+		if worker.hung || worker.failsTasks || worker.reclaimAt > 0 ||
+			now < worker.inboundCutUntil ||
+			now < worker.outboundCutUntil {
 			continue
 		}
 		free := &freeCapacity{worker, machineType.Cores, machineType.GPUs, machineType.MemoryGB}
--- a/internal/simulation/script_commands.go
+++ b/internal/simulation/script_commands.go
@@ -65,7 +65,9 @@
 	}),
 	// limits: the state service's next limits hold from now on.
 	"limits": infallible(func(sim *Simulation, _ arguments) {
-		sim.WriteRPS, sim.MaxTransactionOps, sim.MaxValueBytes = sim.NextWriteRPS, sim.NextMaxTransactionOps, sim.NextMaxValueBytes
+		sim.WriteRPS = sim.NextWriteRPS
+		sim.MaxTransactionOps = sim.NextMaxTransactionOps
+		sim.MaxValueBytes = sim.NextMaxValueBytes
 	}),
 	// late-writes SHARE SECONDS: transactions are carried out late and not answered.
 	"late-writes": timedShare(func(sim *Simulation) *timedValue { return &sim.store.lateWrites },
--- a/internal/simulation/service_calls.go
+++ b/internal/simulation/service_calls.go
@@ -64,7 +64,13 @@
 		run: func() core.Input {
 			refused := sim.meter.refusedCommits
 			outcome, revision, failed := sim.store.commit(c, x.Conditions, writes)
-			return core.Committed{ID: x.ID, Outcome: outcome, Revision: revision, Failed: failed, Limited: sim.meter.refusedCommits > refused}
+			return core.Committed{
+				ID:       x.ID,
+				Outcome:  outcome,
+				Revision: revision,
+				Failed:   failed,
+				Limited:  sim.meter.refusedCommits > refused,
+			}
 		},
 		lost: core.Committed{ID: x.ID, Outcome: kv.Unknown},
 	})
@@ -78,7 +84,9 @@
 		run: func() core.Input {
 			answer := core.JobRead{ID: x.ID, Outcome: kv.NotFound}
 			if record := c.sim.store.records[wire.JobKey(x.JobID)]; record != nil {
-				answer.Outcome, answer.Revision, answer.Job = kv.OK, record.revision, new(wire.Job)
+				answer.Outcome = kv.OK
+				answer.Revision = record.revision
+				answer.Job = new(wire.Job)
 				must(wire.Decode(record.raw, answer.Job))
 			}
 			return answer
--- a/internal/simulation/state_watch.go
+++ b/internal/simulation/state_watch.go
@@ -36,7 +36,11 @@
 		snapshot := core.RecordsChanged{Reset: true, Revision: s.revision}
 		for _, key := range sortedKeys(s.records) {
 			record := s.records[key]
-			snapshot.Events = append(snapshot.Events, kv.Event{Key: key, Revision: record.revision, Value: mustDecodeRecord(key, record.raw)})
+			snapshot.Events = append(snapshot.Events, kv.Event{
+				Key:      key,
+				Revision: record.revision,
+				Value:    mustDecodeRecord(key, record.raw),
+			})
 		}
 		s.watchPositions[ctrl.label] = len(s.changes)
 		ctrl.step(snapshot)
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -43,7 +43,9 @@
 	"shape": func(s *submission, text string) {
 		s.spec.Shape = text
 		if text == wire.ShapeDaemon {
-			s.spec.ExpectedS, s.spec.CheckpointIntervalS, s.spec.CheckpointTimeS = 0, 0, 0
+			s.spec.ExpectedS = 0
+			s.spec.CheckpointIntervalS = 0
+			s.spec.CheckpointTimeS = 0
 		}
 	},
 	"team":    func(s *submission, text string) { s.spec.Team = text },
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -77,7 +77,9 @@
 	sim.after(time.Duration(sim.rng.IntN(5000))*time.Microsecond, func() {
 		u.requestAt(sim.randomController(), wire.RequestSubmit, u.submissionBody())
 	})
-	if u.lastStatus != wire.StatusDone && !u.cancelRequested && strings.HasPrefix(u.spec.ID, generatedIDPrefix) && sim.rng.IntN(6) == 0 {
+	if u.lastStatus != wire.StatusDone && !u.cancelRequested &&
+		strings.HasPrefix(u.spec.ID, generatedIDPrefix) &&
+		sim.rng.IntN(6) == 0 {
 		sim.after(time.Duration(sim.rng.IntN(8000))*time.Microsecond, func() { sim.users.cancel(u.spec.ID) })
 	}
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -44,7 +44,14 @@
 // submit makes a user submit a job, repeatedly until it is accepted, and ask for its status
 // from then on.
 func (u *userSet) submit(job *submission) {
-	user := &simUser{sim: u.sim, spec: job.spec, runtime: job.runtime, alwaysFails: job.alwaysFails, pinnedTo: job.pinnedTo, submittedAt: u.sim.now}
+	user := &simUser{
+		sim:         u.sim,
+		spec:        job.spec,
+		runtime:     job.runtime,
+		alwaysFails: job.alwaysFails,
+		pinnedTo:    job.pinnedTo,
+		submittedAt: u.sim.now,
+	}
 	u.byJob[job.spec.ID] = user
 	u.ordered = append(u.ordered, user)
 	user.submit()
--- a/internal/simulation/worker_heartbeat.go
+++ b/internal/simulation/worker_heartbeat.go
@@ -45,7 +45,9 @@
 // sendHeartbeat sends a heartbeat to the worker's controller.
 func (w *simWorker) sendHeartbeat() {
 	sim := w.sim
-	w.awaitingReply, w.heartbeatDue, w.lastHeartbeatAt = true, false, sim.now
+	w.awaitingReply = true
+	w.heartbeatDue = false
+	w.lastHeartbeatAt = sim.now
 	sim.meter.heartbeats++
 	w.heartbeatID++
 	pending := &pendingHeartbeat{
--- a/internal/simulation/worker_task.go
+++ b/internal/simulation/worker_task.go
@@ -32,7 +32,13 @@
 
 // status returns the task as a heartbeat shows it.
 func (t *simTask) status() wire.TaskStatus {
-	return wire.TaskStatus{Task: t.name(), Attempt: t.attempt, State: t.state, ExitCause: t.exitCause, CheckpointSaved: t.checkpointSaved}
+	return wire.TaskStatus{
+		Task:            t.name(),
+		Attempt:         t.attempt,
+		State:           t.state,
+		ExitCause:       t.exitCause,
+		CheckpointSaved: t.checkpointSaved,
+	}
 }
 
 // startTask accepts a task, fetches its image and runs it, or rejects it.
--- a/internal/wire/active_task.go
+++ b/internal/wire/active_task.go
@@ -50,7 +50,8 @@
 
 // continues reports whether the task belongs to the run that ends with previous.
 func (a *ActiveTask) continues(previous *ActiveTask) bool {
-	return a.Task == previous.Task+1 && a.Attempt == previous.Attempt && a.Machine == previous.Machine && a.group() == previous.group()
+	return a.Task == previous.Task+1 && a.Attempt == previous.Attempt &&
+		a.Machine == previous.Machine && a.group() == previous.group()
 }
 
 // Run returns the bounds, to exclusive, of the run that the task at an index belongs to.
