--- a/internal/core/scheduler_backfill.go
+++ b/internal/core/scheduler_backfill.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Backfill is work of low urgency of teams without a guarantee. It runs on capacity that is paid
-// for and unused anyway.
-
-// backfillWaitTime is how long backfill waits before it may have on-demand machines.
+// backfillWaitTime is how long backfill waits before idle on-demand machines are used or
+// provisioned for it.
 const backfillWaitTime = 60 * second
 
-// isBackfill reports whether a job is backfill. On-demand machines are neither provisioned for it
-// nor granted to it while idle, unless it has waited for long with nothing started.
+// isBackfill reports whether a job is backfill: a job of the lowest priority, of a team without a
+// guarantee, which runs on capacity that is paid for but unused. On-demand machines are neither
+// provisioned for backfill nor granted to it while idle. A job of which no task has been granted
+// is no longer backfill after backfillWaitTime.
 func (p *schedulingPass) isBackfill(queued *queuedJob) bool {
 	job := queued.job
 	if job.Priority > 0 || hasGuarantee(p.node.replica.Quota(job.Team)) {
@@ -20,8 +20,8 @@
 		p.node.now-job.waitingSince < backfillWaitTime
 }
 
-// splitBackfill moves backfill from the queues to queues of its own. It is served after capacity
-// has been reserved for what others will need at once.
+// splitBackfill moves the backfill jobs from the queues to queues of their own, which are served
+// after capacity has been reserved for jobs that will need it soon.
 func (p *schedulingPass) splitBackfill(queues []*teamQueue) (rest, backfill []*teamQueue) {
 	for _, queue := range queues {
 		if !slices.ContainsFunc(queue.jobs, p.isBackfill) {
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -7,7 +7,7 @@
 	"micaport/internal/wire"
 )
 
-// usage is what a team's tasks use.
+// usage is the number of cores and GPUs that a team's tasks use.
 type usage struct{ cores, gpus float64 }
 
 func (u *usage) add(spec *wire.JobSpec, tasks float64) {
@@ -15,76 +15,77 @@
 	u.gpus += spec.GPUs * tasks
 }
 
-// schedulingPass is the state of one scheduling pass: of the leader over the whole site, or of
-// an owner that admits work in its own shards.
+// schedulingPass is the state of one scheduling pass. The leader runs a pass over the whole site;
+// an owner runs one to admit work in its own shards.
 type schedulingPass struct {
 	node               *Node
 	writer             *writer
-	admission          *admission     // of an owner's pass; nil: the pass grants as the leader
-	available          *slotSet       // machines that are up
-	expected           *slotSet       // machines booting, requested or to be provisioned
-	used               []usage        // by team, with what the pass adds
-	added              []quota.Amount // by team, what the pass adds
-	atLimit            []bool         // by team: only the limit keeps something waiting
-	provisions         map[machinePool]int
-	poolSizes          map[machinePool]int // machines of each pool: up, expected or planned
-	longestWaitingGang *queuedJob          // whose reservation comes before all others
-	reservations       []wire.Reservation  // for it
-	unmetDemands       []unmetDemand       // demands that found no free slot in this pass
-	hasBackfill        bool                // backfill waits
-	unwrittenGrants    int                 // grants that found no write left, at most maxUnwrittenGrants
-	preemptions        int
-	unplacedTasks      int // tasks for which there was no capacity
+	admission          *admission          // set in an owner's pass; nil in the leader's
+	available          *slotSet            // machines that are up
+	expected           *slotSet            // machines that are booting, requested or planned to be provisioned
+	used               []usage             // by team, including what this pass has charged
+	added              []quota.Amount      // by team, charged by this pass
+	atLimit            []bool              // by team: a job waits only because of the limit
+	provisions         map[machinePool]int // machines that this pass plans to provision
+	poolSizes          map[machinePool]int // machines that are up, expected or planned
+	longestWaitingGang *queuedJob          // served before all queues; nil: none
+	reservations       []wire.Reservation  // machines reserved for longestWaitingGang
+	unmetDemands       []unmetDemand       // demands for which no slot was free in this pass
+	hasBackfill        bool                // a backfill job waits
+	unwrittenGrants    int                 // grants for which no write was left, at most maxUnwrittenGrants
+	preemptions        int                 // how often this pass has stopped tasks for a job
+	unplacedTasks      int                 // tasks for which no capacity was free
 }
 
 const (
-	// backfillGrantsPerRecord is how many grants of backfill without a write left count as one
-	// pending record when the writes are shared among the controllers.
+	// backfillGrantsPerRecord is the number of unwritten backfill grants that count as one
+	// pending record when the writes are divided among the controllers.
 	backfillGrantsPerRecord = 3
-	// maxUnwrittenGrants bounds how many grants without a write left count.
+	// maxUnwrittenGrants bounds the number of unwritten grants that count.
 	maxUnwrittenGrants = 50
-	// grantHintTime is how long the leader remembers the machine that a grant had in mind though
-	// the replica does not show the grant: a commit may take a while.
+	// grantHintTime is how long the leader keeps the hint of a grant that its replica does not
+	// show: a commit may take a while.
 	grantHintTime = 20 * second
-	// unconfirmedTime is how long a machine that has not yet confirmed its owner's term may be
-	// planned with. A new one confirms it with its second heartbeat; one that a late message
-	// tells of never does.
+	// unconfirmedTime bounds how long tasks are planned on a machine that has not confirmed its
+	// owner's term. A new machine confirms it with its second heartbeat. A machine that is only
+	// known from a delayed message never confirms it.
 	unconfirmedTime = 3 * second
-	// silentOwnerTime is after which time an owner that is not heard counts as reached through
-	// the state service only.
+	// silentOwnerTime is the time without messages from an owner after which it is considered
+	// reachable through the state service only.
 	silentOwnerTime = 5 * second
 )
 
-// runSchedulingPass grants waiting tasks to shards, in the order of the queues, and decides what
-// to provision, preempt and deprovision. It returns how many records were left for want of
-// writes.
+// runSchedulingPass grants waiting tasks to shards in queue order, and decides which machines to
+// provision and deprovision and which tasks to preempt. It returns the number of pending records:
+// the grants for which no write was left, with backfill counted at a lower weight.
 func (n *Node) runSchedulingPass(writer *writer) int {
 	pass := n.newSchedulingPass(writer)
 
-	// What there is, and what is in use already.
+	// Collect the capacity, and charge what is in use already.
 	pass.addMachines()
 	pass.chargeTeams()
 	pass.chargeGrants()
 	pass.addExpectedMachines()
 	idle := pass.idleSlots()
 
-	// Waiting work; backfill comes after capacity has been reserved for what will come.
+	// Serve the waiting jobs. Backfill follows once capacity has been reserved for jobs that are
+	// expected to arrive.
 	queues, backfill := pass.splitBackfill(n.queues())
-	left := pass.serveQueues(queues)
+	pendingRecords := pass.serveQueues(queues)
 	pass.announceReservations()
 	pass.planNextStages()
 	pass.reserveForArrivals()
-	// Backfill must not claim the writes that others need.
-	left += (pass.serveQueues(backfill) - left) / backfillGrantsPerRecord
+	// Backfill counts less, so that it does not claim writes that more urgent records need.
+	pendingRecords += (pass.serveQueues(backfill) - pendingRecords) / backfillGrantsPerRecord
 
 	pass.distributeShares()
 	pass.logUtilization(idle)
 	pass.requestMachines()
 	n.scaleIn(pass, idle)
-	return left
+	return pendingRecords
 }
 
-// newSchedulingPass makes a pass that knows of no machines and no use.
+// newSchedulingPass returns a pass without machines and usage.
 func (n *Node) newSchedulingPass(writer *writer) *schedulingPass {
 	teams := n.names.Teams.Len()
 	return &schedulingPass{
@@ -94,7 +95,7 @@
 	}
 }
 
-// addMachines adds the machines that tasks may be granted to.
+// addMachines adds the machines to which tasks may be granted.
 func (p *schedulingPass) addMachines() {
 	for _, shard := range p.node.shards {
 		for _, machine := range shard.machines {
@@ -107,9 +108,11 @@
 	}
 }
 
-// grantableSlot returns the free capacity of a machine that tasks may be granted to, or nil. What
-// its owner says of it counts as long as the owner can be heard; when the owner can be reached
-// through the state service only, what it said last has to do.
+// grantableSlot returns the free capacity of a machine to which tasks may be granted, or nil.
+// While messages from the machine's owner arrive, the machine is excluded if it misses heartbeats
+// or if its view is from an earlier term. An owner whose messages don't arrive may still be
+// reachable through the state service: then its last view is used, for three worker leases at
+// most.
 func (n *Node) grantableSlot(machine *machine) *slot {
 	view := &machine.view
 	if machine.returned || !view.known || view.reclaimed || view.unhealthy ||
@@ -136,21 +139,21 @@
 	return n.slotOf(machine)
 }
 
-// chargeTeams charges every team what its active tasks use, whatever their jobs' state.
+// chargeTeams charges each team for its active tasks, whatever the state of their jobs.
 func (p *schedulingPass) chargeTeams() {
 	for team := range p.used {
 		p.used[team].cores, p.used[team].gpus = p.node.replica.Ledger().Used(team).Decimal()
 	}
 }
 
-// charge counts tasks of a job against its team for the rest of the pass.
+// charge charges tasks of a job to its team for the rest of the pass.
 func (p *schedulingPass) charge(job *job, tasks int) {
 	p.used[job.Team].add(job.Record.Spec, float64(tasks))
 	p.added[job.Team] = p.added[job.Team].Plus(job.Demand(tasks))
 }
 
 // chargeGrants allocates capacity for grants that their owners have not placed yet: on the
-// machine that the grant had in mind, or on the best of the shard.
+// machine named by the grant's hint, or otherwise on the best machine of the shard.
 func (p *schedulingPass) chargeGrants() {
 	n := p.node
 	var slots map[*machine]*slot
@@ -177,7 +180,7 @@
 	}
 }
 
-// byMachine indexes the slots of a set by their machines.
+// byMachine returns the slots of the set by machine.
 func (s *slotSet) byMachine() map[*machine]*slot {
 	slots := make(map[*machine]*slot, len(s.all))
 	for _, slot := range s.all {
@@ -186,8 +189,9 @@
 	return slots
 }
 
-// forgetHints drops the machines that placed grants had in mind, so that the memory is bounded by
-// the grants that wait rather than by a number.
+// forgetHints deletes the hints of grants that don't wait for their placement, once grantHintTime
+// has passed since the last grant to the job. The number of hints is thereby bounded by the
+// waiting grants, without a fixed limit.
 func (n *Node) forgetHints() {
 	for key := range n.leader.grantHints {
 		if job := n.jobs[key.job]; !job.awaitsPlacement(key) && n.now-job.grantedAt > grantHintTime {
@@ -196,7 +200,8 @@
 	}
 }
 
-// idleSlots returns the machines that are up and without any task.
+// idleSlots returns the slots of machines that are up, have no tasks and have no capacity
+// allocated for grants.
 func (p *schedulingPass) idleSlots() map[*slot]bool {
 	idle := map[*slot]bool{}
 	for _, slot := range p.available.all {
@@ -207,8 +212,8 @@
 	return idle
 }
 
-// announceReservations tells the owners which machines are reserved for the longest waiting gang,
-// if these have changed.
+// announceReservations sends the owners the list of machines reserved for the longest waiting
+// gang if it has changed.
 func (p *schedulingPass) announceReservations() {
 	n := p.node
 	if slices.Equal(p.reservations, n.leader.reservations) {
@@ -218,14 +223,15 @@
 	n.sendGossip(true)
 }
 
-// withinLimit reports whether a team's limit allows the leader to grant more tasks.
+// withinLimit reports whether the limit of a job's team allows the leader to grant more of its
+// tasks.
 func (p *schedulingPass) withinLimit(job *job, tasks int) bool {
 	return job.Team >= 0 &&
 		p.node.replica.Ledger().MayGrant(job.Team, p.added[job.Team].Plus(job.Demand(tasks)), p.node.replica.Revision())
 }
 
-// hasQuota reports whether the limit allows tasks that wait, and notes where only the limit keeps
-// them waiting.
+// hasQuota reports whether the limit of a job's team allows waiting tasks, and marks the team in
+// atLimit if they wait only because of the limit.
 func (p *schedulingPass) hasQuota(job *job, tasks int) bool {
 	if p.withinLimit(job, tasks) {
 		return true
@@ -233,12 +239,12 @@
 	if job.Team < 0 {
 		return false
 	}
-	// Shares need not be reclaimed for a job that is larger than the limit itself.
+	// Shares are not reclaimed for a job that exceeds the whole limit.
 	p.atLimit[job.Team] = p.atLimit[job.Team] || p.node.replica.Ledger().Fits(job.Team, job.Demand(tasks))
 	return false
 }
 
-// logUtilization logs how much of the site is in use, for debugging.
+// logUtilization logs how much of the site is in use, at debug level.
 func (p *schedulingPass) logUtilization(idle map[*slot]bool) {
 	n := p.node
 	spot, idleSpot, partlyFree := 0, 0, 0
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -13,15 +13,15 @@
 // queuedJob is a job in its team's queue.
 type queuedJob struct {
 	job             *job
-	tasks           []int // that may be granted now and are not planned yet
-	zoneTasks       []int // how many of its tasks each zone has, with those planned so far
-	shardTasks      []int // the same by shard
-	withinGuarantee bool  // inside the team's guarantee, together with the older jobs
-	runBudget       int   // how many more runs of tasks its record can hold
-	latestStartMS   int64 // by when it has to start, see Node.latestStartMS
+	tasks           []int // tasks that may be granted now and are not planned yet
+	zoneTasks       []int // number of its active and planned tasks by zone
+	shardTasks      []int // number of its active and newly granted tasks by shard
+	withinGuarantee bool  // the team's guarantee covers the job and the team's older jobs
+	runBudget       int   // runs of consecutive tasks that its record can still hold
+	latestStartMS   int64 // see Node.latestStart
 	avoidsIdle      bool  // its next task avoids idle on-demand machines
 
-	// What was found out for an earlier task of the job holds for the rest.
+	// Failed searches for an earlier task of the job, which are not repeated for the others.
 	noFreeSlot, noReleasingSlot, noExpectedSlot bool
 }
 
@@ -32,19 +32,18 @@
 }
 
 const (
-	// ownerPlacementTime is how long a job's owners have for placing what was granted before
-	// more is granted to it, when writes are scarce: the record can't be written by both
-	// at once.
+	// ownerPlacementTime is how long, when writes are scarce, a job's owners have for placing its
+	// grants before more tasks are granted to it: leader and owners can't write the record at the
+	// same time.
 	ownerPlacementTime = 700 * time.Millisecond
-	// gangReservationDelay is how long a gang waits for its turn. After that capacity is
-	// reserved for it before anything else, for one gang at a time and the longest waiting
-	// first: otherwise smaller and more urgent work that arrives all the time would
-	// take every machine that becomes free, and two gangs would each hold capacity that the
-	// other needs.
+	// gangReservationDelay is how long a gang waits in its queue. After that, capacity is
+	// reserved for it before any other job, for one gang at a time and the longest waiting first.
+	// Otherwise a steady arrival of smaller and more urgent jobs would take every machine that
+	// becomes free, and two gangs could each hold capacity that the other needs.
 	gangReservationDelay = 75 * second
 )
 
-// queues builds a queue for each team, the most urgent job first.
+// queues returns a queue for each team, the most urgent job first.
 func (n *Node) queues() []*teamQueue {
 	queues := make([]*teamQueue, len(n.cfg.Teams))
 	for team := range queues {
@@ -62,7 +61,7 @@
 			continue
 		}
 		if job.Record.Spec.Shape == wire.ShapeGang && len(job.Record.ActiveTasks) > 0 {
-			continue // the old attempt is not gone yet
+			continue // its earlier attempt has not ended yet
 		}
 		if queued := n.queuedTasks(job); len(queued.tasks) > 0 {
 			queues[job.Team].jobs = append(queues[job.Team].jobs, queued)
@@ -76,7 +75,7 @@
 	return queues
 }
 
-// jobsByAge lists the live jobs, the one that became runnable first in front.
+// jobsByAge returns the live jobs in the order in which they became runnable, oldest first.
 func (s *site) jobsByAge() []int {
 	order := slices.Clone(s.replica.Live())
 	slices.SortFunc(order, func(a, b int) int {
@@ -86,18 +85,19 @@
 	return order
 }
 
-// hasGuarantee reports whether a team has a guarantee of anything.
+// hasGuarantee reports whether a team has any guaranteed cores or GPUs.
 func hasGuarantee(team *replica.Team) bool {
 	return team.GuaranteedGPUs > 0 || team.GuaranteedCores > 0
 }
 
-// guarantees reports whether a team has a guarantee that covers a use.
+// guarantees reports whether a team has a guarantee that covers a usage.
 func guarantees(team *replica.Team, used usage) bool {
 	return hasGuarantee(team) && !exceeds(used.gpus, team.GuaranteedGPUs) && !exceeds(used.cores, team.GuaranteedCores)
 }
 
-// isDeferred reports whether nothing is to be granted to a job now: it failed lately, its
-// record is being written, or its owners are about to place what was granted.
+// isDeferred reports whether no tasks of a job may be granted now: it failed recently, its record
+// is being written, it is left to the owner of its home shard, or its owners are about to place
+// earlier grants.
 func (n *Node) isDeferred(job *job) bool {
 	if n.now < job.retryAt || n.batch.changes(job) || n.defersToOwner(job) {
 		return true
@@ -106,8 +106,8 @@
 	return placing && (!job.LargeArray || n.now-job.grantedAt < ownerPlacementTime)
 }
 
-// queuedTasks lists the tasks of a job that may be granted now; none where the job has to wait
-// for its own earlier tasks.
+// queuedTasks returns the queue entry of a job with the tasks that may be granted now. There are
+// none while grants to the job are delayed or its record has no space for more runs.
 func (n *Node) queuedTasks(job *job) *queuedJob {
 	queued := &queuedJob{
 		job:             job,
@@ -126,7 +126,7 @@
 	if queued.runBudget <= 0 || n.now-job.grantedAt < n.grantDelay(job) {
 		queued.tasks = nil
 	}
-	if job.suspect { // one task shows as much as many
+	if job.suspect { // one task is enough to see whether the job still fails
 		mayStart := 1
 		if len(job.Record.ActiveTasks) > 0 {
 			mayStart = 0
@@ -136,16 +136,15 @@
 	return queued
 }
 
-// compareUrgency orders the jobs of a team's queue. Among equals the stages of a chain come in
-// the order of their latest starts, before jobs without one. A large array is served seldom
-// and takes one write; behind a swarm of small jobs, which need one each, it would never be
-// served.
+// compareUrgency orders the jobs of a team's queue by rank, then by latest start with jobs
+// without one last, then large arrays first. A large array is served rarely and takes one write;
+// behind many small jobs, which need one write each, it would never be served.
 func compareUrgency(a, b *queuedJob) int {
 	return cmp.Or(b.rank()-a.rank(), cmp.Compare(a.latestStartMS, b.latestStartMS), boolToInt(b.job.LargeArray)-boolToInt(a.job.LargeArray))
 }
 
-// latestStart is by when a job of a chain has to start for the chain to meet its deadline, as
-// Unix time in milliseconds, or the end of time if there is no deadline.
+// latestStart returns the Unix time in milliseconds by which a job of a chain has to start for
+// the chain to meet its deadline, or math.MaxInt64 if there is no deadline.
 func (n *Node) latestStart(job *job) int64 {
 	if ms := n.latestStartMS(job); ms != 0 {
 		return ms
@@ -153,16 +152,17 @@
 	return math.MaxInt64
 }
 
-// rank puts urgent work first, and among equals work within a guarantee before the rest. It
-// must agree with mayPreemptJob: if what was preempted came before what it was preempted
-// for, the two would take turns.
+// rank orders jobs by priority, and jobs of the same priority by whether they are within their
+// team's guarantee. It must agree with mayPreemptJob: if a preempted job came before the job that
+// preempted it, the two would take each other's capacity in turn.
 func (q *queuedJob) rank() int { return 2*q.job.Priority + boolToInt(q.withinGuarantee) }
 
-// coresPerGPU is how many cores count as much as a GPU where use is compared without a guarantee.
+// coresPerGPU is the number of cores that count as much as one GPU in the usage of teams without
+// a guarantee.
 const coresPerGPU = 8
 
-// shareUsed is the share of its guarantee that a team uses; the team with the lowest is served
-// first. A team without a guarantee has used up its share by what it uses.
+// shareUsed returns the fraction of its guarantee that a team uses; the team with the lowest is
+// served first. For a team without a guarantee it is at least 1 and increases with the usage.
 func (p *schedulingPass) shareUsed(team int) float64 {
 	used, quota := p.used[team], p.node.replica.Quota(team)
 	switch {
@@ -174,9 +174,9 @@
 	return 1 + used.gpus + used.cores/coresPerGPU
 }
 
-// serveQueues serves the teams in turn until their queues are empty: the most urgent head
-// first, and among equals the team that uses the least of its share. It returns how many
-// grants found no write left.
+// serveQueues serves the teams in turn until their queues are empty: the job with the highest
+// rank first, and among equal ranks the team that uses the smallest fraction of its guarantee. It
+// returns the number of grants of the whole pass for which no write was left.
 func (p *schedulingPass) serveQueues(queues []*teamQueue) (unwritten int) {
 	p.serveLongestWaitingGang(queues)
 	for queue := p.nextQueue(queues); queue != nil; queue = p.nextQueue(queues) {
@@ -194,7 +194,8 @@
 	return p.unwrittenGrants
 }
 
-// nextQueue returns the queue whose head is to be served next, or nil if all are empty.
+// nextQueue returns the queue whose first job is to be served next, or nil if all queues are
+// empty.
 func (p *schedulingPass) nextQueue(queues []*teamQueue) *teamQueue {
 	var next *teamQueue
 	for _, queue := range queues {
@@ -209,8 +210,8 @@
 	return next
 }
 
-// serveLongestWaitingGang serves the gang that has waited longest beyond gangReservationDelay
-// before all queues.
+// serveLongestWaitingGang serves, before all queues, the gang that has waited longest, if any has
+// waited for gangReservationDelay, and removes it from its queue.
 func (p *schedulingPass) serveLongestWaitingGang(queues []*teamQueue) {
 	var longest *queuedJob
 	for _, queue := range queues {
@@ -237,9 +238,9 @@
 	}
 }
 
-// noteWaiting notes since when a job has waited. What was never granted has waited since it was
-// accepted: were the count to begin anew with each leader, a gang would never get its
-// reservation while leaders change every minute.
+// noteWaiting records since when a job has waited. A job that was never granted has waited since
+// it was accepted or since its dependencies were done. If the time started anew with each leader,
+// a gang would never get its reservation while the leader changes every minute.
 func (p *schedulingPass) noteWaiting(job *job) {
 	if job.waitingSince != 0 {
 		return
@@ -252,7 +253,7 @@
 		job.waitingSince -= max(0, Time(p.node.cfg.WallClockMS()-job.Record.AcceptedAtMS)*time.Millisecond)
 	}
 	if job.waitingSince == 0 {
-		job.waitingSince = -1 // 0 would say that it does not wait
+		job.waitingSince = -1 // 0 means that it does not wait
 	}
 }
 
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -6,29 +6,28 @@
 	"micaport/internal/wire"
 )
 
-// Serving arrays and daemons, whose tasks are granted one by one.
-
 const (
-	// newShardPenalty is the cost, in seconds of waiting, of spreading a job over one more
-	// shard when writes are scarce: each shard's owner has to write the job's record.
+	// newShardPenalty is the cost, in seconds of waiting, of spreading a job over one more shard
+	// when writes are scarce: the owner of each shard has to write the job's record.
 	newShardPenalty = 8
-	// foreignShardPenalty is the cost, in seconds of waiting, of starting work of low urgency
-	// in a shard that is not the leader's own, where the grant chooses the machine and saves
-	// a write.
+	// foreignShardPenalty is the cost, in seconds of waiting, of starting a job of the lowest
+	// priority in a shard that the leader does not own. In its own shards a grant names the
+	// machine too, which saves a write. It is also the cost of starting a large array in another
+	// shard than the one chosen by its index.
 	foreignShardPenalty = 3
-	// largeArrayScarcity takes the place of the scarcity of writes for a large array: its
-	// owners and the leader would keep each other from writing its record.
+	// largeArrayScarcity replaces the scarcity of writes for a large array: its owners and the
+	// leader would otherwise conflict with each other in writing its record.
 	largeArrayScarcity = 2
-	// spotWaitTime is how long tasks that may run on spot machines wait for one: about the
-	// time that a machine takes to boot and more.
+	// spotWaitTime is how long tasks that may run on spot machines wait for one, somewhat longer
+	// than a machine takes to boot.
 	spotWaitTime = 40 * second
-	// urgentPriority is the priority from which tasks don't wait for spot machines.
+	// urgentPriority is the lowest priority at which tasks don't wait for spot machines.
 	urgentPriority = 2
-	// maxUnmetDemands bounds the demands that a pass remembers as unmet.
+	// maxUnmetDemands bounds the unmet demands that a pass records.
 	maxUnmetDemands = 16
 )
 
-// record returns the job's record with what this pass has added.
+// record returns the job's record including the changes made in this pass.
 func (p *schedulingPass) record(job *job) *wire.Job {
 	if record := p.writer.records[job.Index]; record != nil {
 		return record
@@ -36,16 +35,16 @@
 	return job.Record
 }
 
-// unmetDemand is the demand of a task that found no free slot in this pass.
+// unmetDemand is the demand of a task for which no slot was free in this pass.
 type unmetDemand struct {
 	cores, gpus, memoryGB float64
 	zone                  int // -1: any
 	anyType, allowSpot    bool
-	avoidsIdle            bool // it avoided idle on-demand machines
+	avoidsIdle            bool // the task avoided idle on-demand machines
 }
 
-// isUnmet reports whether a task that needs no more, and may run at least wherever a job's task
-// may, has found no free slot in this pass already.
+// isUnmet reports whether no slot was free in this pass for an earlier task that needed no more
+// capacity than a task of this job and was allowed on all machines that this job allows.
 func (p *schedulingPass) isUnmet(job *job, avoidsIdle bool) bool {
 	spec := job.Record.Spec
 	for i := range p.unmetDemands {
@@ -60,16 +59,17 @@
 	return false
 }
 
-// noteUnmet remembers that a job's task found no free slot, unless that is due to the machines
-// that have failed the job.
+// noteUnmet records that no slot was free for a task of a job, unless the cause may be that the
+// job avoids machines that have failed it.
 func (p *schedulingPass) noteUnmet(job *job, avoidsIdle bool) {
 	if spec := job.Record.Spec; len(job.Record.FailedMachines) == 0 && len(p.unmetDemands) < maxUnmetDemands {
 		p.unmetDemands = append(p.unmetDemands, unmetDemand{spec.Cores, spec.GPUs, spec.MemoryGB, job.Zone, job.AnyType, job.AllowSpot, avoidsIdle})
 	}
 }
 
-// serveTask grants or plans the next tasks of an array or daemon, one or, of a large array, as
-// many as fit a machine, and reports whether to go on with the job.
+// serveTask grants or plans the next task of an array or daemon, whose tasks are granted one by
+// one, or as many tasks of a large array as fit a machine. It reports whether more tasks of the
+// job may be served.
 func (p *schedulingPass) serveTask(queued *queuedJob) bool {
 	if queued.runBudget <= 0 || p.admission == nil && !p.hasQuota(queued.job, 1) {
 		return false
@@ -90,7 +90,7 @@
 	return p.planOnReleasing(queued, allowed) || p.planOnExpected(queued, allowed)
 }
 
-// countTasks counts a job's tasks by zone and by shard.
+// countTasks counts a job's active tasks by zone and by shard.
 func (p *schedulingPass) countTasks(queued *queuedJob) {
 	queued.zoneTasks = p.node.zoneTasks(p.record(queued.job))
 	queued.shardTasks = make([]int, len(p.node.shards))
@@ -99,14 +99,15 @@
 	}
 }
 
-// placementRule returns a function that reports whether the next task of a job may be planned
-// on a machine, up or expected, by its zone and kind.
+// placementRule returns a function that reports whether the next task of a job may be planned on
+// a slot, available or expected. It depends on the slot's zone and on whether it is an idle
+// on-demand machine.
 func (p *schedulingPass) placementRule(queued *queuedJob) func(*slot) bool {
 	spec, zoneTasks := queued.job.Record.Spec, queued.zoneTasks
 	queued.avoidsIdle = p.avoidsIdleOnDemand(queued)
 	return func(slot *slot) bool {
-		// This holds for expected machines too: planned on an on-demand one that it will not
-		// use, the task would wait while no spot machine is provisioned.
+		// Expected machines are excluded too: a task planned on an on-demand machine that it will
+		// not use would wait while no spot machine is provisioned.
 		if queued.avoidsIdle && !slot.spot && slot.isIdle() {
 			return false
 		}
@@ -114,8 +115,8 @@
 	}
 }
 
-// shardPenalty returns the cost, in seconds of waiting, of the next task of a job on a machine,
-// by the machine's shard.
+// shardPenalty returns a function that returns the cost, in seconds of waiting, of placing the
+// next task of a job in the shard of a slot.
 func (p *schedulingPass) shardPenalty(queued *queuedJob) func(*slot) float64 {
 	job, scarcity := queued.job, p.node.writeScarcity()
 	started := len(job.Record.ActiveTasks) > 0 || p.writer.records[job.Index] != nil
@@ -137,13 +138,14 @@
 	}
 }
 
-// hasNoZoneRule reports whether it makes no difference to a job's tasks where the others are,
-// so that what was found out for one holds for the rest.
+// hasNoZoneRule reports whether the zones of a job's tasks are independent of each other, so that
+// a search without result for one task is valid for the others too.
 func (q *queuedJob) hasNoZoneRule() bool {
 	return !q.job.Record.Spec.Spread && !q.job.Record.Spec.SameZone
 }
 
-// runLengthOn is how many of a job's next tasks a machine takes at once.
+// runLengthOn returns how many of a job's next tasks are planned on a slot together: one, or as
+// many as the slot and the team's limit allow for a large array.
 func (p *schedulingPass) runLengthOn(queued *queuedJob, slot *slot) int {
 	if !queued.job.LargeArray {
 		return 1
@@ -155,9 +157,9 @@
 	return max(1, tasks)
 }
 
-// assigned notes that the next tasks of a job are planned on a machine. Tasks that only an
-// expected machine will take count in their zone too; otherwise all would be planned for the
-// same zone.
+// assigned allocates a slot's capacity to the next tasks of a job and removes them from the
+// waiting tasks. Tasks that are planned on an expected machine count in their zone too; otherwise
+// all tasks would be planned in the same zone.
 func (q *queuedJob) assigned(slot *slot, tasks int) {
 	slot.release(q.job.Record.Spec, -tasks)
 	q.zoneTasks[slot.zone] += tasks
@@ -165,7 +167,8 @@
 	q.runBudget--
 }
 
-// grantNow grants the next tasks of a job to the best machine with free capacity.
+// grantNow grants the next tasks of a job to the best slot with free capacity, and reports
+// whether there is one.
 func (p *schedulingPass) grantNow(queued *queuedJob, allowed func(*slot) bool) bool {
 	job := queued.job
 	if queued.noFreeSlot || p.isUnmet(job, queued.avoidsIdle) {
@@ -173,13 +176,13 @@
 	}
 	target := p.available.best(job, allowed, p.shardPenalty(queued))
 	if target == nil {
-		if queued.hasNoZoneRule() && p.admission == nil { // a share of the limit says nothing about capacity
+		if queued.hasNoZoneRule() && p.admission == nil { // an owner's share of the limit may be the cause
 			p.noteUnmet(job, queued.avoidsIdle)
 		}
 		return false
 	}
-	// Without a write left the capacity is reserved all the same: neither what comes later may
-	// use it nor may the machine be drained as idle.
+	// If no write is left, the capacity is allocated nevertheless, so that jobs served later
+	// don't use it and the machine is not drained as idle.
 	tasks := p.runLengthOn(queued, target)
 	if p.grant(job, queued.tasks[:tasks], slices.Repeat([]*slot{target}, tasks)) {
 		queued.shardTasks[target.shard] += tasks
@@ -192,8 +195,8 @@
 	return true
 }
 
-// planOnReleasing plans the next task of a job on capacity that is about to be released, or on
-// which it preempts other tasks. A large array takes such capacity when it is free.
+// planOnReleasing plans the next task of a job on capacity that is about to be released, or
+// preempts other tasks for it. Large arrays only use capacity that is free.
 func (p *schedulingPass) planOnReleasing(queued *queuedJob, allowed func(*slot) bool) bool {
 	if queued.noReleasingSlot || queued.job.LargeArray {
 		return false
@@ -212,8 +215,8 @@
 	return false
 }
 
-// planOnExpected plans the next tasks of a job on an expected machine, or on one to be
-// provisioned. A later pass grants them once the machine is up.
+// planOnExpected plans the next tasks of a job on an expected machine, or on one that it plans to
+// provision. A later pass grants them once the machine is up.
 func (p *schedulingPass) planOnExpected(queued *queuedJob, allowed func(*slot) bool) bool {
 	job := queued.job
 	var target *slot
@@ -227,16 +230,16 @@
 	if target == nil {
 		return false
 	}
-	// Their use counts, so that no more is provisioned than the team may use.
+	// The tasks are charged, so that no more is provisioned than the team's limit allows.
 	tasks := p.runLengthOn(queued, target)
 	p.charge(job, tasks)
 	queued.assigned(target, tasks)
 	return true
 }
 
-// avoidsIdleOnDemand reports whether a task that may run on spot machines should rather wait for
-// one than use an idle on-demand machine: those are for whole-machine gangs and daemons, and
-// cost several times more.
+// avoidsIdleOnDemand reports whether the next task of a job should wait for a spot machine rather
+// than use an idle on-demand machine. On-demand machines are meant for whole-machine gangs and
+// daemons, and cost several times more. Backfill always avoids them.
 func (p *schedulingPass) avoidsIdleOnDemand(queued *queuedJob) bool {
 	job, spec := queued.job, queued.job.Record.Spec
 	if p.isBackfill(queued) {
