--- a/internal/core/scheduler_gang.go
+++ b/internal/core/scheduler_gang.go
@@ -1,13 +1,13 @@
 package core
 
-// Penalties, in seconds of waiting, of placing a gang in several shards: their owners have to
-// agree on it. In several zones its tasks are also far from each other.
+// Penalties, in seconds of waiting, for a gang in several shards, whose owners have to coordinate
+// its placement, and in several zones, where its tasks are also far from each other.
 const (
 	severalShardsPenalty = 10
 	severalZonesPenalty  = 20
 )
 
-// serveGang grants a whole gang or nothing.
+// serveGang grants all tasks of a gang or none.
 func (p *schedulingPass) serveGang(queued *queuedJob) {
 	job, spec := queued.job, queued.job.Record.Spec
 	if p.admission != nil {
@@ -15,8 +15,8 @@
 		return
 	}
 	if !p.hasQuota(job, len(queued.tasks)) {
-		// Its team's smaller jobs would use what becomes free of the limit
-		// for ever: after the delay the limit is reserved for it.
+		// Smaller jobs of the team could use everything that becomes free within the limit,
+		// for ever. After the delay the gang's demand is therefore charged ahead of them.
 		p.noteWaiting(job)
 		if job.Team >= 0 && p.node.now-job.waitingSince > gangReservationDelay {
 			p.charge(job, len(queued.tasks))
@@ -42,8 +42,8 @@
 	p.reserveForGang(queued)
 }
 
-// planSingleTaskGang plans a gang of one task on capacity that is about to be released, or on
-// which it preempts other tasks.
+// planSingleTaskGang plans a gang of one task on capacity that is about to be released, or
+// preempts other tasks for it. It reports whether it found capacity.
 func (p *schedulingPass) planSingleTaskGang(queued *queuedJob) bool {
 	job, spec := queued.job, queued.job.Record.Spec
 	for _, slot := range p.available.releasing {
@@ -59,39 +59,39 @@
 	return false
 }
 
-// chooseGangSlots chooses machines for the tasks of a gang: in one shard if any has the capacity,
-// else in one zone, else anywhere unless all have to be in one zone. It returns nil if they
-// don't fit.
+// chooseGangSlots chooses slots for all tasks of a gang: in one shard, in several shards of one
+// zone, or, unless all tasks have to be in one zone, in several zones. It returns the choice with
+// the lowest score including the penalties, or nil if the tasks don't fit.
 func (p *schedulingPass) chooseGangSlots(queued *queuedJob) []*slot {
 	var best []*slot
 	bestScore := 0.0
-	try := func(in func(shardIndex, zone int) bool, penalty float64) {
-		if p.available.capacityFor(queued.job, in) < len(queued.tasks) {
+	consider := func(matches func(shardIndex, zone int) bool, penalty float64) {
+		if p.available.capacityFor(queued.job, matches) < len(queued.tasks) {
 			return
 		}
-		chosen, score := p.pickSlots(queued, func(slot *slot) bool { return in(slot.shard, slot.zone) })
+		chosen, score := p.pickSlots(queued, func(slot *slot) bool { return matches(slot.shard, slot.zone) })
 		if chosen != nil && (best == nil || score+penalty < bestScore) {
 			best, bestScore = chosen, score+penalty
 		}
 	}
 	for _, shard := range p.node.shards {
-		try(func(shardIndex, _ int) bool { return shardIndex == shard.Index }, 0)
+		consider(func(shardIndex, _ int) bool { return shardIndex == shard.Index }, 0)
 	}
 	if best != nil && len(queued.tasks) == 1 {
 		return best
 	}
 	for gangZone := range p.node.names.Zones.Len() {
-		try(func(shardIndex, zone int) bool { return zone == gangZone && shardIndex >= 0 }, severalShardsPenalty)
+		consider(func(shardIndex, zone int) bool { return zone == gangZone && shardIndex >= 0 }, severalShardsPenalty)
 	}
 	if !queued.job.Record.Spec.SameZone {
-		try(func(shardIndex, _ int) bool { return shardIndex >= 0 }, severalZonesPenalty)
+		consider(func(shardIndex, _ int) bool { return shardIndex >= 0 }, severalZonesPenalty)
 	}
 	return best
 }
 
-// pickSlots chooses the best machine for each task of a gang in turn, among those that allowed
-// accepts, and returns them with the worst of their scores; nil if the tasks don't all fit. What
-// it allocates for the choice it releases again.
+// pickSlots chooses the best slot for each task of a gang in turn, among those that allowed
+// accepts. It returns the slots and the highest of their scores, or nil if not all tasks fit. It
+// leaves the slots unallocated.
 func (p *schedulingPass) pickSlots(queued *queuedJob, allowed func(*slot) bool) ([]*slot, float64) {
 	spec := queued.job.Record.Spec
 	var chosen []*slot
@@ -119,7 +119,8 @@
 	return chosen, worst
 }
 
-// admitGang admits a gang as a whole in one of our shards.
+// admitGang admits all tasks of a gang in one shard of this controller, if any has the capacity
+// and a sufficient share of the limit.
 func (p *schedulingPass) admitGang(queued *queuedJob) {
 	tasks := len(queued.tasks)
 	for _, shard := range p.node.shards {
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -6,41 +6,43 @@
 	"micaport/internal/wire"
 )
 
-// Costs of the ways of getting capacity for a task of a gang, in seconds of waiting.
+// Costs, in seconds of waiting, of the ways to obtain capacity for one task of a gang.
 const (
-	bootingCost    = 15   // a machine that is expected
-	preemptionCost = 10   // preempting tasks, besides what they lose
-	drainCost      = 60   // waiting for the tasks on a machine to end
-	provisionCost  = 30   // a machine to be provisioned
-	noCapacityCost = 1000 // where none can be provisioned
-	sameZoneBonus  = 10   // for the zone where capacity is being reserved already
-
-	// victimCostDivisor is what the cost of preempting a task is divided by: it is a loss of
-	// work and not of time.
+	bootingCost    = 15   // on a machine that is expected
+	preemptionCost = 10   // by preempting tasks, in addition to the costs of these tasks
+	drainCost      = 60   // by waiting until the tasks on a machine have ended
+	provisionCost  = 30   // on a machine to be provisioned
+	noCapacityCost = 1000 // added where no machine can be provisioned
+	sameZoneBonus  = 10   // subtracted for the zone where capacity is already being reserved
+
+	// victimCostDivisor divides the cost of preempting a task, which is lost work rather than
+	// waiting time.
 	victimCostDivisor = 4
-	// sourcesPerTask bounds the sources that a reservation chooses from.
+	// sourcesPerTask bounds the sources from which a reservation chooses, for each task of the
+	// gang.
 	sourcesPerTask = 4
 )
 
-// capacitySource is a machine that may become available to one task of a gang.
+// capacitySource is a slot that can provide capacity for one task of a gang.
 type capacitySource struct {
 	slot    *slot
-	victims []victim // to be preempted first
-	drain   bool     // its tasks have to end first
+	victims []victim // tasks to be preempted first
+	drain   bool     // the tasks on the machine have to end first
 	cost    float64
 }
 
-// gangReservation is how a gang gets its capacity in one zone.
+// gangReservation is a plan for obtaining the capacity for a gang.
 type gangReservation struct {
 	zone      int // -1: any
 	sources   []capacitySource
-	provision int // machines
+	provision int // number of machines to be provisioned
 	cost      float64
 }
 
-// reserveForGang reserves capacity for a gang that does not fit yet, in the zone where that costs
-// least: what is free, about to be released or expected. It provisions, preempts what it may
-// preempt, and as the last resort drains machines.
+// reserveForGang reserves capacity for a gang that does not fit yet, in the zone where the cost
+// is lowest. It uses capacity that is free, about to be released or expected, provisions
+// machines, preempts tasks where permitted, and as a last resort reserves machines until their
+// tasks end.
 func (p *schedulingPass) reserveForGang(queued *queuedJob) {
 	spec := queued.job.Record.Spec
 	best := p.cheapestReservation(queued)
@@ -74,8 +76,8 @@
 	}
 }
 
-// cheapestReservation works out how a gang gets its capacity at the least cost, in one zone if it
-// has to be in one.
+// cheapestReservation returns the plan with the lowest cost. If all tasks of the gang have to be
+// in one zone, it compares the zones.
 func (p *schedulingPass) cheapestReservation(queued *queuedJob) *gangReservation {
 	mayPreempt := p.mayPreempt(queued)
 	if !queued.job.Record.Spec.SameZone || queued.job.Zone >= 0 {
@@ -90,7 +92,7 @@
 	return best
 }
 
-// reservationSearch works out where a gang's capacity in a zone could come from.
+// reservationSearch collects the sources of capacity for a gang in a zone.
 type reservationSearch struct {
 	pass    *schedulingPass
 	queued  *queuedJob
@@ -99,7 +101,7 @@
 	seen    map[*slot]bool
 }
 
-// searchReservation works out how a gang gets its capacity in a zone, or in any if it is -1.
+// searchReservation returns the plan for a gang in a zone, or in any zone if it is -1.
 func (p *schedulingPass) searchReservation(queued *queuedJob, zone int, mayPreempt bool) *gangReservation {
 	search := &reservationSearch{pass: p, queued: queued, zone: zone, seen: map[*slot]bool{}}
 	canProvision := p.canProvision(queued.job, zone)
@@ -116,17 +118,17 @@
 	return search.choose(canProvision)
 }
 
-// enough reports whether there are more sources than the choice needs.
+// enough reports whether there are as many sources as a reservation chooses from.
 func (r *reservationSearch) enough() bool {
 	return len(r.sources) >= sourcesPerTask*len(r.queued.tasks)
 }
 
-// excludes reports whether a machine is in another zone.
+// excludes reports whether a slot is outside the zone of the search.
 func (r *reservationSearch) excludes(slot *slot) bool {
 	return r.zone >= 0 && slot.zone != r.zone
 }
 
-// add adds a machine with free capacity, once for each task that fits.
+// add adds a slot with free capacity as a source for each task that fits.
 func (r *reservationSearch) add(slot *slot, cost float64) {
 	spec := r.queued.job.Record.Spec
 	if slot.reserved || r.seen[slot] || r.excludes(slot) || !slot.accepts(r.queued.job) || !slot.fitsAfterRelease(spec) {
@@ -140,7 +142,7 @@
 	}
 }
 
-// addFree adds machines whose capacity is free, about to be released, or expected.
+// addFree adds slots whose capacity is free, about to be released, or expected.
 func (r *reservationSearch) addFree() {
 	pass := r.pass
 	for _, class := range pass.available.classOrder {
@@ -162,7 +164,7 @@
 	}
 }
 
-// addOccupied adds machines whose tasks could be preempted, or may be waited for.
+// addOccupied adds slots on which tasks may be preempted or, with mayDrain set, will end.
 func (r *reservationSearch) addOccupied(mayPreempt, mayDrain bool) {
 	pass, queued := r.pass, r.queued
 	for _, slot := range pass.available.all {
@@ -190,7 +192,8 @@
 	}
 }
 
-// choose takes the cheapest sources, and machines to be provisioned for the rest.
+// choose returns a plan that uses the cheapest sources and provisions machines for the remaining
+// tasks.
 func (r *reservationSearch) choose(canProvision bool) *gangReservation {
 	tasks := len(r.queued.tasks)
 	reservation := &gangReservation{zone: r.zone, sources: r.sources[:min(len(r.sources), tasks)]}
--- a/internal/core/scheduler_grant.go
+++ b/internal/core/scheduler_grant.go
@@ -5,8 +5,8 @@
 	"micaport/internal/wire"
 )
 
-// grant writes tasks of a job to the shards of the slots, task by task, as one attempt. It reports
-// false if there is no write left for the job.
+// grant adds tasks of a job, in the shards of their slots, to the job's record as one attempt. It
+// reports false if no write is left.
 func (p *schedulingPass) grant(job *job, tasks []int, slots []*slot) bool {
 	n := p.node
 	record := p.writer.job(job)
@@ -42,13 +42,13 @@
 	return true
 }
 
-// noteUnwritten counts a grant that found no write left.
+// noteUnwritten counts a grant for which no write was left.
 func (p *schedulingPass) noteUnwritten() {
 	p.unwrittenGrants = min(p.unwrittenGrants+1, maxUnwrittenGrants)
 }
 
-// addGrant adds a task to a job's record, with its machine if we may assign it as its owner;
-// otherwise the machine is remembered as a hint of what the grant will use.
+// addGrant adds a task to a job's record. With assignMachine set the record names the machine;
+// otherwise the machine is kept as a hint of the capacity that the grant will use.
 func (p *schedulingPass) addGrant(job *job, record *wire.Job, key taskKey, slot *slot, assignMachine bool) {
 	n := p.node
 	task := wire.ActiveTask{Task: key.task, Attempt: key.attempt, Shard: slot.shard, Admitted: p.admission != nil}
@@ -64,8 +64,8 @@
 	record.ActiveTasks = append(record.ActiveTasks, task)
 }
 
-// addGang adds the record of a gang in several shards, whose owners place it together. It reports
-// false if there is no write left for it.
+// addGang adds the record of a gang with tasks in several shards, whose owners place it together.
+// It reports false if no write is left.
 func (p *schedulingPass) addGang(job *job, attempt uint64, shards map[int]bool) bool {
 	gang := &wire.Gang{Attempt: attempt}
 	for index := range p.node.shards {
@@ -77,9 +77,10 @@
 	return p.writer.addWrite(kv.Write{Key: key, Value: gang}, kv.Condition{Key: key, Revision: 0})
 }
 
-// mayAssignMachine reports whether the leader may choose the machine in the grant, since it owns
-// the shard as well: one write does for both. The commit is then conditional on both keys. While
-// our own batch as an owner is under way, what that places is not known here yet.
+// mayAssignMachine reports whether a grant may name the machine because this controller owns its
+// shard too: one write then replaces two, and the commit is also conditional on the term of the
+// shard. It may not while a batch of this controller as an owner is being committed, as the
+// placements in that batch are not visible here yet.
 func (n *Node) mayAssignMachine(slot *slot) bool {
 	return slot.machine != nil && n.mayActAsOwner(n.shards[slot.shard]) && !n.batch.active && n.acceptsTasks(slot.machine)
 }
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// maxPreemptions bounds how often one pass preempts.
+	// maxPreemptions bounds how often one pass stops tasks for a job.
 	maxPreemptions = 8
-	// preemptionDelay is how long a job waits before anything is preempted for it.
+	// preemptionDelay is how long a job waits before tasks are preempted for it.
 	preemptionDelay = second
-	// preemptionRetryDelay is when it is tried again after nothing could be preempted.
+	// preemptionRetryDelay is the time until the next attempt when no tasks could be preempted.
 	preemptionRetryDelay = second
-	// preemptingPriority is the lowest priority that preempts without a guarantee.
+	// preemptingPriority is the lowest priority at which a job outside its team's guarantee may
+	// preempt tasks.
 	preemptingPriority = 2
-	// exitHeartbeats is how many heartbeat intervals a preempted task takes to go, besides the
-	// time for its checkpoint.
+	// exitHeartbeats is the number of heartbeat intervals until a preempted task has exited, in
+	// addition to the time for its checkpoint.
 	exitHeartbeats = 3
 )
 
 // Costs of preempting a task besides the time for its checkpoint, in seconds.
 const (
-	priorityCost     = 20  // for each step of priority
-	noCheckpointCost = 100 // without checkpoints all its work is lost
-	gangMemberCost   = 30  // for each further task of its gang, which is stopped as a whole
-	costResolution   = 10  // costs are compared in steps of a tenth
+	priorityCost     = 20  // for each level of priority
+	noCheckpointCost = 100 // for a task without checkpoints, which loses all its work
+	gangMemberCost   = 30  // for each other task of its gang, which is stopped as a whole
+	costResolution   = 10  // costs are compared in steps of a tenth of a second
 )
 
-// victim is a task that may be preempted.
+// victim is a task that may be preempted, with the cost of doing so.
 type victim struct {
 	job  *job
 	key  taskKey
 	cost float64
 }
 
-// mayPreempt reports whether anything may be preempted for a job now. Tasks that have been
-// stopped for it take a heartbeat or two to go; until then no more are.
+// mayPreempt reports whether tasks may be preempted for a job now. After tasks have been stopped
+// for it, no more are preempted until these should have exited.
 func (p *schedulingPass) mayPreempt(queued *queuedJob) bool {
 	n := p.node
 	return n.cfg.Preempt && p.preemptions < maxPreemptions &&
@@ -45,9 +46,10 @@
 		(queued.job.Priority >= preemptingPriority || queued.withinGuarantee)
 }
 
-// mayPreemptJob reports whether the rules of preemption let a queued job preempt another, and
-// the queued job comes first in the queue as well: otherwise what was preempted would get its
-// place back and be preempted again.
+// mayPreemptJob reports whether a queued job may preempt tasks of another job: one of lower
+// priority, or one of the same priority that is outside the guarantee of another team while the
+// queued job is within that of its own. It must agree with queuedJob.rank: if the other job came
+// first in the queue, it would get its capacity back and be preempted again.
 func (p *schedulingPass) mayPreemptJob(queued *queuedJob, job *job) bool {
 	if job.Priority < queued.job.Priority {
 		return true
@@ -55,7 +57,7 @@
 	return job.Priority == queued.job.Priority && queued.withinGuarantee && !job.withinGuarantee && job.Team != queued.job.Team
 }
 
-// preemptionCostOf returns what it costs to preempt a task of a job, in seconds.
+// preemptionCostOf returns the cost of preempting a task of a job, in seconds.
 func preemptionCostOf(job *job) float64 {
 	cost := job.Record.Spec.CheckpointTimeS + float64(priorityCost*job.Priority)
 	if job.Record.Spec.CheckpointIntervalS == 0 {
@@ -67,9 +69,10 @@
 	return cost
 }
 
-// candidatesOn lists the tasks on a machine that may be preempted for a job, cheapest first, or
-// with all set those that may end by themselves: all but daemons.
-func (p *schedulingPass) candidatesOn(queued *queuedJob, machine *machine, all bool) []victim {
+// candidatesOn returns the tasks on a machine that may be preempted for a job, cheapest first.
+// With includeUnpreemptable set it returns all tasks that may end by themselves, which excludes
+// those of daemons.
+func (p *schedulingPass) candidatesOn(queued *queuedJob, machine *machine, includeUnpreemptable bool) []victim {
 	var candidates []victim
 	for i := range machine.placements {
 		placement := &machine.placements[i]
@@ -79,7 +82,7 @@
 			job.Record.Spec.Shape == wire.ShapeDaemon {
 			continue
 		}
-		if !all && (p.writer.records[placement.job] != nil || !p.mayPreemptJob(queued, job)) {
+		if !includeUnpreemptable && (p.writer.records[placement.job] != nil || !p.mayPreemptJob(queued, job)) {
 			continue
 		}
 		candidates = append(candidates, victim{job, placement.taskKey, preemptionCostOf(job)})
@@ -88,10 +91,10 @@
 	return candidates
 }
 
-// victimsOn returns the tasks to be preempted on a machine so that a task of a queued job fits,
-// cheapest first, and whether it then fits. With all set it asks instead whether the machine could
-// take the task once everything but daemons has ended.
-func (p *schedulingPass) victimsOn(queued *queuedJob, slot *slot, all bool) ([]victim, bool) {
+// victimsOn returns the cheapest tasks on a machine that have to be preempted for a task of a
+// queued job to fit, and whether it then fits. With includeUnpreemptable set it reports whether
+// the task fits once all tasks other than those of daemons have ended.
+func (p *schedulingPass) victimsOn(queued *queuedJob, slot *slot, includeUnpreemptable bool) ([]victim, bool) {
 	if slot.machine == nil {
 		return nil, false
 	}
@@ -99,7 +102,7 @@
 	trial := *slot
 	trial.set = nil
 	var chosen []victim
-	for _, candidate := range p.candidatesOn(queued, slot.machine, all) {
+	for _, candidate := range p.candidatesOn(queued, slot.machine, includeUnpreemptable) {
 		if trial.fitsAfterRelease(spec) {
 			break
 		}
@@ -109,8 +112,8 @@
 	return chosen, len(chosen) > 0 && trial.fitsAfterRelease(spec)
 }
 
-// preempt stops tasks so that one task of a queued job fits: tasks of lower priority, or those that
-// another team runs beyond its guarantee when this one is within. It returns the machine, or nil.
+// preempt stops tasks so that one task of a queued job fits; see mayPreemptJob. It returns the
+// slot on which the task will fit, or nil.
 func (p *schedulingPass) preempt(queued *queuedJob, allowed func(*slot) bool) *slot {
 	if !p.mayPreempt(queued) {
 		return nil
@@ -145,8 +148,8 @@
 	return target
 }
 
-// stopVictims marks tasks to be stopped; a gang is stopped as a whole. It reports false if there is
-// no write left.
+// stopVictims marks tasks to be stopped; a gang is stopped as a whole. It reports false if no
+// write is left.
 func (p *schedulingPass) stopVictims(queued *queuedJob, victims []victim) bool {
 	for _, victim := range victims {
 		record := p.writer.job(victim.job)
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -1,14 +1,14 @@
 package core
 
-// Reserving capacity for jobs that will probably come; see classArrivals.
-
-// provisionTimeFactor is how many times its type's boot time it takes in most cases from the
-// decision to provision a machine until it reports.
+// provisionTimeFactor is the ratio, in most cases, of the time from the decision to provision a
+// machine until its first heartbeat to the boot time of its type.
 const provisionTimeFactor = 1.3
 
-// reserveForArrivals plans capacity for what will come before a machine provisioned then could
-// be up: idle machines that it uses are not drained, and what is missing is provisioned. It
-// comes after all waiting work and grants nothing, so that any real task can have the capacity.
+// reserveForArrivals reserves capacity for the jobs that are forecast to arrive within the time
+// that it takes to provision a machine; see classArrivals. Idle machines with such a reservation
+// are not drained, and missing machines are provisioned. It runs after the waiting jobs other
+// than backfill have been served, and grants nothing, so that any waiting task can use the
+// capacity.
 func (p *schedulingPass) reserveForArrivals() {
 	n := p.node
 	for _, class := range n.arrivals.classes {
@@ -23,8 +23,8 @@
 			}
 			continue
 		}
-		// Where the image alone takes longer, a machine that is up is no help;
-		// where a machine boots quickly enough, none need be up.
+		// No machine has to be up in advance if one can be provisioned and fetch the image
+		// within the start objective.
 		if lead == 0 || lead+n.imageFetchTime(job) < class.startWithin || n.fitsBesideGPUWork(job) {
 			continue
 		}
@@ -38,9 +38,9 @@
 	}
 }
 
-// bestAnywhere returns the best machine that is up, else the best that is expected, else one
-// that the pass now plans to provision, or nil. What accept (nil: any) says of a machine must
-// hold for its class.
+// bestAnywhere returns the best available slot, or else the best expected slot, or else one on a
+// machine that the pass now plans to provision, or nil. The result of accept (nil: any slot) must
+// be the same for all slots of a class.
 func (p *schedulingPass) bestAnywhere(job *job, accept func(*slot) bool) *slot {
 	if slot := p.available.best(job, accept, nil); slot != nil {
 		return slot
@@ -54,10 +54,10 @@
 	return p.provisionFor(job, accept)
 }
 
-// acceptAny accepts every machine.
+// acceptAny accepts every slot.
 func acceptAny(*slot) bool { return true }
 
-// reserveAgainstBackfill reserves free capacity for tasks that will probably come before
+// reserveAgainstBackfill reserves free capacity for tasks that will probably arrive before
 // backfill could be preempted for them.
 func (p *schedulingPass) reserveAgainstBackfill(job *job, tasks int) {
 	for range tasks {
@@ -69,13 +69,13 @@
 	}
 }
 
-// preemptionTime is how long it takes to preempt a task: two heartbeats of its machine, and
-// some time for the writes.
+// preemptionTime returns how long it takes to preempt a task: two heartbeats of its machine, and
+// a second for the writes.
 func (s *site) preemptionTime() Time { return 2*s.cfg.HeartbeatInterval + second }
 
-// fitsBesideGPUWork reports whether a job's tasks need no GPUs where all machines that they
-// may run on have some: they run beside work that does, and machines with GPUs need not be
-// idle for them.
+// fitsBesideGPUWork reports whether a job's tasks need no GPUs although all machines on which
+// they may run have some. They can share machines with GPU tasks, so that no idle machines with
+// GPUs are needed for them.
 func (t *topology) fitsBesideGPUWork(job *job) bool {
 	if job.Record.Spec.GPUs > 0 {
 		return false
@@ -90,8 +90,8 @@
 	return true
 }
 
-// provisionTime is how long it takes in most cases from the decision to provision a machine
-// for a job until it reports; 0 if no machine type fits.
+// provisionTime returns how long it takes in most cases from the decision to provision a machine
+// for a job until its first heartbeat; 0 if no machine type fits.
 func (t *topology) provisionTime(job *job) Time {
 	shortest := 0.0 // in seconds
 	for index, machineType := range t.machineTypes {
@@ -104,8 +104,8 @@
 	return Time(shortest * provisionTimeFactor * float64(second))
 }
 
-// imageFetchTime is how long a job's image takes at the highest nominal rate of the machine
-// types that it may run on; 0 if that is not known.
+// imageFetchTime returns how long it takes to fetch a job's image at the highest nominal rate of
+// the machine types on which the job may run; 0 if no rate is known.
 func (t *topology) imageFetchTime(job *job) Time {
 	rate := 0.0 // in GB/s
 	for index, machineType := range t.machineTypes {
