--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -10,42 +10,43 @@
 	"micaport/internal/wire"
 )
 
-// Work that owners admit by themselves, within the shares of the teams' limits that the leader has
-// distributed to their shards. See docs/team-limits.md.
-
-// Admission says what owners admit without asking the leader.
+// Admission selects the work that owners of shards admit without the leader. They do so within
+// the shares of the teams' limits that the leader has distributed to their shards; see
+// docs/team-limits.md.
 type Admission int
 
 // Kinds of admission.
 const (
-	AdmitNothing    Admission = iota // the leader grants everything
-	AdmitLeaderless                  // while there is no leader, or it can't be heard
-	AdmitGuaranteed                  // and at all times new jobs within their team's guarantee
+	AdmitNothing    Admission = iota // owners admit nothing, the leader grants everything
+	AdmitLeaderless                  // owners admit while there is no leader or it is unreachable
+	AdmitGuaranteed                  // owners also admit new jobs within their team's guarantee at all times
 )
 
 const (
-	// leaderTimeout is how long nothing is heard of the leader, which sends its peers a message
-	// every second, before owners admit work in its place.
+	// leaderTimeout is the time without messages from the leader, which sends its peers one every
+	// second, after which owners admit work in its place. An owner is considered unreachable
+	// after the same time.
 	leaderTimeout = 2500 * time.Millisecond
-	// ownerFirstTime is for how long the leader leaves a new job to the owner of its home
-	// shard: some passes of the owner, and the time that its write takes.
+	// ownerFirstTime is how long the leader leaves a new job to the owner of its home shard:
+	// enough for some passes of the owner and for its write.
 	ownerFirstTime = 500 * time.Millisecond
-	// admissionInterval lies between two passes of an owner over the queues, as between
-	// those of a leader.
+	// admissionInterval is the time between two admission passes of an owner, the same as between
+	// two passes of the leader.
 	admissionInterval = 120 * time.Millisecond
-	// admissionIntervalPerJob is added to that for each live job: a pass looks at all of them.
+	// admissionIntervalPerJob is added to admissionInterval for each live job, as a pass examines
+	// all of them.
 	admissionIntervalPerJob = 50 * time.Microsecond
-	// homeShardTurn is how long a job that waits is left to one shard before the next shard
-	// has its turn: two owners that write the same record keep each other from it.
+	// homeShardTurn is how long a waiting job is assigned to one home shard before the next shard
+	// replaces it. If two owners admitted it at once, their writes of its record would conflict.
 	homeShardTurn = 2 * second
 )
 
-// admission is what a pass of an owner has admitted so far.
+// admission records what an owner's pass has admitted.
 type admission struct {
 	admitted [][]quota.Amount // by team and shard
 }
 
-// newAdmission makes an admission of nothing.
+// newAdmission returns an admission without entries.
 func newAdmission(teams, shards int) *admission {
 	admitted := make([][]quota.Amount, teams)
 	for team := range admitted {
@@ -54,7 +55,7 @@
 	return &admission{admitted: admitted}
 }
 
-// mayCharge reports whether a team's limit allows tasks on a machine.
+// mayCharge reports whether the limit of a job's team allows tasks of the job on a slot.
 func (p *schedulingPass) mayCharge(job *job, tasks int, slot *slot) bool {
 	if p.admission != nil {
 		return p.mayAdmit(job, tasks, slot.shard)
@@ -62,7 +63,7 @@
 	return p.hasQuota(job, tasks)
 }
 
-// mayAdmit reports whether we may admit tasks of a job in a shard of ours.
+// mayAdmit reports whether this controller owns a shard and may admit tasks of a job in it.
 func (p *schedulingPass) mayAdmit(job *job, tasks, shardIndex int) bool {
 	if job.Team < 0 || !p.node.mayActAsOwner(p.node.shards[shardIndex]) {
 		return false
@@ -71,8 +72,9 @@
 	return p.node.replica.Ledger().MayAdmit(job.Team, shardIndex, admitted, p.node.replica.Revision())
 }
 
-// addAccountCondition makes the commit conditional on the account of a job's team, so that it fails
-// if the limit or a share has changed meanwhile. What is admitted counts for the pass.
+// addAccountCondition makes the commit conditional on the account of a job's team, so that it
+// fails if the limit or a share has changed meanwhile. In an owner's pass it also records the
+// tasks as admitted.
 func (p *schedulingPass) addAccountCondition(job *job, slots []*slot) {
 	if p.admission != nil {
 		for _, slot := range slots {
@@ -89,7 +91,7 @@
 	}
 }
 
-// admitWork admits waiting work in our shards, within their shares.
+// admitWork admits waiting jobs in the shards of this controller, within their shares.
 func (n *Node) admitWork(writer *writer, free *lazySlots) {
 	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.admissionAt || n.offeredTypes == nil ||
 		n.leadership.HoldsClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
@@ -118,12 +120,14 @@
 	pass.serveQueues(queues)
 }
 
-// isNewWithinGuarantee reports whether a job has just come and its team's guarantee covers it.
+// isNewWithinGuarantee reports whether a job has never been granted and is within its team's
+// guarantee.
 func (q *queuedJob) isNewWithinGuarantee() bool {
 	return q.withinGuarantee && q.job.Record.NextAttempt == 1 && len(q.job.Record.ActiveTasks) == 0
 }
 
-// leaderIsSilent reports whether there is no other leader, or none that can be heard to work.
+// leaderIsSilent reports whether no other controller is the leader, or the leader has not sent a
+// message within leaderTimeout or can't use the state service.
 func (n *Node) leaderIsSilent() bool {
 	leader := n.leadership.Record()
 	if leader == nil || leader.Controller == n.cfg.Self {
@@ -133,15 +137,16 @@
 	return peer == nil || n.now-peer.receivedAt > leaderTimeout || !peer.message.StoreOK
 }
 
-// isHomeShardOwned reports whether it is the turn of one of our shards to admit a job.
+// isHomeShardOwned reports whether this controller owns the home shard of a job.
 func (n *Node) isHomeShardOwned(job *job) bool {
 	home := n.homeShard(job)
 	return home != nil && n.mayActAsOwner(home)
 }
 
-// homeShard returns the shard whose turn it is to admit a job, or nil: chosen by hash among those
-// whose owner is heard, and after a while the next. Controllers need not agree on it: of two that
-// admit the same job at once and write the same record, one fails.
+// homeShard returns the shard that may admit a job at present, or nil. It is chosen by a hash of
+// the job's ID among the shards with a reachable owner, and changes after every homeShardTurn.
+// Controllers need not agree on it: if two admit the same job at once, one of their writes of the
+// record fails.
 func (n *Node) homeShard(job *job) *shard {
 	var owned []*shard
 	for _, shard := range n.shards {
@@ -158,7 +163,8 @@
 	return owned[(int(hash.Sum32()>>1)+int(waited/homeShardTurn))%len(owned)]
 }
 
-// hearsOwner reports whether a shard is ours, or its owner has been heard lately.
+// hearsOwner reports whether this controller owns a shard or has received a message from its
+// owner within leaderTimeout.
 func (n *Node) hearsOwner(shard *shard) bool {
 	if shard.Record == nil {
 		return false
@@ -167,8 +173,9 @@
 	return n.owns(shard) || owner != nil && n.now-owner.receivedAt < leaderTimeout
 }
 
-// defersToOwner reports whether we, as the leader, leave a new job to the owner of its home
-// shard for a moment. A job that the owner does not admit is ours after that.
+// defersToOwner reports whether this controller, as the leader, leaves a new job to the owner of
+// its home shard for ownerFirstTime. After that the leader grants the job if the owner has not
+// admitted it.
 func (n *Node) defersToOwner(job *job) bool {
 	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() ||
 		!n.replica.WritesTeamAccounts() ||
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -8,28 +8,27 @@
 	"micaport/internal/wire"
 )
 
-// The leader's side of the teams' accounts: distributing shares to the shards. See package
-// quota for what is distributed and docs/team-limits.md for why.
-
 const (
-	// shareInterval lies between two writes of a team's account, so that shares which follow
-	// the load cost a tenth of a write a second for each team at most.
+	// shareInterval is the time between two writes of a team's account: shares that follow the
+	// load cost at most a tenth of a write per second and team.
 	shareInterval = 10 * second
-	// reclaimInterval is that for revoking shares that waiting work needs.
+	// reclaimInterval replaces shareInterval while waiting jobs need shares to be reclaimed.
 	reclaimInterval = second
-	// redistributeInterval is that after shares have been revoked. A leader that takes over finds
-	// a backlog and revokes shares for it; were the owners then left without shares for long,
-	// they could admit nothing when that leader fails in its turn.
+	// redistributeInterval replaces shareInterval after shares have been reclaimed. A new leader
+	// finds a backlog and reclaims shares for it. If the owners were then without shares for
+	// long, they could admit nothing if that leader failed too.
 	redistributeInterval = 3 * second
-	// excessReportInterval lies between two reports of a team that uses more than its limit.
+	// excessReportInterval is the time between two reports of teams that use more than their
+	// limits.
 	excessReportInterval = 30 * second
-	// neverDistributedAge is the age of a distribution that has not taken place yet, longer
+	// neverDistributedAge is the assumed age of a distribution that has not taken place, longer
 	// than any interval.
 	neverDistributedAge = time.Hour
 )
 
-// distributeShares writes the account of a team whose shares should change, at most one in a
-// commit. It comes last, so that it uses no write that a grant needs.
+// distributeShares writes the account of a team whose shares of its limit have to change, at most
+// one in a commit. It runs after all grants, so that it uses no write that they need. See package
+// quota for the distribution and docs/team-limits.md for the reasons.
 func (p *schedulingPass) distributeShares() {
 	n := p.node
 	if !n.replica.WritesTeamAccounts() {
@@ -57,8 +56,8 @@
 	}
 }
 
-// shareIntervalFor is how long a team's account is not written again. Where writes are scarce
-// all intervals are the longest.
+// shareIntervalFor returns the minimum time between two writes of a team's account. It approaches
+// shareInterval as writes get scarcer.
 func (p *schedulingPass) shareIntervalFor(team int) Time {
 	interval := shareInterval
 	switch {
@@ -70,7 +69,7 @@
 	return interval + Time(p.node.writeScarcity()*float64(shareInterval-interval))
 }
 
-// shareDemand is the demand that the shares of a team are distributed by.
+// shareDemand returns the demand on which the distribution of a team's shares depends.
 func (p *schedulingPass) shareDemand(team int) quota.Demand {
 	n := p.node
 	demand := quota.Demand{
@@ -78,14 +77,14 @@
 		Enabled: n.cfg.Admission != AdmitNothing,
 	}
 	for i, shard := range n.shards {
-		// Our own shards need no share: we grant there as the leader.
+		// The leader grants in its own shards, so that these need no share.
 		demand.Owned[i] = shard.Record != nil && !n.owns(shard) && n.ownerResponds(shard)
 	}
 	return demand
 }
 
-// reportExcess logs teams that use more than their limits allow, which happens when a limit has
-// been lowered: nothing is stopped for it.
+// reportExcess logs teams that use more than their limits allow. This follows from a lowered
+// limit, for which no tasks are stopped.
 func (n *Node) reportExcess() {
 	if n.now < n.leader.excessAt {
 		return
@@ -99,8 +98,8 @@
 	}
 }
 
-// neverDistributed returns the times of the last distribution by team for a new leader, which
-// knows of none.
+// neverDistributed returns the times of the last distribution by team for a new leader, to which
+// none is known.
 func neverDistributed(teams int) []Time {
 	times := make([]Time, teams)
 	for team := range times {
--- a/internal/core/scheduler_stages.go
+++ b/internal/core/scheduler_stages.go
@@ -2,13 +2,10 @@
 
 import "micaport/internal/wire"
 
-// The leader plans capacity for the next stage of a chain while the jobs that it depends on
-// are about to end, so that what has to be provisioned for it is up in time. Nothing is
-// granted ahead, and images can't be fetched ahead: a machine fetches only what a
-// started task waits for. See "Chained jobs" in docs/design.md.
-
-// planNextStages plans capacity for jobs whose last dependencies will probably end before a
-// machine provisioned now is up.
+// planNextStages plans capacity for the jobs whose last dependencies will probably end before a
+// machine provisioned now is up, so that the next stage of a chain finds its machines ready.
+// Nothing is granted in advance, and images can't be fetched in advance: a machine only fetches
+// the images of started tasks. See "Chained jobs" in docs/design.md.
 func (p *schedulingPass) planNextStages() {
 	n := p.node
 	for _, index := range n.replica.Live() {
@@ -19,8 +16,7 @@
 	}
 }
 
-// isRunnableBy reports whether all that a job still depends on will probably be done by a
-// time.
+// isRunnableBy reports whether all dependencies of a job will probably be done by the given time.
 func (n *Node) isRunnableBy(job *job, at Time) bool {
 	if job.Links.AncestorCancelled {
 		return false
@@ -28,7 +24,7 @@
 	for _, index := range job.Links.Dependencies {
 		dependency := n.jobs[index]
 		if dependency.Record == nil {
-			return false // its record has not been seen
+			return false // the replica has no record of it
 		}
 		if dependency.Record.State == wire.JobDone {
 			continue
@@ -42,8 +38,8 @@
 	return true
 }
 
-// planStage plans capacity for the tasks of a job, within its team's limit, and has machines
-// provisioned for those that find none.
+// planStage plans capacity for the tasks of a job, within its team's limit, and plans to
+// provision machines for tasks that don't fit otherwise.
 func (p *schedulingPass) planStage(job *job) {
 	spec := job.Record.Spec
 	zoneTasks := make([]int, p.node.names.Zones.Len())
@@ -62,8 +58,8 @@
 	}
 }
 
-// allowsZone reports whether the next task of a job may go to a zone, given how many of its
-// tasks each zone has.
+// allowsZone reports whether the next task of a job may run in a zone, given the number of its
+// tasks in each zone.
 func allowsZone(spec *wire.JobSpec, zoneTasks []int, zone int) bool {
 	if spec.Spread && zoneTasks[zone] >= zoneLimit(spec) {
 		return false
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -14,7 +14,8 @@
 	n.leader.autoscaler = newAutoscaler()
 }
 
-// granted shows a job whose only task is on a machine, as granted by this leader.
+// granted adds the record of a job whose only task has a machine, as if this leader had just
+// granted it.
 func granted(n *Node, revision uint64, id string, expectedS float64) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
 	record := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
@@ -22,13 +23,14 @@
 	n.jobNamed(id).grantedAt = n.now
 }
 
-// plannedMachines returns how many machines a pass that only plans stages wants to provision.
+// plannedMachines returns the number of machines that a pass which only plans stages wants to
+// provision.
 func plannedMachines(t *testing.T, n *Node) int {
 	t.Helper()
 	pass := n.newSchedulingPass(newWriter(n))
 	pass.planNextStages()
 	if len(pass.writer.order) > 0 {
-		t.Fatalf("planning ahead granted tasks of %d jobs", len(pass.writer.order))
+		t.Fatalf("planning stages granted tasks of %d jobs, want none", len(pass.writer.order))
 	}
 	machines := 0
 	for _, count := range pass.provisions {
@@ -37,8 +39,9 @@
 	return machines
 }
 
-// TestStageIsPlannedAhead: capacity for a stage is planned from when what it depends on will probably
-// end before a machine provisioned now is up, and not before; nor for one that will never run.
+// TestStageIsPlannedAhead checks that capacity for a job is planned once its dependencies will
+// probably end before a machine provisioned now is up, not earlier, and never for a job that will
+// not run.
 func TestStageIsPlannedAhead(t *testing.T) {
 	wide := func(spec *wire.JobSpec) { spec.Cores, spec.TaskCount = 8, 3 }
 	for name, test := range map[string]struct {
@@ -64,7 +67,7 @@
 			}
 			n.now += test.after
 			if got := plannedMachines(t, n); got != test.want {
-				t.Errorf("%d machines are planned, want %d", got, test.want)
+				t.Errorf("planned machines = %d, want %d", got, test.want)
 			}
 		})
 	}
@@ -75,13 +78,13 @@
 		showJob(n, 2001, "wk-000002", wire.JobLive, nil)
 		showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
 		if got := plannedMachines(t, n); got != 0 {
-			t.Errorf("%d machines are planned, want none", got)
+			t.Errorf("planned machines = %d, want none", got)
 		}
 	})
 }
 
-// TestLatestStartFollowsCorrectedRunTimes: the deadlines within a chain follow from the run times that
-// the stages really have.
+// TestLatestStartFollowsCorrectedRunTimes checks that the deadlines within a chain are based on
+// the observed run times of the stages rather than the expected ones.
 func TestLatestStartFollowsCorrectedRunTimes(t *testing.T) {
 	n := newTestNode()
 	for range minRunSamples {
@@ -98,6 +101,6 @@
 	}
 	showJob(n, 4, "wk-000003", wire.JobLive, nil)
 	if got := n.latestStart(n.jobNamed("wk-000003")); got != math.MaxInt64 {
-		t.Errorf("latest start of a job outside of chains = %d, want none", got)
+		t.Errorf("latest start of a job outside a chain = %d, want none", got)
 	}
 }
