--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -27,9 +27,9 @@
 	// second, after which owners admit work in its place. An owner is considered unreachable
 	// after the same time.
 	leaderTimeout = 2500 * time.Millisecond
-	// ownerFirstTime is how long the leader leaves a new job to the owner of its home shard:
+	// ownerAdmissionTime is how long the leader leaves a new job to the owner of its home shard:
 	// enough for some passes of the owner and for its write.
-	ownerFirstTime = 500 * time.Millisecond
+	ownerAdmissionTime = 500 * time.Millisecond
 	// admissionInterval is the time between two admission passes of an owner, the same as between
 	// two passes of the leader.
 	admissionInterval = 120 * time.Millisecond
@@ -106,7 +106,7 @@
 	waiting := false
 	for _, queue := range queues {
 		queue.jobs = slices.DeleteFunc(queue.jobs, func(queued *queuedJob) bool {
-			return !n.isHomeShardOwned(queued.job) || !leaderless && !queued.isNewWithinGuarantee()
+			return !n.ownsHomeShard(queued.job) || !leaderless && !queued.isNewWithinGuarantee()
 		})
 		waiting = waiting || len(queue.jobs) > 0
 	}
@@ -137,8 +137,8 @@
 	return peer == nil || n.now-peer.receivedAt > leaderTimeout || !peer.message.StoreOK
 }
 
-// isHomeShardOwned reports whether this controller owns the home shard of a job.
-func (n *Node) isHomeShardOwned(job *job) bool {
+// ownsHomeShard reports whether this controller owns the home shard of a job.
+func (n *Node) ownsHomeShard(job *job) bool {
 	home := n.homeShard(job)
 	return home != nil && n.mayActAsOwner(home)
 }
@@ -150,7 +150,7 @@
 func (n *Node) homeShard(job *job) *shard {
 	var owned []*shard
 	for _, shard := range n.shards {
-		if (job.Zone < 0 || job.Zone == shard.Zone) && n.hearsOwner(shard) {
+		if (job.Zone < 0 || job.Zone == shard.Zone) && n.isOwnerReachable(shard) {
 			owned = append(owned, shard)
 		}
 	}
@@ -163,9 +163,9 @@
 	return owned[(int(hash.Sum32()>>1)+int(waited/homeShardTurn))%len(owned)]
 }
 
-// hearsOwner reports whether this controller owns a shard or has received a message from its
+// isOwnerReachable reports whether this controller owns a shard or has received a message from its
 // owner within leaderTimeout.
-func (n *Node) hearsOwner(shard *shard) bool {
+func (n *Node) isOwnerReachable(shard *shard) bool {
 	if shard.Record == nil {
 		return false
 	}
@@ -174,12 +174,12 @@
 }
 
 // defersToOwner reports whether this controller, as the leader, leaves a new job to the owner of
-// its home shard for ownerFirstTime. After that the leader grants the job if the owner has not
-// admitted it.
+// its home shard for ownerAdmissionTime. After that the leader grants the job if the owner has
+// not admitted it.
 func (n *Node) defersToOwner(job *job) bool {
 	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() ||
 		!n.replica.WritesTeamAccounts() ||
-		n.now-job.ChangedAt >= ownerFirstTime ||
+		n.now-job.ChangedAt >= ownerAdmissionTime ||
 		job.Record.NextAttempt != 1 || len(job.Record.ActiveTasks) > 0 || !job.withinGuarantee {
 		return false
 	}
--- a/internal/core/scheduler_gang.go
+++ b/internal/core/scheduler_gang.go
@@ -17,7 +17,7 @@
 	if !p.hasQuota(job, len(queued.tasks)) {
 		// Smaller jobs of the team could use everything that becomes free within the limit,
 		// for ever. After the delay the gang's demand is therefore charged ahead of them.
-		p.noteWaiting(job)
+		p.recordWaitingSince(job)
 		if job.Team >= 0 && p.node.now-job.waitingSince > gangReservationDelay {
 			p.charge(job, len(queued.tasks))
 		}
@@ -34,7 +34,7 @@
 		job.rememberPosition()
 		return
 	}
-	p.noteWaiting(job)
+	p.recordWaitingSince(job)
 	p.unplacedTasks += len(queued.tasks)
 	if len(queued.tasks) == 1 && p.planSingleTaskGang(queued) {
 		return
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -98,12 +98,12 @@
 	queued  *queuedJob
 	zone    int // -1: any
 	sources []capacitySource
-	seen    map[*slot]bool
+	added   map[*slot]bool
 }
 
 // searchReservation returns the plan for a gang in a zone, or in any zone if it is -1.
 func (p *schedulingPass) searchReservation(queued *queuedJob, zone int, mayPreempt bool) *gangReservation {
-	search := &reservationSearch{pass: p, queued: queued, zone: zone, seen: map[*slot]bool{}}
+	search := &reservationSearch{pass: p, queued: queued, zone: zone, added: map[*slot]bool{}}
 	canProvision := p.canProvision(queued.job, zone)
 	search.addFree()
 	if mayPreempt || !canProvision {
@@ -118,24 +118,24 @@
 	return search.choose(canProvision)
 }
 
-// enough reports whether there are as many sources as a reservation chooses from.
-func (r *reservationSearch) enough() bool {
+// hasEnoughSources reports whether there are as many sources as a reservation chooses from.
+func (r *reservationSearch) hasEnoughSources() bool {
 	return len(r.sources) >= sourcesPerTask*len(r.queued.tasks)
 }
 
-// excludes reports whether a slot is outside the zone of the search.
-func (r *reservationSearch) excludes(slot *slot) bool {
+// isOutsideZone reports whether a slot is outside the zone of the search.
+func (r *reservationSearch) isOutsideZone(slot *slot) bool {
 	return r.zone >= 0 && slot.zone != r.zone
 }
 
-// add adds a slot with free capacity as a source for each task that fits.
-func (r *reservationSearch) add(slot *slot, cost float64) {
+// addSlot adds a slot with free capacity as a source for each task that fits.
+func (r *reservationSearch) addSlot(slot *slot, cost float64) {
 	spec := r.queued.job.Record.Spec
-	if slot.reserved || r.seen[slot] || r.excludes(slot) || !slot.accepts(r.queued.job) || !slot.fitsAfterRelease(spec) {
+	if slot.reserved || r.added[slot] || r.isOutsideZone(slot) || !slot.accepts(r.queued.job) || !slot.fitsAfterRelease(spec) {
 		return
 	}
-	r.seen[slot] = true
-	for trial := *slot; trial.fitsAfterRelease(spec) && !r.enough(); {
+	r.added[slot] = true
+	for trial := *slot; trial.fitsAfterRelease(spec) && !r.hasEnoughSources(); {
 		trial.set = nil
 		trial.allocate(spec)
 		r.sources = append(r.sources, capacitySource{slot: slot, cost: cost})
@@ -149,18 +149,18 @@
 		if (r.zone < 0 || class.zone == r.zone) && r.queued.job.Allows(class.machineType, class.zone, class.spot) {
 			for _, slot := range *pass.available.open[class] {
 				pass.node.workCount++
-				r.add(slot, 0)
+				r.addSlot(slot, 0)
 			}
 		}
 	}
 	for _, slot := range pass.available.releasing {
-		r.add(slot, 0)
+		r.addSlot(slot, 0)
 	}
 	for _, slot := range pass.expected.all {
-		if r.enough() {
+		if r.hasEnoughSources() {
 			break
 		}
-		r.add(slot, bootingCost)
+		r.addSlot(slot, bootingCost)
 	}
 }
 
@@ -168,7 +168,7 @@
 func (r *reservationSearch) addOccupied(mayPreempt, mayDrain bool) {
 	pass, queued := r.pass, r.queued
 	for _, slot := range pass.available.all {
-		if r.excludes(slot) || slot.reserved || r.seen[slot] ||
+		if r.isOutsideZone(slot) || slot.reserved || r.added[slot] ||
 			slot.machine.lowestPriority == noPriority ||
 			!slot.accepts(queued.job) {
 			continue
--- a/internal/core/scheduler_grant.go
+++ b/internal/core/scheduler_grant.go
@@ -11,7 +11,7 @@
 	n := p.node
 	record := p.writer.job(job)
 	if record == nil {
-		p.noteUnwritten()
+		p.countUnwrittenGrant()
 		return false
 	}
 	previousAttempt := record.NextAttempt
@@ -30,7 +30,7 @@
 	if severalShards && !p.addGang(job, attempt, shards) {
 		record.ActiveTasks, record.NextAttempt = record.ActiveTasks[:len(record.ActiveTasks)-len(tasks)], previousAttempt
 		delete(p.writer.attempts, job.Index)
-		p.noteUnwritten()
+		p.countUnwrittenGrant()
 		return false
 	}
 	p.charge(job, len(tasks))
@@ -42,8 +42,8 @@
 	return true
 }
 
-// noteUnwritten counts a grant for which no write was left.
-func (p *schedulingPass) noteUnwritten() {
+// countUnwrittenGrant counts a grant for which no write was left.
+func (p *schedulingPass) countUnwrittenGrant() {
 	p.unwrittenGrants = min(p.unwrittenGrants+1, maxUnwrittenGrants)
 }
 
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -24,7 +24,7 @@
 	available          *slotSet            // machines that are up
 	expected           *slotSet            // machines that are booting, requested or planned to be provisioned
 	used               []usage             // by team, including what this pass has charged
-	added              []quota.Amount      // by team, charged by this pass
+	charged            []quota.Amount      // by team, charged by this pass
 	atLimit            []bool              // by team: a job waits only because of the limit
 	provisions         map[machinePool]int // machines that this pass plans to provision
 	poolSizes          map[machinePool]int // machines that are up, expected or planned
@@ -43,16 +43,16 @@
 	backfillGrantsPerRecord = 3
 	// maxUnwrittenGrants bounds the number of unwritten grants that count.
 	maxUnwrittenGrants = 50
-	// grantHintTime is how long the leader keeps the hint of a grant that its replica does not
+	// grantHintRetention is how long the leader keeps the hint of a grant that its replica does not
 	// show: a commit may take a while.
-	grantHintTime = 20 * second
-	// unconfirmedTime bounds how long tasks are planned on a machine that has not confirmed its
+	grantHintRetention = 20 * second
+	// maxUnconfirmedTime bounds how long tasks are planned on a machine that has not confirmed its
 	// owner's term. A new machine confirms it with its second heartbeat. A machine that is only
 	// known from a delayed message never confirms it.
-	unconfirmedTime = 3 * second
-	// silentOwnerTime is the time without messages from an owner after which it is considered
+	maxUnconfirmedTime = 3 * second
+	// ownerSilenceTimeout is the time without messages from an owner after which it is considered
 	// reachable through the state service only.
-	silentOwnerTime = 5 * second
+	ownerSilenceTimeout = 5 * second
 )
 
 // runSchedulingPass grants waiting tasks to shards in queue order, and decides which machines to
@@ -90,7 +90,7 @@
 	teams := n.names.Teams.Len()
 	return &schedulingPass{
 		node: n, writer: writer, available: newSlotSet(n), expected: newSlotSet(n),
-		used: make([]usage, teams), added: make([]quota.Amount, teams), atLimit: make([]bool, teams),
+		used: make([]usage, teams), charged: make([]quota.Amount, teams), atLimit: make([]bool, teams),
 		provisions: map[machinePool]int{}, poolSizes: map[machinePool]int{},
 	}
 }
@@ -117,7 +117,7 @@
 	view := &machine.view
 	if machine.returned || !view.known || view.reclaimed || view.unhealthy ||
 		view.unreachable || machine.draining ||
-		view.unconfirmed && n.now-machine.unconfirmedSince > unconfirmedTime {
+		view.unconfirmed && n.now-machine.unconfirmedSince > maxUnconfirmedTime {
 		return nil
 	}
 	shard := n.shards[machine.shard]
@@ -125,7 +125,7 @@
 		return nil
 	}
 	owner := n.peers[shard.Record.Owner]
-	if shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.receivedAt > silentOwnerTime) {
+	if shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.receivedAt > ownerSilenceTimeout) {
 		if owner != nil && n.now-owner.receivedAt > 3*n.cfg.WorkerLease ||
 			n.now-shard.ChangedAt > 3*n.cfg.WorkerLease && machine.viewTerm != shard.Term {
 			return nil
@@ -149,7 +149,7 @@
 // charge charges tasks of a job to its team for the rest of the pass.
 func (p *schedulingPass) charge(job *job, tasks int) {
 	p.used[job.Team].add(job.Record.Spec, float64(tasks))
-	p.added[job.Team] = p.added[job.Team].Plus(job.Demand(tasks))
+	p.charged[job.Team] = p.charged[job.Team].Plus(job.Demand(tasks))
 }
 
 // chargeGrants allocates capacity for grants that their owners have not placed yet: on the
@@ -189,12 +189,12 @@
 	return slots
 }
 
-// forgetHints deletes the hints of grants that don't wait for their placement, once grantHintTime
-// has passed since the last grant to the job. The number of hints is thereby bounded by the
-// waiting grants, without a fixed limit.
+// forgetHints deletes the hints of grants that don't wait for their placement, once
+// grantHintRetention has passed since the last grant to the job. The number of hints is thereby
+// bounded by the waiting grants, without a fixed limit.
 func (n *Node) forgetHints() {
 	for key := range n.leader.grantHints {
-		if job := n.jobs[key.job]; !job.awaitsPlacement(key) && n.now-job.grantedAt > grantHintTime {
+		if job := n.jobs[key.job]; !job.awaitsPlacement(key) && n.now-job.grantedAt > grantHintRetention {
 			delete(n.leader.grantHints, key)
 		}
 	}
@@ -227,7 +227,7 @@
 // tasks.
 func (p *schedulingPass) withinLimit(job *job, tasks int) bool {
 	return job.Team >= 0 &&
-		p.node.replica.Ledger().MayGrant(job.Team, p.added[job.Team].Plus(job.Demand(tasks)), p.node.replica.Revision())
+		p.node.replica.Ledger().MayGrant(job.Team, p.charged[job.Team].Plus(job.Demand(tasks)), p.node.replica.Revision())
 }
 
 // hasQuota reports whether the limit of a job's team allows waiting tasks, and marks the team in
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -12,14 +12,14 @@
 
 // queuedJob is a job in its team's queue.
 type queuedJob struct {
-	job             *job
-	tasks           []int // tasks that may be granted now and are not planned yet
-	zoneTasks       []int // number of its active and planned tasks by zone
-	shardTasks      []int // number of its active and newly granted tasks by shard
-	withinGuarantee bool  // the team's guarantee covers the job and the team's older jobs
-	runBudget       int   // runs of consecutive tasks that its record can still hold
-	latestStartMS   int64 // see Node.latestStart
-	avoidsIdle      bool  // its next task avoids idle on-demand machines
+	job                *job
+	tasks              []int // tasks that may be granted now and are not planned yet
+	zoneTasks          []int // number of its active and planned tasks by zone
+	shardTasks         []int // number of its active and newly granted tasks by shard
+	withinGuarantee    bool  // the team's guarantee covers the job and the team's older jobs
+	remainingRuns      int   // runs of consecutive tasks that its record can still hold
+	latestStartMS      int64 // see Node.latestStart
+	avoidsIdleOnDemand bool  // its next task avoids idle on-demand machines
 
 	// Failed searches for an earlier task of the job, which are not repeated for the others.
 	noFreeSlot, noReleasingSlot, noExpectedSlot bool
@@ -56,7 +56,7 @@
 			continue
 		}
 		used[job.Team].add(job.Record.Spec, float64(job.Record.TaskCount-job.Record.DoneTasks.Count()))
-		job.withinGuarantee = guarantees(n.replica.Quota(job.Team), used[job.Team])
+		job.withinGuarantee = guaranteeCovers(n.replica.Quota(job.Team), used[job.Team])
 		if n.isDeferred(job) {
 			continue
 		}
@@ -90,8 +90,8 @@
 	return team.GuaranteedGPUs > 0 || team.GuaranteedCores > 0
 }
 
-// guarantees reports whether a team has a guarantee that covers a usage.
-func guarantees(team *replica.Team, used usage) bool {
+// guaranteeCovers reports whether a team has a guarantee that covers a usage.
+func guaranteeCovers(team *replica.Team, used usage) bool {
 	return hasGuarantee(team) && !exceeds(used.gpus, team.GuaranteedGPUs) && !exceeds(used.cores, team.GuaranteedCores)
 }
 
@@ -113,7 +113,7 @@
 		job:             job,
 		withinGuarantee: job.withinGuarantee,
 		latestStartMS:   n.latestStart(job),
-		runBudget:       len(job.Record.ActiveTasks) + job.Record.TaskCount,
+		remainingRuns:   len(job.Record.ActiveTasks) + job.Record.TaskCount,
 	}
 	if job.Record.Spec.Shape == wire.ShapeGang {
 		queued.tasks = n.waitingTasks(job, job.Record.TaskCount)
@@ -121,9 +121,9 @@
 	}
 	queued.tasks = n.waitingTasks(job, n.maxActiveTasks(job)-len(job.Record.ActiveTasks))
 	if job.LargeArray {
-		queued.runBudget = n.remainingRuns(job)
+		queued.remainingRuns = n.remainingRuns(job)
 	}
-	if queued.runBudget <= 0 || n.now-job.grantedAt < n.grantDelay(job) {
+	if queued.remainingRuns <= 0 || n.now-job.grantedAt < n.grantDelay(job) {
 		queued.tasks = nil
 	}
 	if job.suspect { // one task is enough to see whether the job still fails
@@ -161,9 +161,10 @@
 // a guarantee.
 const coresPerGPU = 8
 
-// shareUsed returns the fraction of its guarantee that a team uses; the team with the lowest is
-// served first. For a team without a guarantee it is at least 1 and increases with the usage.
-func (p *schedulingPass) shareUsed(team int) float64 {
+// guaranteeUtilization returns the fraction of its guaranteed GPUs that a team uses, or of its
+// guaranteed cores if it has no guaranteed GPUs; the team with the lowest is served first. For a
+// team without a guarantee it is at least 1 and increases with the usage.
+func (p *schedulingPass) guaranteeUtilization(team int) float64 {
 	used, quota := p.used[team], p.node.replica.Quota(team)
 	switch {
 	case quota.GuaranteedGPUs > 0:
@@ -203,7 +204,7 @@
 			continue
 		}
 		if next == nil || queue.jobs[0].rank() > next.jobs[0].rank() ||
-			queue.jobs[0].rank() == next.jobs[0].rank() && p.shareUsed(queue.team) < p.shareUsed(next.team) {
+			queue.jobs[0].rank() == next.jobs[0].rank() && p.guaranteeUtilization(queue.team) < p.guaranteeUtilization(next.team) {
 			next = queue
 		}
 	}
@@ -238,10 +239,10 @@
 	}
 }
 
-// noteWaiting records since when a job has waited. A job that was never granted has waited since
-// it was accepted or since its dependencies were done. If the time started anew with each leader,
-// a gang would never get its reservation while the leader changes every minute.
-func (p *schedulingPass) noteWaiting(job *job) {
+// recordWaitingSince records since when a job has waited. A job that was never granted has waited
+// since it was accepted or since its dependencies were done. If the time started anew with each
+// leader, a gang would never get its reservation while the leader changes every minute.
+func (p *schedulingPass) recordWaitingSince(job *job) {
 	if job.waitingSince != 0 {
 		return
 	}
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		for range n.arrivals.reserve(class, n.now, lead) {
-			slot := p.bestAnywhere(job, nil)
+			slot := p.findOrProvision(job, nil)
 			if slot == nil {
 				break
 			}
@@ -38,10 +38,10 @@
 	}
 }
 
-// bestAnywhere returns the best available slot, or else the best expected slot, or else one on a
+// findOrProvision returns the best available slot, or else the best expected slot, or else one on a
 // machine that the pass now plans to provision, or nil. The result of accept (nil: any slot) must
 // be the same for all slots of a class.
-func (p *schedulingPass) bestAnywhere(job *job, accept func(*slot) bool) *slot {
+func (p *schedulingPass) findOrProvision(job *job, accept func(*slot) bool) *slot {
 	if slot := p.available.best(job, accept, nil); slot != nil {
 		return slot
 	}
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -73,7 +73,7 @@
 func (p *schedulingPass) shareDemand(team int) quota.Demand {
 	n := p.node
 	demand := quota.Demand{
-		Owned: make([]bool, len(n.shards)), Blocked: p.atLimit[team], Granted: p.added[team],
+		Owned: make([]bool, len(n.shards)), Blocked: p.atLimit[team], Granted: p.charged[team],
 		Enabled: n.cfg.Admission != AdmitNothing,
 	}
 	for i, shard := range n.shards {
--- a/internal/core/scheduler_stages.go
+++ b/internal/core/scheduler_stages.go
@@ -48,7 +48,7 @@
 		if !p.withinLimit(job, 1) {
 			return
 		}
-		slot := p.bestAnywhere(job, allowed)
+		slot := p.findOrProvision(job, allowed)
 		if slot == nil {
 			return
 		}
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -8,8 +8,8 @@
 	"micaport/internal/wire"
 )
 
-// leading makes a controller the leader of a site without machines.
-func leading(n *Node) {
+// makeLeader makes a controller the leader of a site without machines.
+func makeLeader(n *Node) {
 	n.Step(n.now+1, RecordsChanged{Revision: 1000, Events: []kv.Event{{Key: wire.LeaderKey, Revision: 1000, Value: &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}}}})
 	n.leader.autoscaler = newAutoscaler()
 }
@@ -23,9 +23,9 @@
 	n.jobNamed(id).grantedAt = n.now
 }
 
-// plannedMachines returns the number of machines that a pass which only plans stages wants to
+// countPlannedMachines returns the number of machines that a pass which only plans stages wants to
 // provision.
-func plannedMachines(t *testing.T, n *Node) int {
+func countPlannedMachines(t *testing.T, n *Node) int {
 	t.Helper()
 	pass := n.newSchedulingPass(newWriter(n))
 	pass.planNextStages()
@@ -57,7 +57,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newTestNode()
-			leading(n)
+			makeLeader(n)
 			granted(n, 2000, "wk-000001", test.expectedS)
 			showJob(n, 2001, "wk-000002", wire.JobLive, nil)
 			showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
@@ -66,18 +66,18 @@
 				n.jobNamed("wk-000003").Links.AncestorCancelled = true
 			}
 			n.now += test.after
-			if got := plannedMachines(t, n); got != test.want {
+			if got := countPlannedMachines(t, n); got != test.want {
 				t.Errorf("planned machines = %d, want %d", got, test.want)
 			}
 		})
 	}
 	t.Run("another dependency is not granted", func(t *testing.T) {
 		n := newTestNode()
-		leading(n)
+		makeLeader(n)
 		granted(n, 2000, "wk-000001", 10)
 		showJob(n, 2001, "wk-000002", wire.JobLive, nil)
 		showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
-		if got := plannedMachines(t, n); got != 0 {
+		if got := countPlannedMachines(t, n); got != 0 {
 			t.Errorf("planned machines = %d, want none", got)
 		}
 	})
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -18,9 +18,9 @@
 	// largeArrayScarcity replaces the scarcity of writes for a large array: its owners and the
 	// leader would otherwise conflict with each other in writing its record.
 	largeArrayScarcity = 2
-	// spotWaitTime is how long tasks that may run on spot machines wait for one, somewhat longer
+	// maxSpotWaitTime is how long tasks that may run on spot machines wait for one, somewhat longer
 	// than a machine takes to boot.
-	spotWaitTime = 40 * second
+	maxSpotWaitTime = 40 * second
 	// urgentPriority is the lowest priority at which tasks don't wait for spot machines.
 	urgentPriority = 2
 	// maxUnmetDemands bounds the unmet demands that a pass records.
@@ -40,18 +40,18 @@
 	cores, gpus, memoryGB float64
 	zone                  int // -1: any
 	anyType, allowSpot    bool
-	avoidsIdle            bool // the task avoided idle on-demand machines
+	avoidsIdleOnDemand    bool // the task avoided idle on-demand machines
 }
 
 // isUnmet reports whether no slot was free in this pass for an earlier task that needed no more
 // capacity than a task of this job and was allowed on all machines that this job allows.
-func (p *schedulingPass) isUnmet(job *job, avoidsIdle bool) bool {
+func (p *schedulingPass) isUnmet(job *job, avoidsIdleOnDemand bool) bool {
 	spec := job.Record.Spec
 	for i := range p.unmetDemands {
 		unmet := &p.unmetDemands[i]
 		if unmet.anyType && (unmet.zone < 0 || unmet.zone == job.Zone) &&
 			(unmet.allowSpot || !job.AllowSpot) &&
-			(!unmet.avoidsIdle || avoidsIdle) &&
+			(!unmet.avoidsIdleOnDemand || avoidsIdleOnDemand) &&
 			unmet.cores <= spec.Cores+epsilon && unmet.gpus <= spec.GPUs+epsilon && unmet.memoryGB <= spec.MemoryGB+epsilon {
 			return true
 		}
@@ -59,11 +59,11 @@
 	return false
 }
 
-// noteUnmet records that no slot was free for a task of a job, unless the cause may be that the
-// job avoids machines that have failed it.
-func (p *schedulingPass) noteUnmet(job *job, avoidsIdle bool) {
+// recordUnmetDemand records that no slot was free for a task of a job, unless the cause may be
+// that the job avoids machines that have failed it.
+func (p *schedulingPass) recordUnmetDemand(job *job, avoidsIdleOnDemand bool) {
 	if spec := job.Record.Spec; len(job.Record.FailedMachines) == 0 && len(p.unmetDemands) < maxUnmetDemands {
-		p.unmetDemands = append(p.unmetDemands, unmetDemand{spec.Cores, spec.GPUs, spec.MemoryGB, job.Zone, job.AnyType, job.AllowSpot, avoidsIdle})
+		p.unmetDemands = append(p.unmetDemands, unmetDemand{spec.Cores, spec.GPUs, spec.MemoryGB, job.Zone, job.AnyType, job.AllowSpot, avoidsIdleOnDemand})
 	}
 }
 
@@ -71,7 +71,7 @@
 // one, or as many tasks of a large array as fit a machine. It reports whether more tasks of the
 // job may be served.
 func (p *schedulingPass) serveTask(queued *queuedJob) bool {
-	if queued.runBudget <= 0 || p.admission == nil && !p.hasQuota(queued.job, 1) {
+	if queued.remainingRuns <= 0 || p.admission == nil && !p.hasQuota(queued.job, 1) {
 		return false
 	}
 	if queued.zoneTasks == nil {
@@ -79,14 +79,14 @@
 	}
 	allowed := p.placementRule(queued)
 	if p.admission != nil {
-		return p.grantNow(queued, func(slot *slot) bool { return allowed(slot) && p.mayAdmit(queued.job, 1, slot.shard) })
+		return p.grantOnAvailable(queued, func(slot *slot) bool { return allowed(slot) && p.mayAdmit(queued.job, 1, slot.shard) })
 	}
-	if p.grantNow(queued, allowed) {
+	if p.grantOnAvailable(queued, allowed) {
 		return true
 	}
 	queued.noFreeSlot = true
 	p.unplacedTasks++
-	p.noteWaiting(queued.job)
+	p.recordWaitingSince(queued.job)
 	return p.planOnReleasing(queued, allowed) || p.planOnExpected(queued, allowed)
 }
 
@@ -104,11 +104,11 @@
 // on-demand machine.
 func (p *schedulingPass) placementRule(queued *queuedJob) func(*slot) bool {
 	spec, zoneTasks := queued.job.Record.Spec, queued.zoneTasks
-	queued.avoidsIdle = p.avoidsIdleOnDemand(queued)
+	queued.avoidsIdleOnDemand = p.avoidsIdleOnDemand(queued)
 	return func(slot *slot) bool {
 		// Expected machines are excluded too: a task planned on an on-demand machine that it will
 		// not use would wait while no spot machine is provisioned.
-		if queued.avoidsIdle && !slot.spot && slot.isIdle() {
+		if queued.avoidsIdleOnDemand && !slot.spot && slot.isIdle() {
 			return false
 		}
 		return allowsZone(spec, zoneTasks, slot.zone)
@@ -138,9 +138,9 @@
 	}
 }
 
-// hasNoZoneRule reports whether the zones of a job's tasks are independent of each other, so that
-// a search without result for one task is valid for the others too.
-func (q *queuedJob) hasNoZoneRule() bool {
+// hasNoZoneConstraint reports whether the zones of a job's tasks are independent of each other,
+// so that a search without result for one task is valid for the others too.
+func (q *queuedJob) hasNoZoneConstraint() bool {
 	return !q.job.Record.Spec.Spread && !q.job.Record.Spec.SameZone
 }
 
@@ -157,27 +157,27 @@
 	return max(1, tasks)
 }
 
-// assigned allocates a slot's capacity to the next tasks of a job and removes them from the
+// planTasks allocates a slot's capacity to the next tasks of a job and removes them from the
 // waiting tasks. Tasks that are planned on an expected machine count in their zone too; otherwise
 // all tasks would be planned in the same zone.
-func (q *queuedJob) assigned(slot *slot, tasks int) {
+func (q *queuedJob) planTasks(slot *slot, tasks int) {
 	slot.release(q.job.Record.Spec, -tasks)
 	q.zoneTasks[slot.zone] += tasks
 	q.tasks = q.tasks[tasks:]
-	q.runBudget--
+	q.remainingRuns--
 }
 
-// grantNow grants the next tasks of a job to the best slot with free capacity, and reports
+// grantOnAvailable grants the next tasks of a job to the best slot with free capacity, and reports
 // whether there is one.
-func (p *schedulingPass) grantNow(queued *queuedJob, allowed func(*slot) bool) bool {
+func (p *schedulingPass) grantOnAvailable(queued *queuedJob, allowed func(*slot) bool) bool {
 	job := queued.job
-	if queued.noFreeSlot || p.isUnmet(job, queued.avoidsIdle) {
+	if queued.noFreeSlot || p.isUnmet(job, queued.avoidsIdleOnDemand) {
 		return false
 	}
 	target := p.available.best(job, allowed, p.shardPenalty(queued))
 	if target == nil {
-		if queued.hasNoZoneRule() && p.admission == nil { // an owner's share of the limit may be the cause
-			p.noteUnmet(job, queued.avoidsIdle)
+		if queued.hasNoZoneConstraint() && p.admission == nil { // an owner's share of the limit may be the cause
+			p.recordUnmetDemand(job, queued.avoidsIdleOnDemand)
 		}
 		return false
 	}
@@ -190,7 +190,7 @@
 		p.charge(job, tasks)
 	}
 	target.noteFetch(job)
-	queued.assigned(target, tasks)
+	queued.planTasks(target, tasks)
 	job.waitingSince = 0
 	return true
 }
@@ -203,15 +203,15 @@
 	}
 	for _, slot := range p.available.releasing {
 		if slot.accepts(queued.job) && slot.fitsAfterRelease(queued.job.Record.Spec) && allowed(slot) {
-			queued.assigned(slot, 1)
+			queued.planTasks(slot, 1)
 			return true
 		}
 	}
 	if slot := p.preempt(queued, allowed); slot != nil {
-		queued.assigned(slot, 1)
+		queued.planTasks(slot, 1)
 		return true
 	}
-	queued.noReleasingSlot = queued.hasNoZoneRule()
+	queued.noReleasingSlot = queued.hasNoZoneConstraint()
 	return false
 }
 
@@ -222,7 +222,7 @@
 	var target *slot
 	if !queued.noExpectedSlot {
 		target = p.expected.best(job, allowed, nil)
-		queued.noExpectedSlot = target == nil && queued.hasNoZoneRule()
+		queued.noExpectedSlot = target == nil && queued.hasNoZoneConstraint()
 	}
 	if target == nil {
 		target = p.provisionFor(job, func(slot *slot) bool { return allowed(slot) && (slot.spot || !p.isBackfill(queued)) })
@@ -233,7 +233,7 @@
 	// The tasks are charged, so that no more is provisioned than the team's limit allows.
 	tasks := p.runLengthOn(queued, target)
 	p.charge(job, tasks)
-	queued.assigned(target, tasks)
+	queued.planTasks(target, tasks)
 	return true
 }
 
@@ -245,7 +245,7 @@
 	if p.isBackfill(queued) {
 		return true
 	}
-	if !spec.AllowSpot || job.Priority >= urgentPriority || job.waitingSince != 0 && p.node.now-job.waitingSince > spotWaitTime {
+	if !spec.AllowSpot || job.Priority >= urgentPriority || job.waitingSince != 0 && p.node.now-job.waitingSince > maxSpotWaitTime {
 		return false
 	}
 	for _, class := range p.expected.classOrder {
