--- a/internal/failover/decision_log.go
+++ b/internal/failover/decision_log.go
@@ -2,14 +2,12 @@
 
 import "micaport/internal/wire"
 
-// The decision log carries what only the leader knows to its standby, as facts. The Publisher is
-// its side at the leader, the Replica that at the standby.
-
-// maxMessageFacts is the largest number of facts in a message, some 60 KB. Further facts follow
-// in the next message.
+// maxMessageFacts is the maximum number of facts in a message of the decision log, about 60 KB.
+// Further facts are sent in the next message.
 const maxMessageFacts = 1000
 
-// factKey identifies a fact.
+// factKey identifies a fact of the decision log, which the Publisher of the leader sends and the
+// Replica of the standby stores.
 type factKey struct {
 	kind wire.FactKind
 	name string
--- a/internal/failover/decision_log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -13,14 +13,15 @@
 	"micaport/internal/wire"
 )
 
-// logClaim is the leader's claim in the tests of the log.
+// logClaim is the claim of the leader in the tests of the decision log.
 var logClaim = Claim{Controller: "a", Incarnation: "a1", Term: 7}
 
 func fact(name string, at int64) wire.Fact {
 	return wire.Fact{Kind: wire.FactIdle, Name: name, At: at}
 }
 
-// factsHeld returns what a replica holds of a term: by name, the times of the leader's clock.
+// factsHeld returns the facts that a replica holds of a term: their times by the leader's clock, by
+// name.
 func factsHeld(r *Replica, term uint64) map[string]int64 {
 	facts := map[string]int64{}
 	for _, f := range r.Of(term) {
@@ -29,11 +30,11 @@
 	return facts
 }
 
-// A standby is sent everything at first and then each change once.
+// The standby receives all facts at first and then each change once.
 func TestLogCarriesChanges(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 7)
-	// exchange publishes facts and returns how many are sent, -1 without a message.
+	// exchange publishes facts and returns how many are sent, or -1 if no message is sent.
 	exchange := func(now time.Duration, facts ...wire.Fact) int {
 		p.Publish(facts)
 		_, m := p.Next(now, "a", "a1")
@@ -88,8 +89,8 @@
 	}
 }
 
-// The changes that wait for a standby that does not answer are bounded by the number of facts.
-// The facts of a large site are sent in several messages.
+// While the standby does not answer, the number of pending changes is limited by the number of
+// facts. The facts of a large site are sent in several messages.
 func TestLogIsBounded(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 7)
@@ -100,7 +101,7 @@
 		}
 		p.Publish(facts)
 		if p.Next(time.Duration(round)*100*time.Millisecond, "a", "a1"); len(p.changed) > len(facts) {
-			t.Fatalf("%d changes of %d facts wait", len(p.changed), len(facts))
+			t.Fatalf("%d changes of %d facts are pending", len(p.changed), len(facts))
 		}
 	}
 	messages := 0
@@ -110,17 +111,17 @@
 			break
 		}
 		if len(m.Facts) > 64<<10 {
-			t.Errorf("a message of %d bytes", len(m.Facts))
+			t.Errorf("a message has %d bytes of facts, want at most %d", len(m.Facts), 64<<10)
 		}
 		messages++
 		p.Acknowledged(now, r.Take(now, logClaim, m))
 	}
 	if r.Facts() != len(facts) || messages != 4 || p.Resyncs() == 0 {
-		t.Errorf("%d facts in %d messages after %d resynchronisations", r.Facts(), messages, p.Resyncs())
+		t.Errorf("%d facts in %d messages after %d resyncs", r.Facts(), messages, p.Resyncs())
 	}
 }
 
-// A message that claims to have more facts than it has is dropped, and no memory is allocated for
+// A message that claims to have more facts than it has is refused, and no memory is allocated for
 // them.
 func TestLogRefusesClaimedCounts(t *testing.T) {
 	for _, raw := range [][]byte{{0xdd, 0xff, 0xff, 0xff, 0xff}, {0xdd, 0, 0xff, 0xff, 0xff}, {0xdc, 0xff, 0xff}, {0x91, 0xdd, 0xff, 0xff, 0xff, 0xff}, {0x80}, nil} {
@@ -131,12 +132,12 @@
 		ack := r.Take(time.Second, logClaim, m)
 		runtime.ReadMemStats(&after)
 		if allocated := after.TotalAlloc - before.TotalAlloc; !ack.Resync || r.Dropped() != 1 || allocated > 1<<20 {
-			t.Errorf("%x: answer %+v, %d dropped, %d bytes allocated", raw, ack, r.Dropped(), allocated)
+			t.Errorf("%x: acknowledgement %+v, %d refused, %d bytes allocated", raw, ack, r.Dropped(), allocated)
 		}
 	}
 }
 
-// A standby whose replica of the records lags refuses the log. The next message is delayed.
+// A standby whose replica of the records lags refuses a message. The next message is delayed.
 func TestLogPausesAfterRefusal(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 8)
@@ -147,16 +148,16 @@
 		t.Error("the next message is not delayed")
 	}
 	if _, m := p.Next(time.Second+resyncDelay, "a", "a1"); m == nil || !m.Reset {
-		t.Errorf("the next message is %+v, want one that starts anew", m)
+		t.Errorf("the next message is %+v, want one with a reset", m)
 	}
 	if r.Dropped() != 1 {
-		t.Errorf("%d messages were dropped, want 1", r.Dropped())
+		t.Errorf("%d messages were refused, want 1", r.Dropped())
 	}
 }
 
 // Messages and acknowledgements are lost, repeated, late, damaged, or of another incarnation or
-// term. Nothing panics, what does not belong to the present log is dropped, and once messages
-// arrive again the standby holds exactly what the leader knows.
+// term. Nothing panics, messages that do not belong to the current log are refused, and once messages
+// arrive again the standby holds exactly the facts of the leader.
 func TestLogUnderTroubles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, r := NewPublisher(), NewReplica()
@@ -184,7 +185,7 @@
 				sent = append(sent, m)
 				switch rapid.IntRange(0, 4).Draw(t, "fate") {
 				case 0: // lost
-				case 1: // received, its acknowledgement lost
+				case 1: // received, but its acknowledgement is lost
 					r.Take(now, logClaim, m)
 				default:
 					p.Acknowledged(now, r.Take(now, logClaim, m))
@@ -199,10 +200,10 @@
 					m.Term -= uint64(rapid.IntRange(1, 6).Draw(t, "term"))
 				case 2:
 					m.Life = "a0"
-				case 3: // a valid checksum of what is not a list of facts
+				case 3: // not a list of facts, with a valid checksum
 					m.Facts = rapid.SliceOf(rapid.Byte()).Draw(t, "nonsense")
 					if _, err := wire.DecodeFacts(m.Facts, maxMessageFacts); err == nil {
-						continue // by chance it is one
+						continue // by chance it is a list of facts
 					}
 					m.Checksum = crc32.ChecksumIEEE(m.Facts)
 				}
@@ -217,7 +218,7 @@
 			}
 		}
 		if got := factsHeld(r, 7); !maps.Equal(got, knows) {
-			t.Fatalf("the standby holds %v, the leader knows %v", got, knows)
+			t.Fatalf("the standby holds %v, the leader has %v", got, knows)
 		}
 	})
 }
--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -3,44 +3,44 @@
 import "time"
 
 const (
-	// HeartbeatInterval is the time between two heartbeats of a leader. Two a second are
-	// enough to notice a failure well within the goal of five seconds; each costs the leader a
-	// small message to each peer.
+	// HeartbeatInterval is the time between two heartbeats of a leader. Two heartbeats a second
+	// are enough to detect a failure well within the target of five seconds; each costs the
+	// leader a small message to each peer.
 	HeartbeatInterval = 500 * time.Millisecond
-	// silenceTimeout is the least silence after which a leader is suspected whose connection
-	// still stands: three missed heartbeats and half an interval for delays. A leader that
-	// pauses for a second stays below it.
+	// silenceTimeout is the minimum silence after which a leader is suspected while the
+	// connection to it is open: three missed heartbeats, and half an interval for delays. A
+	// leader that pauses for a second is not suspected.
 	silenceTimeout = 3*HeartbeatInterval + HeartbeatInterval/2
-	// disconnectedTimeout is the least silence after which a leader is suspected whose
-	// connection is broken. A leader that lives connects anew for its next heartbeat.
+	// disconnectedTimeout is the minimum silence after which a leader is suspected once the
+	// connection to it is broken. A live leader reconnects for its next heartbeat.
 	disconnectedTimeout = 2 * HeartbeatInterval
-	// gapMemory is how long a gap between two heartbeats is taken into account.
+	// gapMemory is how long a gap between two heartbeats affects the timeout.
 	gapMemory = time.Minute
 )
 
-// gap is a pause between two heartbeats that was longer than HeartbeatInterval.
+// gap is a time between two heartbeats that was longer than HeartbeatInterval.
 type gap struct {
 	endedAt time.Duration
 	length  time.Duration
 }
 
-// detector is the failure detector for the present leader. Its timeout adapts: a leader that has
-// been slow lately is given twice its longest gap, up to a bound. The zero value has received
-// nothing.
+// detector is the failure detector for the current leader. Its timeout adapts to a leader that has
+// been slow recently: it is at least twice the longest gap, or once that gap if the connection is
+// broken, up to a maximum. The zero value has received no heartbeat.
 type detector struct {
-	bound          time.Duration // the longest timeout; 0: unbounded
-	heartbeatAt    time.Duration // of the last heartbeat
-	disconnectedAt time.Duration // 0: the connection is not broken
-	gaps           []gap         // of the last minute; each is shorter than those before it
+	bound          time.Duration // the longest timeout; 0: unlimited
+	heartbeatAt    time.Duration // when the last heartbeat was received
+	disconnectedAt time.Duration // when the connection broke; 0: it is open
+	gaps           []gap         // within gapMemory, each shorter than the one before it
 }
 
-// reset starts with a leader that counts as heard now.
+// reset restarts the detector as if a heartbeat had been received now.
 func (d *detector) reset(now time.Duration) {
 	*d = detector{bound: d.bound, heartbeatAt: now}
 }
 
-// heartbeat records a heartbeat of the leader. Gaps that are not longer than the one that it
-// ends are dropped: the later one outlives them.
+// heartbeat records a heartbeat of the leader. It removes the recorded gaps that are not longer than
+// the one that ends now, because that one expires later.
 func (d *detector) heartbeat(now time.Duration) {
 	length := now - d.heartbeatAt
 	d.heartbeatAt, d.disconnectedAt = now, 0
@@ -80,5 +80,5 @@
 	return timeout
 }
 
-// suspects reports whether the leader seems to have failed.
+// suspects reports whether the leader is suspected of having failed.
 func (d *detector) suspects(now time.Duration) bool { return d.silence(now) > d.timeout(now) }
--- a/internal/failover/detector_test.go
+++ b/internal/failover/detector_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A pause of a second is not suspected; three missed heartbeats are, and two where the
-// connection has broken too.
+// A leader is not suspected for a pause of a second. It is suspected after three missed heartbeats,
+// or after two if the connection has broken as well.
 func TestDetector(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -32,7 +32,7 @@
 	}
 }
 
-// A leader that was slow in the last minute is given twice its longest gap, up to its lease.
+// The timeout is twice the longest gap of the last minute, up to the lifetime of the lease.
 func TestDetectorAdapts(t *testing.T) {
 	d := detector{bound: leaseTTL}
 	d.reset(0)
@@ -46,6 +46,6 @@
 		}
 	}
 	if got := d.timeout(200 * time.Second); got != silenceTimeout {
-		t.Errorf("timeout after an old gap: %v, want %v", got, silenceTimeout)
+		t.Errorf("timeout after the gaps have expired: %v, want %v", got, silenceTimeout)
 	}
 }
--- a/internal/failover/election.go
+++ b/internal/failover/election.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Candidate is a controller that might become the standby, as the leader knows it.
+// Candidate is a controller that could become the standby, as the leader sees it.
 type Candidate struct {
 	Name    string
-	Silence time.Duration // since the leader last received a message from it directly
-	StoreOK bool          // the state service answers it
-	CutOff  bool          // it lacks a connection to the cloud, or to all other controllers
+	Silence time.Duration // since the leader last received a message directly from it
+	StoreOK bool          // the state service serves it
+	CutOff  bool          // it has no connection to the cloud, or to any other controller
 }
 
-// candidateHeartbeatTimeout is the silence from which on a candidate is not eligible: two and a half
-// intervals of the messages that controllers send each other every second.
+// candidateHeartbeatTimeout is the silence after which a candidate is no longer eligible: two and a
+// half intervals of the messages that controllers send each other every second.
 const candidateHeartbeatTimeout = 2500 * time.Millisecond
 
-// Eligible reports whether a candidate could take over.
+// Eligible reports whether the candidate is able to take over the leadership.
 func (c Candidate) Eligible() bool {
 	return c.Silence < candidateHeartbeatTimeout && c.StoreOK && !c.CutOff
 }
 
-// Elect returns the name of the standby: the present one as long as it is eligible, otherwise the
-// first eligible candidate by name, or "" if there is none. The choice is a preference only:
-// candidates that disagree about it, or know of no standby, are kept apart by the condition of
-// their claims.
+// Elect returns the name of the standby: the current one as long as it is eligible, otherwise the
+// first eligible candidate by name, or "" if there is none. The choice is only a preference: where
+// candidates disagree about the standby or have none, the condition of their claims ensures that
+// only one of them succeeds.
 func Elect(present string, candidates []Candidate) string {
 	elected := ""
 	for _, candidate := range candidates {
@@ -39,12 +39,12 @@
 	return elected
 }
 
-// claimTurn is the time between the turns of two candidates, in which the claim of the first one
-// is applied and seen by the others.
+// claimTurn is the delay between the claims of two successive candidates. Meanwhile the claim of the
+// first one is applied and becomes visible to the other.
 const claimTurn = 400 * time.Millisecond
 
-// claimDelay returns how long this controller leaves a confirmed failure to the candidates before
-// it: the standby goes first, the others in the order of their names.
+// claimDelay returns how long this controller waits with its claim once a quorum suspects the
+// leader. The standby claims first, then the other candidates in the order of their names.
 func (f *Follower) claimDelay() time.Duration {
 	if f.standby == f.config.Self {
 		return 0
--- a/internal/failover/election_test.go
+++ b/internal/failover/election_test.go
@@ -15,9 +15,9 @@
 		want       string
 	}{
 		{"the first by name", "", []Candidate{eligible("c"), eligible("b")}, "b"},
-		{"the present one stays", "c", []Candidate{eligible("b"), eligible("c")}, "c"},
-		{"the state service refuses the present one", "c", []Candidate{eligible("b"), {Name: "c"}}, "b"},
-		{"one is cut off, one is silent", "c", []Candidate{{Name: "b", StoreOK: true, CutOff: true}, {Name: "c", StoreOK: true, Silence: candidateHeartbeatTimeout}, eligible("d")}, "d"},
+		{"the current one stays", "c", []Candidate{eligible("b"), eligible("c")}, "c"},
+		{"the state service refuses the current one", "c", []Candidate{eligible("b"), {Name: "c"}}, "b"},
+		{"one is cut off, the current one is silent", "c", []Candidate{{Name: "b", StoreOK: true, CutOff: true}, {Name: "c", StoreOK: true, Silence: candidateHeartbeatTimeout}, eligible("d")}, "d"},
 		{"no candidates", "c", nil, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// The standby claims first, the others follow one by one.
+// The standby claims first, then the other candidates one after another.
 func TestClaimsInTurn(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
 	for turn, self := range []string{"b", "c", "d", "e"} {
@@ -39,7 +39,7 @@
 			f.Advise(now)
 			delay := time.Duration(turn) * claimTurn
 			if turn > 0 && f.Advise(now+delay-1) != Prepare {
-				t.Errorf("claims before its turn")
+				t.Errorf("claims before its delay has passed")
 			}
 			if got := f.Advise(now + delay); got != Replace {
 				t.Errorf("advice after %v: %v, want %v", delay, got, Replace)
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -2,34 +2,22 @@
 
 import "time"
 
-// The cloud executes the calls of whoever sends them, so fencing tokens don't keep a replaced
-// leader from calling it. A leader therefore calls the cloud only for a limited time after it
-// sent a proof, which is a comparison of the leader key that succeeded. The next leader waits
-// until the last proof that can have succeeded has expired:
-//
-//	MaxLeaseAge + ProofValidity + CallTransit + drift(leaseTTL) <= leaseTTL
-//
-// The left side bounds when the last call of a replaced leader arrives, counted from the last
-// renewal of the lease under which it was replaced. By the inequality this has passed when that
-// lease ends. If the new leader ends without having done anything, the leader after it need not
-// know of the first one.
-
 const (
-	// MaxLeaseAge is the longest time since the last renewal of the lease under which a leader
-	// is replaced early.
+	// MaxLeaseAge is the maximum age of the new leader's lease, counted from its last renewal,
+	// when it claims the leadership early.
 	MaxLeaseAge = 500 * time.Millisecond
-	// CallTransit is the longest time that a call which has been sent may take to reach the
-	// cloud. A network that holds calls back for longer is as much of a problem with a single
-	// leader: the cloud may execute calls minutes late whoever leads.
+	// CallTransit is the maximum time that a call takes to reach the cloud after it was sent. A
+	// network that delays calls for longer causes the same problem with a single leader: the
+	// cloud may then execute calls minutes late whichever controller leads.
 	CallTransit = time.Second
 	// ProofInterval is the time between two proofs of a leader.
 	ProofInterval = time.Second
-	// driftDivisor is the inverse of the drift between two steady clocks: each may be off by
-	// 0.05%.
+	// driftDivisor is the inverse of the relative drift between two monotonic clocks, each of
+	// which may be off by 0.05%.
 	driftDivisor = 1000
 )
 
-// drift returns how far two steady clocks may drift apart within a time.
+// drift returns how far two monotonic clocks may drift apart within a time.
 func drift(d time.Duration) time.Duration { return d / driftDivisor }
 
 // ProofValidity returns how long a leader may call the cloud after it sent a proof.
@@ -37,18 +25,30 @@
 	return leaseTTL - MaxLeaseAge - CallTransit - drift(leaseTTL)
 }
 
-// CloudFenceTime returns how long a leader must not call the cloud after its controller saw a
+// CloudFenceTime returns how long a leader must not call the cloud after its controller has seen a
 // claim, its own or an earlier one, that replaced a leader early.
 func CloudFenceTime(leaseTTL time.Duration) time.Duration {
 	return ProofValidity(leaseTTL) + CallTransit + drift(leaseTTL)
 }
 
-// Fence is a leader's permission to call the cloud.
+// Fence limits the time in which a leader may call the cloud.
+//
+// The cloud executes the calls of any sender, so fencing tokens don't keep a replaced leader from
+// calling it. A leader therefore calls the cloud only for a limited time after it sent a proof: a
+// transaction that succeeded in comparing the revision of the leader key with that of its claim. The
+// next leader waits until the last proof that can have succeeded has expired:
+//
+//	MaxLeaseAge + ProofValidity + CallTransit + drift(leaseTTL) <= leaseTTL
+//
+// The left side is the latest time at which a call of the replaced leader can arrive, counted from
+// the last renewal of the new leader's lease before its claim. By the inequality this time has
+// passed when that lease expires. If the new leader fails before it has done anything, its successor
+// therefore need not know of the replaced leader.
 type Fence struct {
 	validity time.Duration // of a proof
-	opensAt  time.Duration // before that, a replaced leader may still call the cloud
+	opensAt  time.Duration // until then a replaced leader may still call the cloud
 	provenAt time.Duration // when the latest settled proof was sent
-	proven   bool          // a proof has settled
+	proven   bool          // at least one proof has settled
 	nextAt   time.Duration // when the next proof is due
 	pending  []proof       // proofs that have succeeded but not settled
 }
@@ -59,13 +59,13 @@
 	revision uint64
 }
 
-// Begin starts the permission of a leader that has just seen its claim. Until opensAt a leader
-// that was replaced may still call the cloud.
+// Begin starts the fence of a leader that has just seen its claim. Until opensAt a replaced leader
+// may still call the cloud.
 func (f *Fence) Begin(now, leaseTTL, opensAt time.Duration) {
 	*f = Fence{validity: ProofValidity(leaseTTL), nextAt: now, opensAt: opensAt}
 }
 
-// Resumed voids all proofs after a pause of the process, in which the leader may have been
+// Resumed invalidates all proofs after a pause of the process, during which the leader may have been
 // replaced.
 func (f *Fence) Resumed(now time.Duration) {
 	f.proven = false
@@ -82,14 +82,14 @@
 	return true
 }
 
-// AddProof takes in that a proof succeeded at a revision. It counts once it has settled; see
-// Settle.
+// AddProof records that a proof has succeeded at a revision. The proof takes effect once it has
+// settled; see Settle.
 func (f *Fence) AddProof(sentAt time.Duration, revision uint64) {
 	f.pending = append(f.pending, proof{sentAt, revision})
 }
 
-// Settle lets those proofs count whose revision the controller's replica of the records has
-// reached.
+// Settle makes the pending proofs take effect whose revision the controller's replica of the records
+// has reached.
 func (f *Fence) Settle(revision uint64) {
 	pending := f.pending[:0]
 	for _, p := range f.pending {
@@ -102,11 +102,11 @@
 	f.pending = pending
 }
 
-// CaughtUp reports whether a proof has settled since the claim was seen and since the last pause,
-// which shows that the replica is current.
+// CaughtUp reports whether a proof has settled since the claim was seen and since the last pause of
+// the process, which shows that the replica is current.
 func (f *Fence) CaughtUp() bool { return f.proven }
 
-// RemainingCallTime returns for how much longer the cloud may be called; 0 if it may not.
+// RemainingCallTime returns for how much longer the leader may call the cloud; 0 if it may not.
 func (f *Fence) RemainingCallTime(now time.Duration) time.Duration {
 	if !f.proven || now < f.opensAt {
 		return 0
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -7,25 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// The inequality that the fence rests on, see fence.go.
+// The inequality in the documentation of Fence holds.
 func TestFenceInequality(t *testing.T) {
 	if MaxLeaseAge+ProofValidity(leaseTTL)+CallTransit+drift(leaseTTL) > leaseTTL {
-		t.Error("a replaced leader's last call may come after the lease of the next has ended")
+		t.Error("a replaced leader's last call may arrive after the lease of the next leader has expired")
 	}
 	if ProofValidity(leaseTTL) < 3*ProofInterval {
-		t.Error("a leader may not call the cloud any more after two lost proofs")
+		t.Error("a leader may no longer call the cloud after two lost proofs")
 	}
 }
 
-// cloudCall is a leader's call to the cloud, with the true time at which it arrives.
+// cloudCall is a leader's call to the cloud, with the real time at which it arrives.
 type cloudCall struct {
 	leader int
 	at     time.Duration
 }
 
-// Leaders replace each other early or at the end of a lease, with clocks that drift apart, slow
-// proofs, replicas that lag and calls in transit. No call of a leader arrives after one of a later
-// leader.
+// No call of a leader arrives after one of a later leader, when leaders replace each other early or
+// after a lease has expired, clocks drift apart, proofs are slow, replicas lag and calls are delayed.
 func TestFenceKeepsLeadersApart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		between := func(name string, from, to time.Duration) time.Duration {
@@ -33,7 +32,7 @@
 		}
 		var calls []cloudCall
 		claimedAt := 10 * time.Second
-		early := false // the present leader has replaced one whose lease had not ended
+		early := false // this leader replaces one whose lease has not expired
 		for leader := range 4 {
 			rate := 1 + float64(rapid.IntRange(-500, 500).Draw(t, "drift"))/1e6
 			clock := func(at time.Duration) time.Duration { return time.Duration(float64(at) * rate) }
@@ -46,7 +45,7 @@
 			fence.Begin(clock(seenAt), leaseTTL, opensAt)
 			replacedAt := claimedAt + between("leads", 0, 12*time.Second)
 			byLease := rapid.Bool().Draw(t, "by lease")
-			// The leader goes on for a while after it has been replaced, as its watch hangs.
+			// The leader continues for a while after it has been replaced, because its watch hangs.
 			for at := seenAt; at < replacedAt+8*time.Second; at += between("step", 50*time.Millisecond, 700*time.Millisecond) {
 				if fence.Due(clock(at)) {
 					appliedAt := at + between("proof", time.Millisecond, 1500*time.Millisecond)
@@ -61,8 +60,8 @@
 			}
 			claimedAt, early = replacedAt, !byLease
 			if byLease {
-				// Nothing renews the lease of a leader that has ended. The lease ends after its
-				// lifetime, and was renewed MaxLeaseAge before the claim at the latest.
+				// A failed leader no longer renews its lease, which expires after its lifetime.
+				// It was last renewed at most MaxLeaseAge before the claim.
 				claimedAt += leaseTTL - MaxLeaseAge
 			}
 		}
@@ -80,14 +79,14 @@
 	})
 }
 
-// A proof counts once the replica has reached its revision, and no longer after a pause.
+// A proof takes effect once the replica has reached its revision, and is invalidated by a pause.
 func TestProofsSettle(t *testing.T) {
 	var f Fence
 	f.Begin(time.Second, leaseTTL, 0)
 	f.AddProof(time.Second, 9)
 	f.Settle(8)
 	if f.CaughtUp() || f.RemainingCallTime(time.Second) > 0 {
-		t.Error("a proof counts before its revision is reached")
+		t.Error("a proof takes effect before the replica has reached its revision")
 	}
 	f.Settle(9)
 	if got, want := f.RemainingCallTime(2*time.Second), ProofValidity(leaseTTL)-time.Second; !f.CaughtUp() || got != want {
@@ -95,6 +94,6 @@
 	}
 	f.Resumed(3 * time.Second)
 	if f.CaughtUp() || f.RemainingCallTime(3*time.Second) > 0 || !f.Due(3*time.Second) {
-		t.Error("a proof outlives a pause")
+		t.Error("a proof is still valid after a pause")
 	}
 }
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// Config is what a controller's part in takeovers depends on.
+// Config is the failover configuration of a controller.
 type Config struct {
 	Self    string   // name of this controller
 	Members []string // names of all controllers, this one included
-	// Early says that this controller replaces a failed leader as soon as a quorum suspects
-	// it, and not only once the leader's lease has ended.
+	// Early enables early takeovers: this controller replaces a failed leader as soon as a
+	// quorum suspects it, without waiting for the leader's lease to expire.
 	Early bool
 	// LeaseTTL is the lifetime of a leader's lease.
 	LeaseTTL time.Duration
 }
 
-// Claim is the record of the leadership.
+// Claim is the current claim of the leadership, as the records show it.
 type Claim struct {
 	Controller, Incarnation string // name and process of the leader
 	Term                    uint64 // fencing token: the revision of the claim
-	// Fenced says that the leader calls the cloud only while proofs of this claim are valid.
-	// Only such a leader may be replaced before its lease ends.
+	// Fenced is set if the leader calls the cloud only while proofs of this claim are valid.
+	// Only such a leader may be replaced before its lease expires.
 	Fenced bool
 	// Streak is the number of consecutive claims, each of which replaced a live leader soon
-	// after the one before.
+	// after the previous claim.
 	Streak int
 }
 
-// Follower watches the leader on behalf of a controller that does not lead.
+// Follower monitors the leader on behalf of a controller that is not the leader.
 type Follower struct {
 	config      Config
 	claim       Claim
 	claimSeenAt time.Duration
 	detector    detector
-	opinions    map[string]peerOpinion // by controller
-	standby     string                 // that the leader has named
-	suspectedAt time.Duration          // since when this controller suspects the leader; 0: it does not
-	confirmedAt time.Duration          // since when a quorum suspects the leader; 0: it does not
+	opinions    map[string]peerOpinion // by controller name
+	standby     string                 // named by the leader; "": none
+	suspectedAt time.Duration          // since when this controller has suspected the leader; 0: it does not
+	confirmedAt time.Duration          // since when a quorum has suspected the leader; 0: it does not
 }
 
-// NewFollower returns a follower that knows of no leader.
+// NewFollower returns a follower without a leader.
 func NewFollower(config Config) *Follower {
 	return &Follower{config: config, detector: detector{bound: config.LeaseTTL}, opinions: map[string]peerOpinion{}}
 }
 
-// Observe takes in the claim of the present leader. A new leader counts as heard now.
+// Observe records the claim of the current leader. A new leader is treated as if it had sent a
+// heartbeat now.
 func (f *Follower) Observe(now time.Duration, claim Claim) {
 	if claim.Term == f.claim.Term && claim.Controller == f.claim.Controller {
 		return
@@ -53,8 +54,8 @@
 	f.suspectedAt, f.confirmedAt = 0, 0
 }
 
-// Heartbeat takes in a heartbeat of a leader. Heartbeats of another controller, incarnation or
-// term are ignored: they are late.
+// Heartbeat records a heartbeat of the leader. Heartbeats of another controller, incarnation or term
+// are outdated and ignored.
 func (f *Follower) Heartbeat(now time.Duration, controller, incarnation string, term uint64, standby string) {
 	if controller != f.claim.Controller || incarnation != f.claim.Incarnation || term != f.claim.Term {
 		return
@@ -63,7 +64,7 @@
 	f.standby = standby
 }
 
-// Disconnected takes in that the connection to a peer has broken.
+// Disconnected records that the connection to a peer has broken, and discards the peer's opinion.
 func (f *Follower) Disconnected(now time.Duration, peer string) {
 	if peer == f.claim.Controller {
 		f.detector.disconnected(now)
@@ -71,8 +72,8 @@
 	delete(f.opinions, peer)
 }
 
-// Resumed discards what is stale after a pause of this process, in which everybody seems to have
-// been silent.
+// Resumed discards the state that a pause of this process has made stale: no message was received
+// during the pause, so the leader and all peers seem silent.
 func (f *Follower) Resumed(now time.Duration) {
 	f.detector.reset(now)
 	f.suspectedAt, f.confirmedAt = 0, 0
@@ -84,17 +85,18 @@
 	return f.config.Early && f.claim.Fenced && f.claim.Controller != "" && f.claim.Controller != f.config.Self
 }
 
-// Advice is what a controller should do about the leader.
+// Advice is the action that a controller should take with regard to the leader.
 type Advice int
 
 // Kinds of advice.
 const (
-	Follow  Advice = iota // nothing: the leader is heard, or may not be replaced early
-	Prepare               // keep a lease, tell the peers at once, and wait
+	Follow  Advice = iota // none: the leader is not suspected, or may not be replaced early
+	Prepare               // keep a lease for the claim, notify the peers at once, and wait
 	Replace               // claim the leadership now
 )
 
-// Advise returns what to do now.
+// Advise returns the action to take now. It also records since when this controller, and a quorum,
+// have suspected the leader.
 func (f *Follower) Advise(now time.Duration) Advice {
 	if !f.watching() || !f.detector.suspects(now) {
 		f.suspectedAt, f.confirmedAt = 0, 0
@@ -116,8 +118,8 @@
 	return Replace
 }
 
-// SuspectedAt returns since when this controller suspects the leader, as far as Advise has found
-// out; 0 if it does not.
+// SuspectedAt returns since when this controller has suspected the leader, as of the last call of
+// Advise; 0 if it does not.
 func (f *Follower) SuspectedAt() time.Duration { return f.suspectedAt }
 
 // Standby returns the standby that the leader has named; "" if there is none.
@@ -126,7 +128,7 @@
 // IsStandby reports whether the leader has named this controller as its standby.
 func (f *Follower) IsStandby() bool { return f.watching() && f.standby == f.config.Self }
 
-// Claim returns the claim of the present leader.
+// Claim returns the claim of the current leader.
 func (f *Follower) Claim() Claim { return f.claim }
 
 // Silence returns the time since the last heartbeat of the leader.
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -9,11 +9,11 @@
 
 var members = []string{"a", "b", "c", "d", "e"}
 
-// lastHeartbeat is when the leader of newFollower has sent its last heartbeat.
+// lastHeartbeat is the time of the last heartbeat of the leader of newFollower.
 const lastHeartbeat = time.Minute
 
-// newFollower returns the follower of a controller at a site of five, whose fenced leader "a"
-// began at 0 under term 7 and has sent heartbeats since that name "b" as the standby.
+// newFollower returns the follower of a controller at a site with five controllers. The fenced
+// leader "a" has led since 0 under term 7, and its heartbeats name "b" as the standby.
 func newFollower(self string) *Follower {
 	f := NewFollower(Config{Self: self, Members: members, Early: true, LeaseTTL: leaseTTL})
 	f.Observe(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
@@ -23,14 +23,14 @@
 	return f
 }
 
-// suspect lets peers suspect the leader of a term.
+// suspect delivers opinions of peers that suspect the leader of a term.
 func suspect(f *Follower, now time.Duration, term uint64, peers ...string) {
 	for _, peer := range peers {
 		f.ReceiveOpinion(now, peer, Opinion{Term: term, Suspected: true})
 	}
 }
 
-// Heartbeats of another term, incarnation or controller are late and do not count.
+// Heartbeats of another term, incarnation or controller are ignored.
 func TestLateHeartbeats(t *testing.T) {
 	f := newFollower("b")
 	now := lastHeartbeat + 2*time.Second
@@ -42,8 +42,8 @@
 	}
 }
 
-// A quorum of all controllers has to suspect the leader. Old opinions and those about another
-// term are no evidence.
+// A leader is replaced early only if a quorum of all controllers suspects it. Expired opinions and
+// those about another term are ignored.
 func TestAdviceNeedsQuorum(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
 	hears := func(f *Follower, peer string) { f.ReceiveOpinion(now, peer, Opinion{Term: 7}) }
@@ -55,10 +55,10 @@
 		{"no opinions", func(*Follower) {}, Prepare},
 		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); hears(f, "d") }, Prepare},
 		{"two peers suspect", func(f *Follower) { suspect(f, now, 7, "c", "d") }, Replace},
-		{"two peers suspect, one hears", func(f *Follower) { suspect(f, now, 7, "c", "d"); hears(f, "e") }, Replace},
-		{"the opinions are old", func(f *Follower) { suspect(f, now-opinionLifetime-1, 7, "c", "d") }, Prepare},
+		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); hears(f, "e") }, Replace},
+		{"the opinions have expired", func(f *Follower) { suspect(f, now-opinionLifetime-1, 7, "c", "d") }, Prepare},
 		{"the opinions are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
-		{"a suspecting peer has ended", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.Disconnected(now, "c") }, Prepare},
+		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.Disconnected(now, "c") }, Prepare},
 		{"the leader suspects itself", func(f *Follower) { suspect(f, now, 7, "a", "c") }, Prepare},
 		{"this process has stalled", func(f *Follower) { f.Resumed(now); suspect(f, now, 7, "c", "d") }, Follow},
 	} {
@@ -72,16 +72,16 @@
 	}
 }
 
-// A leader is not replaced early if its claim is not fenced, or by a controller that is set to
-// wait for leases.
+// A leader is not replaced early if its claim is not fenced, nor by a controller whose early
+// takeovers are disabled.
 func TestOnlyFencedLeadersAreReplaced(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
-	t.Run("early takeovers are off", func(t *testing.T) {
+	t.Run("early takeovers are disabled", func(t *testing.T) {
 		f := newFollower("b")
 		f.config.Early = false
 		suspect(f, now, 7, "c", "d")
 		if got := f.Advise(now); got != Prepare && got != Follow {
-			t.Errorf("advice %v", got)
+			t.Errorf("advice %v, want %v or %v", got, Prepare, Follow)
 		}
 	})
 	t.Run("the claim is not fenced", func(t *testing.T) {
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// ackTimeout is how long an acknowledgement is waited for before everything is sent anew.
+	// ackTimeout is how long to wait for an acknowledgement before all facts are sent again.
 	ackTimeout = 2 * time.Second
-	// resyncDelay is the time between a refused message and the next one: a standby whose
-	// replica of the records does not show the leader's claim yet refuses all messages.
+	// resyncDelay is the time between a refused message and the next one: a standby refuses all
+	// messages until its replica of the records shows the leader's claim.
 	resyncDelay = 500 * time.Millisecond
 )
 
-// Publisher is the leader's side of the decision log, which carries what only the leader knows to
-// its standby. The log is a hint that saves a new leader time: the records decide, and what they
-// contradict is dropped.
+// Publisher is the leader's end of the decision log, which replicates state that only the leader
+// has to its standby. The log is a hint that saves a new leader time: the records are
+// authoritative, and facts that contradict them are discarded.
 //
-// One message is in flight at a time. Meanwhile changes are collected by fact, so there are never
-// more changes than facts, and a standby that is slow or gone never delays the leader.
+// One message is in flight at a time. Meanwhile changes are merged by fact, so there is at most one
+// pending change for each fact, and a standby that is slow or has failed never delays the leader.
 type Publisher struct {
 	standby  string // "": none
 	term     uint64
-	sequence uint64 // of the last message
+	sequence uint64 // number of the last message
 	facts    map[factKey]wire.Fact
 	changed  map[factKey]bool // facts that have changed since they were last sent, removed ones included
-	reset    bool             // the next message tells the standby to discard what it holds
+	reset    bool             // the next message instructs the standby to discard its facts
 
-	inFlight  bool // a message waits for its acknowledgement
+	inFlight  bool // a message has not been acknowledged yet
 	sentAt    time.Duration
 	refused   bool // the last message was refused
 	refusedAt time.Duration
 
-	acknowledged uint64 // sequence of the last message that was accepted
+	acknowledged uint64 // number of the last message that was accepted
 	resyncs      int
 }
 
-// NewPublisher returns a publisher that knows no facts.
+// NewPublisher returns a publisher without facts or a standby.
 func NewPublisher() *Publisher {
 	return &Publisher{facts: map[factKey]wire.Fact{}, changed: map[factKey]bool{}}
 }
 
-// Direct sets the standby, "" for none, and the leader's term. A change of either sends everything
-// anew.
+// Direct sets the standby, "" for none, and the leader's term. A change of either causes all facts
+// to be sent again.
 func (p *Publisher) Direct(standby string, term uint64) {
 	if p.standby == standby && p.term == term {
 		return
@@ -55,7 +55,7 @@
 	p.restart()
 }
 
-// restart makes the next messages send everything anew.
+// restart causes all facts to be sent again, after a reset of the standby's facts.
 func (p *Publisher) restart() {
 	p.reset = true
 	clear(p.changed)
@@ -64,7 +64,7 @@
 	}
 }
 
-// Publish takes in all facts as they are now.
+// Publish replaces all facts by the given ones, and records which of them have changed.
 func (p *Publisher) Publish(facts []wire.Fact) {
 	present := make(map[factKey]bool, len(facts))
 	for _, fact := range facts {
@@ -82,14 +82,14 @@
 	}
 }
 
-// Next returns the message to be sent now and to whom; nil if there is none. The name and the
-// incarnation are those of this controller.
+// Next returns the message to be sent now and its recipient; nil if there is none. Self and
+// incarnation are the name and the incarnation of this controller.
 func (p *Publisher) Next(now time.Duration, self, incarnation string) (to string, message *wire.DecisionLog) {
 	if p.standby == "" {
 		return "", nil
 	}
 	if p.inFlight && now-p.sentAt > ackTimeout {
-		// It is not known whether the standby has the message.
+		// The standby may or may not have received the message.
 		p.inFlight = false
 		p.resyncs++
 		p.restart()
@@ -100,7 +100,7 @@
 	}
 	raw, err := wire.Encode(p.takeChanges())
 	if err != nil {
-		return "", nil // facts have no values that can't be encoded
+		return "", nil // does not happen: all values of a fact can be encoded
 	}
 	p.sequence++
 	message = &wire.DecisionLog{
@@ -114,7 +114,7 @@
 	return p.standby, message
 }
 
-// takeChanges removes and returns as many changes as a message holds.
+// takeChanges removes and returns pending changes, as many as fit into a message.
 func (p *Publisher) takeChanges() []wire.Fact {
 	var changes []wire.Fact
 	for key := range p.changed {
@@ -131,7 +131,7 @@
 	return changes
 }
 
-// Acknowledged takes in the standby's answer. Answers to earlier messages are ignored.
+// Acknowledged processes the standby's acknowledgement. It ignores those of earlier messages.
 func (p *Publisher) Acknowledged(now time.Duration, ack wire.DecisionLogAck) {
 	if !p.inFlight || ack.Term != p.term || ack.Sequence != p.sequence {
 		return
@@ -146,12 +146,12 @@
 	p.acknowledged = ack.Sequence
 }
 
-// Lag returns the number of messages that the standby has not accepted and of changed facts that
-// have not been sent.
+// Lag returns the number of messages that the standby has not accepted, and the number of changed
+// facts that have not been sent.
 func (p *Publisher) Lag() (messages uint64, facts int) {
 	return p.sequence - p.acknowledged, len(p.changed)
 }
 
-// Resyncs returns how often everything had to be sent anew because a message was refused or not
-// answered.
+// Resyncs returns how often all facts were sent again because a message was refused or not
+// acknowledged.
 func (p *Publisher) Resyncs() int { return p.resyncs }
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -7,24 +7,25 @@
 	"micaport/internal/wire"
 )
 
-// Replica is the standby's side of the decision log; see Publisher.
+// Replica is the standby's end of the decision log; see Publisher.
 type Replica struct {
 	controller, incarnation string // of the leader
 	term                    uint64
-	sequence                uint64        // of the last message accepted
-	offset                  time.Duration // from the leader's steady clock to that of this process
+	sequence                uint64        // number of the last message accepted
+	offset                  time.Duration // from the leader's monotonic clock to that of this process
 	facts                   map[factKey]wire.Fact
 
-	dropped int // messages
+	dropped int // messages that were refused
 }
 
-// NewReplica returns a replica that has received nothing.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica { return &Replica{facts: map[factKey]wire.Fact{}} }
 
-// Take takes in a message of the leader whose claim the records show. It accepts a message that
-// starts the log or follows the last one, and acknowledges a repeated one again. A message of
-// another leader, incarnation or term, and one that is damaged or out of order, is dropped and
-// refused. The publisher of the present log ignores a refusal of another term.
+// Take processes a message of the decision log and returns its acknowledgement; leader is the claim
+// that the records show. It accepts a message that starts the log or follows the last one, and
+// acknowledges a repeated one again. A message of another leader, incarnation or term, and one that
+// is damaged or out of order, is discarded and refused. The publisher of the current log ignores a
+// refusal that concerns another term.
 func (r *Replica) Take(now time.Duration, leader Claim, message *wire.DecisionLog) wire.DecisionLogAck {
 	ack := wire.DecisionLogAck{Term: message.Term, Sequence: message.Sequence}
 	if message.From != leader.Controller || message.Life != leader.Incarnation || message.Term != leader.Term {
@@ -60,20 +61,20 @@
 	return ack
 }
 
-// refuse counts a dropped message and returns its answer.
+// refuse counts a refused message and returns the acknowledgement that requests a resync.
 func (r *Replica) refuse(ack wire.DecisionLogAck) wire.DecisionLogAck {
 	r.dropped++
 	ack.Resync = true
 	return ack
 }
 
-// holdsLogOf reports whether a message belongs to the log that the replica holds.
+// holdsLogOf reports whether a message belongs to the log whose facts the replica holds.
 func (r *Replica) holdsLogOf(message *wire.DecisionLog) bool {
 	return r.controller == message.From && r.incarnation == message.Life && r.term == message.Term && message.Term > 0
 }
 
-// Of returns the facts that the replica holds of a term, with times of the steady clock of this
-// process; nil if it holds those of another term.
+// Of returns the facts of the leader of a term, with their times converted to the monotonic clock of
+// this process; nil if the replica holds those of another term.
 func (r *Replica) Of(term uint64) []wire.Fact {
 	if term == 0 || r.term != term {
 		return nil
--- a/internal/failover/takeover.go
+++ b/internal/failover/takeover.go
@@ -8,25 +8,25 @@
 // Stages of a takeover, in order.
 const (
 	Suspected Stage = iota // the leader's silence has exceeded the timeout
-	Claimed                // the claim was sent, on the evidence of a quorum
+	Claimed                // a quorum suspected the leader, and the claim was sent
 	Seen                   // the replica of the records shows the claim
-	CaughtUp               // a proof of the claim has settled, and no own commit has an unknown outcome
-	Decided                // the first scheduling pass was made
+	CaughtUp               // a proof of the claim has settled, and no commit of this controller has an unknown outcome
+	Decided                // the first scheduling pass has completed
 	stageCount
 )
 
-// Takeover records when the stages of a takeover by this controller are reached, for the log,
-// the record of takeovers and measurements.
+// Takeover records when a takeover by this controller reaches each stage, for the log, the record
+// of takeovers and measurements.
 type Takeover struct {
 	From     string   // the replaced leader
 	Evidence Evidence // at the claim
 
 	active     bool
-	lastSignAt time.Duration // the last heartbeat of the replaced leader
+	lastSignAt time.Duration // when the last heartbeat of the replaced leader was received
 	reachedAt  [stageCount]time.Duration
 }
 
-// Begin starts a takeover when the claim is sent.
+// Begin starts a takeover, at the time at which the claim is sent.
 func (t *Takeover) Begin(now time.Duration, from string, suspectedAt time.Duration, evidence Evidence) {
 	*t = Takeover{From: from, Evidence: evidence, active: true, lastSignAt: now - evidence.Silence}
 	t.reachedAt[Suspected], t.reachedAt[Claimed] = suspectedAt, now
@@ -48,11 +48,11 @@
 // Reached reports whether a stage of the takeover in progress has been reached.
 func (t *Takeover) Reached(stage Stage) bool { return t.active && t.reachedAt[stage] > 0 }
 
-// End marks the takeover as completed, or as lost to another controller.
+// End marks the takeover as completed, or as failed because another controller leads.
 func (t *Takeover) End() { t.active = false }
 
-// After returns the time from the last heartbeat of the replaced leader until a stage was
-// reached; 0 if it was not.
+// After returns the time from the last heartbeat of the replaced leader until a stage was reached;
+// 0 if it has not been reached.
 func (t *Takeover) After(stage Stage) time.Duration {
 	if t.reachedAt[stage] == 0 {
 		return 0
--- a/internal/failover/takeover_test.go
+++ b/internal/failover/takeover_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The stages of a takeover are timed from the last heartbeat of the replaced leader, and each is
-// reached once.
+// The times of the stages are counted from the last heartbeat of the replaced leader, and each stage
+// is reached only once.
 func TestTakeoverStages(t *testing.T) {
 	var takeover Takeover
 	if takeover.Reach(Seen, time.Second) {
@@ -20,7 +20,7 @@
 		t.Error("a stage is reached twice")
 	}
 	if takeover.Reached(Decided) {
-		t.Error("a later stage is reached")
+		t.Error("a later stage is reached too early")
 	}
 	for stage, want := range map[Stage]time.Duration{Suspected: time.Second, Claimed: 2 * time.Second, Seen: 3 * time.Second} {
 		if got := takeover.After(stage); got != want {
