--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,8 +1,7 @@
-// Package leadership holds what a controller knows of its own way to the leadership and
-// away from it: the claim that stands, when it may claim, and when it resigns. The claim is
-// a record under a lease; its revision is the leader's term. Whether a live leader is to be
-// replaced before its lease ends is decided by package failover. There is no input or
-// output.
+// Package leadership tracks the current claim of the leadership, and decides when this
+// controller may claim it and when it resigns. The claim is a record attached to a lease;
+// its revision is the leader's term. Whether a live leader is replaced before its lease
+// expires is decided by package failover. The package has no input or output.
 package leadership
 
 import (
@@ -13,103 +12,105 @@
 	"micaport/internal/wire"
 )
 
-// Time is the steady clock of the process, counted from its start.
+// Time is a time of the monotonic clock of the process, counted from its start.
 type Time = time.Duration
 
-// Config is what a controller's leadership follows from.
+// Config is the leadership configuration of a controller.
 type Config struct {
 	Self        string // name of this controller
-	Incarnation string // tells this process from earlier ones of the same name
-	Rank        int    // place of this controller among all, from 0
+	Incarnation string // distinguishes this process from earlier ones of the same name
+	Rank        int    // position of this controller among all, from 0
 	LeaseTTL    Time
-	// HeartbeatInterval is that of the workers.
+	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval Time
-	// EarlyFailover says that leaders may be replaced before their lease ends.
+	// EarlyFailover is set if leaders may be replaced before their lease expires.
 	EarlyFailover bool
 }
 
 const (
-	// claimInterval lies between two claims of this controller.
+	// claimInterval is the minimum time between two claims of this controller.
 	claimInterval = 500 * time.Millisecond
-	// claimDelayEach spaces the candidates for a leadership that nobody has.
+	// claimDelayEach is the delay between the claims of two successive candidates for a
+	// vacant leadership.
 	claimDelayEach = 400 * time.Millisecond
-	// isolatedClaimDelay is left to candidates that reach more of the site.
+	// isolatedClaimDelay is the additional delay of an isolated controller, which lets
+	// candidates that are not isolated claim first.
 	isolatedClaimDelay = 5 * time.Second
-	// unseenClaimTimeout is how long a claim may stand before the replica shows it, and
-	// unseenClaimBackoff how long no other is made after it was given up.
+	// unseenClaimTimeout is how long the replica may fail to show an accepted claim before
+	// the claim is abandoned. No other claim is made for unseenClaimBackoff after that.
 	unseenClaimTimeout = 2 * time.Second
 	unseenClaimBackoff = 10 * time.Second
-	// minTermBeforeResigning is how long a leader leads before it resigns, and
-	// resignInterval lies between two resignations.
+	// minTermBeforeResigning is the minimum time for which a leader leads before it
+	// resigns, and resignInterval the minimum time between two resignations.
 	minTermBeforeResigning = 5 * time.Second
 	resignInterval         = 10 * time.Second
-	// isolationNotice is how long peers that are isolated too may need to say so, besides
-	// the heartbeat interval of the workers.
+	// isolationNotice is how long peers that are isolated too may need to report it, in
+	// addition to the heartbeat interval of the workers.
 	isolationNotice = 2 * time.Second
 )
 
-// Leadership is a controller's view of who leads, and its own claim.
+// Leadership is a controller's view of the current leader, and the state of its own claims.
 type Leadership struct {
 	cfg Config
 	// Lease is the lease that this controller's claims are attached to.
 	Lease lease.Lease
 
-	record *wire.Leader // the claim that stands; nil: there is none
-	term   uint64       // revision of the claim or of its end
-	since  Time         // when the replica last showed another leader
+	record *wire.Leader // the current claim; nil: there is none
+	term   uint64       // revision of the current claim, or of the end of the last one
+	since  Time         // when the replica last showed a change of the leader
 
-	lastClaimTerm uint64 // of the last claim, whose leader may be gone
-	claimLeaseID  uint64 // the lease of this controller's last claim
+	lastClaimTerm uint64 // of the last claim, even if it has ended since
+	claimLeaseID  uint64 // lease of this controller's last claim
 	nextClaimAt   Time
-	acceptedTerm  uint64 // of the last claim of this controller that was answered
+	acceptedTerm  uint64 // of the last claim of this controller that was accepted; 0: none, or abandoned since
 	acceptedAt    Time
-	abandonedTerm uint64 // of a claim of this process that it gave up, or that was replaced
+	abandonedTerm uint64 // of a claim of this process that it resigned, or that was replaced
 
 	nextResignAt  Time
 	isolatedSince Time // 0: this controller is not isolated, or does not lead
 }
 
-// New makes a leadership that knows of no leader.
+// New returns a Leadership without a leader or a lease.
 func New(cfg Config) *Leadership {
 	return &Leadership{cfg: cfg, Lease: lease.Lease{TTL: cfg.LeaseTTL}}
 }
 
-// Record is the claim that stands, as the replica shows it; nil: there is none.
+// Record returns the current claim, as the replica shows it; nil if there is none.
 func (l *Leadership) Record() *wire.Leader { return l.record }
 
-// Term is the revision of the claim that stands, or of the end of the last.
+// Term returns the revision of the current claim, or of the end of the last one.
 func (l *Leadership) Term() uint64 { return l.term }
 
-// Since is when the replica last showed another leader.
+// Since returns when the replica last showed a change of the leader.
 func (l *Leadership) Since() Time { return l.since }
 
-// HoldsClaim tells whether the replica shows a claim of this process, abandoned or not.
+// HoldsClaim reports whether the replica shows a claim of this process, abandoned or not.
 func (l *Leadership) HoldsClaim() bool {
 	return l.record != nil && l.record.Controller == l.cfg.Self && l.record.Incarnation == l.cfg.Incarnation
 }
 
-// IsLeader tells whether this process leads.
+// IsLeader reports whether this process is the leader.
 func (l *Leadership) IsLeader() bool { return l.HoldsClaim() && l.term != l.abandonedTerm }
 
-// AnotherLeads tells whether the claim that stands is another controller's.
+// AnotherLeads reports whether the current claim is that of another controller.
 func (l *Leadership) AnotherLeads() bool {
 	return !l.IsLeader() && l.record != nil && l.record.Controller != l.cfg.Self
 }
 
-// Change is what a new record of the leadership means to this process.
+// Change is the effect that a new record of the leadership has on this process.
 type Change int
 
 // Kinds of changes.
 const (
-	Stale     Change = iota // an old record: nothing was changed
+	Stale     Change = iota // the record is outdated and was ignored
 	Other                   // none of the following
-	Acquired                // this process begins to lead
-	Reclaimed               // it goes on leading under another term
-	Lost                    // a claim of this process has ended, also one that it had abandoned
+	Acquired                // this process has become the leader
+	Reclaimed               // this process remains the leader, under a new term
+	Lost                    // a claim of this process has ended, possibly one that it had abandoned
 )
 
-// Put applies the claim of the leadership, or its end, at a revision. Previous is the term
-// of the claim before, where this is a new claim.
+// Put applies a claim of the leadership, or its end if the record is nil, at a revision. For a
+// new claim, previous is the term of the claim before it.
 func (l *Leadership) Put(now Time, record *wire.Leader, revision uint64) (change Change, previous uint64) {
 	if revision <= l.term {
 		return Stale, 0
@@ -132,19 +133,21 @@
 	return Other, previous
 }
 
-// Claim is how the leadership may be claimed now.
+// Claim is the kind of claim that this process may make.
 type Claim int
 
 // Kinds of claims.
 const (
 	NoClaim     Claim = iota
-	ClaimVacant       // nobody has it
-	ClaimOwn          // an earlier incarnation of this controller, or an abandoned claim, has it
-	ClaimEarly        // a live leader is to be replaced
+	ClaimVacant       // there is no leader
+	ClaimOwn          // replaces a claim of this controller: that of an earlier incarnation, or an abandoned one
+	ClaimEarly        // replaces a live leader before its lease expires
 )
 
-// NextClaim tells whether and how the leadership may be claimed now. Isolated says that
-// this controller reaches few others; replace is asked whether the leader is to be replaced.
+// NextClaim returns the kind of claim that may be made now. Isolated reports whether this
+// controller has lost the cloud or all other controllers; replace reports whether another
+// controller's claim is to be replaced early. Each is called only where the result depends on
+// it.
 func (l *Leadership) NextClaim(now Time, isolated, replace func() bool) Claim {
 	if l.IsLeader() || !l.Lease.Usable(now) || now < l.nextClaimAt {
 		return NoClaim
@@ -162,7 +165,7 @@
 	return NoClaim
 }
 
-// claimDelay spaces the candidates for a leadership that nobody has.
+// claimDelay returns how long this controller waits before it claims a vacant leadership.
 func (l *Leadership) claimDelay(isolated bool) Time {
 	delay := Time(l.cfg.Rank) * claimDelayEach
 	if isolated {
@@ -171,13 +174,13 @@
 	return delay
 }
 
-// ClaimSent notes that a claim is sent now.
+// ClaimSent records that a claim is sent now.
 func (l *Leadership) ClaimSent(now Time) {
 	l.nextClaimAt = now + claimInterval
 	l.claimLeaseID = l.Lease.ID
 }
 
-// ClaimAnswered takes in the answer to a claim.
+// ClaimAnswered processes the answer to a claim.
 func (l *Leadership) ClaimAnswered(now Time, outcome kv.Outcome, revision uint64) {
 	switch outcome {
 	case kv.LeaseExpired:
@@ -187,21 +190,22 @@
 	}
 }
 
-// MayClaimAgain tells whether a leader may replace its own claim by another now.
+// MayClaimAgain reports whether a leader may replace its own claim by a new one now.
 func (l *Leadership) MayClaimAgain(now Time) bool {
 	return now >= l.nextClaimAt && l.Lease.ID == l.claimLeaseID && l.Lease.Age(now) <= l.Lease.TTL/2
 }
 
-// LeaseHolds tells whether the lease of the claim can't have ended. A leader that the state
-// service refuses may have lost the leadership without seeing it; nor does a new lease renew
-// what was claimed under one that has ended.
+// LeaseHolds reports whether the lease of the claim cannot have expired yet. A leader that the
+// state service refuses to serve may have lost the leadership without seeing it. A new lease
+// does not extend a claim that was made under an expired one.
 func (l *Leadership) LeaseHolds(now Time) bool {
 	return l.Lease.Age(now) <= l.Lease.TTL && l.Lease.ID == l.claimLeaseID
 }
 
-// UnseenClaim gives up a claim that was accepted a while ago and that the replica, which
-// has reached a revision, does not show: the watch hangs. Kept alive by renewals, it would
-// leave the site without a leader that decides.
+// UnseenClaim abandons a claim that was accepted at least unseenClaimTimeout ago and that the
+// replica, which has reached a revision, does not show yet because the watch hangs. It returns
+// the term of the claim and whether there was one. Renewals of the lease would keep such a
+// claim alive and leave the site without a leader that decides.
 func (l *Leadership) UnseenClaim(now Time, revision uint64) (term uint64, unseen bool) {
 	if l.acceptedTerm <= revision || now-l.acceptedAt < unseenClaimTimeout || !l.cfg.EarlyFailover {
 		return 0, false
@@ -211,14 +215,15 @@
 	return term, true
 }
 
-// Replaced notes that a claim of this process has been replaced, which the replica does not
-// show yet.
+// Replaced records that a claim of this process has been replaced, before the replica shows
+// it.
 func (l *Leadership) Replaced(term uint64) { l.abandonedTerm = term }
 
-// Resign decides whether to resign now: this leader is isolated while the state service
-// serves it, and successor says that a controller which is not isolated could take over.
-// When all are isolated, nobody would do better. From then on this process does not lead,
-// even if its watch hangs and never shows it.
+// Resign reports whether to resign now, and if so abandons the claim. An isolated leader that
+// the state service still serves resigns if successor reports that a controller which is not
+// isolated could take over; when all controllers are isolated, no other leader would do better.
+// After a resignation this process does not lead, even if its watch hangs and never shows the
+// end of the claim.
 func (l *Leadership) Resign(now Time, isolated bool, successor func() bool) bool {
 	if !isolated {
 		l.isolatedSince = 0
@@ -237,9 +242,8 @@
 	return true
 }
 
-// ResignRefused takes a resignation back that the state service certainly has not carried
-// out.
+// ResignRefused reverts a resignation that the state service has certainly not carried out.
 func (l *Leadership) ResignRefused() { l.abandonedTerm = 0 }
 
-// Resumed forgets what a stall of the process has made stale.
+// Resumed discards the state that a stall of the process has made stale.
 func (l *Leadership) Resumed() { l.isolatedSince = 0 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -26,7 +26,7 @@
 func always() bool { return true }
 func never() bool  { return false }
 
-// What each change of the record means, in order.
+// Each change of the record, in order, has the expected effect on this process.
 func TestChanges(t *testing.T) {
 	l := newLeadership()
 	for i, step := range []struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-// The terms of claims are told in order, ends of claims between them not counted.
+// The previous term is that of the claim before, also if that claim has ended in between.
 func TestPreviousTerm(t *testing.T) {
 	l := newLeadership()
 	l.Put(0, claimOf("n0", "a"), 5)
@@ -60,7 +60,7 @@
 	}
 }
 
-// How the leadership may be claimed, by who has it.
+// The kind of claim depends on the current leader and on the lease of this controller.
 func TestNextClaim(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -85,20 +85,20 @@
 				l.Put(0, c.record, 5)
 			}
 			if got := l.NextClaim(c.at, c.isolated, c.replace); got != c.want {
-				t.Errorf("got %d, want %d", got, c.want)
+				t.Errorf("got claim %d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// An isolated leader resigns once it has been isolated for long enough and somebody else
-// could lead, and leads again only if the resignation was refused.
+// An isolated leader resigns once it has been isolated for long enough and another controller
+// could lead. It leads again only if the resignation was refused.
 func TestResign(t *testing.T) {
 	l := newLeadership()
 	l.Put(0, claimOf(self, incarnation), 5)
 	begun := 10 * time.Second
 	if l.Resign(begun, true, always) {
-		t.Error("resigned at once")
+		t.Error("resigned as soon as it was isolated")
 	}
 	later := begun + l.cfg.HeartbeatInterval + isolationNotice
 	if l.Resign(later, true, never) {
@@ -109,14 +109,14 @@
 	}
 	l.ResignRefused()
 	if !l.IsLeader() {
-		t.Error("does not lead though the resignation was refused")
+		t.Error("does not lead although the resignation was refused")
 	}
 	if l.Resign(later+time.Second, true, always) {
-		t.Error("resigned again at once")
+		t.Error("resigned again before the resign interval has passed")
 	}
 }
 
-// A claim that was accepted and that the replica does not show is given up after a while.
+// An accepted claim that the replica does not show is abandoned once, after a timeout.
 func TestUnseenClaim(t *testing.T) {
 	l := newLeadership()
 	l.ClaimSent(0)
@@ -129,10 +129,10 @@
 		{time.Second + unseenClaimTimeout - 1, 8, false},
 		{time.Second + unseenClaimTimeout, 9, false},
 		{time.Second + unseenClaimTimeout, 8, true},
-		{time.Second + 2*unseenClaimTimeout, 8, false}, // once
+		{time.Second + 2*unseenClaimTimeout, 8, false}, // abandoned only once
 	} {
 		if _, unseen := l.UnseenClaim(c.at, c.revision); unseen != c.want {
-			t.Errorf("at %v, revision %d: %v", c.at, c.revision, unseen)
+			t.Errorf("at %v, revision %d: unseen %v, want %v", c.at, c.revision, unseen, c.want)
 		}
 	}
 }
