--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease keeps track of leases on the state service: when each is to be renewed, and
-// how long ago a renewal that succeeded was sent. It has no input or output.
+// Package lease tracks leases on the state service: when each is to be renewed, and how long
+// ago the last successful renewal was sent. It has no input or output.
 package lease
 
 import (
@@ -8,41 +8,41 @@
 	"micaport/internal/kv"
 )
 
-// retryInterval lies between two requests for a lease while they are not answered with one.
+// retryInterval is the time between the answer to a failed request for a lease and the next one.
 const retryInterval = 500 * time.Millisecond
 
-// Lease is one lease. The state service ends it, with the keys attached to it, when it is
-// not renewed for its time to live. The zero value with a TTL is a lease to be made.
+// Lease is a lease on the state service, which expires and has the keys attached to it removed
+// when it is not renewed within its TTL. The zero value with a TTL is a lease yet to be created.
 type Lease struct {
 	ID     uint64        // 0: there is none
 	TTL    time.Duration // time to live
-	SentAt time.Duration // when the last renewal that succeeded was sent
+	SentAt time.Duration // when the last successful renewal was sent
 
 	renewAt  time.Duration // when the next request is due
-	renewing bool          // a request is under way
+	renewing bool          // a request is in flight
 }
 
-// Due tells whether a request for the lease is to be sent now.
+// Due reports whether a request for the lease is to be sent now.
 func (l *Lease) Due(now time.Duration) bool { return !l.renewing && now >= l.renewAt }
 
-// Renewal is a request for a lease under way.
+// Renewal is a request for a lease that is in flight.
 type Renewal struct {
 	lease  *Lease
-	id     uint64 // that is extended; 0: a new one is made
+	id     uint64 // of the lease to be extended; 0: a new one is created
 	sentAt time.Duration
 }
 
-// ID is the lease that is extended; 0 asks for a new one.
+// ID returns the ID of the lease to be extended; 0 if a new one is requested.
 func (r Renewal) ID() uint64 { return r.id }
 
-// Renew notes that a request is sent now.
+// Renew records that a request is sent now, and returns it.
 func (l *Lease) Renew(now time.Duration) Renewal {
 	l.renewing = true
 	return Renewal{lease: l, id: l.ID, sentAt: now}
 }
 
-// Answered takes in the answer to a request. Interval is how often a lease is renewed at
-// least; a quarter of its time to live bounds it.
+// Answered processes the answer to the request. The lease is renewed again after the interval,
+// or after a quarter of its TTL if that is shorter.
 func (r Renewal) Answered(now time.Duration, outcome kv.Outcome, id uint64, interval time.Duration) {
 	l := r.lease
 	l.renewing = false
@@ -59,18 +59,18 @@
 	}
 }
 
-// Ended notes that the lease has ended: a new one is asked for at once.
+// Ended records that the lease has expired. A request for a new one is due at once.
 func (l *Lease) Ended(now time.Duration) { l.ID, l.renewAt = 0, now }
 
-// Forget drops a lease that may have ended, without asking for a new one.
+// Forget discards a lease that may have expired, without requesting a new one.
 func (l *Lease) Forget() { l.ID = 0 }
 
 // RenewNow makes a request due now.
 func (l *Lease) RenewNow(now time.Duration) { l.renewAt = min(l.renewAt, now) }
 
-// Age is how long ago the last renewal that succeeded was sent.
+// Age returns the time since the last successful renewal was sent.
 func (l *Lease) Age(now time.Duration) time.Duration { return now - l.SentAt }
 
-// Usable tells whether a claim may be made under the lease: there is one, and it has at
-// least half of its time left.
+// Usable reports whether a claim may be made under the lease: it exists, and at least half of
+// its TTL is left.
 func (l *Lease) Usable(now time.Duration) bool { return l.ID != 0 && l.Age(now) <= l.TTL/2 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -7,7 +7,7 @@
 	"micaport/internal/kv"
 )
 
-// What becomes of a lease by the answer to a request for it.
+// Each answer to a request updates the lease and the time of the next request.
 func TestAnswers(t *testing.T) {
 	const (
 		ttl      = 8 * time.Second
@@ -23,9 +23,9 @@
 		renewed bool
 		dueAt   time.Duration
 	}{
-		{"made", 0, kv.OK, 7, true, sentAt + interval},
+		{"created", 0, kv.OK, 7, true, sentAt + interval},
 		{"extended", 5, kv.OK, 5, true, sentAt + interval},
-		{"it had ended", 5, kv.NotFound, 0, false, now},
+		{"had expired", 5, kv.NotFound, 0, false, now},
 		{"refused", 5, kv.Refused, 5, false, now + retryInterval},
 		{"no answer", 5, kv.Unknown, 5, false, now + retryInterval},
 	} {
@@ -33,7 +33,7 @@
 			l := Lease{ID: c.id, TTL: ttl}
 			renewal := l.Renew(sentAt)
 			if l.Due(sentAt + time.Hour) {
-				t.Error("a second request is due while one is under way")
+				t.Error("a second request is due while one is in flight")
 			}
 			renewal.Answered(now, c.outcome, 7, interval)
 			if l.ID != c.wantID {
@@ -49,14 +49,14 @@
 	}
 }
 
-// A claim needs half of the time to live.
+// A lease is usable for claims during the first half of its TTL.
 func TestUsable(t *testing.T) {
 	l := Lease{TTL: 8 * time.Second}
 	if l.Usable(0) {
-		t.Error("usable before it was made")
+		t.Error("usable before it was created")
 	}
 	l.Renew(time.Second).Answered(2*time.Second, kv.OK, 3, time.Second)
 	if !l.Usable(5*time.Second) || l.Usable(5*time.Second+1) {
-		t.Error("not usable for just half of its time, counted from when the renewal was sent")
+		t.Error("not usable for exactly half of its TTL, counted from when the renewal was sent")
 	}
 }
