--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Evidence is what speaks for and against taking a shard over from its owner.
+// Evidence is the evidence for and against taking a shard over from its owner.
 type Evidence struct {
-	// MachinesKnown counts the machines whose owner has heard them lately.
+	// MachinesKnown is the number of machines whose heartbeats the owner has recently received.
 	MachinesKnown int
-	// MachinesBounced counts the machines that came to this controller although they had
-	// been redirected to the owner: they can't reach it. A single one among many may be
-	// cut off by itself, which says nothing about the owner.
+	// MachinesBounced is the number of machines that contacted this controller again after
+	// they had been redirected to the owner, because they can't reach it. A single one among
+	// many may have lost its own connection, which is no evidence against the owner.
 	MachinesBounced int
-	BouncingSince   Time // since when the first of these has done so
-	// OwnerSilent says that the owner has not been heard from for a while.
+	BouncingSince   Time // since when the first of these machines has done so
+	// OwnerSilent reports whether the owner has sent no message for a while.
 	OwnerSilent bool
-	// OwnerRefusedFor is how long the state service has refused the owner while it serves
-	// this controller; 0: it does not refuse it.
+	// OwnerRefusedFor is how long the state service has refused to serve the owner while it
+	// served this controller; 0: it does not refuse the owner.
 	OwnerRefusedFor Time
-	// StoreOK says that the state service serves this controller.
+	// StoreOK reports whether the state service serves this controller.
 	StoreOK bool
-	// StoreAnswered says that it answered a moment ago.
+	// StoreAnswered reports whether the state service has recently answered.
 	StoreAnswered bool
 }
 
-// Reason is why a shard may be claimed.
+// Reason is the reason for which a shard may be claimed.
 type Reason string
 
-// Reasons; the texts go into the log.
+// Reasons for a claim. Their texts are logged.
 const (
 	NotClaimable  Reason = ""
 	Unowned       Reason = "no owner"
@@ -36,12 +36,12 @@
 	HomeRecovered Reason = "this controller is its home and is well"
 )
 
-// Waits before a claim, counted from when the shard last changed hands, and how long the
-// evidence must have lasted.
+// Minimum times before a claim. The waits are counted from Shard.ClaimableSince, bouncedFor and
+// refusedFor from the beginning of the evidence.
 const (
 	unownedSameZoneWait  = 2 * time.Second
-	unownedOtherZoneWait = 4 * time.Second // and a second more for each controller before this one
-	otherZoneWait        = 4 * time.Second // more, where the shard is in another zone
+	unownedOtherZoneWait = 4 * time.Second // plus a second for each controller before this one
+	otherZoneWait        = 4 * time.Second // additional, if the shard is in another zone
 	bouncedFor           = 2 * time.Second
 	bouncedWait          = 10 * time.Second
 	silentWait           = 5 * time.Second
@@ -49,22 +49,23 @@
 	homeWait             = 60 * time.Second
 )
 
-// An eighth of a shard's machines have to bounce, between two and twelve of them, and all
-// where there are fewer.
+// The number of bounced machines that justifies a claim is an eighth of a shard's machines, but
+// at least two and at most twelve. If the shard has fewer machines, all of them must have bounced.
 const (
 	bouncedFraction   = 8
 	minBounced        = 2
 	maxBouncedToClaim = 12
 )
 
-// enoughBounced tells whether so many machines bounce that the owner must be at fault.
+// enoughBounced reports whether so many machines have bounced that the owner must be at fault.
 func (e *Evidence) enoughBounced() bool {
 	needed := max(1, min(e.MachinesKnown, max(minBounced, min(e.MachinesKnown/bouncedFraction, maxBouncedToClaim))))
 	return e.MachinesBounced >= needed
 }
 
-// MayClaimUnowned tells whether a shard without an owner may be claimed: its home controller
-// first, then the others of its zone, then the rest in the order of their names.
+// mayClaimUnowned reports whether a shard without an owner may be claimed after a wait. The home
+// controller may claim it first, then the other controllers of its zone, and then the remaining
+// ones in the order of their names.
 func (t *Table) mayClaimUnowned(waited Time, s *Shard) bool {
 	switch {
 	case s.HomeController == t.cfg.Self:
@@ -75,8 +76,8 @@
 	return waited > unownedOtherZoneWait+Time(t.Rank())*time.Second
 }
 
-// MayClaim tells whether a shard that this process does not own may be claimed now, and
-// why. The evidence is asked for only where it matters.
+// MayClaim returns the reason for which a shard that this process does not own may be claimed
+// now, or NotClaimable. It calls gather only if the result depends on the evidence.
 func (t *Table) MayClaim(now Time, s *Shard, gather func() Evidence) Reason {
 	waited := now - s.ClaimableSince
 	switch {
@@ -100,7 +101,7 @@
 	case !e.OwnerSilent && e.StoreOK && e.StoreAnswered && e.OwnerRefusedFor > refusedFor+extra:
 		return OwnerRefused
 	case s.HomeController == t.cfg.Self && waited > homeWait && e.StoreOK && !e.OwnerSilent:
-		// The home controller stands beside the workers.
+		// The home controller is in the same zone as the workers.
 		return HomeRecovered
 	}
 	return NotClaimable
--- a/internal/ownership/proof.go
+++ b/internal/ownership/proof.go
@@ -8,29 +8,28 @@
 	"micaport/internal/wire"
 )
 
-// An owner proves with transactions that only compare that its claims stood when they were
-// sent. The older the last proof when the owner is cut off, the sooner its workers lose
-// their tasks.
-
 const (
 	minProofInterval = time.Second
 	maxProofInterval = 3 * time.Second
-	// proofShare is the part of all requests to the state service that the proofs and
-	// renewals of all controllers together may take; each sends two of them an interval.
+	// proofShare is the share of the state service's request rate that the proofs and lease
+	// renewals of all controllers together may use. Each controller sends
+	// requestsEachInterval of them in an interval.
 	proofShare           = 1.0 / 10
 	requestsEachInterval = 2
-	// proofsEachValidity is how many proofs are sent in the time of a validity at least.
+	// proofsEachValidity is the minimum number of proofs sent within a validity.
 	proofsEachValidity = 8
 )
 
-// proof is a comparison of claims that succeeded.
+// proof is a Proof that succeeded at a revision.
 type proof struct {
 	sentAt   Time
 	revision uint64
-	terms    map[int]uint64 // of the shards that it covers, by index
+	terms    map[int]uint64 // terms of the shards that it covers, by index
 }
 
-// ProofInterval is how often an owner renews its lease and proves its claims.
+// ProofInterval returns the time between two renewals of an owner's lease, and between two proofs
+// of its claims. The older the last proof when an owner loses the state service, the sooner its
+// workers lose their tasks.
 func (t *Table) ProofInterval() Time {
 	if t.cfg.StateRPS <= 0 {
 		return minProofInterval
@@ -39,14 +38,15 @@
 	return max(minProofInterval, min(each, maxProofInterval))
 }
 
-// Proof is a transaction that proves claims, to be sent now.
+// Proof is a transaction without writes, to be sent now. Its conditions are the claims of this
+// process, so its success proves that they were current when it was sent.
 type Proof struct {
 	Conditions []kv.Condition
 	sentAt     Time
 	terms      map[int]uint64
 }
 
-// NextProofs gives the proofs that are due, as few as the limit of conditions allows.
+// NextProofs returns the proofs that are due, as few as the limit of conditions allows.
 func (t *Table) NextProofs(now Time) []Proof {
 	if now < t.checkAt {
 		return nil
@@ -70,16 +70,16 @@
 	return proofs
 }
 
-// Succeeded takes in that a proof succeeded at a revision. It counts once the replica has
-// reached that: an owner whose watch hangs could else keep tasks alive whose cancellation
-// it has not seen. Proofs that were sent before a stall don't count.
+// Succeeded records that a proof has succeeded at a revision. The proof takes effect once the
+// replica has reached the revision: otherwise an owner whose watch hangs could keep tasks alive
+// whose cancellation it has not seen. Proofs that were sent before a stall are ignored.
 func (t *Table) Succeeded(p Proof, revision uint64) {
 	if p.sentAt >= t.resumedAt {
 		t.pending = append(t.pending, proof{sentAt: p.sentAt, revision: revision, terms: p.terms})
 	}
 }
 
-// Settle lets those proofs count whose revision the replica has reached.
+// Settle makes the pending proofs take effect whose revision the replica has reached.
 func (t *Table) Settle(now Time, revision uint64) {
 	t.pending = slices.DeleteFunc(t.pending, func(p proof) bool {
 		if p.revision > revision {
@@ -95,8 +95,8 @@
 	})
 }
 
-// extend lets the validity of a shard count from a proof, and not from before the lease of
-// the claim was last renewed.
+// extend makes the validity of a shard start when a proof was sent, or when the lease of the
+// claim was last renewed if that was earlier.
 func (t *Table) extend(now Time, s *Shard, sentAt Time) {
 	if !t.MayAct(now, s) {
 		s.ValidSince = now
@@ -105,6 +105,6 @@
 	s.proven = true
 }
 
-// ProvenAt is when the last proof that counts was sent; 0: there is none. What the replica
-// shows only later was committed after this.
+// ProvenAt returns when the latest settled proof was sent; 0 if there is none. Records that the
+// replica shows only later were committed after this time.
 func (t *Table) ProvenAt() Time { return t.provenAt }
--- a/internal/ownership/shards.go
+++ b/internal/ownership/shards.go
@@ -1,8 +1,8 @@
-// Package ownership decides which controller owns which shard of the machines, and for how
-// long this controller may act as an owner. A shard is claimed by a record under a lease;
-// the revision of the claim is its term, and the fencing token of its workers. An owner acts
-// only for a while, the validity, after it sent a proof that its claims stood. The package
-// has no input or output.
+// Package ownership decides which shards of the machines this controller claims, and for how
+// long it may act as their owner. A shard is claimed by a record attached to a lease; the
+// revision of the claim is its term, which is the fencing token for its workers. An owner acts
+// only for a limited time, the validity, after it sent a proof that its claims were current.
+// The package has no input or output.
 package ownership
 
 import (
@@ -14,7 +14,7 @@
 	"micaport/internal/wire"
 )
 
-// Time is the steady clock of the process, counted from its start.
+// Time is a time of the monotonic clock of the process, counted from its start.
 type Time = time.Duration
 
 // Member is a controller of the deployment.
@@ -23,11 +23,11 @@
 	Zone string
 }
 
-// ShardID names a shard: the zone whose machines it holds, and the controller that is
-// meant to own it, which is "" in a zone without controllers.
+// ShardID identifies a shard by the zone of its machines and by its home, the controller that
+// is meant to own it. Home is "" in a zone without controllers.
 type ShardID struct{ Zone, Home string }
 
-// Name is the shard's name in records.
+// Name returns the name of the shard in records.
 func (id ShardID) Name() string {
 	if id.Home == "" {
 		return id.Zone + "/-"
@@ -35,8 +35,8 @@
 	return id.Zone + "/" + id.Home
 }
 
-// ShardIDs lists the shards of a deployment in the order in which records number them: for
-// each zone one for each of its controllers, and one for a zone without controllers.
+// ShardIDs returns the shards of a deployment in the order in which records number them. A zone
+// has one shard for each of its controllers, or a single one if it has no controllers.
 func ShardIDs(zones []string, members []Member) []ShardID {
 	members = slices.Clone(members)
 	sort.Slice(members, func(i, k int) bool { return members[i].Name < members[k].Name })
@@ -55,32 +55,32 @@
 	return ids
 }
 
-// Shard is a share of a zone's machines, with what this controller knows of its owner.
+// Shard is a part of a zone's machines, with the state of its ownership as this controller sees it.
 type Shard struct {
 	Index          int
 	Name           string
 	Zone           int         // index
-	HomeController string      // meant to own it; "" in a zone without controllers
-	Record         *wire.Shard // the claim; nil: there is none
-	Term           uint64      // revision of the claim or of its end: the workers' fencing token
-	ChangedAt      Time        // when the replica last showed another claim
+	HomeController string      // controller that is meant to own it; "" in a zone without controllers
+	Record         *wire.Shard // the current claim; nil: there is none
+	Term           uint64      // revision of the current claim or of its end: the fencing token for workers
+	ChangedAt      Time        // when the replica last showed a new claim or its end
 
-	ClaimableSince Time // when the replica last showed another claim, or a claim was last tried
-	claimCheckedAt Time // when a claim was last considered
+	ClaimableSince Time // when the replica last showed a new claim or its end, or this controller last claimed the shard
+	claimCheckedAt Time // when it was last checked whether to claim the shard
 
-	proven     bool // a proof covers this term
-	validFrom  Time // the validity counts from here
-	ValidSince Time // since when the validity has not been interrupted
-	// OwnedSince is a time after which no earlier owner can have answered a report.
+	proven     bool // a proof of the current term has settled
+	validFrom  Time // start of the validity
+	ValidSince Time // since when the shard has been valid without interruption
+	// OwnedSince is a time after which no earlier owner can have replied to a worker.
 	OwnedSince Time
-	// previousOwnerUntil is how long owners before the present one may act.
+	// previousOwnerUntil is the time until which earlier owners may act.
 	previousOwnerUntil Time
 }
 
-// zoneRange is a run of neighbours among the shards.
+// zoneRange is the range of the consecutive shards of a zone.
 type zoneRange struct{ first, count int }
 
-// makeShards lists the shards and their runs by zone; zoneIndex maps the name of a zone.
+// makeShards returns the shards and their ranges by zone; zoneIndex returns the index of a zone.
 func makeShards(ids []ShardID, zones int, zoneIndex func(string) int) (shards []*Shard, ranges []zoneRange) {
 	ranges = make([]zoneRange, zones)
 	for index, id := range ids {
@@ -94,7 +94,8 @@
 	return shards, ranges
 }
 
-// ShardOf hashes a machine to a shard of its zone; -1 where the zone is unknown.
+// ShardOf returns the index of the shard of a machine, which is chosen by a hash among those of
+// its zone; -1 if the zone is unknown.
 func (t *Table) ShardOf(zone int, machine string) int {
 	if zone < 0 || zone >= len(t.zoneRanges) {
 		return -1
@@ -105,8 +106,8 @@
 	return shards.first + int(mixBits(hash.Sum64())%uint64(shards.count))
 }
 
-// mixBits lets every bit of a hash depend on every other. Names of machines differ in their
-// last digits only, and FNV leaves those in the low bits of neighbours alike.
+// mixBits makes every bit of a hash depend on every other. Names of machines differ only in
+// their last digits, and FNV gives consecutive names similar low bits.
 func mixBits(v uint64) uint64 {
 	v ^= v >> 33
 	v *= 0xff51afd7ed558ccd
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -8,23 +8,23 @@
 	"micaport/internal/wire"
 )
 
-// Config is what ownership follows from.
+// Config is the ownership configuration of a controller.
 type Config struct {
 	Self        string // name of this controller
-	Incarnation string // tells this process from earlier ones of the same name
+	Incarnation string // distinguishes this process from earlier ones of the same name
 	Zone        int    // index of this controller's zone
 	Members     []Member
 	// Validity is how long an owner may act after it sent a proof.
 	Validity Time
-	// StateRPS is how many requests a second the state service takes from all controllers;
-	// 0 is no limit.
+	// StateRPS is the number of requests a second that the state service accepts from all
+	// controllers together; 0: unlimited.
 	StateRPS float64
-	// MaxConditions bounds the conditions of one transaction.
+	// MaxConditions is the maximum number of conditions in a transaction.
 	MaxConditions int
 }
 
-// Table holds all shards of the deployment, and this controller's right to act as the owner
-// of some.
+// Table holds all shards of the deployment, and tracks for which of them this controller may
+// act as the owner.
 type Table struct {
 	cfg        Config
 	shards     []*Shard
@@ -34,44 +34,44 @@
 	Lease lease.Lease
 
 	checkAt   Time    // when the next proof is due
-	pending   []proof // that succeeded at a revision that the replica has not reached
-	provenAt  Time    // when the last proof that counts was sent
-	resumedAt Time    // when the process last found out that it had been stalled
+	pending   []proof // proofs that succeeded at a revision that the replica has not reached
+	provenAt  Time    // when the latest settled proof was sent
+	resumedAt Time    // when the process last resumed after a stall
 }
 
-// New makes a table in which no shard has an owner. Zones is the number of zones, and
-// zoneIndex gives the index of one by its name.
+// New returns a table in which no shard has an owner. Zones is the number of zones, and
+// zoneIndex returns the index of a zone by its name.
 func New(cfg Config, ids []ShardID, zones int, zoneIndex func(string) int) *Table {
 	t := &Table{cfg: cfg, Lease: lease.Lease{TTL: cfg.Validity}}
 	t.shards, t.zoneRanges = makeShards(ids, zones, zoneIndex)
 	return t
 }
 
-// Shards lists all shards by index.
+// Shards returns all shards by index.
 func (t *Table) Shards() []*Shard { return t.shards }
 
-// Owns tells whether the replica shows a claim of this process.
+// Owns reports whether the replica shows a claim of this process to the shard.
 func (t *Table) Owns(s *Shard) bool {
 	return s.Record != nil && s.Record.Owner == t.cfg.Self && s.Record.Incarnation == t.cfg.Incarnation
 }
 
-// MayAct tells whether this controller may act as the owner of a shard now.
+// MayAct reports whether this controller may act as the owner of a shard now.
 func (t *Table) MayAct(now Time, s *Shard) bool {
 	return t.Owns(s) && s.proven && now < s.validFrom+t.cfg.Validity
 }
 
-// Change is what a new record of a shard means to this controller.
+// Change is the effect that a new record of a shard has on this process.
 type Change int
 
 // Kinds of changes.
 const (
-	Stale   Change = iota // an old record: nothing was changed
+	Stale   Change = iota // the record is outdated and was ignored
 	Other                 // neither of the following
-	Claimed               // this process owns the shard now
-	Lost                  // this process owned the shard
+	Claimed               // this process has become the owner, or remains it under a new term
+	Lost                  // this process is no longer the owner
 )
 
-// Put applies the claim of a shard, or its end, at a revision.
+// Put applies a claim of a shard, or its end if the record is nil, at a revision.
 func (t *Table) Put(now Time, s *Shard, record *wire.Shard, revision uint64) Change {
 	if revision <= s.Term {
 		return Stale
@@ -82,16 +82,17 @@
 	s.ClaimableSince = now
 	s.ChangedAt = now
 	if before != nil && record != nil && before.Owner != record.Owner {
-		// Taken over while its owner lived, which may act until its validity has run out,
-		// whoever claims the shard next, and when. An owner that took a shard, ended and
-		// came back must not forget that.
+		// The shard was taken over from a live owner, which may act until its validity has
+		// expired, whoever claims the shard next. Later claims don't reset this time: an
+		// owner that took the shard over, lost it and claims it again must still respect it.
 		s.previousOwnerUntil = now + t.cfg.Validity
 	}
 	s.proven, s.validFrom = false, 0
 	switch {
 	case t.Owns(s):
-		// An owner whose key went with its lease had stopped before, and an earlier
-		// incarnation is dead; but who was taken over lately may still answer.
+		// An owner whose claim was removed with its lease had stopped before, and an
+		// earlier incarnation is dead. But an owner from which the shard was recently
+		// taken over may still reply to workers.
 		s.OwnedSince = max(now, s.previousOwnerUntil)
 		t.checkAt = 0
 		return Claimed
@@ -101,15 +102,16 @@
 	return Other
 }
 
-// AssumeRecentOwners assumes that each shard has just been taken over from an owner that
-// lives: what happened before a full listing is not known.
+// AssumeRecentOwners assumes that each shard has just been taken over from a live owner. It is
+// called after a full listing, which does not show the earlier claims.
 func (t *Table) AssumeRecentOwners(now Time) {
 	for _, s := range t.shards {
 		s.previousOwnerUntil = now + t.cfg.Validity
 	}
 }
 
-// Resumed voids all proofs after a stall of the process, as much may have changed.
+// Resumed invalidates all proofs after a stall of the process, during which shards may have
+// been taken over.
 func (t *Table) Resumed(now Time) {
 	t.resumedAt = now
 	t.pending = nil
@@ -119,7 +121,8 @@
 	}
 }
 
-// Rank is this controller's place among all by name, so that two don't claim at once.
+// Rank returns the position of this controller among all by name. It staggers their claims, so
+// that no two claim at the same time.
 func (t *Table) Rank() int {
 	rank := 0
 	for _, member := range t.cfg.Members {
@@ -130,7 +133,7 @@
 	return rank
 }
 
-// claim is the write that claims a shard for this process.
+// claim returns the condition and the write that claim a shard for this process.
 func (t *Table) claim(s *Shard) (kv.Condition, kv.Write) {
 	key := wire.ShardKey(s.Name)
 	revision := s.Term
@@ -142,14 +145,14 @@
 }
 
 const (
-	// claimInterval lies between two claims of one shard.
+	// claimInterval is the minimum time between two claims of a shard.
 	claimInterval = 300 * time.Millisecond
-	// claimCheckInterval lies between two considerations of a claim.
+	// claimCheckInterval is the minimum time between two checks whether to claim a shard.
 	claimCheckInterval = 200 * time.Millisecond
 )
 
-// NextClaim gives the claim of a shard that another controller or nobody owns, if it is
-// time to consider one and permitted says that it may be made.
+// NextClaim returns the claim of a shard that this process does not own, if a check is due and
+// permitted reports that the shard may be claimed.
 func (t *Table) NextClaim(now Time, s *Shard, permitted func() bool) (condition kv.Condition, write kv.Write, due bool) {
 	if t.Owns(s) || now < s.ClaimableSince+claimInterval || now < s.claimCheckedAt+claimCheckInterval {
 		return condition, write, false
@@ -158,7 +161,7 @@
 	if !permitted() {
 		return condition, write, false
 	}
-	s.ClaimableSince = max(s.ClaimableSince, now) // wait before the next try
+	s.ClaimableSince = max(s.ClaimableSince, now) // wait before the next attempt
 	condition, write = t.claim(s)
 	return condition, write, true
 }
