--- a/internal/failover/decision_log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -13,8 +13,8 @@
 	"micaport/internal/wire"
 )
 
-// logClaim is the claim of the leader in the tests of the decision log.
-var logClaim = Claim{Controller: "a", Incarnation: "a1", Term: 7}
+// leaderClaim is the claim of the leader in the tests of the decision log.
+var leaderClaim = Claim{Controller: "a", Incarnation: "a1", Term: 7}
 
 func fact(name string, at int64) wire.Fact {
 	return wire.Fact{Kind: wire.FactIdle, Name: name, At: at}
@@ -41,7 +41,7 @@
 		if m == nil {
 			return -1
 		}
-		p.Acknowledged(now, r.Take(now+time.Hour, logClaim, m))
+		p.Acknowledged(now, r.Take(now+time.Hour, leaderClaim, m))
 		var sent []wire.Fact
 		if err := wire.Decode(m.Facts, &sent); err != nil {
 			t.Fatal(err)
@@ -77,7 +77,7 @@
 	p.Direct("b", 7)
 	p.Publish([]wire.Fact{fact("x", 1500), {Kind: wire.FactDraining, Name: "y"}})
 	_, m := p.Next(2*time.Second, "a", "a1")
-	r.Take(time.Hour, logClaim, m)
+	r.Take(time.Hour, leaderClaim, m)
 	for _, f := range r.Of(7) {
 		want := int64(0)
 		if f.Kind == wire.FactIdle {
@@ -114,7 +114,7 @@
 			t.Errorf("a message has %d bytes of facts, want at most %d", len(m.Facts), 64<<10)
 		}
 		messages++
-		p.Acknowledged(now, r.Take(now, logClaim, m))
+		p.Acknowledged(now, r.Take(now, leaderClaim, m))
 	}
 	if r.Facts() != len(facts) || messages != 4 || p.Resyncs() == 0 {
 		t.Errorf("%d facts in %d messages after %d resyncs", r.Facts(), messages, p.Resyncs())
@@ -123,13 +123,13 @@
 
 // A message that claims to have more facts than it has is refused, and no memory is allocated for
 // them.
-func TestLogRefusesClaimedCounts(t *testing.T) {
+func TestLogRefusesFalseLengths(t *testing.T) {
 	for _, raw := range [][]byte{{0xdd, 0xff, 0xff, 0xff, 0xff}, {0xdd, 0, 0xff, 0xff, 0xff}, {0xdc, 0xff, 0xff}, {0x91, 0xdd, 0xff, 0xff, 0xff, 0xff}, {0x80}, nil} {
 		r := NewReplica()
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		m := &wire.DecisionLog{From: "a", Life: "a1", Term: 7, Sequence: 1, Reset: true, Facts: raw, Checksum: crc32.ChecksumIEEE(raw)}
-		ack := r.Take(time.Second, logClaim, m)
+		ack := r.Take(time.Second, leaderClaim, m)
 		runtime.ReadMemStats(&after)
 		if allocated := after.TotalAlloc - before.TotalAlloc; !ack.Resync || r.Dropped() != 1 || allocated > 1<<20 {
 			t.Errorf("%x: acknowledgement %+v, %d refused, %d bytes allocated", raw, ack, r.Dropped(), allocated)
@@ -138,12 +138,12 @@
 }
 
 // A standby whose replica of the records lags refuses a message. The next message is delayed.
-func TestLogPausesAfterRefusal(t *testing.T) {
+func TestLogDelaysAfterRefusal(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.Direct("b", 8)
 	p.Publish([]wire.Fact{fact("x", 1)})
 	_, m := p.Next(time.Second, "a", "a1")
-	p.Acknowledged(time.Second, r.Take(time.Second, logClaim, m))
+	p.Acknowledged(time.Second, r.Take(time.Second, leaderClaim, m))
 	if _, m := p.Next(time.Second+resyncDelay-1, "a", "a1"); m != nil {
 		t.Error("the next message is not delayed")
 	}
@@ -156,18 +156,18 @@
 }
 
 // Messages and acknowledgements are lost, repeated, late, damaged, or of another incarnation or
-// term. Nothing panics, messages that do not belong to the current log are refused, and once messages
-// arrive again the standby holds exactly the facts of the leader.
-func TestLogUnderTroubles(t *testing.T) {
+// term. Nothing panics, messages that do not belong to the current log are refused, and once
+// messages arrive again the standby holds exactly the facts of the leader.
+func TestLogRecoversFromFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, r := NewPublisher(), NewReplica()
 		p.Direct("b", 7)
 		now := time.Second
-		knows := map[string]int64{}
+		leaderFacts := map[string]int64{}
 		var sent []*wire.DecisionLog
 		publish := func() {
 			var facts []wire.Fact
-			for name, at := range knows {
+			for name, at := range leaderFacts {
 				facts = append(facts, fact(name, at))
 			}
 			p.Publish(facts)
@@ -175,23 +175,23 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(10, 900).Draw(t, "pause")) * time.Millisecond
 			name := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "fact"))
-			if rapid.Bool().Draw(t, "drop") {
-				delete(knows, name)
+			if rapid.Bool().Draw(t, "remove") {
+				delete(leaderFacts, name)
 			} else {
-				knows[name] = int64(rapid.IntRange(1, 1000).Draw(t, "at"))
+				leaderFacts[name] = int64(rapid.IntRange(1, 1000).Draw(t, "at"))
 			}
 			publish()
 			if _, m := p.Next(now, "a", "a1"); m != nil {
 				sent = append(sent, m)
-				switch rapid.IntRange(0, 4).Draw(t, "fate") {
+				switch rapid.IntRange(0, 4).Draw(t, "delivery") {
 				case 0: // lost
 				case 1: // received, but its acknowledgement is lost
-					r.Take(now, logClaim, m)
+					r.Take(now, leaderClaim, m)
 				default:
-					p.Acknowledged(now, r.Take(now, logClaim, m))
+					p.Acknowledged(now, r.Take(now, leaderClaim, m))
 				}
 			}
-			if len(sent) > 0 && rapid.IntRange(0, 2).Draw(t, "trouble") == 0 {
+			if len(sent) > 0 && rapid.IntRange(0, 2).Draw(t, "fault") == 0 {
 				m := *rapid.SampledFrom(sent).Draw(t, "message")
 				switch rapid.IntRange(0, 4).Draw(t, "kind") {
 				case 0:
@@ -201,24 +201,24 @@
 				case 2:
 					m.Life = "a0"
 				case 3: // not a list of facts, with a valid checksum
-					m.Facts = rapid.SliceOf(rapid.Byte()).Draw(t, "nonsense")
+					m.Facts = rapid.SliceOf(rapid.Byte()).Draw(t, "invalid facts")
 					if _, err := wire.DecodeFacts(m.Facts, maxMessageFacts); err == nil {
 						continue // by chance it is a list of facts
 					}
 					m.Checksum = crc32.ChecksumIEEE(m.Facts)
 				}
-				p.Acknowledged(now, r.Take(now, logClaim, &m))
+				p.Acknowledged(now, r.Take(now, leaderClaim, &m))
 			}
 		}
 		for range 40 {
 			now += time.Second
 			publish()
 			if _, m := p.Next(now, "a", "a1"); m != nil {
-				p.Acknowledged(now, r.Take(now, logClaim, m))
+				p.Acknowledged(now, r.Take(now, leaderClaim, m))
 			}
 		}
-		if got := factsHeld(r, 7); !maps.Equal(got, knows) {
-			t.Fatalf("the standby holds %v, the leader has %v", got, knows)
+		if got := factsHeld(r, 7); !maps.Equal(got, leaderFacts) {
+			t.Fatalf("the standby holds %v, the leader has %v", got, leaderFacts)
 		}
 	})
 }
--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -14,8 +14,8 @@
 	// disconnectedTimeout is the minimum silence after which a leader is suspected once the
 	// connection to it is broken. A live leader reconnects for its next heartbeat.
 	disconnectedTimeout = 2 * HeartbeatInterval
-	// gapMemory is how long a gap between two heartbeats affects the timeout.
-	gapMemory = time.Minute
+	// gapRetention is how long a gap between two heartbeats affects the timeout.
+	gapRetention = time.Minute
 )
 
 // gap is a time between two heartbeats that was longer than HeartbeatInterval.
@@ -28,19 +28,19 @@
 // been slow recently: it is at least twice the longest gap, or once that gap if the connection is
 // broken, up to a maximum. The zero value has received no heartbeat.
 type detector struct {
-	bound          time.Duration // the longest timeout; 0: unlimited
+	maxTimeout     time.Duration // the longest timeout; 0: unlimited
 	heartbeatAt    time.Duration // when the last heartbeat was received
 	disconnectedAt time.Duration // when the connection broke; 0: it is open
-	gaps           []gap         // within gapMemory, each shorter than the one before it
+	gaps           []gap         // within gapRetention, each shorter than the one before it
 }
 
 // reset restarts the detector as if a heartbeat had been received now.
 func (d *detector) reset(now time.Duration) {
-	*d = detector{bound: d.bound, heartbeatAt: now}
+	*d = detector{maxTimeout: d.maxTimeout, heartbeatAt: now}
 }
 
-// heartbeat records a heartbeat of the leader. It removes the recorded gaps that are not longer than
-// the one that ends now, because that one expires later.
+// heartbeat records a heartbeat of the leader. It removes the recorded gaps that are not longer
+// than the one that ends now, because that one expires later.
 func (d *detector) heartbeat(now time.Duration) {
 	length := now - d.heartbeatAt
 	d.heartbeatAt, d.disconnectedAt = now, 0
@@ -63,7 +63,7 @@
 
 // timeout returns the silence after which the leader is suspected.
 func (d *detector) timeout(now time.Duration) time.Duration {
-	for len(d.gaps) > 0 && now-d.gaps[0].endedAt > gapMemory {
+	for len(d.gaps) > 0 && now-d.gaps[0].endedAt > gapRetention {
 		d.gaps = d.gaps[1:]
 	}
 	longest := time.Duration(0)
@@ -74,8 +74,8 @@
 	if d.broken() {
 		timeout = max(disconnectedTimeout, longest)
 	}
-	if d.bound > 0 {
-		timeout = min(timeout, d.bound)
+	if d.maxTimeout > 0 {
+		timeout = min(timeout, d.maxTimeout)
 	}
 	return timeout
 }
--- a/internal/failover/detector_test.go
+++ b/internal/failover/detector_test.go
@@ -34,7 +34,7 @@
 
 // The timeout is twice the longest gap of the last minute, up to the lifetime of the lease.
 func TestDetectorAdapts(t *testing.T) {
-	d := detector{bound: leaseTTL}
+	d := detector{maxTimeout: leaseTTL}
 	d.reset(0)
 	for _, c := range []struct{ at, timeout time.Duration }{
 		{500 * time.Millisecond, silenceTimeout}, {2 * time.Second, 3 * time.Second}, {3 * time.Second, 3 * time.Second},
--- a/internal/failover/election.go
+++ b/internal/failover/election.go
@@ -23,14 +23,14 @@
 // first eligible candidate by name, or "" if there is none. The choice is only a preference: where
 // candidates disagree about the standby or have none, the condition of their claims ensures that
 // only one of them succeeds.
-func Elect(present string, candidates []Candidate) string {
+func Elect(current string, candidates []Candidate) string {
 	elected := ""
 	for _, candidate := range candidates {
 		if !candidate.Eligible() {
 			continue
 		}
-		if candidate.Name == present {
-			return present
+		if candidate.Name == current {
+			return current
 		}
 		if elected == "" || candidate.Name < elected {
 			elected = candidate.Name
@@ -39,9 +39,9 @@
 	return elected
 }
 
-// claimTurn is the delay between the claims of two successive candidates. Meanwhile the claim of the
-// first one is applied and becomes visible to the other.
-const claimTurn = 400 * time.Millisecond
+// claimStagger is the delay between the claims of two successive candidates. Meanwhile the claim of
+// the first one is applied and becomes visible to the other.
+const claimStagger = 400 * time.Millisecond
 
 // claimDelay returns how long this controller waits with its claim once a quorum suspects the
 // leader. The standby claims first, then the other candidates in the order of their names.
@@ -58,5 +58,5 @@
 			before++
 		}
 	}
-	return time.Duration(before) * claimTurn
+	return time.Duration(before) * claimStagger
 }
--- a/internal/failover/election_test.go
+++ b/internal/failover/election_test.go
@@ -10,7 +10,7 @@
 	eligible := func(name string) Candidate { return Candidate{Name: name, StoreOK: true} }
 	for _, c := range []struct {
 		name       string
-		present    string
+		current    string
 		candidates []Candidate
 		want       string
 	}{
@@ -21,7 +21,7 @@
 		{"no candidates", "c", nil, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := Elect(c.present, c.candidates); got != c.want {
+			if got := Elect(c.current, c.candidates); got != c.want {
 				t.Errorf("elected %q, want %q", got, c.want)
 			}
 		})
@@ -29,7 +29,7 @@
 }
 
 // The standby claims first, then the other candidates one after another.
-func TestClaimsInTurn(t *testing.T) {
+func TestClaimOrder(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
 	for turn, self := range []string{"b", "c", "d", "e"} {
 		t.Run(self, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			others := slices.DeleteFunc(slices.Clone(members), func(name string) bool { return name == "a" || name == self })
 			suspect(f, now, 7, others...)
 			f.Advise(now)
-			delay := time.Duration(turn) * claimTurn
+			delay := time.Duration(turn) * claimStagger
 			if turn > 0 && f.Advise(now+delay-1) != Prepare {
 				t.Errorf("claims before its delay has passed")
 			}
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -24,7 +24,7 @@
 func (f *Follower) Opinion(now time.Duration) Opinion {
 	return Opinion{
 		Term: f.claim.Term, Silence: f.detector.silence(now), Broken: f.detector.broken(),
-		Suspected: f.watching() && f.detector.suspects(now),
+		Suspected: f.mayReplaceEarly() && f.detector.suspects(now),
 	}
 }
 
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -35,22 +35,22 @@
 //
 // The cloud executes the calls of any sender, so fencing tokens don't keep a replaced leader from
 // calling it. A leader therefore calls the cloud only for a limited time after it sent a proof: a
-// transaction that succeeded in comparing the revision of the leader key with that of its claim. The
-// next leader waits until the last proof that can have succeeded has expired:
+// transaction that succeeded in comparing the revision of the leader key with that of its claim.
+// The next leader waits until the last proof that can have succeeded has expired:
 //
 //	MaxLeaseAge + ProofValidity + CallTransit + drift(leaseTTL) <= leaseTTL
 //
 // The left side is the latest time at which a call of the replaced leader can arrive, counted from
 // the last renewal of the new leader's lease before its claim. By the inequality this time has
-// passed when that lease expires. If the new leader fails before it has done anything, its successor
-// therefore need not know of the replaced leader.
+// passed when that lease expires. If the new leader fails before it has done anything, its
+// successor therefore need not know of the replaced leader.
 type Fence struct {
-	validity time.Duration // of a proof
-	opensAt  time.Duration // until then a replaced leader may still call the cloud
-	provenAt time.Duration // when the latest settled proof was sent
-	proven   bool          // at least one proof has settled
-	nextAt   time.Duration // when the next proof is due
-	pending  []proof       // proofs that have succeeded but not settled
+	validity    time.Duration // of a proof
+	allowedFrom time.Duration // until then a replaced leader may still call the cloud
+	provenAt    time.Duration // when the latest settled proof was sent
+	proven      bool          // at least one proof has settled
+	nextAt      time.Duration // when the next proof is due
+	pending     []proof       // proofs that have succeeded but not settled
 }
 
 // proof is a comparison of the leader key that has succeeded.
@@ -59,14 +59,14 @@
 	revision uint64
 }
 
-// Begin starts the fence of a leader that has just seen its claim. Until opensAt a replaced leader
-// may still call the cloud.
-func (f *Fence) Begin(now, leaseTTL, opensAt time.Duration) {
-	*f = Fence{validity: ProofValidity(leaseTTL), nextAt: now, opensAt: opensAt}
+// Begin starts the fence of a leader that has just seen its claim. Until allowedFrom a replaced
+// leader may still call the cloud.
+func (f *Fence) Begin(now, leaseTTL, allowedFrom time.Duration) {
+	*f = Fence{validity: ProofValidity(leaseTTL), nextAt: now, allowedFrom: allowedFrom}
 }
 
-// Resumed invalidates all proofs after a pause of the process, during which the leader may have been
-// replaced.
+// Resumed invalidates all proofs after a pause of the process, during which the leader may have
+// been replaced.
 func (f *Fence) Resumed(now time.Duration) {
 	f.proven = false
 	f.pending = nil
@@ -88,8 +88,8 @@
 	f.pending = append(f.pending, proof{sentAt, revision})
 }
 
-// Settle makes the pending proofs take effect whose revision the controller's replica of the records
-// has reached.
+// Settle makes the pending proofs take effect whose revision the controller's replica of the
+// records has reached.
 func (f *Fence) Settle(revision uint64) {
 	pending := f.pending[:0]
 	for _, p := range f.pending {
@@ -108,7 +108,7 @@
 
 // RemainingCallTime returns for how much longer the leader may call the cloud; 0 if it may not.
 func (f *Fence) RemainingCallTime(now time.Duration) time.Duration {
-	if !f.proven || now < f.opensAt {
+	if !f.proven || now < f.allowedFrom {
 		return 0
 	}
 	return max(0, f.provenAt+f.validity-now)
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -24,8 +24,9 @@
 }
 
 // No call of a leader arrives after one of a later leader, when leaders replace each other early or
-// after a lease has expired, clocks drift apart, proofs are slow, replicas lag and calls are delayed.
-func TestFenceKeepsLeadersApart(t *testing.T) {
+// after a lease has expired, clocks drift apart, proofs are slow, replicas lag and calls are
+// delayed.
+func TestFenceOrdersCallsOfLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		between := func(name string, from, to time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(int64(from), int64(to)).Draw(t, name))
@@ -37,15 +38,16 @@
 			rate := 1 + float64(rapid.IntRange(-500, 500).Draw(t, "drift"))/1e6
 			clock := func(at time.Duration) time.Duration { return time.Duration(float64(at) * rate) }
 			seenAt := claimedAt + between("watch", 0, 2*time.Second)
-			opensAt := time.Duration(0) // by the leader's clock
+			allowedFrom := time.Duration(0) // by the leader's clock
 			if early {
-				opensAt = clock(seenAt) + CloudFenceTime(leaseTTL)
+				allowedFrom = clock(seenAt) + CloudFenceTime(leaseTTL)
 			}
 			var fence Fence
-			fence.Begin(clock(seenAt), leaseTTL, opensAt)
+			fence.Begin(clock(seenAt), leaseTTL, allowedFrom)
 			replacedAt := claimedAt + between("leads", 0, 12*time.Second)
 			byLease := rapid.Bool().Draw(t, "by lease")
-			// The leader continues for a while after it has been replaced, because its watch hangs.
+			// The leader continues for a while after it has been replaced, because its
+			// watch hangs.
 			for at := seenAt; at < replacedAt+8*time.Second; at += between("step", 50*time.Millisecond, 700*time.Millisecond) {
 				if fence.Due(clock(at)) {
 					appliedAt := at + between("proof", time.Millisecond, 1500*time.Millisecond)
@@ -60,8 +62,9 @@
 			}
 			claimedAt, early = replacedAt, !byLease
 			if byLease {
-				// A failed leader no longer renews its lease, which expires after its lifetime.
-				// It was last renewed at most MaxLeaseAge before the claim.
+				// A failed leader no longer renews its lease, which expires after
+				// its lifetime. It was last renewed at most MaxLeaseAge before the
+				// claim.
 				claimedAt += leaseTTL - MaxLeaseAge
 			}
 		}
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -39,7 +39,7 @@
 
 // NewFollower returns a follower without a leader.
 func NewFollower(config Config) *Follower {
-	return &Follower{config: config, detector: detector{bound: config.LeaseTTL}, opinions: map[string]peerOpinion{}}
+	return &Follower{config: config, detector: detector{maxTimeout: config.LeaseTTL}, opinions: map[string]peerOpinion{}}
 }
 
 // Observe records the claim of the current leader. A new leader is treated as if it had sent a
@@ -54,8 +54,8 @@
 	f.suspectedAt, f.confirmedAt = 0, 0
 }
 
-// Heartbeat records a heartbeat of the leader. Heartbeats of another controller, incarnation or term
-// are outdated and ignored.
+// Heartbeat records a heartbeat of the leader. Heartbeats of another controller, incarnation or
+// term are outdated and ignored.
 func (f *Follower) Heartbeat(now time.Duration, controller, incarnation string, term uint64, standby string) {
 	if controller != f.claim.Controller || incarnation != f.claim.Incarnation || term != f.claim.Term {
 		return
@@ -80,8 +80,8 @@
 	clear(f.opinions)
 }
 
-// watching reports whether there is a leader that this controller may replace early.
-func (f *Follower) watching() bool {
+// mayReplaceEarly reports whether there is a leader that this controller may replace early.
+func (f *Follower) mayReplaceEarly() bool {
 	return f.config.Early && f.claim.Fenced && f.claim.Controller != "" && f.claim.Controller != f.config.Self
 }
 
@@ -98,7 +98,7 @@
 // Advise returns the action to take now. It also records since when this controller, and a quorum,
 // have suspected the leader.
 func (f *Follower) Advise(now time.Duration) Advice {
-	if !f.watching() || !f.detector.suspects(now) {
+	if !f.mayReplaceEarly() || !f.detector.suspects(now) {
 		f.suspectedAt, f.confirmedAt = 0, 0
 		return Follow
 	}
@@ -126,7 +126,7 @@
 func (f *Follower) Standby() string { return f.standby }
 
 // IsStandby reports whether the leader has named this controller as its standby.
-func (f *Follower) IsStandby() bool { return f.watching() && f.standby == f.config.Self }
+func (f *Follower) IsStandby() bool { return f.mayReplaceEarly() && f.standby == f.config.Self }
 
 // Claim returns the claim of the current leader.
 func (f *Follower) Claim() Claim { return f.claim }
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -46,16 +46,16 @@
 // those about another term are ignored.
 func TestAdviceNeedsQuorum(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
-	hears := func(f *Follower, peer string) { f.ReceiveOpinion(now, peer, Opinion{Term: 7}) }
+	trusts := func(f *Follower, peer string) { f.ReceiveOpinion(now, peer, Opinion{Term: 7}) }
 	for _, c := range []struct {
 		name     string
 		opinions func(*Follower)
 		want     Advice
 	}{
 		{"no opinions", func(*Follower) {}, Prepare},
-		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); hears(f, "d") }, Prepare},
+		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); trusts(f, "d") }, Prepare},
 		{"two peers suspect", func(f *Follower) { suspect(f, now, 7, "c", "d") }, Replace},
-		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); hears(f, "e") }, Replace},
+		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); trusts(f, "e") }, Replace},
 		{"the opinions have expired", func(f *Follower) { suspect(f, now-opinionLifetime-1, 7, "c", "d") }, Prepare},
 		{"the opinions are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
 		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.Disconnected(now, "c") }, Prepare},
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -52,11 +52,11 @@
 	p.standby = standby
 	p.term = term
 	p.inFlight = false
-	p.restart()
+	p.resendAll()
 }
 
-// restart causes all facts to be sent again, after a reset of the standby's facts.
-func (p *Publisher) restart() {
+// resendAll causes all facts to be sent again, after a reset of the standby's facts.
+func (p *Publisher) resendAll() {
 	p.reset = true
 	clear(p.changed)
 	for key := range p.facts {
@@ -92,7 +92,7 @@
 		// The standby may or may not have received the message.
 		p.inFlight = false
 		p.resyncs++
-		p.restart()
+		p.resendAll()
 	}
 	delayed := p.refused && now-p.refusedAt < resyncDelay
 	if p.inFlight || len(p.changed) == 0 && !p.reset || delayed {
@@ -140,7 +140,7 @@
 	if ack.Resync {
 		p.resyncs++
 		p.refused, p.refusedAt = true, now
-		p.restart()
+		p.resendAll()
 		return
 	}
 	p.acknowledged = ack.Sequence
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -73,8 +73,8 @@
 	return r.controller == message.From && r.incarnation == message.Life && r.term == message.Term && message.Term > 0
 }
 
-// Of returns the facts of the leader of a term, with their times converted to the monotonic clock of
-// this process; nil if the replica holds those of another term.
+// Of returns the facts of the leader of a term, with their times converted to the monotonic clock
+// of this process; nil if the replica holds those of another term.
 func (r *Replica) Of(term uint64) []wire.Fact {
 	if term == 0 || r.term != term {
 		return nil
--- a/internal/failover/takeover.go
+++ b/internal/failover/takeover.go
@@ -21,14 +21,14 @@
 	From     string   // the replaced leader
 	Evidence Evidence // at the claim
 
-	active     bool
-	lastSignAt time.Duration // when the last heartbeat of the replaced leader was received
-	reachedAt  [stageCount]time.Duration
+	active          bool
+	lastHeartbeatAt time.Duration // when the last heartbeat of the replaced leader was received
+	reachedAt       [stageCount]time.Duration
 }
 
 // Begin starts a takeover, at the time at which the claim is sent.
 func (t *Takeover) Begin(now time.Duration, from string, suspectedAt time.Duration, evidence Evidence) {
-	*t = Takeover{From: from, Evidence: evidence, active: true, lastSignAt: now - evidence.Silence}
+	*t = Takeover{From: from, Evidence: evidence, active: true, lastHeartbeatAt: now - evidence.Silence}
 	t.reachedAt[Suspected], t.reachedAt[Claimed] = suspectedAt, now
 }
 
@@ -57,5 +57,5 @@
 	if t.reachedAt[stage] == 0 {
 		return 0
 	}
-	return t.reachedAt[stage] - t.lastSignAt
+	return t.reachedAt[stage] - t.lastHeartbeatAt
 }
--- a/internal/failover/takeover_test.go
+++ b/internal/failover/takeover_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The times of the stages are counted from the last heartbeat of the replaced leader, and each stage
-// is reached only once.
+// The times of the stages are counted from the last heartbeat of the replaced leader, and each
+// stage is reached only once.
 func TestTakeoverStages(t *testing.T) {
 	var takeover Takeover
 	if takeover.Reach(Seen, time.Second) {
