--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -30,9 +30,9 @@
 const (
 	// claimInterval is the minimum time between two claims of this controller.
 	claimInterval = 500 * time.Millisecond
-	// claimDelayEach is the delay between the claims of two successive candidates for a
+	// claimDelayPerRank is the delay between the claims of two successive candidates for a
 	// vacant leadership.
-	claimDelayEach = 400 * time.Millisecond
+	claimDelayPerRank = 400 * time.Millisecond
 	// isolatedClaimDelay is the additional delay of an isolated controller, which lets
 	// candidates that are not isolated claim first.
 	isolatedClaimDelay = 5 * time.Second
@@ -44,9 +44,9 @@
 	// resigns, and resignInterval the minimum time between two resignations.
 	minTermBeforeResigning = 5 * time.Second
 	resignInterval         = 10 * time.Second
-	// isolationNotice is how long peers that are isolated too may need to report it, in
+	// isolationReportTime is how long peers that are isolated too may need to report it, in
 	// addition to the heartbeat interval of the workers.
-	isolationNotice = 2 * time.Second
+	isolationReportTime = 2 * time.Second
 )
 
 // Leadership is a controller's view of the current leader, and the state of its own claims.
@@ -55,9 +55,9 @@
 	// Lease is the lease that this controller's claims are attached to.
 	Lease lease.Lease
 
-	record *wire.Leader // the current claim; nil: there is none
-	term   uint64       // revision of the current claim, or of the end of the last one
-	since  Time         // when the replica last showed a change of the leader
+	record          *wire.Leader // the current claim; nil: there is none
+	term            uint64       // revision of the current claim, or of the end of the last one
+	leaderChangedAt Time         // when the replica last showed a change of the leader
 
 	lastClaimTerm uint64 // of the last claim, even if it has ended since
 	claimLeaseID  uint64 // lease of this controller's last claim
@@ -82,7 +82,7 @@
 func (l *Leadership) Term() uint64 { return l.term }
 
 // Since returns when the replica last showed a change of the leader.
-func (l *Leadership) Since() Time { return l.since }
+func (l *Leadership) Since() Time { return l.leaderChangedAt }
 
 // HoldsClaim reports whether the replica shows a claim of this process, abandoned or not.
 func (l *Leadership) HoldsClaim() bool {
@@ -123,7 +123,7 @@
 	if led && l.IsLeader() {
 		return Reclaimed, previous
 	}
-	l.since = now
+	l.leaderChangedAt = now
 	switch {
 	case l.IsLeader():
 		return Acquired, previous
@@ -154,7 +154,7 @@
 	}
 	switch {
 	case l.record == nil:
-		if now-l.since >= l.claimDelay(isolated()) {
+		if now-l.leaderChangedAt >= l.claimDelay(isolated()) {
 			return ClaimVacant
 		}
 	case l.record.Controller == l.cfg.Self:
@@ -167,7 +167,7 @@
 
 // claimDelay returns how long this controller waits before it claims a vacant leadership.
 func (l *Leadership) claimDelay(isolated bool) Time {
-	delay := Time(l.cfg.Rank) * claimDelayEach
+	delay := Time(l.cfg.Rank) * claimDelayPerRank
 	if isolated {
 		delay += isolatedClaimDelay
 	}
@@ -232,8 +232,8 @@
 	if l.isolatedSince == 0 {
 		l.isolatedSince = now
 	}
-	if now < l.nextResignAt || now-l.since < minTermBeforeResigning ||
-		now-l.isolatedSince < l.cfg.HeartbeatInterval+isolationNotice ||
+	if now < l.nextResignAt || now-l.leaderChangedAt < minTermBeforeResigning ||
+		now-l.isolatedSince < l.cfg.HeartbeatInterval+isolationReportTime ||
 		!successor() {
 		return false
 	}
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -70,9 +70,9 @@
 		replace  func() bool
 		want     Claim
 	}{
-		{"vacant, too early", nil, claimDelayEach - 1, never, never, NoClaim},
-		{"vacant", nil, claimDelayEach, never, never, ClaimVacant},
-		{"vacant, isolated", nil, claimDelayEach, always, never, NoClaim},
+		{"vacant, too early", nil, claimDelayPerRank - 1, never, never, NoClaim},
+		{"vacant", nil, claimDelayPerRank, never, never, ClaimVacant},
+		{"vacant, isolated", nil, claimDelayPerRank, always, never, NoClaim},
 		{"an earlier incarnation", claimOf(self, "earlier"), time.Second, never, never, ClaimOwn},
 		{"another leads", claimOf("n0", "a"), time.Second, never, never, NoClaim},
 		{"another is to be replaced", claimOf("n0", "a"), time.Second, never, always, ClaimEarly},
@@ -96,11 +96,11 @@
 func TestResign(t *testing.T) {
 	l := newLeadership()
 	l.Put(0, claimOf(self, incarnation), 5)
-	begun := 10 * time.Second
-	if l.Resign(begun, true, always) {
+	isolatedAt := 10 * time.Second
+	if l.Resign(isolatedAt, true, always) {
 		t.Error("resigned as soon as it was isolated")
 	}
-	later := begun + l.cfg.HeartbeatInterval + isolationNotice
+	later := isolatedAt + l.cfg.HeartbeatInterval + isolationReportTime
 	if l.Resign(later, true, never) {
 		t.Error("resigned without a successor")
 	}
