--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -36,30 +36,30 @@
 	HomeRecovered Reason = "this controller is its home and is well"
 )
 
-// Minimum times before a claim. The waits are counted from Shard.ClaimableSince, bouncedFor and
-// refusedFor from the beginning of the evidence.
+// Minimum times before a claim. The waits are counted from Shard.ClaimableSince, minBouncingTime
+// and minRefusedTime from the beginning of the evidence.
 const (
 	unownedSameZoneWait  = 2 * time.Second
 	unownedOtherZoneWait = 4 * time.Second // plus a second for each controller before this one
-	otherZoneWait        = 4 * time.Second // additional, if the shard is in another zone
-	bouncedFor           = 2 * time.Second
-	bouncedWait          = 10 * time.Second
-	silentWait           = 5 * time.Second
-	refusedFor           = 4 * time.Second
-	homeWait             = 60 * time.Second
+	otherZoneExtraWait   = 4 * time.Second // additional, if the shard is in another zone
+	minBouncingTime      = 2 * time.Second
+	unreachableWait      = 10 * time.Second
+	ownerSilentWait      = 5 * time.Second
+	minRefusedTime       = 4 * time.Second
+	homeRecoveredWait    = 60 * time.Second
 )
 
 // The number of bounced machines that justifies a claim is an eighth of a shard's machines, but
 // at least two and at most twelve. If the shard has fewer machines, all of them must have bounced.
 const (
-	bouncedFraction   = 8
-	minBounced        = 2
-	maxBouncedToClaim = 12
+	bouncedDivisor     = 8
+	minBouncedRequired = 2
+	maxBouncedRequired = 12
 )
 
 // enoughBounced reports whether so many machines have bounced that the owner must be at fault.
 func (e *Evidence) enoughBounced() bool {
-	needed := max(1, min(e.MachinesKnown, max(minBounced, min(e.MachinesKnown/bouncedFraction, maxBouncedToClaim))))
+	needed := max(1, min(e.MachinesKnown, max(minBouncedRequired, min(e.MachinesKnown/bouncedDivisor, maxBouncedRequired))))
 	return e.MachinesBounced >= needed
 }
 
@@ -91,16 +91,16 @@
 	e := gather()
 	extra := Time(0)
 	if s.Zone != t.cfg.Zone {
-		extra = otherZoneWait
+		extra = otherZoneExtraWait
 	}
 	switch {
-	case e.enoughBounced() && now-e.BouncingSince > bouncedFor+extra && waited > bouncedWait:
+	case e.enoughBounced() && now-e.BouncingSince > minBouncingTime+extra && waited > unreachableWait:
 		return Unreachable
-	case e.OwnerSilent && e.MachinesBounced >= 1 && waited > silentWait+extra:
+	case e.OwnerSilent && e.MachinesBounced >= 1 && waited > ownerSilentWait+extra:
 		return OwnerSilent
-	case !e.OwnerSilent && e.StoreOK && e.StoreAnswered && e.OwnerRefusedFor > refusedFor+extra:
+	case !e.OwnerSilent && e.StoreOK && e.StoreAnswered && e.OwnerRefusedFor > minRefusedTime+extra:
 		return OwnerRefused
-	case s.HomeController == t.cfg.Self && waited > homeWait && e.StoreOK && !e.OwnerSilent:
+	case s.HomeController == t.cfg.Self && waited > homeRecoveredWait && e.StoreOK && !e.OwnerSilent:
 		// The home controller is in the same zone as the workers.
 		return HomeRecovered
 	}
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -76,7 +76,7 @@
 }
 
 // Proofs of many shards are distributed over transactions within the limit of conditions.
-func TestProofsKeepToTheLimitOfConditions(t *testing.T) {
+func TestProofsRespectConditionLimit(t *testing.T) {
 	table := newTable()
 	for i, s := range table.Shards() {
 		table.Put(time.Second, s, claimOf(self, incarnation), uint64(5+i))
@@ -96,9 +96,9 @@
 // Whether this controller may claim a shard, and the reason, depend on its owner, the wait and the
 // evidence.
 func TestMayClaim(t *testing.T) {
-	well := Evidence{StoreOK: true, StoreAnswered: true, MachinesKnown: 40}
+	healthy := Evidence{StoreOK: true, StoreAnswered: true, MachinesKnown: 40}
 	with := func(change func(*Evidence)) Evidence {
-		e := well
+		e := healthy
 		change(&e)
 		return e
 	}
@@ -112,28 +112,28 @@
 		evidence Evidence
 		want     Reason
 	}{
-		{"unowned, this controller is its home", ownHome, nil, 0, well, Unowned},
-		{"unowned, in this zone, too early", otherHome, nil, unownedSameZoneWait, well, NotClaimable},
-		{"unowned, in this zone", otherHome, nil, unownedSameZoneWait + 1, well, Unowned},
-		{"unowned, in another zone", otherZone, nil, unownedOtherZoneWait + 1, well, Unowned},
-		{"owned by an earlier incarnation", otherHome, claimOf(self, "earlier"), 0, well, OwnShard},
-		{"its owner is healthy", otherHome, other, time.Hour, well, NotClaimable},
-		{"its owner is healthy, this controller is its home", ownHome, other, homeWait + 1, well, HomeRecovered},
+		{"unowned, this controller is its home", ownHome, nil, 0, healthy, Unowned},
+		{"unowned, in this zone, too early", otherHome, nil, unownedSameZoneWait, healthy, NotClaimable},
+		{"unowned, in this zone", otherHome, nil, unownedSameZoneWait + 1, healthy, Unowned},
+		{"unowned, in another zone", otherZone, nil, unownedOtherZoneWait + 1, healthy, Unowned},
+		{"owned by an earlier incarnation", otherHome, claimOf(self, "earlier"), 0, healthy, OwnShard},
+		{"its owner is healthy", otherHome, other, time.Hour, healthy, NotClaimable},
+		{"its owner is healthy, this controller is its home", ownHome, other, homeRecoveredWait + 1, healthy, HomeRecovered},
 		{"its owner is silent, no machine bounced", otherHome, other, time.Hour, with(func(e *Evidence) { e.OwnerSilent = true }), NotClaimable},
-		{"its owner is silent, a machine bounced", otherHome, other, silentWait + 1, with(func(e *Evidence) { e.OwnerSilent, e.MachinesBounced = true, 1 }), OwnerSilent},
-		{"its owner is silent, in another zone", otherZone, other, silentWait + 1, with(func(e *Evidence) { e.OwnerSilent, e.MachinesBounced = true, 1 }), NotClaimable},
-		{"an eighth of its machines bounced", otherHome, other, bouncedWait + 1, with(func(e *Evidence) { e.MachinesBounced = 5 }), Unreachable},
-		{"fewer of its machines bounced", otherHome, other, bouncedWait + 1, with(func(e *Evidence) { e.MachinesBounced = 4 }), NotClaimable},
-		{"its only machine bounced", otherHome, other, bouncedWait + 1, with(func(e *Evidence) { e.MachinesKnown, e.MachinesBounced = 1, 1 }), Unreachable},
-		{"the state service refuses its owner", otherHome, other, 0, with(func(e *Evidence) { e.OwnerRefusedFor = refusedFor + 1 }), OwnerRefused},
-		{"the state service refuses its owner and this controller", otherHome, other, 0, with(func(e *Evidence) { e.OwnerRefusedFor, e.StoreOK = refusedFor+1, false }), NotClaimable},
+		{"its owner is silent, a machine bounced", otherHome, other, ownerSilentWait + 1, with(func(e *Evidence) { e.OwnerSilent, e.MachinesBounced = true, 1 }), OwnerSilent},
+		{"its owner is silent, in another zone", otherZone, other, ownerSilentWait + 1, with(func(e *Evidence) { e.OwnerSilent, e.MachinesBounced = true, 1 }), NotClaimable},
+		{"an eighth of its machines bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesBounced = 5 }), Unreachable},
+		{"fewer of its machines bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesBounced = 4 }), NotClaimable},
+		{"its only machine bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesKnown, e.MachinesBounced = 1, 1 }), Unreachable},
+		{"the state service refuses its owner", otherHome, other, 0, with(func(e *Evidence) { e.OwnerRefusedFor = minRefusedTime + 1 }), OwnerRefused},
+		{"the state service refuses its owner and this controller", otherHome, other, 0, with(func(e *Evidence) { e.OwnerRefusedFor, e.StoreOK = minRefusedTime+1, false }), NotClaimable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := newTable()
 			s := table.Shards()[c.shard]
-			begun := time.Minute
-			table.Put(begun, s, c.claim, 5)
-			if got := table.MayClaim(begun+c.waited, s, func() Evidence { return c.evidence }); got != c.want {
+			claimedAt := time.Minute
+			table.Put(claimedAt, s, c.claim, 5)
+			if got := table.MayClaim(claimedAt+c.waited, s, func() Evidence { return c.evidence }); got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
--- a/internal/ownership/proof.go
+++ b/internal/ownership/proof.go
@@ -11,17 +11,17 @@
 const (
 	minProofInterval = time.Second
 	maxProofInterval = 3 * time.Second
-	// proofShare is the share of the state service's request rate that the proofs and lease
-	// renewals of all controllers together may use. Each controller sends
-	// requestsEachInterval of them in an interval.
-	proofShare           = 1.0 / 10
-	requestsEachInterval = 2
-	// proofsEachValidity is the minimum number of proofs sent within a validity.
-	proofsEachValidity = 8
+	// proofRequestShare is the share of the state service's request rate that the proofs and
+	// lease renewals of all controllers together may use. Each controller sends
+	// requestsPerInterval of them in an interval.
+	proofRequestShare   = 1.0 / 10
+	requestsPerInterval = 2
+	// minProofsPerValidity is the minimum number of proofs sent within a validity.
+	minProofsPerValidity = 8
 )
 
-// proof is a Proof that succeeded at a revision.
-type proof struct {
+// pendingProof is a Proof that succeeded at a revision.
+type pendingProof struct {
 	sentAt   Time
 	revision uint64
 	terms    map[int]uint64 // terms of the shards that it covers, by index
@@ -34,8 +34,8 @@
 	if t.cfg.StateRPS <= 0 {
 		return minProofInterval
 	}
-	each := Time(float64(requestsEachInterval*len(t.cfg.Members)) / (t.cfg.StateRPS * proofShare) * float64(time.Second))
-	return max(minProofInterval, min(each, maxProofInterval))
+	interval := Time(float64(requestsPerInterval*len(t.cfg.Members)) / (t.cfg.StateRPS * proofRequestShare) * float64(time.Second))
+	return max(minProofInterval, min(interval, maxProofInterval))
 }
 
 // Proof is a transaction without writes, to be sent now. Its conditions are the claims of this
@@ -48,10 +48,10 @@
 
 // NextProofs returns the proofs that are due, as few as the limit of conditions allows.
 func (t *Table) NextProofs(now Time) []Proof {
-	if now < t.checkAt {
+	if now < t.nextProofAt {
 		return nil
 	}
-	t.checkAt = now + min(t.cfg.Validity/proofsEachValidity, t.ProofInterval())
+	t.nextProofAt = now + min(t.cfg.Validity/minProofsPerValidity, t.ProofInterval())
 	var owned []*Shard
 	for _, s := range t.shards {
 		if t.Owns(s) {
@@ -75,29 +75,29 @@
 // whose cancellation it has not seen. Proofs that were sent before a stall are ignored.
 func (t *Table) Succeeded(p Proof, revision uint64) {
 	if p.sentAt >= t.resumedAt {
-		t.pending = append(t.pending, proof{sentAt: p.sentAt, revision: revision, terms: p.terms})
+		t.pending = append(t.pending, pendingProof{sentAt: p.sentAt, revision: revision, terms: p.terms})
 	}
 }
 
 // Settle makes the pending proofs take effect whose revision the replica has reached.
 func (t *Table) Settle(now Time, revision uint64) {
-	t.pending = slices.DeleteFunc(t.pending, func(p proof) bool {
+	t.pending = slices.DeleteFunc(t.pending, func(p pendingProof) bool {
 		if p.revision > revision {
 			return false
 		}
 		t.provenAt = max(t.provenAt, p.sentAt)
 		for index, term := range p.terms {
 			if s := t.shards[index]; s.Term == term {
-				t.extend(now, s, p.sentAt)
+				t.extendValidity(now, s, p.sentAt)
 			}
 		}
 		return true
 	})
 }
 
-// extend makes the validity of a shard start when a proof was sent, or when the lease of the
-// claim was last renewed if that was earlier.
-func (t *Table) extend(now Time, s *Shard, sentAt Time) {
+// extendValidity makes the validity of a shard start when a proof was sent, or when the lease of
+// the claim was last renewed if that was earlier.
+func (t *Table) extendValidity(now Time, s *Shard, sentAt Time) {
 	if !t.MayAct(now, s) {
 		s.ValidSince = now
 	}
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -33,10 +33,10 @@
 	// Lease is the lease that this controller's claims are attached to.
 	Lease lease.Lease
 
-	checkAt   Time    // when the next proof is due
-	pending   []proof // proofs that succeeded at a revision that the replica has not reached
-	provenAt  Time    // when the latest settled proof was sent
-	resumedAt Time    // when the process last resumed after a stall
+	nextProofAt Time           // when the next proof is due
+	pending     []pendingProof // proofs that succeeded at a revision that the replica has not reached
+	provenAt    Time           // when the latest settled proof was sent
+	resumedAt   Time           // when the process last resumed after a stall
 }
 
 // New returns a table in which no shard has an owner. Zones is the number of zones, and
@@ -84,7 +84,8 @@
 	if before != nil && record != nil && before.Owner != record.Owner {
 		// The shard was taken over from a live owner, which may act until its validity has
 		// expired, whoever claims the shard next. Later claims don't reset this time: an
-		// owner that took the shard over, lost it and claims it again must still respect it.
+		// owner that took the shard over, lost it and claims it again must still respect
+		// it.
 		s.previousOwnerUntil = now + t.cfg.Validity
 	}
 	s.proven, s.validFrom = false, 0
@@ -94,7 +95,7 @@
 		// earlier incarnation is dead. But an owner from which the shard was recently
 		// taken over may still reply to workers.
 		s.OwnedSince = max(now, s.previousOwnerUntil)
-		t.checkAt = 0
+		t.nextProofAt = 0
 		return Claimed
 	case owned:
 		return Lost
@@ -115,7 +116,7 @@
 func (t *Table) Resumed(now Time) {
 	t.resumedAt = now
 	t.pending = nil
-	t.checkAt = 0
+	t.nextProofAt = 0
 	for _, s := range t.shards {
 		s.proven = false
 	}
