--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -7,47 +7,47 @@
 	"micaport/internal/replica"
 )
 
-// Time is the steady clock, counted from the start of the process.
+// Time is the monotonic time since the start of the process.
 type Time = time.Duration
 
-// Config is what the core needs of the settings. Limits of the state service hold at all
-// times, also once lower ones that are announced come into force.
+// Config holds the settings that the core uses. Where the state service has announced lower
+// limits, MaxTransactionOps, MaxValueBytes and StateRPS already respect them.
 type Config struct {
 	Self        string // name of this controller
-	Zone        string // of this controller
-	Incarnation string // tells this process from earlier ones of the same name
+	Zone        string // zone of this controller
+	Incarnation string // distinguishes this process from earlier ones of the same name
 	Members     []ownership.Member
 	Zones       []string
-	Teams       []replica.Team // quotas that hold until operators change them
-
-	HeartbeatInterval Time // of workers
-	WorkerLease       Time // after which a worker that gets no reply ends all its tasks
-	GangWait          Time // for how long a worker's gang task waits for the others
-	OwnerValidity     Time // how long an owner may act after it sent a proof
-	LeaderLease       Time // time to live of the leader's lease
-
-	MaxTransactionOps  int // writes in a transaction
-	MaxValueBytes      int
-	CurrentValueBytes  int     // that hold until a lower limit comes into force; 0: no other
-	Format             int     // newest record format that is read and written; 0: wire.Format
-	MaxBatchWrites     int     // records that one transaction of this controller changes
+	Teams       []replica.Team // initial quotas, which operators may change
+
+	HeartbeatInterval Time // between two heartbeats of a worker
+	WorkerLease       Time // a worker that gets no reply for this long stops all its tasks
+	GangWait          Time // how long a worker's gang task waits for the other tasks of its gang
+	OwnerValidity     Time // how long a shard owner may act after sending a proof of ownership
+	LeaderLease       Time // TTL of the leader's lease
+
+	MaxTransactionOps  int     // writes in a transaction
+	MaxValueBytes      int     // size of a stored value
+	CurrentValueBytes  int     // value size limit until an announced lower limit takes effect; 0: none is announced
+	Format             int     // newest record format that this controller reads and writes; 0: wire.Format
+	MaxBatchWrites     int     // records that a transaction of this controller may change
 	MaxLargeArrayTasks int     // active tasks of a large array
-	StateRPS           float64 // requests a second that the state service takes of all; 0: no limit
-	WriteRPS           float64 // writes a second, likewise
-	NextWriteRPS       float64 // that may hold from some moment on; 0: no other
-
-	CloudListLag Time // how old the cloud's machine list is, usually
-	CloudRPS     float64
-
-	StartObjectives []StartObjective // classes that are to start soon after they come
-	IdleTimeout     Time             // after which an idle machine is returned
-	SpareMachines   int              // of each pool that are not returned
-	MaxMachines     int              // of the site; 0: any number
-	Preempt         bool             // tasks may be stopped for guarantees and priorities
-	Admission       Admission        // what owners admit without asking the leader
-	// EarlyFailover says that a leader which a quorum suspects is replaced before its lease
-	// ends.
+	StateRPS           float64 // requests per second that the state service allows all controllers together; 0: no limit
+	WriteRPS           float64 // writes per second, likewise
+	NextWriteRPS       float64 // lower write rate that may take effect at any time; 0: none is announced
+
+	CloudListLag Time    // usual age of the cloud's machine list
+	CloudRPS     float64 // calls per second that the cloud allows
+
+	StartObjectives []StartObjective // job classes that should start soon after their submission
+	IdleTimeout     Time             // an idle machine is returned to the cloud after this time
+	SpareMachines   int              // idle machines that are kept in each pool
+	MaxMachines     int              // machines of the site; 0: no limit
+	Preempt         bool             // whether tasks may be stopped for guarantees and priorities
+	Admission       Admission        // what shard owners admit without asking the leader
+	// EarlyFailover enables replacing a leader that a quorum suspects before its lease
+	// expires.
 	EarlyFailover bool
 
-	WallClockMS func() int64 // time of day, for ordering queues only
+	WallClockMS func() int64 // time of day, used only to order queues
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,12 +1,12 @@
-// Package core is the state machine of a controller. It has no input or output of its own:
-// Step takes an input and the steady time, and returns the effects that are to be carried
-// out. The same inputs always give the same effects.
+// Package core implements the deterministic state machine of a controller. It performs no
+// I/O: Step takes an input and the monotonic time and returns the effects for the caller to
+// carry out. The same sequence of inputs always gives the same effects.
 //
-// Node routes inputs to its parts and gathers their effects. What a part decides stands in a
-// package of its own where that has a clean seam (replica, ownership, leadership, failover,
-// gang, quota); the rest is in files here by subject: users' requests, heartbeats of workers,
-// placement by owners, the scheduler (scheduler_*.go), the autoscaler (autoscaler_*.go) and
-// gossip.
+// Node dispatches inputs to its components and collects their effects. Components with few
+// dependencies are separate packages (replica, ownership, leadership, failover, gang, quota).
+// The others are in this package, in files by subject: user requests, worker heartbeats,
+// placement by shard owners, the scheduler (scheduler_*.go), the autoscaler (autoscaler_*.go)
+// and gossip.
 package core
 
 import (
@@ -19,14 +19,14 @@
 	"micaport/internal/wire"
 )
 
-// Node is the state machine of one controller. Everything in it can be lost: the records in
-// the state service are the sole truth.
+// Node is the state machine of one controller. Its state is not persisted; the records in the
+// state service are the only source of truth.
 type Node struct {
 	site
 
-	out     []Effect // of the present step
+	out     []Effect // effects of the current step
 	nextID  uint64
-	pending map[uint64]continuation // requests under way, by id
+	pending map[uint64]continuation // continuations of requests in flight, by request ID
 
 	leadership *leadership.Leadership
 	gangs      *gang.Attempts
@@ -44,12 +44,12 @@
 
 	arrivals arrivalForecast
 
-	cloudUnreachableSince Time   // since when the cloud has not answered; 0: it does
-	resumedAt             Time   // when the process last found out that it had been stalled; 0: never
-	workCount             uint64 // machines looked at so far
+	cloudUnreachableSince Time   // when the cloud stopped answering; 0 while it answers
+	resumedAt             Time   // when the process last detected that it had been stalled; 0 if never
+	workCount             uint64 // machines examined since the start
 }
 
-// New makes the state machine of a controller that has just started.
+// New returns the state machine of a controller that has just started.
 func New(cfg Config) *Node {
 	n := &Node{
 		site:        site{cfg: cfg, topology: topology{names: &replica.Names{}}},
@@ -80,7 +80,7 @@
 	return n
 }
 
-// Step takes one input and returns its effects.
+// Step applies one input, runs the timers that are due and returns the resulting effects.
 func (n *Node) Step(now Time, in Input) []Effect {
 	n.out = nil
 	if gap := now - n.now; n.now > 0 && gap > stallThreshold {
@@ -126,7 +126,7 @@
 	return n.out
 }
 
-// runTimers does whatever is due. It is cheap when nothing is.
+// runTimers runs all periodic and delayed work that is due. It is cheap when none is.
 func (n *Node) runTimers() {
 	n.renewLeases()
 	if !n.replica.Loaded() {
@@ -150,17 +150,18 @@
 	n.expireRequests()
 }
 
-// emit adds an effect to those of the present step.
+// emit adds an effect to the current step.
 func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
 
-// log emits a line of the log: a constant message, and attributes as pairs of key and value.
+// log emits a log record with a constant message and attributes as key-value pairs.
 func (n *Node) log(level LogLevel, text string, args ...any) {
 	n.emit(Log{Level: level, Text: text, Args: args})
 }
 
-// Work counts machines looked at since the start, for tests of how cost grows.
+// Work returns the number of machines examined since the start. Tests use it to measure how
+// the cost grows with the number of machines.
 func (n *Node) Work() uint64 { return n.workCount }
 
-// Ready tells whether user requests can be taken. It stays true through an
-// outage, since a removal from the balancer outlasts it.
+// Ready reports whether the controller accepts user requests. It stays true during an outage
+// of the state service, because a removal from the load balancer would outlast the outage.
 func (n *Node) Ready() bool { return true }
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -5,27 +5,27 @@
 	"micaport/internal/wire"
 )
 
-// RequestClass orders requests when the budget is short.
+// RequestClass is the priority of a request when requests are rate-limited.
 type RequestClass int
 
-// Classes, most pressing first.
+// Request classes, highest priority first.
 const (
-	ClassLease      RequestClass = iota // renewals and claims
-	ClassUser                           // submissions, cancellations, polls
+	ClassLease      RequestClass = iota // lease renewals and claims
+	ClassUser                           // submissions, cancellations and status queries
 	ClassBackground                     // everything else
 )
 
-// LogLevel says how much a line of the log matters.
+// LogLevel is the severity of a log record.
 type LogLevel int
 
-// Levels of the log.
+// Log levels.
 const (
 	LogDebug LogLevel = iota
 	LogInfo
 	LogError
 )
 
-// Effect is something that the core wants done: one of the types below.
+// Effect is an action that the caller of Node.Step carries out: one of the types below.
 type Effect interface{ effect() }
 
 func (Commit) effect()          {}
@@ -43,80 +43,82 @@
 
 // Effects.
 type (
-	// Commit is a transaction on the state service.
+	// Commit sends a transaction to the state service.
 	Commit struct {
 		ID         uint64
 		Conditions []kv.Condition
 		Writes     []kv.Write
 		Class      RequestClass
 	}
-	// ReadJob fetches a job's record.
+	// ReadJob reads a job's record from the state service.
 	ReadJob struct {
 		ID    uint64
 		JobID string
 	}
-	// RenewLease creates (Lease 0) or extends a lease.
+	// RenewLease creates a lease (LeaseID 0) or extends one.
 	RenewLease struct {
 		ID      uint64
 		LeaseID uint64
 		TTL     Time
 	}
-	// CallCloud is a call to the cloud; exactly one of the fields says which.
+	// CallCloud is a call to the cloud's API. Exactly one of ListTypes, ListMachines, Provision
+	// and Deprovision is set.
 	CallCloud struct {
 		ID           uint64
 		ListTypes    bool
 		ListMachines bool
 		Provision    *wire.ProvisionRequest
 		Deprovision  []string
-		ValidFor     Time // how long after this a provisioning or deprovisioning call may be sent
-		// Term, if not 0, is that of the claim under which the call was decided: it may be
-		// sent for as long as the last AllowCloudCalls says, also while it waits for its turn.
+		ValidFor     Time // how long a provisioning or deprovisioning call may be delayed before it is sent
+		// Term, if not 0, is the leadership term in which the call was decided. The call may
+		// be sent until the time that the last AllowCloudCalls of this term gives, even if it
+		// is queued.
 		Term uint64
 	}
-	// AllowCloudCalls lets provisioning and deprovisioning calls of a term, and of no other, be sent until a time of
-	// the core's clock: a pause between the step and what carries this out prolongs nothing.
+	// AllowCloudCalls permits provisioning and deprovisioning calls of one term only, until a
+	// time of the core's clock. The time is absolute, so that a delay before this effect is
+	// carried out does not extend the permission.
 	AllowCloudCalls struct {
 		Term  uint64
 		Until Time
 	}
-	// SendCommands sends orders to a worker's own address; Directed says what became
-	// of them.
+	// SendCommands sends commands to a worker's own address; CommandsAnswered is the result.
 	SendCommands struct {
 		ID      uint64
 		Address string
 		Batch   wire.CommandBatch
 	}
-	// SendGossip is a message to a peer.
+	// SendGossip sends a gossip message to a peer.
 	SendGossip struct {
 		To      string
 		Message *wire.Gossip
 	}
-	// SendHeartbeat tells a peer that we lead. A newer one takes the place of one that has
-	// not been sent.
+	// SendHeartbeat sends the leader's heartbeat to a peer. A newer heartbeat replaces one that
+	// has not been sent yet.
 	SendHeartbeat struct {
 		To      string
 		Message *wire.LeaderHeartbeat
 	}
-	// SendDecisionLog sends a message of the decision log to the standby; DecisionLogAcknowledged answers it,
-	// if it is answered.
+	// SendDecisionLog sends a message of the decision log to the standby. If the standby
+	// answers, DecisionLogAcknowledged carries the answer.
 	SendDecisionLog struct {
 		To      string
 		Message *wire.DecisionLog
 	}
-	// Forward hands a user's request to a peer; the answer comes as Forwarded.
+	// Forward sends a user's request to a peer; ForwardAnswered is the result.
 	Forward struct {
 		RequestID uint64
 		To        string
 		Call      wire.UserCall
 	}
-	// Reply answers a request of a user or a worker.
+	// Reply answers a request by its ID: a user's, a worker's, a peer's or a StatusRequest.
 	Reply struct {
 		RequestID   uint64
 		Status      int
 		Body        any
 		RetryAfterS int
 	}
-	// Log is a line for the log.
+	// Log writes a log record.
 	Log struct {
 		Level LogLevel
 		Text  string
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -1,10 +1,11 @@
 package core
 
-// formatDelay is how long a controller waits before it leaves its record by itself:
-// it goes with the claim of a shard, if there is one to be claimed.
+// formatDelay is the time before a controller writes its record of the format that it reads in a
+// transaction of its own. A shard claim sent before then includes the record.
 const formatDelay = 2 * second
 
-// writeFormat leaves that record.
+// writeFormat writes the record of the newest format that this controller reads, unless the
+// replica shows it.
 func (n *Node) writeFormat() {
 	if n.formatAt == 0 {
 		n.formatAt = n.now + formatDelay
--- a/internal/core/inputs.go
+++ b/internal/core/inputs.go
@@ -5,10 +5,10 @@
 	"micaport/internal/wire"
 )
 
-// Input is something that the core is told: one of the types below.
+// Input is an event that Node.Step processes: one of the types below.
 type Input interface{ input() }
 
-// Result is an input that answers an effect with an id.
+// Result is an input that carries the result of an effect with an ID.
 type Result interface {
 	Input
 	result()
@@ -39,14 +39,14 @@
 
 // Inputs.
 type (
-	// Tick lets timers fire.
+	// Tick only runs the timers that are due.
 	Tick struct{}
-	// WorkerReported is a worker's report.
+	// WorkerReported is a worker's heartbeat.
 	WorkerReported struct {
 		RequestID uint64
 		Heartbeat *wire.WorkerHeartbeat
 	}
-	// UserRequest is a user's request at the API, or one handed on by a peer.
+	// UserRequest is a user's API request, received directly or forwarded by a peer.
 	UserRequest struct {
 		RequestID uint64
 		Kind      wire.RequestKind
@@ -54,47 +54,48 @@
 		Body      []byte
 		Forwarded bool
 	}
-	// ForwardAnswered is a peer's answer to Forward; Status 0 means none came.
+	// ForwardAnswered is a peer's answer to a Forward; status 0 means that the peer did not
+	// answer.
 	ForwardAnswered struct {
 		RequestID uint64
 		Answer    wire.UserAnswer
 	}
-	// Committed is the result of Commit.
+	// Committed is the result of a Commit.
 	Committed struct {
 		ID       uint64
 		Outcome  kv.Outcome
 		Revision uint64
-		Failed   []string // after Conflict: the keys that were not as demanded
-		Limited  bool     // the service said that there were too many puts
+		Failed   []string // after kv.Conflict: the keys whose conditions did not hold
+		Limited  bool     // the service refused writes because of its rate limit
 	}
-	// CommandsAnswered is the result of Direct: kv.OK when the worker has carried the
-	// orders out, Conflict when it never will, as its epoch or token is
-	// another, Refused when they were not sent.
+	// CommandsAnswered is the result of a SendCommands: kv.OK when the worker has executed
+	// the commands, kv.Conflict when it has rejected them for good, because it has another
+	// epoch or token, and kv.Refused when they were not sent.
 	CommandsAnswered struct {
 		ID      uint64
 		Outcome kv.Outcome
 	}
-	// JobRead is the result of Read.
+	// JobRead is the result of a ReadJob.
 	JobRead struct {
 		ID       uint64
 		Outcome  kv.Outcome
 		Revision uint64
 		Job      *wire.Job
 	}
-	// LeaseAnswered is the result of Lease.
+	// LeaseAnswered is the result of a RenewLease.
 	LeaseAnswered struct {
 		ID      uint64
 		Outcome kv.Outcome
 		LeaseID uint64
 	}
-	// RecordsChanged are events of the watch, in order, up to revision Rev. Reset
-	// says that they are a full listing: everything else is absent.
+	// RecordsChanged carries events of the watch, in order, up to Revision. With Reset they
+	// are a full listing: records that are not in it do not exist.
 	RecordsChanged struct {
 		Reset    bool
 		Revision uint64
 		Events   []kv.Event
 	}
-	// CloudAnswered is the result of Cloud.
+	// CloudAnswered is the result of a CallCloud.
 	CloudAnswered struct {
 		ID           uint64
 		Outcome      kv.Outcome
@@ -102,20 +103,21 @@
 		Machines     []wire.CloudMachine
 		Names        []string
 	}
-	// GossipReceived is a message from a peer.
+	// GossipReceived is a gossip message from a peer.
 	GossipReceived struct{ Message *wire.Gossip }
-	// HeartbeatReceived is a leader's heartbeat.
+	// HeartbeatReceived is a heartbeat from the leader.
 	HeartbeatReceived struct{ Message *wire.LeaderHeartbeat }
-	// Disconnected says that the connection to a peer has broken.
+	// Disconnected reports that the connection to a peer has broken.
 	Disconnected struct{ Peer string }
-	// DecisionLogReceived is a message of the leader's decision log; Reply has a
+	// DecisionLogReceived is a message of the leader's decision log. The Reply to it carries a
 	// wire.DecisionLogAck.
 	DecisionLogReceived struct {
 		RequestID uint64
 		Message   *wire.DecisionLog
 	}
-	// DecisionLogAcknowledged is the standby's answer to SendDecisionLog.
+	// DecisionLogAcknowledged is the standby's answer to a SendDecisionLog.
 	DecisionLogAcknowledged struct{ Ack wire.DecisionLogAck }
-	// StatusRequest asks who leads and who stands by; Reply has a wire.LeadershipStatus.
+	// StatusRequest asks for the leader and the standby. The Reply to it carries a
+	// wire.LeadershipStatus.
 	StatusRequest struct{ RequestID uint64 }
 )
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -7,7 +7,7 @@
 	"micaport/internal/wire"
 )
 
-// recordsChanged takes events of the watch into the replica.
+// recordsChanged applies events of the watch to the replica and the state derived from it.
 func (n *Node) recordsChanged(c RecordsChanged) {
 	if c.Reset {
 		n.deleteUnlisted(c)
@@ -27,7 +27,7 @@
 	n.leader.batch.settle(n)
 }
 
-// deleteUnlisted drops the records that a full listing lacks.
+// deleteUnlisted deletes the records that a full listing does not contain.
 func (n *Node) deleteUnlisted(listing RecordsChanged) {
 	listed := map[string]bool{}
 	for _, e := range listing.Events {
@@ -45,13 +45,15 @@
 	}
 }
 
-// applyEvents applies events in order. Overflow keys change together with their job's record;
-// of several changes of one only the last counts, so that the record is complete.
+// applyEvents applies events in order. Dependency lists and overflow keys are applied before
+// all records, as a record is complete only together with them. If an overflow key changes,
+// only the last event of each job's record is applied, because the overflow keys already have
+// their final contents.
 func (n *Node) applyEvents(events []kv.Event) {
 	var last map[string]int
 	for i, e := range events {
 		if needs, is := e.Value.(*wire.DependencyList); is {
-			n.replica.PutDependencyList(e.Key, needs) // in a listing it comes after the record
+			n.replica.PutDependencyList(e.Key, needs) // in a full listing the lists follow the record
 		}
 		if !strings.HasPrefix(e.Key, wire.OverflowPrefix) {
 			continue
@@ -73,7 +75,7 @@
 	}
 }
 
-// applyEvent takes one event in.
+// applyEvent applies one event.
 func (n *Node) applyEvent(e kv.Event) {
 	switch v := e.Value.(type) {
 	case *wire.SupportedFormat:
@@ -93,7 +95,7 @@
 	case *wire.Gang:
 		n.gangs.Put(n.now, e.Key, v, e.Revision)
 	case *wire.Gossip:
-		if n.replica.Loaded() { // a listing's may be of long ago
+		if n.replica.Loaded() { // messages in the first listing may be old
 			n.readMailbox(v)
 		}
 	case *wire.ImageCache:
@@ -105,7 +107,7 @@
 	}
 }
 
-// applyDelete takes in that a key is gone. Jobs' records are never dropped.
+// applyDelete applies the deletion of a key. Job records are never deleted.
 func (n *Node) applyDelete(e kv.Event) {
 	switch {
 	case e.Key == wire.LeaderKey:
@@ -121,7 +123,8 @@
 	}
 }
 
-// putMachineTypes takes the stored machine types, unless the cloud has told of them.
+// putMachineTypes applies the stored machine types, unless the machine types on offer are
+// already known.
 func (n *Node) putMachineTypes(types *wire.MachineTypeCache, rev uint64) {
 	if rev < n.typesRevision {
 		return
--- a/internal/core/replica_observer.go
+++ b/internal/core/replica_observer.go
@@ -5,7 +5,7 @@
 	"micaport/internal/wire"
 )
 
-// initReplica makes the empty replica of the records.
+// initReplica creates the replica of the records, which is empty at first.
 func (n *Node) initReplica() {
 	cfg := replica.Config{
 		Self: n.cfg.Self, Teams: n.cfg.Teams, Shards: len(n.shards), Format: n.cfg.Format,
@@ -18,16 +18,17 @@
 	n.replica = replica.New(cfg, n.names, &replicaObserver{n})
 }
 
-// replicaObserver brings what the controller derives from the records up to date while a
+// replicaObserver updates the state that the controller derives from the records whenever a
 // change is applied to the replica.
 type replicaObserver struct{ node *Node }
 
-// JobAdded makes room for what the controller remembers of a job.
+// JobAdded adds the controller's own state of a new job.
 func (o *replicaObserver) JobAdded(added *replica.Job) {
 	o.node.jobs = append(o.node.jobs, &job{Job: added, gangZone: -1})
 }
 
-// JobChanging takes the job's tasks off their machines, and the change into the statistics.
+// JobChanging removes the job's tasks from the placement index and counts the change in the
+// statistics.
 func (o *replicaObserver) JobChanging(changing *replica.Job, next *wire.Job) {
 	n, job := o.node, o.node.jobs[changing.Index]
 	n.countJobChange(job, next)
@@ -37,7 +38,8 @@
 	job.pendingKnown, job.pending = false, nil
 }
 
-// JobChanged puts the job's tasks on their machines.
+// JobChanged adds the job's tasks to the placement index, and records whether the job has
+// ended or has failed repeatedly.
 func (o *replicaObserver) JobChanged(changed *replica.Job) {
 	n, job := o.node, o.node.jobs[changed.Index]
 	n.noteClosed(job)
@@ -45,7 +47,7 @@
 	n.indexPlacements(job)
 }
 
-// JobReady lets the leader look for work soon.
+// JobReady schedules the leader's next scheduling pass within stageDelay.
 func (o *replicaObserver) JobReady(*replica.Job) {
 	leader := &o.node.leader
 	leader.passNeeded = true
@@ -57,17 +59,18 @@
 	o.node.noteArrival(o.node.jobs[arrived.Index])
 }
 
-// PriorityRaised has the use of the job's machines worked out anew.
+// PriorityRaised has the usage of the job's machines recalculated.
 func (o *replicaObserver) PriorityRaised(raised *replica.Job) {
 	o.node.usageChanged(o.node.jobs[raised.Index])
 }
 
-// DependencyListMissing logs a record that can't be completed.
+// DependencyListMissing logs that the dependency list of a job's record is missing.
 func (o *replicaObserver) DependencyListMissing(incomplete *replica.Job) {
 	o.node.log(LogError, "dependency list missing", "job", incomplete.ID)
 }
 
-// FormatAgreed forgets what was worked out under the limits of the last format.
+// FormatAgreed discards the cached pending tasks, which depend on the limits of the previous
+// record format.
 func (o *replicaObserver) FormatAgreed(format int) {
 	n := o.node
 	n.log(LogInfo, "record format agreed", "format", format)
@@ -76,13 +79,13 @@
 	}
 }
 
-// QuotaChanged logs the quota of a team that is in force from now on.
+// QuotaChanged logs a team's new quota.
 func (o *replicaObserver) QuotaChanged(team int) {
 	quota := o.node.replica.Quota(team)
 	o.node.log(LogInfo, "team quota changed", "team", quota.Name, "max_cores", quota.MaxCores, "max_gpus", quota.MaxGPUs)
 }
 
-// AccountInvalid logs an account that nothing can be admitted from.
+// AccountInvalid logs that a team's account is invalid, so that nothing is admitted from it.
 func (o *replicaObserver) AccountInvalid(team int, err error) {
 	o.node.log(LogError, "invalid team account, admitting nothing from it", "team", o.node.replica.Quota(team).Name, "error", err)
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -2,34 +2,32 @@
 
 import "micaport/internal/kv"
 
-// Requests under way to the state service, the cloud and workers. What goes on when the
-// result of one comes is a value whose type names the request, so that a dump of
-// Node.pending shows what is under way.
-
-// continuation goes on with the result of a request.
+// continuation handles the result of a request to the state service, the cloud or a worker.
+// Continuations are values of named types rather than closures, so that a dump of Node.pending
+// shows which requests are in flight.
 type continuation interface {
 	resume(n *Node, result Result)
 }
 
-// committer goes on with the result of a transaction.
+// committer handles the result of a transaction.
 type committer interface {
 	committed(n *Node, result Committed)
 }
 
-// jobReceiver goes on with a job's record that was read from the state service.
+// jobReceiver handles the result of reading a job's record from the state service.
 type jobReceiver interface {
 	jobRead(n *Node, result JobRead)
 }
 
-// continueWith remembers how to go on with the result of a request, and gives its id.
+// continueWith registers the continuation of a request and returns the request's ID.
 func (n *Node) continueWith(next continuation) (id uint64) {
 	n.nextID++
 	n.pending[n.nextID] = next
 	return n.nextID
 }
 
-// deliverResult goes on with the result of a request. Results of requests that are not
-// known are dropped.
+// deliverResult passes the result of a request to its continuation. It ignores results of
+// unknown requests.
 func (n *Node) deliverResult(id uint64, result Result) {
 	if next, known := n.pending[id]; known {
 		delete(n.pending, id)
@@ -37,9 +35,9 @@
 	}
 }
 
-// transaction is a commit under way.
+// transaction is the continuation of a Commit.
 type transaction struct {
-	conditions, writes int // how many, for the log
+	conditions, writes int // their numbers
 	next               committer
 }
 
@@ -55,7 +53,7 @@
 	t.next.committed(n, committed)
 }
 
-// transact sends a compare-and-swap transaction.
+// transact sends a transaction that writes only if all conditions hold.
 func (n *Node) transact(class RequestClass, conditions []kv.Condition, writes []kv.Write, next committer) {
 	id := n.continueWith(transaction{conditions: len(conditions), writes: len(writes), next: next})
 	if class == ClassBackground {
@@ -64,7 +62,7 @@
 	n.emit(Commit{ID: id, Conditions: conditions, Writes: writes, Class: class})
 }
 
-// jobFetch is a read of a job's record under way.
+// jobFetch is the continuation of a ReadJob.
 type jobFetch struct{ next jobReceiver }
 
 func (f jobFetch) resume(n *Node, result Result) {
@@ -78,7 +76,7 @@
 	n.emit(ReadJob{ID: n.continueWith(jobFetch{next}), JobID: id})
 }
 
-// ignoreResult is the continuation of a transaction whose result makes no difference.
+// ignoreResult handles the result of a transaction by ignoring it.
 type ignoreResult struct{}
 
 func (ignoreResult) committed(*Node, Committed) {}
--- a/internal/core/store_state.go
+++ b/internal/core/store_state.go
@@ -6,26 +6,27 @@
 	"micaport/internal/kv"
 )
 
-// storeState is how this controller stands with the state service.
+// storeState tracks whether the state service serves this controller.
 type storeState struct {
-	storeOK         bool // it serves us
-	storeOKSince    Time // since when it has served us without a break
-	storeAnsweredAt Time // when it last answered
+	storeOK         bool // it serves this controller
+	storeOKSince    Time // when storeOK last changed to true
+	storeAnsweredAt Time // when it last answered a request
 
-	formatAt Time // when the record of the formats that we read is written, if it is not there
+	formatAt Time // when the record of the format that this controller reads is written, unless it exists
 }
 
-// storeSilence is how long the state service may not have answered before it counts as not
-// serving this controller.
+// storeSilence is how long after its last answer the state service counts as no longer serving
+// this controller.
 const storeSilence = 3 * time.Second
 
-// noteStoreOutcome notes whether the state service serves this controller.
+// noteStoreOutcome updates whether the state service serves this controller from the outcome of
+// a request.
 func (n *Node) noteStoreOutcome(outcome kv.Outcome) {
 	switch outcome {
 	case kv.OK, kv.Conflict, kv.NotFound, kv.LeaseExpired, kv.TooLarge:
 		if !n.storeOK {
-			// In an outage owners run out of validity and their workers go round in
-			// vain. That says nothing about the owners afterwards.
+			// During an outage the owners' validity expires and their workers are
+			// redirected in vain. That is no evidence against the owners afterwards.
 			n.storeOKSince = n.now
 			for _, shard := range n.shards {
 				shard.forgetRedirects()
