--- a/internal/core/ancestor_search.go
+++ b/internal/core/ancestor_search.go
@@ -8,18 +8,19 @@
 	"micaport/internal/wire"
 )
 
-// ancestorSearch reads the records of the jobs that a job depends on, directly or not,
-// until one is found cancelled or all are known. One read is under way at a time.
+// ancestorSearch reads the records of the jobs that a job depends on, directly or indirectly,
+// until one is found cancelled or all have been visited. One read is in flight at a time.
 type ancestorSearch struct {
 	request   *pendingRequest
-	record    *wire.Job // of the job that the request names
+	record    *wire.Job // of the request's job
 	seen      map[string]bool
-	unvisited []string // jobs that are still to be looked at; the last one is next
-	reading   string   // the job whose record is being read
+	unvisited []string // stack of job IDs to visit
+	reading   string   // ID of the job whose record is being read
 }
 
-// answerFromAncestors answers for a job that is live by its own record but depends on
-// others. The replica may lag behind theirs, so they are read.
+// answerFromAncestors answers a request for a job whose own record is live but which depends on
+// other jobs. It reads the records of the ancestors that the replica shows as live or not at
+// all, because the replica may lag.
 func (n *Node) answerFromAncestors(request *pendingRequest, record *wire.Job) {
 	search := &ancestorSearch{request: request, record: record, seen: map[string]bool{}}
 	if search.addDependencies(n, request.JobID, record) {
@@ -27,8 +28,8 @@
 	}
 }
 
-// addDependencies adds the jobs that a job depends on. It answers the request and returns
-// false where they are not known.
+// addDependencies adds the jobs that a job depends on to the search. If they are not known, it
+// answers the request and returns false.
 func (s *ancestorSearch) addDependencies(n *Node, jobID string, record *wire.Job) bool {
 	ids, complete := n.replica.Dependencies(jobID, record)
 	if !complete {
@@ -44,7 +45,8 @@
 	return true
 }
 
-// visitNext goes on with the jobs that are left, or answers the request.
+// visitNext continues the search with the unvisited jobs. It answers the request if an ancestor
+// is cancelled or none is left.
 func (s *ancestorSearch) visitNext(n *Node) {
 	for len(s.unvisited) > 0 {
 		id := s.unvisited[len(s.unvisited)-1]
--- a/internal/core/ancestor_search_test.go
+++ b/internal/core/ancestor_search_test.go
@@ -7,8 +7,8 @@
 	"micaport/internal/wire"
 )
 
-// Where the replica lags, a repeated submission of a job that is live by its own record
-// is answered from the records of the jobs that it depends on.
+// If the replica lags, a repeated submission of a job whose own record is live is answered from
+// the records of the jobs that it depends on.
 func TestAnswerFromAncestors(t *testing.T) {
 	spec := func(dependencies ...string) *wire.JobSpec {
 		return &wire.JobSpec{Shape: wire.ShapeArray, Dependencies: dependencies}
@@ -26,8 +26,8 @@
 		showJob(n, 2+i, id, wire.JobLive, nil, dependencies...)
 	}
 	for _, test := range []struct{ name, id, status string }{
-		{"below a cancelled job", "wk-000003", wire.StatusCancelled},
-		{"below a live job", "wk-000006", wire.StatusPending},
+		{"with a cancelled ancestor", "wk-000003", wire.StatusCancelled},
+		{"with a live ancestor", "wk-000006", wire.StatusPending},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			reply, wrote := runRequest(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submission(t, test.id)}, stored)
@@ -38,8 +38,8 @@
 	}
 }
 
-// A repeated submission of a job whose dependency list the replica does not show can't be
-// answered from its ancestors: it is answered 503, not with pending.
+// A repeated submission of a job whose dependency list the replica does not show is answered
+// 503, not with the status pending, because its ancestors are unknown.
 func TestUnknownDependencyListIsNotAnswered(t *testing.T) {
 	n := smallValues()
 	stored := map[string]*wire.Job{"wk-000100": {TaskCount: 1, Spec: &wire.JobSpec{Shape: wire.ShapeArray}, DependencyList: "x", DependencyListKeys: 2}}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -6,13 +6,13 @@
 	"micaport/internal/wire"
 )
 
-// stageDelay is how soon the leader looks again when the last dependency of a job is done:
-// it may as well take in what else the same events bring.
+// stageDelay is the time from the completion of a job's last dependency to the scheduling pass
+// that it triggers, so that the pass also covers other events that arrive together with it.
 const stageDelay = 20 * time.Millisecond
 
-// recordCancellations writes the cancellations that follow from other records, with writes
-// that nothing else needs. Answers to users don't depend on it; it lets controllers drop
-// the jobs from memory.
+// recordCancellations marks the records of jobs as cancelled that a cancelled ancestor cancels,
+// as far as the transaction has writes left. Answers to users don't depend on these records,
+// but they allow controllers to remove the jobs from memory.
 func (n *Node) recordCancellations(writer *writer) {
 	for n.replica.UnrecordedCancellations() > 0 {
 		job := n.jobs[n.replica.FirstUnrecorded().Index]
@@ -28,14 +28,16 @@
 			return
 		}
 		record.State = wire.JobCancelled
-		n.replica.RequeueFirstUnrecorded() // until the replica shows it
+		n.replica.RequeueFirstUnrecorded() // it is checked again until the replica shows the change
 		if len(writer.order) >= n.replica.UnrecordedCancellations() {
 			return
 		}
 	}
 }
 
-// latestStartMS is by when a job of a chain has to begin to be in time; 0: no matter.
+// latestStartMS returns the latest start, in Unix milliseconds, with which a job that has
+// dependencies or dependents meets its deadline. It returns 0 if the job has no deadline, or
+// neither dependencies nor dependents.
 func (n *Node) latestStartMS(job *job) int64 {
 	if job.Links == nil || job.Links.DeadlineMS == 0 {
 		return 0
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -8,8 +8,8 @@
 	"micaport/internal/wire"
 )
 
-// A chain of ten thousand jobs, and a job that as many depend on: a cancellation at the top
-// shows at the bottom at once, and the end of the top costs by the jobs that depend on it.
+// Cancelling a job cancels all its descendants at once and visits each of them only once, both
+// in a chain of ten thousand jobs and with ten thousand direct dependents.
 func TestLongAndWideChains(t *testing.T) {
 	const many = 10_000
 	n := newTestNode()
@@ -34,8 +34,8 @@
 	}
 }
 
-// The priority and the deadline of the last job hold for all that it depends on, each with
-// the time left that those after it take; a job with open dependencies is in no queue.
+// The ancestors of a job inherit its priority and its deadline, the deadline less the run times
+// of the jobs in between. A job with unfinished dependencies is in no queue.
 func TestAncestorsInheritPriorityAndDeadline(t *testing.T) {
 	n := newTestNode()
 	showJob(n, 2, "wk-000001", wire.JobLive, nil)
@@ -65,8 +65,8 @@
 	}
 }
 
-// Finished jobs stay in the replica for good, but without their links. Jobs that
-// come later and name them, or were cancelled before their dependencies ended, do no harm.
+// Finished jobs stay in the replica forever, so their links must be released, also if a job was
+// cancelled before its dependencies ended. Later jobs may still depend on them.
 func TestFinishedJobsDropLinks(t *testing.T) {
 	n := newTestNode()
 	showJob(n, 2, "wk-000001", wire.JobLive, nil)
--- a/internal/core/dependency_check.go
+++ b/internal/core/dependency_check.go
@@ -7,31 +7,29 @@
 	"micaport/internal/wire"
 )
 
-// The jobs that a submission names as its dependencies: whether each was ever accepted,
-// and in which state it is.
-
-// dependencyCheck is what is known of the jobs that a submission names.
+// dependencyCheck collects the states of a submission's dependencies, to find out whether each
+// was ever accepted and whether it is done or cancelled.
 type dependencyCheck struct {
 	jobIDs       []string // as submitted
-	readsPending int      // reads under way
-	// read has the jobs that were or are read from the state service, because the replica
-	// did not show them.
+	readsPending int      // reads in flight
+	// read holds the dependencies that the replica did not show, and that are therefore read
+	// from the state service, by job ID.
 	read        map[string]dependencyState
-	writtenKeys map[int]bool // keys of the dependency list that the state service has
+	writtenKeys map[int]bool // numbers of the dependency list's keys that have been written
 }
 
-// dependencyState is what is known of a job that was read.
+// dependencyState is the state of a dependency.
 type dependencyState struct {
-	state  wire.JobState // JobLive while the read is under way
+	state  wire.JobState // wire.JobLive while the read is in flight
 	daemon bool
 }
 
-// jobNeverAccepted is the state of a job that was never accepted.
+// jobNeverAccepted marks a dependency that was never accepted. It is no state of a record.
 const jobNeverAccepted wire.JobState = -1
 
-// findDependencies reads the records of the jobs that a submission names and the replica
-// does not show: another controller may have accepted them a moment ago. It reports
-// whether all are known; if not, createJob is called once they are.
+// findDependencies reads the records of the dependencies that the replica does not show, since
+// another controller may have accepted them a moment ago. It reports whether the states of all
+// dependencies are known; if not, createJob is called again once they are.
 func (n *Node) findDependencies(request *pendingRequest) bool {
 	if request.dependencies == nil {
 		request.dependencies = &dependencyCheck{
@@ -52,12 +50,13 @@
 	return request.dependencies.readsPending == 0
 }
 
-// dependencyRead is a read of the record of a job that a submission names.
+// dependencyRead handles the result of reading a dependency's record.
 type dependencyRead struct {
 	request *pendingRequest
 	jobID   string
 }
 
+// readDependency reads a dependency's record from the state service.
 func (n *Node) readDependency(request *pendingRequest, jobID string) {
 	request.dependencies.readsPending++
 	request.dependencies.read[jobID] = dependencyState{state: wire.JobLive}
@@ -84,15 +83,15 @@
 	}
 }
 
-// isDaemon reports whether a record is that of a job which runs until it is cancelled. The
-// record of a finished job doesn't say.
+// isDaemon reports whether a record is that of a job that runs until it is cancelled. It
+// returns false for finished jobs, whose records have no specification.
 func isDaemon(record *wire.Job) bool {
 	return record.Spec != nil && record.Spec.Shape == wire.ShapeDaemon
 }
 
 // settleDependencies removes the jobs that are done from a submission's dependencies. It
-// reports whether one of the rest is cancelled, which cancels the new job, and returns an
-// error if the job can't be accepted.
+// reports whether one of the others is cancelled, which cancels the new job, and returns an
+// error if the new job can't be accepted.
 func (n *Node) settleDependencies(request *pendingRequest) (cancelled bool, err error) {
 	var rest []string
 	for _, id := range request.spec.Dependencies {
@@ -106,7 +105,7 @@
 		case dependency.daemon && dependency.state == wire.JobLive:
 			return false, fmt.Errorf("waits on %s, which is a service", id)
 		case dependency.state != wire.JobDone:
-			// Also the cancelled ones: the submission may have to be settled once more.
+			// Cancelled ones are kept too: a retry of the submission checks the list again.
 			cancelled = cancelled || dependency.state == wire.JobCancelled
 			rest = append(rest, id)
 		}
--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -9,9 +9,9 @@
 	"micaport/internal/wire"
 )
 
-// The jobs that a submission names: those that another controller accepted a moment ago are
-// read; one that is done is left out, as it stays done; one that is cancelled cancels the
-// new job; and one that was never accepted, or runs until it is cancelled, refuses it.
+// Dependencies that the replica does not show yet are read from the state service. A done
+// dependency is removed, a cancelled one cancels the new job, and one that was never accepted
+// or is a daemon rejects the submission.
 func TestSubmissionNamesJobs(t *testing.T) {
 	live := func(shape string) *wire.Job {
 		return &wire.Job{TaskCount: 1, Spec: &wire.JobSpec{ID: "x", Shape: shape}}
@@ -25,12 +25,12 @@
 		dependencies []string
 		status       int
 		state        wire.JobState // of the new job
-		remaining    int           // its dependencies
+		remaining    int           // dependencies in the new job's record
 	}{
 		{"live in the replica", []string{"wk-000001"}, http.StatusCreated, wire.JobLive, 1},
 		{"done in the replica", []string{"wk-000002"}, http.StatusCreated, wire.JobLive, 0},
 		{"cancelled in the replica", []string{"wk-000003"}, http.StatusCreated, wire.JobCancelled, 0},
-		{"below a cancelled job, which its own record does not say", []string{"wk-000004"}, http.StatusCreated, wire.JobCancelled, 0},
+		{"with a cancelled ancestor, its own record not yet cancelled", []string{"wk-000004"}, http.StatusCreated, wire.JobCancelled, 0},
 		{"named twice", []string{"wk-000020", "wk-000001", "wk-000020"}, http.StatusCreated, wire.JobLive, 2},
 		{"done by its record", []string{"wk-000021"}, http.StatusCreated, wire.JobLive, 0},
 		{"cancelled by its record", []string{"wk-000020", "wk-000022"}, http.StatusCreated, wire.JobCancelled, 0},
@@ -63,8 +63,8 @@
 	}
 }
 
-// Before every controller has recorded that it reads them, a job with dependencies is
-// answered 503, and nothing new is written.
+// Until every controller has recorded that it reads dependencies, a submission with
+// dependencies is answered 503 and no record in the new format is written.
 func TestNothingNewBeforeAllAreUpgraded(t *testing.T) {
 	n := newTestNode(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
 	showJob(n, 2, "wk-000001", wire.JobLive, nil)
@@ -75,7 +75,7 @@
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 || n.replica.OverflowKeys() > 0 {
 		t.Errorf("before the upgrade: answered with %+v, wrote %+v", reply, wrote)
 	}
-	// Nor is it forwarded to a peer, which may be of the version before.
+	// Nor is it forwarded to a peer, which may still run the earlier version.
 	n.storeOK = false
 	n.peers["n1"] = &peer{receivedAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
 	for _, e := range n.Step(n.now+1, submit(3)) {
@@ -88,9 +88,9 @@
 	if reply, wrote = runRequest(n, submit(2), nil); reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
 		t.Errorf("after the upgrade: answered with %+v, wrote %+v", reply, wrote)
 	}
-	// The format never goes back.
+	// A lower format recorded later does not lower the agreed format.
 	n.Step(n.now+1, RecordsChanged{Revision: 10, Events: []kv.Event{{Key: wire.FormatPrefix + "n1", Revision: 10, Value: &wire.SupportedFormat{Format: 1}}}})
 	if !n.replica.WritesDependencies() {
-		t.Error("went back to the format before")
+		t.Error("the agreed format went back to an earlier one")
 	}
 }
--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -6,19 +6,17 @@
 	"micaport/internal/wire"
 )
 
-// Lists of dependencies for which a job's record has no room. They are written to keys of
-// their own before the record.
-
-// dependencyListWrite is a write of keys of a dependency list under way.
+// dependencyListWrite handles the result of writing keys of a dependency list.
 type dependencyListWrite struct {
 	request *pendingRequest
-	numbers []int // of the keys
+	numbers []int // of the keys that are written
 }
 
-// writeDependencyList writes the keys of a submission's dependency list that the state
-// service lacks, as many at once as a transaction takes. It reports whether all are
-// written, and then names the list in the record; if not, createJob is called after the
-// write.
+// writeDependencyList stores the dependencies of a submission, which do not fit the job's
+// record, in separate keys before the record is written. It writes those keys that the state
+// service lacks, as many as fit one transaction. Once all are written, it replaces the
+// dependencies in the record by a reference to the list and returns true. Until then it
+// returns false, and createJob is called again after each write.
 func (n *Node) writeDependencyList(request *pendingRequest, record *wire.Job) bool {
 	check := request.dependencies
 	list := replica.DependencyListName(check.jobIDs)
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -10,12 +10,12 @@
 	"micaport/internal/wire"
 )
 
-// smallValues is a controller whose records hold few names.
+// smallValues returns a controller whose values have room for few dependencies only.
 func smallValues(members ...ownership.Member) *Node {
 	return newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
 }
 
-// seeMany shows a controller a number of live jobs.
+// seeMany adds a number of live jobs to a controller's replica and returns their IDs.
 func seeMany(n *Node, count int) (ids []string) {
 	for i := range count {
 		id := fmt.Sprintf("wk-%06d", 1000+i)
@@ -25,7 +25,7 @@
 	return ids
 }
 
-// changesOf makes the events by which a watch shows writes.
+// changesOf returns the watch events of a number of writes.
 func changesOf(revision int, writes []kv.Write) RecordsChanged {
 	var events []kv.Event
 	for i, write := range writes {
@@ -34,9 +34,9 @@
 	return RecordsChanged{Revision: uint64(revision + len(writes)), Events: events}
 }
 
-// A job may have more dependencies than its record has room for: they are written first, in
-// values and transactions within the limits, and the record last. Every controller then
-// knows all of them, also one that reads them in a listing, where the record comes first.
+// Dependencies that do not fit a job's record are written first, in values and transactions
+// within the limits, and the record last. Every controller then links all of them, also from a
+// full listing, in which the record precedes the lists.
 func TestLongDependencyList(t *testing.T) {
 	const count = 900
 	n := smallValues()
@@ -79,8 +79,8 @@
 	}
 }
 
-// A list that was written only in part, when the service refused more, is completed
-// when the user submits again, and nothing is accepted before it is complete.
+// If the state service refuses the rest of a dependency list, the job is not accepted. When the
+// user submits it again, only the missing keys are written.
 func TestDependencyListIsContinued(t *testing.T) {
 	n := smallValues()
 	ids := seeMany(n, 900)
@@ -132,8 +132,8 @@
 	}
 }
 
-// Before every controller reads such lists none is written: the submission is answered 503,
-// while one that its record has room for is accepted.
+// Until every controller reads dependency lists, a submission that needs one is answered 503,
+// and one whose dependencies fit its record is accepted.
 func TestNoDependencyListBeforeAllReadIt(t *testing.T) {
 	n := smallValues(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
 	reads := func(revision uint64, name string, format int) {
@@ -163,7 +163,7 @@
 		return count
 	}
 	if forwards(11, ids) > 0 {
-		t.Error("a long list is forwarded before all read it")
+		t.Error("a long list is forwarded before all controllers read such lists")
 	}
 	if forwards(12, ids[:5]) != 1 {
 		t.Error("a short list is not forwarded")
@@ -179,8 +179,8 @@
 	}
 }
 
-// A record whose list is incomplete can't come about. If one does, its job waits for
-// good rather than start too early.
+// A record whose dependency list is incomplete should never be written. If one is, its job must
+// never start, rather than start before its dependencies are done.
 func TestIncompleteDependencyListDoesNotStart(t *testing.T) {
 	n := smallValues()
 	spec := &wire.JobSpec{ID: "wk-000100", Team: "t", Shape: wire.ShapeArray, TaskCount: 1}
--- a/internal/core/job_queries.go
+++ b/internal/core/job_queries.go
@@ -8,12 +8,11 @@
 	"micaport/internal/wire"
 )
 
-// Requests that a read of the job's record answers, and cancellations, which change it.
-
-// jobQuery is a read of the record of the job that a request is about.
+// jobQuery handles the result of reading the record of a request's job.
 type jobQuery struct{ request *pendingRequest }
 
-// readJob reads the record of a request's job and goes on by the kind of request.
+// readJob reads the record of a request's job from the state service. Depending on the kind of
+// request, the record then answers it, or is changed by a cancellation.
 func (n *Node) readJob(request *pendingRequest) { n.fetchJob(request.JobID, jobQuery{request}) }
 
 func (q jobQuery) jobRead(n *Node, read JobRead) {
@@ -29,7 +28,7 @@
 	}
 }
 
-// found goes on with a request whose job exists.
+// found processes a request whose job exists.
 func (q jobQuery) found(n *Node, read JobRead) {
 	live := read.Job.State == wire.JobLive
 	switch {
@@ -42,7 +41,7 @@
 	}
 }
 
-// notFound goes on with a request whose job was never accepted.
+// notFound processes a request whose job was never accepted.
 func (q jobQuery) notFound(n *Node) {
 	request := q.request
 	switch {
@@ -57,19 +56,19 @@
 	}
 }
 
-// jobCancellation is the write of a cancelled job's record under way.
+// jobCancellation handles the result of writing a cancelled job's record.
 type jobCancellation struct {
 	request *pendingRequest
 	done    int // tasks of the job that are done
 }
 
-// cancelJob marks the record as cancelled. From this transaction on no owner can place a
-// task of the job, as each placement is conditional on the record's revision.
+// cancelJob marks a job's record as cancelled. After this transaction no shard owner can place
+// a task of the job, because each placement is conditional on the record's revision.
 func (n *Node) cancelJob(request *pendingRequest, read JobRead) {
 	record := replica.CloneRecord(read.Job)
 	record.State = wire.JobCancelled
 	replica.CompactRecord(record)
-	// What its overflow keys hold is not known here and stays.
+	// The contents of the overflow keys have not been read, so they are left unchanged.
 	for i := range record.ActiveTasks {
 		record.ActiveTasks[i].StoredIn = 1
 	}
--- a/internal/core/request_forwarding.go
+++ b/internal/core/request_forwarding.go
@@ -4,13 +4,12 @@
 	"micaport/internal/wire"
 )
 
-// Requests that are handed to a peer: the state service refuses this controller alone.
-
-// peerAliveTime is the age of a peer's last message up to which it counts as reachable.
+// peerAliveTime is how long after its last message a peer counts as reachable.
 const peerAliveTime = 3 * second
 
-// forwardToPeer hands a request to a peer that reaches the state service, when this
-// controller doesn't, and reports whether the request is dealt with. It is handed on once.
+// forwardToPeer forwards a request to a peer that the state service serves, if it does not
+// serve this controller. It reports whether the request has been forwarded or answered. A
+// request is forwarded at most once.
 func (n *Node) forwardToPeer(request *pendingRequest) bool {
 	if n.storeOK || request.Forwarded || request.forwardedToPeer {
 		return false
@@ -34,9 +33,9 @@
 	return false
 }
 
-// peersMayMisread reports whether a submission means something else to a peer of an
-// earlier version. One that reads format 1 takes a job with dependencies for one without,
-// and one that reads format 2 answers 422 to names that its record has no room for.
+// peersMayMisread reports whether a peer of an earlier version could misinterpret a
+// submission. A peer that reads format 1 ignores dependencies, and a peer that reads format 2
+// answers 422 if the dependencies do not fit the job's record.
 func (n *Node) peersMayMisread(spec *wire.JobSpec) bool {
 	switch {
 	case spec == nil || len(spec.Dependencies) == 0 || n.replica.WritesDependencyLists():
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -8,44 +8,43 @@
 	"micaport/internal/wire"
 )
 
-// Status queries that the replica answers. They are gathered; a transaction without
-// writes asks the state service for its revision on behalf of all that have come, and
-// they are answered once the replica has reached that revision.
-
 const (
 	// minStatusInterval and maxStatusInterval bound the time between two queries of the
 	// state service's revision.
 	minStatusInterval = 60 * time.Millisecond
 	maxStatusInterval = 500 * time.Millisecond
-	// statusRequestShare is the part of the state service's requests that all
-	// controllers together spend on it: one in so many.
+	// statusRequestShare limits the revision queries of all controllers together: one in
+	// this many of the requests that the state service allows.
 	statusRequestShare = 6
-	// replicaLagTimeout is how long status queries wait for the replica before their
-	// records are read one by one.
+	// replicaLagTimeout is how long status queries wait for the replica to reach their
+	// revision before the jobs' records are read from the state service instead.
 	replicaLagTimeout = 400 * time.Millisecond
 )
 
-// statusQueries are status queries that the replica is to answer.
+// statusQueries holds the status queries that the replica is to answer. Waiting queries share
+// one query of the state service's current revision, a transaction without writes. They are
+// answered once the replica has reached that revision.
 type statusQueries struct {
-	waiting  []*pendingRequest // for the next query of the revision
-	querying bool              // a query of the revision is under way
-	queryAt  Time              // no query of the revision before this
-	batches  []statusBatch     // with a known revision
+	waiting  []*pendingRequest // for the next revision query
+	querying bool              // a revision query is in flight
+	queryAt  Time              // earliest time of the next revision query
+	batches  []statusBatch     // for which the revision is known
 }
 
-// statusBatch is a number of status queries that the replica may answer once it has reached
-// a revision, which the state service named after they had come.
+// statusBatch is a set of status queries that the replica may answer once it has reached the
+// revision that the state service returned after they had been received.
 type statusBatch struct {
 	revision uint64
-	since    Time // when the revision was named
+	since    Time // when the revision was returned
 	requests []*pendingRequest
 }
 
-// revisionQuery is a query of the state service's revision under way.
+// revisionQuery handles the result of a query of the state service's revision.
 type revisionQuery struct{ requests []*pendingRequest }
 
-// statusInterval is the time between two queries of the revision. With hundreds of users,
-// reading each record would take more of a core than a controller has.
+// statusInterval returns the minimum time between two revision queries. Status queries share
+// them because reading each job's record would take more CPU time than a controller has, once
+// there are hundreds of users.
 func (n *Node) statusInterval() Time {
 	interval := minStatusInterval
 	if n.cfg.StateRPS > 0 {
@@ -54,15 +53,15 @@
 	return min(interval, maxStatusInterval)
 }
 
-// queueStatusQuery has a status query answered from the replica.
+// queueStatusQuery queues a status query to be answered from the replica.
 func (n *Node) queueStatusQuery(request *pendingRequest) {
 	n.users.status.waiting = append(n.users.status.waiting, request)
 	n.askRevision()
 }
 
-// askRevision queries the revision for the status queries that wait, if it is time. The
-// replica at that revision is at least as new as any answer that a user got before
-// the queries came, so a job's status never goes back.
+// askRevision queries the state service's revision for the waiting status queries, if the
+// interval has passed. At that revision the replica is at least as recent as any answer that a
+// user received before these queries, so a job's status never appears to go back.
 func (n *Node) askRevision() {
 	status := &n.users.status
 	if status.querying || len(status.waiting) == 0 || n.now < status.queryAt {
@@ -72,11 +71,11 @@
 	status.waiting = nil
 	status.querying = true
 	status.queryAt = n.now + n.statusInterval()
-	// Whether the condition holds makes no difference: either answer names the revision.
+	// Both results of the condition carry the revision, so any condition will do.
 	n.transact(ClassUser, []kv.Condition{n.leaderCondition()}, nil, query)
 }
 
-// committed takes the revision that the state service has named.
+// committed adds a batch with the revision that the state service returned.
 func (q revisionQuery) committed(n *Node, result Committed) {
 	status := &n.users.status
 	status.querying = false
@@ -93,8 +92,8 @@
 	}
 }
 
-// answerStatusRequests answers the batches whose revision the replica has reached. When it
-// lags, the records are read one by one.
+// answerStatusRequests answers the batches whose revision the replica has reached. If the
+// replica lags for too long, it reads the jobs' records from the state service instead.
 func (n *Node) answerStatusRequests() {
 	status := &n.users.status
 	var rest []statusBatch
@@ -117,6 +116,7 @@
 	status.batches = rest
 }
 
+// answerFromReplica answers a status query with the replica's copy of the job's record.
 func (n *Node) answerFromReplica(request *pendingRequest) {
 	if job := n.jobNamed(request.JobID); job != nil && job.Record != nil {
 		n.answer(request, http.StatusOK, n.statusOf(request, job.Record))
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -10,11 +10,9 @@
 	"micaport/internal/wire"
 )
 
-// Submissions of jobs that are not known yet. createJob is called again after each step
-// that waits for the state service: reads of the jobs that a submission names, and writes
-// of a list of dependencies that the record has no room for.
-
-// createJob writes a new job's record, after checking that the job can ever run.
+// createJob checks that a submitted job can ever run, and writes its record. It is called again
+// whenever the state service has completed a step that it needs first: reading the records of
+// the job's dependencies, or writing a dependency list that does not fit the job's record.
 func (n *Node) createJob(request *pendingRequest) {
 	spec := request.spec
 	if n.offeredTypes == nil {
@@ -32,7 +30,7 @@
 			return
 		}
 		if !n.findDependencies(request) {
-			return // dependencyRead comes back here
+			return // dependencyRead calls createJob again
 		}
 		var err error
 		if cancelled, err = n.settleDependencies(request); err != nil {
@@ -40,33 +38,33 @@
 			return
 		}
 	}
-	// Types that nobody offers can't be had; leaving them out bounds the size
+	// Machine types that are not offered can't be provisioned. Removing them bounds the size
 	// of the record whatever the user sends.
 	spec.MachineTypes = slices.DeleteFunc(spec.MachineTypes, func(name string) bool { return n.typeAt(n.names.MachineTypes.Find(name)) == nil })
 	record := n.newRecord(spec)
 	status := wire.StatusPending
 	if cancelled {
-		// Cancelled with a job that it depends on, before it could start.
+		// A dependency has been cancelled, which cancels the new job before it could start.
 		record.State, status = wire.JobCancelled, wire.StatusCancelled
 		replica.CompactRecord(record)
 	} else if !n.fitJobRecord(request, record) {
-		return // answered, or dependencyListWrite comes back here
+		return // answered, or dependencyListWrite calls createJob again
 	}
 	key := wire.JobKey(spec.ID)
 	n.transact(ClassUser, []kv.Condition{{Key: key, Revision: 0}}, []kv.Write{{Key: key, Value: record}}, jobSubmission{request, status})
 }
 
-// rejectSubmission refuses a submission for good, unless the job turns out to exist: then
-// its status is the answer.
+// rejectSubmission rejects a submission for good, unless the job turns out to exist: the
+// answer is then the job's status.
 func (n *Node) rejectSubmission(request *pendingRequest, err error) {
 	request.rejection = err
 	n.readJob(request)
 }
 
-// jobSubmission is the write of a new job's record under way.
+// jobSubmission handles the result of writing a new job's record.
 type jobSubmission struct {
 	request *pendingRequest
-	status  string // of the job once it is written
+	status  string // of the job once its record is written
 }
 
 func (s jobSubmission) committed(n *Node, result Committed) {
@@ -88,14 +86,14 @@
 	}
 }
 
-// newRecord is the record of a job that is accepted now.
+// newRecord returns the record of a job that is accepted now.
 func (s *site) newRecord(spec *wire.JobSpec) *wire.Job {
 	return &wire.Job{Spec: spec, TaskCount: spec.TaskCount, AcceptedAtMS: s.cfg.WallClockMS(), NextAttempt: 1}
 }
 
-// fitJobRecord makes a new job's record fit a value, if need be by writing its
-// dependencies to keys of their own first. It reports whether the record can be written
-// now; if not, the request has been answered or waits for the state service.
+// fitJobRecord makes a new job's record fit the size limit of a value, if necessary by writing
+// its dependencies to separate keys first. It reports whether the record can be written now;
+// if not, the request has been answered or waits for the state service.
 func (n *Node) fitJobRecord(request *pendingRequest, record *wire.Job) bool {
 	if n.jobRecordFits(record) {
 		return true
@@ -117,21 +115,22 @@
 	return n.writeDependencyList(request, record)
 }
 
-// jobRecordFits reports whether a value holds a record and a few lists of active tasks.
+// jobRecordFits reports whether a record fits a value together with a few lists of active
+// tasks.
 func (s *site) jobRecordFits(record *wire.Job) bool {
 	const lists = 2
 	return replica.BaseBytes(record)+lists*(s.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
 }
 
-// Reasons for which a job can never run.
+// Reasons why a job can never run.
 var (
 	errUnknownTeam   = errors.New("unknown team")
 	errNoMachineType = errors.New("no allowed machine type fits a task")
 	errOverQuota     = errors.New("needs more than the team's limit")
-	errNamesTooLong  = errors.New("its names are too long to be recorded") // even without its dependencies
+	errNamesTooLong  = errors.New("its names are too long to be recorded") // even if the dependencies are stored in separate keys
 )
 
-// rejectReason returns why a job can never run, or nil.
+// rejectReason returns the reason why a job can never run, or nil.
 func (s *site) rejectReason(spec *wire.JobSpec) error {
 	index := s.names.Teams.Find(spec.Team)
 	if index < 0 {
@@ -154,13 +153,13 @@
 	return nil
 }
 
-// epsilon is the slack of comparisons of amounts, for sums that were rounded.
+// epsilon is the tolerance for rounding errors in comparisons of resource amounts.
 const epsilon = 1e-6
 
-// exceeds reports whether an amount is above a limit; a limit of 0 is none.
+// exceeds reports whether an amount is above a limit; 0 means no limit.
 func exceeds(amount, limit float64) bool { return limit > 0 && amount > limit+epsilon }
 
-// typeAllowed reports whether a job may run on machines of a type.
+// typeAllowed reports whether a job's specification allows a machine type.
 func typeAllowed(spec *wire.JobSpec, machineType string) bool {
 	if spec.NoMachineTypes {
 		return false
@@ -168,7 +167,7 @@
 	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, machineType)
 }
 
-// fitsType reports whether a task of a job fits an empty machine of a type.
+// fitsType reports whether a task of a job fits on an empty machine of a type.
 func fitsType(spec *wire.JobSpec, machineType *wire.MachineType) bool {
 	return spec.Cores <= machineType.Cores+epsilon &&
 		spec.GPUs <= machineType.GPUs+epsilon &&
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -11,67 +11,68 @@
 	"micaport/internal/wire"
 )
 
-// A user's request goes through these steps; each may end it with an answer:
+// A user's request is processed in these steps, each of which may answer it:
 //
-//  1. userRequest parses it and answers from the replica where the job's record is final.
-//  2. forwardToPeer hands it to a peer while the state service refuses this controller
+//  1. userRequest parses the request and answers it from the replica if the job has ended.
+//  2. forwardToPeer forwards it to a peer if the state service does not serve this controller
 //     (request_forwarding.go).
-//  3. By its kind it becomes a submission (submission.go, dependency_check.go,
-//     dependency_list.go), a status query that is answered from the replica
-//     (status_queries.go), or a read of the job's record (job_queries.go), which a
-//     cancellation follows with a write.
-//  4. expireRequests answers what has waited for too long.
+//  3. Depending on its kind, it is processed as a submission (submission.go,
+//     dependency_check.go, dependency_list.go), as a status query that the replica answers
+//     (status_queries.go), or by reading the job's record (job_queries.go), which a
+//     cancellation then changes.
+//  4. expireRequests answers requests whose deadline has passed.
 
 const second = time.Second
 
-// Users wait 5 s for a submission or cancellation and 2 s for a status query; they are
-// answered before.
+// Time until a request is answered 503. Users wait 5 s for a submission or cancellation and
+// 2 s for a status query, so the answers are sent before.
 const (
 	submitTimeout = 4500 * time.Millisecond
 	statusTimeout = 1800 * time.Millisecond
 )
 
 const (
-	// expiryInterval is the time between two searches for requests that are overdue.
+	// expiryInterval is the time between two checks for overdue requests.
 	expiryInterval = 50 * time.Millisecond
-	// retryMargin is the least time before a request's deadline at which it is sent to
-	// the state service once more.
+	// retryMargin is the minimum time left before a request's deadline for another call to
+	// the state service.
 	retryMargin = second
-	// retryAfterS is what Retry-After says where a request can't be answered now.
+	// retryAfterS is the value of the Retry-After header, in seconds, of answers with status
+	// 503.
 	retryAfterS = 1
 )
 
-// Texts of answers that more than one step gives.
+// Error messages that several steps use.
 const (
 	noSuchJob        = "no such job"
 	storeUnavailable = "state service unavailable"
 	notUpgraded      = "not before all controllers have been upgraded"
 )
 
-// pendingRequests holds the requests of users that have not been answered.
+// pendingRequests holds the user requests that have not been answered.
 type pendingRequests struct {
-	requests map[uint64]*pendingRequest // by request id
-	expireAt Time                       // next search for requests that are overdue
+	requests map[uint64]*pendingRequest // by request ID
+	expireAt Time                       // time of the next check for overdue requests
 	status   statusQueries
 }
 
-// pendingRequest is a user's request that has not been answered.
+// pendingRequest is a user request that has not been answered.
 type pendingRequest struct {
 	UserRequest
-	spec            *wire.JobSpec // of a submission; nil where its body is not valid
-	rejection       error         // why a submission is refused, unless the job exists already
+	spec            *wire.JobSpec // of a submission; nil if its body is not valid
+	rejection       error         // why a submission is rejected, unless the job already exists
 	deadline        Time
 	forwardedToPeer bool
-	dependencies    *dependencyCheck // of a submission that names other jobs
+	dependencies    *dependencyCheck // of a submission with dependencies
 }
 
-// userRequest takes in a request and starts on it.
+// userRequest starts processing a user's request.
 func (n *Node) userRequest(r UserRequest) {
 	request := n.users.add(r, n.now)
 	if !n.parseRequest(request) {
 		return
 	}
-	// A final state never changes, so the replica may answer for it.
+	// A final state never changes, so the replica's copy suffices even if the replica lags.
 	job := n.jobNamed(request.JobID)
 	known := job != nil && job.Record != nil
 	switch {
@@ -87,7 +88,7 @@
 	}
 }
 
-// add notes a request that has come at a time.
+// add adds a request that was received now and returns it with its deadline.
 func (u *pendingRequests) add(r UserRequest, now Time) *pendingRequest {
 	timeout := submitTimeout
 	if r.Kind == wire.RequestStatus {
@@ -101,15 +102,15 @@
 	return request
 }
 
-// isOpen reports whether a request still has to be answered.
+// isOpen reports whether a request has not been answered yet.
 func (u *pendingRequests) isOpen(request *pendingRequest) bool {
 	_, open := u.requests[request.RequestID]
 	return open
 }
 
-// parseRequest checks what a request says, and answers one that makes no sense. A
-// submission that is not valid goes on when it names a job: if the job exists, its
-// status is the answer.
+// parseRequest parses and validates a request. It answers a request that is not valid and
+// then returns false. An invalid submission with a valid job ID is processed further, because
+// it is answered with the job's status if the job exists.
 func (n *Node) parseRequest(request *pendingRequest) (ok bool) {
 	switch request.Kind {
 	case wire.RequestSubmit:
@@ -130,10 +131,11 @@
 	return true
 }
 
-// statusOf is the body of an answer with a job's status from its record.
+// statusOf returns the body of an answer with the status of a request's job, given the job's
+// record.
 func (n *Node) statusOf(request *pendingRequest, record *wire.Job) any {
-	// The replica may know that a job which the record depends on has been cancelled:
-	// that is final, also where the record itself doesn't say so yet.
+	// The replica may show that an ancestor of the job has been cancelled. That cancels the
+	// job for good, even if it is not in the job's own record yet.
 	job := n.jobNamed(request.JobID)
 	if record.State == wire.JobLive && job != nil && job.Record != nil && job.State() == wire.JobCancelled {
 		return wire.JobStatus{JobID: request.JobID, Status: wire.StatusCancelled}
@@ -141,7 +143,7 @@
 	return replica.JobStatus(request.JobID, record)
 }
 
-// answer answers a request, unless it has been answered before.
+// answer answers a request unless it has already been answered.
 func (n *Node) answer(request *pendingRequest, status int, body any) {
 	if !n.users.isOpen(request) {
 		return
@@ -154,16 +156,18 @@
 	n.emit(Reply{RequestID: request.RequestID, Status: status, Body: body, RetryAfterS: retry})
 }
 
+// answerError answers a request with an error.
 func (n *Node) answerError(request *pendingRequest, status int, err error) {
 	n.answer(request, status, wire.Error{Error: err.Error()})
 }
 
+// answerUnavailable answers a request with status 503, so that the user retries it.
 func (n *Node) answerUnavailable(request *pendingRequest, reason string) {
 	n.answer(request, http.StatusServiceUnavailable, wire.Error{Error: reason})
 }
 
-// mayRetry reports whether a request whose last call to the state service had the given
-// outcome may be tried again. If not, it has been answered or handed to a peer.
+// mayRetry reports whether a request may be sent to the state service again after a call that
+// failed with the given outcome. If not, the request has been answered or forwarded.
 func (n *Node) mayRetry(request *pendingRequest, outcome kv.Outcome) bool {
 	switch {
 	case !n.users.isOpen(request):
@@ -180,7 +184,7 @@
 	return true
 }
 
-// expireRequests answers requests that the state service has left waiting.
+// expireRequests answers the requests whose deadline has passed.
 func (n *Node) expireRequests() {
 	if n.now < n.users.expireAt {
 		return
@@ -191,7 +195,7 @@
 	}
 }
 
-// overdue lists the requests whose deadline has passed, sorted by id.
+// overdue returns the requests whose deadline has passed, sorted by ID.
 func (u *pendingRequests) overdue(now Time) []*pendingRequest {
 	var late []*pendingRequest
 	for _, request := range u.requests {
