--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -9,24 +9,23 @@
 	"micaport/internal/wire"
 )
 
-// batch is a commit of several records that is retried until its outcome is
-// certain. Until then, and until the replica has caught up with
-// it, no other batch of the same role is made; so a late copy of it can never
-// add to what a later one decides.
+// batch is a transaction on several records that is retried until its outcome is certain. No
+// other batch of the same role starts until then, and until the replica has applied it. So a
+// delayed earlier attempt can never take effect on top of a later batch.
 type batch struct {
-	role            string
-	active          bool
-	inFlight        bool
-	outcomeUnknown  bool // an earlier sending may yet be carried out
+	role            string // role of the controller that decides the batch, for the log
+	active          bool   // no other batch may start
+	inFlight        bool   // an attempt has not been answered
+	outcomeUnknown  bool   // an earlier attempt may still be carried out
 	conditions      []kv.Condition
 	writes          []kv.Write
-	linkedWrites    []kv.Write // writes that belong together with others of the batch
-	awaitedRevision uint64     // revision that the replica must reach
-	retryAt         Time
-	generation      uint64
+	linkedWrites    []kv.Write // those of writes that may only be made together with the others
+	awaitedRevision uint64     // revision at which the replica shows the outcome; 0: not known yet
+	retryAt         Time       // earliest time of the next attempt or the next batch
+	generation      uint64     // number of the batch; results of earlier ones are ignored
 }
 
-// start makes a new batch and sends it.
+// start starts a new batch and sends it.
 func (b *batch) start(n *Node, conditions []kv.Condition, writes, linked []kv.Write) {
 	b.generation++
 	b.active = true
@@ -39,20 +38,20 @@
 	b.send(n)
 }
 
-// Waits before a batch is sent again, or another is made.
+// Delays before a batch is retried or another one is started.
 const (
 	tooLargeRetryDelay = time.Second
 	refusedRetryDelay  = 400 * time.Millisecond
 	unknownRetryDelay  = 300 * time.Millisecond
 )
 
-// send sends the batch, for the first time or again.
+// send sends the batch, as the first attempt or as a retry.
 func (b *batch) send(n *Node) {
 	b.inFlight = true
 	n.transact(ClassBackground, b.conditions, b.writes, batchCommit{batch: b, generation: b.generation})
 }
 
-// batchCommit is a batch under way.
+// batchCommit handles the result of an attempt of a batch.
 type batchCommit struct {
 	batch      *batch
 	generation uint64
@@ -76,8 +75,9 @@
 		}
 		b.awaitedRevision = max(result.Revision, 1)
 	case kv.TooLarge:
-		// Never sent again as it is. Whether an earlier sending, before the limits fell,
-		// was carried out is told by its conditions alone.
+		// The same writes would be refused again. If an earlier attempt, sent before the
+		// limits were lowered, may have been carried out, the conditions are sent alone to
+		// find out.
 		if b.outcomeUnknown && len(b.writes) > 0 {
 			b.writes, b.linkedWrites = nil, nil
 			b.send(n)
@@ -97,14 +97,15 @@
 	b.settle(n)
 }
 
-// settle ends the batch once the replica shows its outcome.
+// settle ends the batch once the replica has reached the revision that shows its outcome.
 func (b *batch) settle(n *Node) {
 	if b.active && b.awaitedRevision > 0 && n.replica.Revision() >= b.awaitedRevision {
 		b.active = false
 	}
 }
 
-// ready tells whether a new batch may be made, and resends an unsure one.
+// ready reports whether a new batch may be started. If the active one has to be retried, it
+// sends that one.
 func (b *batch) ready(n *Node) bool {
 	if !b.active {
 		return n.now >= b.retryAt && n.availableWrites() >= 1
@@ -115,10 +116,10 @@
 	return false
 }
 
-// removeConflicts takes the records out of the batch that others have changed, so
-// that the rest need not wait for a new decision. It tells whether that can
-// be done: only records of jobs stand for themselves, and only in a batch that
-// was not sent before removeConflicts an answer.
+// removeConflicts removes the records that others have changed from the batch, so that the rest
+// need not wait for a new decision. It reports whether the rest can be sent. That requires that
+// all conflicts are on job records, as only these are independent of each other, that no writes
+// are linked, and that no earlier attempt has an unknown outcome.
 func (b *batch) removeConflicts(failed []string) bool {
 	if b.outcomeUnknown || len(failed) == 0 || len(b.linkedWrites) > 0 {
 		return false
@@ -129,13 +130,13 @@
 		}
 	}
 	b.conditions = slices.DeleteFunc(b.conditions, func(c kv.Condition) bool { return slices.Contains(failed, c.Key) })
-	// With a record go its overflow keys: written without it, under no condition any
-	// more, they would lose tasks that are running.
+	// The overflow keys of a record are removed with it. Without the condition on the record,
+	// writing them would lose running tasks.
 	b.writes = slices.DeleteFunc(b.writes, func(w kv.Write) bool { return slices.Contains(failed, recordOf(w.Key)) })
 	return len(b.writes) > 0
 }
 
-// recordOf is the key of the record that a key belongs to.
+// recordOf returns the key of the record that a key belongs to: a job's, for an overflow key.
 func recordOf(key string) string {
 	if !strings.HasPrefix(key, wire.OverflowPrefix) {
 		return key
@@ -144,8 +145,8 @@
 	return wire.JobKey(id)
 }
 
-// changes tells whether the batch is about to change a record: what another role
-// of ours decides on the copy that we have would lose against it.
+// changes reports whether the active batch changes a job's record. A decision that another role
+// of this controller bases on the current copy of the record would conflict with it.
 func (b *batch) changes(job *job) bool {
 	if !b.active {
 		return false
@@ -154,8 +155,8 @@
 	return slices.ContainsFunc(b.writes, func(w kv.Write) bool { return w.Key == key })
 }
 
-// drop forgets the batch; the role that made it has been lost, and with it
-// the condition under which the batch could still be carried out.
+// drop discards the batch after the controller has lost the role that decided it. The batch can
+// no longer be carried out, as its conditions require the role.
 func (b *batch) drop() {
 	b.generation++
 	b.active = false
--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -10,12 +10,13 @@
 	"micaport/internal/wire"
 )
 
-// newTestNode is a controller alone, after its upgrade, that knows a machine type.
+// newTestNode returns a controller that has loaded an empty replica with its own format record
+// and has one machine type on offer. By default it is the only member.
 func newTestNode(members ...ownership.Member) *Node {
 	return newTestNodeWith(func(*Config) {}, members...)
 }
 
-// newTestNodeWith is newTestNode with a changed configuration.
+// newTestNodeWith returns such a controller with a changed configuration.
 func newTestNodeWith(change func(*Config), members ...ownership.Member) *Node {
 	if members == nil {
 		members = []ownership.Member{{Name: "n0", Zone: "a"}}
@@ -30,8 +31,8 @@
 	return n
 }
 
-// showJob shows a controller the record of a job, with a specification that mod changes
-// unless it is nil.
+// showJob applies the record of a job to a controller's replica. If mod is not nil, it changes
+// the job's specification first.
 func showJob(n *Node, revision int, id string, state wire.JobState, mod func(*wire.JobSpec), dependencies ...string) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: dependencies}
 	if mod != nil {
@@ -44,7 +45,7 @@
 	n.Step(n.now+1, RecordsChanged{Revision: uint64(revision), Events: []kv.Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
 }
 
-// submission is the body of a submission.
+// submission returns the body of a submission.
 func submission(t *testing.T, id string, dependencies ...string) []byte {
 	t.Helper()
 	fields := map[string]any{"ref": id, "job_class": "c", "studio": "t", "shape": "array", "urgency": "low", "frames": 1, "cores": 1.0, "cards": 0.0,
@@ -60,8 +61,8 @@
 	return body
 }
 
-// runRequest plays a state service with the given records until nothing is under way, and
-// gives the reply to a request, with what was written for users.
+// runRequest runs a request against a state service that holds the given job records, until no
+// call is in flight. It returns the reply and the writes of class ClassUser.
 func runRequest(n *Node, in Input, stored map[string]*wire.Job) (reply *Reply, wrote []kv.Write) {
 	inputs := []Input{in}
 	for len(inputs) > 0 {
@@ -87,16 +88,17 @@
 	return reply, wrote
 }
 
-// controllerHarness is a controller alone with a state service that carries everything
-// out at once.
+// controllerHarness runs a single controller with a state service that carries out all requests
+// immediately.
 type controllerHarness struct {
 	n   *Node
 	now Time
 	rev uint64
-	out []Effect // effects that are not for the state service
-	lag bool     // the watch hangs: checks name a revision that the replica has not reached
+	out []Effect // effects that are not requests to the state service
+	lag bool     // the watch hangs: commits return a revision that the replica has not reached
 }
 
+// step applies an input, carries out requests to the state service and collects other effects.
 func (d *controllerHarness) step(in Input) {
 	for _, e := range d.n.Step(d.now, in) {
 		switch effect := e.(type) {
@@ -111,7 +113,8 @@
 	}
 }
 
-// commit carries out a transaction, and shows it to the controller unless the watch hangs.
+// commit carries out a transaction and sends its events to the controller, unless the watch
+// hangs.
 func (d *controllerHarness) commit(commit Commit) {
 	if d.lag {
 		d.step(Committed{ID: commit.ID, Outcome: kv.OK, Revision: d.rev + 1})
@@ -128,7 +131,7 @@
 	d.step(changes)
 }
 
-// wait lets time pass, with a tick every 50 ms.
+// wait advances the time, with a tick every 50 ms.
 func (d *controllerHarness) wait(duration Time) {
 	for end := d.now + duration; d.now < end; {
 		d.now += 50 * time.Millisecond
@@ -136,19 +139,19 @@
 	}
 }
 
-// put shows the controller a record of the job wk-000001.
+// put applies a record of the job wk-000001 to the controller's replica.
 func (d *controllerHarness) put(job *wire.Job) {
 	d.rev++
 	d.step(RecordsChanged{Revision: d.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: job}}})
 }
 
-// report sends a heartbeat of the machine vm-1, and drops the effects before it.
+// report sends a heartbeat of the machine vm-1 and discards earlier effects.
 func (d *controllerHarness) report(seq, token uint64, tasks ...wire.TaskStatus) {
 	d.out = nil
 	d.step(WorkerReported{RequestID: seq, Heartbeat: &wire.WorkerHeartbeat{Machine: "vm-1", Addr: "10.0.0.9:1", MachineType: "g", Zone: "a", Epoch: 1, Sequence: seq, Token: token, Tasks: tasks}})
 }
 
-// reply is the first answer since the last heartbeat, or nil.
+// reply returns the first Reply since the last heartbeat, or nil.
 func (d *controllerHarness) reply() *Reply {
 	for _, e := range d.out {
 		if reply, ok := e.(Reply); ok {
@@ -158,7 +161,8 @@
 	return nil
 }
 
-// commands are those in the answer to the last heartbeat, which comes within 4 s.
+// commands returns the commands in the reply to the last heartbeat, which must be sent within
+// 4 s.
 func (d *controllerHarness) commands(t *testing.T) []wire.Command {
 	t.Helper()
 	d.wait(4 * second)
@@ -169,8 +173,8 @@
 	return reply.Body.(wire.HeartbeatReply).Commands
 }
 
-// directStarts are the first commands since the last heartbeat that went to the worker's
-// own address, or nil.
+// directStarts returns the first commands since the last heartbeat that were sent to the
+// worker's own address, or nil.
 func (d *controllerHarness) directStarts() *SendCommands {
 	for _, e := range d.out {
 		if commands, ok := e.(SendCommands); ok {
--- a/internal/core/overflow.go
+++ b/internal/core/overflow.go
@@ -2,8 +2,8 @@
 
 import "micaport/internal/replica"
 
-// shrinkRecords rewrites what the earlier version has left larger than the limits
-// that are to come, while it still can be written at all.
+// shrinkRecords rewrites records of the earlier version that exceed the announced lower limits,
+// before these take effect and such records can't be written any more.
 func (n *Node) shrinkRecords(writer *writer) {
 	if !n.replica.WritesDependencies() || n.leader.recordsFit {
 		return
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -10,8 +10,9 @@
 	"micaport/internal/wire"
 )
 
-// One that is too large even for that is written ahead, key by key, under the
-// condition that nobody changes it meanwhile, and then named.
+// A record too large for one transaction is moved to overflow keys in several transactions, each
+// on the condition that the record has not changed. Only the last one writes the record that
+// names the keys.
 func TestSpreadAhead(t *testing.T) {
 	d, _ := ownerWith(t, func(cfg *Config) {
 		cfg.MaxTransactionOps, cfg.MaxValueBytes, cfg.CurrentValueBytes, cfg.MaxBatchWrites = 4, 2048, 16<<10, 8
@@ -38,19 +39,19 @@
 				continue
 			}
 			if len(c.Writes) > n.cfg.MaxTransactionOps {
-				t.Fatalf("%d writes", len(c.Writes))
+				t.Fatalf("%d writes in a transaction, at most %d are allowed", len(c.Writes), n.cfg.MaxTransactionOps)
 			}
 			ch := RecordsChanged{}
 			d.rev++
 			for _, w := range c.Writes {
 				if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.MaxValueBytes {
-					t.Fatalf("%s has %d bytes, %v", w.Key, size, err)
+					t.Fatalf("%s takes %d bytes, at most %d are allowed; error %v", w.Key, size, n.cfg.MaxValueBytes, err)
 				}
 				if j, is := w.Value.(*wire.Job); is {
 					named = j.OverflowKeys
 				}
 				if !slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.JobKey("wk-000001") }) {
-					t.Fatalf("%s is written under %+v", w.Key, c.Conditions)
+					t.Fatalf("%s is written under the conditions %+v, want one on the job's record", w.Key, c.Conditions)
 				}
 				ch.Events = append(ch.Events, kv.Event{Key: w.Key, Revision: d.rev, Value: w.Value})
 			}
@@ -60,12 +61,13 @@
 		}
 	}
 	if named < 5 || len(n.jobs[0].Record.ActiveTasks) != 400 {
-		t.Errorf("%d further keys are named, %d tasks are left", named, len(n.jobs[0].Record.ActiveTasks))
+		t.Errorf("the record names %d overflow keys and has %d active tasks, want at least 5 keys and 400 tasks", named, len(n.jobs[0].Record.ActiveTasks))
 	}
 }
 
-// A cancellation reads and writes the job's own record: what is in overflow keys stays
-// there, and with it the specification, which says what the tasks charge.
+// A cancellation reads and writes only the job's record. The tasks in its overflow keys must
+// stay there, and the record must keep the specification, which determines what they are
+// charged.
 func TestWithdrawalLeavesFurtherKeys(t *testing.T) {
 	n := newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 })
 	for _, own := range []int{0, 2} {
@@ -79,13 +81,13 @@
 			t.Fatalf("answered with %+v, wrote %+v", r, wrote)
 		}
 		if j := wrote[0].Value.(*wire.Job); j.State != wire.JobCancelled || j.OverflowKeys != 1 || j.Spec == nil || len(j.ActiveTasks) != own {
-			t.Errorf("recorded %+v", j)
+			t.Errorf("recorded %+v, want a cancelled job with its specification, 1 overflow key and %d active tasks", j, own)
 		}
 	}
 }
 
-// Once the service has refused puts as too many, the rate that is to come is kept to,
-// for longer each time.
+// After the state service has refused writes because of its rate limit, the announced lower rate
+// applies for a while, which doubles with each refusal.
 func TestRateFollowsRefusals(t *testing.T) {
 	n := newTestNode()
 	n.cfg.WriteRPS, n.cfg.NextWriteRPS = 20, 15
@@ -94,20 +96,20 @@
 		n.Step(n.now+1, Committed{ID: n.nextID, Outcome: kv.Refused, Limited: true})
 	}
 	if n.writeRPS() != 20 {
-		t.Fatalf("begins with %v", n.writeRPS())
+		t.Fatalf("write rate = %v before any refusal, want 20", n.writeRPS())
 	}
 	for _, low := range []Time{20 * second, 40 * second, 80 * second} {
 		refuse()
 		if n.writeRPS() != 15 {
-			t.Errorf("%v after a refusal", n.writeRPS())
+			t.Errorf("write rate = %v after a refusal, want 15", n.writeRPS())
 		}
 		n.now += low - second
 		if n.writeRPS() != 15 {
-			t.Errorf("%v before %v are over", n.writeRPS(), low)
+			t.Errorf("write rate = %v before %v have passed, want 15", n.writeRPS(), low)
 		}
 		n.now += 2 * second
 		if n.writeRPS() != 20 {
-			t.Errorf("%v after %v", n.writeRPS(), low)
+			t.Errorf("write rate = %v after %v, want 20", n.writeRPS(), low)
 		}
 	}
 }
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -10,7 +10,7 @@
 	"micaport/internal/wire"
 )
 
-// heapBytes is the size of the heap after a garbage collection.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -18,9 +18,9 @@
 	return stats.HeapAlloc
 }
 
-// Finished jobs stay in the replica for good, as a user may query their status at any time.
-// A hundred thousand of them must leave a controller of 125 MB most of its
-// memory; each once kept its whole record.
+// Finished jobs stay in the replica forever, as a user may query their status at any time. A
+// hundred thousand of them must leave most of the 125 MB of a controller free, which fails if
+// each keeps its whole record.
 func TestFinishedJobsStaySmall(t *testing.T) {
 	const (
 		jobs           = 100_000
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -2,67 +2,72 @@
 
 import "time"
 
-// writeBudget limits our writes to the state service, which allows few a second for all
-// controllers together. A tenth is left for claims, submissions and cancellations, which
-// can't wait. The rest is shared in proportion to need: each controller reports how many
-// records it has to write and takes the share that follows. So what is decided is written
-// at once, before others change the records that the decision is based on.
+// writeBudget limits the background writes of this controller to the state service, which allows
+// only few writes per second for all controllers together. A tenth is reserved for claims,
+// submissions and cancellations, which can't wait. The rest is shared in proportion to demand:
+// each controller reports the number of records it has to write and uses the resulting share.
+// This lets decisions be written immediately, before others change the records that the
+// decisions are based on.
 type writeBudget struct {
-	available      float64 // writes that we may send now
-	availableAt    Time    // when that was worked out
-	rate           float64 // our share of the writes, per second
-	rateUpdatedAt  Time    // when the rate is worked out next
-	backlogSeconds float64 // seconds that the pending records of all controllers take to write
-	seenWrites     float64 // writes that our watch has shown since measuredAt
-	measuredAt     Time
-	writesPerS     float64 // of all controllers, as a moving average
-
-	seenUserWrites int     // submissions and cancellations among those
-	userWritesPerS float64 // the same as a moving average
-	reducedUntil   Time    // until then we keep to the service's next, lower rate
-	reducedFor     Time    // for how long we did so after the last refusal
-	pendingRecords int     // records that wait to be written by us
-	pendingGrants  int     // of these, grants that the leader's last pass had no write left for
+	available      float64 // writes that may be sent now
+	availableAt    Time    // when available was last updated
+	rate           float64 // this controller's share of the writes, per second
+	rateUpdatedAt  Time    // when the rate is recalculated next
+	backlogSeconds float64 // time to write the pending records of all controllers
+	seenWrites     float64 // writes that the watch has shown since measuredAt
+	measuredAt     Time    // when the averages were last updated
+	writesPerS     float64 // writes of all controllers, as a moving average
+
+	seenUserWrites int     // submissions and cancellations since measuredAt
+	userWritesPerS float64 // submissions and cancellations, as a moving average
+	reducedUntil   Time    // until then the announced lower rate applies
+	reducedFor     Time    // duration of the last reduction
+	pendingRecords int     // records that wait to be written by this controller
+	pendingGrants  int     // records that the leader's last pass changed, plus grants for which it had no writes left
 }
 
 const (
-	// minReducedTime is for how long we keep to the service's next rate after a first refusal.
+	// minReducedTime is how long the announced lower rate applies after the first refusal.
 	minReducedTime = 20 * second
-	// rateInterval lies between two calculations of our share of the writes.
+	// rateInterval is the time between two calculations of this controller's share.
 	rateInterval = 200 * time.Millisecond
-	// writeBurstSeconds is how many seconds' worth of writes all controllers together may
-	// save up: the service allows a burst of a second, and rarely all have saved up.
+	// writeBurstSeconds bounds the writes that all controllers together may accumulate, in
+	// seconds of the service's rate. The service allows bursts of one second, but rarely have
+	// all controllers accumulated their maximum.
 	writeBurstSeconds = 1.5
-	// silentPeerTime is how long the need that a peer has reported counts.
+	// silentPeerTime is how long the demand that a peer has reported counts.
 	silentPeerTime = 5 * second
-	// equalSharesPerMinimum says what a controller gets at least: one equal share in so many.
+	// equalSharesPerMinimum sets the minimum rate of a controller: an equal share divided by
+	// this number.
 	equalSharesPerMinimum = 3
 
-	// Bounds of the share of the writes that goes to the background, and how it falls with
-	// the users' writes: these would be refused otherwise.
+	// The background share of the writes is idleBackgroundShare less userWriteWeight times the
+	// share of the users' writes, within the bounds. Without the reduction, writes of users
+	// would be refused.
 	minBackgroundShare  = 0.5
 	maxBackgroundShare  = 0.9
 	idleBackgroundShare = 0.95
 	userWriteWeight     = 1.25
 
-	// Writes are scarce from when the pending ones take fullScarcitySeconds, or when
-	// more than freeUtilization of all writes are in use; see scarcity.
+	// Scarcity is 1 if the pending records take fullScarcitySeconds to write. By utilization, it
+	// rises by scarcityByUtilization per unit above freeUtilization; see scarcity.
 	fullScarcitySeconds   = 2
 	freeUtilization       = 0.25
 	scarcityByUtilization = 3
 
-	// measureSeconds is how long writes are counted before the averages follow them, and
+	// measureSeconds is how long writes are counted before the averages are updated.
 	// averageSeconds is the time constant of the averages.
 	measureSeconds = 2
 	averageSeconds = 8
 
-	// resultsPerRecord is how many results of tasks that are not urgent count as one
-	// record to be written: they go together with others.
+	// resultsPerRecord is how many non-urgent task results count as one record to be
+	// written, because they are written together with others.
 	resultsPerRecord = 4
 )
 
-// noteRefusal notes that the service refused writes as too many: its next, lower rate may
-// be in force already. We keep to that for a while, twice as long after each refusal.
+// noteRefusal applies the announced lower rate for a while after the service has refused writes
+// because of its rate limit, as the lower rate may already be in effect. Each further refusal
+// doubles the duration.
 func (b *writeBudget) noteRefusal(now Time) {
 	if now < b.reducedUntil {
 		return
@@ -71,8 +76,8 @@
 	b.reducedUntil = now + b.reducedFor
 }
 
-// serviceRate is how many writes a second the service allows, as far as is known; 0 or less
-// means that there is no limit.
+// serviceRate returns the number of writes per second that the service is assumed to allow; 0 or
+// less means no limit.
 func (b *writeBudget) serviceRate(now Time, cfg *Config) float64 {
 	if next := cfg.NextWriteRPS; next > 0 && now < b.reducedUntil {
 		return min(next, cfg.WriteRPS)
@@ -80,31 +85,32 @@
 	return cfg.WriteRPS
 }
 
-// backgroundShare is the share of the writes that is distributed in proportion to need: nine
-// tenths, and less while users submit and cancel a lot.
+// backgroundShare returns the share of the writes that is distributed in proportion to demand:
+// nine tenths, and less while users submit and cancel many jobs.
 func (b *writeBudget) backgroundShare(serviceRate float64) float64 {
 	return max(minBackgroundShare, min(maxBackgroundShare, idleBackgroundShare-userWriteWeight*b.userWritesPerS/serviceRate))
 }
 
-// refill adds the writes that our rate has allowed since the last call.
+// refill adds the writes that the rate has allowed since the last call.
 func (b *writeBudget) refill(now Time, serviceRate float64, cfg *Config) {
-	// All controllers together stay within the burst that the service allows.
-	most := max(float64(cfg.MaxBatchWrites), writeBurstSeconds*serviceRate/float64(len(cfg.Members))) + 1
-	b.available = min(b.available+b.rate*(now-b.availableAt).Seconds(), most)
+	// All controllers together may accumulate writeBurstSeconds of the service's rate.
+	maximum := max(float64(cfg.MaxBatchWrites), writeBurstSeconds*serviceRate/float64(len(cfg.Members))) + 1
+	b.available = min(b.available+b.rate*(now-b.availableAt).Seconds(), maximum)
 	b.availableAt = now
 }
 
-// updateRate works out our share of the writes from the records that we and all controllers
-// together have to write. Each counts one more than it has, so that it is never without.
+// updateRate calculates this controller's share of the writes from the demand of this controller
+// and of all controllers together. The demand of a controller is the number of records that it
+// has to write plus one, so that no share is zero.
 func (b *writeBudget) updateRate(serviceRate float64, ownNeed, totalNeed float64, controllers int) {
 	all := serviceRate * b.backgroundShare(serviceRate)
 	b.backlogSeconds = (totalNeed - float64(controllers)) / all
 	b.rate = max(all*ownNeed/totalNeed, all/float64(equalSharesPerMinimum*controllers))
 }
 
-// scarcity goes from 0, when what is decided is written at once, to 1, when what waits takes
-// fullScarcitySeconds and more or well over half of all writes are in use: then it pays to
-// write less, at some delay.
+// scarcity returns how scarce writes are. At 0, decisions can be written immediately. At 1, the
+// pending records take at least fullScarcitySeconds to write, or well over half of all writes
+// are in use; callers then delay writes to combine them.
 func (b *writeBudget) scarcity(serviceRate float64) float64 {
 	if serviceRate <= 0 {
 		return 0
@@ -113,7 +119,7 @@
 	return max(0, min(1, max(b.backlogSeconds/fullScarcitySeconds, (utilization-freeUtilization)*scarcityByUtilization)))
 }
 
-// observe counts writes of any controller that the watch has shown.
+// observe counts writes of all controllers that the watch has shown, and updates the averages.
 func (b *writeBudget) observe(now Time, writes int) {
 	b.seenWrites += float64(writes)
 	elapsed := (now - b.measuredAt).Seconds()
@@ -128,16 +134,16 @@
 	b.measuredAt = now
 }
 
-// writeRPS is how many writes a second the service allows, as far as is known.
+// writeRPS returns the number of writes per second that the service is assumed to allow.
 func (n *Node) writeRPS() float64 { return n.budget.serviceRate(n.now, &n.cfg) }
 
-// writeScarcity is how scarce writes are, from 0 to 1; see writeBudget.scarcity.
+// writeScarcity returns how scarce writes are, from 0 to 1; see writeBudget.scarcity.
 func (n *Node) writeScarcity() float64 { return n.budget.scarcity(n.writeRPS()) }
 
 // countWrites counts writes that the watch has shown.
 func (n *Node) countWrites(writes int) { n.budget.observe(n.now, writes) }
 
-// availableWrites is how many writes we may send now.
+// availableWrites returns the number of background writes that may be sent now.
 func (n *Node) availableWrites() int {
 	serviceRate := n.writeRPS()
 	if serviceRate <= 0 {
@@ -153,7 +159,8 @@
 	return int(n.budget.available)
 }
 
-// peersNeed is how many records the other controllers have to write, and one for each.
+// peersNeed returns the demand of the other controllers: the number of records that they have
+// to write, plus one each.
 func (n *Node) peersNeed() float64 {
 	need := 0.0
 	for _, member := range n.cfg.Members {
@@ -168,10 +175,11 @@
 	return need
 }
 
-// countPendingRecords counts the records that wait to be written by us: of tasks that
-// have ended, of grants to our shards, and of grants yet to be made.
+// countPendingRecords counts the records that wait to be written by this controller: those of
+// ended tasks, of grants to its own shards that have no machine yet and, as the leader, those of
+// its last scheduling pass.
 func (n *Node) countPendingRecords() int {
-	pending := map[int]bool{} // by index of the job
+	pending := map[int]bool{} // jobs, by index
 	for key, outcome := range n.outcomes {
 		if n.isUrgentOutcome(key, outcome) {
 			pending[key.job] = true
--- a/internal/core/write_budget_test.go
+++ b/internal/core/write_budget_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestReducedRate: after a refusal the service's next rate holds, twice as long after each further one.
+// After a refusal the announced lower rate applies, and twice as long after each further one.
 func TestReducedRate(t *testing.T) {
 	cfg := &Config{WriteRPS: 40, NextWriteRPS: 30}
 	var budget writeBudget
@@ -15,7 +15,7 @@
 	const refusedAt = 100 * second
 	expect(refusedAt, 40)
 	budget.noteRefusal(refusedAt)
-	budget.noteRefusal(refusedAt + second) // one of the same burst prolongs nothing
+	budget.noteRefusal(refusedAt + second) // a refusal in the same burst does not extend the duration
 	expect(refusedAt+minReducedTime-1, 30)
 	expect(refusedAt+minReducedTime, 40)
 	budget.noteRefusal(refusedAt + minReducedTime)
@@ -23,7 +23,7 @@
 	expect(refusedAt+3*minReducedTime, 40)
 }
 
-// TestScarcity: writes are scarce by the backlog or by the utilization, whichever is worse.
+// Scarcity is the greater of the values by backlog and by utilization.
 func TestScarcity(t *testing.T) {
 	for name, test := range map[string]struct {
 		serviceRate, backlogSeconds, writesPerS, want float64
@@ -45,15 +45,15 @@
 	}
 }
 
-// TestWriteShares: the writes are shared in proportion to need, and no controller gets less than a
-// third of an equal share.
+// Writes are shared in proportion to demand, and no controller gets less than a third of an equal
+// share.
 func TestWriteShares(t *testing.T) {
 	const serviceRate, controllers = 40, 4
 	background := serviceRate * maxBackgroundShare
 	for name, test := range map[string]struct{ own, total, want float64 }{
-		"equal need":  {1, 4, background / 4},
-		"most need":   {7, 10, background * 7 / 10},
-		"little need": {1, 100, background / (equalSharesPerMinimum * controllers)},
+		"equal demand":  {1, 4, background / 4},
+		"most demand":   {7, 10, background * 7 / 10},
+		"little demand": {1, 100, background / (equalSharesPerMinimum * controllers)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var budget writeBudget
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -6,24 +6,26 @@
 	"micaport/internal/wire"
 )
 
-// writer gathers changed records for one transaction. Each change is conditional on the
-// revision of its record, and all are on the terms of the shards that they speak for.
+// writer collects changed records for one transaction. Each change is conditional on the
+// revision of its record. The whole transaction is conditional on the terms of the shards as
+// whose owner this controller acts in it.
 type writer struct {
 	node         *Node
 	records      map[int]*wire.Job // changed copies, by index of their job
-	order        []int             // of these jobs
-	shards       map[int]bool      // for which this controller speaks as the owner, by index
-	linkedWrites []kv.Write        // of other keys, which belong together with the rest
-	conditions   []kv.Condition    // besides those on the changed records
-	bytes        int               // estimate of the size of the transaction
-	maxWrites    int
-	exitedTasks  map[taskKey]bool // whose end is in the changed records
-	attempts     map[int]uint64   // attempt number of what is granted or placed here, by job
-	// writeOverflowFirst says that overflow keys may be written before the record that
-	// names them.
+	order        []int             // indices of these jobs, in the order of the changes
+	shards       map[int]bool      // as whose owner this controller acts, by index
+	linkedWrites []kv.Write        // of other keys, which may only be written together with the rest
+	conditions   []kv.Condition    // in addition to those on the changed records
+	bytes        int               // estimated size of the transaction
+	maxWrites    int               // number of writes that job may use
+	exitedTasks  map[taskKey]bool  // tasks whose end is in the changed records
+	attempts     map[int]uint64    // attempt number of the tasks granted or placed here, by index of their job
+	// writeOverflowFirst allows writing overflow keys in earlier transactions than the
+	// record that names them.
 	writeOverflowFirst bool
 }
 
+// newWriter returns a writer for a transaction within the current limits.
 func newWriter(n *Node) *writer {
 	return &writer{
 		node: n, records: map[int]*wire.Job{}, shards: map[int]bool{}, exitedTasks: map[taskKey]bool{}, attempts: map[int]uint64{},
@@ -32,14 +34,15 @@
 }
 
 const (
-	// maxTransactionBytes is what goes into one transaction, well below the 64 KiB that
-	// the state service takes, as sizes are estimates.
+	// maxTransactionBytes bounds the estimated size of a transaction. As sizes are
+	// estimates, it is well below the 64 KiB that the state service accepts.
 	maxTransactionBytes = 48_000
-	// minRecordBytes is assumed for small records.
+	// minRecordBytes is the minimum estimate for a record without its task lists.
 	minRecordBytes = 900
 )
 
-// job gives a copy of a job's record to change, or nil when the transaction is full.
+// job returns a copy of a job's record to change, or nil if the transaction is full. Repeated
+// calls for a job return the same copy.
 func (w *writer) job(job *job) *wire.Job {
 	if record := w.records[job.Index]; record != nil {
 		return record
@@ -54,9 +57,9 @@
 	return w.records[job.Index]
 }
 
-// attempt is the attempt number of all tasks of a job that this transaction starts. One
-// number does: a task starts once in a transaction, and the next transaction takes the next
-// number. Tasks with the same number are recorded in one run.
+// attempt returns the attempt number of all tasks of a job that this transaction starts. They
+// share one number, as a task starts at most once in a transaction and the next transaction
+// uses the next number. Tasks with the same number are recorded in one run.
 func (w *writer) attempt(job *job, record *wire.Job) uint64 {
 	if _, taken := w.attempts[job.Index]; !taken {
 		w.attempts[job.Index] = record.NextAttempt
@@ -65,7 +68,8 @@
 	return w.attempts[job.Index]
 }
 
-// addWrite adds a write of another key under a condition, and tells whether there was room.
+// addWrite adds a write of another key with a condition. It returns false if the transaction is
+// full.
 func (w *writer) addWrite(write kv.Write, condition kv.Condition) bool {
 	if len(w.order)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
 		return false
@@ -75,8 +79,8 @@
 	return true
 }
 
-// send commits the changes as a batch, if there are any. Records for whose overflow keys
-// there is no room are left out: they are decided on again.
+// send commits the changes, if any, as a batch. Records that don't fit the transaction together
+// with their overflow keys are left out; the decisions about them are made again later.
 func (w *writer) send(b *batch) {
 	if len(w.order)+len(w.linkedWrites) == 0 {
 		return
@@ -102,8 +106,9 @@
 	}
 }
 
-// writesOf gives the writes of a job's changed record and of its overflow keys. Where they
-// don't fit a transaction and this one is empty, overflow keys are written ahead.
+// writesOf returns the writes of a job's changed record and its overflow keys. If they don't fit
+// one transaction, writeOverflowFirst is set and the transaction is empty, it returns writes of
+// overflow keys only, ahead of the record.
 func (w *writer) writesOf(job *job, empty bool) []kv.Write {
 	record := w.records[job.Index]
 	record.OverflowKeys = 0
