--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -132,12 +132,12 @@
 	b.conditions = slices.DeleteFunc(b.conditions, func(c kv.Condition) bool { return slices.Contains(failed, c.Key) })
 	// The overflow keys of a record are removed with it. Without the condition on the record,
 	// writing them would lose running tasks.
-	b.writes = slices.DeleteFunc(b.writes, func(w kv.Write) bool { return slices.Contains(failed, recordOf(w.Key)) })
+	b.writes = slices.DeleteFunc(b.writes, func(w kv.Write) bool { return slices.Contains(failed, recordKeyOf(w.Key)) })
 	return len(b.writes) > 0
 }
 
-// recordOf returns the key of the record that a key belongs to: a job's, for an overflow key.
-func recordOf(key string) string {
+// recordKeyOf returns the key of the record that a key belongs to: a job's, for an overflow key.
+func recordKeyOf(key string) string {
 	if !strings.HasPrefix(key, wire.OverflowPrefix) {
 		return key
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -35,9 +35,9 @@
 	gossipState
 	ownerState
 
-	leader   leaderState
-	failover failoverState
-	users    pendingRequests
+	leader       leaderState
+	failover     failoverState
+	userRequests pendingRequests
 
 	budget           writeBudget
 	runTimeEstimator runTimeEstimator
@@ -132,7 +132,7 @@
 	if !n.replica.Loaded() {
 		return
 	}
-	n.writeFormat()
+	n.writeSupportedFormat()
 	n.claimShards()
 	n.runFailover()
 	n.claimLeader()
@@ -145,8 +145,8 @@
 	n.sendGossip(false)
 	n.writeImageCache()
 	n.forgetMachines()
-	n.askRevision()
-	n.answerStatusRequests()
+	n.queryRevision()
+	n.answerStatusQueries()
 	n.expireRequests()
 }
 
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -6,9 +6,9 @@
 	"micaport/internal/wire"
 )
 
-// stageDelay is the time from the completion of a job's last dependency to the scheduling pass
-// that it triggers, so that the pass also covers other events that arrive together with it.
-const stageDelay = 20 * time.Millisecond
+// readyPassDelay is the time from the completion of a job's last dependency to the scheduling
+// pass that it triggers. It lets the pass cover other events that arrive together with it.
+const readyPassDelay = 20 * time.Millisecond
 
 // recordCancellations marks the records of jobs as cancelled that a cancelled ancestor cancels,
 // as far as the transaction has writes left. Answers to users don't depend on these records,
--- a/internal/core/dependency_check.go
+++ b/internal/core/dependency_check.go
@@ -27,10 +27,10 @@
 // jobNeverAccepted marks a dependency that was never accepted. It is no state of a record.
 const jobNeverAccepted wire.JobState = -1
 
-// findDependencies reads the records of the dependencies that the replica does not show, since
+// loadDependencies reads the records of the dependencies that the replica does not show, since
 // another controller may have accepted them a moment ago. It reports whether the states of all
 // dependencies are known; if not, createJob is called again once they are.
-func (n *Node) findDependencies(request *pendingRequest) bool {
+func (n *Node) loadDependencies(request *pendingRequest) bool {
 	if request.dependencies == nil {
 		request.dependencies = &dependencyCheck{
 			jobIDs:      request.spec.Dependencies,
@@ -78,7 +78,7 @@
 		}
 		return
 	}
-	if n.users.isOpen(r.request) && check.readsPending == 0 {
+	if n.userRequests.isOpen(r.request) && check.readsPending == 0 {
 		n.createJob(r.request)
 	}
 }
@@ -89,10 +89,10 @@
 	return record.Spec != nil && record.Spec.Shape == wire.ShapeDaemon
 }
 
-// settleDependencies removes the jobs that are done from a submission's dependencies. It
+// resolveDependencies removes the jobs that are done from a submission's dependencies. It
 // reports whether one of the others is cancelled, which cancels the new job, and returns an
 // error if the new job can't be accepted.
-func (n *Node) settleDependencies(request *pendingRequest) (cancelled bool, err error) {
+func (n *Node) resolveDependencies(request *pendingRequest) (cancelled bool, err error) {
 	var rest []string
 	for _, id := range request.spec.Dependencies {
 		dependency, known := request.dependencies.read[id]
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -1,20 +1,20 @@
 package core
 
-// formatDelay is the time before a controller writes its record of the format that it reads in a
-// transaction of its own. A shard claim sent before then includes the record.
-const formatDelay = 2 * second
+// formatWriteDelay is the time before a controller writes its record of the format that it
+// reads in a transaction of its own. A shard claim sent before then includes the record.
+const formatWriteDelay = 2 * second
 
-// writeFormat writes the record of the newest format that this controller reads, unless the
-// replica shows it.
-func (n *Node) writeFormat() {
-	if n.formatAt == 0 {
-		n.formatAt = n.now + formatDelay
+// writeSupportedFormat writes the record of the newest format that this controller reads,
+// unless the replica shows it.
+func (n *Node) writeSupportedFormat() {
+	if n.formatWriteAt == 0 {
+		n.formatWriteAt = n.now + formatWriteDelay
 	}
-	if n.now < n.formatAt || !n.storeOK {
+	if n.now < n.formatWriteAt || !n.storeOK {
 		return
 	}
 	if w := n.replica.SupportedFormatWrites(); w != nil {
-		n.formatAt = n.now + formatDelay
+		n.formatWriteAt = n.now + formatWriteDelay
 		n.transact(ClassUser, nil, w, ignoreResult{})
 	}
 }
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -52,14 +52,14 @@
 func (n *Node) applyEvents(events []kv.Event) {
 	var last map[string]int
 	for i, e := range events {
-		if needs, is := e.Value.(*wire.DependencyList); is {
-			n.replica.PutDependencyList(e.Key, needs) // in a full listing the lists follow the record
+		if list, ok := e.Value.(*wire.DependencyList); ok {
+			n.replica.PutDependencyList(e.Key, list) // in a full listing the lists follow the record
 		}
 		if !strings.HasPrefix(e.Key, wire.OverflowPrefix) {
 			continue
 		}
-		m, _ := e.Value.(*wire.Overflow)
-		n.replica.PutOverflow(e.Key, m)
+		overflow, _ := e.Value.(*wire.Overflow)
+		n.replica.PutOverflow(e.Key, overflow)
 		if last == nil {
 			last = map[string]int{}
 			for k, e := range events {
--- a/internal/core/replica_observer.go
+++ b/internal/core/replica_observer.go
@@ -47,11 +47,11 @@
 	n.indexPlacements(job)
 }
 
-// JobReady schedules the leader's next scheduling pass within stageDelay.
+// JobReady makes the leader's next scheduling pass due after at most readyPassDelay.
 func (o *replicaObserver) JobReady(*replica.Job) {
 	leader := &o.node.leader
 	leader.passNeeded = true
-	leader.nextPassAt = min(leader.nextPassAt, o.node.now+stageDelay)
+	leader.nextPassAt = min(leader.nextPassAt, o.node.now+readyPassDelay)
 }
 
 // JobArrived counts the job among the arrivals of its class.
--- a/internal/core/request_forwarding.go
+++ b/internal/core/request_forwarding.go
@@ -43,12 +43,12 @@
 	case !n.replica.WritesDependencies():
 		return true
 	}
-	return !n.jobRecordFits(n.newRecord(spec))
+	return !n.jobRecordFits(n.newJobRecord(spec))
 }
 
 // forwardAnswered passes a peer's answer on to the user.
 func (n *Node) forwardAnswered(f ForwardAnswered) {
-	request := n.users.requests[f.RequestID]
+	request := n.userRequests.requests[f.RequestID]
 	if request == nil {
 		return
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -9,13 +9,13 @@
 	resume(n *Node, result Result)
 }
 
-// committer handles the result of a transaction.
-type committer interface {
+// commitHandler handles the result of a transaction.
+type commitHandler interface {
 	committed(n *Node, result Committed)
 }
 
-// jobReceiver handles the result of reading a job's record from the state service.
-type jobReceiver interface {
+// jobReadHandler handles the result of reading a job's record from the state service.
+type jobReadHandler interface {
 	jobRead(n *Node, result JobRead)
 }
 
@@ -38,14 +38,14 @@
 // transaction is the continuation of a Commit.
 type transaction struct {
 	conditions, writes int // their numbers
-	next               committer
+	next               commitHandler
 }
 
 func (t transaction) resume(n *Node, result Result) {
 	committed := result.(Committed)
 	n.noteStoreOutcome(committed.Outcome)
 	if committed.Limited && t.writes > 0 {
-		n.budget.noteRefusal(n.now)
+		n.budget.recordRefusal(n.now)
 	}
 	if committed.Outcome == kv.TooLarge {
 		n.log(LogError, "transaction exceeds the limits of the state service", "writes", t.writes, "conditions", t.conditions)
@@ -54,7 +54,7 @@
 }
 
 // transact sends a transaction that writes only if all conditions hold.
-func (n *Node) transact(class RequestClass, conditions []kv.Condition, writes []kv.Write, next committer) {
+func (n *Node) transact(class RequestClass, conditions []kv.Condition, writes []kv.Write, next commitHandler) {
 	id := n.continueWith(transaction{conditions: len(conditions), writes: len(writes), next: next})
 	if class == ClassBackground {
 		n.budget.available -= float64(len(writes))
@@ -63,7 +63,7 @@
 }
 
 // jobFetch is the continuation of a ReadJob.
-type jobFetch struct{ next jobReceiver }
+type jobFetch struct{ next jobReadHandler }
 
 func (f jobFetch) resume(n *Node, result Result) {
 	read := result.(JobRead)
@@ -72,7 +72,7 @@
 }
 
 // fetchJob reads a job's record from the state service.
-func (n *Node) fetchJob(id string, next jobReceiver) {
+func (n *Node) fetchJob(id string, next jobReadHandler) {
 	n.emit(ReadJob{ID: n.continueWith(jobFetch{next}), JobID: id})
 }
 
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -13,9 +13,9 @@
 	// state service's revision.
 	minStatusInterval = 60 * time.Millisecond
 	maxStatusInterval = 500 * time.Millisecond
-	// statusRequestShare limits the revision queries of all controllers together: one in
+	// requestsPerRevisionQuery limits the revision queries of all controllers together: one in
 	// this many of the requests that the state service allows.
-	statusRequestShare = 6
+	requestsPerRevisionQuery = 6
 	// replicaLagTimeout is how long status queries wait for the replica to reach their
 	// revision before the jobs' records are read from the state service instead.
 	replicaLagTimeout = 400 * time.Millisecond
@@ -48,22 +48,22 @@
 func (n *Node) statusInterval() Time {
 	interval := minStatusInterval
 	if n.cfg.StateRPS > 0 {
-		interval = max(interval, Time(float64(statusRequestShare*len(n.cfg.Members))/n.cfg.StateRPS*float64(second)))
+		interval = max(interval, Time(float64(requestsPerRevisionQuery*len(n.cfg.Members))/n.cfg.StateRPS*float64(second)))
 	}
 	return min(interval, maxStatusInterval)
 }
 
 // queueStatusQuery queues a status query to be answered from the replica.
 func (n *Node) queueStatusQuery(request *pendingRequest) {
-	n.users.status.waiting = append(n.users.status.waiting, request)
-	n.askRevision()
+	n.userRequests.status.waiting = append(n.userRequests.status.waiting, request)
+	n.queryRevision()
 }
 
-// askRevision queries the state service's revision for the waiting status queries, if the
+// queryRevision queries the state service's revision for the waiting status queries, if the
 // interval has passed. At that revision the replica is at least as recent as any answer that a
 // user received before these queries, so a job's status never appears to go back.
-func (n *Node) askRevision() {
-	status := &n.users.status
+func (n *Node) queryRevision() {
+	status := &n.userRequests.status
 	if status.querying || len(status.waiting) == 0 || n.now < status.queryAt {
 		return
 	}
@@ -77,12 +77,12 @@
 
 // committed adds a batch with the revision that the state service returned.
 func (q revisionQuery) committed(n *Node, result Committed) {
-	status := &n.users.status
+	status := &n.userRequests.status
 	status.querying = false
 	switch result.Outcome {
 	case kv.OK, kv.Conflict:
 		status.batches = append(status.batches, statusBatch{revision: result.Revision, since: n.now, requests: q.requests})
-		n.answerStatusRequests()
+		n.answerStatusQueries()
 	default:
 		for _, request := range q.requests {
 			if n.mayRetry(request, result.Outcome) {
@@ -92,10 +92,10 @@
 	}
 }
 
-// answerStatusRequests answers the batches whose revision the replica has reached. If the
+// answerStatusQueries answers the batches whose revision the replica has reached. If the
 // replica lags for too long, it reads the jobs' records from the state service instead.
-func (n *Node) answerStatusRequests() {
-	status := &n.users.status
+func (n *Node) answerStatusQueries() {
+	status := &n.userRequests.status
 	var rest []statusBatch
 	for _, batch := range status.batches {
 		switch {
@@ -105,7 +105,7 @@
 			}
 		case n.now-batch.since > replicaLagTimeout:
 			for _, request := range batch.requests {
-				if n.users.isOpen(request) {
+				if n.userRequests.isOpen(request) {
 					n.readJob(request)
 				}
 			}
--- a/internal/core/store_state.go
+++ b/internal/core/store_state.go
@@ -12,12 +12,14 @@
 	storeOKSince    Time // when storeOK last changed to true
 	storeAnsweredAt Time // when it last answered a request
 
-	formatAt Time // when the record of the format that this controller reads is written, unless it exists
+	// formatWriteAt is when the record of the format that this controller reads is written,
+	// unless the replica shows it.
+	formatWriteAt Time
 }
 
-// storeSilence is how long after its last answer the state service counts as no longer serving
-// this controller.
-const storeSilence = 3 * time.Second
+// storeSilenceTimeout is how long after its last answer the state service counts as no longer
+// serving this controller.
+const storeSilenceTimeout = 3 * time.Second
 
 // noteStoreOutcome updates whether the state service serves this controller from the outcome of
 // a request.
@@ -34,7 +36,7 @@
 		}
 		n.storeOK, n.storeAnsweredAt = true, n.now
 	default:
-		if n.now-n.storeAnsweredAt > storeSilence {
+		if n.now-n.storeAnsweredAt > storeSilenceTimeout {
 			n.storeOK = false
 		}
 	}
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -29,11 +29,11 @@
 			n.answerUnavailable(request, notUpgraded)
 			return
 		}
-		if !n.findDependencies(request) {
+		if !n.loadDependencies(request) {
 			return // dependencyRead calls createJob again
 		}
 		var err error
-		if cancelled, err = n.settleDependencies(request); err != nil {
+		if cancelled, err = n.resolveDependencies(request); err != nil {
 			n.rejectSubmission(request, err)
 			return
 		}
@@ -41,7 +41,7 @@
 	// Machine types that are not offered can't be provisioned. Removing them bounds the size
 	// of the record whatever the user sends.
 	spec.MachineTypes = slices.DeleteFunc(spec.MachineTypes, func(name string) bool { return n.typeAt(n.names.MachineTypes.Find(name)) == nil })
-	record := n.newRecord(spec)
+	record := n.newJobRecord(spec)
 	status := wire.StatusPending
 	if cancelled {
 		// A dependency has been cancelled, which cancels the new job before it could start.
@@ -86,8 +86,8 @@
 	}
 }
 
-// newRecord returns the record of a job that is accepted now.
-func (s *site) newRecord(spec *wire.JobSpec) *wire.Job {
+// newJobRecord returns the record of a job that is accepted now.
+func (s *site) newJobRecord(spec *wire.JobSpec) *wire.Job {
 	return &wire.Job{Spec: spec, TaskCount: spec.TaskCount, AcceptedAtMS: s.cfg.WallClockMS(), NextAttempt: 1}
 }
 
@@ -98,14 +98,14 @@
 	if n.jobRecordFits(record) {
 		return true
 	}
-	bare := *record.Spec
-	bare.Dependencies = nil
-	withoutList := *record
-	withoutList.Spec = &bare
-	withoutList.DependencyList = replica.DependencyListName(nil)
-	withoutList.DependencyListKeys = wire.MaxTasks
+	spec := *record.Spec
+	spec.Dependencies = nil
+	withReference := *record
+	withReference.Spec = &spec
+	withReference.DependencyList = replica.DependencyListName(nil)
+	withReference.DependencyListKeys = wire.MaxTasks
 	switch {
-	case !n.jobRecordFits(&withoutList):
+	case !n.jobRecordFits(&withReference):
 		n.rejectSubmission(request, errNamesTooLong)
 		return false
 	case !n.replica.WritesDependencyLists():
@@ -118,8 +118,8 @@
 // jobRecordFits reports whether a record fits a value together with a few lists of active
 // tasks.
 func (s *site) jobRecordFits(record *wire.Job) bool {
-	const lists = 2
-	return replica.BaseBytes(record)+lists*(s.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
+	const taskLists = 2
+	return replica.BaseBytes(record)+taskLists*(s.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
 }
 
 // Reasons why a job can never run.
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -68,7 +68,7 @@
 
 // userRequest starts processing a user's request.
 func (n *Node) userRequest(r UserRequest) {
-	request := n.users.add(r, n.now)
+	request := n.userRequests.add(r, n.now)
 	if !n.parseRequest(request) {
 		return
 	}
@@ -145,10 +145,10 @@
 
 // answer answers a request unless it has already been answered.
 func (n *Node) answer(request *pendingRequest, status int, body any) {
-	if !n.users.isOpen(request) {
+	if !n.userRequests.isOpen(request) {
 		return
 	}
-	delete(n.users.requests, request.RequestID)
+	delete(n.userRequests.requests, request.RequestID)
 	retry := 0
 	if status == http.StatusServiceUnavailable {
 		retry = retryAfterS
@@ -170,7 +170,7 @@
 // failed with the given outcome. If not, the request has been answered or forwarded.
 func (n *Node) mayRetry(request *pendingRequest, outcome kv.Outcome) bool {
 	switch {
-	case !n.users.isOpen(request):
+	case !n.userRequests.isOpen(request):
 		return false
 	case outcome == kv.Refused:
 		if !n.forwardToPeer(request) {
@@ -186,11 +186,11 @@
 
 // expireRequests answers the requests whose deadline has passed.
 func (n *Node) expireRequests() {
-	if n.now < n.users.expireAt {
+	if n.now < n.userRequests.expireAt {
 		return
 	}
-	n.users.expireAt = n.now + expiryInterval
-	for _, request := range n.users.overdue(n.now) {
+	n.userRequests.expireAt = n.now + expiryInterval
+	for _, request := range n.userRequests.overdue(n.now) {
 		n.answerUnavailable(request, "state service is slow")
 	}
 }
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -14,7 +14,7 @@
 	rate           float64 // this controller's share of the writes, per second
 	rateUpdatedAt  Time    // when the rate is recalculated next
 	backlogSeconds float64 // time to write the pending records of all controllers
-	seenWrites     float64 // writes that the watch has shown since measuredAt
+	observedWrites float64 // writes that the watch has shown since measuredAt
 	measuredAt     Time    // when the averages were last updated
 	writesPerS     float64 // writes of all controllers, as a moving average
 
@@ -23,7 +23,7 @@
 	reducedUntil   Time    // until then the announced lower rate applies
 	reducedFor     Time    // duration of the last reduction
 	pendingRecords int     // records that wait to be written by this controller
-	pendingGrants  int     // records that the leader's last pass changed, plus grants for which it had no writes left
+	pendingGrants  int     // records that the leader's last pass changed, and grants left unwritten
 }
 
 const (
@@ -35,11 +35,11 @@
 	// seconds of the service's rate. The service allows bursts of one second, but rarely have
 	// all controllers accumulated their maximum.
 	writeBurstSeconds = 1.5
-	// silentPeerTime is how long the demand that a peer has reported counts.
-	silentPeerTime = 5 * second
-	// equalSharesPerMinimum sets the minimum rate of a controller: an equal share divided by
+	// peerDemandTimeout is how long the demand that a peer has reported counts.
+	peerDemandTimeout = 5 * second
+	// minShareDivisor sets the minimum rate of a controller: an equal share divided by
 	// this number.
-	equalSharesPerMinimum = 3
+	minShareDivisor = 3
 
 	// The background share of the writes is idleBackgroundShare less userWriteWeight times the
 	// share of the users' writes, within the bounds. Without the reduction, writes of users
@@ -65,10 +65,10 @@
 	resultsPerRecord = 4
 )
 
-// noteRefusal applies the announced lower rate for a while after the service has refused writes
-// because of its rate limit, as the lower rate may already be in effect. Each further refusal
-// doubles the duration.
-func (b *writeBudget) noteRefusal(now Time) {
+// recordRefusal applies the announced lower rate for a while after the service has refused
+// writes because of its rate limit, as the lower rate may already be in effect. Each further
+// refusal doubles the duration.
+func (b *writeBudget) recordRefusal(now Time) {
 	if now < b.reducedUntil {
 		return
 	}
@@ -102,10 +102,10 @@
 // updateRate calculates this controller's share of the writes from the demand of this controller
 // and of all controllers together. The demand of a controller is the number of records that it
 // has to write plus one, so that no share is zero.
-func (b *writeBudget) updateRate(serviceRate float64, ownNeed, totalNeed float64, controllers int) {
+func (b *writeBudget) updateRate(serviceRate float64, ownDemand, totalDemand float64, controllers int) {
 	all := serviceRate * b.backgroundShare(serviceRate)
-	b.backlogSeconds = (totalNeed - float64(controllers)) / all
-	b.rate = max(all*ownNeed/totalNeed, all/float64(equalSharesPerMinimum*controllers))
+	b.backlogSeconds = (totalDemand - float64(controllers)) / all
+	b.rate = max(all*ownDemand/totalDemand, all/float64(minShareDivisor*controllers))
 }
 
 // scarcity returns how scarce writes are. At 0, decisions can be written immediately. At 1, the
@@ -121,15 +121,15 @@
 
 // observe counts writes of all controllers that the watch has shown, and updates the averages.
 func (b *writeBudget) observe(now Time, writes int) {
-	b.seenWrites += float64(writes)
+	b.observedWrites += float64(writes)
 	elapsed := (now - b.measuredAt).Seconds()
 	if elapsed < measureSeconds {
 		return
 	}
 	weight := min(1, elapsed/averageSeconds)
-	b.writesPerS += (b.seenWrites/elapsed - b.writesPerS) * weight
+	b.writesPerS += (b.observedWrites/elapsed - b.writesPerS) * weight
 	b.userWritesPerS += (float64(b.seenUserWrites)/elapsed - b.userWritesPerS) * weight
-	b.seenWrites = 0
+	b.observedWrites = 0
 	b.seenUserWrites = 0
 	b.measuredAt = now
 }
@@ -152,27 +152,27 @@
 	if n.now >= n.budget.rateUpdatedAt {
 		n.budget.rateUpdatedAt = n.now + rateInterval
 		n.budget.pendingRecords = n.countPendingRecords()
-		ownNeed := 1 + float64(n.budget.pendingRecords)
-		n.budget.updateRate(serviceRate, ownNeed, ownNeed+n.peersNeed(), len(n.cfg.Members))
+		ownDemand := 1 + float64(n.budget.pendingRecords)
+		n.budget.updateRate(serviceRate, ownDemand, ownDemand+n.peersDemand(), len(n.cfg.Members))
 	}
 	n.budget.refill(n.now, serviceRate, &n.cfg)
 	return int(n.budget.available)
 }
 
-// peersNeed returns the demand of the other controllers: the number of records that they have
+// peersDemand returns the demand of the other controllers: the number of records that they have
 // to write, plus one each.
-func (n *Node) peersNeed() float64 {
-	need := 0.0
+func (n *Node) peersDemand() float64 {
+	demand := 0.0
 	for _, member := range n.cfg.Members {
 		if member.Name == n.cfg.Self {
 			continue
 		}
-		need++
-		if peer := n.peers[member.Name]; peer != nil && n.now-peer.receivedAt < silentPeerTime {
-			need += float64(peer.message.Need)
+		demand++
+		if peer := n.peers[member.Name]; peer != nil && n.now-peer.receivedAt < peerDemandTimeout {
+			demand += float64(peer.message.Need)
 		}
 	}
-	return need
+	return demand
 }
 
 // countPendingRecords counts the records that wait to be written by this controller: those of
--- a/internal/core/write_budget_test.go
+++ b/internal/core/write_budget_test.go
@@ -14,11 +14,11 @@
 	}
 	const refusedAt = 100 * second
 	expect(refusedAt, 40)
-	budget.noteRefusal(refusedAt)
-	budget.noteRefusal(refusedAt + second) // a refusal in the same burst does not extend the duration
+	budget.recordRefusal(refusedAt)
+	budget.recordRefusal(refusedAt + second) // a refusal in the same burst does not extend the duration
 	expect(refusedAt+minReducedTime-1, 30)
 	expect(refusedAt+minReducedTime, 40)
-	budget.noteRefusal(refusedAt + minReducedTime)
+	budget.recordRefusal(refusedAt + minReducedTime)
 	expect(refusedAt+3*minReducedTime-1, 30)
 	expect(refusedAt+3*minReducedTime, 40)
 }
@@ -50,14 +50,14 @@
 func TestWriteShares(t *testing.T) {
 	const serviceRate, controllers = 40, 4
 	background := serviceRate * maxBackgroundShare
-	for name, test := range map[string]struct{ own, total, want float64 }{
+	for name, test := range map[string]struct{ ownDemand, totalDemand, want float64 }{
 		"equal demand":  {1, 4, background / 4},
 		"most demand":   {7, 10, background * 7 / 10},
-		"little demand": {1, 100, background / (equalSharesPerMinimum * controllers)},
+		"little demand": {1, 100, background / (minShareDivisor * controllers)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var budget writeBudget
-			budget.updateRate(serviceRate, test.own, test.total, controllers)
+			budget.updateRate(serviceRate, test.ownDemand, test.totalDemand, controllers)
 			if difference := budget.rate - test.want; difference < -epsilon || difference > epsilon {
 				t.Errorf("rate = %v, want %v", budget.rate, test.want)
 			}
