--- a/internal/core/ancestor_search_test.go
+++ b/internal/core/ancestor_search_test.go
@@ -40,8 +40,8 @@
 
 // A repeated submission of a job whose dependency list the replica does not show is answered
 // 503, not with the status pending, because its ancestors are unknown.
-func TestUnknownDependencyListIsNotAnswered(t *testing.T) {
-	n := smallValues()
+func TestUnknownDependencyListIsUnavailable(t *testing.T) {
+	n := newSmallValueNode()
 	stored := map[string]*wire.Job{"wk-000100": {TaskCount: 1, Spec: &wire.JobSpec{Shape: wire.ShapeArray}, DependencyList: "x", DependencyListKeys: 2}}
 	body, err := wire.Encode(map[string]string{"ref": "wk-000100"})
 	if err != nil {
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -10,7 +10,7 @@
 
 // Cancelling a job cancels all its descendants at once and visits each of them only once, both
 // in a chain of ten thousand jobs and with ten thousand direct dependents.
-func TestLongAndWideChains(t *testing.T) {
+func TestCancellationOfManyDescendants(t *testing.T) {
 	const many = 10_000
 	n := newTestNode()
 	name := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
@@ -67,7 +67,7 @@
 
 // Finished jobs stay in the replica forever, so their links must be released, also if a job was
 // cancelled before its dependencies ended. Later jobs may still depend on them.
-func TestFinishedJobsDropLinks(t *testing.T) {
+func TestFinishedJobsReleaseLinks(t *testing.T) {
 	n := newTestNode()
 	showJob(n, 2, "wk-000001", wire.JobLive, nil)
 	showJob(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -12,7 +12,7 @@
 // Dependencies that the replica does not show yet are read from the state service. A done
 // dependency is removed, a cancelled one cancels the new job, and one that was never accepted
 // or is a daemon rejects the submission.
-func TestSubmissionNamesJobs(t *testing.T) {
+func TestSubmissionWithDependencies(t *testing.T) {
 	live := func(shape string) *wire.Job {
 		return &wire.Job{TaskCount: 1, Spec: &wire.JobSpec{ID: "x", Shape: shape}}
 	}
@@ -65,7 +65,7 @@
 
 // Until every controller has recorded that it reads dependencies, a submission with
 // dependencies is answered 503 and no record in the new format is written.
-func TestNothingNewBeforeAllAreUpgraded(t *testing.T) {
+func TestDependenciesUnavailableBeforeUpgrade(t *testing.T) {
 	n := newTestNode(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
 	showJob(n, 2, "wk-000001", wire.JobLive, nil)
 	submit := func(id uint64) UserRequest {
@@ -79,7 +79,7 @@
 	n.storeOK = false
 	n.peers["n1"] = &peer{receivedAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
 	for _, e := range n.Step(n.now+1, submit(3)) {
-		if _, is := e.(Forward); is {
+		if _, ok := e.(Forward); ok {
 			t.Error("forwarded before all are upgraded")
 		}
 	}
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -10,13 +10,13 @@
 	"micaport/internal/wire"
 )
 
-// smallValues returns a controller whose values have room for few dependencies only.
-func smallValues(members ...ownership.Member) *Node {
+// newSmallValueNode returns a controller whose values have room for few dependencies only.
+func newSmallValueNode(members ...ownership.Member) *Node {
 	return newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
 }
 
-// seeMany adds a number of live jobs to a controller's replica and returns their IDs.
-func seeMany(n *Node, count int) (ids []string) {
+// showLiveJobs adds a number of live jobs to a controller's replica and returns their IDs.
+func showLiveJobs(n *Node, count int) (ids []string) {
 	for i := range count {
 		id := fmt.Sprintf("wk-%06d", 1000+i)
 		showJob(n, 10+i, id, wire.JobLive, nil)
@@ -25,8 +25,8 @@
 	return ids
 }
 
-// changesOf returns the watch events of a number of writes.
-func changesOf(revision int, writes []kv.Write) RecordsChanged {
+// recordsChangedBy returns the watch events of a number of writes.
+func recordsChangedBy(revision int, writes []kv.Write) RecordsChanged {
 	var events []kv.Event
 	for i, write := range writes {
 		events = append(events, kv.Event{Key: write.Key, Revision: uint64(revision + i), Value: write.Value})
@@ -39,14 +39,14 @@
 // full listing, in which the record precedes the lists.
 func TestLongDependencyList(t *testing.T) {
 	const count = 900
-	n := smallValues()
-	ids := seeMany(n, count)
+	n := newSmallValueNode()
+	ids := showLiveJobs(n, count)
 	reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}, nil)
 	if reply == nil || reply.Status != http.StatusCreated {
 		t.Fatalf("answered with %+v, want status %d", reply, http.StatusCreated)
 	}
-	last, is := wrote[len(wrote)-1].Value.(*wire.Job)
-	if !is || last.DependencyListKeys != len(wrote)-1 || last.DependencyListKeys < 5 || len(last.Spec.Dependencies) > 0 {
+	last, ok := wrote[len(wrote)-1].Value.(*wire.Job)
+	if !ok || last.DependencyListKeys != len(wrote)-1 || last.DependencyListKeys < 5 || len(last.Spec.Dependencies) > 0 {
 		t.Fatalf("the record is %+v after %d writes", last, len(wrote))
 	}
 	for _, write := range wrote {
@@ -58,9 +58,9 @@
 	listing := append([]kv.Write{wrote[len(wrote)-1]}, wrote[:len(wrote)-1]...)
 	for name, order := range map[string][]kv.Write{"watch": wrote, "listing": listing} {
 		t.Run(name, func(t *testing.T) {
-			other := smallValues()
-			seeMany(other, count)
-			other.Step(other.now+1, changesOf(2000, order))
+			other := newSmallValueNode()
+			showLiveJobs(other, count)
+			other.Step(other.now+1, recordsChangedBy(2000, order))
 			job := other.jobNamed("wk-000100")
 			if job.Links == nil || job.Links.Open != count || other.replica.StagedDependencyLists() > 0 {
 				t.Fatalf("the links are %+v, %d lists are staged, want %d open dependencies", job.Links, other.replica.StagedDependencyLists(), count)
@@ -81,9 +81,9 @@
 
 // If the state service refuses the rest of a dependency list, the job is not accepted. When the
 // user submits it again, only the missing keys are written.
-func TestDependencyListIsContinued(t *testing.T) {
-	n := smallValues()
-	ids := seeMany(n, 900)
+func TestPartialDependencyListIsCompleted(t *testing.T) {
+	n := newSmallValueNode()
+	ids := showLiveJobs(n, 900)
 	submit := func(requestID uint64, allowed int) (reply *Reply, wrote []kv.Write) {
 		t.Helper()
 		inputs := []Input{UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}}
@@ -104,7 +104,7 @@
 						continue
 					}
 					wrote = append(wrote, effect.Writes...)
-					inputs = append(inputs, changesOf(2000+len(wrote), effect.Writes), Committed{ID: effect.ID, Outcome: kv.OK})
+					inputs = append(inputs, recordsChangedBy(2000+len(wrote), effect.Writes), Committed{ID: effect.ID, Outcome: kv.OK})
 				case Reply:
 					reply = &effect
 				}
@@ -134,8 +134,8 @@
 
 // Until every controller reads dependency lists, a submission that needs one is answered 503,
 // and one whose dependencies fit its record is accepted.
-func TestNoDependencyListBeforeAllReadIt(t *testing.T) {
-	n := smallValues(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
+func TestDependencyListUnavailableBeforeUpgrade(t *testing.T) {
+	n := newSmallValueNode(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
 	reads := func(revision uint64, name string, format int) {
 		n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []kv.Event{{Key: wire.FormatPrefix + name, Revision: revision, Value: &wire.SupportedFormat{Format: format}}}})
 	}
@@ -145,7 +145,7 @@
 	}
 	reads(5, "n0", wire.Format)
 	reads(6, "n1", wire.FormatDependencies)
-	ids := seeMany(n, 300)
+	ids := showLiveJobs(n, 300)
 	reply, wrote := runRequest(n, submit(1, "wk-000100", ids), nil)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 {
 		t.Errorf("long list: answered with %+v, %d writes", reply, len(wrote))
@@ -156,7 +156,7 @@
 	forwards := func(requestID uint64, dependencies []string) (count int) {
 		t.Helper()
 		for _, e := range n.Step(n.now+1, submit(requestID, "wk-000102", dependencies)) {
-			if _, is := e.(Forward); is {
+			if _, ok := e.(Forward); ok {
 				count++
 			}
 		}
@@ -182,7 +182,7 @@
 // A record whose dependency list is incomplete should never be written. If one is, its job must
 // never start, rather than start before its dependencies are done.
 func TestIncompleteDependencyListDoesNotStart(t *testing.T) {
-	n := smallValues()
+	n := newSmallValueNode()
 	spec := &wire.JobSpec{ID: "wk-000100", Team: "t", Shape: wire.ShapeArray, TaskCount: 1}
 	record := &wire.Job{Spec: spec, TaskCount: 1, NextAttempt: 1, DependencyList: "x", DependencyListKeys: 2}
 	showJob(n, 9, "wk-000001", wire.JobDone, nil)
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -13,7 +13,7 @@
 // A record too large for one transaction is moved to overflow keys in several transactions, each
 // on the condition that the record has not changed. Only the last one writes the record that
 // names the keys.
-func TestSpreadAhead(t *testing.T) {
+func TestOverflowKeysAreWrittenAhead(t *testing.T) {
 	d, _ := ownerWith(t, func(cfg *Config) {
 		cfg.MaxTransactionOps, cfg.MaxValueBytes, cfg.CurrentValueBytes, cfg.MaxBatchWrites = 4, 2048, 16<<10, 8
 	})
@@ -27,15 +27,15 @@
 	}
 	d.put(big)
 	n.leader.recordsFit = false
-	named := 0
+	namedKeys := 0
 	for range 400 {
 		d.now += 50 * time.Millisecond
 		for _, e := range n.Step(d.now, Tick{}) {
-			if l, is := e.(RenewLease); is {
+			if l, ok := e.(RenewLease); ok {
 				n.Step(d.now, LeaseAnswered{ID: l.ID, Outcome: kv.OK, LeaseID: max(l.LeaseID, 7)})
 			}
-			c, is := e.(Commit)
-			if !is {
+			c, ok := e.(Commit)
+			if !ok {
 				continue
 			}
 			if len(c.Writes) > n.cfg.MaxTransactionOps {
@@ -47,8 +47,8 @@
 				if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.MaxValueBytes {
 					t.Fatalf("%s takes %d bytes, at most %d are allowed; error %v", w.Key, size, n.cfg.MaxValueBytes, err)
 				}
-				if j, is := w.Value.(*wire.Job); is {
-					named = j.OverflowKeys
+				if j, ok := w.Value.(*wire.Job); ok {
+					namedKeys = j.OverflowKeys
 				}
 				if !slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.JobKey("wk-000001") }) {
 					t.Fatalf("%s is written under the conditions %+v, want one on the job's record", w.Key, c.Conditions)
@@ -60,35 +60,35 @@
 			n.Step(d.now, ch)
 		}
 	}
-	if named < 5 || len(n.jobs[0].Record.ActiveTasks) != 400 {
-		t.Errorf("the record names %d overflow keys and has %d active tasks, want at least 5 keys and 400 tasks", named, len(n.jobs[0].Record.ActiveTasks))
+	if namedKeys < 5 || len(n.jobs[0].Record.ActiveTasks) != 400 {
+		t.Errorf("the record names %d overflow keys and has %d active tasks, want at least 5 keys and 400 tasks", namedKeys, len(n.jobs[0].Record.ActiveTasks))
 	}
 }
 
 // A cancellation reads and writes only the job's record. The tasks in its overflow keys must
 // stay there, and the record must keep the specification, which determines what they are
 // charged.
-func TestWithdrawalLeavesFurtherKeys(t *testing.T) {
+func TestCancellationKeepsOverflowKeys(t *testing.T) {
 	n := newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 })
-	for _, own := range []int{0, 2} {
+	for _, ownTasks := range []int{0, 2} {
 		record := lowJob(wire.JobLive)
 		record.OverflowKeys, record.TaskCount = 1, 9
-		for i := range own {
+		for i := range ownTasks {
 			record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: i, Attempt: 1, Machine: "vm-1", Epoch: 1})
 		}
-		r, wrote := runRequest(n, UserRequest{RequestID: uint64(own + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": record})
+		r, wrote := runRequest(n, UserRequest{RequestID: uint64(ownTasks + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": record})
 		if r == nil || r.Status != 200 || len(wrote) != 1 {
 			t.Fatalf("answered with %+v, wrote %+v", r, wrote)
 		}
-		if j := wrote[0].Value.(*wire.Job); j.State != wire.JobCancelled || j.OverflowKeys != 1 || j.Spec == nil || len(j.ActiveTasks) != own {
-			t.Errorf("recorded %+v, want a cancelled job with its specification, 1 overflow key and %d active tasks", j, own)
+		if j := wrote[0].Value.(*wire.Job); j.State != wire.JobCancelled || j.OverflowKeys != 1 || j.Spec == nil || len(j.ActiveTasks) != ownTasks {
+			t.Errorf("recorded %+v, want a cancelled job with its specification, 1 overflow key and %d active tasks", j, ownTasks)
 		}
 	}
 }
 
 // After the state service has refused writes because of its rate limit, the announced lower rate
 // applies for a while, which doubles with each refusal.
-func TestRateFollowsRefusals(t *testing.T) {
+func TestRefusalsReduceWriteRate(t *testing.T) {
 	n := newTestNode()
 	n.cfg.WriteRPS, n.cfg.NextWriteRPS = 20, 15
 	refuse := func() {
@@ -98,18 +98,18 @@
 	if n.writeRPS() != 20 {
 		t.Fatalf("write rate = %v before any refusal, want 20", n.writeRPS())
 	}
-	for _, low := range []Time{20 * second, 40 * second, 80 * second} {
+	for _, reducedTime := range []Time{20 * second, 40 * second, 80 * second} {
 		refuse()
 		if n.writeRPS() != 15 {
 			t.Errorf("write rate = %v after a refusal, want 15", n.writeRPS())
 		}
-		n.now += low - second
+		n.now += reducedTime - second
 		if n.writeRPS() != 15 {
-			t.Errorf("write rate = %v before %v have passed, want 15", n.writeRPS(), low)
+			t.Errorf("write rate = %v before %v have passed, want 15", n.writeRPS(), reducedTime)
 		}
 		n.now += 2 * second
 		if n.writeRPS() != 20 {
-			t.Errorf("write rate = %v after %v, want 20", n.writeRPS(), low)
+			t.Errorf("write rate = %v after %v, want 20", n.writeRPS(), reducedTime)
 		}
 	}
 }
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -29,15 +29,15 @@
 	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
 		WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 1})
-	seeRecord := func(revision int, id string, record *wire.Job) {
+	showRecord := func(revision int, id string, record *wire.Job) {
 		n.Step(second, RecordsChanged{Revision: uint64(revision), Events: []kv.Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
 	}
 	before := heapBytes()
 	for i := range jobs {
 		id := fmt.Sprintf("wk-%06d", i)
 		spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 3, Image: "img", MachineTypes: []string{"g2"}}
-		seeRecord(2*i+2, id, &wire.Job{Spec: spec, TaskCount: 3, NextAttempt: 4})
-		seeRecord(2*i+3, id, &wire.Job{State: wire.JobDone, TaskCount: 3, NextAttempt: 4})
+		showRecord(2*i+2, id, &wire.Job{Spec: spec, TaskCount: 3, NextAttempt: 4})
+		showRecord(2*i+3, id, &wire.Job{State: wire.JobDone, TaskCount: 3, NextAttempt: 4})
 	}
 	bytesPerJob := (heapBytes() - before) / jobs
 	t.Logf("a finished job takes %d bytes", bytesPerJob)
