--- a/internal/core/ancestor_search_test.go
+++ b/internal/core/ancestor_search_test.go
@@ -49,6 +49,6 @@
 	}
 	reply, _ := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: body}, stored)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 {
-		t.Errorf("answered with %+v", reply)
+		t.Errorf("answered with %+v, want status %d", reply, http.StatusServiceUnavailable)
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -13,12 +13,12 @@
 // Config holds the settings that the core uses. Where the state service has announced lower
 // limits, MaxTransactionOps, MaxValueBytes and StateRPS already respect them.
 type Config struct {
-	Self        string // name of this controller
-	Zone        string // zone of this controller
-	Incarnation string // distinguishes this process from earlier ones of the same name
-	Members     []ownership.Member
-	Zones       []string
-	Teams       []replica.Team // initial quotas, which operators may change
+	Self        string             // name of this controller
+	Zone        string             // zone of this controller
+	Incarnation string             // distinguishes this process from earlier ones of the same name
+	Members     []ownership.Member // all controllers
+	Zones       []string           // zones of the site
+	Teams       []replica.Team     // initial quotas, which operators may change
 
 	HeartbeatInterval Time // between two heartbeats of a worker
 	WorkerLease       Time // a worker that gets no reply for this long stops all its tasks
@@ -28,13 +28,13 @@
 
 	MaxTransactionOps  int     // writes in a transaction
 	MaxValueBytes      int     // size of a stored value
-	CurrentValueBytes  int     // value size limit until an announced lower limit takes effect; 0: none is announced
-	Format             int     // newest record format that this controller reads and writes; 0: wire.Format
+	CurrentValueBytes  int     // size limit until an announced lower one takes effect; 0: MaxValueBytes
+	Format             int     // newest record format that is read and written; 0: wire.Format
 	MaxBatchWrites     int     // records that a transaction of this controller may change
 	MaxLargeArrayTasks int     // active tasks of a large array
 	StateRPS           float64 // requests per second that the state service allows all controllers together; 0: no limit
 	WriteRPS           float64 // writes per second, likewise
-	NextWriteRPS       float64 // lower write rate that may take effect at any time; 0: none is announced
+	NextWriteRPS       float64 // announced lower write rate that may take effect at any time; 0: WriteRPS
 
 	CloudListLag Time    // usual age of the cloud's machine list
 	CloudRPS     float64 // calls per second that the cloud allows
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -11,22 +11,22 @@
 // Cancelling a job cancels all its descendants at once and visits each of them only once, both
 // in a chain of ten thousand jobs and with ten thousand direct dependents.
 func TestCancellationOfManyDescendants(t *testing.T) {
-	const many = 10_000
+	const jobCount = 10_000
 	n := newTestNode()
 	name := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
 	showJob(n, 2, name(0), wire.JobLive, nil)
-	for i := 1; i < many; i++ {
+	for i := 1; i < jobCount; i++ {
 		showJob(n, 2+i, name(i), wire.JobLive, nil, name(i-1))
 	}
-	for i := 1; i < many; i++ {
-		showJob(n, 2+many+i, name(many+i), wire.JobLive, nil, name(0))
+	for i := 1; i < jobCount; i++ {
+		showJob(n, 2+jobCount+i, name(jobCount+i), wire.JobLive, nil, name(0))
 	}
-	n.putLeader(nil, 4*many)
-	showJob(n, 5*many, name(0), wire.JobCancelled, nil)
-	if n.replica.UnrecordedCancellations() != 2*many-2 {
-		t.Errorf("%d jobs were visited, not %d once each", n.replica.UnrecordedCancellations(), 2*many-2)
+	n.putLeader(nil, 4*jobCount)
+	showJob(n, 5*jobCount, name(0), wire.JobCancelled, nil)
+	if n.replica.UnrecordedCancellations() != 2*jobCount-2 {
+		t.Errorf("%d jobs have unrecorded cancellations, want each of %d once", n.replica.UnrecordedCancellations(), 2*jobCount-2)
 	}
-	for _, i := range []int{1, many - 1, many + 1, 2*many - 1} {
+	for _, i := range []int{1, jobCount - 1, jobCount + 1, 2*jobCount - 1} {
 		reply, _ := runRequest(n, UserRequest{RequestID: uint64(i), Kind: wire.RequestStatus, JobID: name(i)}, nil)
 		if reply == nil || reply.Status != http.StatusOK || reply.Body.(wire.JobStatus).Status != wire.StatusCancelled {
 			t.Errorf("%s: answered with %+v, want %s", name(i), reply, wire.StatusCancelled)
@@ -57,7 +57,7 @@
 		return ids
 	}
 	if got := queued(); len(got) != 1 || got[0] != "wk-000001" {
-		t.Errorf("queued at first: %v, want wk-000001", got)
+		t.Errorf("queued while wk-000001 is live: %v, want wk-000001 only", got)
 	}
 	showJob(n, 9, "wk-000001", wire.JobDone, nil)
 	if got := queued(); len(got) != 2 {
@@ -79,10 +79,10 @@
 	showJob(n, 9, "wk-000005", wire.JobLive, nil, "wk-000002")
 	for i := range 3 {
 		if n.jobs[i].Links != nil {
-			t.Errorf("%s has the links %+v", n.jobs[i].ID, n.jobs[i].Links)
+			t.Errorf("finished job %s still has the links %+v", n.jobs[i].ID, n.jobs[i].Links)
 		}
 	}
 	if n.jobs[3].IsWaiting() || !n.jobs[4].IsWaiting() || n.jobs[4].State() != wire.JobCancelled {
-		t.Errorf("the later jobs have the links %+v and %+v", n.jobs[3].Links, n.jobs[4].Links)
+		t.Errorf("the later jobs have the links %+v and %+v, want the first free to run and the second cancelled", n.jobs[3].Links, n.jobs[4].Links)
 	}
 }
--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -51,7 +51,7 @@
 				t.Fatalf("answered with %+v, want status %d", reply, test.status)
 			}
 			if (len(wrote) > 0) != (test.status == http.StatusCreated) {
-				t.Errorf("wrote %+v with status %d", wrote, test.status)
+				t.Errorf("status %d: wrote %+v, want a write only with status %d", test.status, wrote, http.StatusCreated)
 			}
 			for _, write := range wrote {
 				record := write.Value.(*wire.Job)
@@ -73,20 +73,20 @@
 	}
 	reply, wrote := runRequest(n, submit(1), nil)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 || n.replica.OverflowKeys() > 0 {
-		t.Errorf("before the upgrade: answered with %+v, wrote %+v", reply, wrote)
+		t.Errorf("before the upgrade: answered with %+v, wrote %+v, want status %d and no write", reply, wrote, http.StatusServiceUnavailable)
 	}
 	// Nor is it forwarded to a peer, which may still run the earlier version.
 	n.storeOK = false
 	n.peers["n1"] = &peer{receivedAt: n.now, message: &wire.Gossip{From: "n1", StoreOK: true}}
 	for _, e := range n.Step(n.now+1, submit(3)) {
 		if _, ok := e.(Forward); ok {
-			t.Error("forwarded before all are upgraded")
+			t.Error("the submission is forwarded before all controllers have been upgraded")
 		}
 	}
 	n.storeOK = true
 	n.Step(n.now+1, RecordsChanged{Revision: 9, Events: []kv.Event{{Key: wire.FormatPrefix + "n1", Revision: 9, Value: &wire.SupportedFormat{Format: 2}}}})
 	if reply, wrote = runRequest(n, submit(2), nil); reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
-		t.Errorf("after the upgrade: answered with %+v, wrote %+v", reply, wrote)
+		t.Errorf("after the upgrade: answered with %+v, wrote %+v, want status %d and one write", reply, wrote, http.StatusCreated)
 	}
 	// A lower format recorded later does not lower the agreed format.
 	n.Step(n.now+1, RecordsChanged{Revision: 10, Events: []kv.Event{{Key: wire.FormatPrefix + "n1", Revision: 10, Value: &wire.SupportedFormat{Format: 1}}}})
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -47,11 +47,11 @@
 	}
 	last, ok := wrote[len(wrote)-1].Value.(*wire.Job)
 	if !ok || last.DependencyListKeys != len(wrote)-1 || last.DependencyListKeys < 5 || len(last.Spec.Dependencies) > 0 {
-		t.Fatalf("the record is %+v after %d writes", last, len(wrote))
+		t.Fatalf("the last of %d writes is %+v, want a record that names the list written before", len(wrote), last)
 	}
 	for _, write := range wrote {
 		if size, err := wire.JSONSize(write.Value); err != nil || size > n.cfg.MaxValueBytes {
-			t.Errorf("%s takes %d bytes, %v", write.Key, size, err)
+			t.Errorf("%s takes %d bytes, at most %d are allowed; error %v", write.Key, size, n.cfg.MaxValueBytes, err)
 		}
 	}
 
@@ -114,7 +114,7 @@
 	}
 	reply, first := submit(1, 1)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || len(first) != n.cfg.MaxTransactionOps {
-		t.Fatalf("answered with %+v after %d writes", reply, len(first))
+		t.Fatalf("answered with %+v after %d writes, want status %d after %d", reply, len(first), http.StatusServiceUnavailable, n.cfg.MaxTransactionOps)
 	}
 	reply, rest := submit(2, 100)
 	if reply == nil || reply.Status != http.StatusCreated {
@@ -136,19 +136,19 @@
 // and one whose dependencies fit its record is accepted.
 func TestDependencyListUnavailableBeforeUpgrade(t *testing.T) {
 	n := newSmallValueNode(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
-	reads := func(revision uint64, name string, format int) {
+	announceFormat := func(revision uint64, name string, format int) {
 		n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []kv.Event{{Key: wire.FormatPrefix + name, Revision: revision, Value: &wire.SupportedFormat{Format: format}}}})
 	}
 	submit := func(requestID uint64, id string, dependencies []string) UserRequest {
 		t.Helper()
 		return UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submission(t, id, dependencies...)}
 	}
-	reads(5, "n0", wire.Format)
-	reads(6, "n1", wire.FormatDependencies)
+	announceFormat(5, "n0", wire.Format)
+	announceFormat(6, "n1", wire.FormatDependencies)
 	ids := showLiveJobs(n, 300)
 	reply, wrote := runRequest(n, submit(1, "wk-000100", ids), nil)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 {
-		t.Errorf("long list: answered with %+v, %d writes", reply, len(wrote))
+		t.Errorf("long list: answered with %+v, %d writes, want status %d and none", reply, len(wrote), http.StatusServiceUnavailable)
 	}
 	// Nor is it forwarded to a peer, which may answer 422.
 	n.storeOK = false
@@ -171,11 +171,11 @@
 	n.storeOK = true
 	reply, wrote = runRequest(n, submit(2, "wk-000101", ids[:5]), nil)
 	if reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
-		t.Errorf("short list: answered with %+v, %d writes", reply, len(wrote))
+		t.Errorf("short list: answered with %+v, %d writes, want status %d and one", reply, len(wrote), http.StatusCreated)
 	}
-	reads(2000, "n1", wire.Format)
+	announceFormat(2000, "n1", wire.Format)
 	if reply, _ = runRequest(n, submit(3, "wk-000100", ids), nil); reply == nil || reply.Status != http.StatusCreated {
-		t.Errorf("long list after the upgrade: answered with %+v", reply)
+		t.Errorf("long list after the upgrade: answered with %+v, want status %d", reply, http.StatusCreated)
 	}
 }
 
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -41,7 +41,7 @@
 func (Reply) effect()           {}
 func (Log) effect()             {}
 
-// Effects.
+// Types of Effect.
 type (
 	// Commit sends a transaction to the state service.
 	Commit struct {
--- a/internal/core/inputs.go
+++ b/internal/core/inputs.go
@@ -37,7 +37,7 @@
 func (LeaseAnswered) result()    {}
 func (CloudAnswered) result()    {}
 
-// Inputs.
+// Types of Input.
 type (
 	// Tick only runs the timers that are due.
 	Tick struct{}
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -76,9 +76,9 @@
 		for i := range ownTasks {
 			record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{Task: i, Attempt: 1, Machine: "vm-1", Epoch: 1})
 		}
-		r, wrote := runRequest(n, UserRequest{RequestID: uint64(ownTasks + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": record})
-		if r == nil || r.Status != 200 || len(wrote) != 1 {
-			t.Fatalf("answered with %+v, wrote %+v", r, wrote)
+		reply, wrote := runRequest(n, UserRequest{RequestID: uint64(ownTasks + 1), Kind: wire.RequestCancel, JobID: "wk-000001"}, map[string]*wire.Job{"wk-000001": record})
+		if reply == nil || reply.Status != 200 || len(wrote) != 1 {
+			t.Fatalf("answered with %+v, wrote %+v, want status 200 and one write", reply, wrote)
 		}
 		if j := wrote[0].Value.(*wire.Job); j.State != wire.JobCancelled || j.OverflowKeys != 1 || j.Spec == nil || len(j.ActiveTasks) != ownTasks {
 			t.Errorf("recorded %+v, want a cancelled job with its specification, 1 overflow key and %d active tasks", j, ownTasks)
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -45,10 +45,10 @@
 		t.Errorf("a finished job takes %d bytes, at most %d are allowed", bytesPerJob, maxBytesPerJob)
 	}
 	if len(n.replica.Live()) != 0 {
-		t.Errorf("%d finished jobs count as live", len(n.replica.Live()))
+		t.Errorf("%d finished jobs count as live, want none", len(n.replica.Live()))
 	}
 	effects := n.Step(second, UserRequest{RequestID: 1, Kind: wire.RequestStatus, JobID: "wk-000007"})
 	if len(effects) == 0 || effects[0].(Reply).Body.(wire.JobStatus).Status != wire.StatusDone {
-		t.Errorf("a status query for a finished job has the effects %+v", effects)
+		t.Errorf("a status query for a finished job has the effects %+v, want a reply with status %s", effects, wire.StatusDone)
 	}
 }
