--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -8,25 +8,25 @@
 	"micaport/internal/wire"
 )
 
-// A chain of ten thousand jobs, and a job that as many depend on: a cancellation at the top
-// shows at the bottom at once, and the end of the top costs by the jobs that depend on it.
-func TestLongAndWideChains(t *testing.T) {
-	const many = 10_000
+// Cancelling a job cancels all its descendants at once and visits each of them only once, both
+// in a chain of ten thousand jobs and with ten thousand direct dependents.
+func TestCancellationOfManyDescendants(t *testing.T) {
+	const jobCount = 10_000
 	n := newTestNode()
 	name := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
 	showJob(n, 2, name(0), wire.JobLive, nil)
-	for i := 1; i < many; i++ {
+	for i := 1; i < jobCount; i++ {
 		showJob(n, 2+i, name(i), wire.JobLive, nil, name(i-1))
 	}
-	for i := 1; i < many; i++ {
-		showJob(n, 2+many+i, name(many+i), wire.JobLive, nil, name(0))
+	for i := 1; i < jobCount; i++ {
+		showJob(n, 2+jobCount+i, name(jobCount+i), wire.JobLive, nil, name(0))
 	}
-	n.putLeader(nil, 4*many)
-	showJob(n, 5*many, name(0), wire.JobCancelled, nil)
-	if n.replica.UnrecordedCancellations() != 2*many-2 {
-		t.Errorf("%d jobs were visited, not %d once each", n.replica.UnrecordedCancellations(), 2*many-2)
+	n.putLeader(nil, 4*jobCount)
+	showJob(n, 5*jobCount, name(0), wire.JobCancelled, nil)
+	if n.replica.UnrecordedCancellations() != 2*jobCount-2 {
+		t.Errorf("%d jobs have unrecorded cancellations, want each of %d once", n.replica.UnrecordedCancellations(), 2*jobCount-2)
 	}
-	for _, i := range []int{1, many - 1, many + 1, 2*many - 1} {
+	for _, i := range []int{1, jobCount - 1, jobCount + 1, 2*jobCount - 1} {
 		reply, _ := runRequest(n, UserRequest{RequestID: uint64(i), Kind: wire.RequestStatus, JobID: name(i)}, nil)
 		if reply == nil || reply.Status != http.StatusOK || reply.Body.(wire.JobStatus).Status != wire.StatusCancelled {
 			t.Errorf("%s: answered with %+v, want %s", name(i), reply, wire.StatusCancelled)
@@ -34,8 +34,8 @@
 	}
 }
 
-// The priority and the deadline of the last job hold for all that it depends on, each with
-// the time left that those after it take; a job with open dependencies is in no queue.
+// The ancestors of a job inherit its priority and its deadline, the deadline less the run times
+// of the jobs in between. A job with unfinished dependencies is in no queue.
 func TestAncestorsInheritPriorityAndDeadline(t *testing.T) {
 	n := newTestNode()
 	showJob(n, 2, "wk-000001", wire.JobLive, nil)
@@ -57,7 +57,7 @@
 		return ids
 	}
 	if got := queued(); len(got) != 1 || got[0] != "wk-000001" {
-		t.Errorf("queued at first: %v, want wk-000001", got)
+		t.Errorf("queued while wk-000001 is live: %v, want wk-000001 only", got)
 	}
 	showJob(n, 9, "wk-000001", wire.JobDone, nil)
 	if got := queued(); len(got) != 2 {
@@ -65,9 +65,9 @@
 	}
 }
 
-// Finished jobs stay in the replica for good, but without their links. Jobs that
-// come later and name them, or were cancelled before their dependencies ended, do no harm.
-func TestFinishedJobsDropLinks(t *testing.T) {
+// Finished jobs stay in the replica forever, so their links must be released, also if a job was
+// cancelled before its dependencies ended. Later jobs may still depend on them.
+func TestFinishedJobsReleaseLinks(t *testing.T) {
 	n := newTestNode()
 	showJob(n, 2, "wk-000001", wire.JobLive, nil)
 	showJob(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
@@ -79,10 +79,10 @@
 	showJob(n, 9, "wk-000005", wire.JobLive, nil, "wk-000002")
 	for i := range 3 {
 		if n.jobs[i].Links != nil {
-			t.Errorf("%s has the links %+v", n.jobs[i].ID, n.jobs[i].Links)
+			t.Errorf("finished job %s still has the links %+v", n.jobs[i].ID, n.jobs[i].Links)
 		}
 	}
 	if n.jobs[3].IsWaiting() || !n.jobs[4].IsWaiting() || n.jobs[4].State() != wire.JobCancelled {
-		t.Errorf("the later jobs have the links %+v and %+v", n.jobs[3].Links, n.jobs[4].Links)
+		t.Errorf("the later jobs have the links %+v and %+v, want the first free to run and the second cancelled", n.jobs[3].Links, n.jobs[4].Links)
 	}
 }
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -10,13 +10,13 @@
 	"micaport/internal/wire"
 )
 
-// smallValues is a controller whose records hold few names.
-func smallValues(members ...ownership.Member) *Node {
+// newSmallValueNode returns a controller whose values have room for few dependencies only.
+func newSmallValueNode(members ...ownership.Member) *Node {
 	return newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
 }
 
-// seeMany shows a controller a number of live jobs.
-func seeMany(n *Node, count int) (ids []string) {
+// showLiveJobs adds a number of live jobs to a controller's replica and returns their IDs.
+func showLiveJobs(n *Node, count int) (ids []string) {
 	for i := range count {
 		id := fmt.Sprintf("wk-%06d", 1000+i)
 		showJob(n, 10+i, id, wire.JobLive, nil)
@@ -25,8 +25,8 @@
 	return ids
 }
 
-// changesOf makes the events by which a watch shows writes.
-func changesOf(revision int, writes []kv.Write) RecordsChanged {
+// recordsChangedBy returns the watch events of a number of writes.
+func recordsChangedBy(revision int, writes []kv.Write) RecordsChanged {
 	var events []kv.Event
 	for i, write := range writes {
 		events = append(events, kv.Event{Key: write.Key, Revision: uint64(revision + i), Value: write.Value})
@@ -34,33 +34,33 @@
 	return RecordsChanged{Revision: uint64(revision + len(writes)), Events: events}
 }
 
-// A job may have more dependencies than its record has room for: they are written first, in
-// values and transactions within the limits, and the record last. Every controller then
-// knows all of them, also one that reads them in a listing, where the record comes first.
+// Dependencies that do not fit a job's record are written first, in values and transactions
+// within the limits, and the record last. Every controller then links all of them, also from a
+// full listing, in which the record precedes the lists.
 func TestLongDependencyList(t *testing.T) {
 	const count = 900
-	n := smallValues()
-	ids := seeMany(n, count)
+	n := newSmallValueNode()
+	ids := showLiveJobs(n, count)
 	reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}, nil)
 	if reply == nil || reply.Status != http.StatusCreated {
 		t.Fatalf("answered with %+v, want status %d", reply, http.StatusCreated)
 	}
-	last, is := wrote[len(wrote)-1].Value.(*wire.Job)
-	if !is || last.DependencyListKeys != len(wrote)-1 || last.DependencyListKeys < 5 || len(last.Spec.Dependencies) > 0 {
-		t.Fatalf("the record is %+v after %d writes", last, len(wrote))
+	last, ok := wrote[len(wrote)-1].Value.(*wire.Job)
+	if !ok || last.DependencyListKeys != len(wrote)-1 || last.DependencyListKeys < 5 || len(last.Spec.Dependencies) > 0 {
+		t.Fatalf("the last of %d writes is %+v, want a record that names the list written before", len(wrote), last)
 	}
 	for _, write := range wrote {
 		if size, err := wire.JSONSize(write.Value); err != nil || size > n.cfg.MaxValueBytes {
-			t.Errorf("%s takes %d bytes, %v", write.Key, size, err)
+			t.Errorf("%s takes %d bytes, at most %d are allowed; error %v", write.Key, size, n.cfg.MaxValueBytes, err)
 		}
 	}
 
 	listing := append([]kv.Write{wrote[len(wrote)-1]}, wrote[:len(wrote)-1]...)
 	for name, order := range map[string][]kv.Write{"watch": wrote, "listing": listing} {
 		t.Run(name, func(t *testing.T) {
-			other := smallValues()
-			seeMany(other, count)
-			other.Step(other.now+1, changesOf(2000, order))
+			other := newSmallValueNode()
+			showLiveJobs(other, count)
+			other.Step(other.now+1, recordsChangedBy(2000, order))
 			job := other.jobNamed("wk-000100")
 			if job.Links == nil || job.Links.Open != count || other.replica.StagedDependencyLists() > 0 {
 				t.Fatalf("the links are %+v, %d lists are staged, want %d open dependencies", job.Links, other.replica.StagedDependencyLists(), count)
@@ -79,11 +79,11 @@
 	}
 }
 
-// A list that was written only in part, when the service refused more, is completed
-// when the user submits again, and nothing is accepted before it is complete.
-func TestDependencyListIsContinued(t *testing.T) {
-	n := smallValues()
-	ids := seeMany(n, 900)
+// If the state service refuses the rest of a dependency list, the job is not accepted. When the
+// user submits it again, only the missing keys are written.
+func TestPartialDependencyListIsCompleted(t *testing.T) {
+	n := newSmallValueNode()
+	ids := showLiveJobs(n, 900)
 	submit := func(requestID uint64, allowed int) (reply *Reply, wrote []kv.Write) {
 		t.Helper()
 		inputs := []Input{UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}}
@@ -104,7 +104,7 @@
 						continue
 					}
 					wrote = append(wrote, effect.Writes...)
-					inputs = append(inputs, changesOf(2000+len(wrote), effect.Writes), Committed{ID: effect.ID, Outcome: kv.OK})
+					inputs = append(inputs, recordsChangedBy(2000+len(wrote), effect.Writes), Committed{ID: effect.ID, Outcome: kv.OK})
 				case Reply:
 					reply = &effect
 				}
@@ -114,7 +114,7 @@
 	}
 	reply, first := submit(1, 1)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || len(first) != n.cfg.MaxTransactionOps {
-		t.Fatalf("answered with %+v after %d writes", reply, len(first))
+		t.Fatalf("answered with %+v after %d writes, want status %d after %d", reply, len(first), http.StatusServiceUnavailable, n.cfg.MaxTransactionOps)
 	}
 	reply, rest := submit(2, 100)
 	if reply == nil || reply.Status != http.StatusCreated {
@@ -132,23 +132,23 @@
 	}
 }
 
-// Before every controller reads such lists none is written: the submission is answered 503,
-// while one that its record has room for is accepted.
-func TestNoDependencyListBeforeAllReadIt(t *testing.T) {
-	n := smallValues(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
-	reads := func(revision uint64, name string, format int) {
+// Until every controller reads dependency lists, a submission that needs one is answered 503,
+// and one whose dependencies fit its record is accepted.
+func TestDependencyListUnavailableBeforeUpgrade(t *testing.T) {
+	n := newSmallValueNode(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
+	announceFormat := func(revision uint64, name string, format int) {
 		n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []kv.Event{{Key: wire.FormatPrefix + name, Revision: revision, Value: &wire.SupportedFormat{Format: format}}}})
 	}
 	submit := func(requestID uint64, id string, dependencies []string) UserRequest {
 		t.Helper()
 		return UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submission(t, id, dependencies...)}
 	}
-	reads(5, "n0", wire.Format)
-	reads(6, "n1", wire.FormatDependencies)
-	ids := seeMany(n, 300)
+	announceFormat(5, "n0", wire.Format)
+	announceFormat(6, "n1", wire.FormatDependencies)
+	ids := showLiveJobs(n, 300)
 	reply, wrote := runRequest(n, submit(1, "wk-000100", ids), nil)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 {
-		t.Errorf("long list: answered with %+v, %d writes", reply, len(wrote))
+		t.Errorf("long list: answered with %+v, %d writes, want status %d and none", reply, len(wrote), http.StatusServiceUnavailable)
 	}
 	// Nor is it forwarded to a peer, which may answer 422.
 	n.storeOK = false
@@ -156,14 +156,14 @@
 	forwards := func(requestID uint64, dependencies []string) (count int) {
 		t.Helper()
 		for _, e := range n.Step(n.now+1, submit(requestID, "wk-000102", dependencies)) {
-			if _, is := e.(Forward); is {
+			if _, ok := e.(Forward); ok {
 				count++
 			}
 		}
 		return count
 	}
 	if forwards(11, ids) > 0 {
-		t.Error("a long list is forwarded before all read it")
+		t.Error("a long list is forwarded before all controllers read such lists")
 	}
 	if forwards(12, ids[:5]) != 1 {
 		t.Error("a short list is not forwarded")
@@ -171,18 +171,18 @@
 	n.storeOK = true
 	reply, wrote = runRequest(n, submit(2, "wk-000101", ids[:5]), nil)
 	if reply == nil || reply.Status != http.StatusCreated || len(wrote) != 1 {
-		t.Errorf("short list: answered with %+v, %d writes", reply, len(wrote))
+		t.Errorf("short list: answered with %+v, %d writes, want status %d and one", reply, len(wrote), http.StatusCreated)
 	}
-	reads(2000, "n1", wire.Format)
+	announceFormat(2000, "n1", wire.Format)
 	if reply, _ = runRequest(n, submit(3, "wk-000100", ids), nil); reply == nil || reply.Status != http.StatusCreated {
-		t.Errorf("long list after the upgrade: answered with %+v", reply)
+		t.Errorf("long list after the upgrade: answered with %+v, want status %d", reply, http.StatusCreated)
 	}
 }
 
-// A record whose list is incomplete can't come about. If one does, its job waits for
-// good rather than start too early.
+// A record whose dependency list is incomplete should never be written. If one is, its job must
+// never start, rather than start before its dependencies are done.
 func TestIncompleteDependencyListDoesNotStart(t *testing.T) {
-	n := smallValues()
+	n := newSmallValueNode()
 	spec := &wire.JobSpec{ID: "wk-000100", Team: "t", Shape: wire.ShapeArray, TaskCount: 1}
 	record := &wire.Job{Spec: spec, TaskCount: 1, NextAttempt: 1, DependencyList: "x", DependencyListKeys: 2}
 	showJob(n, 9, "wk-000001", wire.JobDone, nil)
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -10,7 +10,7 @@
 	"micaport/internal/wire"
 )
 
-// heapBytes is the size of the heap after a garbage collection.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -18,9 +18,9 @@
 	return stats.HeapAlloc
 }
 
-// Finished jobs stay in the replica for good, as a user may query their status at any time.
-// A hundred thousand of them must leave a controller of 125 MB most of its
-// memory; each once kept its whole record.
+// Finished jobs stay in the replica forever, as a user may query their status at any time. A
+// hundred thousand of them must leave most of the 125 MB of a controller free, which fails if
+// each keeps its whole record.
 func TestFinishedJobsStaySmall(t *testing.T) {
 	const (
 		jobs           = 100_000
@@ -29,15 +29,15 @@
 	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192,
 		WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 1})
-	seeRecord := func(revision int, id string, record *wire.Job) {
+	showRecord := func(revision int, id string, record *wire.Job) {
 		n.Step(second, RecordsChanged{Revision: uint64(revision), Events: []kv.Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
 	}
 	before := heapBytes()
 	for i := range jobs {
 		id := fmt.Sprintf("wk-%06d", i)
 		spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 3, Image: "img", MachineTypes: []string{"g2"}}
-		seeRecord(2*i+2, id, &wire.Job{Spec: spec, TaskCount: 3, NextAttempt: 4})
-		seeRecord(2*i+3, id, &wire.Job{State: wire.JobDone, TaskCount: 3, NextAttempt: 4})
+		showRecord(2*i+2, id, &wire.Job{Spec: spec, TaskCount: 3, NextAttempt: 4})
+		showRecord(2*i+3, id, &wire.Job{State: wire.JobDone, TaskCount: 3, NextAttempt: 4})
 	}
 	bytesPerJob := (heapBytes() - before) / jobs
 	t.Logf("a finished job takes %d bytes", bytesPerJob)
@@ -45,10 +45,10 @@
 		t.Errorf("a finished job takes %d bytes, at most %d are allowed", bytesPerJob, maxBytesPerJob)
 	}
 	if len(n.replica.Live()) != 0 {
-		t.Errorf("%d finished jobs count as live", len(n.replica.Live()))
+		t.Errorf("%d finished jobs count as live, want none", len(n.replica.Live()))
 	}
 	effects := n.Step(second, UserRequest{RequestID: 1, Kind: wire.RequestStatus, JobID: "wk-000007"})
 	if len(effects) == 0 || effects[0].(Reply).Body.(wire.JobStatus).Status != wire.StatusDone {
-		t.Errorf("a status query for a finished job has the effects %+v", effects)
+		t.Errorf("a status query for a finished job has the effects %+v, want a reply with status %s", effects, wire.StatusDone)
 	}
 }
