--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -8,46 +8,49 @@
 	"micaport/internal/wire"
 )
 
-// leaderState is the memory of a leader. All of it can be lost: a new leader rebuilds it from
-// records and heartbeats, and gets hints from the decision log.
+// leaderState is the state that only a leader keeps. It is not persisted: a new leader rebuilds
+// it from the records and from heartbeats, and takes hints from the decision log.
 type leaderState struct {
-	tenure     int   // counts how often this process began or ceased to lead
+	tenure     int   // number of times that this process has gained or lost the leadership
 	batch      batch // of the last scheduling pass
-	passNeeded bool  // something has changed since the last pass
-	nextPassAt Time  // not before this is another pass made
+	passNeeded bool  // the scheduler's input has changed since the last pass
+	nextPassAt Time  // earliest time of the next pass
 
-	grantHints     map[taskKey]*machine // the machine that a grant had in mind
+	grantHints     map[taskKey]*machine // the machine that the scheduler chose for a granted task
 	hintsCleanupAt Time
 
-	sharesDistributedAt []Time             // when the shares of each team's limit were last distributed
-	sharesReclaimed     []bool             // by team: the last that was distributed was to gather all shares
-	excessAt            Time               // when teams beyond their limits are reported next
-	pendingPlacements   []pendingPlacement // what the batch under way places on machines of our own
+	sharesDistributedAt []Time             // by team: when the shares of its limit were last distributed
+	sharesReclaimed     []bool             // by team: the last distribution reclaimed idle shares
+	excessAt            Time               // earliest time of the next report of teams above their limits
+	pendingPlacements   []pendingPlacement // tasks that the current batch places on own machines
 
 	autoscaler autoscaler
-	recordsFit bool // no record is larger than the limits to come; see shrinkRecords
-	// Machines that the cloud has confirmed gone, for the owners to hear.
+	recordsFit bool // all records are within the announced size limits; see shrinkRecords
+	// Machines that the cloud has recently confirmed as deprovisioned, to be announced to the
+	// owners of shards.
 	returned     []returnedMachine
-	reservations []wire.Reservation // machines kept for the gang that has waited longest
+	reservations []wire.Reservation // machines reserved for the gang that has waited longest
 }
 
-// pendingPlacement is room on a machine of ours that a batch of the leader takes.
+// pendingPlacement is a task that the leader's current batch places on one of this controller's
+// machines, and which therefore uses part of that machine's capacity.
 type pendingPlacement struct {
 	machine *machine
 	spec    *wire.JobSpec
 }
 
-// returnedMachine is a machine that the cloud has confirmed gone.
+// returnedMachine is a machine that the cloud has confirmed as deprovisioned.
 type returnedMachine struct {
 	name string
 	at   Time
 }
 
-// returnedAnnounceTime is how long the owners are told of a machine's return.
+// returnedAnnounceTime is how long gossip announces that a machine was deprovisioned.
 const returnedAnnounceTime = 20 * second
 
-// recentlyReturned names the machines that went back a short while ago. An owner
-// that misses it finds them silent.
+// recentlyReturned returns the names of the machines that were deprovisioned within
+// returnedAnnounceTime. An owner that receives none of these messages detects the machines by
+// their missing heartbeats.
 func (l *leaderState) recentlyReturned(n *Node) []string {
 	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > returnedAnnounceTime })
 	var out []string
@@ -57,7 +60,7 @@
 	return out
 }
 
-// reset forgets everything, as this process begins or ceases to lead.
+// reset discards the state when this process gains or loses the leadership.
 func (l *leaderState) reset() {
 	l.tenure++
 	l.batch = batch{role: "leader", generation: l.batch.generation + 1}
@@ -70,21 +73,23 @@
 }
 
 const (
-	// firstPassDelayAfterStall is what a leader leaves its peers after a stall to report; they do so
-	// every second.
+	// firstPassDelayAfterStall is the time after a stall of the process in which the leader makes
+	// no scheduling pass. Peers send gossip every second, so that all have reported by then.
 	firstPassDelayAfterStall = 2 * second
-	// firstPassDelay is what a new leader leaves the owners to tell what there is.
+	// firstPassDelay is how long a new leader waits for the owners' views of their machines.
 	firstPassDelay = 700 * time.Millisecond
-	// idlePassInterval lies between two scheduling passes when nothing has changed.
+	// idlePassInterval is added to the interval between two scheduling passes when nothing has
+	// changed.
 	idlePassInterval = second
-	// A pass looks at every unfinished job and every machine, if briefly; with thousands of
-	// them the share of a core that a controller has allows fewer passes.
+	// The interval between two passes grows with the number of unfinished jobs and of machines:
+	// a pass visits all of them, and a controller has only a share of a core.
 	passInterval           = 120 * time.Millisecond
 	passIntervalPerJob     = 300 * time.Microsecond
 	passIntervalPerMachine = 100 * time.Microsecond
 )
 
-// runLeader does what is due as the leader: calls to the cloud, and a scheduling pass.
+// runLeader makes the calls to the cloud and the scheduling pass that are due, if this process
+// leads.
 func (n *Node) runLeader() {
 	if !n.isLeader() || n.resign() || !n.leadership.LeaseHolds(n.now) {
 		return
@@ -98,7 +103,7 @@
 	}
 }
 
-// passDue tells whether it is time for a scheduling pass.
+// passDue reports whether a scheduling pass is due.
 func (n *Node) passDue() bool {
 	leader := &n.leader
 	if n.now < leader.nextPassAt || !leader.passNeeded && n.now < leader.nextPassAt+idlePassInterval {
@@ -107,7 +112,8 @@
 	return n.offeredTypes != nil && n.now-n.leadership.Since() >= firstPassDelay
 }
 
-// decide decides what is to be done about gangs and waiting jobs, and commits it as one batch.
+// decide makes a scheduling pass: it decides about gangs and waiting jobs and commits the changed
+// records as one batch.
 func (n *Node) decide() {
 	leader := &n.leader
 	leader.nextPassAt = n.now + passInterval + Time(len(n.replica.Live()))*passIntervalPerJob + Time(n.machineCount())*passIntervalPerMachine
@@ -130,7 +136,7 @@
 	n.notePlanned()
 }
 
-// cleanUpHints keeps the leader's memory of grants to those that matter.
+// cleanUpHints removes the grant hints that are no longer needed, every few seconds.
 func (n *Node) cleanUpHints() {
 	if n.now >= n.leader.hintsCleanupAt {
 		n.leader.hintsCleanupAt = n.now + 5*second
@@ -138,7 +144,7 @@
 	}
 }
 
-// machineCount counts those that we know and that may still be there.
+// machineCount returns the number of machines in all shards, without those that are gone for good.
 func (s *site) machineCount() int {
 	c := 0
 	for _, shard := range s.shards {
@@ -148,17 +154,21 @@
 }
 
 const (
-	// unownedGrantTimeout is how long a grant to a shard without an owner stands.
+	// unownedGrantTimeout is the time after which a grant to a shard without a responding owner
+	// is revoked.
 	unownedGrantTimeout = 8 * second
-	// ownedGrantTimeout is that of a shard with one, which may wait for its turn to write.
+	// ownedGrantTimeout is the time after which a grant to a shard whose owner responds is
+	// revoked. It is longer, as the owner may have to wait until its share of the write rate
+	// allows the placement.
 	ownedGrantTimeout = 40 * second
-	// ownerResponseTimeout is how long ago an owner was heard that counts as there.
+	// ownerResponseTimeout is the age of an owner's last message up to which it counts as
+	// responding.
 	ownerResponseTimeout = 5 * second
 )
 
-// revokeUnownedGrants revokes grants that no owner has placed for a while. Nothing can have
-// started; an owner that places a task at this moment changes the record, and the revocation
-// fails.
+// revokeUnownedGrants revokes grants that no owner has placed within the timeout. Their tasks
+// cannot have started: an owner that places a task at the same time changes the record, so that
+// the revocation fails.
 func (n *Node) revokeUnownedGrants(writer *writer) {
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
@@ -173,7 +183,7 @@
 	}
 }
 
-// hasStaleGrant tells whether a grant to a job has waited for too long for its owner.
+// hasStaleGrant reports whether a grant to a job has waited for its owner longer than the timeout.
 func (n *Node) hasStaleGrant(job *job) bool {
 	for _, task := range job.Record.ActiveTasks {
 		if task.Machine != "" {
@@ -190,7 +200,8 @@
 	return false
 }
 
-// ownerResponds tells whether a shard has an owner that can be heard.
+// ownerResponds reports whether a shard has an owner, which is this controller or has recently sent
+// a message.
 func (n *Node) ownerResponds(shard *shard) bool {
 	if shard.Record == nil {
 		return false
@@ -199,7 +210,8 @@
 	return n.owns(shard) || owner != nil && n.now-owner.receivedAt < ownerResponseTimeout
 }
 
-// provisionName is unique for ever: no two leaders share a term.
+// provisionName returns a new name for a provisioning request. Names are never reused, as no two
+// leaders have the same term.
 func (n *Node) provisionName() string {
 	n.leader.autoscaler.requestSequence++
 	return fmt.Sprintf("r-%d-%d", n.leadership.Term(), n.leader.autoscaler.requestSequence)
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -7,10 +7,8 @@
 	"micaport/internal/wire"
 )
 
-// Heartbeats of a leader that may be replaced early, and what controllers tell each other
-// of it.
-
-// sendHeartbeats tells the peers that we lead, and who is to take over first.
+// sendHeartbeats sends the heartbeats of a leader that may be replaced early to all peers. They
+// name the standby, which is to take over first.
 func (n *Node) sendHeartbeats() {
 	s := &n.failover
 	if !n.fenced() || n.now < s.heartbeatAt {
@@ -33,7 +31,8 @@
 	}
 }
 
-// candidates are the peers that may stand by.
+// candidates returns the peers among which the standby is elected: those that can be reached
+// directly.
 func (n *Node) candidates() []failover.Candidate {
 	var list []failover.Candidate
 	for _, m := range n.cfg.Members {
@@ -49,14 +48,14 @@
 	return list
 }
 
-// leaderHeartbeat takes in a leader's heartbeat.
+// leaderHeartbeat applies a heartbeat that a leader has sent.
 func (n *Node) leaderHeartbeat(m *wire.LeaderHeartbeat) {
 	if m != nil {
 		n.failover.follower.Heartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
 	}
 }
 
-// disconnected takes in that the connection to a peer has broken.
+// disconnected records that the connection to a peer has broken.
 func (n *Node) disconnected(label string) {
 	n.failover.follower.Disconnected(n.now, label)
 	if p := n.peers[label]; p != nil {
@@ -64,7 +63,8 @@
 	}
 }
 
-// leaderView is what we tell the peers of a leader that may be replaced early.
+// leaderView returns this controller's opinion of the leader, for the peers; nil if the leader
+// may not be replaced early or is this controller.
 func (n *Node) leaderView() *wire.LeaderView {
 	if n.leadership.Record() == nil || !n.leadership.Record().Fenced || n.leadership.Record().Controller == n.cfg.Self {
 		return nil
@@ -73,7 +73,7 @@
 	return &wire.LeaderView{Term: o.Term, SilenceMS: o.Silence.Milliseconds(), Broken: o.Broken, Suspected: o.Suspected}
 }
 
-// receiveLeaderView takes in what a peer tells of the leader.
+// receiveLeaderView stores a peer's opinion of the leader.
 func (n *Node) receiveLeaderView(from string, v *wire.LeaderView) {
 	if v != nil {
 		n.failover.follower.ReceiveOpinion(n.now, from, failover.Opinion{
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -6,7 +6,7 @@
 	"micaport/internal/wire"
 )
 
-// followLeader does what the leader's message asks of the owners of shards.
+// followLeader applies the instructions to the owners of shards in a message of the leader.
 func (n *Node) followLeader(message *wire.Gossip) {
 	if n.leadership.Record() == nil || n.leadership.Record().Controller != message.From {
 		return
@@ -20,24 +20,24 @@
 	n.drainMachines(message.Retire)
 }
 
-// reservations are the machines that the leader reserves for gangs.
+// reservations holds the machines that the leader reserves for gangs.
 type reservations struct {
 	jobs       map[int]int // by machine
 	receivedAt Time
 }
 
-// reservationTimeout is how long reservations hold after the leader's last message.
+// reservationTimeout is how long reservations are valid after the leader's last message.
 const reservationTimeout = 5 * second
 
-// jobOf is the job for which a machine is reserved, if any.
+// jobOf returns the job for which a machine is reserved, if any.
 func (r *reservations) jobOf(machine int, now Time) (job int, reserved bool) {
 	job, reserved = r.jobs[machine]
 	return job, reserved && now-r.receivedAt < reservationTimeout
 }
 
-// takeReservations takes in which machines the leader reserves for gangs. Owners choose the
-// machines of tasks; before they knew the reservations they filled the machines again as
-// soon as a task on them had ended.
+// takeReservations stores which machines the leader reserves for gangs. Owners choose the
+// machines of tasks, so they need the reservations: without them they would place new tasks on a
+// reserved machine as soon as a task on it has ended.
 func (n *Node) takeReservations(reservations []wire.Reservation) {
 	clear(n.reserved.jobs)
 	n.reserved.receivedAt = n.now
@@ -49,8 +49,8 @@
 	}
 }
 
-// drainMachines drains the own machines that the leader wants to return, as far as they are
-// empty, and lets those go that it no longer wants to.
+// drainMachines starts to drain those of this controller's machines that the leader wants to
+// deprovision and that are empty, and stops draining those that it no longer lists.
 func (n *Node) drainMachines(names []string) {
 	asked := make(map[string]bool, len(names))
 	for _, name := range names {
@@ -61,7 +61,8 @@
 	}
 	n.draining = slices.DeleteFunc(n.draining, func(index int) bool {
 		machine := n.machines[index]
-		// A leader that was replaced early may still return what it had asked for.
+		// A leader that was replaced early may still deprovision the machines that it had asked
+		// to drain, until the cloud fence has ended.
 		if machine.draining && !asked[machine.name] && n.now >= n.failover.cloudOpensAt(n.cfg.LeaderLease) {
 			machine.draining = false
 		}
@@ -69,7 +70,7 @@
 	})
 }
 
-// drainIfEmpty drains a machine if it is this controller's own and has no tasks.
+// drainIfEmpty starts to drain a machine if this controller owns it and it has no tasks.
 func (n *Node) drainIfEmpty(machine *machine) {
 	if machine.shard < 0 || !n.owns(n.shards[machine.shard]) ||
 		len(machine.placements) > 0 || len(machine.reportedTasks) > 0 ||
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -5,11 +5,9 @@
 	"micaport/internal/kv"
 )
 
-// The proofs by which a leader that may be replaced early knows that it has not been, and
-// which fence its calls to the cloud.
-
-// fenceClaim makes a new claim of ours once all controllers read that it is fenced. It
-// waits for what was decided under the old one.
+// fenceClaim replaces this leader's claim by a fenced one as soon as all controllers support the
+// record format that has the field. It first waits until the batch that was decided under the
+// old claim is settled, as the new claim changes the revision that commits are conditional on.
 func (n *Node) fenceClaim() {
 	if !n.cfg.EarlyFailover || !n.replica.WritesEarlyFailover() ||
 		n.leadership.Record().Fenced || n.leader.batch.active ||
@@ -19,8 +17,9 @@
 	n.sendClaim(n.newClaim(0), n.leadership.Term())
 }
 
-// proveClaim proves that our claim still stood when the proof was sent. The cloud, which
-// no record fences, is called only for a while after.
+// proveClaim sends a proof, which is a transaction that succeeds only if this leader's claim has
+// not been replaced. The cloud does not check fencing tokens, so a leader that may be replaced
+// early calls it only for a limited time after it sent a proof that succeeded; see failover.Fence.
 func (n *Node) proveClaim() {
 	term := n.leadership.Term()
 	if !n.fenced() || !n.failover.fence.Due(n.now) {
@@ -29,7 +28,7 @@
 	n.transact(ClassLease, []kv.Condition{n.leaderCondition()}, nil, leaderProof{term: term, sentAt: n.now})
 }
 
-// leaderProof is a proof under way that a claim of the leadership stands.
+// leaderProof is the continuation of a proof that has been sent; see proveClaim.
 type leaderProof struct {
 	term   uint64
 	sentAt Time
@@ -39,25 +38,26 @@
 	switch {
 	case n.leadership.Term() != p.term:
 	case result.Outcome == kv.Conflict:
-		n.leadership.Replaced(p.term) // the replica does not show it yet
+		n.leadership.Replaced(p.term) // the replica does not show the new claim yet
 	case result.Outcome == kv.OK && p.sentAt >= n.resumedAt:
 		n.failover.fence.AddProof(p.sentAt, result.Revision)
 		n.settleProofs()
 	}
 }
 
-// settleProofs lets those proofs count whose revision the replica has reached, and extends
-// the right of the calls that wait for their turn.
+// settleProofs makes those proofs valid whose revision the replica has reached, and extends the
+// time in which calls that are queued may be sent to the cloud.
 func (n *Node) settleProofs() {
 	s := &n.failover
 	before := s.fence.RemainingCallTime(n.now)
 	s.fence.Settle(n.replica.Revision())
-	if right := s.fence.RemainingCallTime(n.now); n.fenced() && right > before { // before it opens, nothing is to be sent
+	if right := s.fence.RemainingCallTime(n.now); n.fenced() && right > before { // never true before the cloud fence has ended
 		n.emit(AllowCloudCalls{Term: n.leadership.Term(), Until: n.now + right})
 	}
 }
 
-// cloudCallTime is for how much longer the cloud may be asked to provision or return.
+// cloudCallTime returns for how much longer the leader may send calls to the cloud that provision
+// or deprovision machines.
 func (n *Node) cloudCallTime() Time {
 	if !n.fenced() {
 		return n.cfg.LeaderLease
@@ -65,8 +65,10 @@
 	return n.failover.fence.RemainingCallTime(n.now)
 }
 
-// mayDecide tells whether a leader that may be replaced early has proof that it has not
-// been, that its copy of the records is current, and that no commit of its own is unsettled.
+// mayDecide reports whether the leader may make scheduling decisions. A leader that may be replaced
+// early needs a settled proof, which shows that it has not been replaced and that its replica is
+// current. Before its first pass there must also be no commit of this controller as an owner
+// whose outcome is unknown.
 func (n *Node) mayDecide() bool {
 	if !n.fenced() {
 		return true
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -9,10 +9,10 @@
 	"micaport/internal/wire"
 )
 
-// A leader that resigned while the outcome of a commit was unknown kept that commit
-// in mind for ever when another led. Its owner's side leaves records alone that
-// the leader's is about to change, so what the next leader granted to its shards
-// was never placed.
+// A leader that resigns while the outcome of a commit is unknown must discard that commit once
+// another controller leads. A controller doesn't change records as an owner that its own commit
+// as the leader may still change; a commit that was never discarded kept it from placing
+// what the next leader granted to its shards.
 func TestResignedLeaderForgetsItsBatch(t *testing.T) {
 	d := &controllerHarness{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
@@ -24,11 +24,11 @@
 	job := n.jobNamed("wk-000001")
 	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []kv.Write{{Key: wire.JobKey(job.ID), Value: job.Record}}}
 	if !n.leader.batch.changes(job) || !n.isLeader() {
-		t.Fatal("the leader's commit is not under way")
+		t.Fatal("the leader's commit is not pending")
 	}
 	n.leadership.Replaced(n.leadership.Term())
 	n.putLeader(&wire.Leader{Controller: "n1", Incarnation: "y"}, 9)
 	if n.leader.batch.changes(job) {
-		t.Error("the commit of a leader that has resigned still holds the record")
+		t.Error("the commit of a leader that has resigned still blocks the record")
 	}
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -7,9 +7,7 @@
 	"micaport/internal/wire"
 )
 
-// How this controller comes to lead, and stops.
-
-// initLeadership begins without a leader.
+// initLeadership creates the leadership state, which initially has no leader.
 func (n *Node) initLeadership() {
 	n.leadership = leadership.New(leadership.Config{
 		Self: n.cfg.Self, Incarnation: n.cfg.Incarnation, Rank: n.ownership.Rank(), LeaseTTL: n.cfg.LeaderLease,
@@ -17,15 +15,15 @@
 	})
 }
 
-// isLeader tells whether this process leads.
+// isLeader reports whether this process is the leader.
 func (n *Node) isLeader() bool { return n.leadership.IsLeader() }
 
-// leaderCondition makes a transaction fail unless this leader's claim still stands.
+// leaderCondition returns the condition that this leader's claim has not been replaced or deleted.
 func (n *Node) leaderCondition() kv.Condition {
 	return kv.Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}
 }
 
-// putLeader applies the claim of the leadership, or its end.
+// putLeader applies a change of the leader record; a nil claim means that it was deleted.
 func (n *Node) putLeader(claim *wire.Leader, revision uint64) {
 	change, previous := n.leadership.Put(n.now, claim, revision)
 	if change == leadership.Stale {
@@ -40,15 +38,15 @@
 		n.log(LogInfo, "leadership acquired", "term", revision)
 		n.adoptDecisions(previous)
 	case leadership.Lost:
-		// Also after a resignation: a batch whose outcome was never known would else count
-		// as about to be written for ever, and this owner would leave its records alone.
+		// Also after a resignation: otherwise a batch with an unknown outcome would stay pending
+		// for ever, and this controller would not change its records as an owner.
 		n.leader.reset()
 		n.log(LogInfo, "leadership lost")
 	}
 }
 
-// claimLeader claims the leadership when nobody has it, when an earlier incarnation of this
-// controller has it, or early when a quorum suspects the leader.
+// claimLeader claims the leadership if it is vacant, if this controller's own claim is one of an
+// earlier incarnation or one that it has abandoned, or early if a quorum suspects the leader.
 func (n *Node) claimLeader() {
 	replace := func() bool {
 		return n.failover.follower.Advise(n.now) == failover.Replace && n.leadership.Lease.Age(n.now) <= failover.MaxLeaseAge
@@ -63,7 +61,7 @@
 	}
 }
 
-// newClaim is the record of a claim of this process.
+// newClaim returns the leader record for a claim of this process.
 func (n *Node) newClaim(streak int) *wire.Leader {
 	claim := &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}
 	if n.replica.WritesEarlyFailover() {
@@ -72,22 +70,23 @@
 	return claim
 }
 
-// sendClaim claims the leadership, conditional on the revision of the claim that stands; 0:
-// there is none.
+// sendClaim commits a claim of the leadership, together with further writes. The commit is
+// conditional on the revision of the present claim, which is 0 if there is none.
 func (n *Node) sendClaim(claim *wire.Leader, standing uint64, more ...kv.Write) {
 	n.leadership.ClaimSent(n.now)
 	writes := []kv.Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leadership.Lease.ID}}
 	n.transact(ClassLease, []kv.Condition{{Key: wire.LeaderKey, Revision: standing}}, append(writes, more...), leaderClaim{})
 }
 
-// leaderClaim is a claim of the leadership under way.
+// leaderClaim is the continuation of a claim of the leadership that has been sent.
 type leaderClaim struct{}
 
 func (leaderClaim) committed(n *Node, result Committed) {
 	n.leadership.ClaimAnswered(n.now, result.Outcome, result.Revision)
 }
 
-// dropUnseenClaim gives up a claim that the replica does not show.
+// dropUnseenClaim abandons a claim that was accepted but that the replica still does not show
+// after a timeout, and deletes its record; see leadership.UnseenClaim.
 func (n *Node) dropUnseenClaim() {
 	if term, unseen := n.leadership.UnseenClaim(n.now, n.replica.Revision()); unseen {
 		n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
@@ -95,15 +94,18 @@
 	}
 }
 
-// How long the cloud may not answer, and peers may not be heard, before this controller
-// counts as isolated.
 const (
+	// cloudUnreachableTimeout is the time without an answer of the cloud after which this
+	// controller counts as isolated.
 	cloudUnreachableTimeout = 4 * second
-	peerSilence             = 6 * second
+	// peerSilence is the time without a direct message of any peer after which this controller
+	// counts as isolated.
+	peerSilence = 6 * second
 )
 
-// isolated tells whether this controller reaches neither the cloud nor any other
-// controller. Refusals don't count: they are the same for everyone.
+// isolated reports whether this controller has lost its connection to the cloud, or to all other
+// controllers. A call that the cloud refuses counts as answered: every controller would be
+// refused.
 func (n *Node) isolated() bool {
 	if n.cloudUnreachableSince > 0 && n.now-n.cloudUnreachableSince > cloudUnreachableTimeout {
 		return true
@@ -119,12 +121,12 @@
 	return n.now > peerSilence
 }
 
-// successorSilence is how long nothing may have been heard from a controller that could
-// take the leadership over.
+// successorSilence is the age of a controller's last message up to which it could take over the
+// leadership.
 const successorSilence = 8 * second
 
-// hasSuccessor tells whether a controller is there to take the leadership over that is not
-// isolated itself.
+// hasSuccessor reports whether another controller could take over the leadership: one that has
+// recently sent a message, is served by the state service and is not isolated.
 func (n *Node) hasSuccessor() bool {
 	for _, peer := range n.peers {
 		if n.now-peer.receivedAt < successorSilence && peer.message.StoreOK && !peer.message.CutOff {
@@ -134,8 +136,8 @@
 	return false
 }
 
-// resign gives the leadership up where this controller is isolated and another is not. It
-// tells whether it did.
+// resign gives up the leadership if this controller is isolated and another one is not. It reports
+// whether it did.
 func (n *Node) resign() bool {
 	if !n.leadership.Resign(n.now, n.isolated(), n.hasSuccessor) {
 		return false
@@ -145,7 +147,7 @@
 	return true
 }
 
-// resignation is the end of this leader's claim under way.
+// resignation is the continuation of a resignation that has been sent.
 type resignation struct{}
 
 func (resignation) committed(n *Node, result Committed) {
--- a/internal/core/leadership_status.go
+++ b/internal/core/leadership_status.go
@@ -2,7 +2,7 @@
 
 import "micaport/internal/wire"
 
-// leadershipStatus answers the operators' question who leads and who stands by.
+// leadershipStatus returns the state of the leadership as this controller sees it, for operators.
 func (n *Node) leadershipStatus() wire.LeadershipStatus {
 	s := &n.failover
 	status := wire.LeadershipStatus{
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -2,7 +2,8 @@
 
 import "micaport/internal/lease"
 
-// renewLeases keeps both leases alive and makes new ones when they have ended.
+// renewLeases renews the owner's lease and the leader's lease when they are due, and requests new
+// ones in place of those that have ended.
 func (n *Node) renewLeases() {
 	if n.ownership.Lease.Due(n.now) {
 		n.renew(&n.ownership.Lease)
@@ -12,8 +13,8 @@
 		return
 	}
 	if n.replica.Loaded() && n.leadership.AnotherLeads() && !n.needsLeaderLease() {
-		// There is nothing to claim, and requests are scarce. By the time it is needed the
-		// old lease may have ended.
+		// This controller needs no lease while another one leads, and requests are scarce. An
+		// old lease is discarded, as it may have ended by the time that one is needed.
 		if leader.Age(n.now) > leader.TTL/2 {
 			leader.Forget()
 		}
@@ -22,14 +23,14 @@
 	n.renew(leader)
 }
 
-// renew extends a lease, or makes one.
+// renew sends a request that extends a lease, or that creates one.
 func (n *Node) renew(l *lease.Lease) {
 	renewal := l.Renew(n.now)
 	id := n.continueWith(leaseRenewal{renewal})
 	n.emit(RenewLease{ID: id, LeaseID: renewal.ID(), TTL: l.TTL})
 }
 
-// leaseRenewal is a request for a lease under way.
+// leaseRenewal is the continuation of a lease request that has been sent.
 type leaseRenewal struct{ renewal lease.Renewal }
 
 func (r leaseRenewal) resume(n *Node, result Result) {
