--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -8,26 +8,24 @@
 	"micaport/internal/wire"
 )
 
-// Early replacement of a leader that has failed: what package failover decides is carried
-// out here. See docs/standby.md.
-
-// failoverState is this controller's part in the early replacement of leaders.
+// failoverState is this controller's state for the early replacement of a failed leader: package
+// failover decides, this package carries it out. See docs/standby.md.
 type failoverState struct {
 	follower         *failover.Follower
 	fence            failover.Fence
 	takeover         failover.Takeover
-	earlyClaimSeenAt Time // when a claim was last seen that may have replaced a live leader; 0: never
-	firstPassDone    bool // the present leadership of ours has made its first pass
-	standby          string
-	heartbeatAt      Time
-	takeovers        *wire.Takeovers // the record, as the replica has it
+	earlyClaimSeenAt Time            // when a claim was last seen that may have replaced a live leader; 0: never
+	firstPassDone    bool            // this leader has made a scheduling pass in its present term
+	standby          string          // the standby that this leader has elected; "": none
+	heartbeatAt      Time            // when the leader's next heartbeats are due
+	takeovers        *wire.Takeovers // the record, as the replica shows it
 
-	publisher *failover.Publisher // our end of the decision log as the leader
-	replica   *failover.Replica   // our end of it as the standby
-	publishAt Time
+	publisher *failover.Publisher // the leader's side of the decision log
+	replica   *failover.Replica   // the standby's side of the decision log
+	publishAt Time                // earliest time of the next publication
 }
 
-// initFailover begins with no leader to watch.
+// initFailover creates the failover state, which initially has no leader to watch.
 func (n *Node) initFailover() {
 	cfg := failover.Config{Self: n.cfg.Self, Early: n.cfg.EarlyFailover, LeaseTTL: n.cfg.LeaderLease}
 	for _, m := range n.cfg.Members {
@@ -38,10 +36,10 @@
 	n.failover.publisher, n.failover.replica = failover.NewPublisher(), failover.NewReplica()
 }
 
-// fenced tells whether we lead under a claim that may be replaced early.
+// fenced reports whether this process leads under a claim that may be replaced early.
 func (n *Node) fenced() bool { return n.isLeader() && n.leadership.Record().Fenced }
 
-// observeLeader takes in a change of the leader's record.
+// observeLeader applies a change of the leader record to the failover state.
 func (n *Node) observeLeader() {
 	claim := failover.Claim{Term: n.leadership.Term()}
 	if record := n.leadership.Record(); record != nil {
@@ -53,7 +51,7 @@
 	n.failover.observe(n.now, claim, n.isLeader(), n.cfg.LeaderLease)
 }
 
-// observe takes in a change of the claim that stands; leads says that it is this process's.
+// observe applies a new claim of the leadership; leads is set if it is a claim of this process.
 func (f *failoverState) observe(now Time, claim failover.Claim, leads bool, leaseTTL Time) {
 	f.follower.Observe(now, claim)
 	if claim.Streak > 0 {
@@ -70,8 +68,8 @@
 	f.takeover.Reach(failover.Seen, now)
 }
 
-// cloudOpensAt is when no leader that was replaced early can call the cloud any more; 0:
-// none was.
+// cloudOpensAt returns the time from which on no leader that was replaced early can call the cloud
+// any more; 0 if no leader has been replaced early.
 func (f *failoverState) cloudOpensAt(leaseTTL Time) Time {
 	if f.earlyClaimSeenAt == 0 {
 		return 0
@@ -79,7 +77,9 @@
 	return f.earlyClaimSeenAt + failover.CloudFenceTime(leaseTTL)
 }
 
-// runFailover does what is due for heartbeats, proofs and the lease of a candidate.
+// runFailover does the periodic work of the failover. A leader proves its claim, sends heartbeats
+// and publishes the decision log; other controllers check the leader, and renew their own lease
+// early while they suspect it.
 func (n *Node) runFailover() {
 	if n.isLeader() {
 		n.fenceClaim()
@@ -97,23 +97,23 @@
 	}
 	if !suspected {
 		n.log(LogInfo, "leader suspected", "leader", n.leadership.Record().Controller, "silence", s.follower.Silence(n.now))
-		n.sendGossip(true) // the peers are to know at once
+		n.sendGossip(true) // send the suspicion to the peers without delay
 	}
 	if n.leadership.Lease.Age(n.now) > failover.MaxLeaseAge/2 {
 		n.leadership.Lease.RenewNow(n.now)
 	}
 }
 
-// needsLeaderLease tells whether we need a leader lease although another leads: as its
-// standby, and while we suspect it.
+// needsLeaderLease reports whether this controller needs a leader lease while another one leads:
+// it does as the standby, and while it suspects the leader.
 func (n *Node) needsLeaderLease() bool {
 	f := n.failover.follower
 	return n.cfg.EarlyFailover && (f.IsStandby() || f.SuspectedAt() > 0)
 }
 
-// claimEarly replaces a leader whose lease has not ended. The claim is conditional on the
-// revision of its key, so that of several candidates one succeeds, and every commit of
-// the replaced leader fails from then on.
+// claimEarly replaces a leader whose lease has not ended. The claim is conditional on the revision
+// of the leader key, so that only one of several candidates succeeds. It changes that revision,
+// so that every later commit of the replaced leader fails.
 func (n *Node) claimEarly() {
 	s := &n.failover
 	replaced, evidence := n.leadership.Record().Controller, s.follower.Evidence(n.now)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -13,7 +13,7 @@
 	"micaport/internal/wire"
 )
 
-// member is a controller among three with a state service that answers when told to.
+// member is one of three controllers, with a state service whose answers the test sends.
 type member struct {
 	t       *testing.T
 	n       *Node
@@ -23,7 +23,8 @@
 	clouds  []CallCloud
 }
 
-// newMember is n1 of n0, n1 and n2, which replaces leaders early; all read the newest format.
+// newMember returns controller n1 of n0, n1 and n2. It replaces leaders early, and all controllers
+// support the newest format.
 func newMember(t *testing.T) *member {
 	t.Helper()
 	m := &member{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "a"}}, Zones: []string{"a"},
@@ -50,7 +51,7 @@
 	}
 }
 
-// wait lets time pass in which n0, if it leads with a term, sends heartbeats.
+// wait advances the time; n0 sends heartbeats meanwhile if its term is not 0.
 func (m *member) wait(d Time, term uint64) {
 	for end := m.now + d; m.now < end; {
 		m.now += 50 * time.Millisecond
@@ -61,19 +62,19 @@
 	}
 }
 
-// lead lets the records show that a controller leads, and gives the term.
+// lead applies a leader record that names a controller, and returns its term.
 func (m *member) lead(node, life string, fenced bool, streak int) uint64 {
 	m.rev++
 	m.step(RecordsChanged{Revision: m.rev, Events: []kv.Event{{Key: wire.LeaderKey, Revision: m.rev, Value: &wire.Leader{Controller: node, Incarnation: life, Fenced: fenced, Streak: streak}}}})
 	return m.rev
 }
 
-// suspect lets n2 say that it suspects the leader of a term.
+// suspect delivers a message in which n2 suspects the leader of a term.
 func (m *member) suspect(term uint64) {
 	m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true, Leader: &wire.LeaderView{Term: term, Suspected: true}}})
 }
 
-// take removes the commits that are conditional on the leader key and gives them.
+// take removes and returns the unanswered commits that are conditional on the leader key.
 func (m *member) take() (taken []Commit) {
 	m.commits = slices.DeleteFunc(m.commits, func(c Commit) bool {
 		is := slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.LeaderKey })
@@ -85,8 +86,8 @@
 	return taken
 }
 
-// silentLeader is a member whose leader n0 has sent heartbeats for 10 s and then none for
-// 2.5 s, and its term.
+// silentLeader returns a member whose leader n0 has sent heartbeats for 10 s and then none for
+// 2.5 s, and the leader's term.
 func silentLeader(t *testing.T) (m *member, term uint64) {
 	t.Helper()
 	m = newMember(t)
@@ -96,12 +97,12 @@
 	return m, term
 }
 
-// A claim replaces the leader's key on its revision and tells of the evidence, in one
-// transaction; without a peer that suspects the leader as well there is none.
+// An early claim is one transaction that replaces the leader key, conditional on its revision, and
+// records the evidence. It is not made unless a peer suspects the leader, too.
 func TestEarlyClaim(t *testing.T) {
 	m, term := silentLeader(t)
 	if claims := m.take(); len(claims) > 0 {
-		t.Fatalf("claimed alone: %+v", claims)
+		t.Fatalf("claimed without a quorum: %+v", claims)
 	}
 	m.suspect(term)
 	m.wait(300*time.Millisecond, 0)
@@ -118,8 +119,8 @@
 	}
 }
 
-// A claim needs a lease that was renewed just now: else the leader's last call to the
-// cloud could come after the claim's own lease has ended.
+// An early claim needs a recently renewed lease: otherwise the last call of the replaced leader
+// could reach the cloud after the lease of the claim has ended.
 func TestEarlyClaimNeedsFreshLease(t *testing.T) {
 	m := newMember(t)
 	term := m.lead("n0", "x", true, 0)
@@ -133,7 +134,7 @@
 	}
 }
 
-// takenOver is a member that has just replaced n0, and the proof that it has sent.
+// takenOver returns a member that has just replaced n0, and the proof that it has sent.
 func takenOver(t *testing.T) (*member, Commit) {
 	t.Helper()
 	m, term := silentLeader(t)
@@ -151,7 +152,7 @@
 	return m, proofs[0]
 }
 
-// submitOne lets a job be accepted that only a new machine can serve.
+// submitOne adds the record of an accepted job that needs a new machine.
 func (m *member) submitOne() {
 	m.rev++
 	job := lowJob(wire.JobLive)
@@ -159,24 +160,24 @@
 	m.step(RecordsChanged{Revision: m.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: m.rev, Value: job}}})
 }
 
-// calls gives the provisioning and deprovisioning calls that the cloud was asked for.
+// calls returns the number of calls to the cloud that provision or deprovision.
 func (m *member) calls() int {
 	return len(slices.DeleteFunc(slices.Clone(m.clouds), func(c CallCloud) bool { return c.Provision == nil && c.Deprovision == nil }))
 }
 
-// A new leader makes no pass before its claim is proven, and leaves the cloud alone until
-// the replaced leader's last proof has run out.
+// A new leader makes no scheduling pass before its claim is proven, and does not call the cloud
+// until the last proof of the replaced leader has expired.
 func TestNewLeaderWaits(t *testing.T) {
 	m, proof := takenOver(t)
 	m.submitOne()
 	m.wait(second, 0)
 	if m.n.failover.firstPassDone {
-		t.Error("a pass was made without proof")
+		t.Error("a scheduling pass was made without a proof")
 	}
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
 	m.wait(second, 0)
 	if !m.n.failover.firstPassDone {
-		t.Error("no pass was made with a proof")
+		t.Error("no scheduling pass was made after the proof")
 	}
 	for m.now < m.n.failover.earlyClaimSeenAt+failover.CloudFenceTime(5*second) {
 		if m.calls() > 0 {
@@ -198,36 +199,38 @@
 	}
 }
 
-// A leader whose proof finds another claim knows that it has been replaced, though its
-// watch hangs.
+// A leader whose watch hangs detects that it has been replaced, as its proof conflicts with the
+// new claim.
 func TestReplacedLeaderLearnsByItsProof(t *testing.T) {
 	m, proof := takenOver(t)
 	m.step(Committed{ID: proof.ID, Outcome: kv.Conflict, Revision: m.rev + 5, Failed: []string{wire.LeaderKey}})
 	if m.n.isLeader() {
-		t.Error("it still leads")
+		t.Error("the replaced leader still leads")
 	}
 }
 
-// While a commit of its owner's role may yet be carried out, a new leader decides nothing.
+// A new leader makes no decision while a commit that it sent as an owner has an unknown outcome
+// and may still be applied.
 func TestNewLeaderSettlesItsOwnCommits(t *testing.T) {
 	m, proof := takenOver(t)
 	m.n.batch.active, m.n.batch.outcomeUnknown = true, true
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
 	if m.n.mayDecide() {
-		t.Error("it decides")
+		t.Error("the leader may decide while a commit is unsettled")
 	}
 	m.n.batch.active = false
 	if !m.n.mayDecide() {
-		t.Error("it does not decide when the commit is settled")
+		t.Error("the leader may not decide after the commit is settled")
 	}
 }
 
-// A leader that stood still decides nothing until a proof sent afterwards has settled.
+// After a pause of its process a leader makes no decision until a proof that was sent after the
+// pause has settled.
 func TestStallVoidsLeaderProofs(t *testing.T) {
 	m, proof := takenOver(t)
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
 	if !m.n.mayDecide() {
-		t.Fatal("not proven")
+		t.Fatal("the leader may not decide after its proof")
 	}
 	m.wait(1200*time.Millisecond, 0)
 	late := m.take()
@@ -237,12 +240,12 @@
 		m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.rev})
 	}
 	if m.n.mayDecide() || m.n.cloudCallTime() > 0 {
-		t.Error("a proof outlived the pause")
+		t.Error("a proof from before the pause is still valid")
 	}
 }
 
-// A controller that stood still takes nobody's silence in that time for a failure, whatever
-// peers told before.
+// After a pause of its own process a controller does not suspect the leader for heartbeats that it
+// missed during the pause, even if a peer suspects it.
 func TestStallIsNoSilenceOfTheLeader(t *testing.T) {
 	m := newMember(t)
 	term := m.lead("n0", "x", true, 0)
@@ -255,8 +258,8 @@
 	}
 }
 
-// A claim that the watch does not show is given up: renewed on, it would leave the site
-// without a leader that decides.
+// A claim that the watch does not show is abandoned: if its lease were renewed, the site would stay
+// without a leader that makes decisions.
 func TestUnseenClaimIsDropped(t *testing.T) {
 	m, term := silentLeader(t)
 	m.suspect(term)
@@ -269,14 +272,14 @@
 			return
 		}
 	}
-	t.Error("the claim is kept")
+	t.Error("the claim is not abandoned")
 }
 
-// A leader that claims anew to be fenced goes on with what it knows: machines on their way
-// are not provisioned again.
+// A leader that replaces its own claim by a fenced one keeps its state, so that machines that are
+// booting are not provisioned again.
 func TestFencingKeepsWhatTheLeaderKnows(t *testing.T) {
 	m := newMember(t)
-	m.wait(2*second, 0) // it has a lease and claims
+	m.wait(2*second, 0) // it creates a lease and claims the leadership
 	term := m.lead("n1", "y", false, 0)
 	m.n.leader.autoscaler.booting["vm-1"] = &bootingMachine{}
 	m.wait(500*time.Millisecond, 0)
@@ -288,25 +291,26 @@
 	tenure := m.n.leader.tenure
 	m.lead("n1", "y", true, 0)
 	if len(m.n.leader.autoscaler.booting) != 1 || m.n.leader.tenure != tenure || !m.n.fenced() {
-		t.Error("the leader began anew")
+		t.Error("the leader has lost its state")
 	}
 }
 
-// A takeover that is listed when a controller starts may have been made a moment ago.
+// A takeover that is recorded when a controller starts may have been made immediately before, so
+// the cloud fence starts at that time.
 func TestListedTakeoverClosesTheCloud(t *testing.T) {
 	m := newMember(t)
 	if m.n.failover.cloudOpensAt(5*second) != 0 {
-		t.Fatal("the cloud is closed without a takeover")
+		t.Fatal("there is a cloud fence without a takeover")
 	}
 	fresh := New(m.n.cfg)
 	fresh.Step(second, RecordsChanged{Reset: true, Revision: 5, Events: []kv.Event{{Key: wire.TakeoversKey, Revision: 4, Value: &wire.Takeovers{}}}})
 	if want := second + failover.CloudFenceTime(5*second); fresh.failover.cloudOpensAt(5*second) != want {
-		t.Errorf("it opens at %v, not %v", fresh.failover.cloudOpensAt(5*second), want)
+		t.Errorf("the cloud fence ends at %v, want %v", fresh.failover.cloudOpensAt(5*second), want)
 	}
 }
 
-// What a replaced leader had asked an owner to empty may still be returned by it: the owner
-// places nothing there until its right to call the cloud has run out.
+// A replaced leader may still deprovision the machines that it asked an owner to drain. The owner
+// places nothing on them until the replaced leader can no longer call the cloud.
 func TestOwnerKeepsMachinesEmptyForAReplacedLeader(t *testing.T) {
 	m := newMember(t)
 	term := m.lead("n0", "x", true, 0)
@@ -324,11 +328,11 @@
 	}
 	m.wait(200*time.Millisecond, 0)
 	if hear(); machine.draining {
-		t.Error("the machine is kept empty for ever")
+		t.Error("the machine is still draining after the cloud fence has ended")
 	}
 }
 
-// logMessage is a message of n0's log.
+// logMessage returns a message of n0's decision log that starts the log anew.
 func logMessage(t *testing.T, term, sequence uint64, now Time, facts ...wire.Fact) *wire.DecisionLog {
 	t.Helper()
 	raw, err := wire.Encode(facts)
@@ -338,8 +342,9 @@
 	return &wire.DecisionLog{From: "n0", Life: "x", Term: term, Sequence: sequence, Reset: true, NowMS: now.Milliseconds(), Facts: raw, Checksum: crc32.ChecksumIEEE(raw)}
 }
 
-// What the last leader has told is gone on from, a provisioning request under its own name, but for what
-// the records and owners contradict; what an earlier leader told is not.
+// A new leader adopts the facts in the decision log of its predecessor, except those that the
+// records or the owners contradict. A pending provisioning request keeps its name. The log of an
+// earlier leader than the predecessor is not adopted.
 func TestDecisionsAreAdopted(t *testing.T) {
 	for _, ofLast := range []bool{true, false} {
 		m := newMember(t)
@@ -350,8 +355,8 @@
 		m.wait(2*second, term)
 		m.step(DecisionLogReceived{RequestID: 1, Message: logMessage(t, term, 1, m.now,
 			wire.Fact{Kind: wire.FactBooting, Name: "vm-3", MachineType: "g", Zone: "a", At: m.now.Milliseconds() - 1000},
-			wire.Fact{Kind: wire.FactBooting, Name: "vm-4", MachineType: "g", Zone: "a", At: 1}, // its owner hears it
-			wire.Fact{Kind: wire.FactDraining, Name: "vm-5"},                                    // gone
+			wire.Fact{Kind: wire.FactBooting, Name: "vm-4", MachineType: "g", Zone: "a", At: 1}, // its owner has reported it
+			wire.Fact{Kind: wire.FactDraining, Name: "vm-5"},                                    // deprovisioned
 			wire.Fact{Kind: wire.FactDraining, Name: "vm-6"},
 			wire.Fact{Kind: wire.FactBooting, Name: "vm-7", MachineType: "g", Zone: "elsewhere", At: 1},
 			wire.Fact{Kind: wire.FactProvisioning, Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3, At: 1},
@@ -364,21 +369,21 @@
 		scaler := &m.n.leader.autoscaler
 		if !ofLast {
 			if len(scaler.booting)+len(scaler.provisions)+len(scaler.draining) > 0 {
-				t.Errorf("adopted of an earlier leader: %+v", scaler)
+				t.Errorf("adopted facts of an earlier leader: %+v", scaler)
 			}
 			continue
 		}
 		if len(scaler.booting) != 1 || scaler.booting["vm-3"] == nil || m.now-scaler.booting["vm-3"].provisionedAt != second || len(scaler.draining) != 1 || !scaler.draining["vm-6"] {
-			t.Errorf("booting %v, retiring %v", scaler.booting, scaler.draining)
+			t.Errorf("booting %v, draining %v", scaler.booting, scaler.draining)
 		}
 		if len(scaler.provisions) != 1 || scaler.provisions[0].sent || scaler.provisions[0].request != (wire.ProvisionRequest{Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3}) {
-			t.Errorf("hires %+v", scaler.provisions)
+			t.Errorf("provisioning requests %+v", scaler.provisions)
 		}
 	}
 }
 
-// A gang whose attempts are dropped keeps its place three times, and then waits anew; who
-// has been placed begins anew.
+// A gang whose attempt is dropped keeps its position in the queue, but only maxDroppedAttempts
+// times. A gang that has been placed has no earlier position to restore.
 func TestDroppedGangKeepsItsPlace(t *testing.T) {
 	j := &job{waitingSince: 5 * second}
 	for i := range maxDroppedAttempts + 1 {
@@ -394,7 +399,8 @@
 	}
 }
 
-// Whoever asks is told who leads, who stands by and how far the copy goes.
+// The status names the leader and the standby, and the revision that this controller's replica has
+// reached.
 func TestStandbyStatus(t *testing.T) {
 	m := newMember(t)
 	term := m.lead("n0", "x", true, 2)
@@ -405,6 +411,6 @@
 	want := wire.LeadershipStatus{Controller: "n1", Leader: "n0", Term: term, Fenced: true, Streak: 2, Standby: "n1", Revision: m.rev, SilenceMS: 400,
 		Early: true, Agreed: wire.Format, Served: true, PauseMS: 10000}
 	if got != want {
-		t.Errorf("%+v, not %+v", got, want)
+		t.Errorf("status %+v, want %+v", got, want)
 	}
 }
--- a/internal/core/takeover_record.go
+++ b/internal/core/takeover_record.go
@@ -9,13 +9,12 @@
 	"micaport/internal/wire"
 )
 
-// The record of the last early takeovers, for operators.
-
-// maxRecordedTakeovers is how many takeovers the record lists, where a value has room for them.
+// maxRecordedTakeovers is the largest number of early takeovers that the record for operators lists;
+// there are fewer if they exceed the size limit of a value.
 const maxRecordedTakeovers = 8
 
-// putTakeovers applies the record. A takeover that is listed when the process starts may have
-// been made a moment ago.
+// putTakeovers applies a change of the takeover record. A takeover that is recorded when the process
+// starts may have been made immediately before, so it counts as seen now.
 func (n *Node) putTakeovers(record *wire.Takeovers) {
 	n.failover.takeovers = record
 	if !n.replica.Loaded() {
@@ -23,7 +22,8 @@
 	}
 }
 
-// withTakeover is the record with one more takeover, and as many of the others as fit a value.
+// withTakeover returns the record with one more takeover, without the oldest ones if they exceed
+// maxRecordedTakeovers or the size limit of a value.
 func (f *failoverState) withTakeover(takeover wire.Takeover, fits func(any) bool) *wire.Takeovers {
 	record := &wire.Takeovers{}
 	if f.takeovers != nil {
@@ -36,8 +36,8 @@
 	return record
 }
 
-// completed is the record with the stages of this controller's takeover, or nil if the last
-// takeover is not its own.
+// completed returns the record with the stages of this controller's takeover, or nil if the last
+// takeover is another controller's.
 func (f *failoverState) completed(self string) *wire.Takeovers {
 	if f.takeovers == nil || len(f.takeovers.List) == 0 {
 		return nil
@@ -51,8 +51,8 @@
 	return record
 }
 
-// stagesMS are the times of the stages of this controller's takeover so far, in
-// milliseconds from the last heartbeat of the leader before.
+// stagesMS returns the times of the stages that this controller's takeover has reached, in
+// milliseconds since the last heartbeat of the replaced leader.
 func (f *failoverState) stagesMS() []int64 {
 	var stages []int64
 	for stage := failover.Suspected; stage <= failover.Decided && f.takeover.Reached(stage); stage++ {
@@ -61,7 +61,7 @@
 	return stages
 }
 
-// notePlanned notes that this leader has made a scheduling pass. The first completes its
+// notePlanned records that this leader has made a scheduling pass. The first one completes its
 // takeover.
 func (n *Node) notePlanned() {
 	f := &n.failover
