--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -7,9 +7,8 @@
 	"micaport/internal/wire"
 )
 
-// How a new leader goes on from the last one's decision log.
-
-// adoptDecisions goes on from what the leader of a term told this controller as its standby.
+// adoptDecisions initializes the state of a new leader from the decision log that this controller
+// received as the standby of the previous leader, whose term is passed.
 func (n *Node) adoptDecisions(term uint64) {
 	facts := n.failover.replica.Of(term)
 	if len(facts) == 0 {
@@ -17,7 +16,7 @@
 	}
 	slices.SortFunc(facts, func(a, b wire.Fact) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 	for _, index := range n.replica.Live() {
-		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // of when it last led itself
+		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // set during an earlier term of this controller
 	}
 	adopted := 0
 	for i := range facts {
@@ -29,8 +28,8 @@
 	n.log(LogInfo, "adopted decision log of previous leader", "term", term, "facts", len(facts), "adopted", adopted)
 }
 
-// adoptFact adopts a fact unless something contradicts it, and tells whether it did. Kinds of
-// later versions are skipped.
+// adoptFact adopts a fact unless the records or the owners contradict it, and reports whether it
+// did. Kinds of facts that only later versions support are skipped.
 func (n *Node) adoptFact(fact *wire.Fact) bool {
 	switch fact.Kind {
 	case wire.FactProvisioning, wire.FactBackoff, wire.FactCapacityShortage:
@@ -48,8 +47,8 @@
 	return n.adoptMachineFact(fact, machine)
 }
 
-// adoptPoolFact adopts a fact about a pool or a provisioning request. A request under way is
-// repeated under its own name, which the cloud answers as it did the first time.
+// adoptPoolFact adopts a fact about a pool or a provisioning request. A pending request is repeated
+// under its own name, which makes it idempotent: the cloud answers as it did the first time.
 func (n *Node) adoptPoolFact(fact *wire.Fact) bool {
 	scaler := &n.leader.autoscaler
 	pool, known := poolOf(fact, n.names)
@@ -82,7 +81,7 @@
 	return true
 }
 
-// adoptJobFact adopts a fact about a job that still waits.
+// adoptJobFact adopts a fact about a job that has not ended.
 func (n *Node) adoptJobFact(fact *wire.Fact) bool {
 	job := n.jobNamed(fact.Name)
 	if job == nil || job.Record == nil || job.Record.State != wire.JobLive {
@@ -105,7 +104,8 @@
 	return true
 }
 
-// adoptHistory adopts what has happened to a machine, which nothing can contradict.
+// adoptHistory adopts a fact about a past event of a machine, its boot or its deprovisioning, which
+// neither the records nor the owners can contradict.
 func (n *Node) adoptHistory(fact *wire.Fact) {
 	if fact.Kind == wire.FactBootTime {
 		scaler := &n.leader.autoscaler
@@ -116,7 +116,8 @@
 	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, timeOf(fact)})
 }
 
-// adoptMachineFact adopts a fact about a machine, which is nil if it has not been seen.
+// adoptMachineFact adopts a fact about a machine, which is nil if this controller has not seen it,
+// unless it is contradicted. It reports whether it did.
 func (n *Node) adoptMachineFact(fact *wire.Fact, machine *machine) bool {
 	scaler := &n.leader.autoscaler
 	hasReported := machine != nil && machine.view.known
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -8,24 +8,23 @@
 	"micaport/internal/wire"
 )
 
-// The facts of the decision log. Their times are in milliseconds of the leader's steady
-// clock, of which the follower's replica of the log makes its own.
-
-// factTime is a time as a fact has it; never 0, which is none.
+// factTime converts a time to the At field of a fact: milliseconds of the leader's steady clock,
+// which the standby's replica of the log converts to its own clock. It is never 0, which means no
+// time.
 func factTime(t Time) int64 { return max(1, t.Milliseconds()) }
 
-// waitFactTime is a time from when a job has waited. It may be before the start of this
-// process, and thus negative.
+// waitFactTime converts the time since when a job has waited to the At field of a fact. It may be
+// before the start of this process, and thus negative, but is never 0.
 func waitFactTime(t Time) int64 { return cmp.Or(t.Milliseconds(), -1) }
 
-// timeOf is the reverse of factTime.
+// timeOf returns the time of a fact; it is the inverse of factTime.
 func timeOf(fact *wire.Fact) Time { return Time(fact.At) * time.Millisecond }
 
-// waitTimeOf is the reverse of waitFactTime.
+// waitTimeOf returns the time since when a job has waited; it is the inverse of waitFactTime.
 func waitTimeOf(fact *wire.Fact) Time { return cmp.Or(timeOf(fact), -1) }
 
-// Decisions lists what the controller knows as the leader alone, with times of its own
-// steady clock; nothing if it does not lead.
+// Decisions returns the facts that only the leader has, with times of this controller's steady
+// clock; nil if this controller does not lead.
 func (n *Node) Decisions() []wire.Fact {
 	if !n.isLeader() {
 		return nil
@@ -33,7 +32,7 @@
 	return n.leaderFacts()
 }
 
-// leaderFacts lists what only the leader knows.
+// leaderFacts returns the leader's state that is not in the records, as facts.
 func (n *Node) leaderFacts() []wire.Fact {
 	facts := n.leader.autoscaler.facts(n.now, n.names)
 	for _, reserved := range n.leader.reservations {
@@ -50,7 +49,7 @@
 	return facts
 }
 
-// appendFacts adds what only the leader knows of the job.
+// appendFacts appends the leader's state of the job that is not in its record.
 func (j *job) appendFacts(facts []wire.Fact, now Time, names *replica.Names) []wire.Fact {
 	if j.waitingSince != 0 {
 		facts = append(facts, wire.Fact{Kind: wire.FactWaitingSince, Name: j.ID, At: waitFactTime(j.waitingSince)})
@@ -72,7 +71,7 @@
 	return facts
 }
 
-// facts lists what only the leader knows of its dealings with the cloud.
+// facts returns the autoscaler's state as facts.
 func (a *autoscaler) facts(now Time, names *replica.Names) []wire.Fact {
 	var facts []wire.Fact
 	for name, booting := range a.booting {
@@ -115,7 +114,7 @@
 	return facts
 }
 
-// poolFact is a fact about a pool, or about a machine or a request of it.
+// poolFact returns a fact about a pool, or about a machine or a provisioning request of it.
 func poolFact(kind wire.FactKind, name string, pool machinePool, at Time, names *replica.Names) wire.Fact {
 	return wire.Fact{
 		Kind: kind, Name: name, At: factTime(at),
@@ -123,7 +122,7 @@
 	}
 }
 
-// poolName names a pool in facts.
+// poolName returns the name by which facts identify a pool.
 func poolName(pool machinePool, names *replica.Names) string {
 	name := names.MachineTypes.Name(pool.machineType) + "/" + names.Zones.Name(pool.zone)
 	if pool.spot {
@@ -132,7 +131,8 @@
 	return name
 }
 
-// poolOf is the pool of a fact, if its names are known.
+// poolOf returns the pool of a fact. Known is false if the fact's machine type or zone is not known to
+// this controller.
 func poolOf(fact *wire.Fact, names *replica.Names) (pool machinePool, known bool) {
 	pool = machinePool{machineType: names.MachineTypes.Find(fact.MachineType), zone: names.Zones.Find(fact.Zone), spot: fact.Spot}
 	return pool, pool.machineType >= 0 && pool.zone >= 0
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -7,19 +7,17 @@
 	"micaport/internal/wire"
 )
 
-// The decision log: what only the leader knows, told to its standby, which goes on from it
-// when it takes over. All of it is a hint: what the records or the owners contradict is
-// dropped.
-
 const (
-	// publishInterval lies between two looks at what the leader knows, and
-	// publishIntervalPerFact is added for each live job and each fact: a look at 4,000 facts
-	// takes some milliseconds, of which a controller with a tenth of a core has few.
+	// publishInterval is the time between two publications of the leader's facts, to which
+	// publishIntervalPerFact is added for each live job and each fact: collecting 4,000 facts
+	// takes some milliseconds, and a controller may have as little as a tenth of a core.
 	publishInterval        = 200 * time.Millisecond
 	publishIntervalPerFact = 100 * time.Microsecond
 )
 
-// publishDecisionLog tells the standby what has changed of what only the leader knows.
+// publishDecisionLog sends the changes of the decision log to the standby. The log carries the
+// leader's state that is not in the records, so that the standby can continue from it after a
+// takeover. All of it is a hint: facts that the records or the owners contradict are ignored.
 func (n *Node) publishDecisionLog() {
 	s := &n.failover
 	if !n.fenced() {
@@ -37,7 +35,7 @@
 	}
 }
 
-// decisionLogReceived receives a message of the leader's log and acknowledges it.
+// decisionLogReceived applies a message of the leader's decision log and acknowledges it.
 func (n *Node) decisionLogReceived(received DecisionLogReceived) {
 	ack := wire.DecisionLogAck{Resync: true}
 	if received.Message != nil {
