--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -6,20 +6,20 @@
 	"micaport/internal/wire"
 )
 
-// Gossip tells the other controllers which shards this one owns, how their machines are,
-// and what it decides as the leader. A message has the views of the machines that changed
-// since the version that its receiver has seen (view_changes.go).
-
 const (
-	// gossipInterval is the time between two messages when nothing presses.
+	// gossipInterval is the time between two messages when nothing is urgent.
 	gossipInterval = second
-	// minGossipInterval is the least time between two messages: what happens on
-	// many machines at the same time goes into one message.
+	// minGossipInterval is the least time between two messages, so that simultaneous changes of
+	// many machines are sent in one message.
 	minGossipInterval = 150 * time.Millisecond
 )
 
-// sendGossip sends a message to each peer if it is time, or, with now set, has one sent as
-// soon as possible.
+// sendGossip sends a message to each peer if one is due. With now set it only makes the next
+// message due as soon as minGossipInterval allows.
+//
+// Gossip messages carry the shards that this controller owns, its views of their machines, and the
+// leader's instructions. Each receiver gets the views that have changed since the version that
+// it has received; see viewLog.
 func (n *Node) sendGossip(now bool) {
 	if now {
 		n.gossipAt = min(n.gossipAt, n.gossipSentAt+minGossipInterval)
@@ -31,7 +31,7 @@
 	n.gossipAt, n.gossipSentAt = n.now+gossipInterval, n.now
 	n.updateOwnViews()
 	message := n.gossipMessage()
-	// Peers that have seen the same version get the same message.
+	// Peers that have received the same version get the same message.
 	byVersion := map[uint64]*wire.Gossip{}
 	for _, member := range n.cfg.Members {
 		if member.Name == n.cfg.Self {
@@ -46,7 +46,7 @@
 	n.writeMailbox(message)
 }
 
-// gossipMessage makes a message that lacks the views of machines.
+// gossipMessage returns a message without views of machines; withViewChanges adds these.
 func (n *Node) gossipMessage() wire.Gossip {
 	message := wire.Gossip{
 		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isolated(),
@@ -69,7 +69,7 @@
 	return message
 }
 
-// addLeaderInstructions adds what the leader asks of the owners of shards.
+// addLeaderInstructions adds the leader's instructions to the owners of shards.
 func (n *Node) addLeaderInstructions(message *wire.Gossip) {
 	message.Retire = n.leader.drainList(n)
 	message.Returned = n.leader.recentlyReturned(n)
@@ -77,8 +77,8 @@
 	message.Tries = n.gangs.Announced()
 }
 
-// versionSeenBy is the version of the views of this controller's machines that a peer has
-// taken in. It is 0 for a peer that names no version of this incarnation.
+// versionSeenBy returns the version of this controller's machine views up to which a peer has
+// received them; 0 for a peer that names no version of this incarnation.
 func (n *Node) versionSeenBy(name string) uint64 {
 	if p := n.peers[name]; p != nil {
 		if seen := p.message.Seen[n.cfg.Self]; seen.Life == n.cfg.Incarnation {
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -7,7 +7,7 @@
 	"micaport/internal/wire"
 )
 
-// gossipReceived takes in a peer's message.
+// gossipReceived applies a gossip message of a peer.
 func (n *Node) gossipReceived(message *wire.Gossip) {
 	if message == nil || !n.isPeer(message.From) {
 		return
@@ -16,19 +16,20 @@
 	if !message.StoreOK && (last == nil || last.message.StoreOK) {
 		n.refusedSince[message.From] = n.now
 	}
-	if !slices.IsSorted(message.Strays) { // a peer of an earlier version doesn't sort them
+	if !slices.IsSorted(message.Strays) { // controllers of earlier versions don't sort them
 		message.Strays = slices.Sorted(slices.Values(message.Strays))
 	}
 	p := &peer{receivedAt: n.now, message: message}
 	if last != nil && last.message.Life == message.Life {
 		if message.UpS < last.message.UpS {
-			return // overtaken by a newer one
+			return // a newer message has already arrived
 		}
 		p.version = last.version
 	}
 	n.peers[message.From] = p
-	// Changes after a version that is not known here leave a gap: the version that our
-	// next message names makes the peer send them again.
+	// If the views begin after a version that has not been received here, some are missing, and
+	// all are ignored. The next message to the peer names the last version received, so that
+	// the peer sends the views from there on.
 	if message.Since <= p.version && message.Ver >= p.version {
 		p.version = message.Ver
 		n.receiveMachines(message)
@@ -39,15 +40,15 @@
 	n.followLeader(message)
 }
 
-// isPeer reports whether a name is that of another controller.
+// isPeer reports whether a name is that of another controller of the site.
 func (s *site) isPeer(name string) bool {
 	return name != s.cfg.Self &&
 		slices.ContainsFunc(s.cfg.Members, func(member ownership.Member) bool { return member.Name == name })
 }
 
-// receiveShards takes in which shards a peer owns. A newer term than the replica shows
-// means that a shard has changed hands and this controller can't see it: the state service
-// refuses it.
+// receiveShards applies a peer's list of the shards that it owns. A newer term than the replica
+// shows means that the shard has a new owner and that this controller can't see its claim, as the
+// state service refuses it.
 func (n *Node) receiveShards(message *wire.Gossip) {
 	for i, index := range message.Parts {
 		if index >= 0 && index < len(n.shards) && i < len(message.Terms) && message.Terms[i] > n.shards[index].Term {
@@ -56,7 +57,7 @@
 	}
 }
 
-// receiveMachines takes in a peer's views of its machines.
+// receiveMachines stores a peer's views of its machines.
 func (n *Node) receiveMachines(message *wire.Gossip) {
 	for i := range message.Hosts {
 		n.workCount++
@@ -65,6 +66,8 @@
 	n.leader.passNeeded = n.leader.passNeeded || len(message.Hosts) > 0
 }
 
+// receiveMachine stores a peer's view of a machine, unless this controller owns the machine's shard
+// or the view is of an earlier term.
 func (n *Node) receiveMachine(message *wire.Gossip, info *wire.MachineInfo) {
 	index := n.ownership.ShardOf(n.names.Zones.Find(messageName(message, info.Zone)), info.Name)
 	if index < 0 {
@@ -73,10 +76,10 @@
 	machine := n.machineNamed(info.Name)
 	shard := n.shards[index]
 	if n.owns(shard) {
-		return // our own view is better
+		return // this controller's own view takes precedence
 	}
-	// A peer that has lost the shard without having seen it finds its machines
-	// silent. When that counted, they were returned with all that ran on them.
+	// A peer that has lost the shard without noticing receives no heartbeats from its machines.
+	// If its views were accepted, machines that run tasks would be deprovisioned as lost.
 	term := termIn(message, index)
 	if term < shard.Term {
 		return
@@ -89,14 +92,14 @@
 	n.setView(machine, viewOf(info), term)
 	machine.draining = machine.view.draining
 	if machine.view.missedHeartbeats == 0 {
-		machine.bouncedAt = 0 // it has reached its owner
+		machine.bouncedAt = 0 // its heartbeats reach its owner again
 	}
 	for _, image := range info.Images {
 		machine.images.Add(n.names.Images.Of(messageName(message, image)))
 	}
 }
 
-// messageName is the name with an index in a message, or "".
+// messageName returns the name at an index of a message's list of names, or "" if there is none.
 func messageName(message *wire.Gossip, i int) string {
 	if i < 0 || i >= len(message.Names) {
 		return ""
@@ -104,7 +107,7 @@
 	return message.Names[i]
 }
 
-// termIn is the term in which the sender of a message owns a shard, or 0.
+// termIn returns the term in which the sender of a message owns a shard, or 0 if it does not.
 func termIn(message *wire.Gossip, shard int) uint64 {
 	term := uint64(0)
 	for i, index := range message.Parts {
--- a/internal/core/gossip_state.go
+++ b/internal/core/gossip_state.go
@@ -2,31 +2,32 @@
 
 import "micaport/internal/wire"
 
-// gossipState is what this controller tells the others and what they have told.
+// gossipState is the state of the gossip between controllers: the peers' last messages and the
+// change log of this controller's own views.
 type gossipState struct {
-	peers        map[string]*peer // by name; a controller that was never heard is absent
-	refusedSince map[string]Time  // by name: since when the state service has refused a peer
+	peers        map[string]*peer // by name; without controllers that have sent no message
+	refusedSince map[string]Time  // by name: since when the state service has refused a peer, by its own report
 	gossipAt     Time             // when the next message is due
 	gossipSentAt Time
-	mailboxAt    Time // no message to the mailbox before this
+	mailboxAt    Time // earliest time of the next write to the mailbox
 
 	views               viewLog
-	ownViewsAt          Time  // when the views of this controller's machines are next brought up to date
-	misdirectedMachines []int // machines of other owners that came here lately
+	ownViewsAt          Time  // when the views of this controller's machines are next updated
+	misdirectedMachines []int // machines of other owners that have recently sent heartbeats here
 
 	reserved reservations
-	draining []int // own machines that the leader wants to be emptied
+	draining []int // this controller's machines that are draining at the leader's request
 }
 
 func newGossipState() gossipState {
 	return gossipState{peers: map[string]*peer{}, refusedSince: map[string]Time{}, reserved: reservations{jobs: map[int]int{}}}
 }
 
-// peer is the last message of another controller.
+// peer is the state of another controller, as of its last message.
 type peer struct {
 	receivedAt Time
 	message    *wire.Gossip
-	version    uint64 // of its machines' views, up to which they have been taken in
-	byMailbox  bool   // the message came through the state service
+	version    uint64 // up to which its machine views have been received
+	byMailbox  bool   // the message arrived by the mailbox
 	broken     bool   // the connection to it has broken since
 }
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -1,11 +1,11 @@
 package core
 
-// ownViewsInterval is the time between two looks at the views of own machines when no
-// heartbeat changes one.
+// ownViewsInterval is the time between two updates of the views of this controller's machines
+// while no heartbeat changes one.
 const ownViewsInterval = second
 
-// shareOwnViews brings the views of this controller's own machines up to date if it is
-// time, and has changes sent to the peers at once.
+// shareOwnViews updates the views of this controller's machines if an update is due. If one has
+// changed, the next gossip is sent as soon as possible.
 func (n *Node) shareOwnViews() {
 	if n.now < n.ownViewsAt {
 		return
@@ -16,7 +16,7 @@
 	n.sendGossip(n.views.version != before)
 }
 
-// updateOwnViews brings the views of this controller's own machines up to date.
+// updateOwnViews updates the views of the machines that this controller owns.
 func (n *Node) updateOwnViews() {
 	for _, shard := range n.shards {
 		if !n.mayActAsOwner(shard) {
@@ -38,7 +38,7 @@
 }
 
 // mostReport reports whether more than half of the machines of a shard have sent a
-// heartbeat lately.
+// heartbeat within two heartbeat intervals.
 func (n *Node) mostReport(shard *shard) bool {
 	reporting, all := 0, 0
 	for _, machine := range shard.machines {
@@ -52,7 +52,8 @@
 	return 2*reporting > all
 }
 
-// ownView is what the owner of a machine sees of it now.
+// ownView returns the present view of a machine that this controller owns. OthersReport is set if
+// most machines of the shard report.
 func (n *Node) ownView(shard *shard, machine *machine, othersReport bool) machineView {
 	silent := n.now - machine.heartbeatAt
 	failedJobs := n.failedJobCount(machine)
@@ -68,13 +69,13 @@
 	case silent > 2*n.cfg.HeartbeatInterval:
 		view.missedHeartbeats = 1
 	}
-	// Machines could not report before this controller could answer. An unresponsive
-	// one is as good as lost: all it does ends with its lease.
+	// Machines could not report before this controller became the valid owner, so earlier silence
+	// does not count. An unresponsive machine counts as lost: its tasks end with its lease.
 	view.unreachable = machine.unresponsive || n.isUnreachable(machine, min(silent, n.now-shard.ValidSince), othersReport)
 	return view
 }
 
-// setView takes the view that the owner of a machine has of it.
+// setView stores the view of a machine that its owner has in a term.
 func (s *site) setView(machine *machine, view machineView, term uint64) {
 	if view.unconfirmed && (!machine.view.unconfirmed || machine.viewTerm != term) {
 		machine.unconfirmedSince = s.now
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -5,26 +5,26 @@
 	"micaport/internal/wire"
 )
 
-// The mailbox: gossip that is left with the state service while a peer can't be reached.
-// Zones that are cut off from each other both reach the service, so the leader goes on
-// knowing the machines on the other side. Nothing depends on it: a message that is lost,
-// late or old costs a better choice, no more.
-
 const (
-	// mailboxStartDelay is the time after the start before which peers may not yet have
-	// been reached, which then says nothing.
+	// mailboxStartDelay is the time after the start of the process in which no mailbox is
+	// written: a peer without a message may merely not have been reached yet.
 	mailboxStartDelay = 10 * second
-	// mailboxNames bounds each list of machines' names in a mailbox message.
+	// mailboxNames is the maximum length of each list of machine names in a mailbox message.
 	mailboxNames = 20
-	// mailboxMachineBytes is ample for the view of a machine with six images.
+	// mailboxMachineBytes is an upper estimate of the size of a machine's view with six images.
 	mailboxMachineBytes = 40
-	// mailboxListEntries bounds the reservations and holds in a message that had to be
-	// shortened, for each machine that it shows.
+	// mailboxListEntries is the maximum number of reservations and of holds, for each machine
+	// view, in a message that had to be shortened.
 	mailboxListEntries = 8
 )
 
-// writeMailbox writes a message to the state service while some peer can't be reached. It
-// has as many view changes as fit a value; the rest follows with the next.
+// writeMailbox writes a message to this controller's mailbox, a key of the state service that the
+// peers read, while a peer can't be reached directly. The message has as many view changes as fit
+// a value; further ones follow in the next.
+//
+// Zones that are partitioned from each other may both reach the state service. By the mailbox the
+// leader still gets the views of the machines in the other zone. Correctness does not depend on
+// it: a lost, late or old message only leads to worse scheduling decisions.
 func (n *Node) writeMailbox(message wire.Gossip) {
 	if n.now < n.mailboxAt || !n.storeOK || n.now < mailboxStartDelay {
 		return
@@ -39,15 +39,15 @@
 		return
 	}
 	if value.Ver < n.views.version {
-		// There are more changes than fit. With hundreds of machines up at once
-		// the leader would plan without most of them for a while.
+		// More changes remain than fit this message. When hundreds of machines boot at once, the
+		// leader would otherwise schedule without most of them until the regular interval ends.
 		n.mailboxAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
 	}
 	n.transact(ClassBackground, nil, []kv.Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: value}}, ignoreResult{})
 }
 
-// mailboxBase reports whether some peer can't be reached directly, and gives the version
-// of the views that all those have seen.
+// mailboxBase reports whether a peer can't be reached directly, and returns the version up to which
+// all such peers have received this controller's views.
 func (n *Node) mailboxBase() (base uint64, silent bool) {
 	base = n.views.version
 	for _, member := range n.cfg.Members {
@@ -59,26 +59,27 @@
 			continue
 		}
 		silent = true
-		if p != nil { // one that was never reached may not exist; if it does, it will name a version
+		if p != nil { // a peer without any message may not exist; otherwise its first one names a version
 			base = min(base, n.versionSeenBy(member.Name))
 		}
 	}
 	return base, silent
 }
 
-// mailboxMessage completes a message with view changes, shortened to what fits a value if
-// possible.
+// mailboxMessage returns a copy of a message with view changes, shortened to the size limit of a
+// value where possible.
 func (n *Node) mailboxMessage(message wire.Gossip, base uint64) *wire.Gossip {
-	// Controllers that are cut off from each other but all reach the service would otherwise
-	// replace each other's leader in turns: only what a peer says directly is evidence.
+	// An opinion of the leader is evidence only if a peer sends it directly. Controllers that are
+	// partitioned from each other but reach the state service would otherwise replace each
+	// other as the leader in turns.
 	message.Leader = nil
 	message.Returned = message.Returned[max(0, len(message.Returned)-mailboxNames):]
 	message.Retire = message.Retire[:min(len(message.Retire), mailboxNames)]
 	message.Strays = message.Strays[:min(len(message.Strays), mailboxNames)]
-	// Names and the rest stay well within a quarter of the value.
+	// The names and the other fields take well below a quarter of the value.
 	value := n.withViewChanges(message, base, max(1, n.cfg.MaxValueBytes*5/8/mailboxMachineBytes))
 	for count := len(value.Hosts); count > 1 && !n.valueFits(value); {
-		// Where values are small the rest of the message takes most of one.
+		// If the limit is small, the other fields take most of the value.
 		count /= 2
 		message.Returned = message.Returned[:len(message.Returned)/2]
 		message.Retire = message.Retire[:len(message.Retire)/2]
@@ -89,14 +90,14 @@
 	return value
 }
 
-// valueFits reports whether a value is within the limits of the state service.
+// valueFits reports whether a value is within the size limit of the state service.
 func (s *site) valueFits(v any) bool {
 	size, err := wire.JSONSize(v)
 	return err == nil && size <= s.cfg.MaxValueBytes
 }
 
-// readMailbox takes in a message that was left with the state service, unless the
-// peer is reachable directly or the message is an old one.
+// readMailbox applies the message in a peer's mailbox, unless the peer is reachable directly or the
+// message is not newer than its last one.
 func (n *Node) readMailbox(message *wire.Gossip) {
 	if p := n.peers[message.From]; p != nil {
 		direct := !p.byMailbox && n.now-p.receivedAt < peerAliveTime
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -7,27 +7,24 @@
 	"micaport/internal/wire"
 )
 
-// The change log of the views of this controller's own machines. Each change has a version;
-// a peer that has seen all up to one version needs only the later ones.
-
-// viewChange is an entry of the change log; it is out of date once the
-// machine has a later one.
+// viewChange is an entry of the change log. It is obsolete once the machine has a later one.
 type viewChange struct {
 	version uint64
 	machine int
 }
 
-// viewLog is the change log.
+// viewLog is the change log of the views of this controller's machines. Each change has a version;
+// a peer that has received all changes up to a version needs only the later ones.
 type viewLog struct {
 	version uint64       // of the last change
 	changes []viewChange // in order of version
 }
 
-// minChangeLog is how many entries the change log may have besides two for each machine
-// before those that are out of date are dropped.
+// minChangeLog is the number of entries, besides two for each machine, that the change log may have
+// before the obsolete ones are removed.
 const minChangeLog = 64
 
-// noteViewChange adds a change of the view of an own machine to the change log.
+// noteViewChange adds an entry to the change log for a machine of this controller.
 func (n *Node) noteViewChange(machine *machine) {
 	log := &n.views
 	log.version++
@@ -38,15 +35,15 @@
 	}
 }
 
-// after lists the changes after a version.
+// after returns the changes after a version.
 func (l *viewLog) after(base uint64) []viewChange {
 	return l.changes[sort.Search(len(l.changes), func(i int) bool { return l.changes[i].version > base }):]
 }
 
-// withViewChanges completes a message with the views of up to limit machines that changed
-// after the version base. It always takes the earliest changes, so that the receiver has
-// all there is up to the version that the message names, and a message that is lost or
-// repeated does no harm.
+// withViewChanges returns a copy of a message with the views of up to limit machines that changed
+// after the version base. It always includes the earliest changes, so that the receiver then has
+// all views up to the version that the message names. This makes lost and repeated messages
+// harmless.
 func (n *Node) withViewChanges(message wire.Gossip, base uint64, limit int) *wire.Gossip {
 	message.Since, message.Ver = base, n.views.version
 	var names wire.Interner
@@ -70,10 +67,12 @@
 	return &message
 }
 
-// missedHeartbeatsShift is the lowest bit of the missed heartbeats in the flags of a machine.
+// missedHeartbeatsShift is the position of the lowest bit of the number of missed heartbeats in the
+// flags of wire.MachineInfo.
 const missedHeartbeatsShift = 8
 
-// machineInfo is the view of an own machine in a message.
+// machineInfo encodes the view of a machine for a message; names collects the names that the
+// message refers to by index.
 func (s *site) machineInfo(machine *machine, names *wire.Interner) wire.MachineInfo {
 	view := &machine.view
 	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(s.names.Zones.Name(machine.zone)), Errors: view.errors,
@@ -85,7 +84,7 @@
 	return info
 }
 
-// viewOf is the view of a machine that a message has.
+// viewOf decodes the view of a machine in a message.
 func viewOf(info *wire.MachineInfo) machineView {
 	flags := info.Flags
 	return machineView{known: true, reclaimed: flags&wire.FlagReclaimed != 0, draining: flags&wire.FlagDraining != 0, unhealthy: flags&wire.FlagUnhealthy != 0,
