--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -10,7 +10,7 @@
 // adoptDecisions initializes the state of a new leader from the decision log that this controller
 // received as the standby of the previous leader, whose term is passed.
 func (n *Node) adoptDecisions(term uint64) {
-	facts := n.failover.replica.Of(term)
+	facts := n.failover.logReplica.Of(term)
 	if len(facts) == 0 {
 		return
 	}
@@ -37,7 +37,7 @@
 	case wire.FactWaitingSince, wire.FactGangZone, wire.FactPreemptedAt, wire.FactQueuePosition:
 		return n.adoptJobFact(fact)
 	case wire.FactBootTime, wire.FactReturned:
-		n.adoptHistory(fact)
+		n.adoptHistoryFact(fact)
 		return true
 	}
 	machine := n.knownMachine(fact.Name)
@@ -69,14 +69,14 @@
 		}
 		scaler.provisions = append(scaler.provisions, &provisioning{
 			pool:      pool,
-			decidedAt: timeOf(fact),
+			decidedAt: factTimeOf(fact),
 			sendAt:    n.now,
 			request:   request,
 		})
 	case wire.FactBackoff:
-		scaler.retryAt[pool] = timeOf(fact)
+		scaler.retryAt[pool] = factTimeOf(fact)
 	case wire.FactCapacityShortage:
-		scaler.shortageAt[pool] = timeOf(fact)
+		scaler.shortageAt[pool] = factTimeOf(fact)
 	}
 	return true
 }
@@ -99,21 +99,21 @@
 	case wire.FactQueuePosition:
 		job.queuePosition = queuePosition{waitingSince: waitTimeOf(fact), droppedAttempts: fact.Count}
 	case wire.FactPreemptedAt:
-		job.preemptAt = timeOf(fact)
+		job.preemptAt = factTimeOf(fact)
 	}
 	return true
 }
 
-// adoptHistory adopts a fact about a past event of a machine, its boot or its deprovisioning, which
-// neither the records nor the owners can contradict.
-func (n *Node) adoptHistory(fact *wire.Fact) {
+// adoptHistoryFact adopts a fact about a past event of a machine, its boot or its deprovisioning,
+// which neither the records nor the owners can contradict.
+func (n *Node) adoptHistoryFact(fact *wire.Fact) {
 	if fact.Kind == wire.FactBootTime {
 		scaler := &n.leader.autoscaler
-		scaler.recentBoots = append(scaler.recentBoots, boot{fact.Name, timeOf(fact), fact.Ratio})
+		scaler.recentBoots = append(scaler.recentBoots, boot{fact.Name, factTimeOf(fact), fact.Ratio})
 		return
 	}
 	n.machineNamed(fact.Name).returned = true
-	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, timeOf(fact)})
+	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, factTimeOf(fact)})
 }
 
 // adoptMachineFact adopts a fact about a machine, which is nil if this controller has not seen it,
@@ -127,9 +127,9 @@
 		if !known || hasReported {
 			return false
 		}
-		scaler.booting[fact.Name] = &bootingMachine{pool: pool, provisionedAt: timeOf(fact), listed: fact.Seen}
+		scaler.booting[fact.Name] = &bootingMachine{pool: pool, provisionedAt: factTimeOf(fact), listed: fact.Seen}
 	case wire.FactIdle:
-		scaler.idleSince[fact.Name] = timeOf(fact)
+		scaler.idleSince[fact.Name] = factTimeOf(fact)
 	case wire.FactDraining:
 		if machine != nil && len(machine.placements) > 0 {
 			return false
@@ -139,7 +139,7 @@
 		if hasReported {
 			return false
 		}
-		scaler.unreportedSince[fact.Name] = timeOf(fact)
+		scaler.unreportedSince[fact.Name] = factTimeOf(fact)
 	case wire.FactReserved:
 		if machine == nil || n.names.Jobs.Find(fact.JobID) < 0 {
 			return false
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -17,11 +17,11 @@
 // before the start of this process, and thus negative, but is never 0.
 func waitFactTime(t Time) int64 { return cmp.Or(t.Milliseconds(), -1) }
 
-// timeOf returns the time of a fact; it is the inverse of factTime.
-func timeOf(fact *wire.Fact) Time { return Time(fact.At) * time.Millisecond }
+// factTimeOf returns the time of a fact; it is the inverse of factTime.
+func factTimeOf(fact *wire.Fact) Time { return Time(fact.At) * time.Millisecond }
 
 // waitTimeOf returns the time since when a job has waited; it is the inverse of waitFactTime.
-func waitTimeOf(fact *wire.Fact) Time { return cmp.Or(timeOf(fact), -1) }
+func waitTimeOf(fact *wire.Fact) Time { return cmp.Or(factTimeOf(fact), -1) }
 
 // Decisions returns the facts that only the leader has, with times of this controller's steady
 // clock; nil if this controller does not lead.
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -24,11 +24,11 @@
 		return
 	}
 	s.publisher.Direct(s.standby, n.leadership.Term())
-	if s.standby == "" || n.now < s.publishAt {
+	if s.standby == "" || n.now < s.nextPublishAt {
 		return
 	}
 	facts := n.leaderFacts()
-	s.publishAt = n.now + publishInterval + Time(len(n.replica.Live())+len(facts))*publishIntervalPerFact
+	s.nextPublishAt = n.now + publishInterval + Time(len(n.replica.Live())+len(facts))*publishIntervalPerFact
 	s.publisher.Publish(facts)
 	if to, m := s.publisher.Next(n.now, n.cfg.Self, n.cfg.Incarnation); m != nil {
 		n.emit(SendDecisionLog{To: to, Message: m})
@@ -39,7 +39,7 @@
 func (n *Node) decisionLogReceived(received DecisionLogReceived) {
 	ack := wire.DecisionLogAck{Resync: true}
 	if received.Message != nil {
-		ack = n.failover.replica.Take(n.now, n.failover.follower.Claim(), received.Message)
+		ack = n.failover.logReplica.Take(n.now, n.failover.follower.Claim(), received.Message)
 	}
 	n.emit(Reply{RequestID: received.RequestID, Status: http.StatusOK, Body: ack})
 }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -20,9 +20,9 @@
 	heartbeatAt      Time            // when the leader's next heartbeats are due
 	takeovers        *wire.Takeovers // the record, as the replica shows it
 
-	publisher *failover.Publisher // the leader's side of the decision log
-	replica   *failover.Replica   // the standby's side of the decision log
-	publishAt Time                // earliest time of the next publication
+	publisher     *failover.Publisher // the leader's side of the decision log
+	logReplica    *failover.Replica   // the standby's side of the decision log
+	nextPublishAt Time                // earliest time of the next publication
 }
 
 // initFailover creates the failover state, which initially has no leader to watch.
@@ -33,7 +33,7 @@
 	}
 	slices.Sort(cfg.Members)
 	n.failover.follower = failover.NewFollower(cfg)
-	n.failover.publisher, n.failover.replica = failover.NewPublisher(), failover.NewReplica()
+	n.failover.publisher, n.failover.logReplica = failover.NewPublisher(), failover.NewReplica()
 }
 
 // fenced reports whether this process leads under a claim that may be replaced early.
@@ -64,13 +64,13 @@
 		f.takeover.End()
 		return
 	}
-	f.fence.Begin(now, leaseTTL, f.cloudOpensAt(leaseTTL))
+	f.fence.Begin(now, leaseTTL, f.cloudFenceEndsAt(leaseTTL))
 	f.takeover.Reach(failover.Seen, now)
 }
 
-// cloudOpensAt returns the time from which on no leader that was replaced early can call the cloud
-// any more; 0 if no leader has been replaced early.
-func (f *failoverState) cloudOpensAt(leaseTTL Time) Time {
+// cloudFenceEndsAt returns the time from which on no leader that was replaced early can call the
+// cloud any more; 0 if no leader has been replaced early.
+func (f *failoverState) cloudFenceEndsAt(leaseTTL Time) Time {
 	if f.earlyClaimSeenAt == 0 {
 		return 0
 	}
@@ -88,7 +88,7 @@
 		n.publishDecisionLog()
 		return
 	}
-	n.dropUnseenClaim()
+	n.abandonUnseenClaim()
 	s := &n.failover
 	suspected := s.follower.SuspectedAt() > 0
 	advice := s.follower.Advise(n.now)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -13,21 +13,21 @@
 	"micaport/internal/wire"
 )
 
-// member is one of three controllers, with a state service whose answers the test sends.
-type member struct {
-	t       *testing.T
-	n       *Node
-	now     Time
-	rev     uint64
-	commits []Commit // not yet answered
-	clouds  []CallCloud
+// failoverHarness is one of three controllers, with a state service whose answers the test sends.
+type failoverHarness struct {
+	t          *testing.T
+	n          *Node
+	now        Time
+	rev        uint64
+	commits    []Commit // not yet answered
+	cloudCalls []CallCloud
 }
 
-// newMember returns controller n1 of n0, n1 and n2. It replaces leaders early, and all controllers
-// support the newest format.
-func newMember(t *testing.T) *member {
+// newFailoverHarness returns controller n1 of n0, n1 and n2. It replaces leaders early, and all
+// controllers support the newest format.
+func newFailoverHarness(t *testing.T) *failoverHarness {
 	t.Helper()
-	m := &member{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "a"}}, Zones: []string{"a"},
+	m := &failoverHarness{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second, EarlyFailover: true,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 7 }})}
 	var events []kv.Event
@@ -38,7 +38,7 @@
 	return m
 }
 
-func (m *member) step(in Input) {
+func (m *failoverHarness) step(in Input) {
 	for _, e := range m.n.Step(m.now, in) {
 		switch x := e.(type) {
 		case RenewLease:
@@ -46,13 +46,13 @@
 		case Commit:
 			m.commits = append(m.commits, x)
 		case CallCloud:
-			m.clouds = append(m.clouds, x)
+			m.cloudCalls = append(m.cloudCalls, x)
 		}
 	}
 }
 
-// wait advances the time; n0 sends heartbeats meanwhile if its term is not 0.
-func (m *member) wait(d Time, term uint64) {
+// advance runs the controller for a time, in which n0 sends heartbeats if its term is not 0.
+func (m *failoverHarness) advance(d Time, term uint64) {
 	for end := m.now + d; m.now < end; {
 		m.now += 50 * time.Millisecond
 		if term > 0 && m.now%(500*time.Millisecond) == 0 {
@@ -62,51 +62,52 @@
 	}
 }
 
-// lead applies a leader record that names a controller, and returns its term.
-func (m *member) lead(node, life string, fenced bool, streak int) uint64 {
+// showLeader applies a leader record that names a controller, and returns its term.
+func (m *failoverHarness) showLeader(node, life string, fenced bool, streak int) uint64 {
 	m.rev++
 	m.step(RecordsChanged{Revision: m.rev, Events: []kv.Event{{Key: wire.LeaderKey, Revision: m.rev, Value: &wire.Leader{Controller: node, Incarnation: life, Fenced: fenced, Streak: streak}}}})
 	return m.rev
 }
 
-// suspect delivers a message in which n2 suspects the leader of a term.
-func (m *member) suspect(term uint64) {
+// deliverSuspicion delivers a message in which n2 suspects the leader of a term.
+func (m *failoverHarness) deliverSuspicion(term uint64) {
 	m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true, Leader: &wire.LeaderView{Term: term, Suspected: true}}})
 }
 
-// take removes and returns the unanswered commits that are conditional on the leader key.
-func (m *member) take() (taken []Commit) {
+// takeLeaderCommits removes and returns the unanswered commits that are conditional on the leader
+// key.
+func (m *failoverHarness) takeLeaderCommits() (taken []Commit) {
 	m.commits = slices.DeleteFunc(m.commits, func(c Commit) bool {
-		is := slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.LeaderKey })
-		if is {
+		onLeaderKey := slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.LeaderKey })
+		if onLeaderKey {
 			taken = append(taken, c)
 		}
-		return is
+		return onLeaderKey
 	})
 	return taken
 }
 
-// silentLeader returns a member whose leader n0 has sent heartbeats for 10 s and then none for
-// 2.5 s, and the leader's term.
-func silentLeader(t *testing.T) (m *member, term uint64) {
+// newHarnessWithSilentLeader returns a harness whose leader n0 has sent heartbeats for 10 s and
+// then none for 2.5 s, and the leader's term.
+func newHarnessWithSilentLeader(t *testing.T) (m *failoverHarness, term uint64) {
 	t.Helper()
-	m = newMember(t)
-	term = m.lead("n0", "x", true, 0)
-	m.wait(10*second, term)
-	m.wait(2500*time.Millisecond, 0)
+	m = newFailoverHarness(t)
+	term = m.showLeader("n0", "x", true, 0)
+	m.advance(10*second, term)
+	m.advance(2500*time.Millisecond, 0)
 	return m, term
 }
 
 // An early claim is one transaction that replaces the leader key, conditional on its revision, and
 // records the evidence. It is not made unless a peer suspects the leader, too.
 func TestEarlyClaim(t *testing.T) {
-	m, term := silentLeader(t)
-	if claims := m.take(); len(claims) > 0 {
+	m, term := newHarnessWithSilentLeader(t)
+	if claims := m.takeLeaderCommits(); len(claims) > 0 {
 		t.Fatalf("claimed without a quorum: %+v", claims)
 	}
-	m.suspect(term)
-	m.wait(300*time.Millisecond, 0)
-	claims := m.take()
+	m.deliverSuspicion(term)
+	m.advance(300*time.Millisecond, 0)
+	claims := m.takeLeaderCommits()
 	if len(claims) != 1 || !slices.Equal(claims[0].Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}) || len(claims[0].Writes) != 2 {
 		t.Fatalf("claims %+v", claims)
 	}
@@ -122,77 +123,78 @@
 // An early claim needs a recently renewed lease: otherwise the last call of the replaced leader
 // could reach the cloud after the lease of the claim has ended.
 func TestEarlyClaimNeedsFreshLease(t *testing.T) {
-	m := newMember(t)
-	term := m.lead("n0", "x", true, 0)
-	m.wait(10*second, term)
+	m := newFailoverHarness(t)
+	term := m.showLeader("n0", "x", true, 0)
+	m.advance(10*second, term)
 	m.n.leadership.Lease.Renew(m.n.now) // a renewal without an answer
-	m.wait(2500*time.Millisecond, 0)
-	m.suspect(term)
-	m.wait(300*time.Millisecond, 0)
-	if claims := m.take(); len(claims) > 0 {
+	m.advance(2500*time.Millisecond, 0)
+	m.deliverSuspicion(term)
+	m.advance(300*time.Millisecond, 0)
+	if claims := m.takeLeaderCommits(); len(claims) > 0 {
 		t.Errorf("claimed under a lease renewed %v ago", m.n.leadership.Lease.Age(m.now))
 	}
 }
 
-// takenOver returns a member that has just replaced n0, and the proof that it has sent.
-func takenOver(t *testing.T) (*member, Commit) {
+// newHarnessAfterTakeover returns a harness whose controller has just replaced n0, and the proof
+// that it has sent.
+func newHarnessAfterTakeover(t *testing.T) (*failoverHarness, Commit) {
 	t.Helper()
-	m, term := silentLeader(t)
-	m.suspect(term)
-	m.wait(100*time.Millisecond, 0)
-	if len(m.take()) == 0 {
+	m, term := newHarnessWithSilentLeader(t)
+	m.deliverSuspicion(term)
+	m.advance(100*time.Millisecond, 0)
+	if len(m.takeLeaderCommits()) == 0 {
 		t.Fatal("not claimed")
 	}
 	m.n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
-	m.lead("n1", "y", true, 1)
-	proofs := m.take()
+	m.showLeader("n1", "y", true, 1)
+	proofs := m.takeLeaderCommits()
 	if len(proofs) != 1 || len(proofs[0].Writes) != 0 || !m.n.isLeader() {
 		t.Fatalf("leads %v, proofs %+v", m.n.isLeader(), proofs)
 	}
 	return m, proofs[0]
 }
 
-// submitOne adds the record of an accepted job that needs a new machine.
-func (m *member) submitOne() {
+// submitJob adds the record of an accepted job that needs a new machine.
+func (m *failoverHarness) submitJob() {
 	m.rev++
 	job := lowJob(wire.JobLive)
 	job.Spec.Priority = "high"
 	m.step(RecordsChanged{Revision: m.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: m.rev, Value: job}}})
 }
 
-// calls returns the number of calls to the cloud that provision or deprovision.
-func (m *member) calls() int {
-	return len(slices.DeleteFunc(slices.Clone(m.clouds), func(c CallCloud) bool { return c.Provision == nil && c.Deprovision == nil }))
+// machineCalls returns the number of calls to the cloud that provision or deprovision.
+func (m *failoverHarness) machineCalls() int {
+	return len(slices.DeleteFunc(slices.Clone(m.cloudCalls), func(c CallCloud) bool { return c.Provision == nil && c.Deprovision == nil }))
 }
 
 // A new leader makes no scheduling pass before its claim is proven, and does not call the cloud
 // until the last proof of the replaced leader has expired.
-func TestNewLeaderWaits(t *testing.T) {
-	m, proof := takenOver(t)
-	m.submitOne()
-	m.wait(second, 0)
+func TestNewLeaderWaitsForProofAndCloudFence(t *testing.T) {
+	m, proof := newHarnessAfterTakeover(t)
+	m.submitJob()
+	m.advance(second, 0)
 	if m.n.failover.firstPassDone {
 		t.Error("a scheduling pass was made without a proof")
 	}
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
-	m.wait(second, 0)
+	m.advance(second, 0)
 	if !m.n.failover.firstPassDone {
 		t.Error("no scheduling pass was made after the proof")
 	}
 	for m.now < m.n.failover.earlyClaimSeenAt+failover.CloudFenceTime(5*second) {
-		if m.calls() > 0 {
+		if m.machineCalls() > 0 {
 			t.Fatalf("the cloud was called %v after the claim", m.now-m.n.failover.earlyClaimSeenAt)
 		}
-		m.wait(50*time.Millisecond, 0)
-		for _, c := range m.take() {
+		m.advance(50*time.Millisecond, 0)
+		for _, c := range m.takeLeaderCommits() {
 			m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.rev})
 		}
 	}
-	m.wait(2*second, 0)
-	if m.calls() == 0 {
+	m.advance(2*second, 0)
+	if m.machineCalls() == 0 {
 		t.Error("the cloud was not called")
 	}
-	for _, c := range m.clouds {
+	for _, c := range m.cloudCalls {
 		if c.Provision != nil && c.ValidFor > failover.ProofValidity(5*second) {
 			t.Errorf("a call may be sent for %v", c.ValidFor)
 		}
@@ -201,8 +203,8 @@
 
 // A leader whose watch hangs detects that it has been replaced, as its proof conflicts with the
 // new claim.
-func TestReplacedLeaderLearnsByItsProof(t *testing.T) {
-	m, proof := takenOver(t)
+func TestProofDetectsReplacement(t *testing.T) {
+	m, proof := newHarnessAfterTakeover(t)
 	m.step(Committed{ID: proof.ID, Outcome: kv.Conflict, Revision: m.rev + 5, Failed: []string{wire.LeaderKey}})
 	if m.n.isLeader() {
 		t.Error("the replaced leader still leads")
@@ -212,7 +214,7 @@
 // A new leader makes no decision while a commit that it sent as an owner has an unknown outcome
 // and may still be applied.
 func TestNewLeaderSettlesItsOwnCommits(t *testing.T) {
-	m, proof := takenOver(t)
+	m, proof := newHarnessAfterTakeover(t)
 	m.n.batch.active, m.n.batch.outcomeUnknown = true, true
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
 	if m.n.mayDecide() {
@@ -227,16 +229,16 @@
 // After a pause of its process a leader makes no decision until a proof that was sent after the
 // pause has settled.
 func TestStallVoidsLeaderProofs(t *testing.T) {
-	m, proof := takenOver(t)
+	m, proof := newHarnessAfterTakeover(t)
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
 	if !m.n.mayDecide() {
 		t.Fatal("the leader may not decide after its proof")
 	}
-	m.wait(1200*time.Millisecond, 0)
-	late := m.take()
+	m.advance(1200*time.Millisecond, 0)
+	lateProofs := m.takeLeaderCommits()
 	m.now += 3 * second
 	m.step(Tick{})
-	for _, c := range late { // sent before the pause, answered after it
+	for _, c := range lateProofs { // sent before the pause, answered after it
 		m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.rev})
 	}
 	if m.n.mayDecide() || m.n.cloudCallTime() > 0 {
@@ -246,28 +248,28 @@
 
 // After a pause of its own process a controller does not suspect the leader for heartbeats that it
 // missed during the pause, even if a peer suspects it.
-func TestStallIsNoSilenceOfTheLeader(t *testing.T) {
-	m := newMember(t)
-	term := m.lead("n0", "x", true, 0)
-	m.wait(10*second, term)
+func TestNoSuspicionAfterStall(t *testing.T) {
+	m := newFailoverHarness(t)
+	term := m.showLeader("n0", "x", true, 0)
+	m.advance(10*second, term)
 	m.now += 4 * second
-	m.suspect(term)
-	m.wait(200*time.Millisecond, 0)
-	if claims := m.take(); len(claims) > 0 || m.n.failover.follower.SuspectedAt() > 0 {
+	m.deliverSuspicion(term)
+	m.advance(200*time.Millisecond, 0)
+	if claims := m.takeLeaderCommits(); len(claims) > 0 || m.n.failover.follower.SuspectedAt() > 0 {
 		t.Errorf("the leader is suspected, claims %+v", claims)
 	}
 }
 
 // A claim that the watch does not show is abandoned: if its lease were renewed, the site would stay
 // without a leader that makes decisions.
-func TestUnseenClaimIsDropped(t *testing.T) {
-	m, term := silentLeader(t)
-	m.suspect(term)
-	m.wait(100*time.Millisecond, 0)
-	claims := m.take()
+func TestUnseenClaimIsAbandoned(t *testing.T) {
+	m, term := newHarnessWithSilentLeader(t)
+	m.deliverSuspicion(term)
+	m.advance(100*time.Millisecond, 0)
+	claims := m.takeLeaderCommits()
 	m.step(Committed{ID: claims[0].ID, Outcome: kv.OK, Revision: m.rev + 9})
-	m.wait(3*second, 0)
-	for _, c := range m.take() {
+	m.advance(3*second, 0)
+	for _, c := range m.takeLeaderCommits() {
 		if slices.Equal(c.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: m.rev + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
 			return
 		}
@@ -277,19 +279,19 @@
 
 // A leader that replaces its own claim by a fenced one keeps its state, so that machines that are
 // booting are not provisioned again.
-func TestFencingKeepsWhatTheLeaderKnows(t *testing.T) {
-	m := newMember(t)
-	m.wait(2*second, 0) // it creates a lease and claims the leadership
-	term := m.lead("n1", "y", false, 0)
+func TestFencingKeepsLeaderState(t *testing.T) {
+	m := newFailoverHarness(t)
+	m.advance(2*second, 0) // it creates a lease and claims the leadership
+	term := m.showLeader("n1", "y", false, 0)
 	m.n.leader.autoscaler.booting["vm-1"] = &bootingMachine{}
-	m.wait(500*time.Millisecond, 0)
-	claims := m.take()
+	m.advance(500*time.Millisecond, 0)
+	claims := m.takeLeaderCommits()
 	last := claims[len(claims)-1]
 	if !slices.Equal(last.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
 		t.Fatalf("claims %+v", claims)
 	}
 	tenure := m.n.leader.tenure
-	m.lead("n1", "y", true, 0)
+	m.showLeader("n1", "y", true, 0)
 	if len(m.n.leader.autoscaler.booting) != 1 || m.n.leader.tenure != tenure || !m.n.fenced() {
 		t.Error("the leader has lost its state")
 	}
@@ -297,37 +299,37 @@
 
 // A takeover that is recorded when a controller starts may have been made immediately before, so
 // the cloud fence starts at that time.
-func TestListedTakeoverClosesTheCloud(t *testing.T) {
-	m := newMember(t)
-	if m.n.failover.cloudOpensAt(5*second) != 0 {
+func TestRecordedTakeoverStartsCloudFence(t *testing.T) {
+	m := newFailoverHarness(t)
+	if m.n.failover.cloudFenceEndsAt(5*second) != 0 {
 		t.Fatal("there is a cloud fence without a takeover")
 	}
-	fresh := New(m.n.cfg)
-	fresh.Step(second, RecordsChanged{Reset: true, Revision: 5, Events: []kv.Event{{Key: wire.TakeoversKey, Revision: 4, Value: &wire.Takeovers{}}}})
-	if want := second + failover.CloudFenceTime(5*second); fresh.failover.cloudOpensAt(5*second) != want {
-		t.Errorf("the cloud fence ends at %v, want %v", fresh.failover.cloudOpensAt(5*second), want)
+	restarted := New(m.n.cfg)
+	restarted.Step(second, RecordsChanged{Reset: true, Revision: 5, Events: []kv.Event{{Key: wire.TakeoversKey, Revision: 4, Value: &wire.Takeovers{}}}})
+	if want := second + failover.CloudFenceTime(5*second); restarted.failover.cloudFenceEndsAt(5*second) != want {
+		t.Errorf("the cloud fence ends at %v, want %v", restarted.failover.cloudFenceEndsAt(5*second), want)
 	}
 }
 
 // A replaced leader may still deprovision the machines that it asked an owner to drain. The owner
 // places nothing on them until the replaced leader can no longer call the cloud.
-func TestOwnerKeepsMachinesEmptyForAReplacedLeader(t *testing.T) {
-	m := newMember(t)
-	term := m.lead("n0", "x", true, 0)
-	m.wait(10*second, term)
+func TestOwnerKeepsDrainingForReplacedLeader(t *testing.T) {
+	m := newFailoverHarness(t)
+	term := m.showLeader("n0", "x", true, 0)
+	m.advance(10*second, term)
 	machine := m.n.machineNamed("vm-1")
 	machine.draining = true
 	m.n.draining = []int{machine.index}
-	m.lead("n2", "z", true, 1)
-	hear := func() {
+	m.showLeader("n2", "z", true, 1)
+	deliverGossip := func() {
 		m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true}})
 	}
-	m.wait(failover.CloudFenceTime(5*second)-100*time.Millisecond, 0)
-	if hear(); !machine.draining {
+	m.advance(failover.CloudFenceTime(5*second)-100*time.Millisecond, 0)
+	if deliverGossip(); !machine.draining {
 		t.Error("the owner may place on a machine that the replaced leader may return")
 	}
-	m.wait(200*time.Millisecond, 0)
-	if hear(); machine.draining {
+	m.advance(200*time.Millisecond, 0)
+	if deliverGossip(); machine.draining {
 		t.Error("the machine is still draining after the cloud fence has ended")
 	}
 }
@@ -345,14 +347,14 @@
 // A new leader adopts the facts in the decision log of its predecessor, except those that the
 // records or the owners contradict. A pending provisioning request keeps its name. The log of an
 // earlier leader than the predecessor is not adopted.
-func TestDecisionsAreAdopted(t *testing.T) {
-	for _, ofLast := range []bool{true, false} {
-		m := newMember(t)
+func TestDecisionLogIsAdopted(t *testing.T) {
+	for _, fromPredecessor := range []bool{true, false} {
+		m := newFailoverHarness(t)
 		m.n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 		m.n.machineNamed("vm-4").view.known = true
 		m.n.machineNamed("vm-5").returned = true
-		term := m.lead("n0", "x", true, 0)
-		m.wait(2*second, term)
+		term := m.showLeader("n0", "x", true, 0)
+		m.advance(2*second, term)
 		m.step(DecisionLogReceived{RequestID: 1, Message: logMessage(t, term, 1, m.now,
 			wire.Fact{Kind: wire.FactBooting, Name: "vm-3", MachineType: "g", Zone: "a", At: m.now.Milliseconds() - 1000},
 			wire.Fact{Kind: wire.FactBooting, Name: "vm-4", MachineType: "g", Zone: "a", At: 1}, // its owner has reported it
@@ -362,12 +364,12 @@
 			wire.Fact{Kind: wire.FactProvisioning, Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3, At: 1},
 			wire.Fact{Kind: wire.FactWaitingSince, Name: "wk-999999", At: 1},
 			wire.Fact{Kind: 99, Name: "of a later version"})})
-		if !ofLast {
-			m.lead("n2", "z", true, 1)
+		if !fromPredecessor {
+			m.showLeader("n2", "z", true, 1)
 		}
-		m.lead("n1", "y", true, 2)
+		m.showLeader("n1", "y", true, 2)
 		scaler := &m.n.leader.autoscaler
-		if !ofLast {
+		if !fromPredecessor {
 			if len(scaler.booting)+len(scaler.provisions)+len(scaler.draining) > 0 {
 				t.Errorf("adopted facts of an earlier leader: %+v", scaler)
 			}
@@ -384,7 +386,7 @@
 
 // A gang whose attempt is dropped keeps its position in the queue, but only maxDroppedAttempts
 // times. A gang that has been placed has no earlier position to restore.
-func TestDroppedGangKeepsItsPlace(t *testing.T) {
+func TestDroppedGangKeepsQueuePosition(t *testing.T) {
 	j := &job{waitingSince: 5 * second}
 	for i := range maxDroppedAttempts + 1 {
 		j.rememberPosition()
@@ -402,10 +404,10 @@
 // The status names the leader and the standby, and the revision that this controller's replica has
 // reached.
 func TestStandbyStatus(t *testing.T) {
-	m := newMember(t)
-	term := m.lead("n0", "x", true, 2)
-	m.wait(2*second, term)
-	m.wait(400*time.Millisecond, 0)
+	m := newFailoverHarness(t)
+	term := m.showLeader("n0", "x", true, 2)
+	m.advance(2*second, term)
+	m.advance(400*time.Millisecond, 0)
 	out := m.n.Step(m.now, StatusRequest{RequestID: 5})
 	got := out[0].(Reply).Body.(wire.LeadershipStatus)
 	want := wire.LeadershipStatus{Controller: "n1", Leader: "n0", Term: term, Fenced: true, Streak: 2, Standby: "n1", Revision: m.rev, SilenceMS: 400,
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -60,11 +60,11 @@
 		}
 	}
 	for name, p := range n.peers {
-		message.Seen[name] = wire.SeenVersion{Life: p.message.Life, Ver: p.version}
+		message.Seen[name] = wire.SeenVersion{Life: p.message.Life, Ver: p.viewVersion}
 	}
 	if n.isLeader() {
 		n.addLeaderInstructions(&message)
-		n.followLeader(&message)
+		n.applyLeaderInstructions(&message)
 	}
 	return message
 }
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -24,20 +24,20 @@
 		if message.UpS < last.message.UpS {
 			return // a newer message has already arrived
 		}
-		p.version = last.version
+		p.viewVersion = last.viewVersion
 	}
 	n.peers[message.From] = p
 	// If the views begin after a version that has not been received here, some are missing, and
 	// all are ignored. The next message to the peer names the last version received, so that
 	// the peer sends the views from there on.
-	if message.Since <= p.version && message.Ver >= p.version {
-		p.version = message.Ver
+	if message.Since <= p.viewVersion && message.Ver >= p.viewVersion {
+		p.viewVersion = message.Ver
 		n.receiveMachines(message)
 	}
 	n.receiveGangHolds(message.Holds)
 	n.receiveLeaderView(message.From, message.Leader)
 	n.receiveShards(message)
-	n.followLeader(message)
+	n.applyLeaderInstructions(message)
 }
 
 // isPeer reports whether a name is that of another controller of the site.
@@ -80,7 +80,7 @@
 	}
 	// A peer that has lost the shard without noticing receives no heartbeats from its machines.
 	// If its views were accepted, machines that run tasks would be deprovisioned as lost.
-	term := termIn(message, index)
+	term := senderTerm(message, index)
 	if term < shard.Term {
 		return
 	}
@@ -89,7 +89,7 @@
 		machine.machineType = n.names.MachineTypes.Of(machineType)
 	}
 	machine.spot = info.Flags&wire.FlagSpot != 0
-	n.setView(machine, viewOf(info), term)
+	n.setView(machine, decodeView(info), term)
 	machine.draining = machine.view.draining
 	if machine.view.missedHeartbeats == 0 {
 		machine.bouncedAt = 0 // its heartbeats reach its owner again
@@ -107,8 +107,8 @@
 	return message.Names[i]
 }
 
-// termIn returns the term in which the sender of a message owns a shard, or 0 if it does not.
-func termIn(message *wire.Gossip, shard int) uint64 {
+// senderTerm returns the term in which the sender of a message owns a shard, or 0 if it does not.
+func senderTerm(message *wire.Gossip, shard int) uint64 {
 	term := uint64(0)
 	for i, index := range message.Parts {
 		if index == shard && i < len(message.Terms) {
--- a/internal/core/gossip_state.go
+++ b/internal/core/gossip_state.go
@@ -25,9 +25,9 @@
 
 // peer is the state of another controller, as of its last message.
 type peer struct {
-	receivedAt Time
-	message    *wire.Gossip
-	version    uint64 // up to which its machine views have been received
-	byMailbox  bool   // the message arrived by the mailbox
-	broken     bool   // the connection to it has broken since
+	receivedAt   Time
+	message      *wire.Gossip
+	viewVersion  uint64 // up to which its machine views have been received
+	viaMailbox   bool   // the message arrived by the mailbox
+	disconnected bool   // the connection to it has broken since
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -133,7 +133,7 @@
 		"machines", n.machineCount(), "changed_jobs", len(writer.order),
 		"unwritten_grants", unwritten)
 	writer.send(&leader.batch)
-	n.notePlanned()
+	n.recordFirstPass()
 }
 
 // cleanUpHints removes the grant hints that are no longer needed, every few seconds.
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -36,7 +36,7 @@
 func (n *Node) candidates() []failover.Candidate {
 	var list []failover.Candidate
 	for _, m := range n.cfg.Members {
-		if p := n.peers[m.Name]; p != nil && m.Name != n.cfg.Self && !p.byMailbox && !p.broken {
+		if p := n.peers[m.Name]; p != nil && m.Name != n.cfg.Self && !p.viaMailbox && !p.disconnected {
 			list = append(list, failover.Candidate{
 				Name:    m.Name,
 				Silence: n.now - p.receivedAt,
@@ -59,7 +59,7 @@
 func (n *Node) disconnected(label string) {
 	n.failover.follower.Disconnected(n.now, label)
 	if p := n.peers[label]; p != nil {
-		p.broken = true
+		p.disconnected = true
 	}
 }
 
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -6,8 +6,8 @@
 	"micaport/internal/wire"
 )
 
-// followLeader applies the instructions to the owners of shards in a message of the leader.
-func (n *Node) followLeader(message *wire.Gossip) {
+// applyLeaderInstructions applies the instructions to the owners of shards in a message of the leader.
+func (n *Node) applyLeaderInstructions(message *wire.Gossip) {
 	if n.leadership.Record() == nil || n.leadership.Record().Controller != message.From {
 		return
 	}
@@ -16,7 +16,7 @@
 			n.machines[index].returned = true
 		}
 	}
-	n.takeReservations(message.Kept)
+	n.receiveReservations(message.Kept)
 	n.drainMachines(message.Retire)
 }
 
@@ -35,10 +35,10 @@
 	return job, reserved && now-r.receivedAt < reservationTimeout
 }
 
-// takeReservations stores which machines the leader reserves for gangs. Owners choose the
+// receiveReservations stores which machines the leader reserves for gangs. Owners choose the
 // machines of tasks, so they need the reservations: without them they would place new tasks on a
 // reserved machine as soon as a task on it has ended.
-func (n *Node) takeReservations(reservations []wire.Reservation) {
+func (n *Node) receiveReservations(reservations []wire.Reservation) {
 	clear(n.reserved.jobs)
 	n.reserved.receivedAt = n.now
 	for _, reservation := range reservations {
@@ -63,7 +63,7 @@
 		machine := n.machines[index]
 		// A leader that was replaced early may still deprovision the machines that it had asked
 		// to drain, until the cloud fence has ended.
-		if machine.draining && !asked[machine.name] && n.now >= n.failover.cloudOpensAt(n.cfg.LeaderLease) {
+		if machine.draining && !asked[machine.name] && n.now >= n.failover.cloudFenceEndsAt(n.cfg.LeaderLease) {
 			machine.draining = false
 		}
 		return !machine.draining || machine.returned
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -51,8 +51,8 @@
 	s := &n.failover
 	before := s.fence.RemainingCallTime(n.now)
 	s.fence.Settle(n.replica.Revision())
-	if right := s.fence.RemainingCallTime(n.now); n.fenced() && right > before { // never true before the cloud fence has ended
-		n.emit(AllowCloudCalls{Term: n.leadership.Term(), Until: n.now + right})
+	if callTime := s.fence.RemainingCallTime(n.now); n.fenced() && callTime > before { // never true before the cloud fence has ended
+		n.emit(AllowCloudCalls{Term: n.leadership.Term(), Until: n.now + callTime})
 	}
 }
 
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -13,7 +13,7 @@
 // another controller leads. A controller doesn't change records as an owner that its own commit
 // as the leader may still change; a commit that was never discarded kept it from placing
 // what the next leader granted to its shards.
-func TestResignedLeaderForgetsItsBatch(t *testing.T) {
+func TestResignedLeaderDiscardsBatch(t *testing.T) {
 	d := &controllerHarness{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -85,9 +85,9 @@
 	n.leadership.ClaimAnswered(n.now, result.Outcome, result.Revision)
 }
 
-// dropUnseenClaim abandons a claim that was accepted but that the replica still does not show
+// abandonUnseenClaim abandons a claim that was accepted but that the replica still does not show
 // after a timeout, and deletes its record; see leadership.UnseenClaim.
-func (n *Node) dropUnseenClaim() {
+func (n *Node) abandonUnseenClaim() {
 	if term, unseen := n.leadership.UnseenClaim(n.now, n.replica.Revision()); unseen {
 		n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
 		n.transact(ClassLease, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}, []kv.Write{{Key: wire.LeaderKey}}, ignoreResult{})
@@ -98,9 +98,9 @@
 	// cloudUnreachableTimeout is the time without an answer of the cloud after which this
 	// controller counts as isolated.
 	cloudUnreachableTimeout = 4 * second
-	// peerSilence is the time without a direct message of any peer after which this controller
-	// counts as isolated.
-	peerSilence = 6 * second
+	// peerMessageTimeout is the time without a direct message of any peer after which this
+	// controller counts as isolated.
+	peerMessageTimeout = 6 * second
 )
 
 // isolated reports whether this controller has lost its connection to the cloud, or to all other
@@ -114,22 +114,22 @@
 		return false
 	}
 	for _, peer := range n.peers {
-		if !peer.byMailbox && n.now-peer.receivedAt < peerSilence {
+		if !peer.viaMailbox && n.now-peer.receivedAt < peerMessageTimeout {
 			return false
 		}
 	}
-	return n.now > peerSilence
+	return n.now > peerMessageTimeout
 }
 
-// successorSilence is the age of a controller's last message up to which it could take over the
-// leadership.
-const successorSilence = 8 * second
+// successorMessageTimeout is the age of a controller's last message up to which it could take over
+// the leadership.
+const successorMessageTimeout = 8 * second
 
 // hasSuccessor reports whether another controller could take over the leadership: one that has
 // recently sent a message, is served by the state service and is not isolated.
 func (n *Node) hasSuccessor() bool {
 	for _, peer := range n.peers {
-		if n.now-peer.receivedAt < successorSilence && peer.message.StoreOK && !peer.message.CutOff {
+		if n.now-peer.receivedAt < successorMessageTimeout && peer.message.StoreOK && !peer.message.CutOff {
 			return true
 		}
 	}
--- a/internal/core/leadership_status.go
+++ b/internal/core/leadership_status.go
@@ -21,10 +21,10 @@
 		status.LogResyncs = s.publisher.Resyncs()
 		return status
 	}
-	if term, _ := s.replica.Sequence(); term == n.leadership.Term() {
-		status.LogHeld = s.replica.Facts()
+	if term, _ := s.logReplica.Sequence(); term == n.leadership.Term() {
+		status.LogHeld = s.logReplica.Facts()
 	}
-	status.LogDropped = s.replica.Dropped()
+	status.LogDropped = s.logReplica.Dropped()
 	evidence := s.follower.Evidence(n.now)
 	status.SilenceMS = evidence.Silence.Milliseconds()
 	status.Suspected = s.follower.SuspectedAt() > 0
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -22,7 +22,7 @@
 		if !n.mayActAsOwner(shard) {
 			continue
 		}
-		othersReport := n.mostReport(shard)
+		othersReport := n.mostMachinesReport(shard)
 		for _, machine := range shard.machines {
 			n.workCount++
 			if machine.term != shard.Term {
@@ -30,16 +30,16 @@
 			}
 			if view := n.ownView(shard, machine, othersReport); view != machine.view || machine.viewTerm != shard.Term {
 				n.setView(machine, view, shard.Term)
-				n.noteViewChange(machine)
+				n.recordViewChange(machine)
 				n.leader.passNeeded = true
 			}
 		}
 	}
 }
 
-// mostReport reports whether more than half of the machines of a shard have sent a
+// mostMachinesReport reports whether more than half of the machines of a shard have sent a
 // heartbeat within two heartbeat intervals.
-func (n *Node) mostReport(shard *shard) bool {
+func (n *Node) mostMachinesReport(shard *shard) bool {
 	reporting, all := 0, 0
 	for _, machine := range shard.machines {
 		if machine.term == shard.Term && !machine.returned {
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -9,13 +9,13 @@
 	// mailboxStartDelay is the time after the start of the process in which no mailbox is
 	// written: a peer without a message may merely not have been reached yet.
 	mailboxStartDelay = 10 * second
-	// mailboxNames is the maximum length of each list of machine names in a mailbox message.
-	mailboxNames = 20
-	// mailboxMachineBytes is an upper estimate of the size of a machine's view with six images.
-	mailboxMachineBytes = 40
-	// mailboxListEntries is the maximum number of reservations and of holds, for each machine
+	// maxMailboxNames is the maximum length of each list of machine names in a mailbox message.
+	maxMailboxNames = 20
+	// mailboxViewBytes is an upper estimate of the size of a machine's view with six images.
+	mailboxViewBytes = 40
+	// maxMailboxListEntries is the maximum number of reservations and of holds, for each machine
 	// view, in a message that had to be shortened.
-	mailboxListEntries = 8
+	maxMailboxListEntries = 8
 )
 
 // writeMailbox writes a message to this controller's mailbox, a key of the state service that the
@@ -55,7 +55,7 @@
 			continue
 		}
 		p := n.peers[member.Name]
-		if p != nil && !p.byMailbox && n.now-p.receivedAt <= peerAliveTime {
+		if p != nil && !p.viaMailbox && n.now-p.receivedAt <= peerAliveTime {
 			continue
 		}
 		silent = true
@@ -73,18 +73,18 @@
 	// partitioned from each other but reach the state service would otherwise replace each
 	// other as the leader in turns.
 	message.Leader = nil
-	message.Returned = message.Returned[max(0, len(message.Returned)-mailboxNames):]
-	message.Retire = message.Retire[:min(len(message.Retire), mailboxNames)]
-	message.Strays = message.Strays[:min(len(message.Strays), mailboxNames)]
+	message.Returned = message.Returned[max(0, len(message.Returned)-maxMailboxNames):]
+	message.Retire = message.Retire[:min(len(message.Retire), maxMailboxNames)]
+	message.Strays = message.Strays[:min(len(message.Strays), maxMailboxNames)]
 	// The names and the other fields take well below a quarter of the value.
-	value := n.withViewChanges(message, base, max(1, n.cfg.MaxValueBytes*5/8/mailboxMachineBytes))
+	value := n.withViewChanges(message, base, max(1, n.cfg.MaxValueBytes*5/8/mailboxViewBytes))
 	for count := len(value.Hosts); count > 1 && !n.valueFits(value); {
 		// If the limit is small, the other fields take most of the value.
 		count /= 2
 		message.Returned = message.Returned[:len(message.Returned)/2]
 		message.Retire = message.Retire[:len(message.Retire)/2]
 		message.Strays = message.Strays[:len(message.Strays)/2]
-		message.Kept, message.Holds = message.Kept[:min(len(message.Kept), mailboxListEntries*count)], message.Holds[:min(len(message.Holds), mailboxListEntries*count)]
+		message.Kept, message.Holds = message.Kept[:min(len(message.Kept), maxMailboxListEntries*count)], message.Holds[:min(len(message.Holds), maxMailboxListEntries*count)]
 		value = n.withViewChanges(message, base, count)
 	}
 	return value
@@ -100,7 +100,7 @@
 // message is not newer than its last one.
 func (n *Node) readMailbox(message *wire.Gossip) {
 	if p := n.peers[message.From]; p != nil {
-		direct := !p.byMailbox && n.now-p.receivedAt < peerAliveTime
+		direct := !p.viaMailbox && n.now-p.receivedAt < peerAliveTime
 		old := p.message.Life == message.Life && message.UpS <= p.message.UpS
 		if direct || old {
 			return
@@ -108,6 +108,6 @@
 	}
 	n.gossipReceived(message)
 	if p := n.peers[message.From]; p != nil && p.message == message {
-		p.byMailbox = true
+		p.viaMailbox = true
 	}
 }
--- a/internal/core/takeover_record.go
+++ b/internal/core/takeover_record.go
@@ -36,9 +36,9 @@
 	return record
 }
 
-// completed returns the record with the stages of this controller's takeover, or nil if the last
+// withStages returns the record with the stages of this controller's takeover, or nil if the last
 // takeover is another controller's.
-func (f *failoverState) completed(self string) *wire.Takeovers {
+func (f *failoverState) withStages(self string) *wire.Takeovers {
 	if f.takeovers == nil || len(f.takeovers.List) == 0 {
 		return nil
 	}
@@ -61,9 +61,9 @@
 	return stages
 }
 
-// notePlanned records that this leader has made a scheduling pass. The first one completes its
+// recordFirstPass records that this leader has made a scheduling pass. The first one completes its
 // takeover.
-func (n *Node) notePlanned() {
+func (n *Node) recordFirstPass() {
 	f := &n.failover
 	if f.firstPassDone {
 		return
@@ -73,7 +73,7 @@
 		return
 	}
 	n.log(LogInfo, "failover completed", "previous_leader", f.takeover.From, "stages_ms", fmt.Sprint(f.stagesMS()))
-	if record := f.completed(n.cfg.Self); record != nil {
+	if record := f.withStages(n.cfg.Self); record != nil {
 		n.transact(ClassBackground, []kv.Condition{n.leaderCondition()}, []kv.Write{{Key: wire.TakeoversKey, Value: record}}, ignoreResult{})
 	}
 	f.takeover.End()
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -20,23 +20,23 @@
 	changes []viewChange // in order of version
 }
 
-// minChangeLog is the number of entries, besides two for each machine, that the change log may have
-// before the obsolete ones are removed.
-const minChangeLog = 64
+// minChangeLogLength is the number of entries, besides two for each machine, that the change log
+// may have before the obsolete ones are removed.
+const minChangeLogLength = 64
 
-// noteViewChange adds an entry to the change log for a machine of this controller.
-func (n *Node) noteViewChange(machine *machine) {
+// recordViewChange adds an entry to the change log for a machine of this controller.
+func (n *Node) recordViewChange(machine *machine) {
 	log := &n.views
 	log.version++
 	machine.viewVersion = log.version
 	log.changes = append(log.changes, viewChange{log.version, machine.index})
-	if len(log.changes) > 2*len(n.machines)+minChangeLog {
+	if len(log.changes) > 2*len(n.machines)+minChangeLogLength {
 		log.changes = slices.DeleteFunc(log.changes, func(c viewChange) bool { return n.machines[c.machine].viewVersion != c.version })
 	}
 }
 
-// after returns the changes after a version.
-func (l *viewLog) after(base uint64) []viewChange {
+// changesAfter returns the changes after a version.
+func (l *viewLog) changesAfter(base uint64) []viewChange {
 	return l.changes[sort.Search(len(l.changes), func(i int) bool { return l.changes[i].version > base }):]
 }
 
@@ -47,7 +47,7 @@
 func (n *Node) withViewChanges(message wire.Gossip, base uint64, limit int) *wire.Gossip {
 	message.Since, message.Ver = base, n.views.version
 	var names wire.Interner
-	for _, change := range n.views.after(base) {
+	for _, change := range n.views.changesAfter(base) {
 		machine := n.machines[change.machine]
 		n.workCount++
 		if machine.viewVersion != change.version || machine.shard < 0 ||
@@ -59,7 +59,7 @@
 			message.Ver = change.version - 1
 			break
 		}
-		message.Hosts = append(message.Hosts, n.machineInfo(machine, &names))
+		message.Hosts = append(message.Hosts, n.encodeView(machine, &names))
 	}
 	for i := range names.Len() {
 		message.Names = append(message.Names, names.Name(i))
@@ -71,9 +71,9 @@
 // flags of wire.MachineInfo.
 const missedHeartbeatsShift = 8
 
-// machineInfo encodes the view of a machine for a message; names collects the names that the
+// encodeView encodes the view of a machine for a message; names collects the names that the
 // message refers to by index.
-func (s *site) machineInfo(machine *machine, names *wire.Interner) wire.MachineInfo {
+func (s *site) encodeView(machine *machine, names *wire.Interner) wire.MachineInfo {
 	view := &machine.view
 	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(s.names.Zones.Name(machine.zone)), Errors: view.errors,
 		Flags: wire.Flags(machine.spot, view.reclaimed, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<missedHeartbeatsShift}
@@ -84,8 +84,8 @@
 	return info
 }
 
-// viewOf decodes the view of a machine in a message.
-func viewOf(info *wire.MachineInfo) machineView {
+// decodeView decodes the view of a machine in a message.
+func decodeView(info *wire.MachineInfo) machineView {
 	flags := info.Flags
 	return machineView{known: true, reclaimed: flags&wire.FlagReclaimed != 0, draining: flags&wire.FlagDraining != 0, unhealthy: flags&wire.FlagUnhealthy != 0,
 		unreachable: flags&wire.FlagUnreachable != 0, unconfirmed: flags&wire.FlagUnconfirmed != 0, missedHeartbeats: flags >> missedHeartbeatsShift, errors: info.Errors}
