--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -6,7 +6,8 @@
 	"micaport/internal/wire"
 )
 
-// applyLeaderInstructions applies the instructions to the owners of shards in a message of the leader.
+// applyLeaderInstructions applies the instructions to the owners of shards in a message of the
+// leader.
 func (n *Node) applyLeaderInstructions(message *wire.Gossip) {
 	if n.leadership.Record() == nil || n.leadership.Record().Controller != message.From {
 		return
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -51,7 +51,8 @@
 	s := &n.failover
 	before := s.fence.RemainingCallTime(n.now)
 	s.fence.Settle(n.replica.Revision())
-	if callTime := s.fence.RemainingCallTime(n.now); n.fenced() && callTime > before { // never true before the cloud fence has ended
+	// The call time is 0 until the cloud fence has ended.
+	if callTime := s.fence.RemainingCallTime(n.now); n.fenced() && callTime > before {
 		n.emit(AllowCloudCalls{Term: n.leadership.Term(), Until: n.now + callTime})
 	}
 }
