--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -7,17 +7,16 @@
 	"micaport/internal/wire"
 )
 
-// How a new leader goes on from the last one's decision log.
-
-// adoptDecisions goes on from what the leader of a term told this controller as its standby.
+// adoptDecisions initializes the state of a new leader from the decision log that this controller
+// received as the standby of the previous leader, whose term is passed.
 func (n *Node) adoptDecisions(term uint64) {
-	facts := n.failover.replica.Of(term)
+	facts := n.failover.logReplica.Of(term)
 	if len(facts) == 0 {
 		return
 	}
 	slices.SortFunc(facts, func(a, b wire.Fact) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 	for _, index := range n.replica.Live() {
-		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // of when it last led itself
+		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // set during an earlier term of this controller
 	}
 	adopted := 0
 	for i := range facts {
@@ -29,8 +28,8 @@
 	n.log(LogInfo, "adopted decision log of previous leader", "term", term, "facts", len(facts), "adopted", adopted)
 }
 
-// adoptFact adopts a fact unless something contradicts it, and tells whether it did. Kinds of
-// later versions are skipped.
+// adoptFact adopts a fact unless the records or the owners contradict it, and reports whether it
+// did. Kinds of facts that only later versions support are skipped.
 func (n *Node) adoptFact(fact *wire.Fact) bool {
 	switch fact.Kind {
 	case wire.FactProvisioning, wire.FactBackoff, wire.FactCapacityShortage:
@@ -38,7 +37,7 @@
 	case wire.FactWaitingSince, wire.FactGangZone, wire.FactPreemptedAt, wire.FactQueuePosition:
 		return n.adoptJobFact(fact)
 	case wire.FactBootTime, wire.FactReturned:
-		n.adoptHistory(fact)
+		n.adoptHistoryFact(fact)
 		return true
 	}
 	machine := n.knownMachine(fact.Name)
@@ -48,8 +47,8 @@
 	return n.adoptMachineFact(fact, machine)
 }
 
-// adoptPoolFact adopts a fact about a pool or a provisioning request. A request under way is
-// repeated under its own name, which the cloud answers as it did the first time.
+// adoptPoolFact adopts a fact about a pool or a provisioning request. A pending request is repeated
+// under its own name, which makes it idempotent: the cloud answers as it did the first time.
 func (n *Node) adoptPoolFact(fact *wire.Fact) bool {
 	scaler := &n.leader.autoscaler
 	pool, known := poolOf(fact, n.names)
@@ -70,19 +69,19 @@
 		}
 		scaler.provisions = append(scaler.provisions, &provisioning{
 			pool:      pool,
-			decidedAt: timeOf(fact),
+			decidedAt: factTimeOf(fact),
 			sendAt:    n.now,
 			request:   request,
 		})
 	case wire.FactBackoff:
-		scaler.retryAt[pool] = timeOf(fact)
+		scaler.retryAt[pool] = factTimeOf(fact)
 	case wire.FactCapacityShortage:
-		scaler.shortageAt[pool] = timeOf(fact)
+		scaler.shortageAt[pool] = factTimeOf(fact)
 	}
 	return true
 }
 
-// adoptJobFact adopts a fact about a job that still waits.
+// adoptJobFact adopts a fact about a job that has not ended.
 func (n *Node) adoptJobFact(fact *wire.Fact) bool {
 	job := n.jobNamed(fact.Name)
 	if job == nil || job.Record == nil || job.Record.State != wire.JobLive {
@@ -100,23 +99,25 @@
 	case wire.FactQueuePosition:
 		job.queuePosition = queuePosition{waitingSince: waitTimeOf(fact), droppedAttempts: fact.Count}
 	case wire.FactPreemptedAt:
-		job.preemptAt = timeOf(fact)
+		job.preemptAt = factTimeOf(fact)
 	}
 	return true
 }
 
-// adoptHistory adopts what has happened to a machine, which nothing can contradict.
-func (n *Node) adoptHistory(fact *wire.Fact) {
+// adoptHistoryFact adopts a fact about a past event of a machine, its boot or its deprovisioning,
+// which neither the records nor the owners can contradict.
+func (n *Node) adoptHistoryFact(fact *wire.Fact) {
 	if fact.Kind == wire.FactBootTime {
 		scaler := &n.leader.autoscaler
-		scaler.recentBoots = append(scaler.recentBoots, boot{fact.Name, timeOf(fact), fact.Ratio})
+		scaler.recentBoots = append(scaler.recentBoots, boot{fact.Name, factTimeOf(fact), fact.Ratio})
 		return
 	}
 	n.machineNamed(fact.Name).returned = true
-	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, timeOf(fact)})
+	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, factTimeOf(fact)})
 }
 
-// adoptMachineFact adopts a fact about a machine, which is nil if it has not been seen.
+// adoptMachineFact adopts a fact about a machine, which is nil if this controller has not seen it,
+// unless it is contradicted. It reports whether it did.
 func (n *Node) adoptMachineFact(fact *wire.Fact, machine *machine) bool {
 	scaler := &n.leader.autoscaler
 	hasReported := machine != nil && machine.view.known
@@ -126,9 +127,9 @@
 		if !known || hasReported {
 			return false
 		}
-		scaler.booting[fact.Name] = &bootingMachine{pool: pool, provisionedAt: timeOf(fact), listed: fact.Seen}
+		scaler.booting[fact.Name] = &bootingMachine{pool: pool, provisionedAt: factTimeOf(fact), listed: fact.Seen}
 	case wire.FactIdle:
-		scaler.idleSince[fact.Name] = timeOf(fact)
+		scaler.idleSince[fact.Name] = factTimeOf(fact)
 	case wire.FactDraining:
 		if machine != nil && len(machine.placements) > 0 {
 			return false
@@ -138,7 +139,7 @@
 		if hasReported {
 			return false
 		}
-		scaler.unreportedSince[fact.Name] = timeOf(fact)
+		scaler.unreportedSince[fact.Name] = factTimeOf(fact)
 	case wire.FactReserved:
 		if machine == nil || n.names.Jobs.Find(fact.JobID) < 0 {
 			return false
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -7,50 +7,47 @@
 	"micaport/internal/wire"
 )
 
-// The change log of the views of this controller's own machines. Each change has a version;
-// a peer that has seen all up to one version needs only the later ones.
-
-// viewChange is an entry of the change log; it is out of date once the
-// machine has a later one.
+// viewChange is an entry of the change log. It is obsolete once the machine has a later one.
 type viewChange struct {
 	version uint64
 	machine int
 }
 
-// viewLog is the change log.
+// viewLog is the change log of the views of this controller's machines. Each change has a version;
+// a peer that has received all changes up to a version needs only the later ones.
 type viewLog struct {
 	version uint64       // of the last change
 	changes []viewChange // in order of version
 }
 
-// minChangeLog is how many entries the change log may have besides two for each machine
-// before those that are out of date are dropped.
-const minChangeLog = 64
+// minChangeLogLength is the number of entries, besides two for each machine, that the change log
+// may have before the obsolete ones are removed.
+const minChangeLogLength = 64
 
-// noteViewChange adds a change of the view of an own machine to the change log.
-func (n *Node) noteViewChange(machine *machine) {
+// recordViewChange adds an entry to the change log for a machine of this controller.
+func (n *Node) recordViewChange(machine *machine) {
 	log := &n.views
 	log.version++
 	machine.viewVersion = log.version
 	log.changes = append(log.changes, viewChange{log.version, machine.index})
-	if len(log.changes) > 2*len(n.machines)+minChangeLog {
+	if len(log.changes) > 2*len(n.machines)+minChangeLogLength {
 		log.changes = slices.DeleteFunc(log.changes, func(c viewChange) bool { return n.machines[c.machine].viewVersion != c.version })
 	}
 }
 
-// after lists the changes after a version.
-func (l *viewLog) after(base uint64) []viewChange {
+// changesAfter returns the changes after a version.
+func (l *viewLog) changesAfter(base uint64) []viewChange {
 	return l.changes[sort.Search(len(l.changes), func(i int) bool { return l.changes[i].version > base }):]
 }
 
-// withViewChanges completes a message with the views of up to limit machines that changed
-// after the version base. It always takes the earliest changes, so that the receiver has
-// all there is up to the version that the message names, and a message that is lost or
-// repeated does no harm.
+// withViewChanges returns a copy of a message with the views of up to limit machines that changed
+// after the version base. It always includes the earliest changes, so that the receiver then has
+// all views up to the version that the message names. This makes lost and repeated messages
+// harmless.
 func (n *Node) withViewChanges(message wire.Gossip, base uint64, limit int) *wire.Gossip {
 	message.Since, message.Ver = base, n.views.version
 	var names wire.Interner
-	for _, change := range n.views.after(base) {
+	for _, change := range n.views.changesAfter(base) {
 		machine := n.machines[change.machine]
 		n.workCount++
 		if machine.viewVersion != change.version || machine.shard < 0 ||
@@ -62,7 +59,7 @@
 			message.Ver = change.version - 1
 			break
 		}
-		message.Hosts = append(message.Hosts, n.machineInfo(machine, &names))
+		message.Hosts = append(message.Hosts, n.encodeView(machine, &names))
 	}
 	for i := range names.Len() {
 		message.Names = append(message.Names, names.Name(i))
@@ -70,11 +67,13 @@
 	return &message
 }
 
-// missedHeartbeatsShift is the lowest bit of the missed heartbeats in the flags of a machine.
+// missedHeartbeatsShift is the position of the lowest bit of the number of missed heartbeats in the
+// flags of wire.MachineInfo.
 const missedHeartbeatsShift = 8
 
-// machineInfo is the view of an own machine in a message.
-func (s *site) machineInfo(machine *machine, names *wire.Interner) wire.MachineInfo {
+// encodeView encodes the view of a machine for a message; names collects the names that the
+// message refers to by index.
+func (s *site) encodeView(machine *machine, names *wire.Interner) wire.MachineInfo {
 	view := &machine.view
 	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(s.names.Zones.Name(machine.zone)), Errors: view.errors,
 		Flags: wire.Flags(machine.spot, view.reclaimed, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<missedHeartbeatsShift}
@@ -85,8 +84,8 @@
 	return info
 }
 
-// viewOf is the view of a machine that a message has.
-func viewOf(info *wire.MachineInfo) machineView {
+// decodeView decodes the view of a machine in a message.
+func decodeView(info *wire.MachineInfo) machineView {
 	flags := info.Flags
 	return machineView{known: true, reclaimed: flags&wire.FlagReclaimed != 0, draining: flags&wire.FlagDraining != 0, unhealthy: flags&wire.FlagUnhealthy != 0,
 		unreachable: flags&wire.FlagUnreachable != 0, unconfirmed: flags&wire.FlagUnconfirmed != 0, missedHeartbeats: flags >> missedHeartbeatsShift, errors: info.Errors}
