--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -5,101 +5,103 @@
 	"micaport/internal/wire"
 )
 
-// machine is what this controller knows of a machine.
+// machine holds the state of a machine as this controller sees it.
 type machine struct {
-	index       int // of its name
+	index       int // in site.machines, and of its name in the table of names
 	name        string
 	machineType int // index; -1 while unknown
 	zone        int // index; -1 while unknown
 	spot        bool
-	shard       int         // index; -1: in none
-	placements  []placement // tasks that the records put on it, by job
+	shard       int         // index; -1 if it is in no shard
+	placements  []placement // tasks that the records place on it, sorted by job
 	images      indexset.Set
 
-	used           resourceUse // by the placements; valid while usedKnown is set
+	used           resourceUse // sum over the placements; valid while usedKnown is set
 	usedKnown      bool
-	lowestPriority int // of the tasks that may be stopped; noPriority if there are none
+	lowestPriority int // of the tasks that may be preempted; noPriority if none may
 
 	workerState
 
-	// What its owner tells, whoever that is.
+	// State reported by the machine's owner, which may be this controller.
 	view             machineView
-	viewTerm         uint64 // the owner's term
-	unconfirmedSince Time   // since when the view is unconfirmed
-	viewVersion      uint64 // of this controller's own view, for gossip
-	returned         bool   // the cloud has confirmed that it is gone
+	viewTerm         uint64 // term in which the owner reported the view
+	unconfirmedSince Time   // when the view became unconfirmed
+	viewVersion      uint64 // version of the last change of the view in this controller's gossip
+	returned         bool   // the cloud has confirmed that the machine is gone
 
 	misdirected
 }
 
-// workerState is what the owner of a machine has learnt of its worker in the present term.
+// workerState holds what a machine's owner has received from its worker, and sent to it, in
+// the current term of the shard.
 type workerState struct {
-	term            uint64             // the term in which this was learnt
+	term            uint64             // the term to which this state belongs
 	epoch, sequence uint64             // of the last heartbeat
-	heartbeats      int                // in this term
-	heartbeatAt     Time               // of the last in this term
-	tokenConfirmed  bool               // a heartbeat has shown the token of this term
-	newlyBooted     bool               // it reports for the first time, and can't know any token
+	heartbeats      int                // number received in this term
+	heartbeatAt     Time               // when the last heartbeat of this term was received
+	tokenConfirmed  bool               // the last heartbeat carried the token of this term
+	newlyBooted     bool               // it sends its first heartbeats and can't have received a token
 	answeredAt      Time               // when a heartbeat was last answered with 200
-	ignoredReplies  int                // replies in a row that had no effect
-	unresponsive    bool               // neither replies nor commands reach it
-	reclaimAt       Time               // when the cloud takes it away; 0: not announced
+	ignoredReplies  int                // consecutive replies that had no effect
+	unresponsive    bool               // it counts as receiving neither replies nor commands
+	reclaimAt       Time               // when the cloud reclaims it; 0: no notice was given
 	address         string             // of the worker, for commands
-	reportedTasks   map[taskKey]string // states, by the last heartbeat
-	startSentAt     map[taskKey]uint64 // sequence of the heartbeat that was last answered with the start
+	reportedTasks   map[taskKey]string // states in the last heartbeat of the active tasks that it lists
+	startSentAt     map[taskKey]uint64 // sequence number of the last heartbeat whose reply contained the start
 	directStarts    map[taskKey]directStart
 	unclearedTasks  int  // exited tasks in its last heartbeat that must not be cleared
-	delayedReplies  int  // replies to it that wait
-	unstartedListed bool // it is listed among those with a task that they have not shown
-	leaseExpiring   bool // it gets no replies, so that its epoch ends
+	delayedReplies  int  // number of its heartbeats whose replies are delayed
+	unstartedListed bool // it is in ownerState.unstarted
+	leaseExpiring   bool // its heartbeats are not answered, so that its lease expires and its epoch ends
 
-	failedJobs      map[int]bool // jobs that failed on it since its last success
+	failedJobs      map[int]bool // jobs of which a task failed on it since a task last succeeded
 	unhealthy       bool
 	draining        bool
-	noCapacityUntil Time // nothing is placed on it before this: it refused a task
+	noCapacityUntil Time // no task is placed on it earlier, as it had no capacity for one
 }
 
-// misdirected is what a controller that does not own a machine remembers of heartbeats that
-// came here.
+// misdirected holds what a controller records about heartbeats from a machine that it does not
+// own. A worker bounces when it sends a heartbeat to this controller again after it was
+// redirected to the owner, which it apparently can't reach.
 type misdirected struct {
-	redirectedAt        Time   // when it was last redirected to its owner; 0: not
-	bouncedAt           Time   // when it last came back; 0: not
-	bouncingSince       Time   // since when it has come back again and again
-	misdirectedListed   bool   // it is listed among the machines that came here
-	misdirectedEpoch    uint64 // of the newest heartbeat that came here
+	redirectedAt        Time   // when it was last redirected to its owner; 0: it was not
+	bouncedAt           Time   // when it last bounced; 0: it did not
+	bouncingSince       Time   // when the current series of bounces began
+	misdirectedListed   bool   // it is in gossipState.misdirectedMachines
+	misdirectedEpoch    uint64 // of the newest heartbeat received by this controller
 	misdirectedSequence uint64
 }
 
-// machineView is what the owner of a machine tells of it.
+// machineView is the state of a machine that its owner reports to the other controllers.
 type machineView struct {
 	known            bool
-	reclaimed        bool // the cloud takes it away
+	reclaimed        bool // the cloud is about to reclaim it
 	draining         bool
-	unhealthy        bool // it fails jobs
+	unhealthy        bool // tasks fail on it, probably through its own fault
 	unreachable      bool
-	unconfirmed      bool // it has not yet shown the token of its owner's term
-	missedHeartbeats int  // 1: two heartbeats are missing, 2: three
-	errors           int  // jobs that failed on it since its last success
-	images           int  // how many, so that a new one shows as a change
+	unconfirmed      bool // its worker has not yet sent the token of the owner's term
+	missedHeartbeats int  // 1: no heartbeat for two intervals, 2: for three
+	errors           int  // jobs of which a task failed on it since a task last succeeded
+	images           int  // their number, so that a new image changes the view
 }
 
-// placement is a task that a record puts on a machine.
+// placement is a task that a job record places on a machine.
 type placement struct {
 	taskKey
 	shard       int // index
 	stop        wire.StopRequest
 	epoch       uint64
-	activeIndex int // its place among the active tasks of the record
+	activeIndex int // index among the active tasks of the record
 }
 
-// taskKey names an attempt of a task.
+// taskKey identifies an attempt of a task.
 type taskKey struct {
 	job, task int // index of the job, number of the task
 	attempt   uint64
 }
 
-// resourceUse is how much of a machine is used, and how much of that will be released as
-// tasks have been told to stop.
+// resourceUse is the capacity of a machine that its tasks use, and the part of it that will be
+// released by tasks that are being stopped.
 type resourceUse struct {
 	cores, gpus, memoryGB                            float64
 	releasingCores, releasingGPUs, releasingMemoryGB float64
@@ -109,8 +111,8 @@
 // noPriority is higher than any priority.
 const noPriority = 99
 
-// usageOf adds up what the tasks take that the records put on a machine. They are there
-// until they are proven gone.
+// usageOf returns the resources used by the tasks that the records place on a machine. A task
+// counts until it is proven to have ended.
 func (s *site) usageOf(machine *machine) *resourceUse {
 	if machine.usedKnown {
 		return &machine.used
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -4,18 +4,17 @@
 	"time"
 )
 
-// The owner of shards writes the outcomes of their tasks (task_outcomes.go), chooses
-// machines for granted tasks (grant_placement.go), and gives up the tasks of machines that
-// no longer report (silent_machines.go), in one transaction at a time.
-
 const (
-	// ownerInterval and ownerIntervalPerJob give the time between two passes of the
-	// owner; a pass looks at every job that is live.
+	// ownerInterval and ownerIntervalPerJob are the fixed and the variable part of the time
+	// between two passes of the owner; a pass visits every live job.
 	ownerInterval       = 60 * time.Millisecond
 	ownerIntervalPerJob = 20 * time.Microsecond
 )
 
-// runOwner writes the outcomes of tasks and places granted ones.
+// runOwner makes a pass over the shards that this controller owns, if one is due. It marks the
+// tasks of silent machines as lost (silent_machines.go), writes the outcomes of tasks
+// (task_outcomes.go) and chooses machines for granted tasks (grant_placement.go), in one
+// transaction at a time.
 func (n *Node) runOwner() {
 	if n.now < n.placementAt {
 		return
@@ -55,7 +54,7 @@
 	case !machine.tokenConfirmed && !machine.newlyBooted,
 		machine.ignoredReplies > 0,
 		s.now-machine.heartbeatAt >= 3*s.cfg.HeartbeatInterval:
-		return false // its worker may not carry out a start
+		return false // its worker might not execute a start
 	case machine.reclaimAt != 0, machine.draining, machine.returned, machine.unhealthy, s.now < machine.noCapacityUntil:
 		return false
 	}
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -4,13 +4,12 @@
 	"slices"
 )
 
-// Machines that no longer report to their owner: they have failed, hang, or are cut off.
-
-// leaseMargin is added to a worker's lease before its tasks count as lost, together with a
-// thousandth of the lease: the worker's clock may run slower than ours.
+// leaseMargin is added to a worker's lease, together with a thousandth of it, before the
+// worker's tasks count as lost: its clock may run slower than this controller's.
 const leaseMargin = second
 
-// expireSilentMachines gives up the tasks of machines whose lease must have run out.
+// expireSilentMachines records as lost the tasks of machines that have been returned or whose
+// worker's lease must have expired, because the machine failed, hangs or is cut off.
 func (n *Node) expireSilentMachines(shard *shard) {
 	limit := n.cfg.WorkerLease + n.cfg.WorkerLease/1000 + leaseMargin
 	for _, machine := range shard.machines {
@@ -34,11 +33,12 @@
 	}
 }
 
-// forgetInterval is the time between two searches for machines and grants to forget.
+// forgetInterval is the time between two searches for outdated machines and grants.
 const forgetInterval = 5 * second
 
-// forgetMachines drops what is known of machines that are gone, so that their number
-// costs nothing.
+// forgetMachines removes machines that are gone from their shards and discards their state,
+// so that they cost no time or memory. It also discards the times of grants that
+// have been placed or revoked.
 func (n *Node) forgetMachines() {
 	if n.now < n.forgetAt {
 		return
@@ -68,7 +68,7 @@
 	return machine.view.unreachable && !s.owns(shard) && s.now-shard.ChangedAt > timeout
 }
 
-// forget drops what is known of a machine; it is learnt anew if it reports again.
+// forget discards the state of a machine; it is built up again if the machine reports again.
 func (m *machine) forget() {
 	m.view = machineView{}
 	m.reportedTasks = nil
@@ -79,15 +79,16 @@
 	m.term = 0
 }
 
-// isUnreachable reports whether a silent machine has failed or hangs, rather than being
-// cut off from this controller or silent for a moment: it has not turned to any peer, and
-// either other machines of the shard still report or it has had the time to try a peer.
+// isUnreachable reports whether a silent machine has failed or hangs, rather than being cut
+// off from this controller only or silent for a short time. That is so if it has not reported to
+// any peer, and either other machines of the shard still report or it has had enough time to
+// try a peer.
 func (n *Node) isUnreachable(machine *machine, silent Time, othersReport bool) bool {
 	if silent < 3*n.cfg.HeartbeatInterval+second {
 		return false
 	}
 	if silent > n.cfg.WorkerLease+5*second {
-		return true // wherever it reports, nobody could answer it
+		return true // no reply can have renewed its lease, wherever it reported
 	}
 	peerReachable := false
 	for _, member := range n.cfg.Members {
@@ -100,7 +101,8 @@
 			return false
 		}
 	}
-	// A worker that can't reach its owner has tried a peer by now: a report, its
-	// timeout of 4 s, a delay, and the peer's next message.
+	// A worker that can't reach its owner has reported to a peer by now, and the peer has
+	// announced that: it takes a heartbeat, its timeout of 4 s, a retry delay, and the
+	// peer's next message.
 	return othersReport || peerReachable && silent > 2*n.cfg.HeartbeatInterval+7*second
 }
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// stallThreshold is the gap between two steps from which on the process counts as having
-// been paused rather than slow. A timer fires every 50 ms.
+// stallThreshold is the gap between two steps from which on the process counts as having been
+// paused rather than slow. A timer triggers a step every 50 ms.
 const stallThreshold = 1500 * time.Millisecond
 
-// resumeAfterStall discards what a pause of the process has made stale, while the clocks
-// ran on. Machines and peers that could not reach us seem silent, and shards may have been
-// taken over. Before this, a controller that resumed within its validity had all its
-// machines returned as dead. As an owner we now act only after a proof that was sent
-// after the pause, as the leader only after peers have had the time to report; silence of
-// machines, and reports of theirs to other controllers, are counted anew.
+// resumeAfterStall discards state that became stale while the process was paused and the clocks
+// continued. Machines and peers whose messages were not processed seem silent, and shards may have
+// been taken over. Without this, a controller that resumed within its validity had all its machines
+// returned as dead. After a stall this controller acts as an owner only once a proof that was sent
+// after the pause has succeeded, and as the leader only once peers have had time to report. The
+// silence of machines, and their heartbeats to controllers that don't own them, count from the
+// end of the stall.
 func (n *Node) resumeAfterStall(gap Time) {
 	n.log(LogInfo, "process stalled", "duration", gap)
 	n.resumedAt = n.now
