--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -4,32 +4,31 @@
 	"micaport/internal/wire"
 )
 
-// Reconciliation brings a machine in line with the records. Each task that a heartbeat
-// reports, and each that the records place on the machine, falls into one case.
+// reconciliation compares one heartbeat with the records and collects the commands that make
+// the machine match them. Each task that the heartbeat reports, and each that the records place
+// on the machine, falls into one of these cases:
 //
-//	reported     in the records        then
-//	exited       yes                   the outcome is noted for the record
-//	exited       no, started directly  nothing: the worker has to remember the attempt
-//	exited       no                    command clear: the worker may forget it
+//	reported     in the records        action
+//	exited       yes                   the outcome is queued for the record
+//	exited       no, started directly  none: the worker must keep the attempt
+//	exited       no                    command clear: the worker may discard the attempt
 //	not exited   no                    command kill
-//	not exited   yes, has to stop      command kill, with time to save; see stopGrace
-//	not exited   yes                   nothing
+//	not exited   yes, must stop        command kill, with time to save; see stopGrace
+//	not exited   yes                   none
 //	missing      yes                   see missingTask
-
-// reconciliation compares one heartbeat with the records.
 type reconciliation struct {
 	node           *Node
 	machine        *machine
 	heartbeat      *wire.WorkerHeartbeat
-	tokenCurrent   bool // the worker has the current token: no earlier owner can start anything on it
+	tokenCurrent   bool // the worker has the current token, so no earlier owner can start a task on it
 	reported       map[taskKey]bool
-	previousStates map[taskKey]string // the states in the heartbeat before
+	previousStates map[taskKey]string // task states in the previous heartbeat
 	commands       []wire.Command
-	startIgnored   bool // a start was commanded, and the heartbeat lacks its task
+	startIgnored   bool // a start was sent, and the heartbeat lacks its task
 }
 
-// reconcile compares a heartbeat with the records and gives the commands that
-// bring the machine in line.
+// reconcile compares a heartbeat with the records and returns the commands that make the
+// machine match them.
 func (n *Node) reconcile(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) []wire.Command {
 	r := &reconciliation{
 		node: n, machine: machine, heartbeat: heartbeat, tokenCurrent: heartbeat.Token == shard.Term,
@@ -54,12 +53,12 @@
 	r.commands = append(r.commands, wire.Command{Op: op, Task: task, Attempt: attempt, GraceS: graceS})
 }
 
-// reportedTask handles a task that the heartbeat shows.
+// reportedTask reconciles a task that the heartbeat lists.
 func (r *reconciliation) reportedTask(status *wire.TaskStatus) {
 	n, machine := r.node, r.machine
 	jobID, task, err := wire.SplitTaskName(status.Task)
 	if err != nil {
-		return // no name of a task, so nothing of ours
+		return // not the name of a task of this scheduler
 	}
 	key := taskKey{n.names.Jobs.Find(jobID), task, status.Attempt}
 	r.reported[key] = true
@@ -88,38 +87,38 @@
 	}
 }
 
-// exitedTask handles a task that the heartbeat shows as ended; active is its entry in the
-// record, or nil.
+// exitedTask reconciles a task that the heartbeat lists as exited; active is its entry in the
+// job's record, or nil.
 func (r *reconciliation) exitedTask(status *wire.TaskStatus, key taskKey, active *wire.ActiveTask) {
 	if active != nil {
 		r.node.noteTaskExit(r.machine, key, status)
 		return
 	}
 	if _, direct := r.machine.directStarts[key]; direct {
-		// A late copy of its start may still come. As long as the worker knows the
-		// attempt that has no effect.
+		// A late copy of its start may still arrive. It has no effect as long as the worker
+		// keeps the attempt.
 		r.machine.unclearedTasks++
 		return
 	}
-	// The record no longer has this attempt, so it can't be started again and may be
-	// forgotten by the worker.
+	// The record no longer has this attempt, so it can't be started again and the worker may
+	// discard it.
 	r.command(wire.CommandClear, status.Task, status.Attempt, 0)
 }
 
-// missingTask handles a task that a record places on the machine and the heartbeat lacks.
-// The first of these cases that holds decides:
+// missingTask reconciles a task that a record places on the machine and that the heartbeat
+// lacks. The first case that applies decides:
 //
-//	the task                                          then
-//	has ended, which is noted already                 nothing
+//	task                                              action
+//	its outcome is already queued                     none
 //	was placed in an earlier epoch of the worker      it is lost
-//	has to stop, and no start of it can arrive        it is lost
-//	has to stop, and a direct start may arrive        see awaitDirectStart
-//	was started again and again without effect        it is lost
-//	is in a gang that waits for an image              nothing
-//	has yet to start                                  command start
+//	must stop, and no start of it can arrive          it is lost
+//	must stop, and a direct start may still arrive    see awaitDirectStart
+//	repeated starts had no effect                     it is lost
+//	belongs to a gang that waits for an image         none
+//	has not been started                              command start
 //
-// A task has to stop when its job is over, its record says so, or the machine is to be
-// reclaimed.
+// A task must stop when its job has ended, when its record requests it, or when the machine is
+// about to be reclaimed.
 func (r *reconciliation) missingTask(placed *placement) {
 	n, machine := r.node, r.machine
 	key, job := placed.taskKey, n.jobs[placed.job]
@@ -128,9 +127,9 @@
 	}
 	sentAt, sent := machine.startSentAt[key] // the sequence number of the heartbeat answered with the start
 	direct, startedDirectly := machine.directStarts[key]
-	// No start can put the task on the machine any more without being sent again. A start
-	// sent to the worker's own address may still be on its way, whatever its heartbeats
-	// say.
+	// Absent: the task does not run on the machine, and no start that was sent before can still
+	// start it there. A start that was sent to the worker's own address may still be in
+	// transit, whatever the heartbeats show.
 	absent := r.tokenCurrent && r.heartbeat.Sequence > sentAt && !startedDirectly
 	r.startIgnored = r.startIgnored || sent && absent
 	switch {
@@ -143,9 +142,8 @@
 			n.awaitDirectStart(machine, job, direct)
 		}
 	case absent && sent && machine.ignoredReplies >= maxIgnoredReplies-1:
-		// The worker goes on reporting and does not carry out the start. The heartbeat is
-		// newer than the answer with the start and lacks the task; from here on it is not
-		// commanded again.
+		// The worker keeps reporting but does not execute the start. The heartbeat is newer
+		// than the reply with the start and lacks the task, and the start is not sent again.
 		n.noteOutcome(machine, key, causeLost)
 	case n.delaysGangStart(job, n.activeTask(key, machine.name)):
 	default:
@@ -154,7 +152,7 @@
 	}
 }
 
-// activeTask finds a placed task in the replica, or gives nil.
+// activeTask returns a placed task's entry in the replica, or nil.
 func (s *site) activeTask(key taskKey, machineName string) *wire.ActiveTask {
 	if at := s.activeTaskIndex(key, machineName); at >= 0 {
 		return &s.jobs[key.job].Record.ActiveTasks[at]
@@ -162,7 +160,7 @@
 	return nil
 }
 
-// activeTaskIndex gives a placed task's index among the active tasks of its record, or -1.
+// activeTaskIndex returns the index of a placed task among the active tasks of its record, or -1.
 func (s *site) activeTaskIndex(key taskKey, machineName string) int {
 	index := s.names.Machines.Find(machineName)
 	if key.job < 0 || index < 0 {
@@ -176,5 +174,5 @@
 	return -1
 }
 
-// shardTerm is the term of the shard that the machine belongs to.
+// shardTerm returns the current term of the machine's shard.
 func (m *machine) shardTerm(n *Node) uint64 { return n.shards[m.shard].Term }
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -6,8 +6,8 @@
 	"micaport/internal/wire"
 )
 
-// workerHeartbeat takes in a worker's heartbeat. It is answered at once, later
-// (worker_reply.go), or with the owner of the machine (worker_redirect.go).
+// workerHeartbeat processes a worker's heartbeat. The reply is sent immediately or after a delay
+// (worker_reply.go), or redirects the worker to the machine's owner (worker_redirect.go).
 func (n *Node) workerHeartbeat(in WorkerReported) {
 	heartbeat := in.Heartbeat
 	index := n.ownership.ShardOf(n.names.Zones.Find(heartbeat.Zone), heartbeat.Machine)
@@ -18,7 +18,7 @@
 	shard := n.shards[index]
 	machine := n.machineNamed(heartbeat.Machine)
 	if machine.returned {
-		// The cloud has confirmed that it is gone: a late copy.
+		// The cloud has confirmed that the machine is gone, so this is a late copy.
 		n.refuseHeartbeat(in.RequestID, "returned")
 		return
 	}
@@ -31,14 +31,14 @@
 		return
 	}
 	if machine.epoch > heartbeat.Epoch || machine.epoch == heartbeat.Epoch && machine.sequence >= heartbeat.Sequence {
-		// A late copy, on whose answer the worker no longer waits.
+		// A late copy; the worker no longer waits for its reply.
 		n.refuseHeartbeat(in.RequestID, "late report")
 		return
 	}
 	n.ownedHeartbeat(in, shard, machine)
 }
 
-// ownedHeartbeat takes in a new heartbeat of one of this controller's own machines.
+// ownedHeartbeat processes a new heartbeat of a machine that this controller owns.
 func (n *Node) ownedHeartbeat(in WorkerReported, shard *shard, machine *machine) {
 	heartbeat := in.Heartbeat
 	n.noteNewTerm(shard, machine, heartbeat)
@@ -54,7 +54,7 @@
 		return
 	}
 	if consecutive && machine.ignoredReplies == ignoredBefore && len(n.cfg.Members) > 1 && machine.tokenConfirmed {
-		machine.ignoredReplies = 0 // it has not turned to a peer, so it got the last answer
+		machine.ignoredReplies = 0 // it did not try a peer in between, so it received the last reply
 	}
 	n.noteResponsiveness(shard, machine, ignoredBefore)
 	if delay := n.replyDelayFor(machine, heartbeat, commands); delay > 0 {
@@ -64,13 +64,12 @@
 	n.answerWorker(in.RequestID, shard, machine, commands)
 }
 
-// refuseHeartbeat answers a worker that has to try again.
+// refuseHeartbeat answers a heartbeat with status 503, after which the worker tries again.
 func (n *Node) refuseHeartbeat(requestID uint64, reason string) {
 	n.emit(Reply{RequestID: requestID, Status: http.StatusServiceUnavailable, Body: wire.Error{Error: reason}})
 }
 
-// noteNewTerm forgets what earlier owners knew of a machine, at its first heartbeat in the
-// shard's present term.
+// noteNewTerm resets the state of a machine at its first heartbeat in the shard's current term.
 func (n *Node) noteNewTerm(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	firstReports := heartbeat.Epoch == 1 && heartbeat.Sequence <= 2
 	if machine.term == shard.Term {
@@ -85,20 +84,21 @@
 	machine.unresponsive = false
 	machine.leaseExpiring = false
 	machine.startSentAt, machine.directStarts = map[taskKey]uint64{}, map[taskKey]directStart{}
-	// The first heartbeat of a machine that no owner has known: the worker can't have any
-	// owner's token yet.
+	// The first heartbeat of a machine that no owner has seen before: the worker can't have
+	// received a token yet.
 	machine.newlyBooted = firstReports && heartbeat.Token == 0 && !machine.view.known && len(machine.placements) == 0
 	n.ownViewsAt = 0
 }
 
-// noteEpoch forgets what was sent to a machine in the last epoch of its worker.
+// noteEpoch discards what was sent to a machine in the previous epoch when its worker has
+// begun a new one.
 func (n *Node) noteEpoch(machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	if machine.epoch == heartbeat.Epoch {
 		return
 	}
-	// Its lease ran out although it was answered a short while ago: the answers don't
-	// reach it. Only heartbeats with the current token show that: those that were delayed
-	// in a network cut arrive together with the next epoch.
+	// The lease expired although a heartbeat was answered recently, so the replies don't reach
+	// the worker. Only heartbeats with the current token prove that: those that a network
+	// partition has delayed arrive together with the first of the next epoch.
 	if machine.tokenConfirmed && machine.heartbeats > 1 &&
 		machine.answeredAt > 0 &&
 		n.now-machine.answeredAt < n.cfg.WorkerLease*3/4 {
@@ -109,8 +109,8 @@
 	machine.leaseExpiring = false
 }
 
-// noteToken notes whether a worker has the current token, and counts answers after which
-// it still has not.
+// noteToken records whether a worker has the current token, and counts replies after which it
+// still has not.
 func (n *Node) noteToken(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
@@ -120,7 +120,8 @@
 	}
 }
 
-// noteHeartbeat notes when and what a machine has reported.
+// noteHeartbeat records when a machine has sent a heartbeat, its sequence number, and a notice
+// that the cloud will reclaim the machine.
 func (n *Node) noteHeartbeat(machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	machine.epoch = heartbeat.Epoch
 	machine.sequence = heartbeat.Sequence
@@ -133,8 +134,8 @@
 	}
 }
 
-// noteResponsiveness notes whether a machine gets the answers, and has a change sent to
-// the peers at once.
+// noteResponsiveness records whether replies reach a machine's worker, and has the
+// machine's view sent to the peers at once when that or the number of ignored replies has changed.
 func (n *Node) noteResponsiveness(shard *shard, machine *machine, ignoredBefore int) {
 	unresponsive := machine.ignoredReplies >= maxIgnoredReplies && !n.manyUnresponsive(shard)
 	if unresponsive == machine.unresponsive && machine.ignoredReplies == ignoredBefore {
@@ -146,19 +147,19 @@
 	machine.unresponsive, n.ownViewsAt = unresponsive, 0
 }
 
-// replyLikelyLost reports whether a worker may have waited for the last answer until its
-// timeout of 4 s. A heartbeat that comes sooner was on its way before, as all those are
-// that a network cut has delayed.
+// replyLikelyLost reports whether the worker may have waited for the last reply until its
+// timeout of 4 s. A heartbeat that arrives sooner was sent before the reply, as were all those
+// that a network partition has delayed.
 func (s *site) replyLikelyLost(machine *machine) bool {
 	return machine.answeredAt > 0 && s.now-machine.answeredAt > 3*second
 }
 
-// maxIgnoredReplies is how many answers in a row may be without effect before a
-// machine counts as unresponsive. One or two are lost now and then.
+// maxIgnoredReplies is the number of consecutive replies without effect at which a machine
+// counts as unresponsive. One or two are lost occasionally.
 const maxIgnoredReplies = 3
 
-// manyUnresponsive reports whether so many machines seem unresponsive that the fault is
-// rather this controller's: answers that come too late are dropped as well.
+// manyUnresponsive reports whether more than a quarter of a shard's machines seem unresponsive.
+// Then the fault is probably this controller's: workers also ignore replies that arrive too late.
 func (s *site) manyUnresponsive(shard *shard) bool {
 	all, unresponsive := 0, 0
 	for _, machine := range shard.machines {
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -8,25 +8,20 @@
 	"micaport/internal/wire"
 )
 
-// Workers that report to a controller which doesn't own their machine. They are sent to the
-// owner. One that comes back can't reach it, which the shard's claim takes into account,
-// and peers must not return a machine as lost that reports to any controller.
-
 const (
-	// redirectedTime is how long a machine counts as having come to a controller that
-	// does not own it.
+	// redirectedTime is how long a machine counts as misdirected after its last redirect.
 	redirectedTime = 12 * second
-	// A worker that returns within these times of a redirect has been to its owner in
-	// vain; sooner it can't have been there yet, later it comes for another reason.
+	// A worker that sends a heartbeat here again within these times of a redirect has failed to
+	// reach its owner. Sooner, it can't have tried the owner yet; later, it has another reason.
 	minBounceTime = 700 * time.Millisecond
 	maxBounceTime = 15 * second
-	// bounceGap is the time between two bounces from which on the later one counts as
-	// the first of others.
+	// bounceGap is the time between two bounces beyond which the later one begins a new series.
 	bounceGap = 12 * second
 )
 
-// redirect sends a worker to the owner of its machine. A late heartbeat is a copy of an
-// earlier one, which says nothing of where the worker is now.
+// redirect answers a heartbeat of a machine that this controller does not own with the name of
+// the owner. A late heartbeat is a copy of an earlier one and does not count as a sign that the
+// worker can't reach its owner.
 func (n *Node) redirect(requestID uint64, shard *shard, machine *machine, late bool) {
 	if !n.replica.Loaded() || shard.Record == nil || shard.Record.Owner == n.cfg.Self {
 		n.refuseHeartbeat(requestID, "no owner")
@@ -42,8 +37,9 @@
 	n.emit(Reply{RequestID: requestID, Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Owner: shard.Record.Owner}})
 }
 
-// noteRedirect notes that a worker is sent to its owner, and whether it can't reach it: it
-// was sent there before and is back, or its owner says that it misses its heartbeats.
+// noteRedirect records that a worker is redirected to its owner, and a bounce if the worker
+// apparently can't reach the owner: it was redirected before and has bounced, or the owner
+// reports that heartbeats are missing. Bounces count as evidence for taking over the shard.
 func (n *Node) noteRedirect(shard *shard, machine *machine) {
 	away := n.now - machine.redirectedAt
 	bounced := machine.redirectedAt > 0 && away > minBounceTime && away < maxBounceTime
@@ -56,8 +52,8 @@
 	machine.redirectedAt = n.now
 }
 
-// isRedirectedCopy reports whether a heartbeat that came to another controller than the
-// owner is a copy of what came before.
+// isRedirectedCopy reports whether a heartbeat that arrived at a controller that is not the
+// owner is a copy of an earlier one.
 func (m *machine) isRedirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
 	if m.misdirectedEpoch > heartbeat.Epoch ||
 		m.misdirectedEpoch == heartbeat.Epoch && m.misdirectedSequence >= heartbeat.Sequence {
@@ -67,34 +63,35 @@
 	return false
 }
 
-// ownerHearsMachine reports whether an owner that is reachable says that it gets a
-// machine's heartbeats: then what comes here in its name is a late copy, or only the
-// answers don't reach the machine. When copies counted, two controllers took shards from
-// each other for as long as they came.
+// ownerHearsMachine reports whether a machine's owner is reachable and reports that it receives
+// the machine's heartbeats. Then a heartbeat that arrives here is a late copy, or only the
+// owner's replies don't reach the worker. When such copies counted as bounces, two controllers
+// kept taking shards from each other for as long as copies arrived.
 func (n *Node) ownerHearsMachine(shard *shard, machine *machine) bool {
 	owner := n.peers[shard.Record.Owner]
 	if owner == nil || n.now-owner.receivedAt > peerAliveTime {
 		return false
 	}
 	if machine.viewTerm != shard.Term {
-		return n.now-shard.ChangedAt < 3*n.cfg.HeartbeatInterval // too early for a heartbeat to it
+		return n.now-shard.ChangedAt < 3*n.cfg.HeartbeatInterval // too early for the owner to report on the machine
 	}
 	return machine.view.missedHeartbeats == 0
 }
 
-// ownerMissesMachine reports whether an owner that has been up for a while says that it
-// gets no heartbeats of a machine. One that has just come back does not know the machine
-// yet, which proves nothing.
+// ownerMissesMachine reports whether a machine's owner, having run for at least four heartbeat
+// intervals, reports that heartbeats of the machine are missing. An owner that has just started
+// has not received any yet, which proves nothing.
 func (n *Node) ownerMissesMachine(shard *shard, machine *machine) bool {
 	owner := n.peers[shard.Record.Owner]
 	return owner != nil && n.now-owner.receivedAt < peerAliveTime && owner.message.UpS >= 4*n.cfg.HeartbeatInterval.Seconds() &&
 		machine.viewTerm == shard.Term && machine.view.missedHeartbeats > 0
 }
 
-// missedMachineNames names the machines of other owners that came here lately although
-// their owners miss their heartbeats, sorted by name. Peers need all of these, as one
-// that is left out counts as lost and is returned, and no others: after an owner's
-// failure its machines, thousands at a large site, all come to its peers at once.
+// missedMachineNames returns the sorted names of machines of other owners that were redirected
+// recently and whose owners report missing heartbeats. Peers need all of these names, as a
+// machine that is left out counts as lost and is returned to the cloud although it reports to
+// this controller. They need no others: after an owner's failure its machines, thousands at a
+// large site, all report to its peers at once.
 func (n *Node) missedMachineNames() []string {
 	var names []string
 	n.misdirectedMachines = slices.DeleteFunc(n.misdirectedMachines, func(index int) bool {
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -8,53 +8,49 @@
 	"micaport/internal/wire"
 )
 
-// Answers to the heartbeats of workers: at once, or after a delay where a command is
-// likely to follow. The worker's next heartbeat is seconds away.
-
 const (
-	// replyDelay is how long an answer may wait for the records to be written
-	// that follow from the heartbeat. Commands that miss this answer leave the machine
-	// idle until the next.
+	// replyDelay is how long a reply may wait until the changes of records that follow from
+	// the heartbeat have been written. The next heartbeat is seconds away, and a machine whose
+	// commands miss this reply is idle until then.
 	replyDelay = 600 * time.Millisecond
-	// idleReplyDelay is how long the answer to a machine without tasks waits for
-	// something to start. The worker would wait 4 s; it has nothing else to report,
-	// and a start that is decided meanwhile reaches it at once instead of with its next
-	// heartbeat.
+	// idleReplyDelay is how long the reply to a machine without tasks waits for a task to
+	// start. The worker waits for a reply for 4 s and has nothing else to report, and a start
+	// that is decided in this time reaches it at once instead of with its next heartbeat.
 	idleReplyDelay = 2500 * time.Millisecond
-	// delayedRepliesInterval is the time between two looks at the delayed answers.
+	// delayedRepliesInterval is the time between two checks of the delayed replies.
 	delayedRepliesInterval = 40 * time.Millisecond
 )
 
-// delayedReply is a heartbeat whose answer is delayed.
+// delayedReply is a heartbeat whose reply is delayed because commands are likely to follow.
 type delayedReply struct {
 	WorkerReported
 	shard   *shard
 	machine *machine
-	term    uint64 // of the shard when the heartbeat came
-	until   Time   // when it is answered at the latest
+	term    uint64 // of the shard when the heartbeat arrived
+	until   Time   // latest time of the reply
 }
 
-// delayedReplies are the heartbeats whose answers are delayed.
+// delayedReplies holds the heartbeats whose replies are delayed.
 type delayedReplies struct {
 	waiting []delayedReply
-	checkAt Time // when they are next looked at
+	checkAt Time // when they are next checked
 }
 
-// answerWorker answers a worker's heartbeat.
+// answerWorker answers a worker's heartbeat with the token and commands.
 func (n *Node) answerWorker(requestID uint64, shard *shard, machine *machine, commands []wire.Command) {
 	machine.answeredAt = n.now
 	n.emit(Reply{RequestID: requestID, Status: http.StatusOK, Body: wire.HeartbeatReply{Token: shard.Term, Commands: commands}})
 }
 
-// replyDelayFor decides how long an answer waits for further commands: when tasks have
-// just ended, when the machine is new, and when it is idle. 0 answers at once.
+// replyDelayFor returns how long a reply waits for further commands; 0 is not at all. It waits
+// when tasks have just ended, when the machine is new, and when it is idle.
 func (n *Node) replyDelayFor(machine *machine, heartbeat *wire.WorkerHeartbeat, commands []wire.Command) Time {
 	if !machine.tokenConfirmed && !machine.newlyBooted {
-		return 0 // the worker has to get the token first
+		return 0 // the worker must receive the token first
 	}
 	for i := range commands {
 		if commands[i].Op != wire.CommandClear {
-			return 0 // it has something to do at once
+			return 0 // the worker must receive this command at once
 		}
 	}
 	idle := len(machine.placements) == 0 && len(heartbeat.Tasks) == machine.unclearedTasks
@@ -69,8 +65,8 @@
 	return 0
 }
 
-// hasPendingOutcomes reports whether the end of a task on the machine still has to
-// be written to its record.
+// hasPendingOutcomes reports whether the outcome of a task on the machine has not been written
+// to its record yet.
 func (n *Node) hasPendingOutcomes(machine *machine) bool {
 	for i := range machine.placements {
 		if _, ended := n.outcomes[machine.placements[i].taskKey]; ended {
@@ -80,8 +76,8 @@
 	return false
 }
 
-// startsWaiting reports whether a task is placed on the machine that the machine has not
-// reported.
+// startsWaiting reports whether the records place a task on the machine that its heartbeats
+// have not listed.
 func (s *site) startsWaiting(machine *machine) bool {
 	for i := range machine.placements {
 		if _, reported := machine.reportedTasks[machine.placements[i].taskKey]; !reported {
@@ -91,7 +87,7 @@
 	return false
 }
 
-// delayReply answers a heartbeat after a delay at the latest.
+// delayReply queues a heartbeat that is answered after the delay at the latest.
 func (n *Node) delayReply(in WorkerReported, shard *shard, machine *machine, delay Time) {
 	n.replies.waiting = append(n.replies.waiting, delayedReply{
 		WorkerReported: in,
@@ -103,7 +99,7 @@
 	machine.delayedReplies++
 }
 
-// sendDelayedReplies answers the heartbeats whose delay is over.
+// sendDelayedReplies sends the delayed replies that are due.
 func (n *Node) sendDelayedReplies() {
 	replies := &n.replies
 	if len(replies.waiting) == 0 || n.now < replies.checkAt {
@@ -113,7 +109,8 @@
 	replies.waiting = slices.DeleteFunc(replies.waiting, n.sendDelayedReply)
 }
 
-// sendDelayedReply answers a heartbeat unless it has to wait on, and reports whether it did.
+// sendDelayedReply answers a heartbeat unless its reply is still to be delayed, and reports
+// whether it did.
 func (n *Node) sendDelayedReply(reply delayedReply) bool {
 	shard, machine := reply.shard, reply.machine
 	if shard.Term != reply.term || !n.mayActAsOwner(shard) ||
