--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -5,45 +5,43 @@
 	"micaport/internal/wire"
 )
 
-// A start that was sent to a worker's own address may be carried out at any time
-// while the worker's epoch and the owner's term last, and so may a copy of it. Until
-// then its task counts as active and, once it has ended, is not cleared. See
-// "Starts at a worker's own address" in docs/design.md.
-
-// maxDirectStarts bounds the starts of an epoch that go to a worker's own
-// address, as each leaves an ended task in its heartbeats: a kilobyte in all. Work
-// of low priority gets none of them, as it comes in large numbers of tiny tasks.
+// maxDirectStarts bounds the direct starts that are sent to a worker in one epoch. Each leaves
+// an exited task in the worker's heartbeats, a kilobyte for all. Jobs of low priority get none,
+// as they consist of large numbers of tiny tasks.
 const maxDirectStarts = 16
 
-// directStart is a start sent to a worker's own address in its present epoch
-// and the owner's term.
+// directStart is a start command that was sent to a worker's own address in its current epoch
+// and the owner's current term. The worker may execute it, or a copy of it, at any time in that
+// epoch and term. Therefore its task counts as active until they end and, once it has exited, is
+// not cleared. See "Starts at a worker's own address" in docs/design.md.
 type directStart struct {
 	sentAt       Time
-	acknowledged bool // the worker has confirmed it: it knows the attempt, and no copy has an effect
+	acknowledged bool // the worker has confirmed it and keeps the attempt, so copies have no effect
 }
 
-// mayStartTooLate reports whether a start that no one has seen carried out might still be
-// when its job has been cancelled for cancel_s: it can be as long as the epoch
-// lasts. A machine that goes on reporting is therefore no longer answered from
-// half a validity after the cancellation on, counted from before it was recorded, as
-// the replica may show it late, and its lease ends the epoch in time. A job that is not
-// cancelled doesn't need this: answers repeat the start, after which the worker knows the
-// attempt.
+// mayStartTooLate reports whether an unacknowledged start might still be executed after cancel_s
+// from the cancellation of its job, as a start can be executed as long as the worker's epoch
+// lasts. From half a validity after the cancellation on, the machine's heartbeats are therefore
+// no longer answered, so that the worker's lease expires and ends the epoch in time. The time
+// counts from before the cancellation was recorded, as the replica may show it late. A job that
+// is not cancelled doesn't need this: replies repeat the start until the worker has the attempt.
 func (s *site) mayStartTooLate(job *job, start directStart) bool {
 	return !start.acknowledged && job.Record.State == wire.JobCancelled && s.now-job.closedAt > s.cfg.OwnerValidity/2
 }
 
-// awaitDirectStart has a machine end its epoch where a direct start may be on its way that
-// must not be carried out any more.
+// awaitDirectStart stops answering a machine, so that its worker's epoch ends, when a direct
+// start of a task that must stop may still be in transit and might be executed too late. A machine
+// that has not reported the task two leases after its start counts as unresponsive.
 func (n *Node) awaitDirectStart(machine *machine, job *job, start directStart) {
 	if n.mayStartTooLate(job, start) {
 		machine.ignoredReplies, machine.leaseExpiring = maxIgnoredReplies, true
 	} else if n.now-start.sentAt > 2*n.cfg.WorkerLease {
-		machine.ignoredReplies = maxIgnoredReplies // it took a start and never showed it
+		machine.ignoredReplies = maxIgnoredReplies // it was sent a start and never reported the task
 	}
 }
 
-// noteUnstarted lists a machine of this controller on which a task has been placed.
+// noteUnstarted adds a machine that this controller owns to the unstarted ones when a task has
+// been placed on it that it has not reported.
 func (n *Node) noteUnstarted(machine *machine, key taskKey) {
 	if machine.unstartedListed || machine.shard < 0 || !n.owns(n.shards[machine.shard]) {
 		return
@@ -54,8 +52,8 @@
 	}
 }
 
-// sendDirectStarts sends the starts of tasks that have just been placed to machines that
-// no answer to a heartbeat is about to reach.
+// sendDirectStarts sends the starts of newly placed tasks to the workers' own addresses, except
+// to machines that have a delayed reply, which will contain the starts.
 func (n *Node) sendDirectStarts() {
 	if len(n.unstarted) == 0 {
 		return
@@ -71,8 +69,8 @@
 	}
 }
 
-// acceptsCommands reports whether a worker carries out the present owner's commands, and
-// none of its heartbeats waits for an answer.
+// acceptsCommands reports whether a worker executes commands of its current owner, and has no
+// delayed reply.
 func (s *site) acceptsCommands(machine *machine) bool {
 	shard := s.shards[machine.shard]
 	if !s.mayActAsOwner(shard) || machine.term != shard.Term ||
@@ -86,14 +84,14 @@
 	return responsive && machine.delayedReplies == 0
 }
 
-// directStartBatch is a number of direct starts under way to a machine.
+// directStartBatch is a set of direct starts sent to a machine whose outcome is pending.
 type directStartBatch struct {
 	machine     *machine
 	term, epoch uint64 // of the shard and the worker when they were sent
 	keys        []taskKey
 }
 
-// sendStartsTo sends the starts of a machine's tasks to its worker's own address.
+// sendStartsTo sends the direct starts that a machine needs.
 func (n *Node) sendStartsTo(machine *machine) {
 	var commands []wire.Command
 	var keys []taskKey
@@ -129,8 +127,8 @@
 	})
 }
 
-// needsDirectStart reports whether a task is to run on a machine, and no start of it has
-// been sent.
+// needsDirectStart reports whether a task is to run on a machine and no start of it has been
+// sent in the worker's current epoch.
 func (n *Node) needsDirectStart(machine *machine, placed *placement) bool {
 	key := placed.taskKey
 	if placed.epoch != machine.epoch || placed.stop != wire.StopNone ||
@@ -144,7 +142,7 @@
 	return !reported && !ended && !sent
 }
 
-// resume notes which of the starts the worker has carried out or never will.
+// resume marks the starts as acknowledged, or deletes those that the worker will never execute.
 func (b directStartBatch) resume(_ *Node, result Result) {
 	if b.machine.term != b.term || b.machine.epoch != b.epoch {
 		return
@@ -158,7 +156,8 @@
 			}
 		}
 	case kv.Refused, kv.Conflict:
-		// Certainly not carried out, now or later: the answers to heartbeats start them.
+		// The worker has not executed the starts and never will, so replies to heartbeats
+		// start the tasks.
 		for _, key := range b.keys {
 			delete(b.machine.directStarts, key)
 		}
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -9,8 +9,8 @@
 	"micaport/internal/wire"
 )
 
-// placedDirectly is a controller with one machine that has confirmed its token and on which
-// a task of a job has just been placed, and the start that it sends.
+// placedDirectly returns a controller that owns one machine with a confirmed token, a job with a
+// task that was just placed on the machine, and the direct start that the controller sent.
 func placedDirectly(t *testing.T) (*controllerHarness, *wire.Job, *SendCommands) {
 	t.Helper()
 	d, term := owner(t)
@@ -19,20 +19,20 @@
 	d.put(job)
 	start := d.directStarts()
 	if start == nil || start.Address != "10.0.0.9:1" || start.Batch.Token != term || start.Batch.Epoch != 1 || len(start.Batch.Commands) != 1 {
-		t.Fatalf("the start that goes to the machine's address is %+v", start)
+		t.Fatalf("direct start %+v, want one to 10.0.0.9:1 with the owner's token and epoch 1", start)
 	}
 	return d, job, start
 }
 
-// cancelledCopy is the record of a job after its cancellation.
+// cancelledCopy returns the record of a job after its cancellation.
 func cancelledCopy(job *wire.Job) *wire.Job {
 	cancelled := replica.CloneRecord(job)
 	cancelled.State = wire.JobCancelled
 	return cancelled
 }
 
-// A start that may still be on its way keeps its task's place in the record,
-// though the job is cancelled and newer heartbeats lack the task.
+// A task whose direct start may still be executed stays active in its record, even when the job
+// is cancelled and newer heartbeats lack the task.
 func TestDirectStartMayStillArrive(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -51,15 +51,15 @@
 			d.report(9, start.Batch.Token)
 			d.wait(3 * second)
 			if gone := len(d.n.jobs[0].Record.ActiveTasks) == 0; gone != test.gone {
-				t.Errorf("the task counts as gone: %v, want %v", gone, test.gone)
+				t.Errorf("task removed from the record: %v, want %v", gone, test.gone)
 			}
 		})
 	}
 }
 
-// A start that may still be carried out must not be once its job has been cancelled for
-// cancel_s. The machine is no longer answered, so that its epoch ends before. A
-// worker that has acknowledged the start knows the attempt and goes on.
+// A start must not be executed later than cancel_s after the cancellation of its job. The machine
+// is no longer answered, so that its epoch ends before that. A worker that has acknowledged the
+// start keeps the attempt, so its epoch need not end.
 func TestDirectStartComesTooLate(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -87,9 +87,9 @@
 	}
 }
 
-// A watch that hangs for part of a validity shows the cancellation late. The machine is
-// left unanswered from before it was recorded, else its epoch would outlast
-// cancel_s by as much.
+// A watch that hangs for part of a validity shows the cancellation late. The time until the
+// machine is no longer answered counts from before the cancellation was recorded; otherwise the
+// worker's epoch would outlast cancel_s by the delay.
 func TestDirectStartOfJobCancelledUnseen(t *testing.T) {
 	d, job, start := placedDirectly(t)
 	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.Unknown})
@@ -105,7 +105,7 @@
 	}
 }
 
-// An attempt that was started directly is not cleared: the worker would carry out a late
+// An attempt that was started directly is not cleared, as the worker would then execute a late
 // copy of the start.
 func TestDirectStartIsNotCleared(t *testing.T) {
 	d, _, start := placedDirectly(t)
@@ -114,7 +114,7 @@
 	d.report(9, start.Batch.Token, exited)
 	d.wait(second)
 	if len(d.n.jobs[0].Record.ActiveTasks) != 0 {
-		t.Fatal("the end of the task was not written")
+		t.Fatal("the outcome of the task was not written")
 	}
 	d.report(10, start.Batch.Token, exited)
 	for _, command := range d.commands(t) {
@@ -124,10 +124,9 @@
 	}
 }
 
-// A machine that was silent for so long that it was forgotten may report again
-// in the same term, after a network cut or a hang in which the cloud did not answer
-// either. It once crashed the controller, as a start was noted in a map that had been
-// dropped.
+// A machine whose state was discarded after a long silence may report again in the same term,
+// after a network partition or a hang during which the cloud did not answer either. The
+// controller once crashed then, as it recorded a start in a map that had been discarded.
 func TestForgottenMachineReportsAgain(t *testing.T) {
 	d, job, start := placedDirectly(t)
 	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.Conflict})
@@ -136,7 +135,7 @@
 	d.put(withoutTasks)
 	d.wait(4 * d.n.cfg.WorkerLease)
 	if len(d.n.shards[0].machines) != 0 {
-		t.Fatal("the machine was not forgotten")
+		t.Fatal("the machine was not removed from its shard")
 	}
 	term := start.Batch.Token
 	d.report(50, term)
@@ -150,6 +149,6 @@
 		started = started || command.Op == wire.CommandStart && command.Attempt == 2
 	}
 	if !started {
-		t.Error("nothing was started on it")
+		t.Error("the task was not started on the machine")
 	}
 }
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -9,45 +9,45 @@
 	"micaport/internal/wire"
 )
 
-// taskOutcome is how a task has ended, until its record shows it.
+// taskOutcome is the way in which a task has ended, kept until it is written to the job's record.
 type taskOutcome struct {
 	machine string
 	cause   string // an exit cause of package wire, or causeLost
 	at      Time
-	term    uint64 // of the shard when the end was noted
+	term    uint64 // of the shard when the outcome was recorded
 }
 
-// taskOutcomes are the ends of tasks that their records do not show yet.
+// taskOutcomes holds the outcomes of tasks that are not in their jobs' records yet.
 type taskOutcomes map[taskKey]taskOutcome
 
-// causeLost is the cause of the end of a task of which no machine reports anything more.
+// causeLost is the cause of a task that no machine runs or reports any more.
 const causeLost = "lost"
 
-// outcomeDelay is how long an outcome waits for others of the same job when writes are
-// scarce: one write serves them all, and the tasks of a gang end together.
+// outcomeDelay is how long an outcome waits for others of the same job when writes are scarce, as
+// one write can record all of them and the tasks of a gang end together.
 const outcomeDelay = 500 * time.Millisecond
 
-// epochDelay is how long a task that was lost with its machine's epoch waits for the
-// machine to take the owner's token. A worker reports again half a second after.
+// epochDelay is how long a task that was lost at the end of its machine's epoch waits for the
+// worker to confirm the owner's token. A worker reports again half a second after it received one.
 const epochDelay = 1200 * time.Millisecond
 
 const (
-	// errorsBeforeSuspicion is how many errors in a row make a failure say nothing of
-	// the machine any more.
+	// errorsBeforeSuspicion is the number of consecutive errors of a job from which on its
+	// failures are no longer attributed to machines.
 	errorsBeforeSuspicion = 3
 	// jobsBeforeQuarantine is the number of jobs whose failures on a machine quarantine it.
 	jobsBeforeQuarantine = 2
-	// maxFailedMachines is how many machines a record remembers that a job failed on.
+	// maxFailedMachines is the number of machines on which a job failed that its record keeps.
 	maxFailedMachines = 4
 )
 
-// noteOutcome notes the end of a task on a machine for its record.
+// noteOutcome stores the outcome of a task on a machine, to be written to the job's record.
 func (n *Node) noteOutcome(machine *machine, key taskKey, cause string) {
 	n.outcomes[key] = taskOutcome{machine.name, cause, n.now, machine.shardTerm(n)}
 }
 
-// noteTaskExit notes the end of a task that its machine has reported, and what it says of
-// the machine.
+// noteTaskExit stores the outcome of a task that its machine has reported as exited, and updates
+// the state of the machine accordingly.
 func (n *Node) noteTaskExit(machine *machine, key taskKey, status *wire.TaskStatus) {
 	if _, known := n.outcomes[key]; known {
 		return
@@ -69,8 +69,8 @@
 		"cause", status.ExitCause)
 }
 
-// noteFailure notes that a task of a job has failed on a machine, and quarantines the
-// machine where the fault seems to be its own.
+// noteFailure records that a task of a job has failed on a machine, and quarantines the machine
+// when the fault is probably its own.
 func (n *Node) noteFailure(machine *machine, job *job) {
 	if machine.failedJobs == nil {
 		machine.failedJobs = map[int]bool{}
@@ -78,18 +78,17 @@
 	if job.Record.ConsecutiveErrors < errorsBeforeSuspicion {
 		machine.failedJobs[job.Index] = true
 	}
-	// Two jobs that fail here, or one that succeeds elsewhere, speak against the machine
-	// rather than the job.
+	// The machine is probably at fault if two jobs fail on it, or one of which other tasks
+	// succeed.
 	if n.failedJobCount(machine) >= jobsBeforeQuarantine || job.Record.DoneTasks.Count() > 0 {
 		machine.unhealthy = true
 	}
-	n.ownViewsAt = 0 // the leader has to know before it grants more to the machine
+	n.ownViewsAt = 0 // the leader must receive this before it grants more tasks to the machine
 }
 
-// failedJobCount counts the jobs that failed on a machine since a task last succeeded
-// there. A job that has failed on three machines and never succeeded says nothing
-// against them: a few such jobs once quarantined one sound machine after the other,
-// until their users cancelled them.
+// failedJobCount counts the jobs of which a task failed on a machine since a task last succeeded
+// there. A job that has failed on three machines and never succeeded is not counted: a few such
+// jobs once quarantined one healthy machine after another until their users cancelled them.
 func (s *site) failedJobCount(machine *machine) int {
 	count := 0
 	for index := range machine.failedJobs {
@@ -98,10 +97,10 @@
 	return count
 }
 
-// isUrgentOutcome reports whether others wait for the end of a task to be written: a
-// daemon or gang that is to start anew, a user who waits for the end of a job.
-// The end of one task of an array among others can wait behind placements; by
-// the time its turn comes, one write often serves several.
+// isUrgentOutcome reports whether the outcome of a task is written before new placements: a daemon
+// or gang has to be started again, a task was not successful, or it completes a job whose user
+// waits for the end. Other successful tasks of an array are written after the placements, as one
+// write can then often record several of them.
 func (s *site) isUrgentOutcome(key taskKey, outcome taskOutcome) bool {
 	job := s.jobs[key.job]
 	if job.Record == nil || job.Record.State != wire.JobLive {
@@ -115,11 +114,11 @@
 	writer  *writer
 	slots   *lazySlots
 	records *recordCapacity
-	firstAt map[int]Time // by job: when its first outcome that is not yet written was noted
+	firstAt map[int]Time // by job: when the first of its unwritten outcomes was stored
 }
 
-// applyOutcomes writes the outcomes of tasks to their records, either the urgent ones or
-// the rest.
+// applyOutcomes adds the outcomes of tasks to the transaction, either the urgent ones or the
+// others.
 func (n *Node) applyOutcomes(writer *writer, room *lazySlots, urgent bool) {
 	if len(n.outcomes) == 0 {
 		return
@@ -138,7 +137,7 @@
 		}
 		task := n.activeTask(key, outcome.machine)
 		if task == nil || !n.mayActAsOwner(n.shards[task.Shard]) || n.shards[task.Shard].Term != outcome.term {
-			delete(n.outcomes, key) // written, or noted in a term that is over
+			delete(n.outcomes, key) // already written, or stored in an earlier term
 			continue
 		}
 		if !pass.records.mayRemove(key, outcome.machine) {
@@ -152,8 +151,8 @@
 	}
 }
 
-// isDue reports whether an outcome may be written now. What is not urgent goes into a
-// transaction early where it changes the job's record anyway.
+// isDue reports whether an outcome may be written now. One that is not urgent is written together
+// with the urgent ones if the transaction changes the job's record anyway.
 func (p *outcomePass) isDue(n *Node, key taskKey, outcome taskOutcome, urgent bool) bool {
 	job := n.jobs[key.job]
 	switch {
@@ -165,10 +164,10 @@
 	return !n.awaitsNewEpoch(outcome) && n.now-p.firstAt[key.job] >= n.outcomeDelayFor(job)
 }
 
-// write takes a task that has ended out of its record, and places a lost one anew.
+// write removes a task that has ended from its record, and places a lost one again.
 func (p *outcomePass) write(n *Node, record *wire.Job, key taskKey, outcome taskOutcome, task wire.ActiveTask) {
-	// Once: an end that is applied twice would count an error twice and
-	// place two tasks where one was.
+	// An outcome must be applied only once; otherwise an error would count twice and a lost
+	// task would be placed twice.
 	p.writer.exitedTasks[key] = true
 	p.writer.shards[task.Shard] = true
 	job := n.jobs[key.job]
@@ -178,16 +177,16 @@
 	}
 }
 
-// sorted lists the tasks whose ends have been noted, sorted by key.
+// sorted returns the sorted keys of the tasks with outcomes.
 func (o taskOutcomes) sorted() []taskKey {
 	return slices.SortedFunc(maps.Keys(o), func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 	})
 }
 
-// awaitsNewEpoch reports whether a lost task should wait a moment for its machine. One
-// that has lost its epoch is the best place for the same task, as it has the image,
-// once it has shown that it knows the owner's token.
+// awaitsNewEpoch reports whether the outcome of a lost task waits until its machine can be chosen
+// for it again. A machine whose worker has begun a new epoch is the best choice for the same
+// task, as it has the image, but must first confirm the owner's token.
 func (s *site) awaitsNewEpoch(outcome taskOutcome) bool {
 	machine := s.machineNamed(outcome.machine)
 	return outcome.cause == causeLost && machine.shard >= 0 &&
@@ -196,10 +195,9 @@
 		!machine.tokenConfirmed && s.now-machine.heartbeatAt < epochDelay
 }
 
-// replaceLostTask places a task that its machine has lost on another machine of the same
-// shard: the grant stands, and only the choice of the machine is the owner's. It
-// saves two writes, and when a whole zone has lost its tasks that is most of the
-// time until they run again.
+// replaceLostTask places a lost or stopped task again within the same shard. The leader's grant
+// remains valid, as only the choice of the machine is the owner's. Compared with a new grant this
+// saves two writes, which are most of the time to recovery when a whole zone has lost its tasks.
 func (n *Node) replaceLostTask(writer *writer, record *wire.Job, lost wire.ActiveTask, outcome taskOutcome, room *lazySlots) {
 	if record.State != wire.JobLive || record.Spec.Shape == wire.ShapeGang || lost.Stop != wire.StopNone ||
 		outcome.cause != causeLost && outcome.cause != wire.CauseStopped {
@@ -218,7 +216,8 @@
 	n.log(LogDebug, "task replaced", "job", job.ID, "task", lost.Task, "machine", best.machine.name)
 }
 
-// removeExitedTask takes a task that has ended out of its record.
+// removeExitedTask removes a task that has ended from its job's record and applies the outcome to
+// the record: the done tasks, the count of errors, and the rest of a gang.
 func removeExitedTask(record *wire.Job, key taskKey, outcome taskOutcome) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Task == key.task && task.Attempt == key.attempt && task.Machine == outcome.machine
@@ -242,7 +241,7 @@
 	}
 }
 
-// noteDone notes the success of a task in its record.
+// noteDone records the success of a task in its job's record.
 func noteDone(record *wire.Job, task int) {
 	record.ConsecutiveErrors, record.FailedMachines = 0, nil
 	switch record.Spec.Shape {
--- a/internal/core/task_stop.go
+++ b/internal/core/task_stop.go
@@ -5,18 +5,20 @@
 )
 
 const (
-	// preemptGraceS is added to the time that a preempted task takes to save, in seconds.
+	// preemptGraceS, in seconds, is added to the time that a preempted task needs to save a
+	// checkpoint.
 	preemptGraceS = 5
-	// reclaimGraceS is added to the time that a task takes to save before its machine is
-	// reclaimed, and left before the reclaim, in seconds.
+	// reclaimGraceS, in seconds, is added to the time that a task needs to save a checkpoint
+	// before its machine is reclaimed, and is the margin between the end of the task and the
+	// reclaim.
 	reclaimGraceS = 1
-	// reclaimKillHeartbeats is how many heartbeats before the reclaim of its machine a
-	// task stops that has nothing to save.
+	// reclaimKillHeartbeats is the number of heartbeat intervals before the reclaim of its
+	// machine at which a task that saves no checkpoints is killed.
 	reclaimKillHeartbeats = 2.5
 )
 
-// stopGrace decides whether a task on a machine has to stop, and how many seconds it gets
-// to save.
+// stopGrace reports whether a task on a machine must be killed now, and how many seconds it gets
+// to save a checkpoint.
 func (n *Node) stopGrace(machine *machine, job *job, active *wire.ActiveTask, status *wire.TaskStatus) (graceS float64, stop bool) {
 	spec := job.Record.Spec
 	switch {
@@ -34,7 +36,7 @@
 	leftS := (machine.reclaimAt - n.now).Seconds()
 	switch {
 	case spec.Shape == wire.ShapeGang && spec.TaskCount > 1:
-		// All its tasks have to stop, so the stop goes into the record.
+		// All tasks of the gang must stop, so the stop is written to the record.
 		n.gangsToStop[job.Index] = true
 		return 0, false
 	case spec.Shape == wire.ShapeDaemon || spec.CheckpointIntervalS == 0:
