--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -8,19 +8,18 @@
 	"micaport/internal/wire"
 )
 
-// The leader's side of gang transactions; see package gang.
-
-// receiveGangHolds takes in owners' answers; only the leader acts on them.
+// receiveGangHolds applies owners' answers in gang transactions (see package gang). Only the leader
+// acts on them.
 func (n *Node) receiveGangHolds(answers []wire.GangHold) {
 	if n.gangs.Receive(answers) {
 		n.leader.passNeeded = true
 	}
 }
 
-// gangHolds lists what this controller, as an owner, says of gangs that are being tried.
+// gangHolds returns this controller's answers, as an owner, for the gangs that are being tried.
 func (n *Node) gangHolds() []wire.GangHold { return n.gangs.Answers(n.mayActInShard) }
 
-// advanceGangs takes the leader's next step for every gang that spans shards.
+// advanceGangs carries out the leader's next action for every gang that spans shards.
 func (n *Node) advanceGangs(writer *writer) {
 	n.receiveGangHolds(n.gangHolds())
 	for _, attempt := range n.gangs.Sorted() {
@@ -43,8 +42,8 @@
 	}
 }
 
-// revokeGang revokes the tasks of a dropped attempt that have no machine. It tells whether
-// there was room for that in the transaction.
+// revokeGang revokes the tasks of a dropped attempt that have no machine. It returns false if the
+// transaction has no capacity left for that.
 func (n *Node) revokeGang(writer *writer, attempt *gang.Attempt) bool {
 	job := n.jobNamed(attempt.JobID)
 	if job == nil || job.Record == nil || !hasUnplacedTask(job.Record, attempt.Record.Attempt) {
@@ -61,12 +60,12 @@
 	return true
 }
 
-// setGangState writes the record of an attempt in another state.
+// setGangState adds a write of an attempt's record with a new state.
 func (w *writer) setGangState(attempt *gang.Attempt, state wire.GangState) {
 	w.addWrite(kv.Write{Key: attempt.Key, Value: attempt.WithState(state)}, kv.Condition{Key: attempt.Key, Revision: attempt.Revision})
 }
 
-// removeGang deletes the record of an attempt.
+// removeGang adds the deletion of an attempt's record.
 func (w *writer) removeGang(attempt *gang.Attempt) {
 	w.addWrite(kv.Write{Key: attempt.Key}, kv.Condition{Key: attempt.Key, Revision: attempt.Revision})
 }
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -8,9 +8,7 @@
 	"micaport/internal/wire"
 )
 
-// The owner's side of gang transactions; see package gang.
-
-// gangSituation is what the next step of an attempt depends on.
+// gangSituation returns the state on which the next action for an attempt depends.
 func (s *site) gangSituation(attempt *gang.Attempt) gang.Situation {
 	job := s.jobNamed(attempt.JobID)
 	known := job != nil && job.Record != nil
@@ -22,18 +20,18 @@
 	}
 }
 
-// mayActInShard tells whether this controller may act as the owner of a shard, by index.
+// mayActInShard reports whether this controller may act as the owner of the shard with an index.
 func (s *site) mayActInShard(shard int) bool { return s.mayActAsOwner(s.shards[shard]) }
 
-// hasUnplacedTask tells whether a record has a task of an attempt without a machine.
+// hasUnplacedTask reports whether a record has a task of an attempt without a machine.
 func hasUnplacedTask(record *wire.Job, attempt uint64) bool {
 	return slices.ContainsFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Attempt == attempt && task.Machine == ""
 	})
 }
 
-// settleOwnedGangs drops attempts whose hold has reached its deadline, and releases what is
-// held for dropped ones.
+// settleOwnedGangs carries out the owner's next action for every gang transaction: it drops
+// attempts whose deadline has passed, and releases the capacity held for dropped ones.
 func (n *Node) settleOwnedGangs(writer *writer) {
 	for _, attempt := range n.gangs.Sorted() {
 		switch attempt.OwnerAction(n.gangSituation(attempt)) {
@@ -45,7 +43,7 @@
 	}
 }
 
-// subtractHolds subtracts the capacity that is held for gangs.
+// subtractHolds subtracts the capacity that is held for gangs from the slots.
 func (n *Node) subtractHolds(slots *slotSet) {
 	for _, attempt := range n.gangs.Sorted() {
 		job := n.jobNamed(attempt.JobID)
@@ -54,7 +52,7 @@
 		}
 		for _, task := range slices.Sorted(maps.Keys(attempt.Held)) {
 			if isPlaced(job.Record, task, attempt.Record.Attempt) {
-				continue // its record counts it
+				continue // already counted by its record
 			}
 			machine := n.machines[attempt.Held[task]]
 			for _, slot := range slots.all {
@@ -66,15 +64,15 @@
 	}
 }
 
-// isPlaced tells whether a record has a machine for a task of an attempt.
+// isPlaced reports whether a record has a machine for a task of an attempt.
 func isPlaced(record *wire.Job, task int, attempt uint64) bool {
 	return slices.ContainsFunc(record.ActiveTasks, func(active wire.ActiveTask) bool {
 		return active.Task == task && active.Attempt == attempt && active.Machine != ""
 	})
 }
 
-// placeGang places a gang that fits this shard as a whole, and holds room for
-// our share of a larger one.
+// placeGang places a gang whose tasks were all granted to one of this controller's shards. For a
+// gang in several shards it takes this owner's next step in the gang transaction.
 func (n *Node) placeGang(writer *writer, job *job, slots *slotSet) {
 	var mine []wire.ActiveTask
 	attempt := uint64(0)
@@ -91,7 +89,7 @@
 	whole := !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Shard != mine[0].Shard || task.Machine != "" })
 	key := taskKey{job.Index, mine[0].Task, attempt}
 	if !whole {
-		// Its record is not known here yet, or has been settled and removed.
+		// The replica does not show the attempt's record yet, or it has been removed already.
 		if n.grantTimedOut(key) {
 			if record := writer.job(job); record != nil {
 				n.revokeUnplaced(writer, record)
@@ -119,7 +117,7 @@
 	}
 }
 
-// chooseAll finds machines for all the tasks or for none.
+// chooseAll chooses slots for all tasks, or returns nil if there aren't enough.
 func chooseAll(job *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
 	var chosen []*slot
 	spec := job.Record.Spec
@@ -140,8 +138,8 @@
 	return chosen
 }
 
-// advanceOwnedGang holds capacity for an attempt that is being tried, or places the tasks of
-// a confirmed one.
+// advanceOwnedGang holds capacity for an attempt that is being tried, or places this controller's
+// tasks of a confirmed one.
 func (n *Node) advanceOwnedGang(writer *writer, job *job, attempt *gang.Attempt, mine []wire.ActiveTask, slots *slotSet) {
 	switch attempt.Record.State {
 	case wire.GangTrying:
@@ -153,8 +151,8 @@
 	}
 }
 
-// holdForGang holds capacity for our tasks of a gang, or denies it, and tells the leader at
-// once.
+// holdForGang holds capacity for this controller's tasks of a gang, or denies it, and sends the
+// answer to the leader at once.
 func (n *Node) holdForGang(job *job, attempt *gang.Attempt, mine []wire.ActiveTask, slots *slotSet) {
 	chosen := chooseAll(job, mine, slots)
 	if chosen == nil {
@@ -173,8 +171,9 @@
 	n.sendGossip(true)
 }
 
-// placeConfirmedGang places our tasks of a confirmed gang on the machines that are held for
-// it, or on others where a hold went with its machine or its owner.
+// placeConfirmedGang places this controller's tasks of a confirmed gang on the machines that are
+// held for it. It chooses others if a held machine no longer accepts tasks, or if the hold was
+// lost with a previous owner.
 func (n *Node) placeConfirmedGang(writer *writer, job *job, attempt *gang.Attempt, mine []wire.ActiveTask, slots *slotSet) {
 	machines := n.heldMachines(attempt, mine)
 	if machines == nil {
@@ -204,7 +203,8 @@
 	}
 }
 
-// heldMachines gives the machines that are held for tasks, or nil unless all accept tasks.
+// heldMachines returns the machines that are held for tasks, or nil if a hold is missing or a
+// machine does not accept tasks.
 func (s *site) heldMachines(attempt *gang.Attempt, mine []wire.ActiveTask) []*machine {
 	machines := make([]*machine, len(mine))
 	for i, task := range mine {
--- a/internal/core/gang_start.go
+++ b/internal/core/gang_start.go
@@ -4,21 +4,22 @@
 	"micaport/internal/wire"
 )
 
-// slowFetchFactor is how much longer than at the nominal rate an image takes at worst: it
-// comes at two thirds of that.
+// slowFetchFactor bounds how much longer than at the nominal rate the fetch of an image takes: the
+// lowest rate is two thirds of the nominal one.
 const slowFetchFactor = 1.5
 
-// delaysGangStart reports whether the start of a gang's task waits, as its machine has the
-// image, for those whose machines fetch it and have not nearly done so: a task waits for
-// the others no longer than gang_wait_s, which a fetch can exceed.
+// delaysGangStart reports whether the start of a gang's task is delayed because its machine has the
+// image while other machines of the gang still fetch it. A started task waits for the others for
+// gang_wait_s at most, and a fetch can take longer.
 func (s *site) delaysGangStart(job *job, active *wire.ActiveTask) bool {
 	spec := job.Record.Spec
 	if spec.Shape != wire.ShapeGang || spec.TaskCount < 2 {
 		return false
 	}
 	machine := s.machineNamed(active.Machine)
-	// A gang that is surely complete in time had better start with the last of its
-	// machines, not with the next heartbeat of one whose start waited.
+	// When even a slow fetch ends within gang_wait_s, no start is delayed: the gang then runs as
+	// soon as the last machine is ready, instead of at the next heartbeat of a machine whose
+	// start was delayed.
 	if machineType := s.typeAt(machine.machineType); machineType != nil && machineType.FetchGBs > 0 &&
 		slowFetchFactor*spec.ImageGB/machineType.FetchGBs < (s.cfg.GangWait-2*s.cfg.HeartbeatInterval).Seconds() {
 		return false
@@ -26,8 +27,8 @@
 	return machine.images.Has(job.Image) && s.othersFetch(job, active.Attempt)
 }
 
-// othersFetch reports whether a machine of this controller fetches the image for a task of
-// a gang's attempt.
+// othersFetch reports whether a machine that this controller owns has a task of a gang's attempt
+// and does not have the image yet.
 func (s *site) othersFetch(job *job, attempt uint64) bool {
 	for i := range job.Record.ActiveTasks {
 		other := &job.Record.ActiveTasks[i]
--- a/internal/core/gang_stop.go
+++ b/internal/core/gang_stop.go
@@ -7,10 +7,9 @@
 	"micaport/internal/wire"
 )
 
-// The tasks of a gang stop together, as none can go on without the others.
-
-// abandonGang stops the other tasks of a gang's attempt. Tasks that are saving because
-// they were asked to go on; those not yet placed are given up at once.
+// abandonGang stops the remaining tasks of a gang's attempt, as none can run without the others.
+// Tasks that were already asked to save and exit may finish that; those without a machine are
+// removed at once.
 func abandonGang(record *wire.Job, attempt uint64) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Attempt == attempt && task.Machine == ""
@@ -22,8 +21,8 @@
 	}
 }
 
-// stopReclaimedGangs asks gangs to save and exit of which a machine is about to be
-// reclaimed.
+// stopReclaimedGangs asks all tasks of a gang to save and exit when one of its machines is about
+// to be reclaimed.
 func (n *Node) stopReclaimedGangs(writer *writer) {
 	for _, index := range slices.Sorted(maps.Keys(n.gangsToStop)) {
 		job := n.jobs[index]
@@ -40,7 +39,7 @@
 	}
 }
 
-// preemptAll asks every task of a job to save and exit.
+// preemptAll asks every placed task of a job to save and exit, and removes the others.
 func preemptAll(record *wire.Job) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Machine == "" })
 	for i := range record.ActiveTasks {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,14 +1,16 @@
-// Package gang is the transaction by which a gang starts whose tasks are granted to several
-// shards: try, confirm, cancel. One record per attempt settles it with conditional writes.
+// Package gang implements the try-confirm-cancel transaction that starts a gang whose tasks are
+// granted to several shards. Each attempt has one record, whose state is changed by conditional
+// writes only.
 //
-// The leader writes the record as trying. Each owner then holds capacity for its tasks, or
-// denies. When all hold, the leader confirms; when one denies, when a task is no longer
-// granted, or at a deadline, the record is dropped, by the leader or by any owner. A hold
-// cancels itself: at its deadline the owner drops the record, and releases the hold only
-// once the record says so. An owner that finds the record confirmed starts its tasks. The
-// leader removes the record once all tasks are placed, or revoked.
+// The leader writes the record in the state trying. Each owner then holds capacity for its tasks,
+// or denies the attempt. When all owners hold capacity, the leader confirms the record. The leader
+// drops it when an owner denies, when no task of the attempt waits for a machine any more, or at
+// the leader's deadline. Holds expire without the leader: at the owners' deadline any owner drops
+// the record. An owner releases its hold only when the record has been dropped. When the record
+// has been confirmed, the owners place their tasks. The leader removes the record once all tasks
+// have been placed or revoked.
 //
-// The package has no input or output.
+// The package does no input or output.
 package gang
 
 import (
@@ -22,7 +24,7 @@
 // Time is the steady clock of the process, counted from its start.
 type Time = time.Duration
 
-// Attempt is one attempt to start a gang, as its record and the owners' answers show it.
+// Attempt is an attempt to start a gang: its record, and the holds and answers of the owners.
 type Attempt struct {
 	Key      string
 	JobID    string
@@ -30,29 +32,29 @@
 	Revision uint64
 	SeenAt   Time // when the replica first showed the record
 
-	// Held is, as an owner, the machine that is held for each task, by index. It is nil
-	// while nothing is held.
+	// Held maps, on an owner, each task to the index of the machine that is held for it. It is
+	// nil while nothing is held.
 	Held map[int]int
-	// Agreed lists, as the leader, the shards whose owners hold capacity.
+	// Agreed is, on the leader, the set of shards whose owners hold capacity.
 	Agreed map[int]bool
-	// Denied says that an owner, this one included, has no capacity.
+	// Denied is set when an owner, which may be this controller, has no capacity.
 	Denied bool
 }
 
-// allAgreed tells whether the owners of all shards hold capacity.
+// allAgreed reports whether the owners of all shards hold capacity.
 func (a *Attempt) allAgreed() bool {
 	return !slices.ContainsFunc(a.Record.Shards, func(shard int) bool { return !a.Agreed[shard] })
 }
 
-// Attempts holds the attempts whose records the replica shows.
+// Attempts is the set of attempts that have a record in the replica.
 type Attempts struct {
 	byKey map[string]*Attempt
 }
 
-// NewAttempts makes an empty set.
+// NewAttempts returns an empty set.
 func NewAttempts() *Attempts { return &Attempts{byKey: map[string]*Attempt{}} }
 
-// Put applies the record of an attempt.
+// Put stores an attempt's record at a revision, unless a newer revision is stored.
 func (s *Attempts) Put(now Time, key string, record *wire.Gang, revision uint64) {
 	a := s.byKey[key]
 	if a == nil {
@@ -64,7 +66,7 @@
 	}
 }
 
-// jobID is the job that an attempt's key belongs to.
+// jobID returns the job ID in an attempt's key.
 func jobID(key string) string {
 	id := strings.TrimPrefix(key, wire.GangPrefix)
 	if at := strings.LastIndexByte(id, '/'); at >= 0 {
@@ -73,10 +75,10 @@
 	return id
 }
 
-// Delete applies the end of a record.
+// Delete removes the attempt whose record was deleted.
 func (s *Attempts) Delete(key string) { delete(s.byKey, key) }
 
-// DeleteUnlisted deletes what a full listing lacks.
+// DeleteUnlisted removes the attempts whose records a full listing does not contain.
 func (s *Attempts) DeleteUnlisted(listed map[string]bool) {
 	for key := range s.byKey {
 		if !listed[key] {
@@ -85,12 +87,12 @@
 	}
 }
 
-// Find is the attempt of a job with a number, or nil.
+// Find returns the attempt of a job with the given number, or nil.
 func (s *Attempts) Find(jobID string, attempt uint64) *Attempt {
 	return s.byKey[wire.GangKey(jobID, attempt)]
 }
 
-// Sorted lists the attempts by key.
+// Sorted returns the attempts sorted by key.
 func (s *Attempts) Sorted() []*Attempt {
 	attempts := make([]*Attempt, 0, len(s.byKey))
 	for _, a := range s.byKey {
@@ -100,8 +102,8 @@
 	return attempts
 }
 
-// Receive takes in owners' answers, and tells whether any was of an attempt that is being
-// tried.
+// Receive applies owners' answers to attempts that are being tried, and reports whether there
+// were any such answers.
 func (s *Attempts) Receive(answers []wire.GangHold) bool {
 	received := false
 	for _, answer := range answers {
@@ -119,7 +121,7 @@
 	return received
 }
 
-// Answers lists what this controller, as the owner of shards, says of the attempts that are
+// Answers returns this controller's answers, as the owner of shards, to the attempts that are
 // being tried.
 func (s *Attempts) Answers(owns func(shard int) bool) []wire.GangHold {
 	var answers []wire.GangHold
@@ -136,8 +138,8 @@
 	return answers
 }
 
-// Announced lists the attempts that the leader tells owners of: those that are being tried,
-// and confirmed ones with kv.OK set.
+// Announced returns the attempts that the leader announces to the owners: those that are being
+// tried, and the confirmed ones, which have OK set.
 func (s *Attempts) Announced() []wire.GangHold {
 	var announced []wire.GangHold
 	for _, a := range s.Sorted() {
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -9,7 +9,7 @@
 
 const interval = 3 * time.Second
 
-// attemptIn is an attempt over shards 0 and 2 in a state, with the shards that agreed.
+// attemptIn returns an attempt over shards 0 and 2 in a state, with the given shards in agreement.
 func attemptIn(state wire.GangState, agreed ...int) *Attempt {
 	a := &Attempt{Record: &wire.Gang{Attempt: 4, State: state, Shards: []int{0, 2}}, Agreed: map[int]bool{}}
 	for _, shard := range agreed {
@@ -23,7 +23,6 @@
 	return a
 }
 
-// The leader's action in each state.
 func TestLeaderActions(t *testing.T) {
 	waiting := Situation{HeartbeatInterval: interval, Unplaced: true, JobLive: true}
 	placed, cancelled, late, due := waiting, waiting, waiting, waiting
@@ -37,17 +36,17 @@
 		situation Situation
 		want      Action
 	}{
-		{"nobody has answered", attemptIn(wire.GangTrying), waiting, Wait},
+		{"no owner has answered", attemptIn(wire.GangTrying), waiting, Wait},
 		{"one of two agrees", attemptIn(wire.GangTrying, 0), waiting, Wait},
 		{"all agree", attemptIn(wire.GangTrying, 0, 2), waiting, Confirm},
-		{"all agree at the deadline", attemptIn(wire.GangTrying, 0, 2), late, Confirm},
+		{"all agree after the deadline", attemptIn(wire.GangTrying, 0, 2), late, Confirm},
 		{"one denies", denied(attemptIn(wire.GangTrying, 0)), waiting, Drop},
 		{"all agree, the job is cancelled", attemptIn(wire.GangTrying, 0, 2), cancelled, Wait},
-		{"no task waits any more", attemptIn(wire.GangTrying, 0, 2), placed, Drop},
-		{"before the deadline", attemptIn(wire.GangTrying, 0), due, Wait},
+		{"no task is without a machine", attemptIn(wire.GangTrying, 0, 2), placed, Drop},
+		{"at the deadline", attemptIn(wire.GangTrying, 0), due, Wait},
 		{"after the deadline", attemptIn(wire.GangTrying, 0), late, Drop},
 		{"dropped", attemptIn(wire.GangDropped), waiting, Remove},
-		{"confirmed, tasks wait", attemptIn(wire.GangConfirmed), late, Wait},
+		{"confirmed, not placed", attemptIn(wire.GangConfirmed), late, Wait},
 		{"confirmed and placed", attemptIn(wire.GangConfirmed), placed, Finish},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -58,7 +57,8 @@
 	}
 }
 
-// An owner drops what has been tried for too long, and releases only what is dropped.
+// An owner drops an attempt whose deadline has passed, and releases its hold only when the attempt
+// has been dropped.
 func TestOwnerActions(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -67,9 +67,9 @@
 		owner bool
 		want  Action
 	}{
-		{"tried", wire.GangTrying, ownerDeadline * interval, true, Wait},
-		{"tried for too long", wire.GangTrying, ownerDeadline*interval + 1, true, Drop},
-		{"tried for too long, not an owner any more", wire.GangTrying, ownerDeadline*interval + 1, false, Wait},
+		{"trying, at the deadline", wire.GangTrying, ownerDeadline * interval, true, Wait},
+		{"trying, after the deadline", wire.GangTrying, ownerDeadline*interval + 1, true, Drop},
+		{"trying, after the deadline, not an owner any more", wire.GangTrying, ownerDeadline*interval + 1, false, Wait},
 		{"confirmed", wire.GangConfirmed, time.Hour, true, Wait},
 		{"dropped", wire.GangDropped, 0, false, Release},
 	} {
@@ -82,26 +82,26 @@
 	}
 }
 
-// Records are taken in by revision; answers count for what is being tried only.
+// A record replaces only older revisions, and answers apply only to attempts that are being tried.
 func TestAttempts(t *testing.T) {
 	s := NewAttempts()
 	key := wire.GangKey("wk-000007", 4)
 	s.Put(time.Second, key, &wire.Gang{Attempt: 4, Shards: []int{0}}, 5)
 	answer := []wire.GangHold{{Ref: "wk-000007", Attempt: 4, Part: 0, OK: true}}
 	if !s.Receive(answer) || !s.Find("wk-000007", 4).allAgreed() {
-		t.Error("the answer was not taken in")
+		t.Error("the answer to an attempt that is being tried was not applied")
 	}
 	s.Put(2*time.Second, key, &wire.Gang{Attempt: 4, State: wire.GangDropped, Shards: []int{0}}, 6)
 	s.Put(3*time.Second, key, &wire.Gang{Attempt: 4, Shards: []int{0}}, 5)
 	a := s.Find("wk-000007", 4)
 	if a.Record.State != wire.GangDropped || a.SeenAt != time.Second || a.JobID != "wk-000007" {
-		t.Errorf("%+v, record %+v", a, a.Record)
+		t.Errorf("got %+v with record %+v, want the dropped record of wk-000007, first shown at 1 s", a, a.Record)
 	}
 	if s.Receive(answer) || s.Receive([]wire.GangHold{{Ref: "wk-000008", Attempt: 1, OK: true}}) {
-		t.Error("an answer of an attempt that is not being tried counts")
+		t.Error("an answer to an attempt that is not being tried was applied")
 	}
 	s.DeleteUnlisted(map[string]bool{})
 	if len(s.Sorted()) != 0 {
-		t.Error("an attempt that is not listed stays")
+		t.Error("an attempt that is not listed was kept")
 	}
 }
--- a/internal/gang/transitions.go
+++ b/internal/gang/transitions.go
@@ -2,41 +2,41 @@
 
 import "micaport/internal/wire"
 
-// Deadlines of an attempt, in heartbeat intervals of the workers from when the replica
-// first showed its record. The owners' comes first: a hold cancels itself also where the
-// leader is gone.
+// Deadlines of an attempt, in heartbeat intervals of the workers since the replica first showed
+// its record. The owners' deadline is the earlier one, so that holds expire even without a leader.
 const (
 	ownerDeadline  = 3
 	leaderDeadline = 4
 )
 
-// Situation is what a transition of an attempt depends on.
+// Situation is the state that decides about the transition of an attempt, besides the attempt
+// itself.
 type Situation struct {
 	Age               Time // since the replica first showed the record
 	HeartbeatInterval Time // of the workers
-	// Unplaced says that the job's record still has tasks of the attempt without a machine.
+	// Unplaced is set when the job's record has tasks of the attempt without a machine.
 	Unplaced bool
-	// JobLive says that the job is neither done nor cancelled.
+	// JobLive is set when the job is neither done nor cancelled.
 	JobLive bool
-	// Owner says that this controller may act as the owner of one of the shards.
+	// Owner is set when this controller may act as the owner of one of the shards.
 	Owner bool
 }
 
-// Action is what is to be done about an attempt.
+// Action is the next action of the leader or of an owner on an attempt.
 type Action int
 
-// Actions.
+// Actions on an attempt.
 const (
 	Wait    Action = iota
 	Confirm        // leader: write the record as confirmed
 	Drop           // leader, owner: write the record as dropped
 	Remove         // leader: revoke tasks without a machine, then remove the record
-	Finish         // leader: all tasks are placed, remove the record
-	Release        // owner: release what is held
+	Finish         // leader: remove the record, as all tasks are placed
+	Release        // owner: release the held capacity
 )
 
-// transition is a row of a table: in a state, when a guard holds, an action is taken. The
-// first row that fits counts.
+// transition is a row of a transition table: the action to take in a state if the guard holds. The
+// first matching row applies.
 type transition struct {
 	state  wire.GangState
 	when   func(*Attempt, Situation) bool
@@ -45,8 +45,8 @@
 
 func always(*Attempt, Situation) bool { return true }
 
-// leaderTransitions are those of the leader. Each write is conditional on the revision of
-// the record, so that of a confirmation and a drop at the same time one fails.
+// leaderTransitions is the leader's transition table. Each write is conditional on the revision of
+// the record, so of a concurrent confirmation and drop one fails.
 var leaderTransitions = []transition{
 	{wire.GangTrying, func(a *Attempt, s Situation) bool { return a.allAgreed() && s.Unplaced && s.JobLive }, Confirm},
 	{wire.GangTrying, func(a *Attempt, _ Situation) bool { return a.Denied }, Drop},
@@ -56,8 +56,8 @@
 	{wire.GangConfirmed, func(_ *Attempt, s Situation) bool { return !s.Unplaced }, Finish},
 }
 
-// ownerTransitions are those of an owner, besides holding capacity for an attempt that is
-// being tried and placing the tasks of a confirmed one, which wait for room.
+// ownerTransitions is an owner's transition table. It lacks the holding of capacity for an attempt
+// that is being tried and the placing of a confirmed one's tasks, which depend on free capacity.
 var ownerTransitions = []transition{
 	{wire.GangTrying, func(_ *Attempt, s Situation) bool {
 		return s.Age > ownerDeadline*s.HeartbeatInterval && s.Owner
@@ -65,10 +65,10 @@
 	{wire.GangDropped, always, Release},
 }
 
-// LeaderAction is what the leader is to do about an attempt.
+// LeaderAction returns the leader's next action on an attempt.
 func (a *Attempt) LeaderAction(s Situation) Action { return a.next(leaderTransitions, s) }
 
-// OwnerAction is what an owner is to do about an attempt.
+// OwnerAction returns an owner's next action on an attempt.
 func (a *Attempt) OwnerAction(s Situation) Action { return a.next(ownerTransitions, s) }
 
 func (a *Attempt) next(table []transition, s Situation) Action {
@@ -80,7 +80,7 @@
 	return Wait
 }
 
-// WithState is the record of an attempt in another state.
+// WithState returns a copy of an attempt's record with another state.
 func (a *Attempt) WithState(state wire.GangState) *wire.Gang {
 	record := *a.Record
 	record.State = state
