--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -11,14 +11,14 @@
 	"micaport/internal/wire"
 )
 
-// owner is a controller alone that owns its shard and has heard a machine with its
-// term, in a report with the given number.
+// owner returns a single controller that owns its shard and has received two heartbeats of a
+// machine, the second with the shard's term as token, and that term.
 func owner(t *testing.T) (d *controllerHarness, term uint64) {
 	t.Helper()
 	return ownerWith(t, func(*Config) {})
 }
 
-// ownerWith is owner with a changed configuration.
+// ownerWith is like owner, with a changed configuration.
 func ownerWith(t *testing.T, change func(*Config)) (d *controllerHarness, term uint64) {
 	t.Helper()
 	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"},
@@ -40,8 +40,8 @@
 		Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 1}}
 }
 
-// A report that does not carry our term may have been made before an earlier owner's
-// last order: that it lacks a task proves nothing.
+// A heartbeat with an older token may have been sent before an earlier owner's last command, so a
+// task that it lacks may still be started.
 func TestReportOfAnotherTermProvesNothing(t *testing.T) {
 	for _, c := range []struct {
 		own  bool
@@ -56,12 +56,12 @@
 		d.report(9, token)
 		d.wait(3 * second)
 		if gone := len(d.n.jobs[0].Record.ActiveTasks) == 0; gone != c.gone {
-			t.Errorf("our own term in the report: %v; taken as gone: %v", c.own, gone)
+			t.Errorf("current token in the heartbeat: %v; task removed from the record: %v", c.own, gone)
 		}
 	}
 }
 
-// A report no newer than what has been heard is a copy, whatever it lacks.
+// A heartbeat that is not newer than the last one is a copy; a task that it lacks may be running.
 func TestCopyOfAReportProvesNothing(t *testing.T) {
 	d, term := owner(t)
 	d.report(9, term)
@@ -70,14 +70,14 @@
 	d.report(9, term)
 	d.wait(second)
 	if len(d.n.jobs[0].Record.ActiveTasks) == 0 {
-		t.Error("a copy proved a task gone")
+		t.Error("a copy of a heartbeat removed a task from its record")
 	}
 	if !slices.ContainsFunc(d.out, func(e Effect) bool { r, is := e.(Reply); return is && r.Status == 503 }) {
 		t.Errorf("answered with %+v", d.out)
 	}
 }
 
-// What was found out in one term is void in the next.
+// Outcomes that were stored in one term are discarded in the next.
 func TestFindingsEndWithTheirTerm(t *testing.T) {
 	d, _ := owner(t)
 	d.put(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
@@ -85,18 +85,19 @@
 	d.n.outcomes[key] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].Term}
 	d.n.putShard(d.n.shards[0], &wire.Shard{Owner: "n0", Incarnation: "x"}, d.rev+5)
 	if len(d.n.outcomes) != 0 {
-		t.Error("a finding outlived its term")
+		t.Error("an outcome was kept in a later term")
 	}
 }
 
-// Whatever a leader writes rests on its key and on the records that it changes: a
-// grant that is carried out when another leads would put a team over its limit.
+// The leader's writes are conditional on the leader's key and on the records that they change. A
+// grant that is committed after another controller has become the leader could exceed a team's
+// limit.
 func TestLeaderWritesUnderItsKey(t *testing.T) {
 	d, _ := owner(t)
 	d.wait(6 * second)
 	n := d.n
 	if !n.isLeader() {
-		t.Fatal("does not lead")
+		t.Fatal("the controller is not the leader")
 	}
 	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 	d.report(20, n.shards[0].Term)
@@ -113,10 +114,10 @@
 				continue
 			}
 			if !slices.Contains(c.Conditions, kv.Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}) || !slices.Contains(c.Conditions, kv.Condition{Key: wire.JobKey("wk-000001"), Revision: d.rev}) {
-				t.Errorf("granted under %+v", c.Conditions)
+				t.Errorf("grant has conditions %+v, want the leader's key and the job's record", c.Conditions)
 			}
 			return
 		}
 	}
-	t.Error("nothing was granted")
+	t.Error("the job was not granted")
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -9,12 +9,12 @@
 // shard is a shard with the machines in it.
 type shard struct {
 	*ownership.Shard
-	machines []*machine // machines that may still be there
+	machines []*machine // those that may still exist
 }
 
-// initOwnership lists the shards, of which nobody owns any yet.
+// initOwnership creates the shards, none of which has an owner yet.
 func (n *Node) initOwnership() {
-	const conditionsPerWrite = 4 // that a transaction may have for each write that it may have
+	const conditionsPerWrite = 4 // allowed conditions of a transaction for each allowed write
 	n.ownership = ownership.New(ownership.Config{
 		Self: n.cfg.Self, Incarnation: n.cfg.Incarnation, Zone: n.names.Zones.Find(n.cfg.Zone), Members: n.cfg.Members,
 		Validity: n.cfg.OwnerValidity, StateRPS: n.cfg.StateRPS, MaxConditions: conditionsPerWrite * n.cfg.MaxTransactionOps,
@@ -24,20 +24,20 @@
 	}
 }
 
-// owns tells whether the replica shows the shard as claimed by this process.
+// owns reports whether the replica shows the shard as claimed by this process.
 func (s *site) owns(shard *shard) bool { return s.ownership.Owns(shard.Shard) }
 
-// mayActAsOwner tells whether this controller may act as the owner of a shard now.
+// mayActAsOwner reports whether this controller may act as the owner of a shard now.
 func (s *site) mayActAsOwner(shard *shard) bool { return s.ownership.MayAct(s.now, shard.Shard) }
 
-// putShard applies the claim of a shard, or its end.
+// putShard applies a new claim of a shard, or the deletion of a claim, at a revision.
 func (n *Node) putShard(shard *shard, claim *wire.Shard, revision uint64) {
 	change := n.ownership.Put(n.now, shard.Shard, claim, revision)
 	if change == ownership.Stale {
 		return
 	}
-	// What machines did under the last owner says nothing about this one. Where it
-	// counted, two peers took the shard from each other in turns.
+	// Redirects and bounces under the previous owner are no evidence against the new one. When
+	// they counted, two peers repeatedly took the shard from each other.
 	shard.forgetRedirects()
 	n.discardOutcomes(shard)
 	switch change {
@@ -48,9 +48,9 @@
 	}
 }
 
-// discardOutcomes drops the outcomes of a shard's tasks that could not be written in the
-// term in which they were found out. Another owner may have served the machines since;
-// applied in a later term, they would start tasks a second time that still run.
+// discardOutcomes deletes the outcomes of a shard's tasks that were not written in the term in which
+// they were stored. Another owner may have served the machines since then, and applying the
+// outcomes in a later term would start tasks a second time that are still running.
 func (n *Node) discardOutcomes(shard *shard) {
 	for key, outcome := range n.outcomes {
 		if task := n.activeTask(key, outcome.machine); task == nil || task.Shard == shard.Index {
@@ -59,15 +59,14 @@
 	}
 }
 
-// forgetRedirects forgets which of a shard's machines came here although they were redirected.
+// forgetRedirects discards the redirects and bounces of a shard's machines.
 func (s *shard) forgetRedirects() {
 	for _, machine := range s.machines {
 		machine.redirectedAt, machine.bouncedAt = 0, 0
 	}
 }
 
-// claimShards claims shards that nobody owns, and those whose owner can't serve their
-// workers.
+// claimShards claims shards without an owner, and those whose owner can't serve their workers.
 func (n *Node) claimShards() {
 	if !n.ownership.Lease.Usable(n.now) {
 		return
@@ -81,7 +80,7 @@
 	}
 }
 
-// mayClaim tells whether a shard that another controller or nobody owns may be claimed.
+// mayClaim reports whether a shard that this process does not own may be claimed.
 func (n *Node) mayClaim(shard *shard) bool {
 	reason := n.ownership.MayClaim(n.now, shard.Shard, func() ownership.Evidence { return n.evidenceAgainst(shard) })
 	switch reason {
@@ -92,16 +91,16 @@
 }
 
 const (
-	// ownerSilence is how long nothing is heard from an owner that counts as silent.
+	// ownerSilence is the time without a message after which an owner counts as silent.
 	ownerSilence = 5 * second
-	// bounceMemory is how long a machine that came here although it was redirected counts.
+	// bounceMemory is how long a bounce of a machine counts as evidence.
 	bounceMemory = 12 * second
-	// storeAnswerAge is how long ago the state service answered at most, where it counts as
-	// serving this controller.
+	// storeAnswerAge is the greatest age of the state service's last answer at which it counts
+	// as serving this controller.
 	storeAnswerAge = 2 * second
 )
 
-// evidenceAgainst gathers what speaks for taking a shard over from its owner.
+// evidenceAgainst collects the evidence for and against taking a shard over from its owner.
 func (n *Node) evidenceAgainst(shard *shard) ownership.Evidence {
 	owner := n.peers[shard.Record.Owner]
 	e := ownership.Evidence{
@@ -127,8 +126,9 @@
 	return e
 }
 
-// peerRefusedFor is how long the state service has refused a peer while it serves us. An
-// outage ends for one controller a moment before another.
+// peerRefusedFor returns how long the state service has refused a peer while it has served this
+// controller. The time counts from the later of both, as an outage does not end for all
+// controllers at the same time.
 func (n *Node) peerRefusedFor(name string) Time {
 	peer := n.peers[name]
 	if peer == nil || peer.message.StoreOK {
@@ -137,7 +137,7 @@
 	return n.now - max(n.refusedSince[name], n.storeOKSince)
 }
 
-// shardClaim is the claim of a shard under way. Whether it succeeded shows in the replica.
+// shardClaim is a claim of a shard that was sent. The replica shows whether it succeeded.
 type shardClaim struct{}
 
 func (shardClaim) committed(n *Node, result Committed) {
@@ -146,14 +146,15 @@
 	}
 }
 
-// proveOwnership proves every couple of seconds that the claims of this process stand.
+// proveOwnership sends the proofs that are due, which check every few seconds that the claims of
+// this process still hold.
 func (n *Node) proveOwnership() {
 	for _, proof := range n.ownership.NextProofs(n.now) {
 		n.transact(ClassLease, proof.Conditions, nil, ownershipProof{proof})
 	}
 }
 
-// ownershipProof is a proof of claims under way.
+// ownershipProof is a proof of claims that was sent.
 type ownershipProof struct{ proof ownership.Proof }
 
 func (p ownershipProof) committed(n *Node, result Committed) {
