--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -29,10 +29,10 @@
 	return !start.acknowledged && job.Record.State == wire.JobCancelled && s.now-job.closedAt > s.cfg.OwnerValidity/2
 }
 
-// awaitDirectStart stops answering a machine, so that its worker's epoch ends, when a direct
-// start of a task that must stop may still be in transit and might be executed too late. A machine
-// that has not reported the task two leases after its start counts as unresponsive.
-func (n *Node) awaitDirectStart(machine *machine, job *job, start directStart) {
+// enforceDirectStartDeadline stops answering a machine, so that its worker's epoch ends, when a
+// direct start of a task that must stop may still be in transit and might be executed too late. A
+// machine that has not reported the task two leases after its start counts as unresponsive.
+func (n *Node) enforceDirectStartDeadline(machine *machine, job *job, start directStart) {
 	if n.mayStartTooLate(job, start) {
 		machine.ignoredReplies, machine.leaseExpiring = maxIgnoredReplies, true
 	} else if n.now-start.sentAt > 2*n.cfg.WorkerLease {
@@ -40,7 +40,7 @@
 	}
 }
 
-// noteUnstarted adds a machine that this controller owns to the unstarted ones when a task has
+// noteUnstarted adds a machine that this controller owns to unstartedMachines when a task has
 // been placed on it that it has not reported.
 func (n *Node) noteUnstarted(machine *machine, key taskKey) {
 	if machine.unstartedListed || machine.shard < 0 || !n.owns(n.shards[machine.shard]) {
@@ -48,23 +48,23 @@
 	}
 	if _, reported := machine.reportedTasks[key]; !reported {
 		machine.unstartedListed = true
-		n.unstarted = append(n.unstarted, machine.index)
+		n.unstartedMachines = append(n.unstartedMachines, machine.index)
 	}
 }
 
 // sendDirectStarts sends the starts of newly placed tasks to the workers' own addresses, except
 // to machines that have a delayed reply, which will contain the starts.
 func (n *Node) sendDirectStarts() {
-	if len(n.unstarted) == 0 {
+	if len(n.unstartedMachines) == 0 {
 		return
 	}
-	unstarted := n.unstarted
-	n.unstarted = nil
+	unstarted := n.unstartedMachines
+	n.unstartedMachines = nil
 	for _, index := range unstarted {
 		machine := n.machines[index]
 		machine.unstartedListed = false
 		if machine.shard >= 0 && n.acceptsCommands(machine) {
-			n.sendStartsTo(machine)
+			n.sendDirectStartsTo(machine)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	responsive := machine.tokenConfirmed && machine.ignoredReplies == 0 &&
 		!machine.unresponsive &&
 		s.now-machine.heartbeatAt < 2*s.cfg.HeartbeatInterval
-	return responsive && machine.delayedReplies == 0
+	return responsive && machine.delayedReplyCount == 0
 }
 
 // directStartBatch is a set of direct starts sent to a machine whose outcome is pending.
@@ -91,8 +91,8 @@
 	keys        []taskKey
 }
 
-// sendStartsTo sends the direct starts that a machine needs.
-func (n *Node) sendStartsTo(machine *machine) {
+// sendDirectStartsTo sends the direct starts that a machine needs.
+func (n *Node) sendDirectStartsTo(machine *machine) {
 	var commands []wire.Command
 	var keys []taskKey
 	for i := range machine.placements {
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -9,11 +9,11 @@
 	"micaport/internal/wire"
 )
 
-// placedDirectly returns a controller that owns one machine with a confirmed token, a job with a
-// task that was just placed on the machine, and the direct start that the controller sent.
-func placedDirectly(t *testing.T) (*controllerHarness, *wire.Job, *SendCommands) {
+// newDirectStartHarness returns a controller that owns one machine with a confirmed token, a job
+// with a task that was just placed on the machine, and the direct start that the controller sent.
+func newDirectStartHarness(t *testing.T) (*controllerHarness, *wire.Job, *SendCommands) {
 	t.Helper()
-	d, term := owner(t)
+	d, term := newOwnerHarness(t)
 	job := &wire.Job{TaskCount: 1, NextAttempt: 2, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeDaemon, Priority: "standard", TaskCount: 1, Image: "i"},
 		ActiveTasks: []wire.ActiveTask{{Attempt: 1, Machine: "vm-1", Epoch: 1}}}
 	d.put(job)
@@ -33,7 +33,7 @@
 
 // A task whose direct start may still be executed stays active in its record, even when the job
 // is cancelled and newer heartbeats lack the task.
-func TestDirectStartMayStillArrive(t *testing.T) {
+func TestPendingDirectStartKeepsTaskActive(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		outcome kv.Outcome
@@ -45,7 +45,7 @@
 		{"other epoch or token", kv.Conflict, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			d, job, start := placedDirectly(t)
+			d, job, start := newDirectStartHarness(t)
 			d.step(CommandsAnswered{ID: start.ID, Outcome: test.outcome})
 			d.put(cancelledCopy(job))
 			d.report(9, start.Batch.Token)
@@ -60,7 +60,7 @@
 // A start must not be executed later than cancel_s after the cancellation of its job. The machine
 // is no longer answered, so that its epoch ends before that. A worker that has acknowledged the
 // start keeps the attempt, so its epoch need not end.
-func TestDirectStartComesTooLate(t *testing.T) {
+func TestUnacknowledgedDirectStartEndsEpochAfterCancellation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		outcome kv.Outcome
@@ -71,7 +71,7 @@
 		{"refused", kv.Refused, http.StatusOK},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			d, job, start := placedDirectly(t)
+			d, job, start := newDirectStartHarness(t)
 			d.step(CommandsAnswered{ID: start.ID, Outcome: test.outcome})
 			d.put(cancelledCopy(job))
 			for seq := uint64(9); seq < 13; seq++ {
@@ -90,8 +90,8 @@
 // A watch that hangs for part of a validity shows the cancellation late. The time until the
 // machine is no longer answered counts from before the cancellation was recorded; otherwise the
 // worker's epoch would outlast cancel_s by the delay.
-func TestDirectStartOfJobCancelledUnseen(t *testing.T) {
-	d, job, start := placedDirectly(t)
+func TestDirectStartWithCancellationSeenLate(t *testing.T) {
+	d, job, start := newDirectStartHarness(t)
 	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.Unknown})
 	d.lag = true
 	d.wait(11 * second)
@@ -108,7 +108,7 @@
 // An attempt that was started directly is not cleared, as the worker would then execute a late
 // copy of the start.
 func TestDirectStartIsNotCleared(t *testing.T) {
-	d, _, start := placedDirectly(t)
+	d, _, start := newDirectStartHarness(t)
 	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.OK})
 	exited := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.CauseError}
 	d.report(9, start.Batch.Token, exited)
@@ -128,7 +128,7 @@
 // after a network partition or a hang during which the cloud did not answer either. The
 // controller once crashed then, as it recorded a start in a map that had been discarded.
 func TestForgottenMachineReportsAgain(t *testing.T) {
-	d, job, start := placedDirectly(t)
+	d, job, start := newDirectStartHarness(t)
 	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.Conflict})
 	withoutTasks := replica.CloneRecord(job)
 	withoutTasks.ActiveTasks = nil
--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -11,19 +11,19 @@
 // receiveGangHolds applies owners' answers in gang transactions (see package gang). Only the leader
 // acts on them.
 func (n *Node) receiveGangHolds(answers []wire.GangHold) {
-	if n.gangs.Receive(answers) {
+	if n.gangs.ApplyAnswers(answers) {
 		n.leader.passNeeded = true
 	}
 }
 
 // gangHolds returns this controller's answers, as an owner, for the gangs that are being tried.
-func (n *Node) gangHolds() []wire.GangHold { return n.gangs.Answers(n.mayActInShard) }
+func (n *Node) gangHolds() []wire.GangHold { return n.gangs.OwnAnswers(n.mayActInShard) }
 
 // advanceGangs carries out the leader's next action for every gang that spans shards.
 func (n *Node) advanceGangs(writer *writer) {
 	n.receiveGangHolds(n.gangHolds())
 	for _, attempt := range n.gangs.Sorted() {
-		switch attempt.LeaderAction(n.gangSituation(attempt)) {
+		switch attempt.LeaderAction(n.gangTransitionInput(attempt)) {
 		case gang.Confirm:
 			writer.setGangState(attempt, wire.GangConfirmed)
 		case gang.Drop:
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -8,15 +8,15 @@
 	"micaport/internal/wire"
 )
 
-// gangSituation returns the state on which the next action for an attempt depends.
-func (s *site) gangSituation(attempt *gang.Attempt) gang.Situation {
+// gangTransitionInput returns the state on which the next action for an attempt depends.
+func (s *site) gangTransitionInput(attempt *gang.Attempt) gang.TransitionInput {
 	job := s.jobNamed(attempt.JobID)
 	known := job != nil && job.Record != nil
-	return gang.Situation{
+	return gang.TransitionInput{
 		Age: s.now - attempt.SeenAt, HeartbeatInterval: s.cfg.HeartbeatInterval,
-		Unplaced: known && hasUnplacedTask(job.Record, attempt.Record.Attempt),
-		JobLive:  known && job.Record.State == wire.JobLive,
-		Owner:    slices.ContainsFunc(attempt.Record.Shards, s.mayActInShard),
+		HasUnplacedTasks: known && hasUnplacedTask(job.Record, attempt.Record.Attempt),
+		JobLive:          known && job.Record.State == wire.JobLive,
+		MayActAsOwner:    slices.ContainsFunc(attempt.Record.Shards, s.mayActInShard),
 	}
 }
 
@@ -30,15 +30,15 @@
 	})
 }
 
-// settleOwnedGangs carries out the owner's next action for every gang transaction: it drops
+// expireGangHolds carries out the owner's next action for every gang transaction: it drops
 // attempts whose deadline has passed, and releases the capacity held for dropped ones.
-func (n *Node) settleOwnedGangs(writer *writer) {
+func (n *Node) expireGangHolds(writer *writer) {
 	for _, attempt := range n.gangs.Sorted() {
-		switch attempt.OwnerAction(n.gangSituation(attempt)) {
+		switch attempt.OwnerAction(n.gangTransitionInput(attempt)) {
 		case gang.Drop:
 			writer.setGangState(attempt, wire.GangDropped)
 		case gang.Release:
-			attempt.Held = nil
+			attempt.HeldMachines = nil
 		}
 	}
 }
@@ -50,11 +50,11 @@
 		if job == nil || job.Record == nil || job.Record.Spec == nil {
 			continue
 		}
-		for _, task := range slices.Sorted(maps.Keys(attempt.Held)) {
+		for _, task := range slices.Sorted(maps.Keys(attempt.HeldMachines)) {
 			if isPlaced(job.Record, task, attempt.Record.Attempt) {
 				continue // already counted by its record
 			}
-			machine := n.machines[attempt.Held[task]]
+			machine := n.machines[attempt.HeldMachines[task]]
 			for _, slot := range slots.all {
 				if slot.machine == machine {
 					slot.allocate(job.Record.Spec)
@@ -74,31 +74,31 @@
 // placeGang places a gang whose tasks were all granted to one of this controller's shards. For a
 // gang in several shards it takes this owner's next step in the gang transaction.
 func (n *Node) placeGang(writer *writer, job *job, slots *slotSet) {
-	var mine []wire.ActiveTask
-	attempt := uint64(0)
+	var ownTasks []wire.ActiveTask
+	attemptNumber := uint64(0)
 	for _, task := range job.Record.ActiveTasks {
 		if task.Machine == "" && n.mayActAsOwner(n.shards[task.Shard]) {
-			mine = append(mine, task)
-			attempt = task.Attempt
+			ownTasks = append(ownTasks, task)
+			attemptNumber = task.Attempt
 		}
 	}
-	if trial := n.gangs.Find(job.ID, attempt); trial != nil {
-		n.advanceOwnedGang(writer, job, trial, mine, slots)
+	if attempt := n.gangs.Find(job.ID, attemptNumber); attempt != nil {
+		n.advanceOwnedGang(writer, job, attempt, ownTasks, slots)
 		return
 	}
-	whole := !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Shard != mine[0].Shard || task.Machine != "" })
-	key := taskKey{job.Index, mine[0].Task, attempt}
+	whole := !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Shard != ownTasks[0].Shard || task.Machine != "" })
+	key := taskKey{job.Index, ownTasks[0].Task, attemptNumber}
 	if !whole {
 		// The replica does not show the attempt's record yet, or it has been removed already.
 		if n.grantTimedOut(key) {
 			if record := writer.job(job); record != nil {
 				n.revokeUnplaced(writer, record)
-				abandonGang(record, attempt)
+				abandonGang(record, attemptNumber)
 			}
 		}
 		return
 	}
-	chosen := chooseAll(job, mine, slots)
+	chosen := chooseSlotsForAll(job, ownTasks, slots)
 	if chosen == nil && !n.grantTimedOut(key) {
 		return
 	}
@@ -106,19 +106,19 @@
 	if record == nil {
 		return
 	}
-	writer.shards[mine[0].Shard] = true
+	writer.shards[ownTasks[0].Shard] = true
 	if chosen == nil {
 		n.revokeUnplaced(writer, record)
 		return
 	}
-	for i := range mine {
+	for i := range ownTasks {
 		chosen[i].allocate(job.Record.Spec)
-		assignMachine(record, &mine[i], chosen[i].machine)
+		assignMachine(record, &ownTasks[i], chosen[i].machine)
 	}
 }
 
-// chooseAll chooses slots for all tasks, or returns nil if there aren't enough.
-func chooseAll(job *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
+// chooseSlotsForAll chooses slots for all tasks, or returns nil if there aren't enough.
+func chooseSlotsForAll(job *job, tasks []wire.ActiveTask, slots *slotSet) []*slot {
 	var chosen []*slot
 	spec := job.Record.Spec
 	for _, task := range tasks {
@@ -140,21 +140,21 @@
 
 // advanceOwnedGang holds capacity for an attempt that is being tried, or places this controller's
 // tasks of a confirmed one.
-func (n *Node) advanceOwnedGang(writer *writer, job *job, attempt *gang.Attempt, mine []wire.ActiveTask, slots *slotSet) {
+func (n *Node) advanceOwnedGang(writer *writer, job *job, attempt *gang.Attempt, ownTasks []wire.ActiveTask, slots *slotSet) {
 	switch attempt.Record.State {
 	case wire.GangTrying:
-		if attempt.Held == nil {
-			n.holdForGang(job, attempt, mine, slots)
+		if attempt.HeldMachines == nil {
+			n.holdForGang(job, attempt, ownTasks, slots)
 		}
 	case wire.GangConfirmed:
-		n.placeConfirmedGang(writer, job, attempt, mine, slots)
+		n.placeConfirmedGang(writer, job, attempt, ownTasks, slots)
 	}
 }
 
 // holdForGang holds capacity for this controller's tasks of a gang, or denies it, and sends the
 // answer to the leader at once.
-func (n *Node) holdForGang(job *job, attempt *gang.Attempt, mine []wire.ActiveTask, slots *slotSet) {
-	chosen := chooseAll(job, mine, slots)
+func (n *Node) holdForGang(job *job, attempt *gang.Attempt, ownTasks []wire.ActiveTask, slots *slotSet) {
+	chosen := chooseSlotsForAll(job, ownTasks, slots)
 	if chosen == nil {
 		if !attempt.Denied {
 			attempt.Denied = true
@@ -162,11 +162,11 @@
 		}
 		return
 	}
-	attempt.Held = map[int]int{}
+	attempt.HeldMachines = map[int]int{}
 	attempt.Denied = false
 	for i, slot := range chosen {
 		slot.allocate(job.Record.Spec)
-		attempt.Held[mine[i].Task] = slot.machine.index
+		attempt.HeldMachines[ownTasks[i].Task] = slot.machine.index
 	}
 	n.sendGossip(true)
 }
@@ -174,23 +174,23 @@
 // placeConfirmedGang places this controller's tasks of a confirmed gang on the machines that are
 // held for it. It chooses others if a held machine no longer accepts tasks, or if the hold was
 // lost with a previous owner.
-func (n *Node) placeConfirmedGang(writer *writer, job *job, attempt *gang.Attempt, mine []wire.ActiveTask, slots *slotSet) {
-	machines := n.heldMachines(attempt, mine)
+func (n *Node) placeConfirmedGang(writer *writer, job *job, attempt *gang.Attempt, ownTasks []wire.ActiveTask, slots *slotSet) {
+	machines := n.heldMachines(attempt, ownTasks)
 	if machines == nil {
-		attempt.Held = nil
-		for _, slot := range chooseAll(job, mine, slots) {
+		attempt.HeldMachines = nil
+		for _, slot := range chooseSlotsForAll(job, ownTasks, slots) {
 			slot.allocate(job.Record.Spec)
 			machines = append(machines, slot.machine)
 		}
 	}
-	if machines == nil && !n.grantTimedOut(taskKey{job.Index, mine[0].Task, attempt.Record.Attempt}) {
+	if machines == nil && !n.grantTimedOut(taskKey{job.Index, ownTasks[0].Task, attempt.Record.Attempt}) {
 		return
 	}
 	record := writer.job(job)
 	if record == nil {
 		return
 	}
-	for _, task := range mine {
+	for _, task := range ownTasks {
 		writer.shards[task.Shard] = true
 	}
 	if machines == nil {
@@ -198,17 +198,17 @@
 		abandonGang(record, attempt.Record.Attempt)
 		return
 	}
-	for i := range mine {
-		assignMachine(record, &mine[i], machines[i])
+	for i := range ownTasks {
+		assignMachine(record, &ownTasks[i], machines[i])
 	}
 }
 
 // heldMachines returns the machines that are held for tasks, or nil if a hold is missing or a
 // machine does not accept tasks.
-func (s *site) heldMachines(attempt *gang.Attempt, mine []wire.ActiveTask) []*machine {
-	machines := make([]*machine, len(mine))
-	for i, task := range mine {
-		index, held := attempt.Held[task.Task]
+func (s *site) heldMachines(attempt *gang.Attempt, ownTasks []wire.ActiveTask) []*machine {
+	machines := make([]*machine, len(ownTasks))
+	for i, task := range ownTasks {
+		index, held := attempt.HeldMachines[task.Task]
 		if !held || !s.acceptsTasks(s.machines[index]) {
 			return nil
 		}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -29,30 +29,30 @@
 	viewVersion      uint64 // version of the last change of the view in this controller's gossip
 	returned         bool   // the cloud has confirmed that the machine is gone
 
-	misdirected
+	misdirectedHeartbeats
 }
 
 // workerState holds what a machine's owner has received from its worker, and sent to it, in
 // the current term of the shard.
 type workerState struct {
-	term            uint64             // the term to which this state belongs
-	epoch, sequence uint64             // of the last heartbeat
-	heartbeats      int                // number received in this term
-	heartbeatAt     Time               // when the last heartbeat of this term was received
-	tokenConfirmed  bool               // the last heartbeat carried the token of this term
-	newlyBooted     bool               // it sends its first heartbeats and can't have received a token
-	answeredAt      Time               // when a heartbeat was last answered with 200
-	ignoredReplies  int                // consecutive replies that had no effect
-	unresponsive    bool               // it counts as receiving neither replies nor commands
-	reclaimAt       Time               // when the cloud reclaims it; 0: no notice was given
-	address         string             // of the worker, for commands
-	reportedTasks   map[taskKey]string // states in the last heartbeat of the active tasks that it lists
-	startSentAt     map[taskKey]uint64 // sequence number of the last heartbeat whose reply contained the start
-	directStarts    map[taskKey]directStart
-	unclearedTasks  int  // exited tasks in its last heartbeat that must not be cleared
-	delayedReplies  int  // number of its heartbeats whose replies are delayed
-	unstartedListed bool // it is in ownerState.unstarted
-	leaseExpiring   bool // its heartbeats are not answered, so that its lease expires and its epoch ends
+	term              uint64             // the term to which this state belongs
+	epoch, sequence   uint64             // of the last heartbeat
+	heartbeats        int                // number received in this term
+	heartbeatAt       Time               // when the last heartbeat of this term was received
+	tokenConfirmed    bool               // the last heartbeat carried the token of this term
+	newlyBooted       bool               // it sends its first heartbeats and can't have received a token
+	answeredAt        Time               // when a heartbeat was last answered with 200
+	ignoredReplies    int                // consecutive replies that had no effect
+	unresponsive      bool               // it counts as receiving neither replies nor commands
+	reclaimAt         Time               // when the cloud reclaims it; 0: no notice was given
+	address           string             // of the worker, for commands
+	reportedTasks     map[taskKey]string // states in the last heartbeat of the active tasks that it lists
+	startSentAt       map[taskKey]uint64 // sequence number of the last heartbeat whose reply contained the start
+	directStarts      map[taskKey]directStart
+	unclearedTasks    int  // exited tasks in its last heartbeat that must not be cleared
+	delayedReplyCount int  // number of its heartbeats whose replies are delayed
+	unstartedListed   bool // it is in ownerState.unstartedMachines
+	leaseExpiring     bool // its heartbeats are not answered, so that its lease expires and its epoch ends
 
 	failedJobs      map[int]bool // jobs of which a task failed on it since a task last succeeded
 	unhealthy       bool
@@ -60,10 +60,10 @@
 	noCapacityUntil Time // no task is placed on it earlier, as it had no capacity for one
 }
 
-// misdirected holds what a controller records about heartbeats from a machine that it does not
-// own. A worker bounces when it sends a heartbeat to this controller again after it was
+// misdirectedHeartbeats holds what a controller records about heartbeats from a machine that it
+// does not own. A worker bounces when it sends a heartbeat to this controller again after it was
 // redirected to the owner, which it apparently can't reach.
-type misdirected struct {
+type misdirectedHeartbeats struct {
 	redirectedAt        Time   // when it was last redirected to its owner; 0: it was not
 	bouncedAt           Time   // when it last bounced; 0: it did not
 	bouncingSince       Time   // when the current series of bounces began
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -16,10 +16,10 @@
 // (task_outcomes.go) and chooses machines for granted tasks (grant_placement.go), in one
 // transaction at a time.
 func (n *Node) runOwner() {
-	if n.now < n.placementAt {
+	if n.now < n.ownerPassAt {
 		return
 	}
-	n.placementAt = n.now + ownerInterval + Time(len(n.replica.Live()))*ownerIntervalPerJob
+	n.ownerPassAt = n.now + ownerInterval + Time(len(n.replica.Live()))*ownerIntervalPerJob
 	actsAsOwner := false
 	for _, shard := range n.shards {
 		if n.mayActAsOwner(shard) {
@@ -35,13 +35,13 @@
 		return
 	}
 	writer := newWriter(n)
-	var room lazySlots
-	n.applyOutcomes(writer, &room, true)
+	var available lazySlots
+	n.applyOutcomes(writer, &available, true)
 	n.stopReclaimedGangs(writer)
-	n.settleOwnedGangs(writer)
-	n.placeGranted(writer, &room)
-	n.applyOutcomes(writer, &room, false)
-	n.admitWork(writer, &room)
+	n.expireGangHolds(writer)
+	n.placeGranted(writer, &available)
+	n.applyOutcomes(writer, &available, false)
+	n.admitWork(writer, &available)
 	writer.send(&n.batch)
 }
 
--- a/internal/core/owner_state.go
+++ b/internal/core/owner_state.go
@@ -3,16 +3,16 @@
 // ownerState holds the state of a controller in its role as the owner of shards.
 type ownerState struct {
 	batch       batch
-	placementAt Time // when the next pass is due
+	ownerPassAt Time // when the next pass is due
 	outcomes    taskOutcomes
 	gangsToStop map[int]bool // jobs that must save and exit because one of their machines is about to be reclaimed
 	grantSeenAt grantTimes
 
-	replies   delayedReplies
-	unstarted []int // machines of this controller with a placed task that they have not reported
+	replies           delayedReplies
+	unstartedMachines []int // machines of this controller with a placed task that they have not reported
 
 	admissionAt    Time // when work is next admitted without the leader
-	forgetAt       Time // when machines that are gone are next removed
+	cleanupAt      Time // when machines that are gone are next removed
 	imageCacheAt   Time // when the image cache record is next written
 	imageCacheSize int  // number of images over all machines in the record as last written
 }
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -11,14 +11,14 @@
 	"micaport/internal/wire"
 )
 
-// owner returns a single controller that owns its shard and has received two heartbeats of a
-// machine, the second with the shard's term as token, and that term.
-func owner(t *testing.T) (d *controllerHarness, term uint64) {
+// newOwnerHarness returns a single controller that owns its shard and has received two heartbeats
+// of a machine, the second with the shard's term as token, and that term.
+func newOwnerHarness(t *testing.T) (d *controllerHarness, term uint64) {
 	t.Helper()
 	return ownerWith(t, func(*Config) {})
 }
 
-// ownerWith is like owner, with a changed configuration.
+// ownerWith is like newOwnerHarness, with a changed configuration.
 func ownerWith(t *testing.T, change func(*Config)) (d *controllerHarness, term uint64) {
 	t.Helper()
 	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"},
@@ -42,28 +42,28 @@
 
 // A heartbeat with an older token may have been sent before an earlier owner's last command, so a
 // task that it lacks may still be started.
-func TestReportOfAnotherTermProvesNothing(t *testing.T) {
+func TestHeartbeatWithOldTokenRemovesNoTask(t *testing.T) {
 	for _, c := range []struct {
-		own  bool
-		gone bool
+		currentToken bool
+		gone         bool
 	}{{true, true}, {false, false}} {
-		d, term := owner(t)
+		d, term := newOwnerHarness(t)
 		d.put(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 		token := term
-		if !c.own {
+		if !c.currentToken {
 			token = term - 1
 		}
 		d.report(9, token)
 		d.wait(3 * second)
 		if gone := len(d.n.jobs[0].Record.ActiveTasks) == 0; gone != c.gone {
-			t.Errorf("current token in the heartbeat: %v; task removed from the record: %v", c.own, gone)
+			t.Errorf("current token in the heartbeat: %v; task removed from the record: %v", c.currentToken, gone)
 		}
 	}
 }
 
 // A heartbeat that is not newer than the last one is a copy; a task that it lacks may be running.
-func TestCopyOfAReportProvesNothing(t *testing.T) {
-	d, term := owner(t)
+func TestCopyOfHeartbeatRemovesNoTask(t *testing.T) {
+	d, term := newOwnerHarness(t)
 	d.report(9, term)
 	d.wait(4 * second)
 	d.put(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
@@ -78,8 +78,8 @@
 }
 
 // Outcomes that were stored in one term are discarded in the next.
-func TestFindingsEndWithTheirTerm(t *testing.T) {
-	d, _ := owner(t)
+func TestOutcomesAreDiscardedInNewTerm(t *testing.T) {
+	d, _ := newOwnerHarness(t)
 	d.put(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 	key := taskKey{0, 0, 1}
 	d.n.outcomes[key] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].Term}
@@ -92,8 +92,8 @@
 // The leader's writes are conditional on the leader's key and on the records that they change. A
 // grant that is committed after another controller has become the leader could exceed a team's
 // limit.
-func TestLeaderWritesUnderItsKey(t *testing.T) {
-	d, _ := owner(t)
+func TestGrantIsConditionalOnLeaderKey(t *testing.T) {
+	d, _ := newOwnerHarness(t)
 	d.wait(6 * second)
 	n := d.n
 	if !n.isLeader() {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -15,7 +15,7 @@
 //	not exited   no                    command kill
 //	not exited   yes, must stop        command kill, with time to save; see stopGrace
 //	not exited   yes                   none
-//	missing      yes                   see missingTask
+//	missing      yes                   see reconcileMissingTask
 type reconciliation struct {
 	node           *Node
 	machine        *machine
@@ -36,11 +36,11 @@
 	}
 	machine.reportedTasks, machine.unclearedTasks = make(map[taskKey]string, len(heartbeat.Tasks)), 0
 	for i := range heartbeat.Tasks {
-		r.reportedTask(&heartbeat.Tasks[i])
+		r.reconcileReportedTask(&heartbeat.Tasks[i])
 	}
 	for i := range machine.placements {
 		if placed := &machine.placements[i]; !r.reported[placed.taskKey] {
-			r.missingTask(placed)
+			r.reconcileMissingTask(placed)
 		}
 	}
 	if r.startIgnored && n.replyLikelyLost(machine) {
@@ -49,12 +49,12 @@
 	return r.commands
 }
 
-func (r *reconciliation) command(op, task string, attempt uint64, graceS float64) {
+func (r *reconciliation) addCommand(op, task string, attempt uint64, graceS float64) {
 	r.commands = append(r.commands, wire.Command{Op: op, Task: task, Attempt: attempt, GraceS: graceS})
 }
 
-// reportedTask reconciles a task that the heartbeat lists.
-func (r *reconciliation) reportedTask(status *wire.TaskStatus) {
+// reconcileReportedTask reconciles a task that the heartbeat lists.
+func (r *reconciliation) reconcileReportedTask(status *wire.TaskStatus) {
 	n, machine := r.node, r.machine
 	jobID, task, err := wire.SplitTaskName(status.Task)
 	if err != nil {
@@ -65,10 +65,10 @@
 	active := n.activeTask(key, machine.name)
 	switch {
 	case status.State == wire.TaskExited:
-		r.exitedTask(status, key, active)
+		r.reconcileExitedTask(status, key, active)
 		return
 	case active == nil:
-		r.command(wire.CommandKill, status.Task, status.Attempt, 0)
+		r.addCommand(wire.CommandKill, status.Task, status.Attempt, 0)
 		return
 	}
 	machine.reportedTasks[key] = status.State
@@ -83,15 +83,15 @@
 		machine.images.Add(job.Image)
 	}
 	if grace, stop := n.stopGrace(machine, job, active, status); stop {
-		r.command(wire.CommandKill, status.Task, status.Attempt, grace)
+		r.addCommand(wire.CommandKill, status.Task, status.Attempt, grace)
 	}
 }
 
-// exitedTask reconciles a task that the heartbeat lists as exited; active is its entry in the
-// job's record, or nil.
-func (r *reconciliation) exitedTask(status *wire.TaskStatus, key taskKey, active *wire.ActiveTask) {
+// reconcileExitedTask reconciles a task that the heartbeat lists as exited; active is its entry in
+// the job's record, or nil.
+func (r *reconciliation) reconcileExitedTask(status *wire.TaskStatus, key taskKey, active *wire.ActiveTask) {
 	if active != nil {
-		r.node.noteTaskExit(r.machine, key, status)
+		r.node.storeTaskExit(r.machine, key, status)
 		return
 	}
 	if _, direct := r.machine.directStarts[key]; direct {
@@ -102,24 +102,24 @@
 	}
 	// The record no longer has this attempt, so it can't be started again and the worker may
 	// discard it.
-	r.command(wire.CommandClear, status.Task, status.Attempt, 0)
+	r.addCommand(wire.CommandClear, status.Task, status.Attempt, 0)
 }
 
-// missingTask reconciles a task that a record places on the machine and that the heartbeat
+// reconcileMissingTask reconciles a task that a record places on the machine and that the heartbeat
 // lacks. The first case that applies decides:
 //
 //	task                                              action
 //	its outcome is already queued                     none
 //	was placed in an earlier epoch of the worker      it is lost
 //	must stop, and no start of it can arrive          it is lost
-//	must stop, and a direct start may still arrive    see awaitDirectStart
+//	must stop, and a direct start may still arrive    see enforceDirectStartDeadline
 //	repeated starts had no effect                     it is lost
 //	belongs to a gang that waits for an image         none
 //	has not been started                              command start
 //
 // A task must stop when its job has ended, when its record requests it, or when the machine is
 // about to be reclaimed.
-func (r *reconciliation) missingTask(placed *placement) {
+func (r *reconciliation) reconcileMissingTask(placed *placement) {
 	n, machine := r.node, r.machine
 	key, job := placed.taskKey, n.jobs[placed.job]
 	if _, known := n.outcomes[key]; known {
@@ -134,20 +134,20 @@
 	r.startIgnored = r.startIgnored || sent && absent
 	switch {
 	case r.heartbeat.Epoch > placed.epoch:
-		n.noteOutcome(machine, key, causeLost)
+		n.storeOutcome(machine, key, causeLost)
 	case job.Record.State != wire.JobLive || placed.stop != wire.StopNone || machine.reclaimAt > 0:
 		if absent {
-			n.noteOutcome(machine, key, causeLost)
+			n.storeOutcome(machine, key, causeLost)
 		} else if startedDirectly {
-			n.awaitDirectStart(machine, job, direct)
+			n.enforceDirectStartDeadline(machine, job, direct)
 		}
 	case absent && sent && machine.ignoredReplies >= maxIgnoredReplies-1:
 		// The worker keeps reporting but does not execute the start. The heartbeat is newer
 		// than the reply with the start and lacks the task, and the start is not sent again.
-		n.noteOutcome(machine, key, causeLost)
+		n.storeOutcome(machine, key, causeLost)
 	case n.delaysGangStart(job, n.activeTask(key, machine.name)):
 	default:
-		r.command(wire.CommandStart, wire.TaskName(job.ID, key.task), key.attempt, 0)
+		r.addCommand(wire.CommandStart, wire.TaskName(job.ID, key.task), key.attempt, 0)
 		machine.startSentAt[key] = r.heartbeat.Sequence
 	}
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -82,7 +82,7 @@
 
 // mayClaim reports whether a shard that this process does not own may be claimed.
 func (n *Node) mayClaim(shard *shard) bool {
-	reason := n.ownership.MayClaim(n.now, shard.Shard, func() ownership.Evidence { return n.evidenceAgainst(shard) })
+	reason := n.ownership.MayClaim(n.now, shard.Shard, func() ownership.Evidence { return n.takeoverEvidence(shard) })
 	switch reason {
 	case ownership.Unreachable, ownership.OwnerSilent, ownership.OwnerRefused:
 		n.log(LogInfo, "taking over shard", "reason", string(reason), "shard", shard.Name, "owner", shard.Record.Owner)
@@ -91,23 +91,23 @@
 }
 
 const (
-	// ownerSilence is the time without a message after which an owner counts as silent.
-	ownerSilence = 5 * second
-	// bounceMemory is how long a bounce of a machine counts as evidence.
-	bounceMemory = 12 * second
-	// storeAnswerAge is the greatest age of the state service's last answer at which it counts
+	// ownerSilenceTimeout is the time without a message after which an owner counts as silent.
+	ownerSilenceTimeout = 5 * second
+	// bounceRetention is how long a bounce of a machine counts as evidence.
+	bounceRetention = 12 * second
+	// maxStoreAnswerAge is the greatest age of the state service's last answer at which it counts
 	// as serving this controller.
-	storeAnswerAge = 2 * second
+	maxStoreAnswerAge = 2 * second
 )
 
-// evidenceAgainst collects the evidence for and against taking a shard over from its owner.
-func (n *Node) evidenceAgainst(shard *shard) ownership.Evidence {
+// takeoverEvidence collects the evidence for and against taking a shard over from its owner.
+func (n *Node) takeoverEvidence(shard *shard) ownership.Evidence {
 	owner := n.peers[shard.Record.Owner]
 	e := ownership.Evidence{
-		OwnerSilent:     owner == nil || n.now-owner.receivedAt > ownerSilence,
-		OwnerRefusedFor: n.peerRefusedFor(shard.Record.Owner),
+		OwnerSilent:     owner == nil || n.now-owner.receivedAt > ownerSilenceTimeout,
+		OwnerRefusedFor: n.peerRefusalDuration(shard.Record.Owner),
 		StoreOK:         n.storeOK,
-		StoreAnswered:   n.now-n.storeAnsweredAt < storeAnswerAge,
+		StoreAnswered:   n.now-n.storeAnsweredAt < maxStoreAnswerAge,
 	}
 	for _, machine := range shard.machines {
 		if machine.returned || machine.view.unreachable {
@@ -116,7 +116,7 @@
 		if machine.view.known && machine.view.missedHeartbeats < 2 {
 			e.MachinesKnown++
 		}
-		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < bounceMemory {
+		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < bounceRetention {
 			e.MachinesBounced++
 			if e.BouncingSince == 0 || machine.bouncingSince < e.BouncingSince {
 				e.BouncingSince = machine.bouncingSince
@@ -126,10 +126,10 @@
 	return e
 }
 
-// peerRefusedFor returns how long the state service has refused a peer while it has served this
+// peerRefusalDuration returns how long the state service has refused a peer while it has served this
 // controller. The time counts from the later of both, as an outage does not end for all
 // controllers at the same time.
-func (n *Node) peerRefusedFor(name string) Time {
+func (n *Node) peerRefusalDuration(name string) Time {
 	peer := n.peers[name]
 	if peer == nil || peer.message.StoreOK {
 		return 0
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -10,7 +10,7 @@
 
 // Machines are named with consecutive numbers; a weak hash put runs of such names into one shard
 // and left the other without work.
-func TestShardsShareNeighbours(t *testing.T) {
+func TestConsecutiveNamesSpreadOverShards(t *testing.T) {
 	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}}, Zones: []string{"a", "b"}})
 	for start := 0; start < 200; start += 20 {
 		count := map[int]int{}
@@ -35,13 +35,15 @@
 // running, not only of the last, whose claim may have been deleted with its lease or be that of an
 // earlier incarnation of the new owner. A process that has just started does not see earlier
 // claims and assumes that the shard was taken over just before.
-func TestBoundCountsEveryOwnerBefore(t *testing.T) {
+func TestOwnedSinceAllowsForEveryEarlierOwner(t *testing.T) {
 	const validity = 20 * second
-	claim := func(owner, life string) *wire.Shard { return &wire.Shard{Owner: owner, Incarnation: life} }
+	claim := func(owner, incarnation string) *wire.Shard {
+		return &wire.Shard{Owner: owner, Incarnation: incarnation}
+	}
 	for _, c := range []struct {
-		name  string
-		steps []*wire.Shard // a second apart; nil for a claim that is deleted with its lease
-		bound Time          // after the first step
+		name       string
+		steps      []*wire.Shard // a second apart; nil for a claim that is deleted with its lease
+		ownedSince Time          //  after the first step
 	}{
 		{"no earlier owner", nil, 0},
 		{"the owner stopped", []*wire.Shard{claim("n1", "a"), nil}, 2 * second},
@@ -59,14 +61,14 @@
 			rev++
 			n.now += second
 		}
-		if shard.OwnedSince != c.bound {
-			t.Errorf("%s: owned since %v, want %v", c.name, shard.OwnedSince, c.bound)
+		if shard.OwnedSince != c.ownedSince {
+			t.Errorf("%s: owned since %v, want %v", c.name, shard.OwnedSince, c.ownedSince)
 		}
 	}
 	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 5})
 	n.putShard(n.shards[0], claim("n0", "x"), 6)
-	if b := n.shards[0].OwnedSince; b != second+validity {
-		t.Errorf("just started: owned since %v, want %v", b, second+validity)
+	if since := n.shards[0].OwnedSince; since != second+validity {
+		t.Errorf("just started: owned since %v, want %v", since, second+validity)
 	}
 }
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -26,30 +26,30 @@
 		for i := range machine.placements {
 			placed := &machine.placements[i]
 			if _, known := n.outcomes[placed.taskKey]; !known && placed.shard == shard.Index {
-				n.noteOutcome(machine, placed.taskKey, causeLost)
+				n.storeOutcome(machine, placed.taskKey, causeLost)
 				n.log(LogInfo, "task lost", "job", n.jobs[placed.job].ID, "task", placed.task, "machine", machine.name)
 			}
 		}
 	}
 }
 
-// forgetInterval is the time between two searches for outdated machines and grants.
-const forgetInterval = 5 * second
+// cleanupInterval is the time between two searches for outdated machines and grants.
+const cleanupInterval = 5 * second
 
 // forgetMachines removes machines that are gone from their shards and discards their state,
 // so that they cost no time or memory. It also discards the times of grants that
 // have been placed or revoked.
 func (n *Node) forgetMachines() {
-	if n.now < n.forgetAt {
+	if n.now < n.cleanupAt {
 		return
 	}
-	n.forgetAt = n.now + forgetInterval
+	n.cleanupAt = n.now + cleanupInterval
 	n.forgetPlacedGrants()
 	for _, shard := range n.shards {
 		for i := len(shard.machines) - 1; i >= 0; i-- {
 			if machine := shard.machines[i]; len(machine.placements) == 0 && n.isGone(shard, machine) {
 				n.setShard(machine, -1)
-				machine.forget()
+				machine.clearState()
 			}
 		}
 	}
@@ -68,8 +68,8 @@
 	return machine.view.unreachable && !s.owns(shard) && s.now-shard.ChangedAt > timeout
 }
 
-// forget discards the state of a machine; it is built up again if the machine reports again.
-func (m *machine) forget() {
+// clearState discards the state of a machine; it is built up again if the machine reports again.
+func (m *machine) clearState() {
 	m.view = machineView{}
 	m.reportedTasks = nil
 	m.startSentAt = nil
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -27,9 +27,10 @@
 // one write can record all of them and the tasks of a gang end together.
 const outcomeDelay = 500 * time.Millisecond
 
-// epochDelay is how long a task that was lost at the end of its machine's epoch waits for the
-// worker to confirm the owner's token. A worker reports again half a second after it received one.
-const epochDelay = 1200 * time.Millisecond
+// tokenConfirmationWait is how long a task that was lost at the end of its machine's epoch waits
+// for the worker to confirm the owner's token. A worker reports again half a second after it
+// received one.
+const tokenConfirmationWait = 1200 * time.Millisecond
 
 const (
 	// errorsBeforeSuspicion is the number of consecutive errors of a job from which on its
@@ -41,25 +42,25 @@
 	maxFailedMachines = 4
 )
 
-// noteOutcome stores the outcome of a task on a machine, to be written to the job's record.
-func (n *Node) noteOutcome(machine *machine, key taskKey, cause string) {
+// storeOutcome stores the outcome of a task on a machine, to be written to the job's record.
+func (n *Node) storeOutcome(machine *machine, key taskKey, cause string) {
 	n.outcomes[key] = taskOutcome{machine.name, cause, n.now, machine.shardTerm(n)}
 }
 
-// noteTaskExit stores the outcome of a task that its machine has reported as exited, and updates
+// storeTaskExit stores the outcome of a task that its machine has reported as exited, and updates
 // the state of the machine accordingly.
-func (n *Node) noteTaskExit(machine *machine, key taskKey, status *wire.TaskStatus) {
+func (n *Node) storeTaskExit(machine *machine, key taskKey, status *wire.TaskStatus) {
 	if _, known := n.outcomes[key]; known {
 		return
 	}
-	n.noteOutcome(machine, key, status.ExitCause)
+	n.storeOutcome(machine, key, status.ExitCause)
 	job := n.jobs[key.job]
 	switch status.ExitCause {
 	case wire.CauseDone:
 		machine.failedJobs, machine.unhealthy = nil, false
 		machine.images.Add(job.Image)
 	case wire.CauseError:
-		n.noteFailure(machine, job)
+		n.recordTaskFailure(machine, job)
 	case wire.CauseNoCapacity:
 		machine.noCapacityUntil = n.now + 2*n.cfg.HeartbeatInterval
 	}
@@ -69,9 +70,9 @@
 		"cause", status.ExitCause)
 }
 
-// noteFailure records that a task of a job has failed on a machine, and quarantines the machine
-// when the fault is probably its own.
-func (n *Node) noteFailure(machine *machine, job *job) {
+// recordTaskFailure records that a task of a job has failed on a machine, and quarantines the
+// machine when the fault is probably its own.
+func (n *Node) recordTaskFailure(machine *machine, job *job) {
 	if machine.failedJobs == nil {
 		machine.failedJobs = map[int]bool{}
 	}
@@ -111,23 +112,23 @@
 
 // outcomePass writes outcomes of tasks to their records.
 type outcomePass struct {
-	writer  *writer
-	slots   *lazySlots
-	records *recordCapacity
-	firstAt map[int]Time // by job: when the first of its unwritten outcomes was stored
+	writer         *writer
+	slots          *lazySlots
+	records        *recordCapacity
+	firstOutcomeAt map[int]Time // by job: when the first of its unwritten outcomes was stored
 }
 
 // applyOutcomes adds the outcomes of tasks to the transaction, either the urgent ones or the
 // others.
-func (n *Node) applyOutcomes(writer *writer, room *lazySlots, urgent bool) {
+func (n *Node) applyOutcomes(writer *writer, available *lazySlots, urgent bool) {
 	if len(n.outcomes) == 0 {
 		return
 	}
 	keys := n.outcomes.sorted()
-	pass := outcomePass{writer: writer, slots: room, records: newRecordCapacity(n, writer), firstAt: map[int]Time{}}
+	pass := outcomePass{writer: writer, slots: available, records: newRecordCapacity(n, writer), firstOutcomeAt: map[int]Time{}}
 	for _, key := range keys {
-		if at, seen := pass.firstAt[key.job]; !seen || n.outcomes[key].at < at {
-			pass.firstAt[key.job] = n.outcomes[key].at
+		if at, seen := pass.firstOutcomeAt[key.job]; !seen || n.outcomes[key].at < at {
+			pass.firstOutcomeAt[key.job] = n.outcomes[key].at
 		}
 	}
 	for _, key := range keys {
@@ -147,7 +148,7 @@
 		if record == nil {
 			return
 		}
-		pass.write(n, record, key, outcome, *task)
+		pass.writeOutcome(n, record, key, outcome, *task)
 	}
 }
 
@@ -161,11 +162,11 @@
 		n.leader.batch.changes(job):
 		return false
 	}
-	return !n.awaitsNewEpoch(outcome) && n.now-p.firstAt[key.job] >= n.outcomeDelayFor(job)
+	return !n.awaitsTokenConfirmation(outcome) && n.now-p.firstOutcomeAt[key.job] >= n.outcomeDelayFor(job)
 }
 
-// write removes a task that has ended from its record, and places a lost one again.
-func (p *outcomePass) write(n *Node, record *wire.Job, key taskKey, outcome taskOutcome, task wire.ActiveTask) {
+// writeOutcome removes a task that has ended from its record, and places a lost one again.
+func (p *outcomePass) writeOutcome(n *Node, record *wire.Job, key taskKey, outcome taskOutcome, task wire.ActiveTask) {
 	// An outcome must be applied only once; otherwise an error would count twice and a lost
 	// task would be placed twice.
 	p.writer.exitedTasks[key] = true
@@ -173,7 +174,7 @@
 	job := n.jobs[key.job]
 	removeExitedTask(record, key, p.records.recordable(job, record, key, outcome))
 	if p.records.mayAdd(job) {
-		n.replaceLostTask(p.writer, record, task, outcome, p.slots)
+		n.rescheduleLostTask(p.writer, record, task, outcome, p.slots)
 	}
 }
 
@@ -184,27 +185,27 @@
 	})
 }
 
-// awaitsNewEpoch reports whether the outcome of a lost task waits until its machine can be chosen
-// for it again. A machine whose worker has begun a new epoch is the best choice for the same
+// awaitsTokenConfirmation reports whether the outcome of a lost task waits until its machine can be
+// chosen for it again. A machine whose worker has begun a new epoch is the best choice for the same
 // task, as it has the image, but must first confirm the owner's token.
-func (s *site) awaitsNewEpoch(outcome taskOutcome) bool {
+func (s *site) awaitsTokenConfirmation(outcome taskOutcome) bool {
 	machine := s.machineNamed(outcome.machine)
 	return outcome.cause == causeLost && machine.shard >= 0 &&
-		s.now-outcome.at < epochDelay &&
+		s.now-outcome.at < tokenConfirmationWait &&
 		machine.term == s.shards[machine.shard].Term &&
-		!machine.tokenConfirmed && s.now-machine.heartbeatAt < epochDelay
+		!machine.tokenConfirmed && s.now-machine.heartbeatAt < tokenConfirmationWait
 }
 
-// replaceLostTask places a lost or stopped task again within the same shard. The leader's grant
+// rescheduleLostTask places a lost or stopped task again within the same shard. The leader's grant
 // remains valid, as only the choice of the machine is the owner's. Compared with a new grant this
 // saves two writes, which are most of the time to recovery when a whole zone has lost its tasks.
-func (n *Node) replaceLostTask(writer *writer, record *wire.Job, lost wire.ActiveTask, outcome taskOutcome, room *lazySlots) {
+func (n *Node) rescheduleLostTask(writer *writer, record *wire.Job, lost wire.ActiveTask, outcome taskOutcome, available *lazySlots) {
 	if record.State != wire.JobLive || record.Spec.Shape == wire.ShapeGang || lost.Stop != wire.StopNone ||
 		outcome.cause != causeLost && outcome.cause != wire.CauseStopped {
 		return
 	}
 	job := n.jobNamed(record.Spec.ID)
-	best := room.slots(n).best(job, func(candidate *slot) bool { return candidate.shard == lost.Shard }, nil)
+	best := available.slots(n).best(job, func(candidate *slot) bool { return candidate.shard == lost.Shard }, nil)
 	if best == nil || best.machine.name == lost.Machine && best.machine.epoch <= lost.Epoch {
 		return
 	}
@@ -224,7 +225,7 @@
 	})
 	live := record.State == wire.JobLive
 	if outcome.cause == wire.CauseDone && live {
-		noteDone(record, key.task)
+		recordTaskDone(record, key.task)
 		return
 	}
 	if outcome.cause == wire.CauseError {
@@ -241,8 +242,8 @@
 	}
 }
 
-// noteDone records the success of a task in its job's record.
-func noteDone(record *wire.Job, task int) {
+// recordTaskDone records the success of a task in its job's record.
+func recordTaskDone(record *wire.Job, task int) {
 	record.ConsecutiveErrors, record.FailedMachines = 0, nil
 	switch record.Spec.Shape {
 	case wire.ShapeGang:
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -27,7 +27,7 @@
 	machine.spot = heartbeat.Spot
 	machine.address = heartbeat.Addr
 	if !n.replica.Loaded() || !n.mayActAsOwner(shard) || heartbeat.Token > shard.Term {
-		n.redirect(in.RequestID, shard, machine, machine.isRedirectedCopy(heartbeat))
+		n.redirect(in.RequestID, shard, machine, machine.isMisdirectedCopy(heartbeat))
 		return
 	}
 	if machine.epoch > heartbeat.Epoch || machine.epoch == heartbeat.Epoch && machine.sequence >= heartbeat.Sequence {
@@ -35,18 +35,18 @@
 		n.refuseHeartbeat(in.RequestID, "late report")
 		return
 	}
-	n.ownedHeartbeat(in, shard, machine)
+	n.processOwnedHeartbeat(in, shard, machine)
 }
 
-// ownedHeartbeat processes a new heartbeat of a machine that this controller owns.
-func (n *Node) ownedHeartbeat(in WorkerReported, shard *shard, machine *machine) {
+// processOwnedHeartbeat processes a new heartbeat of a machine that this controller owns.
+func (n *Node) processOwnedHeartbeat(in WorkerReported, shard *shard, machine *machine) {
 	heartbeat := in.Heartbeat
-	n.noteNewTerm(shard, machine, heartbeat)
-	n.noteEpoch(machine, heartbeat)
-	n.noteToken(shard, machine, heartbeat)
+	n.resetForNewTerm(shard, machine, heartbeat)
+	n.resetForNewEpoch(machine, heartbeat)
+	n.updateTokenConfirmed(shard, machine, heartbeat)
 	consecutive := machine.epoch == heartbeat.Epoch && heartbeat.Sequence == machine.sequence+1
-	n.noteHeartbeat(machine, heartbeat)
-	n.placementAt = 0
+	n.recordHeartbeat(machine, heartbeat)
+	n.ownerPassAt = 0
 	ignoredBefore := machine.ignoredReplies
 	commands := n.reconcile(shard, machine, heartbeat)
 	if machine.leaseExpiring {
@@ -56,7 +56,7 @@
 	if consecutive && machine.ignoredReplies == ignoredBefore && len(n.cfg.Members) > 1 && machine.tokenConfirmed {
 		machine.ignoredReplies = 0 // it did not try a peer in between, so it received the last reply
 	}
-	n.noteResponsiveness(shard, machine, ignoredBefore)
+	n.updateResponsiveness(shard, machine, ignoredBefore)
 	if delay := n.replyDelayFor(machine, heartbeat, commands); delay > 0 {
 		n.delayReply(in, shard, machine, delay)
 		return
@@ -69,8 +69,8 @@
 	n.emit(Reply{RequestID: requestID, Status: http.StatusServiceUnavailable, Body: wire.Error{Error: reason}})
 }
 
-// noteNewTerm resets the state of a machine at its first heartbeat in the shard's current term.
-func (n *Node) noteNewTerm(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
+// resetForNewTerm resets the state of a machine at its first heartbeat in the shard's current term.
+func (n *Node) resetForNewTerm(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	firstReports := heartbeat.Epoch == 1 && heartbeat.Sequence <= 2
 	if machine.term == shard.Term {
 		machine.newlyBooted = machine.newlyBooted && firstReports
@@ -90,9 +90,9 @@
 	n.ownViewsAt = 0
 }
 
-// noteEpoch discards what was sent to a machine in the previous epoch when its worker has
+// resetForNewEpoch discards what was sent to a machine in the previous epoch when its worker has
 // begun a new one.
-func (n *Node) noteEpoch(machine *machine, heartbeat *wire.WorkerHeartbeat) {
+func (n *Node) resetForNewEpoch(machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	if machine.epoch == heartbeat.Epoch {
 		return
 	}
@@ -109,9 +109,9 @@
 	machine.leaseExpiring = false
 }
 
-// noteToken records whether a worker has the current token, and counts replies after which it
-// still has not.
-func (n *Node) noteToken(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
+// updateTokenConfirmed records whether a worker has the current token, and counts replies after
+// which it still has not.
+func (n *Node) updateTokenConfirmed(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
 		n.ownViewsAt = 0
@@ -120,9 +120,9 @@
 	}
 }
 
-// noteHeartbeat records when a machine has sent a heartbeat, its sequence number, and a notice
+// recordHeartbeat records when a machine has sent a heartbeat, its sequence number, and a notice
 // that the cloud will reclaim the machine.
-func (n *Node) noteHeartbeat(machine *machine, heartbeat *wire.WorkerHeartbeat) {
+func (n *Node) recordHeartbeat(machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	machine.epoch = heartbeat.Epoch
 	machine.sequence = heartbeat.Sequence
 	machine.heartbeatAt = n.now
@@ -134,9 +134,9 @@
 	}
 }
 
-// noteResponsiveness records whether replies reach a machine's worker, and has the
+// updateResponsiveness records whether replies reach a machine's worker, and has the
 // machine's view sent to the peers at once when that or the number of ignored replies has changed.
-func (n *Node) noteResponsiveness(shard *shard, machine *machine, ignoredBefore int) {
+func (n *Node) updateResponsiveness(shard *shard, machine *machine, ignoredBefore int) {
 	unresponsive := machine.ignoredReplies >= maxIgnoredReplies && !n.manyUnresponsive(shard)
 	if unresponsive == machine.unresponsive && machine.ignoredReplies == ignoredBefore {
 		return
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// redirectedTime is how long a machine counts as misdirected after its last redirect.
-	redirectedTime = 12 * second
+	// redirectRetention is how long a machine counts as misdirected after its last redirect.
+	redirectRetention = 12 * second
 	// A worker that sends a heartbeat here again within these times of a redirect has failed to
 	// reach its owner. Sooner, it can't have tried the owner yet; later, it has another reason.
 	minBounceTime = 700 * time.Millisecond
 	maxBounceTime = 15 * second
-	// bounceGap is the time between two bounces beyond which the later one begins a new series.
-	bounceGap = 12 * second
+	// bounceSeriesGap is the time between two bounces beyond which the later one begins a new
+	// series.
+	bounceSeriesGap = 12 * second
 )
 
 // redirect answers a heartbeat of a machine that this controller does not own with the name of
@@ -28,7 +29,7 @@
 		return
 	}
 	if !late {
-		n.noteRedirect(shard, machine)
+		n.recordRedirect(shard, machine)
 	}
 	if !machine.misdirectedListed {
 		machine.misdirectedListed = true
@@ -37,14 +38,14 @@
 	n.emit(Reply{RequestID: requestID, Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Owner: shard.Record.Owner}})
 }
 
-// noteRedirect records that a worker is redirected to its owner, and a bounce if the worker
+// recordRedirect records that a worker is redirected to its owner, and a bounce if the worker
 // apparently can't reach the owner: it was redirected before and has bounced, or the owner
 // reports that heartbeats are missing. Bounces count as evidence for taking over the shard.
-func (n *Node) noteRedirect(shard *shard, machine *machine) {
+func (n *Node) recordRedirect(shard *shard, machine *machine) {
 	away := n.now - machine.redirectedAt
 	bounced := machine.redirectedAt > 0 && away > minBounceTime && away < maxBounceTime
-	if n.storeOK && (bounced || n.ownerMissesMachine(shard, machine)) && !n.ownerHearsMachine(shard, machine) {
-		if machine.bouncedAt == 0 || n.now-machine.bouncedAt > bounceGap {
+	if n.storeOK && (bounced || n.ownerMissesHeartbeats(shard, machine)) && !n.ownerReceivesHeartbeats(shard, machine) {
+		if machine.bouncedAt == 0 || n.now-machine.bouncedAt > bounceSeriesGap {
 			machine.bouncingSince = n.now
 		}
 		machine.bouncedAt = n.now
@@ -52,9 +53,9 @@
 	machine.redirectedAt = n.now
 }
 
-// isRedirectedCopy reports whether a heartbeat that arrived at a controller that is not the
+// isMisdirectedCopy reports whether a heartbeat that arrived at a controller that is not the
 // owner is a copy of an earlier one.
-func (m *machine) isRedirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
+func (m *machine) isMisdirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
 	if m.misdirectedEpoch > heartbeat.Epoch ||
 		m.misdirectedEpoch == heartbeat.Epoch && m.misdirectedSequence >= heartbeat.Sequence {
 		return true
@@ -63,11 +64,11 @@
 	return false
 }
 
-// ownerHearsMachine reports whether a machine's owner is reachable and reports that it receives
-// the machine's heartbeats. Then a heartbeat that arrives here is a late copy, or only the
-// owner's replies don't reach the worker. When such copies counted as bounces, two controllers
-// kept taking shards from each other for as long as copies arrived.
-func (n *Node) ownerHearsMachine(shard *shard, machine *machine) bool {
+// ownerReceivesHeartbeats reports whether a machine's owner is reachable and reports that it
+// receives the machine's heartbeats. Then a heartbeat that arrives here is a late copy, or only the
+// owner's replies don't reach the worker. When such copies counted as bounces, two controllers kept
+// taking shards from each other for as long as copies arrived.
+func (n *Node) ownerReceivesHeartbeats(shard *shard, machine *machine) bool {
 	owner := n.peers[shard.Record.Owner]
 	if owner == nil || n.now-owner.receivedAt > peerAliveTime {
 		return false
@@ -78,10 +79,10 @@
 	return machine.view.missedHeartbeats == 0
 }
 
-// ownerMissesMachine reports whether a machine's owner, having run for at least four heartbeat
+// ownerMissesHeartbeats reports whether a machine's owner, having run for at least four heartbeat
 // intervals, reports that heartbeats of the machine are missing. An owner that has just started
 // has not received any yet, which proves nothing.
-func (n *Node) ownerMissesMachine(shard *shard, machine *machine) bool {
+func (n *Node) ownerMissesHeartbeats(shard *shard, machine *machine) bool {
 	owner := n.peers[shard.Record.Owner]
 	return owner != nil && n.now-owner.receivedAt < peerAliveTime && owner.message.UpS >= 4*n.cfg.HeartbeatInterval.Seconds() &&
 		machine.viewTerm == shard.Term && machine.view.missedHeartbeats > 0
@@ -96,7 +97,7 @@
 	var names []string
 	n.misdirectedMachines = slices.DeleteFunc(n.misdirectedMachines, func(index int) bool {
 		machine := n.machines[index]
-		if machine.redirectedAt == 0 || n.now-machine.redirectedAt >= redirectedTime {
+		if machine.redirectedAt == 0 || n.now-machine.redirectedAt >= redirectRetention {
 			machine.misdirectedListed = false
 			return true
 		}
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -76,9 +76,9 @@
 	return false
 }
 
-// startsWaiting reports whether the records place a task on the machine that its heartbeats
+// hasUnreportedTask reports whether the records place a task on the machine that its heartbeats
 // have not listed.
-func (s *site) startsWaiting(machine *machine) bool {
+func (s *site) hasUnreportedTask(machine *machine) bool {
 	for i := range machine.placements {
 		if _, reported := machine.reportedTasks[machine.placements[i].taskKey]; !reported {
 			return true
@@ -96,7 +96,7 @@
 		term:           shard.Term,
 		until:          n.now + delay,
 	})
-	machine.delayedReplies++
+	machine.delayedReplyCount++
 }
 
 // sendDelayedReplies sends the delayed replies that are due.
@@ -116,14 +116,14 @@
 	if shard.Term != reply.term || !n.mayActAsOwner(shard) ||
 		machine.epoch != reply.Heartbeat.Epoch ||
 		machine.sequence != reply.Heartbeat.Sequence {
-		machine.delayedReplies--
+		machine.delayedReplyCount--
 		n.redirect(reply.RequestID, shard, machine, false)
 		return true
 	}
-	if n.now < reply.until && (n.hasPendingOutcomes(machine) || !n.startsWaiting(machine)) && !machine.draining {
+	if n.now < reply.until && (n.hasPendingOutcomes(machine) || !n.hasUnreportedTask(machine)) && !machine.draining {
 		return false
 	}
-	machine.delayedReplies--
+	machine.delayedReplyCount--
 	if commands := n.reconcile(shard, machine, reply.Heartbeat); !machine.leaseExpiring {
 		n.answerWorker(reply.RequestID, shard, machine, commands)
 	} else {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -32,18 +32,18 @@
 	Revision uint64
 	SeenAt   Time // when the replica first showed the record
 
-	// Held maps, on an owner, each task to the index of the machine that is held for it. It is
-	// nil while nothing is held.
-	Held map[int]int
-	// Agreed is, on the leader, the set of shards whose owners hold capacity.
-	Agreed map[int]bool
+	// HeldMachines maps, on an owner, each task to the index of the machine that is held for it. It
+	// is nil while nothing is held.
+	HeldMachines map[int]int
+	// AgreedShards is, on the leader, the set of shards whose owners hold capacity.
+	AgreedShards map[int]bool
 	// Denied is set when an owner, which may be this controller, has no capacity.
 	Denied bool
 }
 
 // allAgreed reports whether the owners of all shards hold capacity.
 func (a *Attempt) allAgreed() bool {
-	return !slices.ContainsFunc(a.Record.Shards, func(shard int) bool { return !a.Agreed[shard] })
+	return !slices.ContainsFunc(a.Record.Shards, func(shard int) bool { return !a.AgreedShards[shard] })
 }
 
 // Attempts is the set of attempts that have a record in the replica.
@@ -58,7 +58,7 @@
 func (s *Attempts) Put(now Time, key string, record *wire.Gang, revision uint64) {
 	a := s.byKey[key]
 	if a == nil {
-		a = &Attempt{Key: key, JobID: jobID(key), SeenAt: now, Agreed: map[int]bool{}}
+		a = &Attempt{Key: key, JobID: jobID(key), SeenAt: now, AgreedShards: map[int]bool{}}
 		s.byKey[key] = a
 	}
 	if revision > a.Revision {
@@ -102,9 +102,9 @@
 	return attempts
 }
 
-// Receive applies owners' answers to attempts that are being tried, and reports whether there
+// ApplyAnswers applies owners' answers to attempts that are being tried, and reports whether there
 // were any such answers.
-func (s *Attempts) Receive(answers []wire.GangHold) bool {
+func (s *Attempts) ApplyAnswers(answers []wire.GangHold) bool {
 	received := false
 	for _, answer := range answers {
 		a := s.Find(answer.Ref, answer.Attempt)
@@ -113,7 +113,7 @@
 		}
 		received = true
 		if answer.OK {
-			a.Agreed[answer.Part] = true
+			a.AgreedShards[answer.Part] = true
 		} else {
 			a.Denied = true
 		}
@@ -121,17 +121,17 @@
 	return received
 }
 
-// Answers returns this controller's answers, as the owner of shards, to the attempts that are
+// OwnAnswers returns this controller's answers, as the owner of shards, to the attempts that are
 // being tried.
-func (s *Attempts) Answers(owns func(shard int) bool) []wire.GangHold {
+func (s *Attempts) OwnAnswers(owns func(shard int) bool) []wire.GangHold {
 	var answers []wire.GangHold
 	for _, a := range s.Sorted() {
-		if a.Record.State != wire.GangTrying || a.Held == nil && !a.Denied {
+		if a.Record.State != wire.GangTrying || a.HeldMachines == nil && !a.Denied {
 			continue
 		}
 		for _, shard := range a.Record.Shards {
 			if owns(shard) {
-				answers = append(answers, wire.GangHold{Ref: a.JobID, Attempt: a.Record.Attempt, Part: shard, OK: a.Held != nil})
+				answers = append(answers, wire.GangHold{Ref: a.JobID, Attempt: a.Record.Attempt, Part: shard, OK: a.HeldMachines != nil})
 			}
 		}
 	}
--- a/internal/gang/transitions.go
+++ b/internal/gang/transitions.go
@@ -9,17 +9,17 @@
 	leaderDeadline = 4
 )
 
-// Situation is the state that decides about the transition of an attempt, besides the attempt
+// TransitionInput is the state that decides about the transition of an attempt, besides the attempt
 // itself.
-type Situation struct {
+type TransitionInput struct {
 	Age               Time // since the replica first showed the record
 	HeartbeatInterval Time // of the workers
-	// Unplaced is set when the job's record has tasks of the attempt without a machine.
-	Unplaced bool
+	// HasUnplacedTasks is set when the job's record has tasks of the attempt without a machine.
+	HasUnplacedTasks bool
 	// JobLive is set when the job is neither done nor cancelled.
 	JobLive bool
-	// Owner is set when this controller may act as the owner of one of the shards.
-	Owner bool
+	// MayActAsOwner is set when this controller may act as the owner of one of the shards.
+	MayActAsOwner bool
 }
 
 // Action is the next action of the leader or of an owner on an attempt.
@@ -39,41 +39,41 @@
 // first matching row applies.
 type transition struct {
 	state  wire.GangState
-	when   func(*Attempt, Situation) bool
+	guard  func(*Attempt, TransitionInput) bool
 	action Action
 }
 
-func always(*Attempt, Situation) bool { return true }
+func always(*Attempt, TransitionInput) bool { return true }
 
 // leaderTransitions is the leader's transition table. Each write is conditional on the revision of
 // the record, so of a concurrent confirmation and drop one fails.
 var leaderTransitions = []transition{
-	{wire.GangTrying, func(a *Attempt, s Situation) bool { return a.allAgreed() && s.Unplaced && s.JobLive }, Confirm},
-	{wire.GangTrying, func(a *Attempt, _ Situation) bool { return a.Denied }, Drop},
-	{wire.GangTrying, func(_ *Attempt, s Situation) bool { return !s.Unplaced }, Drop},
-	{wire.GangTrying, func(_ *Attempt, s Situation) bool { return s.Age > leaderDeadline*s.HeartbeatInterval }, Drop},
+	{wire.GangTrying, func(a *Attempt, s TransitionInput) bool { return a.allAgreed() && s.HasUnplacedTasks && s.JobLive }, Confirm},
+	{wire.GangTrying, func(a *Attempt, _ TransitionInput) bool { return a.Denied }, Drop},
+	{wire.GangTrying, func(_ *Attempt, s TransitionInput) bool { return !s.HasUnplacedTasks }, Drop},
+	{wire.GangTrying, func(_ *Attempt, s TransitionInput) bool { return s.Age > leaderDeadline*s.HeartbeatInterval }, Drop},
 	{wire.GangDropped, always, Remove},
-	{wire.GangConfirmed, func(_ *Attempt, s Situation) bool { return !s.Unplaced }, Finish},
+	{wire.GangConfirmed, func(_ *Attempt, s TransitionInput) bool { return !s.HasUnplacedTasks }, Finish},
 }
 
 // ownerTransitions is an owner's transition table. It lacks the holding of capacity for an attempt
 // that is being tried and the placing of a confirmed one's tasks, which depend on free capacity.
 var ownerTransitions = []transition{
-	{wire.GangTrying, func(_ *Attempt, s Situation) bool {
-		return s.Age > ownerDeadline*s.HeartbeatInterval && s.Owner
+	{wire.GangTrying, func(_ *Attempt, s TransitionInput) bool {
+		return s.Age > ownerDeadline*s.HeartbeatInterval && s.MayActAsOwner
 	}, Drop},
 	{wire.GangDropped, always, Release},
 }
 
 // LeaderAction returns the leader's next action on an attempt.
-func (a *Attempt) LeaderAction(s Situation) Action { return a.next(leaderTransitions, s) }
+func (a *Attempt) LeaderAction(s TransitionInput) Action { return a.next(leaderTransitions, s) }
 
 // OwnerAction returns an owner's next action on an attempt.
-func (a *Attempt) OwnerAction(s Situation) Action { return a.next(ownerTransitions, s) }
+func (a *Attempt) OwnerAction(s TransitionInput) Action { return a.next(ownerTransitions, s) }
 
-func (a *Attempt) next(table []transition, s Situation) Action {
+func (a *Attempt) next(table []transition, s TransitionInput) Action {
 	for _, row := range table {
-		if row.state == a.Record.State && row.when(a, s) {
+		if row.state == a.Record.State && row.guard(a, s) {
 			return row.action
 		}
 	}
