--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -86,9 +86,9 @@
 		n.advanceOwnedGang(writer, job, attempt, ownTasks, slots)
 		return
 	}
-	whole := !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Shard != ownTasks[0].Shard || task.Machine != "" })
+	inOneShard := !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Shard != ownTasks[0].Shard || task.Machine != "" })
 	key := taskKey{job.Index, ownTasks[0].Task, attemptNumber}
-	if !whole {
+	if !inOneShard {
 		// The replica does not show the attempt's record yet, or it has been removed already.
 		if n.grantTimedOut(key) {
 			if record := writer.job(job); record != nil {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -61,11 +61,11 @@
 }
 
 // misdirectedHeartbeats holds what a controller records about heartbeats from a machine that it
-// does not own. A worker bounces when it sends a heartbeat to this controller again after it was
-// redirected to the owner, which it apparently can't reach.
+// does not own. A bounce is such a heartbeat that shows that the worker can't reach the owner; see
+// recordRedirect.
 type misdirectedHeartbeats struct {
 	redirectedAt        Time   // when it was last redirected to its owner; 0: it was not
-	bouncedAt           Time   // when it last bounced; 0: it did not
+	bouncedAt           Time   // time of the last bounce; 0: none
 	bouncingSince       Time   // when the current series of bounces began
 	misdirectedListed   bool   // it is in gossipState.misdirectedMachines
 	misdirectedEpoch    uint64 // of the newest heartbeat received by this controller
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// Outcomes that were stored in one term are discarded in the next.
+// Outcomes that were queued in one term are discarded in the next.
 func TestOutcomesAreDiscardedInNewTerm(t *testing.T) {
 	d, _ := newOwnerHarness(t)
 	d.put(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -91,7 +91,7 @@
 // the job's record, or nil.
 func (r *reconciliation) reconcileExitedTask(status *wire.TaskStatus, key taskKey, active *wire.ActiveTask) {
 	if active != nil {
-		r.node.storeTaskExit(r.machine, key, status)
+		r.node.recordTaskExit(r.machine, key, status)
 		return
 	}
 	if _, direct := r.machine.directStarts[key]; direct {
@@ -134,17 +134,17 @@
 	r.startIgnored = r.startIgnored || sent && absent
 	switch {
 	case r.heartbeat.Epoch > placed.epoch:
-		n.storeOutcome(machine, key, causeLost)
+		n.queueOutcome(machine, key, causeLost)
 	case job.Record.State != wire.JobLive || placed.stop != wire.StopNone || machine.reclaimAt > 0:
 		if absent {
-			n.storeOutcome(machine, key, causeLost)
+			n.queueOutcome(machine, key, causeLost)
 		} else if startedDirectly {
 			n.enforceDirectStartDeadline(machine, job, direct)
 		}
 	case absent && sent && machine.ignoredReplies >= maxIgnoredReplies-1:
 		// The worker keeps reporting but does not execute the start. The heartbeat is newer
 		// than the reply with the start and lacks the task, and the start is not sent again.
-		n.storeOutcome(machine, key, causeLost)
+		n.queueOutcome(machine, key, causeLost)
 	case n.delaysGangStart(job, n.activeTask(key, machine.name)):
 	default:
 		r.addCommand(wire.CommandStart, wire.TaskName(job.ID, key.task), key.attempt, 0)
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// discardOutcomes deletes the outcomes of a shard's tasks that were not written in the term in which
-// they were stored. Another owner may have served the machines since then, and applying the
+// discardOutcomes deletes the outcomes of a shard's tasks that were not written in the term in
+// which they were queued. Another owner may have served the machines since then, and applying the
 // outcomes in a later term would start tasks a second time that are still running.
 func (n *Node) discardOutcomes(shard *shard) {
 	for key, outcome := range n.outcomes {
@@ -126,8 +126,8 @@
 	return e
 }
 
-// peerRefusalDuration returns how long the state service has refused a peer while it has served this
-// controller. The time counts from the later of both, as an outage does not end for all
+// peerRefusalDuration returns how long the state service has refused a peer while it has served
+// this controller. The time counts from the later of both, as an outage does not end for all
 // controllers at the same time.
 func (n *Node) peerRefusalDuration(name string) Time {
 	peer := n.peers[name]
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -26,7 +26,7 @@
 		for i := range machine.placements {
 			placed := &machine.placements[i]
 			if _, known := n.outcomes[placed.taskKey]; !known && placed.shard == shard.Index {
-				n.storeOutcome(machine, placed.taskKey, causeLost)
+				n.queueOutcome(machine, placed.taskKey, causeLost)
 				n.log(LogInfo, "task lost", "job", n.jobs[placed.job].ID, "task", placed.task, "machine", machine.name)
 			}
 		}
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -14,10 +14,10 @@
 	machine string
 	cause   string // an exit cause of package wire, or causeLost
 	at      Time
-	term    uint64 // of the shard when the outcome was recorded
+	term    uint64 // of the shard when the outcome was queued
 }
 
-// taskOutcomes holds the outcomes of tasks that are not in their jobs' records yet.
+// taskOutcomes holds the outcomes of tasks that are queued to be written to their jobs' records.
 type taskOutcomes map[taskKey]taskOutcome
 
 // causeLost is the cause of a task that no machine runs or reports any more.
@@ -42,18 +42,18 @@
 	maxFailedMachines = 4
 )
 
-// storeOutcome stores the outcome of a task on a machine, to be written to the job's record.
-func (n *Node) storeOutcome(machine *machine, key taskKey, cause string) {
+// queueOutcome queues the outcome of a task on a machine to be written to the job's record.
+func (n *Node) queueOutcome(machine *machine, key taskKey, cause string) {
 	n.outcomes[key] = taskOutcome{machine.name, cause, n.now, machine.shardTerm(n)}
 }
 
-// storeTaskExit stores the outcome of a task that its machine has reported as exited, and updates
+// recordTaskExit queues the outcome of a task that its machine has reported as exited, and updates
 // the state of the machine accordingly.
-func (n *Node) storeTaskExit(machine *machine, key taskKey, status *wire.TaskStatus) {
+func (n *Node) recordTaskExit(machine *machine, key taskKey, status *wire.TaskStatus) {
 	if _, known := n.outcomes[key]; known {
 		return
 	}
-	n.storeOutcome(machine, key, status.ExitCause)
+	n.queueOutcome(machine, key, status.ExitCause)
 	job := n.jobs[key.job]
 	switch status.ExitCause {
 	case wire.CauseDone:
@@ -115,7 +115,7 @@
 	writer         *writer
 	slots          *lazySlots
 	records        *recordCapacity
-	firstOutcomeAt map[int]Time // by job: when the first of its unwritten outcomes was stored
+	firstOutcomeAt map[int]Time // by job: when the first of its unwritten outcomes was queued
 }
 
 // applyOutcomes adds the outcomes of tasks to the transaction, either the urgent ones or the
@@ -138,7 +138,7 @@
 		}
 		task := n.activeTask(key, outcome.machine)
 		if task == nil || !n.mayActAsOwner(n.shards[task.Shard]) || n.shards[task.Shard].Term != outcome.term {
-			delete(n.outcomes, key) // already written, or stored in an earlier term
+			delete(n.outcomes, key) // already written, or queued in an earlier term
 			continue
 		}
 		if !pass.records.mayRemove(key, outcome.machine) {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -70,6 +70,7 @@
 }
 
 // resetForNewTerm resets the state of a machine at its first heartbeat in the shard's current term.
+// Later heartbeats of the term only end newlyBooted.
 func (n *Node) resetForNewTerm(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	firstReports := heartbeat.Epoch == 1 && heartbeat.Sequence <= 2
 	if machine.term == shard.Term {
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -39,12 +39,12 @@
 }
 
 // recordRedirect records that a worker is redirected to its owner, and a bounce if the worker
-// apparently can't reach the owner: it was redirected before and has bounced, or the owner
-// reports that heartbeats are missing. Bounces count as evidence for taking over the shard.
+// apparently can't reach the owner: it was redirected shortly before, or the owner reports
+// that heartbeats are missing. Bounces count as evidence for taking over the shard.
 func (n *Node) recordRedirect(shard *shard, machine *machine) {
-	away := n.now - machine.redirectedAt
-	bounced := machine.redirectedAt > 0 && away > minBounceTime && away < maxBounceTime
-	if n.storeOK && (bounced || n.ownerMissesHeartbeats(shard, machine)) && !n.ownerReceivesHeartbeats(shard, machine) {
+	sinceRedirect := n.now - machine.redirectedAt
+	redirectedBefore := machine.redirectedAt > 0 && sinceRedirect > minBounceTime && sinceRedirect < maxBounceTime
+	if n.storeOK && (redirectedBefore || n.ownerMissesHeartbeats(shard, machine)) && !n.ownerReceivesHeartbeats(shard, machine) {
 		if machine.bouncedAt == 0 || n.now-machine.bouncedAt > bounceSeriesGap {
 			machine.bouncingSince = n.now
 		}
