--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -50,9 +50,9 @@
 	// owner's term. A new machine confirms it with its second heartbeat. A machine that is only
 	// known from a delayed message never confirms it.
 	maxUnconfirmedTime = 3 * second
-	// ownerSilenceTimeout is the time without messages from an owner after which it is considered
+	// ownerMessageTimeout is the time without messages from an owner after which it is considered
 	// reachable through the state service only.
-	ownerSilenceTimeout = 5 * second
+	ownerMessageTimeout = 5 * second
 )
 
 // runSchedulingPass grants waiting tasks to shards in queue order, and decides which machines to
@@ -125,7 +125,7 @@
 		return nil
 	}
 	owner := n.peers[shard.Record.Owner]
-	if shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.receivedAt > ownerSilenceTimeout) {
+	if shard.Record.Owner != n.cfg.Self && (owner == nil || n.now-owner.receivedAt > ownerMessageTimeout) {
 		if owner != nil && n.now-owner.receivedAt > 3*n.cfg.WorkerLease ||
 			n.now-shard.ChangedAt > 3*n.cfg.WorkerLease && machine.viewTerm != shard.Term {
 			return nil
