--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -7,18 +7,14 @@
 	"micaport/internal/wire"
 )
 
-// Grants: active tasks that the leader has assigned to a shard. Its owner chooses their
-// machines.
-
-// grantTimeout is how long an owner looks for room for a grant before it
-// gives it back.
+// grantTimeout is how long an owner tries to place a grant before it revokes it.
 const grantTimeout = 2500 * time.Millisecond
 
-// grantTimes are the times at which an owner first looked for room for grants.
+// grantTimes holds, for each waiting grant, when its owner first could not place it.
 type grantTimes map[taskKey]Time
 
-// timedOut reports whether a grant has waited too long for room. It counts from the
-// first call for the grant.
+// timedOut reports whether a grant has waited for capacity for longer than grantTimeout, counted
+// from the first call for that grant.
 func (g grantTimes) timedOut(key taskKey, now Time) bool {
 	at, seen := g[key]
 	if !seen {
@@ -28,14 +24,15 @@
 	return now-at > grantTimeout
 }
 
-// placeGranted chooses machines for the tasks granted to this controller's shards.
-func (n *Node) placeGranted(writer *writer, room *lazySlots) {
+// placeGranted chooses machines for the grants of this controller's shards. A grant is an active
+// task that the leader has assigned to a shard; the owner of the shard chooses the machine.
+func (n *Node) placeGranted(writer *writer, ownSlots *lazySlots) {
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
 		if job.Unplaced == 0 || n.leader.batch.changes(job) || !slices.ContainsFunc(job.Record.ActiveTasks, n.isOwnGrant) {
 			continue
 		}
-		n.placeJob(writer, job, room.slots(n))
+		n.placeJob(writer, job, ownSlots.slots(n))
 	}
 }
 
@@ -45,6 +42,8 @@
 	return task.Machine == "" && s.mayActAsOwner(s.shards[task.Shard])
 }
 
+// placeJob chooses machines for the grants of one job. It revokes grants that have timed out, and
+// all of them if the job is no longer live.
 func (n *Node) placeJob(writer *writer, job *job, slots *slotSet) {
 	spec := job.Record.Spec
 	if job.Record.State != wire.JobLive {
@@ -57,18 +56,18 @@
 		n.placeGang(writer, job, slots)
 		return
 	}
-	room := newRecordCapacity(n, writer)
+	capacity := newRecordCapacity(n, writer)
 	var chosen *slot
 	for i := range job.Record.ActiveTasks {
 		task := &job.Record.ActiveTasks[i]
 		if !n.isOwnGrant(*task) {
 			continue
 		}
-		// Neighbours among the tasks of a large array go to one machine, so that its
-		// record holds them as a run.
+		// Consecutive tasks of a large array are placed on the same machine while they
+		// fit, so that the record stores them as one run.
 		if !job.LargeArray || chosen == nil || chosen.shard != task.Shard || !chosen.fits(spec) {
 			chosen = slots.best(job, func(candidate *slot) bool { return candidate.shard == task.Shard }, nil)
-			if chosen != nil && !room.mayAdd(job) {
+			if chosen != nil && !capacity.mayAdd(job) {
 				chosen = nil
 			}
 		}
@@ -89,7 +88,7 @@
 	}
 }
 
-// assignMachine puts a granted task on a machine.
+// assignMachine records the machine chosen for a granted task.
 func assignMachine(record *wire.Job, task *wire.ActiveTask, machine *machine) {
 	for i := range record.ActiveTasks {
 		if other := &record.ActiveTasks[i]; other.Task == task.Task && other.Attempt == task.Attempt {
@@ -99,14 +98,15 @@
 	}
 }
 
-// revokeGrant removes a grant that was never placed.
+// revokeGrant removes a grant that has no machine from the record.
 func revokeGrant(record *wire.Job, task *wire.ActiveTask) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(other wire.ActiveTask) bool {
 		return other.Task == task.Task && other.Attempt == task.Attempt && other.Machine == ""
 	})
 }
 
-// revokeUnplaced removes the grants to this controller's shards that were never placed.
+// revokeUnplaced removes from the record all grants of this controller's shards that have no
+// machine.
 func (n *Node) revokeUnplaced(writer *writer, record *wire.Job) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		own := n.isOwnGrant(task)
@@ -117,10 +117,10 @@
 	})
 }
 
-// forgetPlacedGrants drops the times of grants that have been placed or given
-// back. It is called at intervals; the memory is bounded by the grants that wait. A limit
-// on their number would limit the site: when it was reached all times were dropped,
-// so that with more grants waiting than it none ever timed out.
+// forgetPlacedGrants deletes the times of grants that have been placed or revoked. It is called
+// periodically, so the number of waiting grants bounds the memory. A fixed limit would restrict
+// the size of the site: clearing all times at a limit kept every grant from timing out while
+// more grants were waiting than the limit.
 func (n *Node) forgetPlacedGrants() {
 	for key := range n.grantSeenAt {
 		if !n.jobs[key.job].awaitsPlacement(key) {
@@ -136,5 +136,5 @@
 	})
 }
 
-// grantTimedOut reports whether a grant has waited too long for room.
+// grantTimedOut reports whether a grant has waited for capacity for longer than grantTimeout.
 func (n *Node) grantTimedOut(key taskKey) bool { return n.grantSeenAt.timedOut(key, n.now) }
--- a/internal/core/owned_capacity.go
+++ b/internal/core/owned_capacity.go
@@ -2,18 +2,18 @@
 
 import "micaport/internal/wire"
 
-// lazySlots is the room on this controller's machines, computed when it is first used.
+// lazySlots holds the slots of this controller's machines, which are computed on first use.
 type lazySlots struct{ set *slotSet }
 
-func (r *lazySlots) slots(n *Node) *slotSet {
-	if r.set == nil {
-		r.set = n.ownedSlots()
+func (l *lazySlots) slots(n *Node) *slotSet {
+	if l.set == nil {
+		l.set = n.ownedSlots()
 	}
-	return r.set
+	return l.set
 }
 
-// ownedSlots lists the room on the machines of this controller's shards, less what is
-// reserved for gangs and what its scheduler is about to place there.
+// ownedSlots returns the free capacity of the machines in this controller's shards, less what is
+// held for gangs and less the placements of its own scheduler that are not committed yet.
 func (n *Node) ownedSlots() *slotSet {
 	slots := newSlotSet(n)
 	for _, shard := range n.shards {
@@ -35,7 +35,7 @@
 	return slots
 }
 
-// ownedSlot is the room on a machine, or nil.
+// ownedSlot returns the free capacity of a machine, or nil if the machine's type is not known.
 func (n *Node) ownedSlot(machine *machine) *slot {
 	slot := n.slotOf(machine)
 	if slot == nil {
@@ -44,8 +44,8 @@
 	if job, reserved := n.reserved.jobOf(machine.index, n.now); reserved {
 		slot.reservedFor = job + 1
 	}
-	// A task that has ended leaves its room though its record still shows it: the new
-	// placement goes into the same write as the end.
+	// The capacity of a task that has ended is free although the record still lists the task:
+	// a new placement is written in the same transaction as the removal of the task.
 	for i := range machine.placements {
 		placed := &machine.placements[i]
 		if _, ended := n.outcomes[placed.taskKey]; ended && n.jobs[placed.job].Record.Spec != nil {
@@ -55,18 +55,18 @@
 	return slot
 }
 
-// subtractPendingPlacements subtracts what this controller, as the leader, has placed in a
-// transaction that is under way.
+// subtractPendingPlacements subtracts the capacity of tasks that this controller, as the leader,
+// has placed in a transaction that is not committed yet.
 func (n *Node) subtractPendingPlacements(slots *slotSet) {
 	if !n.leader.batch.active {
 		return
 	}
-	taken := map[*machine][]*wire.JobSpec{}
+	pendingSpecs := map[*machine][]*wire.JobSpec{}
 	for _, pending := range n.leader.pendingPlacements {
-		taken[pending.machine] = append(taken[pending.machine], pending.spec)
+		pendingSpecs[pending.machine] = append(pendingSpecs[pending.machine], pending.spec)
 	}
 	for _, slot := range slots.all {
-		for _, spec := range taken[slot.machine] {
+		for _, spec := range pendingSpecs[slot.machine] {
 			slot.allocate(spec)
 		}
 	}
--- a/internal/core/placement_score.go
+++ b/internal/core/placement_score.go
@@ -6,34 +6,35 @@
 	"micaport/internal/wire"
 )
 
-// Weights of the placement score, in seconds of waiting that a choice costs, roughly.
+// Weights of the placement score. Each approximates, in seconds, how much longer tasks wait
+// because of a choice.
 const (
-	// freeGPUCost, for each GPU that stays free beside the task, packs tasks, so that whole
-	// machines stay free for gangs.
+	// freeGPUCost applies to each GPU that stays free beside the task. It packs tasks, so that
+	// whole machines stay free for gangs.
 	freeGPUCost = 3
 	// idleOnDemandCost keeps tasks that may run on spot machines off idle on-demand ones.
 	idleOnDemandCost = 40
-	// busyOnDemandBonus draws such tasks to on-demand machines that are in use: these stay up
-	// anyway, while a spot machine may be drained.
+	// busyOnDemandBonus prefers on-demand machines that are in use for such tasks: these
+	// machines stay up anyway, while a spot machine may be drained.
 	busyOnDemandBonus = 4
-	// firstDaemonCost puts a daemon beside another rather than on a machine without: daemons
-	// stay long, and two on one machine leave another free.
+	// firstDaemonCost places a daemon on a machine that already runs one: daemons run for a
+	// long time, and two on one machine leave another machine free.
 	firstDaemonCost = 5
-	// errorCost counts for each task that has failed on the machine since its last success.
+	// errorCost applies to each job that has failed on the machine since its last success.
 	errorCost = 100
-	// failedJobCost makes a machine that has failed the job the last choice.
+	// failedJobCost makes a machine on which the job has failed the last choice.
 	failedJobCost = 500
 
-	// defaultFetchGBs is the rate of image fetches, in GB/s, where the type does not say.
+	// defaultFetchGBs is the rate of image fetches, in GB/s, for machine types without one.
 	defaultFetchGBs = 0.1
-	// fetchSharing divides the size of the images that are already being fetched: whether
-	// they share the rate differs between sites.
+	// fetchSharing divides the size of the images that are already being fetched. They count
+	// only in part, since it depends on the site whether concurrent fetches share the rate.
 	fetchSharing = 3
-	// fetchUnderWay divides the time of a fetch that another task has begun.
+	// fetchUnderWay divides the time of a fetch that another task has already started.
 	fetchUnderWay = 2
 )
 
-// fetchSeconds is how long the image of a job would take to reach the machine.
+// fetchSeconds estimates how long the machine would take to fetch the image of a job.
 func (s *site) fetchSeconds(job *job, slot *slot) float64 {
 	if slot.images.Has(job.Image) {
 		return 0
@@ -72,8 +73,8 @@
 	return score
 }
 
-// zoneTasks counts a job's active tasks in each zone. Tasks of old attempts count until they
-// are proven gone.
+// zoneTasks counts a job's active tasks in each zone. Tasks of earlier attempts count until it
+// is certain that they have ended.
 func (s *site) zoneTasks(record *wire.Job) []int {
 	tasks := make([]int, s.names.Zones.Len())
 	for i := range record.ActiveTasks {
@@ -82,8 +83,8 @@
 	return tasks
 }
 
-// zoneLimit is how many tasks of a job one zone may hold: half of them, rounded up, if they
-// are to be spread.
+// zoneLimit returns how many tasks of a job may run in one zone: half of them, rounded up, if
+// the job is to be spread over zones, else all.
 func zoneLimit(spec *wire.JobSpec) int {
 	if spec.Spread {
 		return (spec.TaskCount + 1) / 2
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -2,10 +2,12 @@
 
 import "slices"
 
-// Bounds of a search: how many slots with the job's image that fit are compared, and how many
-// are compared and looked at in one class, whose slots differ little.
+// Bounds of a search. A search examines slots and compares the scores of those that fit.
 const (
-	maxCompared        = 12
+	// maxCompared bounds the compared slots that have the job's image.
+	maxCompared = 12
+	// maxComparedInClass and maxExamined bound the compared and the examined slots of each
+	// class: slots of one class differ little.
 	maxComparedInClass = 3
 	maxExamined        = 96
 )
@@ -14,15 +16,15 @@
 type slotSearch struct {
 	set       *slotSet
 	job       *job
-	accept    func(*slot) bool    // of a class; nil: any
-	penalty   func(*slot) float64 // added to the score; nil: nothing
+	accept    func(*slot) bool    // same result for all slots of a class; nil: accepts any slot
+	penalty   func(*slot) float64 // added to the score; same result for a class; nil: none
 	best      *slot
 	bestScore float64
 }
 
-// best returns the slot with the lowest score for a task, or nil if none fits. What accept
-// (nil: any) says of a slot must hold for its whole class, and so must what penalty (nil:
-// nothing) adds to its score.
+// best returns the slot with the lowest score for a task, or nil if none fits. Only slots for
+// which accept returns true are considered (nil: all), and the result of penalty is added to
+// the score (nil: nothing). Both must return the same result for all slots of a class.
 func (s *slotSet) best(job *job, accept func(*slot) bool, penalty func(*slot) float64) *slot {
 	search := &slotSearch{set: s, job: job, accept: accept, penalty: penalty}
 	search.compareWithImage()
@@ -34,7 +36,7 @@
 	return search.best
 }
 
-// compare takes a slot as the best if its score is lower than the best so far.
+// compare makes a slot the best one if its score is lower than the best score so far.
 func (s *slotSearch) compare(candidate *slot) {
 	score := s.set.node.score(s.job, candidate)
 	if s.penalty != nil {
@@ -45,8 +47,8 @@
 	}
 }
 
-// compareWithImage compares slots that have the job's image, and drops full ones from the
-// list of these.
+// compareWithImage compares slots that have the job's image, and removes full slots from the
+// list of that image.
 func (s *slotSearch) compareWithImage() {
 	spec := s.job.Record.Spec
 	key := imageList{s.job.Image, spec.GPUs <= 0}
@@ -71,7 +73,8 @@
 	s.set.byImage[key] = remaining
 }
 
-// mayFit reports whether slots of a class can have the capacity for the task.
+// mayFit reports whether slots of a class may have the capacity for the task and the job may
+// run on them.
 func (s *slotSearch) mayFit(class slotClass) bool {
 	gpus := s.job.Record.Spec.GPUs
 	if class.noGPU && gpus > 0 && s.set.node.machineTypes[class.machineType].GPUs > 0 {
@@ -80,8 +83,8 @@
 	return float64(class.gpus)+1 >= gpus && s.job.Allows(class.machineType, class.zone, class.spot)
 }
 
-// compareInClass compares a few slots of a class, and drops from its list those that it comes
-// upon which have another class by now.
+// compareInClass compares a few slots of a class. Slots that are full or now belong to another
+// class are removed from the list of the class when they are examined.
 func (s *slotSearch) compareInClass(class slotClass) {
 	spec, list := s.job.Record.Spec, s.set.open[class]
 	compared, examined := 0, 0
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -10,41 +10,41 @@
 // slot is the free capacity of a machine that is up, booting, or planned to be provisioned.
 type slot struct {
 	machine               *machine // nil for a machine that is not up
-	shard                 int      // -1 while unknown
+	shard                 int      // index; -1 while unknown
 	zone, machineType     int      // indices of the names
 	spot                  bool
 	cores, gpus, memoryGB float64
 	typeInfo              *wire.MachineType
 
-	// What tasks that have been told to stop will release.
+	// Capacity that will be released by tasks with a pending stop request.
 	releasingCores, releasingGPUs, releasingMemoryGB float64
 
-	daemon      bool // a daemon keeps the machine from being drained anyway
+	daemon      bool // the machine runs a daemon, so it is not drained anyway
 	reserved    bool // for a gang that still waits for more machines
-	reservedFor int  // index of the only job that may use it plus one; 0: any job
+	reservedFor int  // index of the only job that may use the slot, plus one; 0: any job
 	images      indexset.Set
 	fetchGB     float64 // size of the images being fetched, which share the rate
-	errors      int     // failed tasks since the last success
+	errors      int     // jobs that failed on the machine since its last success
 
-	set      *slotSet    // nil: in none
-	class    slotClass   // as listed in the set
-	listedIn []slotClass // the lists of the set that it stands in, some out of date
+	set      *slotSet    // the set that the slot has been added to, or nil
+	class    slotClass   // under which the set lists it
+	listedIn []slotClass // all classes whose lists contain it, including outdated ones
 }
 
-// noteFetch notes that a task's image will be fetched here.
+// noteFetch adds the image of a job to the fetches of the machine unless it has the image.
 func (s *slot) noteFetch(job *job) {
 	if !s.images.Has(job.Image) {
 		s.fetchGB += job.Record.Spec.ImageGB
 	}
 }
 
-// fits reports whether there is free capacity for one more task.
+// fits reports whether the free capacity suffices for one more task.
 func (s *slot) fits(spec *wire.JobSpec) bool {
 	return !s.reserved && spec.Cores <= s.cores+epsilon && spec.GPUs <= s.gpus+epsilon && spec.MemoryGB <= s.memoryGB+epsilon
 }
 
-// fitsAfterRelease reports whether there will be capacity for one more task once all tasks
-// that have been told to stop have ended.
+// fitsAfterRelease reports whether the capacity will suffice for one more task once all tasks
+// with a pending stop request have ended.
 func (s *slot) fitsAfterRelease(spec *wire.JobSpec) bool {
 	return !s.reserved && spec.Cores <= s.cores+s.releasingCores+epsilon &&
 		spec.GPUs <= s.gpus+s.releasingGPUs+epsilon &&
@@ -64,7 +64,7 @@
 	}
 }
 
-// capacityFor is how many tasks fit, at most maxRunLength.
+// capacityFor returns how many tasks fit, at most maxRunLength.
 func (s *slot) capacityFor(spec *wire.JobSpec) int {
 	tasks := maxRunLength
 	for _, resource := range [...]struct{ free, needed float64 }{{s.cores, spec.Cores}, {s.gpus, spec.GPUs}, {s.memoryGB, spec.MemoryGB}} {
@@ -80,19 +80,19 @@
 	return s.cores > s.typeInfo.Cores-epsilon && s.gpus > s.typeInfo.GPUs-epsilon
 }
 
-// isFull reports whether nothing is left for a task without GPUs, or else for one with
-// GPUs. A machine whose GPUs are all in use still serves the former: otherwise such tasks
-// would go to machines with free GPUs, which then could neither be drained nor take
-// whole-machine work.
+// isFull reports whether the machine has no capacity left, either for tasks without GPUs or, if
+// withoutGPU is false, for tasks with GPUs. A machine whose GPUs are all in use still accepts
+// tasks without GPUs: otherwise these would be placed on machines with free GPUs, which then
+// could neither be drained nor run whole-machine tasks.
 func (s *slot) isFull(withoutGPU bool) bool {
 	return s.cores <= epsilon || !withoutGPU && s.typeInfo.GPUs > 0 && s.gpus <= epsilon
 }
 
-// maxAvoidedMachines is up to how many machines that have failed a job are avoided. When as
-// many have failed it, the job is at fault rather than the machines.
+// maxAvoidedMachines is the number of machines up to which a job avoids those on which it has
+// failed. If it has failed on more, the job is at fault rather than the machines.
 const maxAvoidedMachines = 2
 
-// accepts reports whether a job's tasks may run on the machine at all, whatever its capacity.
+// accepts reports whether a job's tasks may run on the machine, regardless of its free capacity.
 func (s *slot) accepts(job *job) bool {
 	if s.reservedFor > 0 && s.reservedFor != job.Index+1 {
 		return false
@@ -118,42 +118,42 @@
 		images: machine.images, errors: machine.view.errors, fetchGB: s.pendingFetchGB(machine)}
 }
 
-// slotClass is what slots have in common for a choice among them.
+// slotClass groups slots that are nearly equivalent for the choice of a machine.
 type slotClass struct {
-	shard, zone, machineType, gpus int  // of free GPUs the whole ones
-	spot, idle, daemon, faulty     bool // faulty: it has failed a task
-	noGPU                          bool // no GPU is free, not even part of one
+	shard, zone, machineType, gpus int  // gpus: free GPUs, whole ones only
+	spot, idle, daemon, faulty     bool // faulty: a job has failed on the machine since its last success
+	noGPU                          bool // no GPU is free, not even a fraction of one
 }
 
-// classify works out the class of a slot.
+// classify returns the class that a slot belongs to at present.
 func (s *slot) classify() slotClass {
 	return slotClass{shard: s.shard, zone: s.zone, machineType: s.machineType, gpus: int(s.gpus + epsilon), noGPU: s.gpus <= epsilon, spot: s.spot,
 		idle: s.isIdle(), daemon: s.daemon, faulty: s.errors > 0}
 }
 
-// slotSet holds slots with an index by class and image, so that the cost of a choice grows
-// with the number of classes rather than with that of machines.
+// slotSet holds slots, indexed by class and by image, so that the cost of choosing a slot grows
+// with the number of classes rather than with the number of machines.
 type slotSet struct {
 	node       *Node
 	all        []*slot
-	releasing  []*slot // those with capacity about to be released
+	releasing  []*slot // those with capacity that tasks are about to release
 	open       map[slotClass]*slotList
-	classOrder []slotClass // in which classes were first seen
+	classOrder []slotClass // classes in the order in which they were first added
 	byImage    map[imageList][]*slot
 }
 
-// slotList lists slots. A class has a pointer to its list, so that a search can shorten it
-// without looking up the class again.
+// slotList lists the slots of a class. The index holds a pointer to it, so that a search can
+// shorten the list without another lookup of the class.
 type slotList []*slot
 
-// imageList names a list of slots that have an image: those with a free GPU, or, for tasks
-// that need none, all that have any capacity.
+// imageList is the key of a list of slots that have an image: those with a free GPU or, for
+// tasks without GPUs, all that have any free capacity.
 type imageList struct {
 	image      int // index of the name
 	withoutGPU bool
 }
 
-// newSlotSet makes an empty set.
+// newSlotSet returns an empty set.
 func newSlotSet(n *Node) *slotSet {
 	return &slotSet{node: n, open: map[slotClass]*slotList{}, byImage: map[imageList][]*slot{}}
 }
@@ -169,7 +169,7 @@
 	s.addToClass(slot)
 }
 
-// addToClass lists a slot under its class, unless nothing is left of it.
+// addToClass lists a slot under its class, unless it is full or already listed there.
 func (s *slotSet) addToClass(slot *slot) {
 	if slot.isFull(true) || slices.Contains(slot.listedIn, slot.class) {
 		return
@@ -184,8 +184,8 @@
 	*list = append(*list, slot)
 }
 
-// reclassify lists a slot under its new class when its capacity has changed. Searches drop it
-// from the list of its old class when they come upon it.
+// reclassify lists a slot under its new class after its capacity has changed. The next search
+// that finds it in the list of its old class removes it there.
 func (s *slotSet) reclassify(slot *slot) {
 	class := slot.classify()
 	if class != slot.class {
@@ -194,8 +194,8 @@
 	}
 }
 
-// withImage lists the slots that have an image or are fetching it and that were not full when
-// the list was first asked for.
+// withImage returns the slots that have an image or are fetching it. The list is built on first
+// use, from the slots that are not full at that time.
 func (s *slotSet) withImage(key imageList) []*slot {
 	list, built := s.byImage[key]
 	if !built {
@@ -210,10 +210,10 @@
 	return list
 }
 
-// capacityFor returns an upper bound of how many tasks of a job fit into the slots of shards
-// and zones that in allows.
+// capacityFor returns an upper bound for the number of tasks of a job that fit into the slots of
+// those shards and zones for which in returns true.
 func (s *slotSet) capacityFor(job *job, in func(shardIndex, zone int) bool) int {
-	const unbounded = 1 << 10 // tasks without whole GPUs: the class does not tell
+	const unbounded = 1 << 10 // the class sets no bound for tasks that need less than one GPU
 	spec, tasks := job.Record.Spec, 0
 	for _, class := range s.classOrder {
 		if !in(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
@@ -231,7 +231,7 @@
 	return tasks
 }
 
-// usesImage reports whether a task on the machine uses an image.
+// usesImage reports whether a task that is placed on the machine uses an image.
 func (s *site) usesImage(machine *machine, image int) bool {
 	for i := range machine.placements {
 		if s.jobs[machine.placements[i].job].Image == image {
--- a/internal/core/slots_test.go
+++ b/internal/core/slots_test.go
@@ -7,15 +7,15 @@
 	"micaport/internal/wire"
 )
 
-// TestTasksWithoutGPUsRunBesideOthers: tasks that need no GPU go beside those that use all GPUs of a
-// machine, rather than to one with free GPUs, which then could neither be drained nor take
-// whole-machine work; tasks that need one never go there.
+// TestTasksWithoutGPUsRunBesideOthers checks that a task without GPUs is placed on a machine whose
+// GPUs are all in use, rather than on one with free GPUs, which then could neither be drained nor
+// run whole-machine tasks, and that a task with GPUs is never placed on such a full machine.
 func TestTasksWithoutGPUsRunBesideOthers(t *testing.T) {
 	const none = -1
-	free := []struct{ cores, gpus float64 }{{24, 2}, {4, 0}, {12, 1}} // of the machines
+	free := []struct{ cores, gpus float64 }{{24, 2}, {4, 0}, {12, 1}} // capacity of each machine
 	for name, test := range map[string]struct {
 		cores, gpus float64
-		want        int // index of the machine above
+		want        int // index into free, or none
 	}{
 		"without GPU": {1, 0, 1},
 		"without GPU, too large for the machine in use": {8, 0, 2},
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestSlotCapacity: a slot holds as many tasks as its scarcest resource allows, and no more than a run
-// of tasks may have.
+// TestSlotCapacity checks that the number of tasks that fit into a slot is limited by its scarcest
+// resource and by the maximum length of a run.
 func TestSlotCapacity(t *testing.T) {
 	free := &slot{cores: 24, gpus: 2, memoryGB: 96}
 	for name, test := range map[string]struct {
@@ -72,14 +72,15 @@
 	}
 }
 
-// TestFitsBesideGPUWork: machines with GPUs need not be idle for jobs that may come and need no GPUs,
-// unless there are machines without.
+// TestFitsBesideGPUWork checks that a job without GPUs needs no idle machine in reserve if all machine
+// types have GPUs: it can run beside tasks that use them. Where a type without GPUs exists, it may
+// need one.
 func TestFitsBesideGPUWork(t *testing.T) {
 	withGPU := wire.MachineType{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64}
 	withoutGPU := wire.MachineType{Name: "c", Cores: 8, MemoryGB: 64}
 	for name, test := range map[string]struct {
 		gpus  float64
-		types []wire.MachineType // nil: those of chained, all with GPUs
+		types []wire.MachineType // nil: those of newTestNode, all with GPUs
 		want  bool
 	}{
 		"without GPU": {want: true},
