--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -7,50 +7,50 @@
 	"micaport/internal/wire"
 )
 
-// StartObjective says within which time after its submission a job of a class should start.
+// StartObjective is the time within which jobs of a class should start after their submission.
 type StartObjective struct {
 	Class  string
 	Within Time
 }
 
-// classArrivals counts the jobs of a class that have come and ended lately, while machines
-// were up, to forecast the capacity that the class will need.
+// classArrivals holds the recent arrivals and completions of the jobs of a class, from which the
+// capacity that the class will need is forecast.
 type classArrivals struct {
 	class       string
 	startWithin Time // the start objective
-	sample      *job // the newest
+	sample      *job // the job that arrived last
 	jobs        []arrival
 	completions []arrival // jobs that have released their machines
-	// backfillGuard is set for a class without a start objective of a team with a guarantee:
-	// capacity for it is only reserved against backfill.
+	// backfillGuard is set for a class that has no start objective and belongs to a team with
+	// a guarantee: its reserved capacity is withheld from backfill only.
 	backfillGuard bool
 }
 
-// arrival is a job that has come or ended.
+// arrival is the arrival or the completion of a job.
 type arrival struct {
 	at    Time
 	tasks int
 }
 
 const (
-	// arrivalWindow is how far back arrivals are counted.
+	// arrivalWindow is how far back arrivals and completions count.
 	arrivalWindow = 150 * second
-	// minForecastWindow is what arrivals are averaged over at least: over a shorter time a
-	// few would make a high rate.
+	// minForecastWindow is the shortest time over which arrivals are averaged: over a shorter
+	// one, a few arrivals would give a high rate.
 	minForecastWindow = 60 * second
-	// maxClasses bounds the classes that statistics are kept of.
+	// maxClasses bounds the number of classes with statistics.
 	maxClasses = 64
 )
 
-// arrivalForecast counts what comes and ends of each class that has a start objective or belongs
-// to a team with a guarantee. Every controller counts, so that a new leader has the statistics at
-// once.
+// arrivalForecast counts the arrivals and completions of each class that has a start objective or
+// belongs to a team with a guarantee. Every controller counts them, so that a new leader has the
+// statistics immediately.
 type arrivalForecast struct {
 	classes     []*classArrivals
-	countedFrom Time // since when arrivals are counted; 0: not yet
+	countedFrom Time // when counting started; 0: not yet
 }
 
-// addObjective adds a start objective; of several for one class the shortest counts.
+// addObjective adds a start objective. If a class has several, the shortest applies.
 func (f *arrivalForecast) addObjective(objective StartObjective) {
 	if class := f.class(objective.Class); class != nil {
 		class.startWithin = min(class.startWithin, objective.Within)
@@ -59,7 +59,7 @@
 	f.classes = append(f.classes, &classArrivals{class: objective.Class, startWithin: objective.Within})
 }
 
-// class returns what is counted of a class, or nil.
+// class returns the statistics of a class, or nil if it has none.
 func (f *arrivalForecast) class(name string) *classArrivals {
 	for _, class := range f.classes {
 		if class.class == name {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// noteArrival counts a new job of so many tasks if its class is counted, or has to be from now on
-// as its team has a guarantee.
+// noteArrival counts a new job and its number of tasks if its class has statistics. These are
+// created for a class without them if the job's team has a guarantee.
 func (f *arrivalForecast) noteArrival(now Time, job *job, tasks int, guaranteed bool) {
 	name := job.Record.Spec.Class
 	class := f.class(name)
@@ -86,7 +86,7 @@
 	class.jobs = append(class.jobs, arrival{now, tasks})
 }
 
-// noteCompletion counts a job of such a class that has released its machines.
+// noteCompletion counts a job that has released its machines, if its class has statistics.
 func (f *arrivalForecast) noteCompletion(now Time, name string, tasks int) {
 	class := f.class(name)
 	if class == nil {
@@ -96,13 +96,15 @@
 	class.completions = append(class.completions, arrival{now, tasks})
 }
 
-// reserve is for how many tasks of a class to reserve capacity; see classArrivals.reserve.
+// reserve returns the number of tasks of a class to reserve capacity for; see
+// classArrivals.reserve.
 func (f *arrivalForecast) reserve(class *classArrivals, now, lead Time) int {
 	return class.reserve(now, f.countedFrom, lead)
 }
 
-// countsArrivals reports whether what comes and ends is counted. What comes while no machine
-// is up yet is a backlog and says nothing about the rate.
+// countsArrivals reports whether arrivals and completions are counted, and starts the counting
+// once a machine is up. Jobs that arrive before are a backlog, which does not reflect the arrival
+// rate.
 func (n *Node) countsArrivals() bool {
 	if n.arrivals.countedFrom == 0 && n.replica.Loaded() && n.anyMachineUp() {
 		n.arrivals.countedFrom = n.now
@@ -115,7 +117,7 @@
 	return slices.ContainsFunc(t.shards, func(shard *shard) bool { return len(shard.machines) > 0 })
 }
 
-// noteArrival counts a new job if its class has a start objective or its team a guarantee.
+// noteArrival counts a new job if its class has a start objective or its team has a guarantee.
 func (n *Node) noteArrival(job *job) {
 	if n.countsArrivals() {
 		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
@@ -123,24 +125,25 @@
 	}
 }
 
-// noteCompletion counts a job of such a class that has released its machines.
-func (n *Node) noteCompletion(was *wire.Job) {
-	if n.countsArrivals() && was.Spec != nil && was.State == wire.JobLive {
-		n.arrivals.noteCompletion(n.now, was.Spec.Class, len(was.ActiveTasks))
+// noteCompletion counts a job that is about to leave the live state, by its previous record, if
+// its class has statistics.
+func (n *Node) noteCompletion(previous *wire.Job) {
+	if n.countsArrivals() && previous.Spec != nil && previous.State == wire.JobLive {
+		n.arrivals.noteCompletion(n.now, previous.Spec.Class, len(previous.ActiveTasks))
 	}
 }
 
-// dropOld drops what came or ended before the window.
+// dropOld removes arrivals and completions that are older than arrivalWindow.
 func (a *classArrivals) dropOld(now Time) {
 	old := func(a arrival) bool { return now-a.at > arrivalWindow }
 	a.jobs, a.completions = slices.DeleteFunc(a.jobs, old), slices.DeleteFunc(a.completions, old)
 }
 
-// reserve is for how many tasks of the class to reserve capacity: as many as will probably
-// come during lead, the time that a machine takes to boot, less those that will end meanwhile
-// and release theirs, plus one standard deviation, as jobs come and go by chance and in
-// different sizes. It is never more than may come: where nothing comes any more, what
-// ends needs no replacement. The counts begin at since.
+// reserve returns the number of tasks of the class to reserve capacity for: the expected arrivals
+// during lead, the time until more capacity could be obtained, less the expected completions, plus
+// one standard deviation, since the times and sizes of jobs are random. It never exceeds the
+// expected arrivals plus their own standard deviation: if no more jobs arrive, the tasks that end
+// need no replacement. Counting started at since.
 func (a *classArrivals) reserve(now, since, lead Time) int {
 	a.dropOld(now)
 	window := max(minForecastWindow, min(arrivalWindow, now-since))
@@ -151,8 +154,8 @@
 	return int(math.Round(min(net, arriving+math.Sqrt(arrivingVariance))))
 }
 
-// meanAndVariance returns the mean and the variance of the tasks that come in a time as long
-// as a share of the window, if jobs come independently of each other.
+// meanAndVariance returns the mean and the variance of the number of tasks in a time that is the
+// given share of the window, assuming that jobs arrive independently of each other.
 func meanAndVariance(jobs []arrival, share float64) (mean, variance float64) {
 	for _, job := range jobs {
 		mean += float64(job.tasks) * share
@@ -161,8 +164,8 @@
 	return mean, variance
 }
 
-// sampleOf returns the newest job of the class that still has its specification, or nil: a
-// finished record has dropped it.
+// sampleOf returns a recent job of the class that still has its specification, or nil. Records of
+// finished jobs have none. If the job that arrived last has finished, another live one is chosen.
 func (s *site) sampleOf(class *classArrivals) *job {
 	usable := func(job *job) bool {
 		return job != nil && job.Record != nil && job.Record.Spec != nil && job.Team >= 0
--- a/internal/core/arrival_forecast_test.go
+++ b/internal/core/arrival_forecast_test.go
@@ -8,8 +8,8 @@
 	"micaport/internal/wire"
 )
 
-// TestReserve: the reserve follows what comes less what ends. It once reserved machines for classes of
-// which nothing came any more, as much had lately ended.
+// TestReserve checks that the reserve follows the arrivals less the completions. It guards against
+// reserving machines for a class without arrivals because many of its jobs have recently completed.
 func TestReserve(t *testing.T) {
 	jobs := func(count, tasks int) []arrival {
 		list := make([]arrival, count)
@@ -22,12 +22,12 @@
 		arrivals, completions []arrival
 		low, high             int
 	}{
-		"nothing":                                {},
-		"nothing comes":                          {completions: jobs(50, 4)},
-		"a third of what comes, and a deviation": {arrivals: jobs(50, 4), low: 66, high: 88},
-		"as many end":                            {arrivals: jobs(50, 4), completions: jobs(50, 4), low: 15, high: 30},
-		"more end":                               {arrivals: jobs(50, 4), completions: jobs(100, 4), low: 15, high: 35},
-		"never more than may come":               {arrivals: jobs(2, 1), completions: jobs(200, 8), low: 0, high: 2},
+		"no arrivals or completions":             {},
+		"only completions":                       {completions: jobs(50, 4)},
+		"a third of the arrivals, and deviation": {arrivals: jobs(50, 4), low: 66, high: 88},
+		"as many completions":                    {arrivals: jobs(50, 4), completions: jobs(50, 4), low: 15, high: 30},
+		"more completions":                       {arrivals: jobs(50, 4), completions: jobs(100, 4), low: 15, high: 35},
+		"no more than may arrive":                {arrivals: jobs(2, 1), completions: jobs(200, 8), low: 0, high: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			class := &classArrivals{jobs: test.arrivals, completions: test.completions}
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestFollowersCountArrivals: a controller that does not lead counts too. A new leader that began
-// without any count reserved nothing for a minute.
+// TestFollowersCountArrivals checks that a controller that is not the leader counts arrivals and
+// completions too. A new leader without any counts would reserve nothing for a minute.
 func TestFollowersCountArrivals(t *testing.T) {
 	n := New(Config{Self: "n0", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		StartObjectives: []StartObjective{{Class: "c", Within: 20 * second}}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
@@ -56,7 +56,7 @@
 	write(4, "wk-000001", &wire.Job{State: wire.JobDone, TaskCount: 2, NextAttempt: 2})
 	class := n.arrivals.classes[0]
 	if len(class.jobs) != 1 {
-		t.Errorf("arrivals %v, want one: the first came when no machine was up", class.jobs)
+		t.Errorf("arrivals %v, want one: no machine was up when the first job arrived", class.jobs)
 	}
 	if len(class.completions) != 1 || class.completions[0].tasks != 2 {
 		t.Errorf("completions %v, want one of two tasks", class.completions)
--- a/internal/core/queue_position.go
+++ b/internal/core/queue_position.go
@@ -1,18 +1,19 @@
 package core
 
-// queuePosition is the place among those that wait of a gang whose attempt is being tried.
+// queuePosition is the queue position that a gang had before it was granted. It is restored if the
+// attempt is dropped.
 type queuePosition struct {
-	waitingSince    Time // since when it had waited when it was granted; 0: none
-	droppedAttempts int  // attempts that have been dropped since it was last placed
+	waitingSince    Time // when the gang started waiting, as of its grant; 0: no position is stored
+	droppedAttempts int  // attempts that have been dropped since the gang was last placed
 }
 
-// maxDroppedAttempts is how many dropped attempts cost a gang nothing. An owner that has just
-// come back denies what its machines can't take yet, and could take a moment later. One
-// whose attempts go on failing waits anew, so that it does not keep room from others for
-// ever.
+// maxDroppedAttempts is how many dropped attempts a gang may have without losing its queue
+// position. An owner that has just resumed service rejects tasks that its machines can't accept
+// yet but could accept a moment later. A gang whose attempts keep failing loses its position, so
+// that it does not withhold capacity from other jobs indefinitely.
 const maxDroppedAttempts = 3
 
-// rememberPosition remembers since when a gang that is granted now has waited.
+// rememberPosition stores the queue position of a gang that is being granted, and ends its wait.
 func (j *job) rememberPosition() {
 	if j.waitingSince != 0 {
 		j.queuePosition.waitingSince = j.waitingSince
@@ -20,9 +21,9 @@
 	j.waitingSince = 0
 }
 
-// restorePosition lets a gang whose attempt was dropped wait on from when it had waited.
-// Before this, a gang that had waited longest was overtaken by the next one, which was
-// given the same machines half a second later.
+// restorePosition restores the queue position of a gang whose attempt was dropped. Otherwise the
+// gang that has waited longest would be overtaken by the next one, which would be granted the same
+// machines half a second later.
 func (j *job) restorePosition() {
 	if j.waitingSince == 0 && j.queuePosition.waitingSince != 0 && j.queuePosition.droppedAttempts < maxDroppedAttempts {
 		j.queuePosition.droppedAttempts++
--- a/internal/core/run_time_estimator.go
+++ b/internal/core/run_time_estimator.go
@@ -8,21 +8,23 @@
 
 // Bounds of the run time statistics of a class.
 const (
-	maxRunSamples = 16  // the newest are kept
-	minRunSamples = 5   // with fewer, estimates are not corrected
-	minCorrection = 0.5 // estimates are often wrong by half, so a median beyond
-	maxCorrection = 4.0 // these is rather due to waiting than to the estimate
+	maxRunSamples = 16 // only the newest samples are kept
+	minRunSamples = 5  // with fewer samples, estimates are not corrected
+	// Estimates are often wrong by half. A median outside of these bounds is more likely due
+	// to waiting than to the estimate.
+	minCorrection = 0.5
+	maxCorrection = 4.0
 )
 
-// runTimeEstimator compares how long the jobs of each class took with their submitters'
-// estimates. Only the leader that granted a job knows when it began; a new leader
-// begins with the estimates as they are.
+// runTimeEstimator corrects the submitters' estimates of run times by the measured run times of
+// earlier jobs of the same class. Only the leader that granted a job has its start time, so a new
+// leader starts with uncorrected estimates.
 type runTimeEstimator struct {
-	ratios map[string][]float64 // run time divided by the estimate, by class, oldest first
+	ratios map[string][]float64 // by class: run times divided by their estimates, oldest first
 }
 
-// observe takes in a job that is done, unless it came without an estimate.
-func (e *runTimeEstimator) observe(class string, took Time, expectedS float64) {
+// observe adds the run time of a job that is done, unless the job has no estimate.
+func (e *runTimeEstimator) observe(class string, runTime Time, expectedS float64) {
 	if expectedS <= 0 {
 		return
 	}
@@ -32,11 +34,12 @@
 	if _, known := e.ratios[class]; !known && len(e.ratios) >= maxClasses {
 		return
 	}
-	ratios := append(e.ratios[class], took.Seconds()/expectedS)
+	ratios := append(e.ratios[class], runTime.Seconds()/expectedS)
 	e.ratios[class] = ratios[max(0, len(ratios)-maxRunSamples):]
 }
 
-// correction is the factor by which estimates of a class are to be multiplied.
+// correction returns the factor by which estimates of a class are multiplied: the median of its
+// ratios, within bounds.
 func (e *runTimeEstimator) correction(class string) float64 {
 	ratios := e.ratios[class]
 	if len(ratios) < minRunSamples {
@@ -47,19 +50,21 @@
 	return max(minCorrection, min(maxCorrection, sorted[len(sorted)/2]))
 }
 
-// estimate is how long a job probably takes once all its tasks are granted.
+// estimate returns the corrected estimate of a job's run time, counted from when all its tasks
+// are granted.
 func (e *runTimeEstimator) estimate(spec *wire.JobSpec) Time {
 	return Time(spec.ExpectedS * e.correction(spec.Class) * float64(second))
 }
 
-// runTime is how long a job probably takes once all its tasks are granted.
+// runTime returns the corrected estimate of a job's run time; see runTimeEstimator.estimate.
 func (n *Node) runTime(spec *wire.JobSpec) Time { return n.runTimeEstimator.estimate(spec) }
 
-// noteRunTime takes a job that is done into the statistics. One that was granted in several
-// steps took longer than from its last grant on, but no other time is known.
-func (n *Node) noteRunTime(job *job, was *wire.Job) {
-	if was.Spec == nil || job.grantedAt == 0 || !n.isLeader() {
+// noteRunTime adds a job that is done, with its previous record, to the statistics. The time since
+// its last grant counts as its run time. This is too short for a job that was granted in several
+// steps, but no other start time is stored.
+func (n *Node) noteRunTime(job *job, previous *wire.Job) {
+	if previous.Spec == nil || job.grantedAt == 0 || !n.isLeader() {
 		return
 	}
-	n.runTimeEstimator.observe(was.Spec.Class, n.now-job.grantedAt, was.Spec.ExpectedS)
+	n.runTimeEstimator.observe(previous.Spec.Class, n.now-job.grantedAt, previous.Spec.ExpectedS)
 }
--- a/internal/core/run_time_estimator_test.go
+++ b/internal/core/run_time_estimator_test.go
@@ -2,21 +2,21 @@
 
 import "testing"
 
-// TestRunTimeCorrection: estimates of a class are corrected by the median of what its jobs took, once
-// enough of them are done, and never by more than estimates are wrong.
+// TestRunTimeCorrection checks that estimates of a class are corrected by the median ratio of its run
+// times to their estimates, once enough jobs are done, and only within the bounds of a correction.
 func TestRunTimeCorrection(t *testing.T) {
 	var estimator runTimeEstimator
 	expect := func(when, class string, want float64) {
 		t.Helper()
 		if got := estimator.correction(class); got != want {
-			t.Errorf("%s: class %s is corrected by %v, want %v", when, class, got, want)
+			t.Errorf("%s: correction of class %s = %v, want %v", when, class, got, want)
 		}
 	}
 	for range minRunSamples - 1 {
 		estimator.observe("c", 20*second, 10)
 	}
 	expect("after too few jobs", "c", 1)
-	estimator.observe("c", 500*second, 10) // one that waited counts no more than others
+	estimator.observe("c", 500*second, 10) // an outlier does not shift the median
 	expect("after enough jobs", "c", 2)
 	for range maxRunSamples {
 		estimator.observe("c", second, 10)
@@ -27,6 +27,6 @@
 		expect("after many jobs", class, want)
 	}
 	if got := len(estimator.ratios["c"]); got != maxRunSamples {
-		t.Errorf("%d samples are kept, want %d", got, maxRunSamples)
+		t.Errorf("%d samples kept, want %d", got, maxRunSamples)
 	}
 }
