--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -8,38 +8,36 @@
 	"micaport/internal/wire"
 )
 
-// The image cache record: which machines have which images. Without it, every choice of a
-// machine would ignore what is cached after all controllers have restarted.
-
-// imageCount is the number of images on a machine.
+// imageCount returns the number of images on a machine.
 func (s *site) imageCount(machine *machine) int {
 	count := 0
 	machine.images.Each(func(int) { count++ })
 	return count
 }
 
-// imageCacheInterval is how often the images on this controller's machines are recorded.
-// What was added after the last write before a crash is lost, at the cost of a fetch.
+// imageCacheInterval is the time between two writes of this controller's image cache record. An
+// image that is added after the last write before a crash is missing in the record, which may cost
+// a fetch.
 const imageCacheInterval = 20 * second
 
-// Bytes of an image cache record: estimates that are above what its parts take, so that
-// three quarters of a value are well within the limit.
+// Encoded sizes of the parts of an image cache record, in bytes. They are upper bounds, so that a
+// record planned for three quarters of the value limit is well within it.
 const (
-	cachedMachineBytes = 6 // besides its name
-	cachedNameBytes    = 3 // besides the name
-	cachedIndexBytes   = 4
+	cachedMachineBytes = 6 // a machine without its name
+	cachedNameBytes    = 3 // an image name without its characters
+	cachedIndexBytes   = 4 // an index of an image name
 )
 
-// imageCacheBuilder makes an image cache record within a size.
+// imageCacheBuilder builds an image cache record of limited size.
 type imageCacheBuilder struct {
 	record *wire.ImageCache
 	names  wire.Interner
-	room   int // bytes that are left
-	count  int // images of machines in the record
+	room   int // remaining bytes
+	count  int // images in the record, counted for each machine
 }
 
-// addMachine adds the images of a machine as far as there is room, and reports false
-// when there was none for the machine itself.
+// addMachine adds a machine with as many of its images as fit, and reports whether at least the
+// machine's name fitted.
 func (b *imageCacheBuilder) addMachine(n *Node, machine *machine) bool {
 	if b.room -= len(machine.name) + cachedMachineBytes; b.room < 0 {
 		return false
@@ -57,8 +55,8 @@
 	return true
 }
 
-// writeImageCache records which of this controller's machines have which images, when
-// their number has changed.
+// writeImageCache writes the record of the images on this controller's machines if their number
+// has changed. After a restart of all controllers, placement would otherwise ignore cached images.
 func (n *Node) writeImageCache() {
 	if n.now < n.imageCacheAt || !n.storeOK {
 		return
@@ -88,11 +86,11 @@
 	n.transact(ClassBackground, nil, []kv.Write{{Key: wire.ImagePrefix + n.cfg.Self, Value: builder.record}}, ignoreResult{})
 }
 
-// putImageCache takes in an image cache record.
+// putImageCache applies an image cache record.
 func (n *Node) putImageCache(record *wire.ImageCache) {
 	for _, name := range slices.Sorted(maps.Keys(record.Machines)) {
 		if n.names.Machines.Find(name) < 0 && n.replica.Loaded() {
-			continue // no other record or message names it, so it is gone
+			continue // no other record or message contains the name, so the machine is gone
 		}
 		machine := n.machineNamed(name)
 		for _, image := range record.Machines[name] {
@@ -103,8 +101,7 @@
 	}
 }
 
-// pendingFetchGB sums the sizes of the images that a machine is fetching or about to
-// fetch.
+// pendingFetchGB returns the total size of the images that a machine is fetching or about to fetch.
 func (s *site) pendingFetchGB(machine *machine) float64 {
 	sum := 0.0
 	for i := range machine.placements {
@@ -119,7 +116,7 @@
 	return sum
 }
 
-// fetchesImage reports whether one of the placed tasks is of a job with an image.
+// fetchesImage reports whether a job of one of the placed tasks uses an image.
 func (s *site) fetchesImage(placements []placement, image int) bool {
 	for i := range placements {
 		if s.jobs[placements[i].job].Image == image {
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -6,55 +6,58 @@
 )
 
 // An array with more tasks than a record can list one by one is a large array: many small tasks
-// that fill spare capacity. What limits it is the size of its record and the number of writes, so
-// its tasks are granted and placed in runs, as many consecutive tasks on a machine as fit, which
-// take no more than one entry of the record, and their results are batched.
+// that use spare capacity. It is limited by the size of its record and by the number of writes.
+// Therefore its tasks are granted and placed in runs, and their outcomes are written in batches. A
+// run is as many consecutive tasks as fit on a machine, and takes one entry of the record.
 
 const (
-	// maxRunLength bounds a run: the tasks of one machine.
+	// maxRunLength bounds the number of tasks in a run.
 	maxRunLength = 256
-	// minListCapacity is what the lists of a large array may take at least, in bytes.
+	// minListCapacity is the least capacity, in bytes, for the task lists of a large array.
 	minListCapacity = 100
-	// maxGrantDelay is how long the leader batches the grants of one job at most; see grantDelay.
+	// maxGrantDelay is the longest time for which the leader batches grants of a job; see grantDelay.
 	maxGrantDelay = 4 * second
-	// lowPriorityDelayFactor is how many times longer results of low priority may wait.
+	// lowPriorityDelayFactor is how many times longer the outcomes of low-priority arrays may wait.
 	lowPriorityDelayFactor = 8
-	// batchingShare is the share of a task's expected run time that batching may delay it by:
-	// one in so many.
+	// batchingShare divides the expected run time of a task. The quotient bounds the delay by
+	// batching.
 	batchingShare = 4
-	// defaultMachineName stands in for the names of machines while none is known.
+	// defaultMachineName is used to estimate sizes while no machine is known.
 	defaultMachineName = "vm-000000"
 )
 
-// grantableCapacity is what grants may use of a list's capacity: an eighth is left for runs that
-// their owners have to split.
+// grantableCapacity returns how much of a list's capacity grants may use: an eighth is kept free
+// for runs that owners have to split.
 func grantableCapacity(bytes int) int { return bytes * 7 / 8 }
 
-// maxActiveTasks bounds the active tasks of a job.
+// maxActiveTasks returns the upper bound for the number of active tasks of a job.
 func (s *site) maxActiveTasks(job *job) int {
 	switch {
 	case job.LargeArray:
 		return max(s.replica.MaxSingleTasks(), s.cfg.MaxLargeArrayTasks)
 	case job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeGang:
-		return job.Record.TaskCount // all or none
+		return job.Record.TaskCount // a gang starts as a whole
 	case job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeDaemon:
 		return max(s.replica.MaxSingleTasks(), grantableCapacity(s.plannableListCapacity(job))/s.taskRunBytes())
 	}
 	return s.replica.MaxSingleTasks()
 }
 
-// listCapacity is how many bytes the lists of a large array may take, in all its keys. In each key
-// some are left that no run fits into.
+// listCapacity returns how many bytes the task lists of a large array may take, over all its keys.
+// Each overflow key counts without the size of two runs, as the last bytes of a key may be too few
+// for another run.
 func (s *site) listCapacity(job *job) int {
 	return max(minListCapacity, s.replica.ValueBytes()-job.BaseBytes+s.replica.OverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowHeaderBytes-2*s.taskRunBytes()))
 }
 
-// plannableListCapacity is that for what is yet to be granted, by the limits that hold at all times.
+// plannableListCapacity returns the list capacity for tasks that are yet to be granted. Unlike
+// listCapacity it uses the value limit that holds at all times, rather than a present higher one.
 func (s *site) plannableListCapacity(job *job) int {
 	return max(minListCapacity, s.listCapacity(job)-s.replica.ValueBytes()+s.cfg.MaxValueBytes)
 }
 
-// taskRunBytes is how many bytes one more run on some machine takes.
+// taskRunBytes estimates how many bytes one more run takes in a record, by the name of the machine
+// that was added last.
 func (s *site) taskRunBytes() int {
 	if len(s.machines) == 0 {
 		return wire.RunCost(defaultMachineName)
@@ -62,9 +65,10 @@
 	return wire.RunCost(s.machines[len(s.machines)-1].name) + 1
 }
 
-// outcomeDelayFor is how long a result waits for others of the same job when writes are scarce: one
-// write serves them all, and the tasks of a gang end together. The results of a large array come
-// many a second. Those of low priority can wait for longer than work that somebody needs.
+// outcomeDelayFor returns how long an outcome waits for others of the same job when writes are
+// scarce: a single write records them all, and the tasks of a gang end together. Outcomes of a large
+// array always wait, as many arrive per second. Those of low-priority arrays may wait longer, as
+// their work is less urgent.
 func (n *Node) outcomeDelayFor(job *job) Time {
 	delay := Time(float64(outcomeDelay) * n.writeScarcity())
 	if job.Record == nil || job.Record.Spec == nil || job.Record.State != wire.JobLive ||
@@ -80,14 +84,15 @@
 	return min(delay, maxBatchingDelay(job))
 }
 
-// maxBatchingDelay bounds the delay by batching by a share of the time that a job's tasks are said
-// to take.
+// maxBatchingDelay returns the longest delay by batching for an array: a share of the expected run
+// time of its tasks, but at least outcomeDelay.
 func maxBatchingDelay(job *job) Time {
 	return max(outcomeDelay, Time(job.Record.Spec.ExpectedS*float64(second)/batchingShare))
 }
 
-// grantDelay is how long the leader batches what it grants to an array of low priority or a large
-// array. It counts from the last grant: the record of a large array changes all the time.
+// grantDelay returns how long the leader batches grants to a low-priority or large array. The delay
+// counts from the last grant rather than from the last change of the record, as the record of a
+// large array changes all the time.
 func (n *Node) grantDelay(job *job) Time {
 	if len(job.Record.ActiveTasks) == 0 || job.Record.Spec.Shape != wire.ShapeArray || job.Priority > 0 && !job.LargeArray {
 		return 0
@@ -99,8 +104,8 @@
 	return min(delay, maxBatchingDelay(job))
 }
 
-// remainingRuns is how many runs the leader may still grant to a large array. What is granted but
-// not placed counts by the machines that the grants had in mind.
+// remainingRuns returns how many runs the leader may still grant to a large array. Grants without a
+// machine count as runs on the machines that the leader planned for them.
 func (n *Node) remainingRuns(job *job) int {
 	used, runBytes := replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks), n.taskRunBytes()
 	var last *machine
@@ -114,20 +119,20 @@
 	return (grantableCapacity(n.plannableListCapacity(job)) - used) / runBytes
 }
 
-// recordCapacity is the capacity that is left in the records of large arrays while an owner changes
-// them. Taking single tasks out of runs can only make a record larger: when there is no capacity
-// for that, results wait until the whole run has ended.
+// recordCapacity tracks the remaining capacity in the records of large arrays while an owner changes
+// them. Removing single tasks from a run may split it, which makes the record larger. Without
+// capacity for that, outcomes wait until the whole run has ended.
 type recordCapacity struct {
 	node   *Node
 	writer *writer
-	left   map[int]int // in bytes, by index of the job; as needed
+	left   map[int]int // remaining bytes by index of the job, computed on first use
 }
 
 func newRecordCapacity(n *Node, writer *writer) *recordCapacity {
 	return &recordCapacity{n, writer, map[int]int{}}
 }
 
-// remaining is how many bytes are left in a job's record.
+// remaining returns how many bytes are left for the task lists of a job.
 func (c *recordCapacity) remaining(job *job) int {
 	left, known := c.left[job.Index]
 	if !known {
@@ -141,7 +146,8 @@
 	return left
 }
 
-// allocate takes bytes of a job's record for one change, if there are more than twice as many.
+// allocate reserves bytes of a job's record for one change, and reports whether it did: more than
+// twice as many must remain.
 func (c *recordCapacity) allocate(job *job, bytes int) bool {
 	left := c.remaining(job)
 	if left <= 2*bytes {
@@ -151,7 +157,8 @@
 	return true
 }
 
-// mayRemove reports whether the result of a task may be written.
+// mayRemove reports whether the outcome of a task may be written, which removes the task from its
+// run: there must be capacity for a split of the run, or all tasks of the run must have ended.
 func (c *recordCapacity) mayRemove(key taskKey, machineName string) bool {
 	job := c.node.jobs[key.job]
 	if !job.LargeArray || job.Record.State != wire.JobLive {
@@ -174,10 +181,10 @@
 	return true
 }
 
-// recordable returns what of a result a record takes. The done tasks of a large array are a few
-// ranges, as the lowest are granted first; should they not be, a task is rather started again,
-// which its machine answers with done at once, than a record made too large to be written
-// ever again.
+// recordable returns the outcome to record for a task. The done tasks of a large array usually form
+// a few ranges, as the lowest are granted first. If there are too many ranges, a done task that
+// would add another is recorded as lost: it is started again, and its machine immediately reports
+// it as done. Otherwise the record could become too large to be ever written again.
 func (c *recordCapacity) recordable(job *job, record *wire.Job, key taskKey, outcome taskOutcome) taskOutcome {
 	if job.LargeArray && outcome.cause == wire.CauseDone &&
 		len(record.DoneTasks) > c.node.listCapacity(job)/(2*replica.TaskRangeBytes) &&
@@ -187,7 +194,7 @@
 	return outcome
 }
 
-// mayAdd reports whether one more run may be added to a record.
+// mayAdd reports whether one more run may be added to a job's record, and reserves the bytes for it.
 func (c *recordCapacity) mayAdd(job *job) bool {
 	return !job.LargeArray || c.allocate(job, c.node.taskRunBytes())
 }
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -9,9 +9,9 @@
 	"micaport/internal/wire"
 )
 
-// TestEachOfManyGrantsTimesOut: at a large site an owner may have more grants that wait for capacity
-// than any fixed memory holds. Each of them times out in its time: with a memory of 4,096 that
-// was cleared when full, none ever did.
+// TestEachOfManyGrantsTimesOut checks that every grant times out however many wait: at a large site
+// an owner may have more waiting grants than any fixed limit. With a limit of 4,096 stored times,
+// which were all cleared when it was reached, none ever timed out.
 func TestEachOfManyGrantsTimesOut(t *testing.T) {
 	const grants = 12_000
 	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
@@ -30,7 +30,7 @@
 		return count
 	}
 	if got := timedOut(); got != 0 {
-		t.Fatalf("%d grants time out at once", got)
+		t.Fatalf("%d grants time out immediately", got)
 	}
 	n.now = grantTimeout + second
 	n.forgetPlacedGrants()
@@ -44,13 +44,13 @@
 	n.replica.PutJob("wk-1", placed, 2)
 	n.forgetPlacedGrants()
 	if len(n.grantSeenAt) != 0 {
-		t.Errorf("%d grants are remembered that have been placed", len(n.grantSeenAt))
+		t.Errorf("%d times of placed grants are still stored", len(n.grantSeenAt))
 	}
 }
 
-// TestEveryMissedMachineIsNamed: when an owner fails, all of its machines turn to its peers, and each
-// peer names them all: one that is not named counts as lost, and would be deprovisioned with
-// its tasks.
+// TestEveryMissedMachineIsNamed checks that after the failure of an owner, whose machines then all
+// send their heartbeats to its peers, a peer lists every one of them: a machine that is not listed
+// counts as unreachable, and would be deprovisioned with its tasks.
 func TestEveryMissedMachineIsNamed(t *testing.T) {
 	const machines = 2_000
 	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"}, HeartbeatInterval: 3 * second, WorkerLease: 30 * second,
@@ -61,14 +61,14 @@
 		machine.redirectedAt, machine.misdirectedListed, machine.view.missedHeartbeats = n.now, true, 2
 		n.misdirectedMachines = append(n.misdirectedMachines, machine.index)
 	}
-	strays := n.missedMachineNames()
-	if len(strays) != machines {
-		t.Fatalf("%d of %d machines are named", len(strays), machines)
+	missed := n.missedMachineNames()
+	if len(missed) != machines {
+		t.Fatalf("%d of %d machines are listed", len(missed), machines)
 	}
-	n.peers["n1"] = &peer{receivedAt: n.now, message: &wire.Gossip{From: "n1", Strays: strays}}
+	n.peers["n1"] = &peer{receivedAt: n.now, message: &wire.Gossip{From: "n1", Strays: missed}}
 	for _, machine := range n.machines {
 		if n.isUnreachable(machine, 4*n.cfg.HeartbeatInterval, true) {
-			t.Fatalf("%s counts as lost though it has turned to a peer", machine.name)
+			t.Fatalf("%s counts as unreachable although it sends heartbeats to a peer", machine.name)
 		}
 	}
 }
