--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -7,47 +7,47 @@
 	"micaport/internal/wire"
 )
 
-// job is a job of the replica with what this controller remembers of it beyond its record.
-// All of that can be lost without harm.
+// job is a job of the replica together with the controller's own state of it, which is in no record
+// and may be lost without harm.
 type job struct {
 	*replica.Job
-	pending      []int // tasks neither done nor active; valid while pendingKnown is set
+	pending      []int // tasks that are neither done nor active; valid if pendingKnown is set
 	pendingKnown bool
-	errorsSeen   int
-	suspect      bool // it failed wherever it ran: rather the job's fault than the machines'
-	retryAt      Time // nothing is granted to it before this
-	closedAt     Time // it was recorded as done or cancelled at this time or later
+	errorsSeen   int  // ConsecutiveErrors of the last record
+	suspect      bool // it failed on several machines without success: probably the job's own fault
+	retryAt      Time // no tasks are granted before this time
+	closedAt     Time // earliest time at which the job can have been recorded as done or cancelled
 
-	// The scheduler's memory, as the leader.
-	waitingSince    Time // since when it has found no room; 0: it does not wait
+	// State of the scheduler, used while this controller is the leader.
+	waitingSince    Time // when the job started to wait for capacity; 0: it does not wait
 	queuePosition   queuePosition
-	gangZone        int  // where room is being made for it; -1: nowhere yet
-	preemptAt       Time // nothing is preempted for it again before this
-	grantedAt       Time // when anything of it was last granted
-	withinGuarantee bool // it is within its team's guarantee
+	gangZone        int  // index of the zone in which capacity is being freed for the gang; -1: none
+	preemptAt       Time // no further tasks are preempted for the job before this time
+	grantedAt       Time // when a task of the job was last granted
+	withinGuarantee bool // the job is within its team's guarantee
 }
 
-// countJobChange takes a change of a job's record into the statistics: of users'
-// writes, of what ends, and of how long jobs take.
+// countJobChange updates the statistics of user writes, completions and run times with a change of
+// a job's record.
 func (n *Node) countJobChange(job *job, record *wire.Job) {
-	was := job.Record
-	if n.replica.Loaded() && record != nil && (was == nil || was.State == wire.JobLive && record.State == wire.JobCancelled) {
+	previous := job.Record
+	if n.replica.Loaded() && record != nil && (previous == nil || previous.State == wire.JobLive && record.State == wire.JobCancelled) {
 		n.budget.seenUserWrites++
 	}
-	if was == nil {
+	if previous == nil {
 		return
 	}
 	if record == nil || record.State != wire.JobLive {
-		n.noteCompletion(was)
+		n.noteCompletion(previous)
 	}
-	if record != nil && record.State == wire.JobDone && was.State == wire.JobLive {
-		n.noteRunTime(job, was)
+	if record != nil && record.State == wire.JobDone && previous.State == wire.JobLive {
+		n.noteRunTime(job, previous)
 	}
 }
 
-// noteClosed notes since when a job is recorded as done or cancelled. The replica may have
-// lagged behind. What it knew at the last proof that has settled did not hold this
-// change, so it was made after that was sent.
+// noteClosed sets closedAt of a job that is recorded as done or cancelled. The replica may lag
+// behind the state service. As the change was not in the replica when the last ownership proof took
+// effect, it was committed after that proof was sent.
 func (s *site) noteClosed(job *job) {
 	if job.Record.State == wire.JobLive || job.closedAt != 0 {
 		return
@@ -58,8 +58,8 @@
 	}
 }
 
-// How long a job is left alone that fails wherever it runs, and after how many errors in a
-// row, on as many machines, it counts as such.
+// A job with errorsBeforeBackoff or more consecutive errors gets no grants for a time that doubles
+// with each further error. If it has also failed on as many machines, it may become a suspect.
 const (
 	errorsBeforeBackoff = 3
 	minErrorBackoff     = 5 * second
@@ -67,8 +67,9 @@
 	maxBackoffDoublings = 5
 )
 
-// noteErrors makes a job that fails everywhere wait, longer each time, and suspects the
-// job rather than the machines.
+// noteErrors updates the backoff of a job after a change of its record. A job that has failed on
+// several machines and has no task done is marked as a suspect: the failures are then attributed to
+// the job rather than to the machines.
 func (s *site) noteErrors(job *job) {
 	record := job.Record
 	if record.ConsecutiveErrors > job.errorsSeen && record.ConsecutiveErrors >= errorsBeforeBackoff {
@@ -85,7 +86,8 @@
 	}
 }
 
-// indexPlacements keeps, for every machine, the tasks that records put on it.
+// indexPlacements adds a job's placed tasks to the placements of their machines, which are ordered
+// by job.
 func (n *Node) indexPlacements(job *job) {
 	for i := range job.Record.ActiveTasks {
 		task := &job.Record.ActiveTasks[i]
@@ -110,7 +112,7 @@
 	}
 }
 
-// unindexPlacements takes a job's tasks off their machines.
+// unindexPlacements removes a job's tasks from the placements of their machines.
 func (s *site) unindexPlacements(job *job) {
 	last := ""
 	for i := range job.Record.ActiveTasks {
@@ -123,7 +125,7 @@
 	}
 }
 
-// waitingTasks lists up to limit tasks that wait to be granted.
+// waitingTasks returns up to limit tasks of a job that wait to be granted.
 func (s *site) waitingTasks(job *job, limit int) []int {
 	if !job.pendingKnown {
 		job.pending, job.pendingKnown = replica.PendingTasks(job.Record, s.maxActiveTasks(job)), true
@@ -131,7 +133,7 @@
 	return job.pending[:max(0, min(limit, len(job.pending)))]
 }
 
-// usageChanged forgets what was worked out for the machines that a job is on.
+// usageChanged invalidates the cached resource use of the machines on which a job's tasks are placed.
 func (s *site) usageChanged(job *job) {
 	if job.Record == nil {
 		return
@@ -143,7 +145,7 @@
 	}
 }
 
-// jobNamed is the job with an id, or nil if the id has not been seen.
+// jobNamed returns the job with an id, or nil if the id is not known.
 func (s *site) jobNamed(id string) *job {
 	if index := s.names.Jobs.Find(id); index >= 0 {
 		return s.jobs[index]
--- a/internal/core/site.go
+++ b/internal/core/site.go
@@ -5,12 +5,12 @@
 	"micaport/internal/replica"
 )
 
-// site is what a controller knows of its site, whatever its role: the settings, the time, the
-// records, and machine types, shards and machines. Its methods emit no effects and touch
-// nothing that a role remembers.
+// site is the state of a controller that does not depend on its role: the settings, the time, the
+// replica of the records, and the machine types, shards and machines. Its methods emit no effects
+// and do not use the state of any role.
 type site struct {
 	cfg Config
-	now Time // of the present step
+	now Time // time of the current step
 
 	topology
 	replica   *replica.Replica
--- a/internal/core/topology.go
+++ b/internal/core/topology.go
@@ -7,21 +7,21 @@
 	"micaport/internal/wire"
 )
 
-// topology is what there is at the site: machine types, shards and machines. Names are
-// mapped to indices where they come in.
+// topology holds the machine types, shards and machines of the site. Names are mapped to indices
+// when records or messages are received.
 type topology struct {
 	names *replica.Names
 
 	offeredTypes   []wire.MachineType
 	typesFetchedAt Time                // when the cloud last listed the machine types; 0: never
-	typesRevision  uint64              // of the stored machine types
-	machineTypes   []*wire.MachineType // by index of their name; nil: not on offer
+	typesRevision  uint64              // revision of the stored machine types
+	machineTypes   []*wire.MachineType // by index of their name; nil: not offered
 
 	shards   []*shard
 	machines []*machine // by index of their name
 }
 
-// machineNamed is the machine with a name, also one that has not been seen before.
+// machineNamed returns the machine with a name, and adds it if the name is not known.
 func (t *topology) machineNamed(name string) *machine {
 	index := t.names.Machines.Of(name)
 	if index == len(t.machines) {
@@ -30,7 +30,7 @@
 	return t.machines[index]
 }
 
-// knownMachine is the machine with a name, or nil if it has not been seen.
+// knownMachine returns the machine with a name, or nil if the name is not known.
 func (t *topology) knownMachine(name string) *machine {
 	if index := t.names.Machines.Find(name); index >= 0 {
 		return t.machines[index]
@@ -38,8 +38,7 @@
 	return nil
 }
 
-// setShard puts a machine into a shard, by index, and takes it out of the one that it was in;
-// -1 takes it out of all.
+// setShard moves a machine to the shard with an index; -1 removes it from its shard.
 func (t *topology) setShard(machine *machine, index int) {
 	if machine.shard != index {
 		if machine.shard >= 0 {
@@ -55,12 +54,12 @@
 	}
 }
 
-// remove takes a machine out of the shard.
+// remove removes a machine from the shard.
 func (s *shard) remove(removed *machine) {
 	s.machines = slices.DeleteFunc(s.machines, func(m *machine) bool { return m == removed })
 }
 
-// shardWithKey is the shard whose claim has a key, or nil.
+// shardWithKey returns the shard whose claim is stored under a key, or nil.
 func (t *topology) shardWithKey(key string) *shard {
 	for _, shard := range t.shards {
 		if wire.ShardKey(shard.Name) == key {
@@ -70,7 +69,7 @@
 	return nil
 }
 
-// typeAt returns the machine type with an index, or nil if it is not on offer.
+// typeAt returns the machine type with an index, or nil if it is not offered.
 func (t *topology) typeAt(index int) *wire.MachineType {
 	if index < 0 || index >= len(t.machineTypes) {
 		return nil
@@ -78,7 +77,8 @@
 	return t.machineTypes[index]
 }
 
-// hasReported reports whether the machine's owner has heard of it.
+// hasReported reports whether the machine has sent a heartbeat to its owner, as far as this
+// controller knows.
 func (t *topology) hasReported(name string) bool {
 	machine := t.knownMachine(name)
 	return machine != nil && machine.view.known
