--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -18,16 +18,16 @@
 type classArrivals struct {
 	class       string
 	startWithin Time // the start objective
-	sample      *job // the job that arrived last
-	jobs        []arrival
-	completions []arrival // jobs that have released their machines
+	newestJob   *job // the job that arrived last
+	arrivals    []jobEvent
+	completions []jobEvent // jobs that have released their machines
 	// backfillGuard is set for a class that has no start objective and belongs to a team with
 	// a guarantee: its reserved capacity is withheld from backfill only.
 	backfillGuard bool
 }
 
-// arrival is the arrival or the completion of a job.
-type arrival struct {
+// jobEvent is the arrival or the completion of a job.
+type jobEvent struct {
 	at    Time
 	tasks int
 }
@@ -46,8 +46,8 @@
 // belongs to a team with a guarantee. Every controller counts them, so that a new leader has the
 // statistics immediately.
 type arrivalForecast struct {
-	classes     []*classArrivals
-	countedFrom Time // when counting started; 0: not yet
+	classes       []*classArrivals
+	countingSince Time // when counting started; 0: not yet
 }
 
 // addObjective adds a start objective. If a class has several, the shortest applies.
@@ -69,9 +69,9 @@
 	return nil
 }
 
-// noteArrival counts a new job and its number of tasks if its class has statistics. These are
+// countArrival counts a new job and its number of tasks if its class has statistics. These are
 // created for a class without them if the job's team has a guarantee.
-func (f *arrivalForecast) noteArrival(now Time, job *job, tasks int, guaranteed bool) {
+func (f *arrivalForecast) countArrival(now Time, job *job, tasks int, guaranteed bool) {
 	name := job.Record.Spec.Class
 	class := f.class(name)
 	if class == nil && guaranteed && len(f.classes) < maxClasses {
@@ -81,35 +81,35 @@
 	if class == nil {
 		return
 	}
-	class.dropOld(now)
-	class.sample = job
-	class.jobs = append(class.jobs, arrival{now, tasks})
+	class.removeOld(now)
+	class.newestJob = job
+	class.arrivals = append(class.arrivals, jobEvent{now, tasks})
 }
 
-// noteCompletion counts a job that has released its machines, if its class has statistics.
-func (f *arrivalForecast) noteCompletion(now Time, name string, tasks int) {
+// countCompletion counts a job that has released its machines, if its class has statistics.
+func (f *arrivalForecast) countCompletion(now Time, name string, tasks int) {
 	class := f.class(name)
 	if class == nil {
 		return
 	}
-	class.dropOld(now)
-	class.completions = append(class.completions, arrival{now, tasks})
+	class.removeOld(now)
+	class.completions = append(class.completions, jobEvent{now, tasks})
 }
 
 // reserve returns the number of tasks of a class to reserve capacity for; see
-// classArrivals.reserve.
+// classArrivals.tasksToReserve.
 func (f *arrivalForecast) reserve(class *classArrivals, now, lead Time) int {
-	return class.reserve(now, f.countedFrom, lead)
+	return class.tasksToReserve(now, f.countingSince, lead)
 }
 
 // countsArrivals reports whether arrivals and completions are counted, and starts the counting
 // once a machine is up. Jobs that arrive before are a backlog, which does not reflect the arrival
 // rate.
 func (n *Node) countsArrivals() bool {
-	if n.arrivals.countedFrom == 0 && n.replica.Loaded() && n.anyMachineUp() {
-		n.arrivals.countedFrom = n.now
+	if n.arrivals.countingSince == 0 && n.replica.Loaded() && n.anyMachineUp() {
+		n.arrivals.countingSince = n.now
 	}
-	return n.arrivals.countedFrom > 0
+	return n.arrivals.countingSince > 0
 }
 
 // anyMachineUp reports whether any shard has a machine.
@@ -121,34 +121,34 @@
 func (n *Node) noteArrival(job *job) {
 	if n.countsArrivals() {
 		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
-		n.arrivals.noteArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxSingleTasks()), guaranteed)
+		n.arrivals.countArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxSingleTasks()), guaranteed)
 	}
 }
 
-// noteCompletion counts a job that is about to leave the live state, by its previous record, if
+// countCompletion counts a job that is about to leave the live state, by its previous record, if
 // its class has statistics.
-func (n *Node) noteCompletion(previous *wire.Job) {
+func (n *Node) countCompletion(previous *wire.Job) {
 	if n.countsArrivals() && previous.Spec != nil && previous.State == wire.JobLive {
-		n.arrivals.noteCompletion(n.now, previous.Spec.Class, len(previous.ActiveTasks))
+		n.arrivals.countCompletion(n.now, previous.Spec.Class, len(previous.ActiveTasks))
 	}
 }
 
-// dropOld removes arrivals and completions that are older than arrivalWindow.
-func (a *classArrivals) dropOld(now Time) {
-	old := func(a arrival) bool { return now-a.at > arrivalWindow }
-	a.jobs, a.completions = slices.DeleteFunc(a.jobs, old), slices.DeleteFunc(a.completions, old)
+// removeOld removes arrivals and completions that are older than arrivalWindow.
+func (a *classArrivals) removeOld(now Time) {
+	old := func(a jobEvent) bool { return now-a.at > arrivalWindow }
+	a.arrivals, a.completions = slices.DeleteFunc(a.arrivals, old), slices.DeleteFunc(a.completions, old)
 }
 
-// reserve returns the number of tasks of the class to reserve capacity for: the expected arrivals
-// during lead, the time until more capacity could be obtained, less the expected completions, plus
-// one standard deviation, since the times and sizes of jobs are random. It never exceeds the
-// expected arrivals plus their own standard deviation: if no more jobs arrive, the tasks that end
-// need no replacement. Counting started at since.
-func (a *classArrivals) reserve(now, since, lead Time) int {
-	a.dropOld(now)
+// tasksToReserve returns the number of tasks of the class to reserve capacity for: the expected
+// arrivals during lead, the time until more capacity could be obtained, less the expected
+// completions, plus one standard deviation, since the times and sizes of jobs are random. It never
+// exceeds the expected arrivals plus their own standard deviation: if no more jobs arrive, the tasks
+// that end need no replacement. Counting started at since.
+func (a *classArrivals) tasksToReserve(now, since, lead Time) int {
+	a.removeOld(now)
 	window := max(minForecastWindow, min(arrivalWindow, now-since))
 	share := lead.Seconds() / window.Seconds()
-	arriving, arrivingVariance := meanAndVariance(a.jobs, share)
+	arriving, arrivingVariance := meanAndVariance(a.arrivals, share)
 	ending, endingVariance := meanAndVariance(a.completions, share)
 	net := max(0, arriving-ending) + math.Sqrt(arrivingVariance+endingVariance)
 	return int(math.Round(min(net, arriving+math.Sqrt(arrivingVariance))))
@@ -156,7 +156,7 @@
 
 // meanAndVariance returns the mean and the variance of the number of tasks in a time that is the
 // given share of the window, assuming that jobs arrive independently of each other.
-func meanAndVariance(jobs []arrival, share float64) (mean, variance float64) {
+func meanAndVariance(jobs []jobEvent, share float64) (mean, variance float64) {
 	for _, job := range jobs {
 		mean += float64(job.tasks) * share
 		variance += float64(job.tasks) * float64(job.tasks) * share
@@ -170,13 +170,13 @@
 	usable := func(job *job) bool {
 		return job != nil && job.Record != nil && job.Record.Spec != nil && job.Team >= 0
 	}
-	if !usable(class.sample) {
-		class.sample = nil
+	if !usable(class.newestJob) {
+		class.newestJob = nil
 		for _, index := range s.replica.Live() {
 			if job := s.jobs[index]; usable(job) && job.Record.Spec.Class == class.class {
-				class.sample = job
+				class.newestJob = job
 			}
 		}
 	}
-	return class.sample
+	return class.newestJob
 }
--- a/internal/core/arrival_forecast_test.go
+++ b/internal/core/arrival_forecast_test.go
@@ -11,15 +11,15 @@
 // TestReserve checks that the reserve follows the arrivals less the completions. It guards against
 // reserving machines for a class without arrivals because many of its jobs have recently completed.
 func TestReserve(t *testing.T) {
-	jobs := func(count, tasks int) []arrival {
-		list := make([]arrival, count)
+	jobs := func(count, tasks int) []jobEvent {
+		list := make([]jobEvent, count)
 		for i := range list {
-			list[i] = arrival{at: 1000 * second, tasks: tasks}
+			list[i] = jobEvent{at: 1000 * second, tasks: tasks}
 		}
 		return list
 	}
 	for name, test := range map[string]struct {
-		arrivals, completions []arrival
+		arrivals, completions []jobEvent
 		low, high             int
 	}{
 		"no arrivals or completions":             {},
@@ -30,9 +30,9 @@
 		"no more than may arrive":                {arrivals: jobs(2, 1), completions: jobs(200, 8), low: 0, high: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			class := &classArrivals{jobs: test.arrivals, completions: test.completions}
-			if got := class.reserve(1100*second, 0, 50*second); got < test.low || got > test.high {
-				t.Errorf("reserve = %d, want %d to %d", got, test.low, test.high)
+			class := &classArrivals{arrivals: test.arrivals, completions: test.completions}
+			if got := class.tasksToReserve(1100*second, 0, 50*second); got < test.low || got > test.high {
+				t.Errorf("tasksToReserve = %d, want %d to %d", got, test.low, test.high)
 			}
 		})
 	}
@@ -55,8 +55,8 @@
 	write(3, "wk-000002", gang("wk-000002"))
 	write(4, "wk-000001", &wire.Job{State: wire.JobDone, TaskCount: 2, NextAttempt: 2})
 	class := n.arrivals.classes[0]
-	if len(class.jobs) != 1 {
-		t.Errorf("arrivals %v, want one: no machine was up when the first job arrived", class.jobs)
+	if len(class.arrivals) != 1 {
+		t.Errorf("arrivals %v, want one: no machine was up when the first job arrived", class.arrivals)
 	}
 	if len(class.completions) != 1 || class.completions[0].tasks != 2 {
 		t.Errorf("completions %v, want one of two tasks", class.completions)
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -30,26 +30,26 @@
 
 // imageCacheBuilder builds an image cache record of limited size.
 type imageCacheBuilder struct {
-	record *wire.ImageCache
-	names  wire.Interner
-	room   int // remaining bytes
-	count  int // images in the record, counted for each machine
+	record         *wire.ImageCache
+	names          wire.Interner
+	remainingBytes int // that the record may still take
+	imageCount     int // images in the record, counted for each machine
 }
 
 // addMachine adds a machine with as many of its images as fit, and reports whether at least the
 // machine's name fitted.
 func (b *imageCacheBuilder) addMachine(n *Node, machine *machine) bool {
-	if b.room -= len(machine.name) + cachedMachineBytes; b.room < 0 {
+	if b.remainingBytes -= len(machine.name) + cachedMachineBytes; b.remainingBytes < 0 {
 		return false
 	}
 	machine.images.Each(func(image int) {
 		name := n.names.Images.Name(image)
 		if b.names.Find(name) < 0 {
-			b.room -= len(name) + cachedNameBytes
+			b.remainingBytes -= len(name) + cachedNameBytes
 		}
-		if b.room -= cachedIndexBytes; b.room > 0 {
+		if b.remainingBytes -= cachedIndexBytes; b.remainingBytes > 0 {
 			b.record.Machines[machine.name] = append(b.record.Machines[machine.name], b.names.Of(name))
-			b.count++
+			b.imageCount++
 		}
 	})
 	return true
@@ -62,7 +62,7 @@
 		return
 	}
 	n.imageCacheAt = n.now + imageCacheInterval
-	builder := imageCacheBuilder{record: &wire.ImageCache{Machines: map[string][]int{}}, room: n.cfg.MaxValueBytes * 3 / 4}
+	builder := imageCacheBuilder{record: &wire.ImageCache{Machines: map[string][]int{}}, remainingBytes: n.cfg.MaxValueBytes * 3 / 4}
 	for _, shard := range n.shards {
 		if !n.mayActAsOwner(shard) {
 			continue
@@ -76,10 +76,10 @@
 			}
 		}
 	}
-	if builder.count == n.imageCacheSize {
+	if builder.imageCount == n.imageCacheSize {
 		return
 	}
-	n.imageCacheSize = builder.count
+	n.imageCacheSize = builder.imageCount
 	for i := range builder.names.Len() {
 		builder.record.Names = append(builder.record.Names, builder.names.Name(i))
 	}
@@ -109,15 +109,15 @@
 		if job.Record.Spec == nil || machine.images.Has(job.Image) {
 			continue
 		}
-		if !s.fetchesImage(machine.placements[:i], job.Image) {
+		if !s.placementsUseImage(machine.placements[:i], job.Image) {
 			sum += job.Record.Spec.ImageGB
 		}
 	}
 	return sum
 }
 
-// fetchesImage reports whether a job of one of the placed tasks uses an image.
-func (s *site) fetchesImage(placements []placement, image int) bool {
+// placementsUseImage reports whether a job of one of the placed tasks uses an image.
+func (s *site) placementsUseImage(placements []placement, image int) bool {
 	for i := range placements {
 		if s.jobs[placements[i].job].Image == image {
 			return true
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -11,12 +11,12 @@
 // and may be lost without harm.
 type job struct {
 	*replica.Job
-	pending      []int // tasks that are neither done nor active; valid if pendingKnown is set
-	pendingKnown bool
-	errorsSeen   int  // ConsecutiveErrors of the last record
-	suspect      bool // it failed on several machines without success: probably the job's own fault
-	retryAt      Time // no tasks are granted before this time
-	closedAt     Time // earliest time at which the job can have been recorded as done or cancelled
+	pending               []int // tasks that are neither done nor active; valid if pendingKnown is set
+	pendingKnown          bool
+	lastConsecutiveErrors int  // as of the previous change of the record
+	suspect               bool // it failed on several machines without success: probably the job's own fault
+	retryAt               Time // no tasks are granted before this time
+	closedAt              Time // earliest time at which the job can have been recorded as done or cancelled
 
 	// State of the scheduler, used while this controller is the leader.
 	waitingSince    Time // when the job started to wait for capacity; 0: it does not wait
@@ -38,10 +38,10 @@
 		return
 	}
 	if record == nil || record.State != wire.JobLive {
-		n.noteCompletion(previous)
+		n.countCompletion(previous)
 	}
 	if record != nil && record.State == wire.JobDone && previous.State == wire.JobLive {
-		n.noteRunTime(job, previous)
+		n.recordRunTime(job, previous)
 	}
 }
 
@@ -72,11 +72,11 @@
 // the job rather than to the machines.
 func (s *site) noteErrors(job *job) {
 	record := job.Record
-	if record.ConsecutiveErrors > job.errorsSeen && record.ConsecutiveErrors >= errorsBeforeBackoff {
+	if record.ConsecutiveErrors > job.lastConsecutiveErrors && record.ConsecutiveErrors >= errorsBeforeBackoff {
 		doublings := min(record.ConsecutiveErrors-errorsBeforeBackoff, maxBackoffDoublings)
 		job.retryAt = s.now + min(minErrorBackoff<<doublings, maxErrorBackoff)
 	}
-	job.errorsSeen = record.ConsecutiveErrors
+	job.lastConsecutiveErrors = record.ConsecutiveErrors
 	if record.ConsecutiveErrors >= errorsBeforeBackoff &&
 		len(record.FailedMachines) >= errorsBeforeBackoff &&
 		len(record.DoneTasks) == 0 {
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -19,9 +19,9 @@
 	maxGrantDelay = 4 * second
 	// lowPriorityDelayFactor is how many times longer the outcomes of low-priority arrays may wait.
 	lowPriorityDelayFactor = 8
-	// batchingShare divides the expected run time of a task. The quotient bounds the delay by
-	// batching.
-	batchingShare = 4
+	// batchingDelayDivisor divides the expected run time of a task. The quotient bounds the delay
+	// by batching.
+	batchingDelayDivisor = 4
 	// defaultMachineName is used to estimate sizes while no machine is known.
 	defaultMachineName = "vm-000000"
 )
@@ -87,7 +87,7 @@
 // maxBatchingDelay returns the longest delay by batching for an array: a share of the expected run
 // time of its tasks, but at least outcomeDelay.
 func maxBatchingDelay(job *job) Time {
-	return max(outcomeDelay, Time(job.Record.Spec.ExpectedS*float64(second)/batchingShare))
+	return max(outcomeDelay, Time(job.Record.Spec.ExpectedS*float64(second)/batchingDelayDivisor))
 }
 
 // grantDelay returns how long the leader batches grants to a low-priority or large array. The delay
@@ -123,9 +123,9 @@
 // them. Removing single tasks from a run may split it, which makes the record larger. Without
 // capacity for that, outcomes wait until the whole run has ended.
 type recordCapacity struct {
-	node   *Node
-	writer *writer
-	left   map[int]int // remaining bytes by index of the job, computed on first use
+	node           *Node
+	writer         *writer
+	remainingBytes map[int]int // by index of the job, computed on first use
 }
 
 func newRecordCapacity(n *Node, writer *writer) *recordCapacity {
@@ -134,26 +134,26 @@
 
 // remaining returns how many bytes are left for the task lists of a job.
 func (c *recordCapacity) remaining(job *job) int {
-	left, known := c.left[job.Index]
+	remaining, known := c.remainingBytes[job.Index]
 	if !known {
 		record := job.Record
 		if changed := c.writer.records[job.Index]; changed != nil {
 			record = changed
 		}
-		left = c.node.listCapacity(job) - replica.TaskListBytes(record.ActiveTasks, record.DoneTasks)
-		c.left[job.Index] = left
+		remaining = c.node.listCapacity(job) - replica.TaskListBytes(record.ActiveTasks, record.DoneTasks)
+		c.remainingBytes[job.Index] = remaining
 	}
-	return left
+	return remaining
 }
 
 // allocate reserves bytes of a job's record for one change, and reports whether it did: more than
 // twice as many must remain.
 func (c *recordCapacity) allocate(job *job, bytes int) bool {
-	left := c.remaining(job)
-	if left <= 2*bytes {
+	remaining := c.remaining(job)
+	if remaining <= 2*bytes {
 		return false
 	}
-	c.left[job.Index] = left - bytes
+	c.remainingBytes[job.Index] = remaining - bytes
 	return true
 }
 
--- a/internal/core/placement_score.go
+++ b/internal/core/placement_score.go
@@ -27,11 +27,11 @@
 
 	// defaultFetchGBs is the rate of image fetches, in GB/s, for machine types without one.
 	defaultFetchGBs = 0.1
-	// fetchSharing divides the size of the images that are already being fetched. They count
-	// only in part, since it depends on the site whether concurrent fetches share the rate.
-	fetchSharing = 3
-	// fetchUnderWay divides the time of a fetch that another task has already started.
-	fetchUnderWay = 2
+	// concurrentFetchDivisor divides the size of the images that are already being fetched. They
+	// count only in part, since it depends on the site whether concurrent fetches share the rate.
+	concurrentFetchDivisor = 3
+	// startedFetchDivisor divides the time of a fetch that another task has already started.
+	startedFetchDivisor = 2
 )
 
 // fetchSeconds estimates how long the machine would take to fetch the image of a job.
@@ -43,9 +43,9 @@
 	if slot.typeInfo != nil && slot.typeInfo.FetchGBs > 0 {
 		rate = slot.typeInfo.FetchGBs
 	}
-	seconds := (job.Record.Spec.ImageGB + slot.fetchGB/fetchSharing) / rate
+	seconds := (job.Record.Spec.ImageGB + slot.fetchGB/concurrentFetchDivisor) / rate
 	if slot.machine != nil && s.usesImage(slot.machine, job.Image) {
-		return seconds / fetchUnderWay
+		return seconds / startedFetchDivisor
 	}
 	return seconds
 }
--- a/internal/core/run_time_estimator.go
+++ b/internal/core/run_time_estimator.go
@@ -59,10 +59,10 @@
 // runTime returns the corrected estimate of a job's run time; see runTimeEstimator.estimate.
 func (n *Node) runTime(spec *wire.JobSpec) Time { return n.runTimeEstimator.estimate(spec) }
 
-// noteRunTime adds a job that is done, with its previous record, to the statistics. The time since
+// recordRunTime adds a job that is done, with its previous record, to the statistics. The time since
 // its last grant counts as its run time. This is too short for a job that was granted in several
 // steps, but no other start time is stored.
-func (n *Node) noteRunTime(job *job, previous *wire.Job) {
+func (n *Node) recordRunTime(job *job, previous *wire.Job) {
 	if previous.Spec == nil || job.grantedAt == 0 || !n.isLeader() {
 		return
 	}
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -4,12 +4,12 @@
 
 // Bounds of a search. A search examines slots and compares the scores of those that fit.
 const (
-	// maxCompared bounds the compared slots that have the job's image.
-	maxCompared = 12
-	// maxComparedInClass and maxExamined bound the compared and the examined slots of each
-	// class: slots of one class differ little.
+	// maxComparedWithImage bounds the compared slots that have the job's image.
+	maxComparedWithImage = 12
+	// maxComparedInClass and maxExaminedInClass bound the compared and the examined slots of
+	// each class: slots of one class differ little.
 	maxComparedInClass = 3
-	maxExamined        = 96
+	maxExaminedInClass = 96
 )
 
 // slotSearch is a search for the best slot for a task.
@@ -51,13 +51,13 @@
 // list of that image.
 func (s *slotSearch) compareWithImage() {
 	spec := s.job.Record.Spec
-	key := imageList{s.job.Image, spec.GPUs <= 0}
+	key := imageListKey{s.job.Image, spec.GPUs <= 0}
 	list := s.set.withImage(key)
 	remaining := list[:0]
 	compared := 0
 	for i, candidate := range list {
 		s.set.node.workCount++
-		if compared >= maxCompared {
+		if compared >= maxComparedWithImage {
 			remaining = append(remaining, list[i:]...)
 			break
 		}
@@ -77,7 +77,7 @@
 // run on them.
 func (s *slotSearch) mayFit(class slotClass) bool {
 	gpus := s.job.Record.Spec.GPUs
-	if class.noGPU && gpus > 0 && s.set.node.machineTypes[class.machineType].GPUs > 0 {
+	if class.noFreeGPU && gpus > 0 && s.set.node.machineTypes[class.machineType].GPUs > 0 {
 		return false
 	}
 	return float64(class.gpus)+1 >= gpus && s.job.Allows(class.machineType, class.zone, class.spot)
@@ -99,7 +99,7 @@
 			continue
 		}
 		i++
-		if examined++; examined > maxExamined || compared >= maxComparedInClass {
+		if examined++; examined > maxExaminedInClass || compared >= maxComparedInClass {
 			return
 		}
 		if !candidate.fits(spec) || !candidate.accepts(s.job) {
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -121,14 +121,14 @@
 // slotClass groups slots that are nearly equivalent for the choice of a machine.
 type slotClass struct {
 	shard, zone, machineType, gpus int  // gpus: free GPUs, whole ones only
-	spot, idle, daemon, faulty     bool // faulty: a job has failed on the machine since its last success
-	noGPU                          bool // no GPU is free, not even a fraction of one
+	spot, idle, daemon, hasErrors  bool // hasErrors: a job has failed on the machine since its last success
+	noFreeGPU                      bool // no GPU is free, not even a fraction of one
 }
 
 // classify returns the class that a slot belongs to at present.
 func (s *slot) classify() slotClass {
-	return slotClass{shard: s.shard, zone: s.zone, machineType: s.machineType, gpus: int(s.gpus + epsilon), noGPU: s.gpus <= epsilon, spot: s.spot,
-		idle: s.isIdle(), daemon: s.daemon, faulty: s.errors > 0}
+	return slotClass{shard: s.shard, zone: s.zone, machineType: s.machineType, gpus: int(s.gpus + epsilon), noFreeGPU: s.gpus <= epsilon, spot: s.spot,
+		idle: s.isIdle(), daemon: s.daemon, hasErrors: s.errors > 0}
 }
 
 // slotSet holds slots, indexed by class and by image, so that the cost of choosing a slot grows
@@ -139,23 +139,23 @@
 	releasing  []*slot // those with capacity that tasks are about to release
 	open       map[slotClass]*slotList
 	classOrder []slotClass // classes in the order in which they were first added
-	byImage    map[imageList][]*slot
+	byImage    map[imageListKey][]*slot
 }
 
 // slotList lists the slots of a class. The index holds a pointer to it, so that a search can
 // shorten the list without another lookup of the class.
 type slotList []*slot
 
-// imageList is the key of a list of slots that have an image: those with a free GPU or, for
+// imageListKey is the key of a list of slots that have an image: those with a free GPU or, for
 // tasks without GPUs, all that have any free capacity.
-type imageList struct {
+type imageListKey struct {
 	image      int // index of the name
 	withoutGPU bool
 }
 
 // newSlotSet returns an empty set.
 func newSlotSet(n *Node) *slotSet {
-	return &slotSet{node: n, open: map[slotClass]*slotList{}, byImage: map[imageList][]*slot{}}
+	return &slotSet{node: n, open: map[slotClass]*slotList{}, byImage: map[imageListKey][]*slot{}}
 }
 
 // add adds a slot, which must be in no other set.
@@ -196,7 +196,7 @@
 
 // withImage returns the slots that have an image or are fetching it. The list is built on first
 // use, from the slots that are not full at that time.
-func (s *slotSet) withImage(key imageList) []*slot {
+func (s *slotSet) withImage(key imageListKey) []*slot {
 	list, built := s.byImage[key]
 	if !built {
 		for _, slot := range s.all {
