--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -98,8 +98,8 @@
 
 // reserve returns the number of tasks of a class to reserve capacity for; see
 // classArrivals.tasksToReserve.
-func (f *arrivalForecast) reserve(class *classArrivals, now, lead Time) int {
-	return class.tasksToReserve(now, f.countingSince, lead)
+func (f *arrivalForecast) reserve(class *classArrivals, now, leadTime Time) int {
+	return class.tasksToReserve(now, f.countingSince, leadTime)
 }
 
 // countsArrivals reports whether arrivals and completions are counted, and starts the counting
@@ -140,26 +140,26 @@
 }
 
 // tasksToReserve returns the number of tasks of the class to reserve capacity for: the expected
-// arrivals during lead, the time until more capacity could be obtained, less the expected
+// arrivals during leadTime, the time until more capacity could be obtained, less the expected
 // completions, plus one standard deviation, since the times and sizes of jobs are random. It never
 // exceeds the expected arrivals plus their own standard deviation: if no more jobs arrive, the tasks
 // that end need no replacement. Counting started at since.
-func (a *classArrivals) tasksToReserve(now, since, lead Time) int {
+func (a *classArrivals) tasksToReserve(now, since, leadTime Time) int {
 	a.removeOld(now)
 	window := max(minForecastWindow, min(arrivalWindow, now-since))
-	share := lead.Seconds() / window.Seconds()
-	arriving, arrivingVariance := meanAndVariance(a.arrivals, share)
-	ending, endingVariance := meanAndVariance(a.completions, share)
+	fraction := leadTime.Seconds() / window.Seconds()
+	arriving, arrivingVariance := meanAndVariance(a.arrivals, fraction)
+	ending, endingVariance := meanAndVariance(a.completions, fraction)
 	net := max(0, arriving-ending) + math.Sqrt(arrivingVariance+endingVariance)
 	return int(math.Round(min(net, arriving+math.Sqrt(arrivingVariance))))
 }
 
 // meanAndVariance returns the mean and the variance of the number of tasks in a time that is the
-// given share of the window, assuming that jobs arrive independently of each other.
-func meanAndVariance(jobs []jobEvent, share float64) (mean, variance float64) {
+// given fraction of the window, assuming that jobs arrive independently of each other.
+func meanAndVariance(jobs []jobEvent, fraction float64) (mean, variance float64) {
 	for _, job := range jobs {
-		mean += float64(job.tasks) * share
-		variance += float64(job.tasks) * float64(job.tasks) * share
+		mean += float64(job.tasks) * fraction
+		variance += float64(job.tasks) * float64(job.tasks) * fraction
 	}
 	return mean, variance
 }
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -16,12 +16,12 @@
 // timedOut reports whether a grant has waited for capacity for longer than grantTimeout, counted
 // from the first call for that grant.
 func (g grantTimes) timedOut(key taskKey, now Time) bool {
-	at, seen := g[key]
+	since, seen := g[key]
 	if !seen {
 		g[key] = now
 		return false
 	}
-	return now-at > grantTimeout
+	return now-since > grantTimeout
 }
 
 // placeGranted chooses machines for the grants of this controller's shards. A grant is an active
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -211,12 +211,12 @@
 }
 
 // capacityFor returns an upper bound for the number of tasks of a job that fit into the slots of
-// those shards and zones for which in returns true.
-func (s *slotSet) capacityFor(job *job, in func(shardIndex, zone int) bool) int {
+// those shards and zones for which includes returns true.
+func (s *slotSet) capacityFor(job *job, includes func(shardIndex, zone int) bool) int {
 	const unbounded = 1 << 10 // the class sets no bound for tasks that need less than one GPU
 	spec, tasks := job.Record.Spec, 0
 	for _, class := range s.classOrder {
-		if !in(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
+		if !includes(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
 			continue
 		}
 		tasksPerSlot := unbounded
