--- a/internal/core/queue_position.go
+++ b/internal/core/queue_position.go
@@ -3,7 +3,7 @@
 // queuePosition is the queue position that a gang had before it was granted. It is restored if the
 // attempt is dropped.
 type queuePosition struct {
-	waitingSince    Time // when the gang started waiting, as of its grant; 0: no position is stored
+	waitingSince    Time // start of the wait that the grant ended; 0: none is stored
 	droppedAttempts int  // attempts that have been dropped since the gang was last placed
 }
 
