--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -4,50 +4,51 @@
 	"micaport/internal/wire"
 )
 
-// machinePool is the machines of one type, zone and price model. Capacity and prices are
-// those of a pool.
+// machinePool identifies the machines of one type, zone and price model. The cloud has a
+// capacity and a price for each pool.
 type machinePool struct {
-	machineType, zone int // indices of the names
+	machineType, zone int // indices in Names.MachineTypes and Names.Zones
 	spot              bool
 }
 
+// pool returns the pool that the slot's machine belongs to.
 func (s *slot) pool() machinePool { return machinePool{s.machineType, s.zone, s.spot} }
 
-// autoscaler is the leader's memory of its calls to the cloud and of the machines that they
-// concern. All of it can be lost: a new leader rebuilds it from the cloud's machine list.
+// autoscaler is the leader's state of its calls to the cloud and of the machines that these
+// calls concern. It is not stored: a new leader rebuilds it from the cloud's machine list.
 type autoscaler struct {
-	requestSequence int // of the last provisioning request, for its name
+	requestSequence int // number of the last provisioning request, part of its name
 	provisions      []*provisioning
 	booting         map[string]*bootingMachine
-	recentBoots     []boot               // the newest last
-	retryAt         map[machinePool]Time // when the pool may be asked again
-	shortageAt      map[machinePool]Time // when the pool last had fewer machines than requested
+	recentBoots     []boot               // in the order in which the machines came up
+	retryAt         map[machinePool]Time // earliest time of the next request to the pool
+	shortageAt      map[machinePool]Time // when the pool last provided fewer machines than requested
 	draining        map[string]bool      // machines to be deprovisioned once they are empty
 	idleSince       map[string]Time
 
-	listAt          Time            // when the machine list is fetched next
-	listing         bool            // a call for the machine list is under way
-	typesAt         Time            // when the machine types are fetched next
-	deprovisionAt   Time            // when machines may be deprovisioned next, after a failed call
-	scaleInAt       Time            // when idle machines are looked for next
-	deprovisioning  bool            // a deprovisioning call is under way
-	unreportedSince map[string]Time // running by the machine list, but never heard of
+	listAt          Time            // next fetch of the machine list
+	listing         bool            // a fetch of the machine list is in progress
+	typesAt         Time            // next fetch of the machine types
+	deprovisionAt   Time            // earliest time of the next deprovisioning call, set after a failed one
+	scaleInAt       Time            // next search for machines to deprovision
+	deprovisioning  bool            // a deprovisioning call is in progress
+	unreportedSince map[string]Time // machines that the machine list shows as running but that have not reported
 }
 
-// provisioning is a request for machines of one pool that is not settled yet.
+// provisioning is a request for machines of one pool whose outcome is not known yet.
 type provisioning struct {
 	pool      machinePool
 	request   wire.ProvisionRequest
-	sent      bool
-	sendAt    Time // when it may be sent (again)
-	decidedAt Time
+	sent      bool // a call with the request is in progress
+	sendAt    Time // earliest time to send the request, or to repeat it
+	decidedAt Time // when the scheduler made the request
 }
 
-// bootingMachine is a provisioned machine that has not reported yet.
+// bootingMachine is a provisioned machine whose worker has not reported yet.
 type bootingMachine struct {
 	pool          machinePool
 	provisionedAt Time
-	listed        bool // it has been in the machine list
+	listed        bool // the machine list has contained the machine
 }
 
 func newAutoscaler() autoscaler {
--- a/internal/core/autoscaler_boot_times.go
+++ b/internal/core/autoscaler_boot_times.go
@@ -6,36 +6,39 @@
 	"micaport/internal/wire"
 )
 
-// A machine boots in up to one and a half times its type's boot time. One that takes longer
-// may take several times as long or never come: it is left out of the plan from then on, and
-// deprovisioned a little later, as it costs money and takes up capacity.
+// A machine normally boots within one and a half times its type's boot time. One that takes
+// longer may need several times as long, or never start: the scheduler stops planning with it,
+// and it is deprovisioned a little later, because it costs money and takes up capacity.
 //
-// On some days all machines are late. Deprovisioning those that have booted for longest then
-// gains nothing: it once left a site without any machine for as long as the trouble lasted.
-// So both limits follow the boots of the last machines that came up, and a machine is
-// abandoned early only if one that was provisioned with it or after it is up already.
+// At times all machines boot slowly. Deprovisioning the oldest ones then gains nothing, and can
+// leave a site without any machine until the cloud is fast again. Both limits therefore grow
+// with the boot times of the machines that came up last, and a machine is abandoned early only
+// if another one that was provisioned with it or after it is already up.
+//
+// The factors are multiples of the boot time of the machine's type.
 const (
-	usualBootSpread  = 1.5 // boots take up to so many times their type's boot time
-	lateBootFactor   = 1.6 // of the boot time: left out of the plan
-	giveUpBootFactor = 2.0 // of the boot time: deprovisioned
-	maxBootFactor    = 8.0 // of the boot time: deprovisioned though no later machine has come up
+	usualBootSpread  = 1.5 // the longest normal boot
+	lateBootFactor   = 1.6 // after this the scheduler no longer plans with the machine
+	giveUpBootFactor = 2.0 // after this the machine is deprovisioned
+	maxBootFactor    = 8.0 // after this it is deprovisioned even if no later machine is up
 
-	lateBootMargin   = 3 // seconds
-	giveUpBootMargin = 5 // seconds
-	// sameBatchTime is how far apart machines of one batch may have been provisioned.
+	lateBootMargin   = 3 // seconds added to the late limit
+	giveUpBootMargin = 5 // seconds added to the limit for deprovisioning
+	// sameBatchTime is the longest time between the provisioning of two machines of one batch.
 	sameBatchTime = second
-	// maxRecentBoots is how many boots are remembered.
+	// maxRecentBoots is the number of boots that bootSlowdown is computed from.
 	maxRecentBoots = 24
 )
 
-// boot is a machine that has come up.
+// boot records how long a machine took to come up.
 type boot struct {
 	name          string
 	provisionedAt Time
-	ratio         float64 // of the time that it took to its type's boot time
+	ratio         float64 // measured boot time, as a multiple of the type's boot time
 }
 
-// noteBooted notes that an expected machine is up.
+// noteBooted records the boot of an expected machine that has come up. It ignores other
+// machines.
 func (a *autoscaler) noteBooted(site *site, name string) {
 	booting := a.booting[name]
 	if booting == nil {
@@ -48,8 +51,8 @@
 	}
 }
 
-// bootSlowdown is how many times longer than usual the last machines took to boot, from 1 to
-// maxBootFactor. It follows their 80th percentile, beyond the usual spread.
+// bootSlowdown returns by which factor, from 1 to maxBootFactor, the recent boots were slower
+// than normal: their 80th percentile divided by the longest normal boot.
 func (a *autoscaler) bootSlowdown() float64 {
 	if len(a.recentBoots) == 0 {
 		return 1
@@ -62,8 +65,8 @@
 	return max(1, min(maxBootFactor, ratios[len(ratios)*4/5]/usualBootSpread))
 }
 
-// overdue reports whether a machine that has not reported yet is late, and whether it should
-// be deprovisioned.
+// overdue reports whether a machine that has not reported yet is late, so that the scheduler
+// must not plan with it, and whether it is abandoned, so that it should be deprovisioned.
 func (a *autoscaler) overdue(now Time, machineType *wire.MachineType, provisionedAt Time) (late, abandoned bool) {
 	lateFactor, giveUpFactor := lateBootFactor, giveUpBootFactor
 	if !slices.ContainsFunc(a.recentBoots, func(b boot) bool { return b.provisionedAt >= provisionedAt-sameBatchTime }) {
--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -3,19 +3,20 @@
 import "micaport/internal/wire"
 
 const (
-	// unreportedGrace is how long beyond the workers' lease a machine that runs by the
-	// machine list may go without a report before it is deprovisioned.
+	// unreportedGrace is added to the workers' lease: a machine that the machine list shows as
+	// running is deprovisioned if its worker has not reported within this time.
 	unreportedGrace = 10 * second
-	// unlistedGrace is how long beyond thrice the lag of the machine list a provisioned
-	// machine may be missing there before it is no longer expected.
+	// unlistedGrace is added to three times the lag of the machine list: a provisioned machine
+	// that the list has not shown within this time is no longer expected.
 	unlistedGrace = 10 * second
 )
 
-// reconcileMachineList compares the cloud's machine list, which lags, with the machines
-// that are expected or have reported, and has those deprovisioned that are of no use.
+// reconcileMachineList compares the cloud's machine list, which lags, with the machines that
+// are expected or have reported. It marks machines that have failed or do not come up for
+// deprovisioning, and stops expecting those that are missing from the list.
 func (a *autoscaler) reconcileMachineList(site *site, list []wire.CloudMachine) {
 	listed := make(map[string]bool, len(list))
-	var useless []string
+	var unneeded []string
 	for i := range list {
 		entry := &list[i]
 		listed[entry.Name] = true
@@ -23,7 +24,7 @@
 			continue
 		}
 		if a.reconcileMachine(site, entry) {
-			useless = append(useless, entry.Name)
+			unneeded = append(unneeded, entry.Name)
 		}
 	}
 	for name, booting := range a.booting {
@@ -31,14 +32,14 @@
 			delete(a.booting, name)
 		}
 	}
-	for _, name := range useless {
+	for _, name := range unneeded {
 		a.draining[name] = true
 	}
 }
 
-// reconcileMachine takes in an entry of the machine list and reports whether the machine is
-// to be deprovisioned.
-func (a *autoscaler) reconcileMachine(site *site, entry *wire.CloudMachine) (useless bool) {
+// reconcileMachine updates the state of a machine from its entry in the machine list and
+// reports whether the machine should be deprovisioned.
+func (a *autoscaler) reconcileMachine(site *site, entry *wire.CloudMachine) (unneeded bool) {
 	switch {
 	case entry.Status == wire.MachineFailed:
 		return true
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -7,20 +7,19 @@
 	"micaport/internal/wire"
 )
 
-// Choosing the pools that machines are provisioned from.
-
 const (
-	// shortageTime is how long a pool without capacity is not counted on.
+	// shortageTime is how long after a shortage the scheduler does not rely on a pool; see
+	// canProvision.
 	shortageTime = 60 * second
-	// maxProvisioned is how many machines the cloud provisions in one call.
+	// maxProvisioned is the largest number of machines that the cloud provisions in one call.
 	maxProvisioned = 50
-	// maxExtraMachines bounds how many machines beyond the plan are requested in one call
-	// while no machine is up.
+	// maxExtraMachines is the largest number of machines that are requested from a pool beyond
+	// those planned, at a time when no machine is up.
 	maxExtraMachines = 10
 )
 
-// addExpectedMachines adds the machines that are booting or requested as capacity to plan
-// with, unless they are overdue.
+// addExpectedMachines adds the machines that are booting or requested to the capacity that the
+// pass plans with. It leaves out machines whose boot is overdue.
 func (p *schedulingPass) addExpectedMachines() {
 	scaler, site := &p.node.leader.autoscaler, &p.node.site
 	names := make([]string, 0, len(scaler.booting))
@@ -48,8 +47,8 @@
 	}
 }
 
-// addExpectedMachine adds a machine that is not up yet to the plan. It returns nil if the
-// machine type is not on offer any more.
+// addExpectedMachine adds a machine that is not up yet to the capacity that the pass plans
+// with. It returns nil if the machine type is unknown.
 func (p *schedulingPass) addExpectedMachine(pool machinePool) *slot {
 	slot := p.node.newSlot(pool)
 	if slot != nil {
@@ -59,8 +58,9 @@
 	return slot
 }
 
-// newSlot returns the capacity of a machine yet to come, or nil if its type is not on offer.
-// It is in the first shard of its zone, as its name, which decides on the shard, is not known.
+// newSlot returns the capacity of a machine that is not up yet, or nil if its type is unknown.
+// A machine's name determines its shard, and the name is not known yet, so the slot is assigned
+// to the first shard of the zone.
 func (s *site) newSlot(pool machinePool) *slot {
 	machineType := s.typeAt(pool.machineType)
 	if machineType == nil {
@@ -85,14 +85,14 @@
 	}
 }
 
-// pricedPool is a pool with the price of a machine per hour.
+// pricedPool is a pool with the price of its machines.
 type pricedPool struct {
 	machinePool
-	price float64
+	price float64 // of one machine for one hour
 }
 
-// pools lists the pools that a job's tasks may run on, cheapest first and among equals the
-// one with the fewest machines.
+// pools returns the pools that a job's tasks may run on, cheapest first; of pools with the same
+// price the one with the fewest machines comes first.
 func (p *schedulingPass) pools(job *job) []pricedPool {
 	n, spec := p.node, job.Record.Spec
 	list := make([]pricedPool, 0, 8)
@@ -119,20 +119,22 @@
 	return list
 }
 
-// mayRequest reports whether machines may be requested from a pool now.
+// mayRequest reports whether the retry delay of a pool has passed.
 func (a *autoscaler) mayRequest(now Time, pool machinePool) bool {
 	return now >= a.retryAt[pool]
 }
 
-// hasShortage reports whether a pool was short of machines lately.
+// hasShortage reports whether a pool has provided fewer machines than requested within the last
+// shortageTime.
 func (a *autoscaler) hasShortage(now Time, pool machinePool) bool {
 	at, short := a.shortageAt[pool]
 	return short && now-at < shortageTime
 }
 
-// canProvision reports whether machines for a job can be counted on in a zone, or in any if
-// it is -1. A pool that was short of machines is asked again and again, but not counted on:
-// otherwise the capacity reserved on machines in use would be dropped at each try.
+// canProvision reports whether the scheduler can rely on getting machines for a job in a zone,
+// or in any zone if it is -1. A pool with a recent shortage is asked again after each retry
+// delay, but it does not count here: otherwise each retry would cancel the capacity that is
+// reserved on machines in use.
 func (p *schedulingPass) canProvision(job *job, zone int) bool {
 	scaler, now := &p.node.leader.autoscaler, p.node.now
 	for _, pool := range p.pools(job) {
@@ -145,8 +147,9 @@
 	return false
 }
 
-// provisionFor plans to provision a machine for a task from the cheapest pool that accept
-// allows. It returns nil if there may be no more machines.
+// provisionFor plans to provision a machine for a task of a job, from the cheapest pool whose
+// machines accept allows, and returns the machine's capacity. It returns nil if no pool
+// qualifies, the site has its maximum number of machines, or the job is suspect.
 func (p *schedulingPass) provisionFor(job *job, accept func(*slot) bool) *slot {
 	n := p.node
 	if job.suspect || n.cfg.MaxMachines > 0 && len(p.available.all)+len(p.expected.all) >= n.cfg.MaxMachines {
@@ -164,8 +167,9 @@
 	return nil
 }
 
-// largestRequestsFirst lists the pools that a pass wants machines from: the largest number
-// first, as a call provisions maxProvisioned at most and calls are scarce.
+// largestRequestsFirst returns the pools that the pass provisions machines from, those with the
+// most machines first: the cloud limits the rate of calls, and each call provisions at most
+// maxProvisioned machines.
 func (p *schedulingPass) largestRequestsFirst() []machinePool {
 	pools := make([]machinePool, 0, len(p.provisions))
 	for pool := range p.provisions {
@@ -181,20 +185,20 @@
 	return pools
 }
 
-// requestMachines turns what the pass wants to provision into requests. There are few open
-// requests at a time: what has to wait for a call is better planned anew and requested
-// in larger numbers.
+// requestMachines creates requests for the machines that the pass wants to provision. The
+// number of open requests is limited: the next pass plans the remaining machines again and
+// combines them into larger requests.
 func (p *schedulingPass) requestMachines() {
 	n, scaler := p.node, &p.node.leader.autoscaler
 	if n.cloudCallTime() == 0 {
-		return // what can't be sent yet is planned anew until it can
+		return // no call may be sent now; the next passes plan the machines again
 	}
 	pools := p.largestRequestsFirst()
 	for open := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.provisions); open > 0 && len(pools) > 0; open-- {
 		pool := pools[0]
 		if len(p.available.all) == 0 {
-			// No machine is up. Boot times differ by more than a factor of two, so that
-			// with some more machines the first are up sooner.
+			// No machine is up. Boot times vary by more than a factor of two, so the first
+			// machines come up sooner if more are requested.
 			p.provisions[pool] += min((p.provisions[pool]+1)/2, maxExtraMachines)
 		}
 		count := min(p.provisions[pool], maxProvisioned)
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -7,43 +7,44 @@
 	"micaport/internal/wire"
 )
 
-// Calls to the cloud and what follows from their answers.
-
 const (
-	// typesInterval lies between two fetches of the machine types, which change rarely.
+	// typesInterval is the time between two fetches of the machine types, which change rarely.
 	typesInterval = 30 * second
-	// typesRetryInterval is that while there are none: without them nothing is planned.
+	// typesRetryInterval is the time between two fetches until the cloud has listed the machine
+	// types once.
 	typesRetryInterval = 2 * second
-	// minListInterval lies between two fetches of the machine list at least.
+	// minListInterval is the shortest time between two fetches of the machine list.
 	minListInterval = 4 * second
-	// machinesPerPage is how many machines a page of the machine list has.
+	// machinesPerPage is the number of machines on a page of the machine list.
 	machinesPerPage = 500
-	// callsPerListPage bounds the share of the cloud's calls that goes to the further pages
-	// of the machine list: one in so many. The rest is for provisioning and deprovisioning.
+	// callsPerListPage limits the calls that fetch the second and later pages of the machine
+	// list to one in this many, so that enough calls remain for provisioning and
+	// deprovisioning.
 	callsPerListPage = 5
-	// minCloudRPS stands in for a rate of calls that is not set.
+	// minCloudRPS replaces a request rate of the cloud that is lower or not set.
 	minCloudRPS = 0.1
 
-	// noCapacityDelay is how long a pool without capacity is not asked again.
+	// noCapacityDelay is the time until the next request to a pool that lacked capacity.
 	noCapacityDelay = 10 * second
-	// refusedDelay is that for a pool for which the cloud refused a request.
+	// refusedDelay is the time until the next request to a pool after a refused request.
 	refusedDelay = 2 * second
-	// provisionRetryDelay is when a request is sent again whose outcome is unknown.
+	// provisionRetryDelay is the time until a request with an unknown outcome is repeated.
 	provisionRetryDelay = second
-	// provisionRetryTime is for how long such a request is repeated.
+	// provisionRetryTime is how long after its decision such a request is repeated at most.
 	provisionRetryTime = 60 * second
-	// deprovisionRetryDelay is when machines are deprovisioned again after a failed call.
+	// deprovisionRetryDelay is the time until the next deprovisioning call after a failed one.
 	deprovisionRetryDelay = 2 * second
 )
 
-// cloudReceiver goes on with the answer to a call to the cloud.
+// cloudReceiver receives the answer to a call to the cloud.
 type cloudReceiver interface {
 	cloudAnswered(n *Node, answer CloudAnswered)
 }
 
-// cloudRequest is a call to the cloud under way.
+// cloudRequest is a call to the cloud in progress.
 type cloudRequest struct{ next cloudReceiver }
 
+// resume records since when the cloud has been unreachable and passes the answer on.
 func (r cloudRequest) resume(n *Node, result Result) {
 	answer := result.(CloudAnswered)
 	if answer.Outcome != kv.Unknown {
@@ -54,11 +55,11 @@
 	r.next.cloudAnswered(n, answer)
 }
 
-// callCloud sends a call to the cloud.
+// callCloud sends a call to the cloud; next receives its answer.
 func (n *Node) callCloud(call CallCloud, next cloudReceiver) {
 	call.ID = n.continueWith(cloudRequest{next})
-	// A process that stalled must not send what it decided before: another controller
-	// leads by then, and the machines may be in use.
+	// The call expires, because after a stall of this process another controller may lead and
+	// the machines may be in use.
 	call.ValidFor = n.cloudCallTime()
 	if n.fenced() {
 		call.Term = n.leadership.Term()
@@ -66,8 +67,8 @@
 	n.emit(call)
 }
 
-// runCloudCalls keeps the machine types and the machine list up to date, and sends
-// provisioning requests.
+// runCloudCalls fetches the machine types and the machine list when they are due, and sends the
+// provisioning requests that are due.
 func (n *Node) runCloudCalls() {
 	scaler := &n.leader.autoscaler
 	if n.now >= scaler.typesAt {
@@ -90,7 +91,7 @@
 	}
 }
 
-// typesRequest is a fetch of the machine types under way.
+// typesRequest is a fetch of the machine types in progress.
 type typesRequest struct{}
 
 func (typesRequest) cloudAnswered(n *Node, answer CloudAnswered) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// setMachineTypes replaces the machine types on offer.
+// setMachineTypes replaces the machine types that the cloud offers.
 func (n *Node) setMachineTypes(types []wire.MachineType) {
 	n.offeredTypes = types
 	for i := range types {
@@ -112,8 +113,9 @@
 	n.leader.passNeeded = true
 }
 
-// updateMachineTypes replaces the machine types by those that the cloud has listed, and
-// stores them for controllers that can't reach the cloud if other ones are on offer.
+// updateMachineTypes replaces the machine types by those that the cloud has listed. If the names
+// have changed or no types are stored yet, it also stores them, for controllers that cannot
+// reach the cloud.
 func (n *Node) updateMachineTypes(types []wire.MachineType) {
 	changed := len(types) != len(n.offeredTypes)
 	for i := range types {
@@ -125,13 +127,13 @@
 		return
 	}
 	for len(types) > 1 && !n.valueFits(&wire.MachineTypeCache{Types: types}) {
-		types = types[:len(types)-1] // better some than none
+		types = types[:len(types)-1] // an incomplete list is better than none
 	}
 	n.transact(ClassBackground, []kv.Condition{n.leaderCondition()},
 		[]kv.Write{{Key: wire.MachineTypesKey, Value: &wire.MachineTypeCache{Types: types}}}, ignoreResult{})
 }
 
-// listRequest is a fetch of the machine list under way.
+// listRequest is a fetch of the machine list in progress.
 type listRequest struct{ tenure int }
 
 func (r listRequest) cloudAnswered(n *Node, answer CloudAnswered) {
@@ -147,7 +149,7 @@
 	}
 }
 
-// provisionRequest is a provisioning call under way.
+// provisionRequest is a provisioning call in progress.
 type provisionRequest struct {
 	provisioning *provisioning
 	tenure       int
@@ -168,7 +170,8 @@
 	n.leader.passNeeded = true
 }
 
-// provisionAnswered settles a provisioning request, or has it sent again.
+// provisionAnswered applies the answer to a provisioning request. The request is removed, or
+// scheduled to be repeated if its outcome is unknown.
 func (a *autoscaler) provisionAnswered(now Time, request *provisioning, answer CloudAnswered) {
 	settled := true
 	switch answer.Outcome {
@@ -184,7 +187,8 @@
 	case kv.Refused:
 		a.retryAt[request.pool] = now + refusedDelay
 	default:
-		// It may have been carried out: only a repetition under the same name tells.
+		// The machines may have been provisioned. If so, the cloud answers a request with the
+		// same name as it did before, and provisions no more machines.
 		request.sent, request.sendAt = false, now+provisionRetryDelay
 		settled = now-request.decidedAt > provisionRetryTime
 	}
@@ -193,18 +197,18 @@
 	}
 }
 
-// noteShortage notes that a pool had fewer machines than requested.
+// noteShortage records that a pool provided fewer machines than requested.
 func (a *autoscaler) noteShortage(now Time, pool machinePool) {
 	a.retryAt[pool], a.shortageAt[pool] = now+noCapacityDelay, now
 }
 
-// deprovision returns machines to the cloud.
+// deprovision sends a call that returns machines to the cloud.
 func (n *Node) deprovision(names []string) {
 	n.leader.autoscaler.deprovisioning = true
 	n.callCloud(CallCloud{Deprovision: names}, deprovisionRequest{names, n.leader.tenure})
 }
 
-// deprovisionRequest is a deprovisioning call under way.
+// deprovisionRequest is a deprovisioning call in progress.
 type deprovisionRequest struct {
 	names  []string
 	tenure int
@@ -233,7 +237,7 @@
 	n.sendGossip(true)
 }
 
-// forget drops what is remembered of a machine that has been deprovisioned.
+// forget removes the state of a machine that has been deprovisioned.
 func (a *autoscaler) forget(name string) {
 	delete(a.draining, name)
 	delete(a.booting, name)
--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Machines that are no longer needed are drained and deprovisioned.
-
 const (
-	// scaleInInterval lies between two searches for machines to be deprovisioned.
+	// scaleInInterval is the time between two searches for machines to deprovision.
 	scaleInInterval = second
-	// faultyIdleTimeout is how long a machine that has failed a job may be idle.
+	// faultyIdleTimeout is how long a machine that has failed a job may be idle before it is
+	// drained.
 	faultyIdleTimeout = 10 * second
-	// maxDeprovisioned is how many machines one call to the cloud returns at most.
+	// maxDeprovisioned is the largest number of machines that are deprovisioned in one call.
 	maxDeprovisioned = 100
 )
 
-// scaleIn drains machines that have been idle, are unhealthy or are lost, and deprovisions
-// those that their owners have drained.
+// scaleIn drains machines that have been idle for long enough, are unhealthy or are unreachable,
+// and deprovisions those that are drained. idle holds the machines that had no work before the
+// pass.
 func (n *Node) scaleIn(pass *schedulingPass, idle map[*slot]bool) {
 	scaler, site := &n.leader.autoscaler, &n.site
 	if n.now < scaler.scaleInAt {
@@ -34,9 +34,9 @@
 	}
 }
 
-// drainIdle marks machines that have been idle for long enough, except some spare ones of
-// each pool. Of idle, the machines without work, those count for which the pass has not
-// planned anything.
+// drainIdle marks machines for draining that have been idle for long enough, except for the
+// spare machines of each pool. A machine counts as idle if it had no work before the pass and
+// the pass has neither planned work on it nor reserved it.
 func (a *autoscaler) drainIdle(site *site, slots []*slot, idle map[*slot]bool) {
 	spares := map[machinePool]int{}
 	for _, slot := range slots {
@@ -50,7 +50,8 @@
 		}
 		timeout := site.cfg.IdleTimeout
 		if slot.errors > 0 {
-			// It failed a job and nothing has succeeded since: it is no spare machine.
+			// The machine failed a job and none has succeeded on it since, so it is not
+			// counted as a spare machine.
 			timeout = min(faultyIdleTimeout, timeout)
 		} else {
 			pool := slot.pool()
@@ -64,8 +65,8 @@
 	}
 }
 
-// drainUnhealthy marks machines that are lost, or unhealthy and empty, and unmarks those on
-// which their owners have placed something meanwhile.
+// drainUnhealthy marks machines for draining that are unreachable, or unhealthy and empty. It
+// unmarks machines on which their owners have placed work in the meantime.
 func (a *autoscaler) drainUnhealthy(site *site) {
 	for _, shard := range site.shards {
 		for _, machine := range shard.machines {
@@ -81,8 +82,8 @@
 	}
 }
 
-// drainedMachines lists machines that may be deprovisioned now, at most as many as one call
-// takes: their owners have drained them, or no controller hears them.
+// drainedMachines returns machines that may be deprovisioned now, at most maxDeprovisioned:
+// their owners have drained them, or no controller receives reports from them.
 func (a *autoscaler) drainedMachines(site *site) []string {
 	var drained []string
 	for name := range a.draining {
@@ -101,7 +102,7 @@
 	return drained[:min(len(drained), maxDeprovisioned)]
 }
 
-// drainList names the machines that their owners are to drain, in order.
+// drainList returns the names of the machines that their owners should drain, in order.
 func (l *leaderState) drainList(*Node) []string {
 	return slices.Sorted(maps.Keys(l.autoscaler.draining))
 }
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -8,8 +8,9 @@
 	"micaport/internal/wire"
 )
 
-// TestOverdue: a machine is late, and then abandoned, by the boot times of its type and of the last
-// machines, and early only if one that was provisioned with it or after it is up.
+// TestOverdue checks when a machine is late and when it is abandoned. Both limits depend on the
+// boot time of its type and on the recent boots, and are longer unless a machine that was
+// provisioned with it or after it is up.
 func TestOverdue(t *testing.T) {
 	const bootS = 10
 	machineType := &wire.MachineType{Name: "g", BootS: bootS}
@@ -41,8 +42,8 @@
 	}
 }
 
-// TestProvisionAnswered: a request is settled by any certain answer, and sent again under the same
-// name while its outcome is unknown.
+// TestProvisionAnswered checks that a request is closed by an answer with a known outcome, and
+// repeated under the same name for a limited time while its outcome is unknown.
 func TestProvisionAnswered(t *testing.T) {
 	const now = 100 * second
 	pool := machinePool{spot: true}
@@ -70,13 +71,13 @@
 				t.Errorf("open = %v, want %v", open, test.open)
 			}
 			if test.open && (request.sent || request.sendAt != now+provisionRetryDelay) {
-				t.Errorf("sent = %v, sent again at %v, want at %v", request.sent, request.sendAt, now+provisionRetryDelay)
+				t.Errorf("sent = %v, sendAt = %v, want the request unsent and sendAt = %v", request.sent, request.sendAt, now+provisionRetryDelay)
 			}
 			if len(scaler.booting) != test.booting {
-				t.Errorf("%d machines are booting, want %d", len(scaler.booting), test.booting)
+				t.Errorf("%d machines booting, want %d", len(scaler.booting), test.booting)
 			}
 			if got := scaler.retryAt[pool]; got != test.retryAt {
-				t.Errorf("the pool is asked again at %v, want %v", got, test.retryAt)
+				t.Errorf("retryAt = %v, want %v", got, test.retryAt)
 			}
 			if short := scaler.hasShortage(now, pool); short != test.short {
 				t.Errorf("shortage = %v, want %v", short, test.short)
@@ -85,8 +86,8 @@
 	}
 }
 
-// TestDrainedMachines: only machines that their owners have drained, or that no controller hears, are
-// deprovisioned.
+// TestDrainedMachines checks that only machines that their owners have drained, or from which no
+// controller receives reports, are deprovisioned.
 func TestDrainedMachines(t *testing.T) {
 	n := newTestNode()
 	scaler := newAutoscaler()
@@ -103,11 +104,11 @@
 		prepare(machine)
 		scaler.draining[name] = true
 	}
-	scaler.draining["vm-unheard-of"] = true
-	if got, want := scaler.drainedMachines(&n.site), []string{"vm-drained", "vm-silent", "vm-unheard-of", "vm-unreachable"}; !slices.Equal(got, want) {
+	scaler.draining["vm-unknown"] = true
+	if got, want := scaler.drainedMachines(&n.site), []string{"vm-drained", "vm-silent", "vm-unknown", "vm-unreachable"}; !slices.Equal(got, want) {
 		t.Errorf("drainedMachines = %v, want %v", got, want)
 	}
 	if scaler.draining["vm-returned"] {
-		t.Error("a machine that has been returned is still to be drained")
+		t.Error("a machine that has been deprovisioned is still marked for draining")
 	}
 }
