--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -13,8 +13,8 @@
 	shortageTime = 60 * second
 	// maxProvisioned is the largest number of machines that the cloud provisions in one call.
 	maxProvisioned = 50
-	// maxExtraMachines is the largest number of machines that are requested from a pool beyond
-	// those planned, at a time when no machine is up.
+	// maxExtraMachines is the largest number of machines that one request adds to those planned
+	// while no machine is up.
 	maxExtraMachines = 10
 )
 
@@ -119,7 +119,8 @@
 	return list
 }
 
-// mayRequest reports whether the retry delay of a pool has passed.
+// mayRequest reports whether machines may be requested from a pool, that is whether its retry
+// delay has passed.
 func (a *autoscaler) mayRequest(now Time, pool machinePool) bool {
 	return now >= a.retryAt[pool]
 }
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// Amount is a quantity of cores and GPUs in billionths. Integers make sums exact: charges that
-// are added and removed any number of times leave no remainder.
+// Amount is a quantity of cores and GPUs, in billionths. Integers keep sums exact, so that adding
+// and removing the same charges any number of times leaves no rounding error.
 type Amount struct{ Cores, GPUs int64 }
 
 const (
-	// unit is one core or GPU.
+	// unit is one core or GPU, in billionths.
 	unit = 1_000_000_000
-	// tolerance is by how much a sum of rounded charges may exceed a limit: a millionth of a
-	// core or GPU.
+	// tolerance is how far a sum of rounded charges may exceed a limit: a millionth of a core
+	// or GPU.
 	tolerance = unit / 1_000_000
-	// maxQuantity bounds a decimal quantity, so that sums stay far from an overflow.
+	// maxQuantity is the largest valid decimal quantity; it keeps sums from overflowing.
 	maxQuantity = 1e9
 )
 
-// Of converts decimal quantities, rounded to billionths.
+// Of returns the amount for decimal quantities, rounded to billionths.
 func Of(cores, gpus float64) Amount { return Amount{toUnits(cores), toUnits(gpus)} }
 
 func toUnits(quantity float64) int64 { return int64(math.Round(quantity * unit)) }
@@ -37,36 +37,38 @@
 	return Amount{a.Cores * int64(count), a.GPUs * int64(count)}
 }
 
-// max returns the larger of each quantity.
+// max returns, for each resource, the larger of the two quantities.
 func (a Amount) max(b Amount) Amount { return Amount{max(a.Cores, b.Cores), max(a.GPUs, b.GPUs)} }
 
-// min returns the smaller of each quantity.
+// min returns, for each resource, the smaller of the two quantities.
 func (a Amount) min(b Amount) Amount { return Amount{min(a.Cores, b.Cores), min(a.GPUs, b.GPUs)} }
 
-// positive replaces negative quantities by 0.
+// positive returns the amount with negative quantities replaced by 0.
 func (a Amount) positive() Amount { return a.max(Amount{}) }
 
-// within reports whether the amount does not exceed a limit, up to rounding. A quantity of 0 in
-// the limit is no limit.
+// within reports whether the amount does not exceed a limit, apart from rounding. A quantity of 0
+// in the limit means that the resource is not limited.
 func (a Amount) within(limit Amount) bool {
 	return (limit.Cores == 0 || a.Cores <= limit.Cores+tolerance) &&
 		(limit.GPUs == 0 || a.GPUs <= limit.GPUs+tolerance)
 }
 
-// covers reports whether the amount is at least as large as another, up to rounding.
+// covers reports whether both quantities are at least as large as those of another amount, apart
+// from rounding.
 func (a Amount) covers(b Amount) bool {
 	return b.Cores <= a.Cores+tolerance && b.GPUs <= a.GPUs+tolerance
 }
 
-// whole rounds down to whole cores and GPUs: hardly any task fits into a fraction of one.
+// whole returns the amount rounded down to whole cores and GPUs; few tasks fit into a fraction
+// of one.
 func (a Amount) whole() Amount { return Amount{a.Cores / unit * unit, a.GPUs / unit * unit} }
 
-// dividedBy returns one of a number of equal parts of the amount.
+// dividedBy returns the amount divided by a number of parts, rounded to billionths towards 0.
 func (a Amount) dividedBy(parts int) Amount {
 	return Amount{a.Cores / int64(parts), a.GPUs / int64(parts)}
 }
 
-// limited sets to 0 the quantities that the limit does not limit.
+// limited returns the amount with 0 for the resources that a limit does not limit.
 func (a Amount) limited(limit Amount) Amount {
 	if limit.Cores == 0 {
 		a.Cores = 0
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -7,34 +7,35 @@
 	"micaport/internal/wire"
 )
 
-// Faults of a change to an account, besides those of the account that follows from it. Their
-// texts are printed to operators.
+// Errors of a change to an account, besides those of the resulting account. Their texts are
+// printed to operators.
 var (
-	ErrStaleVersion    = errors.New("the account has been changed since: its version is another")
-	ErrUnknownTeam     = errors.New("there is no such team")
-	ErrBeyondTheSite   = errors.New("the guarantees of all teams exceed what the site can hold")
-	ErrNotAllUpgraded  = errors.New("not all controllers read accounts yet")
-	ErrNothingToChange = errors.New("the change names no amount")
+	ErrStaleVersion    = errors.New("the account has been changed in the meantime")
+	ErrUnknownTeam     = errors.New("unknown team")
+	ErrBeyondTheSite   = errors.New("the guarantees of all teams together exceed the capacity of the site")
+	ErrNotAllUpgraded  = errors.New("not all controllers support team accounts yet")
+	ErrNothingToChange = errors.New("the change sets no amount")
 )
 
-// Change is an operator's change of a team's quota. What is nil stays as it is.
+// Change is an operator's change of a team's quota. Quantities that are nil are not changed.
 type Change struct {
 	Team                          string
-	Version                       uint64 // of the account that the operator has seen
+	Version                       uint64 // version of the account that the change is based on
 	CoresLimit, GPUsLimit         *float64
 	CoresGuarantee, GPUsGuarantee *float64
 }
 
-// Apply returns the account that follows from a change of the current one, which is that of the
-// record, or of the settings where there is no record yet. The current account is not modified.
+// Apply returns the account that results from the change. current is the account of the record,
+// or that of the settings if no record exists; it is not modified.
 //
-// Shares for which a lower limit has no room are revoked in the same write, so that the shares
-// are within the limit in every revision. What has been admitted within them stays charged.
+// If the shares exceed the new limit or the current account is unreadable, all shares are revoked
+// in the same write, so that the shares are within the limit in every revision. Work that was admitted within them stays
+// charged.
 //
-// The error wraps ErrStaleVersion, ErrNothingToChange or a fault of the new quota.
+// The error wraps ErrStaleVersion, ErrNothingToChange or an error of the new quota.
 func (c *Change) Apply(current *wire.Account) (*wire.Account, error) {
 	if c.Version != current.Version {
-		return nil, fmt.Errorf("team %s: %w: %d, not %d", c.Team, ErrStaleVersion, current.Version, c.Version)
+		return nil, fmt.Errorf("team %s: %w: its version is %d, not %d", c.Team, ErrStaleVersion, current.Version, c.Version)
 	}
 	next := *current
 	if !c.setQuota(&next) {
@@ -51,21 +52,21 @@
 	return &next, nil
 }
 
-// setQuota sets the quantities that the change names, and reports whether there are any.
+// setQuota sets the quantities that the change contains, and reports whether it contains any.
 func (c *Change) setQuota(account *wire.Account) bool {
-	named := false
+	changed := false
 	for _, quantity := range []struct {
 		current *float64
-		changed *float64
+		next    *float64
 	}{
 		{&account.Limit.Cores, c.CoresLimit},
 		{&account.Limit.GPUs, c.GPUsLimit},
 		{&account.Guarantee.Cores, c.CoresGuarantee},
 		{&account.Guarantee.GPUs, c.GPUsGuarantee},
 	} {
-		if quantity.changed != nil {
-			*quantity.current, named = *quantity.changed, true
+		if quantity.next != nil {
+			*quantity.current, changed = *quantity.next, true
 		}
 	}
-	return named
+	return changed
 }
--- a/internal/quota/distribution.go
+++ b/internal/quota/distribution.go
@@ -2,46 +2,46 @@
 
 import "micaport/internal/wire"
 
-// Demand is what the distribution of a team's shares depends on, besides the account.
+// Demand is the input to the distribution of a team's shares, besides the account.
 type Demand struct {
-	Owned   []bool // by shard: it has an owner that may admit
-	Blocked bool   // the leader has work that waits only for room within the limit
-	Granted Amount // by the leader in the same transaction
-	Enabled bool   // shares are distributed at all; otherwise they are revoked
+	Owned   []bool // by shard: it has an owner that may admit work
+	Blocked bool   // the leader has work that only the limit keeps from starting
+	Granted Amount // what the leader grants in the same transaction
+	Enabled bool   // whether owners may have shares; if not, all shares are revoked
 }
 
-// Reason says why shares are distributed anew.
+// Reason is the reason why a team's shares are redistributed.
 type Reason int
 
-// Reasons for a distribution, the most urgent first.
+// Reasons for a redistribution. After Unchanged, the most urgent comes first.
 const (
-	Unchanged Reason = iota // none
-	Revoked                 // shares are switched off, or their holder is gone
-	Reclaimed               // idle shares are taken back for work for which no single share has room
-	Renewed                 // the settings have changed, or there is no record yet
-	Balanced                // the shares no longer fit what is free
+	Unchanged Reason = iota // no redistribution
+	Revoked                 // shares are disabled, or a shard with a share has no owner that may admit work
+	Reclaimed               // idle shares are revoked for work that fits into no single share
+	Renewed                 // the settings have changed, or no record exists yet
+	Balanced                // the shares no longer match the free part of the limit
 )
 
 const (
-	// distributedFraction divides what is free of the limit: half of it is distributed, so
-	// that the leader, which serves what no share has room for, keeps as much as all owners
-	// together.
+	// distributedFraction is the divisor of the free part of the limit that gives the part to
+	// distribute. With one half, the leader, which grants the work that fits into no share,
+	// keeps as much as all owners together.
 	distributedFraction = 2
-	// refillFraction divides what a shard would get anew: its share is raised when less than
-	// half of that is idle.
+	// refillFraction is the divisor of the headroom of a shard: its share is raised when less
+	// than half of the headroom is idle.
 	refillFraction = 2
-	// leaderFraction divides what is free: the shares are lowered when less than a quarter of
-	// it is left to the leader.
+	// leaderFraction is the divisor of the free part of the limit that gives the leader's
+	// minimum: the shares are lowered when they leave the leader less than a quarter.
 	leaderFraction = 4
 )
 
-// Distribute returns the account of a team as it should be written next, and why; without a
-// reason to write it, nil and Unchanged.
+// Distribute returns the account of a team that should be written next and the reason, or nil
+// and Unchanged if it need not be written.
 //
-// A share is lowered to what is used of it at once, but raised only from what no share holds
-// according to the record. What is revoked from a share may be spent by its holder at the same
-// moment; it is known to be free only once the replica has reached the revision at which it was
-// revoked.
+// A share may be lowered at once, down to the part of it that is in use, but it is raised only
+// from the part of the limit that is in no share according to the record. The owner of a shard
+// may admit work within its share at the moment at which the share is lowered. Whether the
+// revoked part is free is known only once the replica has reached the revision that lowered it.
 func (l *Ledger) Distribute(team int, demand Demand) (*wire.Account, Reason) {
 	account := &l.accounts[team]
 	if account.record == nil && !demand.Enabled || account.err != nil {
@@ -62,7 +62,7 @@
 	return account.newRecord(quota, d.shares), d.reason
 }
 
-// newRecord returns the record with a quota and shares, and the version of the present one.
+// newRecord returns a record with a quota and shares and with the version of the current record.
 func (t *teamAccount) newRecord(quota Quota, shares []shardShare) *wire.Account {
 	record := &wire.Account{}
 	if t.record != nil {
@@ -83,14 +83,14 @@
 	amount Amount
 }
 
-// distribution computes the shares of a team.
+// distribution is the computation of new shares for a team.
 type distribution struct {
 	account *teamAccount
 	limit   Amount
 	demand  Demand
 
-	free       Amount // of the limit: not used
-	unassigned Amount // of the limit: not used by the leader and in no share, so certainly unspent
+	free       Amount // part of the limit that the replica shows as not in use
+	unassigned Amount // neither charged to the leader nor reserved for a shard, so certainly not in use
 	reason     Reason
 	shares     []shardShare
 }
@@ -104,14 +104,15 @@
 	}
 }
 
+// distribute computes the new shares and the reason to write them.
 func (d *distribution) distribute() {
 	headroom := d.headroom()
 	idle := Amount{}
 	for shard := range d.account.admitted {
 		idle = idle.Plus(d.distributeTo(shard, headroom))
 	}
-	// As the use has grown, the shares may hold most of what is free. The leader would soon
-	// have nothing left to grant.
+	// When usage has grown, the shares may contain most of the free part of the limit, and the
+	// leader would soon have nothing left to grant.
 	mostOfFree := d.free.Minus(d.free.dividedBy(leaderFraction))
 	if d.reason == Unchanged && !mostOfFree.covers(idle) {
 		d.reason = Balanced
@@ -121,7 +122,7 @@
 	}
 }
 
-// headroom returns how much each shard should be able to admit besides what it uses.
+// headroom returns how much each shard should be able to admit beyond its current usage.
 func (d *distribution) headroom() Amount {
 	owners := 0
 	for _, owned := range d.demand.Owned {
@@ -135,7 +136,7 @@
 	return d.free.dividedBy(distributedFraction * owners).whole()
 }
 
-// distributeTo computes the new share of a shard and returns what is idle of its present one.
+// distributeTo computes the new share of a shard and returns the idle part of its current share.
 func (d *distribution) distributeTo(shard int, headroom Amount) (idle Amount) {
 	share, open := d.account.share(shard)
 	share = share.limited(d.limit)
@@ -165,20 +166,20 @@
 	return idle
 }
 
-// note keeps the most urgent reason.
+// note sets the reason unless a more urgent one is already set.
 func (d *distribution) note(reason Reason) {
 	if d.reason == Unchanged || reason < d.reason {
 		d.reason = reason
 	}
 }
 
-// differs reports whether the new shares are not those of the record.
+// differs reports whether the new shares differ from those of the record.
 func (d *distribution) differs() bool {
 	if d.account.record == nil || len(d.shares) != len(d.account.record.Shares) {
 		return true
 	}
 	for _, next := range d.shares {
-		if present, open := d.account.share(next.shard); !open || present != next.amount {
+		if current, open := d.account.share(next.shard); !open || current != next.amount {
 			return true
 		}
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -2,27 +2,27 @@
 
 import "micaport/internal/wire"
 
-// Ledger is a controller's view of the accounts of all teams: their records as the controller's
-// replica of the records shows them, and the charges that follow from the records of the jobs.
-// Teams and shards are identified by their indices in the settings.
+// Ledger is a controller's view of the accounts of all teams: their records, as in the
+// controller's replica, and the charges that result from the records of the jobs. Teams and
+// shards are identified by their indices in the settings.
 type Ledger struct {
 	shards   int
 	accounts []teamAccount // by team
 }
 
-// teamAccount is what is known of a team.
+// teamAccount is the account of one team.
 type teamAccount struct {
-	settings Quota         // holds where there is no record
-	record   *wire.Account // nil: none
-	revision uint64        // of the record, or of its removal
-	err      error         // why the record can't be used
+	settings Quota         // quota of the settings, in force if no record exists
+	record   *wire.Account // nil: no record exists
+	revision uint64        // of the record, or of its deletion
+	err      error         // why the record is invalid, or nil
 
 	byLeader Amount   // charged to the leader
-	admitted []Amount // charged to the shares, by shard
+	admitted []Amount // by shard: charged to its share
 }
 
-// NewLedger returns a ledger for teams, whose quotas in the settings it is given, at a site with
-// a number of shards.
+// NewLedger returns a ledger for a site with a number of shards and for teams with the given
+// quotas in the settings.
 func NewLedger(teams []Quota, shards int) *Ledger {
 	ledger := &Ledger{shards: shards, accounts: make([]teamAccount, len(teams))}
 	for i, settings := range teams {
@@ -31,8 +31,9 @@
 	return ledger
 }
 
-// SetRecord takes in a team's record, or with nil its absence, at a revision. An older revision
-// than that known is ignored. The error is that of Validate; it is kept, see Fault.
+// SetRecord sets a team's record at a revision; nil means that the record does not exist. It does
+// nothing unless the revision is newer than that of the last call. It returns the error of
+// Validate, which Fault returns later.
 func (l *Ledger) SetRecord(team int, record *wire.Account, revision uint64) error {
 	account := &l.accounts[team]
 	if revision <= account.revision {
@@ -47,19 +48,19 @@
 	return account.err
 }
 
-// ChargeLeader adds to what is charged to the leader; a negative amount subtracts.
+// ChargeLeader adds an amount, which may be negative, to the leader's charge for a team.
 func (l *Ledger) ChargeLeader(team int, amount Amount) {
 	account := &l.accounts[team]
 	account.byLeader = account.byLeader.Plus(amount)
 }
 
-// ChargeShare adds to what is charged to the share of a shard; a negative amount subtracts.
+// ChargeShare adds an amount, which may be negative, to the charge to a shard's share.
 func (l *Ledger) ChargeShare(team, shard int, amount Amount) {
 	account := &l.accounts[team]
 	account.admitted[shard] = account.admitted[shard].Plus(amount)
 }
 
-// Used returns all that is charged to a team.
+// Used returns the sum of all charges of a team.
 func (l *Ledger) Used(team int) Amount { return l.accounts[team].used() }
 
 func (t *teamAccount) used() Amount {
@@ -70,8 +71,9 @@
 	return sum
 }
 
-// Quota returns the quota in force for a team. Of an invalid record it is used if it is valid by
-// itself, otherwise that of the settings holds; but see MayGrant.
+// Quota returns the quota in force for a team: that of its record, also of an invalid record if
+// the quota in it is valid, and otherwise that of the settings. MayGrant grants nothing under a
+// record without a valid quota.
 func (l *Ledger) Quota(team int) Quota {
 	account := &l.accounts[team]
 	if account.record == nil || account.err != nil && validateQuota(account.record.Limit, account.record.Guarantee) != nil {
@@ -80,8 +82,8 @@
 	return quotaOf(account.record.Limit, account.record.Guarantee)
 }
 
-// Revision returns the revision of a team's record, 0 if there is none. Every transaction that
-// admits or grants work of the team is conditional on it.
+// Revision returns the revision of a team's record, or 0 if no record exists. Every transaction
+// that admits or grants work of the team is conditional on it.
 func (l *Ledger) Revision(team int) uint64 {
 	if l.accounts[team].record == nil {
 		return 0
@@ -89,10 +91,11 @@
 	return l.accounts[team].revision
 }
 
-// Fault returns why a team's record can't be used, or nil if it can.
+// Fault returns the error that makes a team's record invalid, or nil if it is valid.
 func (l *Ledger) Fault(team int) error { return l.accounts[team].err }
 
-// share returns the share of a shard. It is not open if the owner may admit nothing at all.
+// share returns the share of a shard. open is false if the shard has no share, so that its owner
+// may admit nothing, not even resources without a limit.
 func (t *teamAccount) share(shard int) (share Amount, open bool) {
 	if t.record == nil || t.err != nil {
 		return Amount{}, false
@@ -105,10 +108,10 @@
 	return Amount{}, false
 }
 
-// reserved returns what is set aside for the shards: of each, the larger of its share and what
-// is charged to it. An owner may have admitted up to its share although the replica does not
-// show it yet, and what it had admitted before its share was reduced stays charged until it is
-// gone.
+// reserved returns the amount that is reserved for the shards: for each shard, the larger of its
+// share and the charges to it. An owner may have admitted work up to its share that the replica
+// does not contain yet, and work admitted before a share was lowered stays charged until it has
+// ended.
 func (t *teamAccount) reserved() Amount {
 	sum := Amount{}
 	for shard, admitted := range t.admitted {
@@ -118,10 +121,11 @@
 	return sum
 }
 
-// MayGrant reports whether the leader may charge more to itself. revision is that of its replica
-// of the records. A replica that shows the account but not all that came before it could lack
-// what was admitted within the account's earlier shares. Nothing may be granted under a record
-// whose limit is invalid.
+// MayGrant reports whether the leader may add an amount to its charge. revision is the revision
+// of its replica. A replica that contains the account but not all earlier revisions could lack
+// work that was admitted within the earlier shares, so nothing may be granted until it has
+// reached the account's revision. Nothing may be granted under a record with an invalid quota
+// either.
 func (l *Ledger) MayGrant(team int, more Amount, revision uint64) bool {
 	account := &l.accounts[team]
 	if account.record != nil && (revision < account.revision || account.err != nil && !account.hasValidQuota()) {
@@ -130,16 +134,16 @@
 	return account.byLeader.Plus(account.reserved()).Plus(more).within(l.Quota(team).Limit)
 }
 
-// hasValidQuota reports whether an invalid record still says what the limit is.
+// hasValidQuota reports whether the quota of a record is valid, even if its shares are not.
 func (t *teamAccount) hasValidQuota() bool {
 	return !t.record.Unreadable && validateQuota(t.record.Limit, t.record.Guarantee) == nil
 }
 
-// Fits reports whether a team's limit has room for an amount when nothing else runs.
+// Fits reports whether an amount is within a team's limit if nothing else runs.
 func (l *Ledger) Fits(team int, amount Amount) bool { return amount.within(l.Quota(team).Limit) }
 
-// MayAdmit reports whether the owner of a shard may charge more to the shard's share. revision
-// is that of its replica of the records; see MayGrant.
+// MayAdmit reports whether the owner of a shard may add an amount to the charge to the shard's
+// share. revision is the revision of its replica; see MayGrant.
 func (l *Ledger) MayAdmit(team, shard int, more Amount, revision uint64) bool {
 	account := &l.accounts[team]
 	share, open := account.share(shard)
@@ -150,8 +154,8 @@
 	return share.covers(charged.limited(l.Quota(team).Limit))
 }
 
-// Excess returns by how much a team's use exceeds its limit. It can do so for as long as tasks
-// run that were started before the limit was lowered.
+// Excess returns by how much a team's usage exceeds its limit. This happens while tasks run that
+// were started before the limit was lowered.
 func (l *Ledger) Excess(team int) Amount {
 	limit := l.Quota(team).Limit
 	return l.Used(team).Minus(limit).limited(limit).positive()
--- a/internal/quota/limit_test.go
+++ b/internal/quota/limit_test.go
@@ -9,8 +9,9 @@
 
 const modelSteps = 120
 
-// Whatever is admitted, granted, removed, distributed or revoked, changed by operators, lost,
-// late or restarted, and in whatever order, no revision charges the team more than its limit.
+// TestNoInterleavingExceedsTheLimit checks that no revision charges the team more than its limit,
+// in any order of admissions, grants, removals, distributions, limit changes, restarts and late
+// or lost commits.
 func TestNoInterleavingExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(noGuard, func(name string, below int) int { return rapid.IntRange(0, below-1).Draw(t, name) })
@@ -20,10 +21,12 @@
 	})
 }
 
-// Each guard is needed: without it some interleaving exceeds the limit.
+// TestEachGuardIsNeeded checks that the model detects each missing guard: without any one of them
+// some interleaving exceeds the limit.
 func TestEachGuardIsNeeded(t *testing.T) {
 	const seeds = 20_000
-	// firstFault returns the first fault of the seeds, "" if there is none.
+	// firstFault returns the first seed with a violation and its description, or "" if no seed
+	// has one.
 	firstFault := func(missing guard) (seed uint64, fault string) {
 		for seed := range uint64(seeds) {
 			rng := rand.New(rand.NewPCG(seed, 1))
@@ -35,12 +38,12 @@
 		return 0, ""
 	}
 	if seed, fault := firstFault(noGuard); fault != "" {
-		t.Fatalf("seed %d, no guard is missing: %s", seed, fault)
+		t.Fatalf("seed %d violates the limit with all guards: %s", seed, fault)
 	}
 	for missing := noGuard + 1; missing <= oneAtATime; missing++ {
 		t.Run(missing.String(), func(t *testing.T) {
 			if _, fault := firstFault(missing); fault == "" {
-				t.Errorf("without the guard the limit is kept in all of %d seeds", seeds)
+				t.Errorf("no violation in %d seeds without the guard", seeds)
 			}
 		})
 	}
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -6,16 +6,16 @@
 	"micaport/internal/wire"
 )
 
-// guard is one of the rules that keep use within a limit. A model can leave out one of them.
+// guard is one of the rules that keep usage within a limit. A model can omit one of them.
 type guard int
 
 const (
 	noGuard             guard = iota
 	accountCondition          // commits are conditional on the account's revision
 	termCondition             // commits are conditional on the term of the controller that decides
-	idleShares                // the leader counts the idle parts of the shares as used
-	raiseFromUnassigned       // shares are raised only from what is certainly unspent
-	oneAtATime                // nothing is decided while the outcome of a commit is unknown
+	idleShares                // the leader counts the idle parts of the shares as in use
+	raiseFromUnassigned       // shares are raised only from the part of the limit that is in no share
+	oneAtATime                // an actor makes no decision while the outcome of its last commit is unknown
 )
 
 func (g guard) String() string {
@@ -24,20 +24,20 @@
 
 const (
 	modelShards = 3
-	leader      = modelShards // index of the actor after the owners
-	// modelLimit is the team's limit in GPUs until operators change it.
+	leader      = modelShards // index of the leader, after those of the owners
+	// modelLimit is the team's initial limit, in GPUs.
 	modelLimit = 12
 )
 
-// event is what a commit changed, as a watch shows it.
+// event is the change of a commit, as a watch returns it.
 type event struct {
 	revision uint64
 	account  *wire.Account // nil: the event is a charge
-	actor    int           // whose share is charged; leader: none
+	actor    int           // the owner whose share is charged, or leader
 	charge   Amount
 }
 
-// commit is a transaction in flight. It may be applied late, or never.
+// commit is a transaction in flight. It may be applied at any later time, or never.
 type commit struct {
 	actor           int
 	term            uint64
@@ -51,16 +51,16 @@
 	term       uint64
 	ledger     *Ledger
 	seenEvents int
-	revision   uint64 // that the replica has reached
-	waitsFor   uint64 // the revision that the replica must reach before the next decision; 0: none
+	revision   uint64 // revision that the replica has reached
+	waitsFor   uint64 // revision that the replica must reach before the next decision; 0: none
 	busy       bool   // the outcome of a commit is unknown
 }
 
-// model is a site with one team: a state service, a leader, and the owner of each shard. What
-// happens next is left to choose.
+// model is a site with one team: a state service, a leader, and the owner of each shard. The
+// function choose determines the next step.
 type model struct {
 	missing         guard
-	choose          func(name string, below int) int
+	choose          func(name string, below int) int // returns a number from 0 to below-1
 	revision        uint64
 	accountRevision uint64
 	account         *wire.Account
@@ -69,7 +69,7 @@
 	inFlight        []commit
 	actors          [modelShards + 1]*actor
 	charged         [modelShards + 1]Amount
-	fault           string // how the limit was exceeded
+	fault           string // the violation found, or ""
 }
 
 func newModel(missing guard, choose func(string, int) int) *model {
@@ -80,7 +80,7 @@
 	return m
 }
 
-// restart replaces an actor by a new one, with a new term and a replica that has reached it.
+// restart replaces an actor by a new one with a new term and with an up-to-date replica.
 func (m *model) restart(i int) {
 	m.revision++
 	m.terms[i] = m.revision
@@ -90,13 +90,13 @@
 	a.revision = m.revision
 }
 
-// catchUp takes the events up to an index into an actor's replica.
+// catchUp applies the events before an index to an actor's replica.
 func (m *model) catchUp(a *actor, upTo int) {
 	for ; a.seenEvents < upTo; a.seenEvents++ {
 		e := m.events[a.seenEvents]
 		switch {
 		case e.account != nil:
-			_ = a.ledger.SetRecord(0, e.account, e.revision) // an invalid account fails check
+			_ = a.ledger.SetRecord(0, e.account, e.revision) // check reports an invalid account
 		case e.actor == leader:
 			a.ledger.ChargeLeader(0, e.charge)
 		default:
@@ -109,12 +109,13 @@
 	}
 }
 
-// mayDecide reports whether an actor knows the outcome of its last decision.
+// mayDecide reports whether an actor may make a decision: its last commit has been answered, and
+// its replica has reached the revision of the answer.
 func (m *model) mayDecide(a *actor) bool {
 	return m.missing == oneAtATime || !a.busy && a.waitsFor == 0
 }
 
-// step lets one thing happen.
+// step executes one step of the model.
 func (m *model) step() {
 	i := m.choose("actor", modelShards+1)
 	a := m.actors[i]
@@ -143,7 +144,7 @@
 	}
 }
 
-// decide sends a commit of an actor that admits or grants more, or distributes shares.
+// decide sends a commit of an actor that admits or grants an amount, or distributes shares.
 func (m *model) decide(i int, a *actor, more Amount) {
 	c := commit{actor: i, term: a.term, accountRevision: a.ledger.Revision(0), charge: more}
 	switch {
@@ -175,7 +176,8 @@
 	m.inFlight = append(m.inFlight, c)
 }
 
-// raiseAll distributes all that seems free, as a leader would that trusts its replica.
+// raiseAll distributes everything that is free according to the replica, including the parts of
+// shares that are idle there.
 func raiseAll(ledger *Ledger, account *wire.Account) {
 	_, free := ledger.Quota(0).Limit.Minus(ledger.Used(0)).positive().Decimal()
 	for i := range account.Shares {
@@ -187,7 +189,7 @@
 	}
 }
 
-// apply lets a commit reach the state service. Its answer may be lost.
+// apply executes a commit in the state service. If answered is false, the response is lost.
 func (m *model) apply(c commit, answered bool) {
 	holds := (m.missing == accountCondition || c.accountRevision == m.accountRevision) &&
 		(m.missing == termCondition || c.term == m.terms[c.actor])
@@ -208,8 +210,8 @@
 		return // the actor has been restarted
 	}
 	if !answered {
-		// The actor repeats the commit until its outcome is known. The conditions of the
-		// repetition fail.
+		// The actor repeats the commit until it receives a response. The conditions of the
+		// repeated commit fail.
 		m.inFlight = append(m.inFlight, commit{actor: c.actor, term: c.term, accountRevision: ^uint64(0)})
 		return
 	}
@@ -219,7 +221,7 @@
 	}
 }
 
-// removeTasks removes some of what an actor has charged: tasks that are proven to be gone.
+// removeTasks removes some of the charges of an actor, as for tasks that have ended.
 func (m *model) removeTasks(i int) {
 	if m.charged[i] == (Amount{}) {
 		return
@@ -233,7 +235,7 @@
 	m.events = append(m.events, event{revision: m.revision, actor: i, charge: Amount{}.Minus(gone)})
 }
 
-// changeLimit lets operators change the limit.
+// changeLimit applies an operator's change of the limit.
 func (m *model) changeLimit(gpus float64) {
 	if m.account == nil {
 		return
@@ -251,7 +253,7 @@
 	m.check(before)
 }
 
-// total is what is charged, with the idle parts of the shares.
+// total returns the sum of the charges and of the idle parts of the shares.
 func (m *model) total() Amount {
 	sum := m.charged[leader]
 	for shard := range modelShards {
@@ -268,8 +270,9 @@
 	return sum
 }
 
-// check notes a fault if the last revision charges more than the limit, unless it charges no
-// more than the one before: operators may have lowered the limit.
+// check records a violation if the last revision charges more than the limit, unless it charges
+// no more than the revision before it: operators may have lowered the limit. It also records an
+// invalid account.
 func (m *model) check(before Amount) {
 	limit := Of(0, modelLimit)
 	if m.account != nil {
@@ -286,7 +289,7 @@
 	}
 }
 
-// run lets some steps happen and returns the first fault, "" if there is none.
+// run executes a number of steps and returns the first violation, or "" if none occurs.
 func (m *model) run(steps int) string {
 	for range steps {
 		if m.step(); m.fault != "" {
--- a/internal/quota/validate.go
+++ b/internal/quota/validate.go
@@ -8,7 +8,7 @@
 	"micaport/internal/wire"
 )
 
-// Quota is a team's limit and guarantee. A quantity of 0 is no limit, or no guarantee.
+// Quota is a team's limit and guarantee. A quantity of 0 means no limit, or no guarantee.
 type Quota struct{ Limit, Guarantee Amount }
 
 func quotaOf(limit, guarantee wire.Resources) Quota {
@@ -17,19 +17,19 @@
 
 func amountOf(r wire.Resources) Amount { return Of(r.Cores, r.GPUs) }
 
-// Faults of an account. Their texts are printed to operators.
+// Errors of an account. Their texts are printed to operators.
 var (
-	ErrNotANumber        = errors.New("an amount is not a number of a size that makes sense")
+	ErrNotANumber        = errors.New("an amount is not a number or is too large")
 	ErrNegative          = errors.New("an amount is negative")
 	ErrGuarantee         = errors.New("the guarantee exceeds the limit")
-	ErrUnknownShard      = errors.New("a share is held by a part that does not exist")
-	ErrDuplicateShare    = errors.New("a part holds two shares")
+	ErrUnknownShard      = errors.New("a share belongs to a shard that does not exist")
+	ErrDuplicateShare    = errors.New("a shard has two shares")
 	ErrSharesExceedLimit = errors.New("the shares exceed the limit")
-	ErrUnreadable        = errors.New("the record can't be read")
+	ErrUnreadable        = errors.New("the record can't be decoded")
 )
 
-// Validate checks the record of an account of a site with a number of shards. The error wraps
-// one of the faults of an account.
+// Validate checks an account of a site with a number of shards. The error wraps one of the errors
+// of an account.
 func Validate(account *wire.Account, shards int) error {
 	if account.Unreadable {
 		return ErrUnreadable
@@ -37,17 +37,17 @@
 	if err := validateQuota(account.Limit, account.Guarantee); err != nil {
 		return err
 	}
-	holds := make([]bool, shards)
+	hasShare := make([]bool, shards)
 	for _, share := range account.Shares {
 		if share.Shard < 0 || share.Shard >= shards {
 			return fmt.Errorf("%w: %d", ErrUnknownShard, share.Shard)
 		}
-		if holds[share.Shard] {
+		if hasShare[share.Shard] {
 			return fmt.Errorf("%w: %d", ErrDuplicateShare, share.Shard)
 		}
-		holds[share.Shard] = true
+		hasShare[share.Shard] = true
 		if err := validateResources(wire.Resources{Cores: share.Cores, GPUs: share.GPUs}); err != nil {
-			return fmt.Errorf("share of part %d: %w", share.Shard, err)
+			return fmt.Errorf("share of shard %d: %w", share.Shard, err)
 		}
 	}
 	if !sumOfShares(account).within(amountOf(account.Limit)) {
