--- a/internal/indexset/indexset.go
+++ b/internal/indexset/indexset.go
@@ -1,4 +1,4 @@
-// Package indexset holds sets of small non-negative integers as bit masks.
+// Package indexset implements sets of small non-negative integers as bit masks.
 package indexset
 
 import "math/bits"
@@ -6,9 +6,11 @@
 // Set is a set of indices. The zero value is empty.
 type Set []uint64
 
+// Has reports whether an index is in the set. A negative index never is.
 func (s Set) Has(i int) bool { return i >= 0 && i/64 < len(s) && s[i/64]&(1<<(i%64)) != 0 }
 
-// Add puts an index in and tells whether it is new.
+// Add adds an index and reports whether it was not in the set before. It ignores a negative
+// index.
 func (s *Set) Add(i int) bool {
 	if i < 0 || s.Has(i) {
 		return false
@@ -20,11 +22,11 @@
 	return true
 }
 
-// Each calls f with the members in order.
+// Each calls f for each index in the set, in ascending order.
 func (s Set) Each(f func(int)) {
-	for w, word := range s {
+	for i, word := range s {
 		for ; word != 0; word &= word - 1 {
-			f(w*64 + bits.TrailingZeros64(word))
+			f(i*64 + bits.TrailingZeros64(word))
 		}
 	}
 }
