--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -15,24 +15,25 @@
 func (s *slot) pool() machinePool { return machinePool{s.machineType, s.zone, s.spot} }
 
 // autoscaler is the leader's state of its calls to the cloud and of the machines that these
-// calls concern. It is not stored: a new leader rebuilds it from the cloud's machine list.
+// calls concern. It is not stored in the state service: a new leader adopts what it has of the
+// previous leader's decision log and rebuilds the rest from the cloud's machine list.
 type autoscaler struct {
 	requestSequence int // number of the last provisioning request, part of its name
 	provisions      []*provisioning
 	booting         map[string]*bootingMachine
-	recentBoots     []boot               // in the order in which the machines came up
+	recentBoots     []boot               // newest last
 	retryAt         map[machinePool]Time // earliest time of the next request to the pool
 	shortageAt      map[machinePool]Time // when the pool last provided fewer machines than requested
 	draining        map[string]bool      // machines to be deprovisioned once they are empty
 	idleSince       map[string]Time
 
-	listAt          Time            // next fetch of the machine list
-	listing         bool            // a fetch of the machine list is in progress
-	typesAt         Time            // next fetch of the machine types
-	deprovisionAt   Time            // earliest time of the next deprovisioning call, set after a failed one
-	scaleInAt       Time            // next search for machines to deprovision
-	deprovisioning  bool            // a deprovisioning call is in progress
-	unreportedSince map[string]Time // machines that the machine list shows as running but that have not reported
+	nextListAt            Time            // next fetch of the machine list
+	listInProgress        bool            // a fetch of the machine list is in progress
+	nextTypesAt           Time            // next fetch of the machine types
+	nextDeprovisionAt     Time            // earliest time of the next deprovisioning call, set after a failed one
+	nextScaleInAt         Time            // next search for machines to deprovision
+	deprovisionInProgress bool            // a deprovisioning call is in progress
+	unreportedSince       map[string]Time // machines that the machine list shows as running but that have not reported
 }
 
 // provisioning is a request for machines of one pool whose outcome is not known yet.
--- a/internal/core/autoscaler_boot_times.go
+++ b/internal/core/autoscaler_boot_times.go
@@ -17,15 +17,15 @@
 //
 // The factors are multiples of the boot time of the machine's type.
 const (
-	usualBootSpread  = 1.5 // the longest normal boot
-	lateBootFactor   = 1.6 // after this the scheduler no longer plans with the machine
-	giveUpBootFactor = 2.0 // after this the machine is deprovisioned
-	maxBootFactor    = 8.0 // after this it is deprovisioned even if no later machine is up
+	normalBootFactor  = 1.5 // the longest normal boot
+	lateBootFactor    = 1.6 // after this the scheduler no longer plans with the machine
+	abandonBootFactor = 2.0 // after this the machine is deprovisioned
+	maxBootFactor     = 8.0 // after this it is deprovisioned even if no later machine is up
 
-	lateBootMargin   = 3 // seconds added to the late limit
-	giveUpBootMargin = 5 // seconds added to the limit for deprovisioning
-	// sameBatchTime is the longest time between the provisioning of two machines of one batch.
-	sameBatchTime = second
+	lateBootMarginSeconds    = 3 // seconds added to the late limit
+	abandonBootMarginSeconds = 5 // seconds added to the limit for deprovisioning
+	// sameBatchWindow is the longest time between the provisioning of two machines of one batch.
+	sameBatchWindow = second
 	// maxRecentBoots is the number of boots that bootSlowdown is computed from.
 	maxRecentBoots = 24
 )
@@ -37,9 +37,9 @@
 	ratio         float64 // measured boot time, as a multiple of the type's boot time
 }
 
-// noteBooted records the boot of an expected machine that has come up. It ignores other
+// recordBoot records the boot of an expected machine that has come up. It ignores other
 // machines.
-func (a *autoscaler) noteBooted(site *site, name string) {
+func (a *autoscaler) recordBoot(site *site, name string) {
 	booting := a.booting[name]
 	if booting == nil {
 		return
@@ -62,16 +62,16 @@
 		ratios = append(ratios, boot.ratio)
 	}
 	slices.Sort(ratios)
-	return max(1, min(maxBootFactor, ratios[len(ratios)*4/5]/usualBootSpread))
+	return max(1, min(maxBootFactor, ratios[len(ratios)*4/5]/normalBootFactor))
 }
 
 // overdue reports whether a machine that has not reported yet is late, so that the scheduler
 // must not plan with it, and whether it is abandoned, so that it should be deprovisioned.
 func (a *autoscaler) overdue(now Time, machineType *wire.MachineType, provisionedAt Time) (late, abandoned bool) {
-	lateFactor, giveUpFactor := lateBootFactor, giveUpBootFactor
-	if !slices.ContainsFunc(a.recentBoots, func(b boot) bool { return b.provisionedAt >= provisionedAt-sameBatchTime }) {
-		lateFactor, giveUpFactor = 2*lateBootFactor, maxBootFactor
+	lateFactor, abandonFactor := lateBootFactor, abandonBootFactor
+	if !slices.ContainsFunc(a.recentBoots, func(b boot) bool { return b.provisionedAt >= provisionedAt-sameBatchWindow }) {
+		lateFactor, abandonFactor = 2*lateBootFactor, maxBootFactor
 	}
 	age, slowdown := (now - provisionedAt).Seconds(), a.bootSlowdown()
-	return age > lateFactor*slowdown*machineType.BootS+lateBootMargin, age > giveUpFactor*slowdown*machineType.BootS+giveUpBootMargin
+	return age > lateFactor*slowdown*machineType.BootS+lateBootMarginSeconds, age > abandonFactor*slowdown*machineType.BootS+abandonBootMarginSeconds
 }
--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -44,7 +44,7 @@
 	case entry.Status == wire.MachineFailed:
 		return true
 	case site.hasReported(entry.Name):
-		a.noteBooted(site, entry.Name)
+		a.recordBoot(site, entry.Name)
 		delete(a.unreportedSince, entry.Name)
 		return false
 	case entry.Status == wire.MachineBooting:
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -11,8 +11,9 @@
 	// shortageTime is how long after a shortage the scheduler does not rely on a pool; see
 	// canProvision.
 	shortageTime = 60 * second
-	// maxProvisioned is the largest number of machines that the cloud provisions in one call.
-	maxProvisioned = 50
+	// maxMachinesPerProvision is the largest number of machines that the cloud provisions in
+	// one call.
+	maxMachinesPerProvision = 50
 	// maxExtraMachines is the largest number of machines that one request adds to those planned
 	// while no machine is up.
 	maxExtraMachines = 10
@@ -30,7 +31,7 @@
 	for _, name := range names {
 		booting := scaler.booting[name]
 		if site.hasReported(name) {
-			scaler.noteBooted(site, name)
+			scaler.recordBoot(site, name)
 			continue
 		}
 		if machineType := site.typeAt(booting.pool.machineType); machineType != nil {
@@ -168,10 +169,10 @@
 	return nil
 }
 
-// largestRequestsFirst returns the pools that the pass provisions machines from, those with the
+// poolsByMachineCount returns the pools that the pass provisions machines from, those with the
 // most machines first: the cloud limits the rate of calls, and each call provisions at most
-// maxProvisioned machines.
-func (p *schedulingPass) largestRequestsFirst() []machinePool {
+// maxMachinesPerProvision machines.
+func (p *schedulingPass) poolsByMachineCount() []machinePool {
 	pools := make([]machinePool, 0, len(p.provisions))
 	for pool := range p.provisions {
 		pools = append(pools, pool)
@@ -194,7 +195,7 @@
 	if n.cloudCallTime() == 0 {
 		return // no call may be sent now; the next passes plan the machines again
 	}
-	pools := p.largestRequestsFirst()
+	pools := p.poolsByMachineCount()
 	for open := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.provisions); open > 0 && len(pools) > 0; open-- {
 		pool := pools[0]
 		if len(p.available.all) == 0 {
@@ -202,7 +203,7 @@
 			// machines come up sooner if more are requested.
 			p.provisions[pool] += min((p.provisions[pool]+1)/2, maxExtraMachines)
 		}
-		count := min(p.provisions[pool], maxProvisioned)
+		count := min(p.provisions[pool], maxMachinesPerProvision)
 		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: n.now,
 			request: wire.ProvisionRequest{
 				Name:        n.provisionName(),
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -30,8 +30,8 @@
 	refusedDelay = 2 * second
 	// provisionRetryDelay is the time until a request with an unknown outcome is repeated.
 	provisionRetryDelay = second
-	// provisionRetryTime is how long after its decision such a request is repeated at most.
-	provisionRetryTime = 60 * second
+	// provisionRetryPeriod is how long after its decision such a request is repeated at most.
+	provisionRetryPeriod = 60 * second
 	// deprovisionRetryDelay is the time until the next deprovisioning call after a failed one.
 	deprovisionRetryDelay = 2 * second
 )
@@ -41,11 +41,11 @@
 	cloudAnswered(n *Node, answer CloudAnswered)
 }
 
-// cloudRequest is a call to the cloud in progress.
-type cloudRequest struct{ next cloudReceiver }
+// cloudCall is a call to the cloud in progress.
+type cloudCall struct{ next cloudReceiver }
 
 // resume records since when the cloud has been unreachable and passes the answer on.
-func (r cloudRequest) resume(n *Node, result Result) {
+func (r cloudCall) resume(n *Node, result Result) {
 	answer := result.(CloudAnswered)
 	if answer.Outcome != kv.Unknown {
 		n.cloudUnreachableSince = 0
@@ -57,7 +57,7 @@
 
 // callCloud sends a call to the cloud; next receives its answer.
 func (n *Node) callCloud(call CallCloud, next cloudReceiver) {
-	call.ID = n.continueWith(cloudRequest{next})
+	call.ID = n.continueWith(cloudCall{next})
 	// The call expires, because after a stall of this process another controller may lead and
 	// the machines may be in use.
 	call.ValidFor = n.cloudCallTime()
@@ -71,30 +71,30 @@
 // provisioning requests that are due.
 func (n *Node) runCloudCalls() {
 	scaler := &n.leader.autoscaler
-	if n.now >= scaler.typesAt {
-		scaler.typesAt = n.now + typesInterval
+	if n.now >= scaler.nextTypesAt {
+		scaler.nextTypesAt = n.now + typesInterval
 		if n.offeredTypes == nil || n.typesFetchedAt == 0 {
-			scaler.typesAt = n.now + typesRetryInterval
+			scaler.nextTypesAt = n.now + typesRetryInterval
 		}
-		n.callCloud(CallCloud{ListTypes: true}, typesRequest{})
+		n.callCloud(CallCloud{ListTypes: true}, listTypesCall{})
 	}
-	if n.now >= scaler.listAt && !scaler.listing {
-		scaler.listing = true
-		n.callCloud(CallCloud{ListMachines: true}, listRequest{tenure: n.leader.tenure})
+	if n.now >= scaler.nextListAt && !scaler.listInProgress {
+		scaler.listInProgress = true
+		n.callCloud(CallCloud{ListMachines: true}, listMachinesCall{tenure: n.leader.tenure})
 	}
 	for _, provisioning := range scaler.provisions {
 		if provisioning.sent || n.now < provisioning.sendAt || n.cloudCallTime() == 0 {
 			continue
 		}
 		provisioning.sent = true
-		n.callCloud(CallCloud{Provision: &provisioning.request}, provisionRequest{provisioning, n.leader.tenure})
+		n.callCloud(CallCloud{Provision: &provisioning.request}, provisionCall{provisioning, n.leader.tenure})
 	}
 }
 
-// typesRequest is a fetch of the machine types in progress.
-type typesRequest struct{}
+// listTypesCall is a fetch of the machine types in progress.
+type listTypesCall struct{}
 
-func (typesRequest) cloudAnswered(n *Node, answer CloudAnswered) {
+func (listTypesCall) cloudAnswered(n *Node, answer CloudAnswered) {
 	if answer.Outcome == kv.OK && len(answer.MachineTypes) > 0 {
 		n.updateMachineTypes(answer.MachineTypes)
 	}
@@ -133,29 +133,29 @@
 		[]kv.Write{{Key: wire.MachineTypesKey, Value: &wire.MachineTypeCache{Types: types}}}, ignoreResult{})
 }
 
-// listRequest is a fetch of the machine list in progress.
-type listRequest struct{ tenure int }
+// listMachinesCall is a fetch of the machine list in progress.
+type listMachinesCall struct{ tenure int }
 
-func (r listRequest) cloudAnswered(n *Node, answer CloudAnswered) {
+func (r listMachinesCall) cloudAnswered(n *Node, answer CloudAnswered) {
 	if n.leader.tenure != r.tenure {
 		return
 	}
 	scaler := &n.leader.autoscaler
-	scaler.listing = false
+	scaler.listInProgress = false
 	furtherPages := Time(len(answer.Machines) / machinesPerPage)
-	scaler.listAt = n.now + max(minListInterval, n.cfg.CloudListLag/2, Time(float64(furtherPages*callsPerListPage*second)/max(n.cfg.CloudRPS, minCloudRPS)))
+	scaler.nextListAt = n.now + max(minListInterval, n.cfg.CloudListLag/2, Time(float64(furtherPages*callsPerListPage*second)/max(n.cfg.CloudRPS, minCloudRPS)))
 	if answer.Outcome == kv.OK {
 		scaler.reconcileMachineList(&n.site, answer.Machines)
 	}
 }
 
-// provisionRequest is a provisioning call in progress.
-type provisionRequest struct {
+// provisionCall is a provisioning call in progress.
+type provisionCall struct {
 	provisioning *provisioning
 	tenure       int
 }
 
-func (r provisionRequest) cloudAnswered(n *Node, answer CloudAnswered) {
+func (r provisionCall) cloudAnswered(n *Node, answer CloudAnswered) {
 	if n.leader.tenure != r.tenure {
 		return
 	}
@@ -173,48 +173,48 @@
 // provisionAnswered applies the answer to a provisioning request. The request is removed, or
 // scheduled to be repeated if its outcome is unknown.
 func (a *autoscaler) provisionAnswered(now Time, request *provisioning, answer CloudAnswered) {
-	settled := true
+	closed := true
 	switch answer.Outcome {
 	case kv.OK:
 		for _, name := range answer.Names {
 			a.booting[name] = &bootingMachine{pool: request.pool, provisionedAt: now}
 		}
 		if len(answer.Names) < request.request.Count {
-			a.noteShortage(now, request.pool)
+			a.recordShortage(now, request.pool)
 		}
 	case kv.NoCapacity:
-		a.noteShortage(now, request.pool)
+		a.recordShortage(now, request.pool)
 	case kv.Refused:
 		a.retryAt[request.pool] = now + refusedDelay
 	default:
 		// The machines may have been provisioned. If so, the cloud answers a request with the
 		// same name as it did before, and provisions no more machines.
 		request.sent, request.sendAt = false, now+provisionRetryDelay
-		settled = now-request.decidedAt > provisionRetryTime
+		closed = now-request.decidedAt > provisionRetryPeriod
 	}
-	if settled {
+	if closed {
 		a.provisions = slices.DeleteFunc(a.provisions, func(other *provisioning) bool { return other == request })
 	}
 }
 
-// noteShortage records that a pool provided fewer machines than requested.
-func (a *autoscaler) noteShortage(now Time, pool machinePool) {
+// recordShortage records that a pool provided fewer machines than requested.
+func (a *autoscaler) recordShortage(now Time, pool machinePool) {
 	a.retryAt[pool], a.shortageAt[pool] = now+noCapacityDelay, now
 }
 
 // deprovision sends a call that returns machines to the cloud.
 func (n *Node) deprovision(names []string) {
-	n.leader.autoscaler.deprovisioning = true
-	n.callCloud(CallCloud{Deprovision: names}, deprovisionRequest{names, n.leader.tenure})
+	n.leader.autoscaler.deprovisionInProgress = true
+	n.callCloud(CallCloud{Deprovision: names}, deprovisionCall{names, n.leader.tenure})
 }
 
-// deprovisionRequest is a deprovisioning call in progress.
-type deprovisionRequest struct {
+// deprovisionCall is a deprovisioning call in progress.
+type deprovisionCall struct {
 	names  []string
 	tenure int
 }
 
-func (r deprovisionRequest) cloudAnswered(n *Node, answer CloudAnswered) {
+func (r deprovisionCall) cloudAnswered(n *Node, answer CloudAnswered) {
 	if answer.Outcome == kv.OK {
 		for _, name := range r.names {
 			n.machineNamed(name).returned = true
@@ -224,21 +224,21 @@
 		return
 	}
 	scaler := &n.leader.autoscaler
-	scaler.deprovisioning = false
+	scaler.deprovisionInProgress = false
 	if answer.Outcome != kv.OK {
-		scaler.deprovisionAt = n.now + deprovisionRetryDelay
+		scaler.nextDeprovisionAt = n.now + deprovisionRetryDelay
 		return
 	}
 	for _, name := range r.names {
-		scaler.forget(name)
+		scaler.removeMachine(name)
 		n.leader.returned = append(n.leader.returned, returnedMachine{name, n.now})
 	}
 	n.log(LogInfo, "machines deprovisioned", "machines", r.names)
 	n.sendGossip(true)
 }
 
-// forget removes the state of a machine that has been deprovisioned.
-func (a *autoscaler) forget(name string) {
+// removeMachine removes the state of a machine that has been deprovisioned.
+func (a *autoscaler) removeMachine(name string) {
 	delete(a.draining, name)
 	delete(a.booting, name)
 	delete(a.unreportedSince, name)
--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -11,8 +11,9 @@
 	// faultyIdleTimeout is how long a machine that has failed a job may be idle before it is
 	// drained.
 	faultyIdleTimeout = 10 * second
-	// maxDeprovisioned is the largest number of machines that are deprovisioned in one call.
-	maxDeprovisioned = 100
+	// maxMachinesPerDeprovision is the largest number of machines that are deprovisioned in one
+	// call.
+	maxMachinesPerDeprovision = 100
 )
 
 // scaleIn drains machines that have been idle for long enough, are unhealthy or are unreachable,
@@ -20,13 +21,13 @@
 // pass.
 func (n *Node) scaleIn(pass *schedulingPass, idle map[*slot]bool) {
 	scaler, site := &n.leader.autoscaler, &n.site
-	if n.now < scaler.scaleInAt {
+	if n.now < scaler.nextScaleInAt {
 		return
 	}
-	scaler.scaleInAt = n.now + scaleInInterval
+	scaler.nextScaleInAt = n.now + scaleInInterval
 	scaler.drainIdle(site, pass.available.all, idle)
 	scaler.drainUnhealthy(site)
-	if scaler.deprovisioning || n.now < scaler.deprovisionAt || n.cloudCallTime() == 0 {
+	if scaler.deprovisionInProgress || n.now < scaler.nextDeprovisionAt || n.cloudCallTime() == 0 {
 		return
 	}
 	if drained := scaler.drainedMachines(site); len(drained) > 0 {
@@ -82,8 +83,9 @@
 	}
 }
 
-// drainedMachines returns machines that may be deprovisioned now, at most maxDeprovisioned:
-// their owners have drained them, or no controller receives reports from them.
+// drainedMachines returns machines that may be deprovisioned now, at most
+// maxMachinesPerDeprovision: their owners have drained them, or no controller receives reports
+// from them.
 func (a *autoscaler) drainedMachines(site *site) []string {
 	var drained []string
 	for name := range a.draining {
@@ -99,7 +101,7 @@
 		drained = append(drained, name)
 	}
 	slices.Sort(drained)
-	return drained[:min(len(drained), maxDeprovisioned)]
+	return drained[:min(len(drained), maxMachinesPerDeprovision)]
 }
 
 // drainList returns the names of the machines that their owners should drain, in order.
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -60,7 +60,7 @@
 		"no capacity":      {answer: CloudAnswered{Outcome: kv.NoCapacity}, decidedAt: now, retryAt: now + noCapacityDelay, short: true},
 		"refused":          {answer: CloudAnswered{Outcome: kv.Refused}, decidedAt: now, retryAt: now + refusedDelay},
 		"unknown":          {answer: CloudAnswered{Outcome: kv.Unknown}, decidedAt: now, open: true},
-		"unknown for long": {answer: CloudAnswered{Outcome: kv.Unknown}, decidedAt: now - provisionRetryTime - 1},
+		"unknown for long": {answer: CloudAnswered{Outcome: kv.Unknown}, decidedAt: now - provisionRetryPeriod - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := &provisioning{pool: pool, request: wire.ProvisionRequest{Name: "r-1-1", Count: 2}, sent: true, decidedAt: test.decidedAt}
