--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -7,23 +7,23 @@
 type Amount struct{ Cores, GPUs int64 }
 
 const (
-	// unit is one core or GPU, in billionths.
-	unit = 1_000_000_000
+	// scale is one core or GPU, in billionths.
+	scale = 1_000_000_000
 	// tolerance is how far a sum of rounded charges may exceed a limit: a millionth of a core
 	// or GPU.
-	tolerance = unit / 1_000_000
+	tolerance = scale / 1_000_000
 	// maxQuantity is the largest valid decimal quantity; it keeps sums from overflowing.
 	maxQuantity = 1e9
 )
 
 // Of returns the amount for decimal quantities, rounded to billionths.
-func Of(cores, gpus float64) Amount { return Amount{toUnits(cores), toUnits(gpus)} }
+func Of(cores, gpus float64) Amount { return Amount{toBillionths(cores), toBillionths(gpus)} }
 
-func toUnits(quantity float64) int64 { return int64(math.Round(quantity * unit)) }
+func toBillionths(quantity float64) int64 { return int64(math.Round(quantity * scale)) }
 
 // Decimal returns the quantities as decimal numbers.
 func (a Amount) Decimal() (cores, gpus float64) {
-	return float64(a.Cores) / unit, float64(a.GPUs) / unit
+	return float64(a.Cores) / scale, float64(a.GPUs) / scale
 }
 
 // Plus returns the sum of two amounts.
@@ -43,8 +43,8 @@
 // min returns, for each resource, the smaller of the two quantities.
 func (a Amount) min(b Amount) Amount { return Amount{min(a.Cores, b.Cores), min(a.GPUs, b.GPUs)} }
 
-// positive returns the amount with negative quantities replaced by 0.
-func (a Amount) positive() Amount { return a.max(Amount{}) }
+// nonNegative returns the amount with negative quantities replaced by 0.
+func (a Amount) nonNegative() Amount { return a.max(Amount{}) }
 
 // within reports whether the amount does not exceed a limit, apart from rounding. A quantity of 0
 // in the limit means that the resource is not limited.
@@ -59,17 +59,17 @@
 	return b.Cores <= a.Cores+tolerance && b.GPUs <= a.GPUs+tolerance
 }
 
-// whole returns the amount rounded down to whole cores and GPUs; few tasks fit into a fraction
-// of one.
-func (a Amount) whole() Amount { return Amount{a.Cores / unit * unit, a.GPUs / unit * unit} }
+// roundedDown returns the amount rounded down to whole cores and GPUs; few tasks fit into a
+// fraction of one.
+func (a Amount) roundedDown() Amount { return Amount{a.Cores / scale * scale, a.GPUs / scale * scale} }
 
 // dividedBy returns the amount divided by a number of parts, rounded to billionths towards 0.
 func (a Amount) dividedBy(parts int) Amount {
 	return Amount{a.Cores / int64(parts), a.GPUs / int64(parts)}
 }
 
-// limited returns the amount with 0 for the resources that a limit does not limit.
-func (a Amount) limited(limit Amount) Amount {
+// limitedResources returns the amount with 0 for the resources that a limit does not limit.
+func (a Amount) limitedResources(limit Amount) Amount {
 	if limit.Cores == 0 {
 		a.Cores = 0
 	}
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -29,8 +29,8 @@
 // or that of the settings if no record exists; it is not modified.
 //
 // If the shares exceed the new limit or the current account is unreadable, all shares are revoked
-// in the same write, so that the shares are within the limit in every revision. Work that was admitted within them stays
-// charged.
+// in the same write, so that the shares are within the limit in every revision. Work that was
+// admitted within them stays charged.
 //
 // The error wraps ErrStaleVersion, ErrNothingToChange or an error of the new quota.
 func (c *Change) Apply(current *wire.Account) (*wire.Account, error) {
--- a/internal/quota/distribution.go
+++ b/internal/quota/distribution.go
@@ -15,24 +15,24 @@
 
 // Reasons for a redistribution. After Unchanged, the most urgent comes first.
 const (
-	Unchanged Reason = iota // no redistribution
-	Revoked                 // shares are disabled, or a shard with a share has no owner that may admit work
-	Reclaimed               // idle shares are revoked for work that fits into no single share
-	Renewed                 // the settings have changed, or no record exists yet
-	Balanced                // the shares no longer match the free part of the limit
+	Unchanged       Reason = iota // no redistribution
+	Revoked                       // shares are disabled, or a shard with a share has no owner that may admit work
+	Reclaimed                     // idle shares are revoked for work that fits into no single share
+	SettingsApplied               // the settings have changed, or no record exists yet
+	Rebalanced                    // the shares no longer match the free part of the limit
 )
 
 const (
-	// distributedFraction is the divisor of the free part of the limit that gives the part to
+	// distributedDivisor is the divisor of the free part of the limit that gives the part to
 	// distribute. With one half, the leader, which grants the work that fits into no share,
 	// keeps as much as all owners together.
-	distributedFraction = 2
-	// refillFraction is the divisor of the headroom of a shard: its share is raised when less
+	distributedDivisor = 2
+	// refillDivisor is the divisor of the headroom of a shard: its share is raised when less
 	// than half of the headroom is idle.
-	refillFraction = 2
-	// leaderFraction is the divisor of the free part of the limit that gives the leader's
+	refillDivisor = 2
+	// leaderDivisor is the divisor of the free part of the limit that gives the leader's
 	// minimum: the shares are lowered when they leave the leader less than a quarter.
-	leaderFraction = 4
+	leaderDivisor = 4
 )
 
 // Distribute returns the account of a team that should be written next and the reason, or nil
@@ -49,13 +49,13 @@
 	}
 	quota := l.Quota(team)
 	if account.record == nil || account.record.Version == 0 {
-		quota = account.settings
+		quota = account.settingsQuota
 	}
 	d := newDistribution(account, quota.Limit, demand)
 	d.distribute()
 	switch {
 	case account.record == nil, d.reason == Unchanged && quota != l.Quota(team):
-		d.reason = Renewed
+		d.reason = SettingsApplied
 	case d.reason == Unchanged:
 		return nil, Unchanged
 	}
@@ -96,11 +96,11 @@
 }
 
 func newDistribution(account *teamAccount, limit Amount, demand Demand) *distribution {
-	byLeader := account.byLeader.Plus(demand.Granted)
+	chargedToLeader := account.chargedToLeader.Plus(demand.Granted)
 	return &distribution{
 		account: account, limit: limit, demand: demand,
-		free:       limit.Minus(account.used().Plus(demand.Granted)).limited(limit).positive(),
-		unassigned: limit.Minus(byLeader).Minus(account.reserved()).limited(limit).positive(),
+		free:       limit.Minus(account.used().Plus(demand.Granted)).limitedResources(limit).nonNegative(),
+		unassigned: limit.Minus(chargedToLeader).Minus(account.reserved()).limitedResources(limit).nonNegative(),
 	}
 }
 
@@ -108,16 +108,16 @@
 func (d *distribution) distribute() {
 	headroom := d.headroom()
 	idle := Amount{}
-	for shard := range d.account.admitted {
+	for shard := range d.account.chargedToShares {
 		idle = idle.Plus(d.distributeTo(shard, headroom))
 	}
 	// When usage has grown, the shares may contain most of the free part of the limit, and the
 	// leader would soon have nothing left to grant.
-	mostOfFree := d.free.Minus(d.free.dividedBy(leaderFraction))
+	mostOfFree := d.free.Minus(d.free.dividedBy(leaderDivisor))
 	if d.reason == Unchanged && !mostOfFree.covers(idle) {
-		d.reason = Balanced
+		d.reason = Rebalanced
 	}
-	if d.reason == Balanced && !d.differs() {
+	if d.reason == Rebalanced && !d.sharesDiffer() {
 		d.reason = Unchanged
 	}
 }
@@ -133,53 +133,53 @@
 	if !d.demand.Enabled || d.demand.Blocked || owners == 0 {
 		return Amount{}
 	}
-	return d.free.dividedBy(distributedFraction * owners).whole()
+	return d.free.dividedBy(distributedDivisor * owners).roundedDown()
 }
 
 // distributeTo computes the new share of a shard and returns the idle part of its current share.
 func (d *distribution) distributeTo(shard int, headroom Amount) (idle Amount) {
-	share, open := d.account.share(shard)
-	share = share.limited(d.limit)
-	admitted := d.account.admitted[shard].limited(d.limit)
-	idle = share.Minus(admitted).positive()
+	share, exists := d.account.share(shard)
+	share = share.limitedResources(d.limit)
+	charged := d.account.chargedToShares[shard].limitedResources(d.limit)
+	idle = share.Minus(charged).nonNegative()
 	if !d.demand.Enabled || !d.demand.Owned[shard] {
-		if open {
-			d.note(Revoked)
+		if exists {
+			d.setReason(Revoked)
 		}
 		return idle
 	}
 	if d.demand.Blocked {
-		d.shares = append(d.shares, shardShare{shard, share.min(admitted)})
+		d.shares = append(d.shares, shardShare{shard, share.min(charged)})
 		if idle != (Amount{}) {
-			d.note(Reclaimed)
+			d.setReason(Reclaimed)
 		}
 		return idle
 	}
-	target := admitted.Plus(headroom)
+	target := charged.Plus(headroom)
 	lowered := share.min(target)
-	raise := target.Minus(lowered).min(d.unassigned).whole()
+	raise := target.Minus(lowered).min(d.unassigned).roundedDown()
 	d.unassigned = d.unassigned.Minus(raise)
-	if !open || !idle.covers(headroom.dividedBy(refillFraction)) && raise != (Amount{}) {
-		d.note(Balanced)
+	if !exists || !idle.covers(headroom.dividedBy(refillDivisor)) && raise != (Amount{}) {
+		d.setReason(Rebalanced)
 	}
 	d.shares = append(d.shares, shardShare{shard, lowered.Plus(raise)})
 	return idle
 }
 
-// note sets the reason unless a more urgent one is already set.
-func (d *distribution) note(reason Reason) {
+// setReason sets the reason unless a more urgent one is already set.
+func (d *distribution) setReason(reason Reason) {
 	if d.reason == Unchanged || reason < d.reason {
 		d.reason = reason
 	}
 }
 
-// differs reports whether the new shares differ from those of the record.
-func (d *distribution) differs() bool {
+// sharesDiffer reports whether the new shares differ from those of the record.
+func (d *distribution) sharesDiffer() bool {
 	if d.account.record == nil || len(d.shares) != len(d.account.record.Shares) {
 		return true
 	}
 	for _, next := range d.shares {
-		if current, open := d.account.share(next.shard); !open || current != next.amount {
+		if current, exists := d.account.share(next.shard); !exists || current != next.amount {
 			return true
 		}
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -12,13 +12,13 @@
 
 // teamAccount is the account of one team.
 type teamAccount struct {
-	settings Quota         // quota of the settings, in force if no record exists
-	record   *wire.Account // nil: no record exists
-	revision uint64        // of the record, or of its deletion
-	err      error         // why the record is invalid, or nil
+	settingsQuota Quota         // quota of the settings, in force if no record exists
+	record        *wire.Account // nil: no record exists
+	revision      uint64        // of the record, or of its deletion
+	err           error         // why the record is invalid, or nil
 
-	byLeader Amount   // charged to the leader
-	admitted []Amount // by shard: charged to its share
+	chargedToLeader Amount
+	chargedToShares []Amount // by shard
 }
 
 // NewLedger returns a ledger for a site with a number of shards and for teams with the given
@@ -26,14 +26,14 @@
 func NewLedger(teams []Quota, shards int) *Ledger {
 	ledger := &Ledger{shards: shards, accounts: make([]teamAccount, len(teams))}
 	for i, settings := range teams {
-		ledger.accounts[i] = teamAccount{settings: settings, admitted: make([]Amount, shards)}
+		ledger.accounts[i] = teamAccount{settingsQuota: settings, chargedToShares: make([]Amount, shards)}
 	}
 	return ledger
 }
 
 // SetRecord sets a team's record at a revision; nil means that the record does not exist. It does
 // nothing unless the revision is newer than that of the last call. It returns the error of
-// Validate, which Fault returns later.
+// Validate, which RecordError returns later.
 func (l *Ledger) SetRecord(team int, record *wire.Account, revision uint64) error {
 	account := &l.accounts[team]
 	if revision <= account.revision {
@@ -51,33 +51,33 @@
 // ChargeLeader adds an amount, which may be negative, to the leader's charge for a team.
 func (l *Ledger) ChargeLeader(team int, amount Amount) {
 	account := &l.accounts[team]
-	account.byLeader = account.byLeader.Plus(amount)
+	account.chargedToLeader = account.chargedToLeader.Plus(amount)
 }
 
 // ChargeShare adds an amount, which may be negative, to the charge to a shard's share.
 func (l *Ledger) ChargeShare(team, shard int, amount Amount) {
 	account := &l.accounts[team]
-	account.admitted[shard] = account.admitted[shard].Plus(amount)
+	account.chargedToShares[shard] = account.chargedToShares[shard].Plus(amount)
 }
 
 // Used returns the sum of all charges of a team.
 func (l *Ledger) Used(team int) Amount { return l.accounts[team].used() }
 
 func (t *teamAccount) used() Amount {
-	sum := t.byLeader
-	for _, admitted := range t.admitted {
-		sum = sum.Plus(admitted)
+	sum := t.chargedToLeader
+	for _, charged := range t.chargedToShares {
+		sum = sum.Plus(charged)
 	}
 	return sum
 }
 
 // Quota returns the quota in force for a team: that of its record, also of an invalid record if
 // the quota in it is valid, and otherwise that of the settings. MayGrant grants nothing under a
-// record without a valid quota.
+// record without a valid quota, which includes an unreadable record.
 func (l *Ledger) Quota(team int) Quota {
 	account := &l.accounts[team]
 	if account.record == nil || account.err != nil && validateQuota(account.record.Limit, account.record.Guarantee) != nil {
-		return account.settings
+		return account.settingsQuota
 	}
 	return quotaOf(account.record.Limit, account.record.Guarantee)
 }
@@ -91,12 +91,12 @@
 	return l.accounts[team].revision
 }
 
-// Fault returns the error that makes a team's record invalid, or nil if it is valid.
-func (l *Ledger) Fault(team int) error { return l.accounts[team].err }
+// RecordError returns the error that makes a team's record invalid, or nil if it is valid.
+func (l *Ledger) RecordError(team int) error { return l.accounts[team].err }
 
-// share returns the share of a shard. open is false if the shard has no share, so that its owner
+// share returns the share of a shard. exists is false if the shard has no share, so that its owner
 // may admit nothing, not even resources without a limit.
-func (t *teamAccount) share(shard int) (share Amount, open bool) {
+func (t *teamAccount) share(shard int) (share Amount, exists bool) {
 	if t.record == nil || t.err != nil {
 		return Amount{}, false
 	}
@@ -114,9 +114,9 @@
 // ended.
 func (t *teamAccount) reserved() Amount {
 	sum := Amount{}
-	for shard, admitted := range t.admitted {
+	for shard, charged := range t.chargedToShares {
 		share, _ := t.share(shard)
-		sum = sum.Plus(share.max(admitted))
+		sum = sum.Plus(share.max(charged))
 	}
 	return sum
 }
@@ -126,12 +126,12 @@
 // work that was admitted within the earlier shares, so nothing may be granted until it has
 // reached the account's revision. Nothing may be granted under a record with an invalid quota
 // either.
-func (l *Ledger) MayGrant(team int, more Amount, revision uint64) bool {
+func (l *Ledger) MayGrant(team int, amount Amount, revision uint64) bool {
 	account := &l.accounts[team]
 	if account.record != nil && (revision < account.revision || account.err != nil && !account.hasValidQuota()) {
 		return false
 	}
-	return account.byLeader.Plus(account.reserved()).Plus(more).within(l.Quota(team).Limit)
+	return account.chargedToLeader.Plus(account.reserved()).Plus(amount).within(l.Quota(team).Limit)
 }
 
 // hasValidQuota reports whether the quota of a record is valid, even if its shares are not.
@@ -144,19 +144,19 @@
 
 // MayAdmit reports whether the owner of a shard may add an amount to the charge to the shard's
 // share. revision is the revision of its replica; see MayGrant.
-func (l *Ledger) MayAdmit(team, shard int, more Amount, revision uint64) bool {
+func (l *Ledger) MayAdmit(team, shard int, amount Amount, revision uint64) bool {
 	account := &l.accounts[team]
-	share, open := account.share(shard)
-	if !open || revision < account.revision {
+	share, exists := account.share(shard)
+	if !exists || revision < account.revision {
 		return false
 	}
-	charged := account.admitted[shard].Plus(more)
-	return share.covers(charged.limited(l.Quota(team).Limit))
+	charged := account.chargedToShares[shard].Plus(amount)
+	return share.covers(charged.limitedResources(l.Quota(team).Limit))
 }
 
 // Excess returns by how much a team's usage exceeds its limit. This happens while tasks run that
 // were started before the limit was lowered.
 func (l *Ledger) Excess(team int) Amount {
 	limit := l.Quota(team).Limit
-	return l.Used(team).Minus(limit).limited(limit).positive()
+	return l.Used(team).Minus(limit).limitedResources(limit).nonNegative()
 }
--- a/internal/quota/limit_test.go
+++ b/internal/quota/limit_test.go
@@ -15,8 +15,8 @@
 func TestNoInterleavingExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(noGuard, func(name string, below int) int { return rapid.IntRange(0, below-1).Draw(t, name) })
-		if fault := m.run(modelSteps); fault != "" {
-			t.Fatal(fault)
+		if violation := m.run(modelSteps); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
@@ -25,24 +25,24 @@
 // some interleaving exceeds the limit.
 func TestEachGuardIsNeeded(t *testing.T) {
 	const seeds = 20_000
-	// firstFault returns the first seed with a violation and its description, or "" if no seed
+	// firstViolation returns the first seed with a violation and its description, or "" if no seed
 	// has one.
-	firstFault := func(missing guard) (seed uint64, fault string) {
+	firstViolation := func(missing guard) (seed uint64, violation string) {
 		for seed := range uint64(seeds) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			m := newModel(missing, func(_ string, below int) int { return rng.IntN(below) })
-			if fault := m.run(modelSteps); fault != "" {
-				return seed, fault
+			if violation := m.run(modelSteps); violation != "" {
+				return seed, violation
 			}
 		}
 		return 0, ""
 	}
-	if seed, fault := firstFault(noGuard); fault != "" {
-		t.Fatalf("seed %d violates the limit with all guards: %s", seed, fault)
+	if seed, violation := firstViolation(noGuard); violation != "" {
+		t.Fatalf("seed %d violates the limit with all guards: %s", seed, violation)
 	}
-	for missing := noGuard + 1; missing <= oneAtATime; missing++ {
+	for missing := noGuard + 1; missing <= oneCommitAtATime; missing++ {
 		t.Run(missing.String(), func(t *testing.T) {
-			if _, fault := firstFault(missing); fault == "" {
+			if _, violation := firstViolation(missing); violation == "" {
 				t.Errorf("no violation in %d seeds without the guard", seeds)
 			}
 		})
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -15,7 +15,7 @@
 	termCondition             // commits are conditional on the term of the controller that decides
 	idleShares                // the leader counts the idle parts of the shares as in use
 	raiseFromUnassigned       // shares are raised only from the part of the limit that is in no share
-	oneAtATime                // an actor makes no decision while the outcome of its last commit is unknown
+	oneCommitAtATime          // an actor makes no decision while the outcome of its last commit is unknown
 )
 
 func (g guard) String() string {
@@ -69,7 +69,7 @@
 	inFlight        []commit
 	actors          [modelShards + 1]*actor
 	charged         [modelShards + 1]Amount
-	fault           string // the violation found, or ""
+	violation       string // the violation found, or ""
 }
 
 func newModel(missing guard, choose func(string, int) int) *model {
@@ -112,7 +112,7 @@
 // mayDecide reports whether an actor may make a decision: its last commit has been answered, and
 // its replica has reached the revision of the answer.
 func (m *model) mayDecide(a *actor) bool {
-	return m.missing == oneAtATime || !a.busy && a.waitsFor == 0
+	return m.missing == oneCommitAtATime || !a.busy && a.waitsFor == 0
 }
 
 // step executes one step of the model.
@@ -145,11 +145,11 @@
 }
 
 // decide sends a commit of an actor that admits or grants an amount, or distributes shares.
-func (m *model) decide(i int, a *actor, more Amount) {
-	c := commit{actor: i, term: a.term, accountRevision: a.ledger.Revision(0), charge: more}
+func (m *model) decide(i int, a *actor, amount Amount) {
+	c := commit{actor: i, term: a.term, accountRevision: a.ledger.Revision(0), charge: amount}
 	switch {
 	case i != leader:
-		if !a.ledger.MayAdmit(0, i, more, a.revision) {
+		if !a.ledger.MayAdmit(0, i, amount, a.revision) {
 			return
 		}
 	case m.choose("distribute", 3) == 0:
@@ -162,26 +162,26 @@
 			return
 		}
 		if m.missing == raiseFromUnassigned {
-			raiseAll(a.ledger, account)
+			distributeAllFree(a.ledger, account)
 		}
 		c.account, c.charge = account, Amount{}
 	case m.missing == idleShares:
-		if !a.ledger.Used(0).Plus(more).within(a.ledger.Quota(0).Limit) {
+		if !a.ledger.Used(0).Plus(amount).within(a.ledger.Quota(0).Limit) {
 			return
 		}
-	case !a.ledger.MayGrant(0, more, a.revision):
+	case !a.ledger.MayGrant(0, amount, a.revision):
 		return
 	}
 	a.busy = true
 	m.inFlight = append(m.inFlight, c)
 }
 
-// raiseAll distributes everything that is free according to the replica, including the parts of
-// shares that are idle there.
-func raiseAll(ledger *Ledger, account *wire.Account) {
-	_, free := ledger.Quota(0).Limit.Minus(ledger.Used(0)).positive().Decimal()
+// distributeAllFree distributes everything that is free according to the replica, including the
+// parts of shares that are idle there.
+func distributeAllFree(ledger *Ledger, account *wire.Account) {
+	_, free := ledger.Quota(0).Limit.Minus(ledger.Used(0)).nonNegative().Decimal()
 	for i := range account.Shares {
-		_, used := ledger.accounts[0].admitted[account.Shares[i].Shard].Decimal()
+		_, used := ledger.accounts[0].chargedToShares[account.Shares[i].Shard].Decimal()
 		account.Shares[i].GPUs = used
 	}
 	if len(account.Shares) > 0 {
@@ -191,9 +191,9 @@
 
 // apply executes a commit in the state service. If answered is false, the response is lost.
 func (m *model) apply(c commit, answered bool) {
-	holds := (m.missing == accountCondition || c.accountRevision == m.accountRevision) &&
+	conditionsHold := (m.missing == accountCondition || c.accountRevision == m.accountRevision) &&
 		(m.missing == termCondition || c.term == m.terms[c.actor])
-	if holds {
+	if conditionsHold {
 		before := m.total()
 		m.revision++
 		e := event{revision: m.revision, actor: c.actor, charge: c.charge}
@@ -226,13 +226,13 @@
 	if m.charged[i] == (Amount{}) {
 		return
 	}
-	gone := Amount{GPUs: m.charged[i].GPUs / int64(1+m.choose("fraction", 3)) / unit * unit}
-	if gone == (Amount{}) {
+	removed := Amount{GPUs: m.charged[i].GPUs / int64(1+m.choose("fraction", 3)) / scale * scale}
+	if removed == (Amount{}) {
 		return
 	}
 	m.revision++
-	m.charged[i] = m.charged[i].Minus(gone)
-	m.events = append(m.events, event{revision: m.revision, actor: i, charge: Amount{}.Minus(gone)})
+	m.charged[i] = m.charged[i].Minus(removed)
+	m.events = append(m.events, event{revision: m.revision, actor: i, charge: Amount{}.Minus(removed)})
 }
 
 // changeLimit applies an operator's change of the limit.
@@ -243,7 +243,7 @@
 	change := Change{Version: m.account.Version, GPUsLimit: &gpus}
 	next, err := change.Apply(m.account)
 	if err != nil {
-		m.fault = err.Error()
+		m.violation = err.Error()
 		return
 	}
 	before := m.total()
@@ -279,21 +279,21 @@
 		limit = quotaOf(m.account.Limit, m.account.Guarantee).Limit
 	}
 	if now := m.total(); !now.within(limit) && now.GPUs > before.GPUs {
-		m.fault = fmt.Sprintf("revision %d charges %v, limit %v, before %v", m.revision, now, limit, before)
+		m.violation = fmt.Sprintf("revision %d charges %v, limit %v, before %v", m.revision, now, limit, before)
 	}
 	if m.account == nil {
 		return
 	}
 	if err := Validate(m.account, modelShards); err != nil {
-		m.fault = fmt.Sprintf("revision %d has an invalid account: %v", m.revision, err)
+		m.violation = fmt.Sprintf("revision %d has an invalid account: %v", m.revision, err)
 	}
 }
 
 // run executes a number of steps and returns the first violation, or "" if none occurs.
 func (m *model) run(steps int) string {
 	for range steps {
-		if m.step(); m.fault != "" {
-			return m.fault
+		if m.step(); m.violation != "" {
+			return m.violation
 		}
 	}
 	return ""
