--- a/internal/quota/limit_test.go
+++ b/internal/quota/limit_test.go
@@ -9,38 +9,41 @@
 
 const modelSteps = 120
 
-// Whatever is admitted, granted, removed, distributed or revoked, changed by operators, lost,
-// late or restarted, and in whatever order, no revision charges the team more than its limit.
+// TestNoInterleavingExceedsTheLimit checks that no revision charges the team more than its limit,
+// in any order of admissions, grants, removals, distributions, limit changes, restarts and late
+// or lost commits.
 func TestNoInterleavingExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(noGuard, func(name string, below int) int { return rapid.IntRange(0, below-1).Draw(t, name) })
-		if fault := m.run(modelSteps); fault != "" {
-			t.Fatal(fault)
+		if violation := m.run(modelSteps); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// Each guard is needed: without it some interleaving exceeds the limit.
+// TestEachGuardIsNeeded checks that the model detects each missing guard: without any one of them
+// some interleaving exceeds the limit.
 func TestEachGuardIsNeeded(t *testing.T) {
 	const seeds = 20_000
-	// firstFault returns the first fault of the seeds, "" if there is none.
-	firstFault := func(missing guard) (seed uint64, fault string) {
+	// firstViolation returns the first seed with a violation and its description, or "" if no seed
+	// has one.
+	firstViolation := func(missing guard) (seed uint64, violation string) {
 		for seed := range uint64(seeds) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			m := newModel(missing, func(_ string, below int) int { return rng.IntN(below) })
-			if fault := m.run(modelSteps); fault != "" {
-				return seed, fault
+			if violation := m.run(modelSteps); violation != "" {
+				return seed, violation
 			}
 		}
 		return 0, ""
 	}
-	if seed, fault := firstFault(noGuard); fault != "" {
-		t.Fatalf("seed %d, no guard is missing: %s", seed, fault)
+	if seed, violation := firstViolation(noGuard); violation != "" {
+		t.Fatalf("seed %d violates the limit with all guards: %s", seed, violation)
 	}
-	for missing := noGuard + 1; missing <= oneAtATime; missing++ {
+	for missing := noGuard + 1; missing <= oneCommitAtATime; missing++ {
 		t.Run(missing.String(), func(t *testing.T) {
-			if _, fault := firstFault(missing); fault == "" {
-				t.Errorf("without the guard the limit is kept in all of %d seeds", seeds)
+			if _, violation := firstViolation(missing); violation == "" {
+				t.Errorf("no violation in %d seeds without the guard", seeds)
 			}
 		})
 	}
