--- a/internal/replica/dependencies.go
+++ b/internal/replica/dependencies.go
@@ -2,26 +2,28 @@
 
 import "micaport/internal/wire"
 
-// DependencyLinks links a job to the jobs that it depends on and to those that depend on
-// it. A job may start only when all its dependencies are done, which is final. So no task
-// of a descendant of a cancelled job has ever run, and that the descendant is cancelled
-// too follows from the records of its ancestors.
+// DependencyLinks holds the edges of the dependency graph at one job. A job may start only
+// when all its dependencies are done, and "done" is a final state. Therefore no task of a
+// descendant of a cancelled job has ever run, and the cancellation of the descendant can be
+// derived from the records of its ancestors.
 type DependencyLinks struct {
 	Dependencies      []int // jobs that were not done when this one was submitted
 	Dependents        []int // jobs that depend on this one
-	Open              int   // dependencies that are not done
+	Open              int   // number of dependencies that are not done
 	AncestorCancelled bool  // a direct or indirect dependency is cancelled
-	ReadyAt           Time  // when the replica first showed all dependencies done; 0: not yet
-	ReadyMS           int64 // the same as time of day, in milliseconds
-	DeadlineMS        int64 // time of day by which it should be done for its dependents; 0: none
+	ReadyAt           Time  // when all dependencies were first done in the replica; 0: not yet
+	ReadyMS           int64 // the same as wall-clock time, Unix ms
+	DeadlineMS        int64 // wall-clock time (Unix ms) by which it has to be done, for itself or its dependents; 0: none
 }
 
-// IsWaiting tells whether a job may not be granted anything yet, or ever.
+// IsWaiting reports whether no task of the job may be granted, either because a dependency
+// is not done yet or because an ancestor is cancelled.
 func (j *Job) IsWaiting() bool {
 	return j.Links != nil && (j.Links.Open > 0 || j.Links.AncestorCancelled)
 }
 
-// RunnableSinceMS is since when a job could run, as time of day in milliseconds.
+// RunnableSinceMS returns the wall-clock time (Unix ms) from which the job could run: that of
+// its last dependency's completion, or of its acceptance if it has no dependencies.
 func (j *Job) RunnableSinceMS() int64 {
 	if j.Links != nil && len(j.Links.Dependencies) > 0 {
 		return j.Links.ReadyMS
@@ -29,7 +31,8 @@
 	return j.Record.AcceptedAtMS
 }
 
-// ReadySince is when the last dependency was done; 0 if the job has none.
+// ReadySince returns when the last dependency was done; 0 if the job has no dependencies or
+// some are not done yet.
 func (j *Job) ReadySince() Time {
 	if j.Links == nil {
 		return 0
@@ -37,7 +40,7 @@
 	return j.Links.ReadyAt
 }
 
-// ensureLinks gives the links of a job, which it makes if there are none.
+// ensureLinks returns the links of a job and creates them if they don't exist yet.
 func (j *Job) ensureLinks() *DependencyLinks {
 	if j.Links == nil {
 		j.Links = &DependencyLinks{}
@@ -45,7 +48,7 @@
 	return j.Links
 }
 
-// linkDependencies links a job to its dependencies when its record is first seen.
+// linkDependencies links a job to its dependencies when its record is first applied.
 func (r *Replica) linkDependencies(job *Job) {
 	if job.Record.HasDependencies() {
 		r.addDependencies(job)
@@ -55,12 +58,13 @@
 	}
 }
 
+// addDependencies adds the edges between a job and the dependencies in its record.
 func (r *Replica) addDependencies(job *Job) {
 	links := job.ensureLinks()
 	ids, complete := r.dependenciesInRecord(job.ID, job.Record)
 	if !complete {
 		// The list is written before the record that names it, so this can't happen. If
-		// it does, the job must not start.
+		// it does, the extra open dependency keeps the job from starting.
 		r.observer.DependencyListMissing(job)
 		links.Open++
 	}
@@ -83,7 +87,8 @@
 	}
 }
 
-// markReady notes that all dependencies of a job are done.
+// markReady records the time at which the last dependency of a job was done and notifies the
+// observer.
 func (r *Replica) markReady(job *Job) {
 	job.Links.ReadyAt, job.Links.ReadyMS = r.now, r.cfg.WallClockMS()
 	r.observer.JobReady(job)
@@ -92,8 +97,8 @@
 	}
 }
 
-// notifyDependents updates the jobs that depend on one that is done or cancelled. Its cost
-// is proportional to their number.
+// notifyDependents updates the direct dependents of a job that is done, or all descendants
+// of a job that is cancelled.
 func (r *Replica) notifyDependents(job *Job) {
 	links := job.Links
 	if links == nil || job.Record.State == wire.JobLive {
@@ -102,7 +107,7 @@
 	for _, index := range links.Dependents {
 		dependent := r.jobs[index]
 		if dependent.Links == nil {
-			continue // it is finished itself
+			continue // the dependent is finished
 		}
 		if job.Record.State == wire.JobCancelled {
 			r.markCancelled(dependent)
@@ -110,11 +115,12 @@
 			r.markReady(dependent)
 		}
 	}
-	job.Links = nil // finished jobs are kept for ever, and there are very many
+	job.Links = nil // finished jobs are never deleted and numerous, so this saves memory
 }
 
-// markCancelled marks a job and all its descendants, each of them once, as cancelled with
-// an ancestor. It is iterative, as chains may be deep.
+// markCancelled marks a job and all its descendants as having a cancelled ancestor. It visits
+// each of them once, with an explicit stack instead of recursion because chains of
+// dependencies may be deep.
 func (r *Replica) markCancelled(job *Job) {
 	for stack := []*Job{job}; len(stack) > 0; {
 		job, stack = stack[len(stack)-1], stack[:len(stack)-1]
@@ -130,30 +136,32 @@
 	}
 }
 
-// UnrecordedCancellations counts the jobs that a cancelled ancestor cancels and whose
-// records don't say so yet.
+// UnrecordedCancellations returns the number of queued jobs that are cancelled because an
+// ancestor is, and whose own records may not show it yet.
 func (r *Replica) UnrecordedCancellations() int { return len(r.unrecorded) }
 
-// FirstUnrecorded is the first of these jobs.
+// FirstUnrecorded returns the first job of the queue that UnrecordedCancellations counts.
 func (r *Replica) FirstUnrecorded() *Job { return r.jobs[r.unrecorded[0]] }
 
-// DropFirstUnrecorded forgets the first of these jobs: its record says so.
+// DropFirstUnrecorded removes the first job from the queue, because its record shows that it
+// is no longer live.
 func (r *Replica) DropFirstUnrecorded() { r.unrecorded = r.unrecorded[1:] }
 
-// RequeueFirstUnrecorded puts the first of these jobs last: its record is being written,
-// and is looked at again later.
+// RequeueFirstUnrecorded moves the first job to the end of the queue. It is used while the
+// job's record is being written; the record is checked again later.
 func (r *Replica) RequeueFirstUnrecorded() {
 	r.unrecorded = append(r.unrecorded[1:], r.unrecorded[0])
 }
 
-// propagateUrgency passes the priority of a job, and the time by which it has to begin to
-// meet its deadline, on to all its ancestors: users set both at the end of a chain only. An
-// ancestor is visited again only when this changes something for it.
+// propagateUrgency raises the priority and tightens the deadline of all ancestors of a job,
+// so that the job can run with its own priority and start early enough for its deadline.
+// Users set both only on the last job of a chain. An ancestor's own dependencies are visited
+// only if its priority or its deadline has changed.
 func (r *Replica) propagateUrgency(job *Job) {
 	for stack := []*Job{job}; len(stack) > 0; {
 		job, stack = stack[len(stack)-1], stack[:len(stack)-1]
 		if job.Record == nil || job.Record.Spec == nil {
-			continue // its record, once it is seen, propagates further
+			continue // propagated further when its record is first applied
 		}
 		links, spec := job.Links, job.Record.Spec
 		if own := job.Record.AcceptedAtMS + int64(spec.DeadlineS*1000); spec.DeadlineS > 0 && (links.DeadlineMS == 0 || own < links.DeadlineMS) {
@@ -171,8 +179,9 @@
 	}
 }
 
-// raiseUrgency gives a job at least the priority of one that depends on it, and a deadline
-// no later than when that has to begin; 0 is no deadline. It tells whether anything changed.
+// raiseUrgency raises the priority of a job to at least the given one, and moves its deadline
+// to the given one if that is earlier; 0 is no deadline. It reports whether it changed
+// anything.
 func (r *Replica) raiseUrgency(job *Job, priority int, deadlineMS int64) bool {
 	if job.Links == nil || job.Record != nil && job.Record.State != wire.JobLive {
 		return false
--- a/internal/replica/dependency_list.go
+++ b/internal/replica/dependency_list.go
@@ -8,27 +8,29 @@
 	"micaport/internal/wire"
 )
 
-// A record holds the ids of a few dependencies itself. A list that it has no room for is
-// written to keys of its own first, in as many transactions as it takes, and the record
-// that names it last; such a list never changes. Its name is a hash of what it holds, so
-// that submitting the same job again, at any controller, writes the same keys.
+// A job's record holds short lists of dependencies itself. A list that would make the record
+// too large is stored in separate keys. These are written first, in several transactions if
+// necessary, and the record that refers to them is written last. A stored list never changes.
+// Its name is a hash of its contents, so that a repeated submission of the same job, to any
+// controller, writes the same keys.
 
 const (
-	// dependencyListNameBytes is how much of the hash of a list its name keeps.
+	// dependencyListNameBytes is the length to which the hash in a list's name is truncated.
 	dependencyListNameBytes = 16
-	// dependencyListHeaderBytes bounds what a value takes besides the ids in it.
+	// dependencyListHeaderBytes bounds the size of a value without its job ids.
 	dependencyListHeaderBytes = 24
-	// idOverheadBytes is what an id takes besides its characters: quotes and a comma.
+	// idOverheadBytes is the encoding overhead of one id: two quotes and a comma.
 	idOverheadBytes = 3
 )
 
-// DependencyListName is the name of a list of job ids.
+// DependencyListName returns the name of a list of job ids, which is a hash of the ids.
 func DependencyListName(ids []string) string {
 	sum := sha256.Sum256([]byte(strings.Join(ids, " ")))
 	return hex.EncodeToString(sum[:dependencyListNameBytes])
 }
 
-// SplitDependencyList distributes a list over values of at most a number of bytes.
+// SplitDependencyList splits a list into parts whose encoded values have at most valueBytes
+// bytes each.
 func SplitDependencyList(ids []string, valueBytes int) [][]string {
 	var chunks [][]string
 	size := valueBytes
@@ -45,8 +47,8 @@
 	return chunks
 }
 
-// PutDependencyList applies one key of a list. It is kept until the record of its job is
-// applied.
+// PutDependencyList applies one key of a dependency list. The key is ignored if the record of
+// its job has been applied, and otherwise kept until then.
 func (r *Replica) PutDependencyList(key string, list *wire.DependencyList) {
 	id := wire.DependencyListJob(key)
 	if job := r.Find(id); job != nil && job.Record != nil {
@@ -58,18 +60,20 @@
 	r.dependencyLists[id][key] = list.JobIDs
 }
 
-// HasDependencyList tells whether a key of a list is in the replica; those of jobs whose
-// record has been applied are not.
+// HasDependencyList reports whether the replica holds a key of a dependency list. The keys are
+// discarded once the record of their job has been applied.
 func (r *Replica) HasDependencyList(id, key string) bool {
 	_, known := r.dependencyLists[id][key]
 	return known
 }
 
-// StagedDependencyLists counts the jobs of which lists wait for the record.
+// StagedDependencyLists returns the number of jobs whose dependency lists are kept until the
+// job's record is applied.
 func (r *Replica) StagedDependencyLists() int { return len(r.dependencyLists) }
 
-// dependenciesInRecord lists the jobs that a record depends on, from the record itself or
-// from the keys that are at hand, and tells whether those are complete.
+// dependenciesInRecord returns the ids of the jobs that a record depends on, from the record
+// itself or from the staged keys of its dependency list, and reports whether the list is
+// complete.
 func (r *Replica) dependenciesInRecord(id string, record *wire.Job) (ids []string, complete bool) {
 	if record.DependencyList == "" {
 		return record.Spec.Dependencies, true
@@ -84,9 +88,10 @@
 	return ids, true
 }
 
-// Dependencies lists the jobs that a job depends on, by a record of it that was read from
-// the state service and may be newer than the replica. A list in keys of its own is known
-// once the replica shows the job.
+// Dependencies returns the ids of the jobs that a job depends on, and reports whether the
+// list is complete. The given record was read from the state service and may be newer than
+// the replica. If it refers to a separate dependency list, the ids are taken from the job's
+// links, or from the staged keys if the job has none.
 func (r *Replica) Dependencies(id string, record *wire.Job) (ids []string, complete bool) {
 	job := r.Find(id)
 	if record.DependencyList == "" || job == nil || job.Record == nil || job.Links == nil {
