--- a/internal/replica/format.go
+++ b/internal/replica/format.go
@@ -5,13 +5,15 @@
 	"micaport/internal/wire"
 )
 
-// Two versions of the service work on each other's records while one replaces the other.
-// What the earlier one does not know is written only when every controller of the
-// deployment has left a record that it reads it; as those records stay, that never goes
-// back. See "Two versions side by side" in docs/design.md.
-
-// SupportedFormatWrites is the write of the record of what this controller reads; none
-// once the replica shows it.
+// During an upgrade, controllers of two versions read and write the same records. Each
+// controller publishes the newest record format that it can read. A feature that needs a
+// format is used only once every controller of the deployment supports it. The published
+// records are never removed, so the agreed format never decreases. See "Two versions side by
+// side" in docs/design.md.
+
+// SupportedFormatWrites returns the write that publishes the newest format that this
+// controller reads. It returns nil if the replica already shows that record, or if the format
+// is the first one, which needs none.
 func (r *Replica) SupportedFormatWrites() []kv.Write {
 	if r.cfg.Format < wire.FormatDependencies || r.formats[r.cfg.Self] >= r.cfg.Format {
 		return nil
@@ -19,7 +21,7 @@
 	return []kv.Write{{Key: wire.FormatPrefix + r.cfg.Self, Value: &wire.SupportedFormat{Format: r.cfg.Format}}}
 }
 
-// PutFormat applies the record of what a controller reads.
+// PutFormat applies the record of the newest format that a controller reads.
 func (r *Replica) PutFormat(controller string, supported *wire.SupportedFormat) {
 	r.formats[controller] = max(r.formats[controller], supported.Format)
 	agreed := r.cfg.Format
@@ -38,19 +40,18 @@
 	r.observer.FormatAgreed(agreed)
 }
 
-// AgreedFormat is the newest format that all controllers read.
+// AgreedFormat returns the newest format that all controllers read.
 func (r *Replica) AgreedFormat() int { return r.agreed }
 
-// WritesDependencies tells whether records may hold dependencies, and overflow into
-// further keys.
+// WritesDependencies reports whether records may have dependencies and overflow keys.
 func (r *Replica) WritesDependencies() bool { return r.agreed >= wire.FormatDependencies }
 
-// WritesDependencyLists tells whether dependencies may stand in keys of their own.
+// WritesDependencyLists reports whether dependencies may be stored in separate keys.
 func (r *Replica) WritesDependencyLists() bool { return r.agreed >= wire.FormatDependencyLists }
 
-// WritesTeamAccounts tells whether teams may have accounts, and owners admit work within
-// their shares.
+// WritesTeamAccounts reports whether teams may have accounts, and shard owners may admit
+// tasks within their shares.
 func (r *Replica) WritesTeamAccounts() bool { return r.agreed >= wire.FormatTeamAccounts }
 
-// WritesEarlyFailover tells whether a leader's claim may say that it is fenced.
+// WritesEarlyFailover reports whether the record of the leadership may be marked as fenced.
 func (r *Replica) WritesEarlyFailover() bool { return r.agreed >= wire.FormatEarlyFailover }
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -2,31 +2,30 @@
 
 import "micaport/internal/wire"
 
-// How large records are, in the form in which the state service measures values.
-
+// Sizes of records and their parts, as wire.JSONSize measures them.
 const (
-	// TaskRangeBytes bounds what a range of done tasks takes.
+	// TaskRangeBytes bounds the size of a range of done tasks.
 	TaskRangeBytes = 16
-	// OverflowHeaderBytes bounds what the value of an overflow key takes besides its tasks.
+	// OverflowHeaderBytes bounds the size of an overflow record without its tasks.
 	OverflowHeaderBytes = 16
 
-	// maxListBytes is what the task lists of a job may take in all. Each overflow key
-	// costs a write for each change, so there are no more than make this much; it is
-	// what one value holds at sites whose arrays have up to a hundred tasks.
+	// maxListBytes limits the total size of a job's task lists, and thereby the number of
+	// its overflow keys, since each of them costs a write per change. One value holds as
+	// much at sites whose arrays have up to a hundred tasks.
 	maxListBytes = 8 << 10
-	// recordSlackBytes is for what a record gains while it lives: names of lists, and of
-	// a few machines on which it failed.
+	// recordSlackBytes is reserved for the growth of a record over its lifetime: the names
+	// of dependency lists and of a few machines on which the job failed.
 	recordSlackBytes = 120
-	// unknownRecordBytes is assumed for a record that can't be measured.
+	// unknownRecordBytes is the assumed size of a record that can't be encoded.
 	unknownRecordBytes = 2000
-	// singleTaskBytes is a generous bound for one active task, with its share of the done
-	// set, and singleTasksReserve is left for the rest of the record.
+	// singleTaskBytes is a generous bound for one active task and its part of the set of
+	// done tasks. singleTasksReserve is the size reserved for the rest of the record.
 	singleTaskBytes    = 60
 	singleTasksReserve = 2000
 )
 
-// OverflowKeys is how many overflow keys the leader plans with. A grant changes the
-// record, the key of a gang perhaps, and these.
+// OverflowKeys returns the number of overflow keys per job that the leader plans with. All of
+// them have to fit into one transaction with the job's record and the key of a gang.
 func (r *Replica) OverflowKeys() int {
 	if !r.WritesDependencies() {
 		return 0
@@ -34,9 +33,9 @@
 	return max(0, min(maxListBytes/r.cfg.MaxValueBytes-1, r.cfg.MaxTransactionOps-2))
 }
 
-// ValueBytes is what a value may take now. While controllers of the earlier version serve,
-// their records may be as large as the present limit allows, and have to be written all
-// the same.
+// ValueBytes returns the largest size of a value that may be written now. While controllers
+// of an earlier version run, their records may be as large as the present limit allows, and
+// this controller has to be able to rewrite them.
 func (r *Replica) ValueBytes() int {
 	if !r.WritesDependencies() {
 		return max(r.cfg.MaxValueBytes, r.cfg.CurrentValueBytes)
@@ -44,18 +43,20 @@
 	return r.cfg.MaxValueBytes
 }
 
-// MaxSingleTasks bounds the active tasks of a record in which each task stands by itself.
-// An array with more tasks is a large array: its tasks are recorded in runs.
+// MaxSingleTasks returns the largest number of active tasks that a record can hold if each
+// task is encoded separately. An array with more tasks is a large array, whose tasks are
+// recorded as runs.
 func (r *Replica) MaxSingleTasks() int {
 	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-singleTasksReserve)/singleTaskBytes)
 }
 
-// TaskListBytes bounds the size of the task lists in a record.
+// TaskListBytes returns an upper bound of the size of the task lists in a record.
 func TaskListBytes(active wire.ActiveTasks, done wire.TaskSet) int {
 	return active.Cost() + TaskRangeBytes*len(done)
 }
 
-// BaseBytes bounds the size of a record without its task lists.
+// BaseBytes returns an upper bound of the size of a record without its task lists, with a
+// reserve for its growth.
 func BaseBytes(record *wire.Job) int {
 	const (
 		attemptsToCome  = 1000
@@ -75,8 +76,8 @@
 	return size + recordSlackBytes
 }
 
-// measure works out the size of a job's record without its task lists, and with it whether
-// the job is a large array.
+// measure computes the size of a job's record without its task lists, and whether the job is
+// a large array.
 func (r *Replica) measure(job *Job) {
 	job.BaseBytes = BaseBytes(job.Record)
 	job.LargeArray = job.Record.Spec.Shape == wire.ShapeArray && job.Record.Spec.TaskCount > r.MaxSingleTasks()
