--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -7,12 +7,12 @@
 	"micaport/internal/wire"
 )
 
-// Where values are small a record's active tasks go on in overflow keys, which are only
-// ever changed together with the record itself: its revision stands for all, so that
-// conditions, quotas and proofs are the same as with one key.
+// Active tasks that don't fit into the value of a job's record are stored in overflow keys.
+// These change only in transactions that also change the record, so the record's revision
+// covers all of them, and conditions, quotas and proofs work as with a single key.
 
-// PutOverflow applies an overflow key; nil deletes it. It counts once the record of its
-// job is applied.
+// PutOverflow applies an overflow key; nil deletes it. Its tasks become part of the job when
+// the job's record is applied.
 func (r *Replica) PutOverflow(key string, overflow *wire.Overflow) {
 	id, number := wire.SplitOverflowKey(key)
 	if overflow == nil {
@@ -27,7 +27,8 @@
 	r.overflow[id][number] = overflow.ActiveTasks
 }
 
-// assemble appends the tasks in overflow keys to those in the record.
+// assemble appends the tasks in the overflow keys to those in the record, and sets the key in
+// which each task is stored.
 func (r *Replica) assemble(id string, record *wire.Job) {
 	record.ActiveTasks = slices.Clip(record.ActiveTasks)
 	for i := range record.ActiveTasks {
@@ -41,11 +42,11 @@
 	}
 }
 
-// ownKey is the place of tasks that stand in the record itself; the overflow keys are
-// counted from the next number on.
+// ownKey is the number of the key of the job's record itself, as in wire.ActiveTask.StoredIn.
+// The overflow key with number n has the number n+1 here.
 const ownKey = 1
 
-// tasksInKey lists the tasks that one key holds.
+// tasksInKey returns the tasks that are stored in one key.
 func tasksInKey(tasks wire.ActiveTasks, key int) wire.ActiveTasks {
 	var held wire.ActiveTasks
 	for _, task := range tasks {
@@ -56,12 +57,12 @@
 	return held
 }
 
-// StoredRecord is what the state service holds of a job: the active tasks by key.
+// StoredRecord describes how the active tasks of a job are stored in the state service.
 type StoredRecord struct {
 	Tasks        wire.ActiveTasks
 	OverflowKeys int
-	// UnknownKeys are the first overflow keys whose tasks are not in Tasks; they are left
-	// alone.
+	// UnknownKeys is the number of overflow keys, from the first one on, whose tasks are not
+	// in Tasks. They are left unchanged.
 	UnknownKeys int
 }
 
@@ -72,11 +73,11 @@
 	record    *wire.Job
 	baseBytes int // of the record without its task lists
 	stored    StoredRecord
-	cost      map[int]int // bytes of the tasks in each key
+	cost      map[int]int // size of the tasks in each key, in bytes
 }
 
-// SplitRecord gives the writes that follow from a changed record, its own first. Tasks
-// that have a place keep it, so that few keys change.
+// SplitRecord returns the writes that store a changed record, that of the job's own key
+// first. Tasks stay in the key in which they are stored if possible, so that few keys change.
 func (r *Replica) SplitRecord(id string, stored StoredRecord, record *wire.Job) []kv.Write {
 	split := &recordSplit{replica: r, id: id, record: record, baseBytes: BaseBytes(record), stored: stored, cost: map[int]int{}}
 	tasks := record.ActiveTasks
@@ -88,14 +89,14 @@
 		return append(writes, deleteOverflow(id, stored.UnknownKeys+1, stored.OverflowKeys)...)
 	}
 	if stored.UnknownKeys == 0 && tasks.Cost() <= split.room(ownKey)*3/4 {
-		split.moveAll() // it fits one key again
+		split.moveAll() // all tasks fit into the job's own key again, with a margin
 	}
 	split.evictOverfull()
 	split.placeRest()
 	return split.writes()
 }
 
-// room is how many bytes of tasks a key holds.
+// room returns the size of the tasks that a key can hold, in bytes.
 func (s *recordSplit) room(key int) int {
 	if key == ownKey {
 		return s.replica.ValueBytes() - s.baseBytes - TaskRangeBytes*len(s.record.DoneTasks)
@@ -103,14 +104,14 @@
 	return s.replica.cfg.MaxValueBytes - OverflowHeaderBytes
 }
 
-// moveAll puts all tasks into the record itself.
+// moveAll assigns all tasks to the job's own key.
 func (s *recordSplit) moveAll() {
 	for i := range s.record.ActiveTasks {
 		s.record.ActiveTasks[i].StoredIn = ownKey
 	}
 }
 
-// evictOverfull takes the last runs of tasks out of keys that can't hold them any more.
+// evictOverfull removes the last runs of tasks from each key whose tasks exceed its capacity.
 func (s *recordSplit) evictOverfull() {
 	for key := ownKey; key <= s.stored.OverflowKeys+1; key++ {
 		held := tasksInKey(s.record.ActiveTasks, key)
@@ -122,7 +123,7 @@
 	}
 }
 
-// evict takes tasks out of a key.
+// evict removes tasks from a key and leaves them without one.
 func (s *recordSplit) evict(key int, evicted wire.ActiveTasks) {
 	tasks := s.record.ActiveTasks
 	for i := range tasks {
@@ -135,10 +136,10 @@
 	}
 }
 
-// placeRest puts tasks without a place into the first key with room.
+// placeRest assigns each run of tasks without a key to the first key with enough capacity.
 func (s *recordSplit) placeRest() {
 	tasks := s.record.ActiveTasks
-	last := s.stored.OverflowKeys + 1 + len(tasks) // ample: what is planned keeps to OverflowKeys
+	last := s.stored.OverflowKeys + 1 + len(tasks) // never reached, as the leader plans with at most OverflowKeys
 	for at := 0; at < len(tasks); {
 		from, to := tasks.Run(at)
 		at = to
@@ -157,9 +158,10 @@
 	}
 }
 
+// isUnknown reports whether a key is one of StoredRecord.UnknownKeys.
 func (s *recordSplit) isUnknown(key int) bool { return key > ownKey && key <= s.stored.UnknownKeys+1 }
 
-// writes gives the record and the overflow keys that change.
+// writes returns the writes of the record and of the overflow keys that change.
 func (s *recordSplit) writes() []kv.Write {
 	own := *s.record
 	own.OverflowKeys = s.stored.UnknownKeys
@@ -176,21 +178,21 @@
 	return append(writes, deleteOverflow(s.id, own.OverflowKeys+1, s.stored.OverflowKeys)...)
 }
 
-// changedOverflow is the new value of an overflow key, or nil if it stays as it is.
+// changedOverflow returns the new value of an overflow key, or nil if it is unchanged.
 func (s *recordSplit) changedOverflow(number int) *wire.Overflow {
 	now, before := tasksInKey(s.record.ActiveTasks, number+1), tasksInKey(s.stored.Tasks, number+1)
 	switch {
 	case number > s.stored.OverflowKeys && len(now) > 0 && sameTasks(now, s.replica.overflow[s.id][number]):
-		return nil // written ahead of the record
+		return nil // already written; see WritesAhead
 	case len(now) == 0 && len(before) > 0:
-		return &wire.Overflow{} // an empty value keeps the numbering
+		return &wire.Overflow{} // the key stays, so that the numbers remain consecutive
 	case len(now) > 0 && !slices.Equal(now, before):
 		return &wire.Overflow{ActiveTasks: now}
 	}
 	return nil
 }
 
-// sameTasks compares tasks, wherever they are stored.
+// sameTasks reports whether two lists have the same tasks, whichever keys they are stored in.
 func sameTasks(a, b wire.ActiveTasks) bool {
 	return slices.EqualFunc(a, b, func(x, y wire.ActiveTask) bool {
 		x.StoredIn, y.StoredIn = 0, 0
@@ -198,10 +200,11 @@
 	})
 }
 
-// WritesAhead selects the writes of overflow keys that the record does not name yet, as
-// many as one transaction takes. They have no effect until the record names them, which
-// the last of the transactions brings; so a record far too large for one transaction gets
-// within the limits without any task being out of it in between.
+// WritesAhead returns at most maxWrites of the given writes, those of overflow keys that the
+// stored record does not refer to yet, where namedKeys is the number of keys that it does
+// refer to. Such keys can be written in earlier transactions, as they have no effect until
+// the record refers to them. So a record that is too large for one transaction can be split
+// over several keys without any of its tasks missing from the stored state in between.
 func WritesAhead(writes []kv.Write, namedKeys, maxWrites int) []kv.Write {
 	var ahead []kv.Write
 	for i := len(writes) - 1; i >= 0 && len(ahead) < maxWrites; i-- {
@@ -214,7 +217,8 @@
 	return ahead
 }
 
-// deleteOverflow deletes the overflow keys with the numbers from first to last.
+// deleteOverflow returns writes that delete the overflow keys with the numbers from first to
+// last, inclusive.
 func deleteOverflow(id string, first, last int) []kv.Write {
 	var writes []kv.Write
 	for number := first; number <= last; number++ {
--- a/internal/replica/overflow_test.go
+++ b/internal/replica/overflow_test.go
@@ -9,7 +9,7 @@
 	"micaport/internal/wire"
 )
 
-// ignoreChanges observes a replica without doing anything.
+// ignoreChanges is an observer that does nothing.
 type ignoreChanges struct{}
 
 func (ignoreChanges) JobAdded(*Job)               {}
@@ -23,7 +23,7 @@
 func (ignoreChanges) QuotaChanged(int)            {}
 func (ignoreChanges) AccountInvalid(int, error)   {}
 
-// newSmallValues is a replica where values are small, after the upgrade.
+// newSmallValues returns a replica with a small limit on values, in the newest format.
 func newSmallValues() *Replica {
 	r := New(Config{Self: "n0", Controllers: []string{"n0"}, Format: wire.Format, MaxTransactionOps: 4, MaxValueBytes: 2048, CurrentValueBytes: 8192,
 		WallClockMS: func() int64 { return 0 }}, &Names{}, ignoreChanges{})
@@ -31,14 +31,13 @@
 	return r
 }
 
-// A record's active tasks are shared out to its keys so that each value is within
-// the limit, all together are what they were, and what did not change is not
-// written again.
+// The active tasks of a record are distributed over several keys. Each value stays within the
+// size limit, no task is lost, and unchanged keys are not written again.
 func TestSplitKeepsAllTasks(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	r := newSmallValues()
 	if r.OverflowKeys() != 2 {
-		t.Fatalf("%d further keys, not 2", r.OverflowKeys())
+		t.Fatalf("%d overflow keys, not 2", r.OverflowKeys())
 	}
 	const ref = "wk-000001"
 	rec := &wire.Job{Spec: &wire.JobSpec{ID: ref, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 200, Image: "img"}, TaskCount: 200, NextAttempt: 1}
@@ -86,7 +85,7 @@
 			r.PutOverflow(wire.OverflowKey(ref, k), &wire.Overflow{ActiveTasks: slices.Clone(l)})
 		}
 		if len(kept) != rec.OverflowKeys {
-			t.Fatalf("step %d: %d further keys are stored, the record names %d", step, len(kept), rec.OverflowKeys)
+			t.Fatalf("step %d: %d overflow keys are stored, the record refers to %d", step, len(kept), rec.OverflowKeys)
 		}
 		most = max(most, rec.OverflowKeys)
 		rec = CloneRecord(rec)
@@ -96,16 +95,16 @@
 		slices.SortStableFunc(got, byTask)
 		slices.SortStableFunc(want, byTask)
 		if !slices.Equal(got, want) {
-			t.Fatalf("step %d: %d tasks became %d", step, len(want), len(got))
+			t.Fatalf("step %d: %d tasks were stored and %d read back", step, len(want), len(got))
 		}
 	}
 	if most < 2 || rec.OverflowKeys != 0 {
-		t.Errorf("%d further keys at most, %d in the end", most, rec.OverflowKeys)
+		t.Errorf("%d overflow keys at most, %d in the end", most, rec.OverflowKeys)
 	}
 }
 
-// A record that the earlier version left larger than a value may be is written in
-// several keys in one transaction.
+// A record of an earlier version that exceeds the present size limit is split over several
+// keys in one transaction.
 func TestSplitOfALargeRecord(t *testing.T) {
 	r := newSmallValues()
 	rec := &wire.Job{Spec: &wire.JobSpec{ID: "wk-000001", TaskCount: 100}, TaskCount: 100, NextAttempt: 101}
