--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -6,20 +6,21 @@
 	"micaport/internal/wire"
 )
 
-// finishedKind is what tells finished jobs apart that have nothing left on machines.
+// finishedKind identifies the shared record of finished jobs that have no active tasks.
 type finishedKind struct {
 	state     wire.JobState
 	taskCount int
 }
 
-// PutJob applies the record of a job. Overflow keys and lists of dependencies that the
-// record names must have been applied before.
+// PutJob applies the record of a job. The overflow keys and the dependency list that the
+// record refers to must have been applied before.
 func (r *Replica) PutJob(id string, record *wire.Job, revision uint64) {
 	r.putJob(id, record, revision)
 	delete(r.dependencyLists, id)
 }
 
-// putJob applies the record of a job, or its absence, unless it is an old one.
+// putJob applies the record of a job, or its absence if record is nil. It ignores revisions
+// that are not newer than the applied one.
 func (r *Replica) putJob(id string, record *wire.Job, revision uint64) {
 	job := r.ensure(id)
 	if revision <= job.Revision {
@@ -53,7 +54,7 @@
 	r.setLive(job, record.State == wire.JobLive || len(record.ActiveTasks) > 0)
 }
 
-// countUnplaced counts the tasks that are granted and have no machine yet.
+// countUnplaced returns the number of tasks that are granted and have no machine yet.
 func countUnplaced(record *wire.Job) int {
 	count := 0
 	for i := range record.ActiveTasks {
@@ -64,8 +65,8 @@
 	return count
 }
 
-// sharedFinishedRecord is one record for all finished jobs that nothing tells apart any
-// more. Finished jobs are kept for ever, and there are very many.
+// sharedFinishedRecord returns one record for all finished jobs with the same state and
+// number of tasks. Finished jobs are never deleted and numerous, so sharing saves memory.
 func (r *Replica) sharedFinishedRecord(record *wire.Job) *wire.Job {
 	key := finishedKind{record.State, record.TaskCount}
 	if shared := r.finished[key]; shared != nil {
@@ -75,7 +76,8 @@
 	return r.finished[key]
 }
 
-// indexSpec maps the names in a specification to indices.
+// indexSpec derives the fields of a job from its specification, with names as indices, and
+// links the job to its dependencies.
 func (r *Replica) indexSpec(job *Job, spec *wire.JobSpec) {
 	job.Image = r.names.Images.Of(spec.Image)
 	job.Priority = max(job.Priority, priorityOf(spec.Priority))
@@ -91,7 +93,7 @@
 	r.linkDependencies(job)
 }
 
-// priorityOf is the rank of a priority's name, higher for more urgent.
+// priorityOf returns the rank of a named priority; more urgent ones rank higher.
 func priorityOf(name string) int {
 	switch name {
 	case "critical":
@@ -104,7 +106,7 @@
 	return 0
 }
 
-// setLive adds a job to the live ones or removes it.
+// setLive adds a job to the list of live jobs or removes it.
 func (r *Replica) setLive(job *Job, live bool) {
 	at, found := slices.BinarySearch(r.live, job.Index)
 	if live && !found {
--- a/internal/replica/quotas.go
+++ b/internal/replica/quotas.go
@@ -7,7 +7,7 @@
 	"micaport/internal/wire"
 )
 
-// initQuotas begins with the quotas of the settings.
+// initQuotas creates the ledger with the quotas from the settings.
 func (r *Replica) initQuotas() {
 	quotas := make([]quota.Quota, len(r.cfg.Teams))
 	for i := range r.cfg.Teams {
@@ -18,13 +18,13 @@
 	r.quotas = slices.Clone(r.cfg.Teams)
 }
 
-// Ledger is the ledger of the teams' accounts. Only the replica charges it.
+// Ledger returns the ledger of the teams' accounts. Only the replica charges it.
 func (r *Replica) Ledger() *quota.Ledger { return r.ledger }
 
-// Quota is a team's guarantee and limit in force.
+// Quota returns the guarantee and the limit of a team that are in force.
 func (r *Replica) Quota(team int) *Team { return &r.quotas[team] }
 
-// PutAccount applies the record of a team's account, or its absence.
+// PutAccount applies the record of a team's account, or its absence if account is nil.
 func (r *Replica) PutAccount(name string, account *wire.Account, revision uint64) {
 	team := r.names.Teams.Find(name)
 	if team < 0 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// charge adds the active tasks of a job to what its team is charged, or removes them with
-// sign -1.
+// charge adds the demand of a job's active tasks to the charges of its team with sign 1, and
+// subtracts it with sign -1.
 func (r *Replica) charge(job *Job, sign int) {
 	if job.Record == nil || job.Record.Spec == nil || job.Team < 0 {
 		return
--- a/internal/replica/record.go
+++ b/internal/replica/record.go
@@ -6,7 +6,8 @@
 	"micaport/internal/wire"
 )
 
-// CloneRecord copies a record so that the copy can be changed.
+// CloneRecord returns a copy of a record whose tasks and failed machines can be changed
+// independently.
 func CloneRecord(record *wire.Job) *wire.Job {
 	clone := *record
 	clone.ActiveTasks = slices.Clone(record.ActiveTasks)
@@ -15,8 +16,9 @@
 	return &clone
 }
 
-// CompactRecord closes a record whose tasks are all done, and drops what a finished record
-// has no use for. The specification stays while tasks are active: they charge the team.
+// CompactRecord sets the state of a live record whose tasks are all done to done, and clears
+// the fields that a finished record does not need. The specification is kept while tasks are
+// active, because their demand is charged to the team.
 func CompactRecord(record *wire.Job) {
 	if record.State == wire.JobLive && record.DoneTasks.Count() == record.TaskCount {
 		record.State = wire.JobDone
@@ -32,7 +34,7 @@
 	}
 }
 
-// JobStatus is what a user is told of a record.
+// JobStatus returns the status that users see of a job with the given record.
 func JobStatus(id string, record *wire.Job) wire.JobStatus {
 	status := wire.JobStatus{JobID: id, Status: wire.StatusPending, Done: record.DoneTasks.Count()}
 	switch record.State {
@@ -49,8 +51,8 @@
 	return status
 }
 
-// PendingTasks lists up to limit tasks that are neither done nor active, lowest first, so
-// that the set of done tasks stays a few ranges.
+// PendingTasks returns up to limit tasks that are neither done nor active. The lowest numbers
+// come first, which keeps the number of ranges in the set of done tasks small.
 func PendingTasks(record *wire.Job, limit int) []int {
 	if limit <= 0 || record.State != wire.JobLive {
 		return nil
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,10 +1,10 @@
-// Package replica holds a controller's copy of the records in the state service: jobs with
-// the dependencies between them, their overflow keys, lists of dependencies, record formats
-// and team accounts. The watch of the state service feeds it; it is never written to in any
-// other way. It has no input or output.
+// Package replica holds a controller's in-memory copy of the records in the state service:
+// jobs with the dependencies between them, their overflow keys, dependency lists, record
+// formats and team accounts. It changes only by applying events of the state service's watch,
+// and does no input or output itself.
 //
-// What it owns can be lost at any time: a process that starts reads it anew from a listing.
-// Who needs to act on a change, while it is applied, is told through an Observer.
+// The copy is not persistent: a process that starts rebuilds it from a full listing. An
+// Observer is notified of each change while it is applied.
 package replica
 
 import (
@@ -15,92 +15,93 @@
 	"micaport/internal/wire"
 )
 
-// Time is the steady clock of the process, counted from its start.
+// Time is a reading of the process's monotonic clock: the time since the process started.
 type Time = time.Duration
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team holds the guarantee and the limit of a team; 0 means none.
 type Team struct {
 	Name                            string
 	GuaranteedCores, GuaranteedGPUs float64
 	MaxCores, MaxGPUs               float64
 }
 
-// Config is what a replica needs to know of the deployment and of its controller.
+// Config holds the settings of the deployment and of this controller that a replica needs.
 type Config struct {
 	Self        string   // name of this controller
 	Controllers []string // names of all controllers, this one included
-	Teams       []Team   // quotas that hold until an account says otherwise
-	Shards      int      // shards of the deployment
+	Teams       []Team   // quotas of teams without an account that overrides them
+	Shards      int      // number of shards in the deployment
 
 	Format            int // newest record format that this controller reads and writes
-	MaxValueBytes     int // that hold at all times, also once announced lower limits do
-	CurrentValueBytes int // that hold until then; 0: no other
-	MaxTransactionOps int // writes in one transaction
+	MaxValueBytes     int // size limit of a value that holds at all times, also after an announced reduction
+	CurrentValueBytes int // size limit of a value until the announced reduction; 0: no such limit
+	MaxTransactionOps int // largest number of writes in one transaction
 
-	HeartbeatInterval Time // of workers
-	WallClockMS       func() int64
+	HeartbeatInterval Time         // of workers
+	WallClockMS       func() int64 // Unix ms
 	EstimateRunTime   func(*wire.JobSpec) Time
 }
 
-// Names maps names to dense indices, in the order in which they are first seen.
+// Names maps names to consecutive indices, in the order in which the names first occur.
 type Names struct {
 	Zones, Teams, MachineTypes, Images, Machines, Jobs wire.Interner
 }
 
-// Observer is told of changes while they are applied. Its methods must not change the
+// Observer is notified of changes while they are applied. Its methods must not change the
 // replica.
 type Observer interface {
-	// JobAdded is called for an id that has not been seen before; the job has the next
-	// index and no record yet.
+	// JobAdded is called for the first occurrence of a job's id. The job has the next index
+	// and no record yet.
 	JobAdded(job *Job)
-	// JobChanging is called before a job's record is replaced; next is nil if it is gone.
+	// JobChanging is called before a job's record is replaced; next is nil if the record was
+	// deleted.
 	JobChanging(job *Job, next *wire.Job)
-	// JobChanged is called after a job's record was replaced by another.
+	// JobChanged is called after a job's record was replaced, but not after its deletion.
 	JobChanged(job *Job)
 	// JobReady is called when the last dependency of a job is done.
 	JobReady(job *Job)
-	// JobArrived is called when a job may run from now on: its record is new, or its last
-	// dependency is done. Jobs of the first listing don't count.
+	// JobArrived is called when a job becomes runnable: its record is new and has no
+	// dependencies, or its last dependency is done. It is not called during the first listing.
 	JobArrived(job *Job)
-	// PriorityRaised is called when a job takes over the priority of one that depends on it.
+	// PriorityRaised is called when a job inherits the priority of a job that depends on it.
 	PriorityRaised(job *Job)
-	// DependencyListMissing is called for a record that names a list which is not there.
+	// DependencyListMissing is called for a record whose dependency list is incomplete.
 	DependencyListMissing(job *Job)
-	// FormatAgreed is called when all controllers have come to read a newer format.
+	// FormatAgreed is called when the newest format that all controllers read increases.
 	FormatAgreed(format int)
-	// QuotaChanged is called when another guarantee or limit of a team is in force.
+	// QuotaChanged is called when the guarantee or the limit of a team has changed.
 	QuotaChanged(team int)
-	// AccountInvalid is called for an account that can't be used.
+	// AccountInvalid is called for an account that the ledger rejects.
 	AccountInvalid(team int, err error)
 }
 
-// Replica is a controller's copy of the records.
+// Replica is a controller's in-memory copy of the records.
 type Replica struct {
 	cfg      Config
 	names    *Names
 	observer Observer
 
-	now      Time // of the events that are being applied
+	now      Time // time of the events that are being applied
 	loaded   bool // the first listing has been applied
 	revision uint64
 
-	jobs     []*Job // by index of their id
-	live     []int  // indices of jobs that are unfinished or still have tasks, ascending
+	jobs     []*Job // by index of the job's id
+	live     []int  // indices of jobs that are unfinished or still have active tasks, ascending
 	finished map[finishedKind]*wire.Job
 
 	overflow        map[string]map[int]wire.ActiveTasks // by job id and number of the key
 	dependencyLists map[string]map[string][]string      // by job id and key, until the job's record is applied
 
-	unrecorded []int // jobs that a cancelled ancestor cancels, whose records don't say so yet
+	unrecorded []int // queue of jobs that are cancelled by an ancestor, whose records may not show it yet
 
-	ledger *quota.Ledger // accounts, and what is charged to them
+	ledger *quota.Ledger // accounts of the teams and the charges to them
 	quotas []Team        // guarantees and limits in force
 
 	formats map[string]int // newest format that each controller reads
 	agreed  int            // newest format that all controllers read
 }
 
-// New makes an empty replica.
+// New returns an empty replica.
 func New(cfg Config, names *Names, observer Observer) *Replica {
 	r := &Replica{
 		cfg: cfg, names: names, observer: observer,
@@ -113,13 +114,13 @@
 	return r
 }
 
-// Loaded tells whether the first listing has been applied.
+// Loaded reports whether the first listing has been applied.
 func (r *Replica) Loaded() bool { return r.loaded }
 
-// Revision is the revision of the state service that the replica has reached.
+// Revision returns the revision of the state service up to which events have been applied.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Reached notes that all events up to a revision have been applied; reset says that they
+// Reached records that all events up to a revision have been applied; reset is set if they
 // were a full listing.
 func (r *Replica) Reached(revision uint64, reset bool) {
 	r.loaded = r.loaded || reset
@@ -129,11 +130,11 @@
 // SetTime sets the time of the events that are applied next.
 func (r *Replica) SetTime(now Time) { r.now = now }
 
-// Live lists the indices of the jobs that are unfinished or still have tasks on machines,
-// in ascending order. It must not be changed.
+// Live returns the indices of the jobs that are unfinished or still have active tasks, in
+// ascending order. The caller must not change the slice.
 func (r *Replica) Live() []int { return r.live }
 
-// Find is the job with an id, or nil if the id has not been seen.
+// Find returns the job with an id, or nil if the id has not occurred yet.
 func (r *Replica) Find(id string) *Job {
 	if index := r.names.Jobs.Find(id); index >= 0 {
 		return r.jobs[index]
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// ensure is the job with an id, also one whose record has not been seen.
+// ensure returns the job with an id, and adds a job without a record if the id is new.
 func (r *Replica) ensure(id string) *Job {
 	index := r.names.Jobs.Of(id)
 	if index == len(r.jobs) {
@@ -152,7 +153,8 @@
 	return r.jobs[index]
 }
 
-// DeleteUnlisted deletes what a full listing lacks.
+// DeleteUnlisted deletes the jobs and accounts that are not in a full listing, and all
+// overflow keys, which the events of the listing add again.
 func (r *Replica) DeleteUnlisted(listed map[string]bool, revision uint64) {
 	for _, job := range r.jobs {
 		if job.Record != nil && !listed[wire.JobKey(job.ID)] {
@@ -164,39 +166,40 @@
 			r.PutAccount(name, nil, revision)
 		}
 	}
-	clear(r.overflow) // the listing holds all there are
+	clear(r.overflow) // the listing has all overflow keys
 }
 
-// Job is the copy of a job's record, with what follows from it.
+// Job is the copy of a job's record, together with values derived from it.
 type Job struct {
-	Index    int // of its id
+	Index    int // index of its id
 	ID       string
-	Record   *wire.Job // nil: not seen
+	Record   *wire.Job // nil: not applied yet, or deleted
 	Revision uint64    // of the record
-	Image    int       // index; -1 until the specification has been seen
-	Priority int       // from 0 (low) to 3 (critical), its own or that of a job that depends on it
+	Image    int       // index; -1 until a record with the specification has been applied
+	Priority int       // from 0 (low) to 3 (critical), the highest of its own and those of its descendants
 	Team     int       // index; -1: not a team of this deployment
-	Zone     int       // the only zone allowed; -1: any
+	Zone     int       // index of the only zone allowed; -1: any
 
 	MachineTypes indexset.Set // the types allowed, unless AnyType is set
 	AnyType      bool
 	AllowSpot    bool
 
-	BaseBytes  int  // size of its record without its lists of tasks
-	LargeArray bool // it has more tasks than can be active one by one; see MaxSingleTasks
-	Unplaced   int  // active tasks that are granted and have no machine yet
+	BaseBytes  int  // bound of the size of its record without its task lists; see the function BaseBytes
+	LargeArray bool // it is an array with more tasks than MaxSingleTasks
+	Unplaced   int  // number of active tasks that are granted and have no machine yet
 	ChangedAt  Time // when the replica applied the record
 
-	Links *DependencyLinks // nil: it depends on nothing, and nothing on it
+	Links *DependencyLinks // nil if the job has neither dependencies nor dependents, or is finished
 }
 
-// Allows tells whether a job's tasks may run on a machine type, in a zone, and on a spot
-// machine if spot is set.
+// Allows reports whether the job's tasks may run on a machine of the given type and zone,
+// which is a spot machine if spot is set.
 func (j *Job) Allows(machineType, zone int, spot bool) bool {
 	return (j.AnyType || j.MachineTypes.Has(machineType)) && (j.Zone < 0 || j.Zone == zone) && (j.AllowSpot || !spot)
 }
 
-// State is a job's state as it follows from its record and those of its ancestors.
+// State returns the state of a job that follows from its record and from those of its
+// ancestors.
 func (j *Job) State() wire.JobState {
 	if j.Record.State == wire.JobLive && j.Links != nil && j.Links.AncestorCancelled {
 		return wire.JobCancelled
@@ -204,7 +207,7 @@
 	return j.Record.State
 }
 
-// Demand is what a number of the job's tasks are charged.
+// Demand returns the amount that is charged for a number of the job's tasks.
 func (j *Job) Demand(tasks int) quota.Amount {
 	return quota.Of(j.Record.Spec.Cores, j.Record.Spec.GPUs).Times(tasks)
 }
