--- a/internal/replica/dependencies.go
+++ b/internal/replica/dependencies.go
@@ -22,8 +22,8 @@
 	return j.Links != nil && (j.Links.Open > 0 || j.Links.AncestorCancelled)
 }
 
-// RunnableSinceMS returns the wall-clock time (Unix ms) from which the job could run: that of
-// its last dependency's completion, or of its acceptance if it has no dependencies.
+// RunnableSinceMS returns the wall-clock time (Unix ms) from which the job could run: when its
+// last dependency was done (0: not yet), or when it was accepted if it has no dependencies.
 func (j *Job) RunnableSinceMS() int64 {
 	if j.Links != nil && len(j.Links.Dependencies) > 0 {
 		return j.Links.ReadyMS
@@ -69,7 +69,7 @@
 		links.Open++
 	}
 	for _, id := range ids {
-		dependency := r.ensure(id)
+		dependency := r.findOrAdd(id)
 		links.Dependencies = append(links.Dependencies, dependency.Index)
 		if dependency.Record != nil && dependency.Record.State == wire.JobDone {
 			continue
@@ -129,7 +129,7 @@
 			continue
 		}
 		links.AncestorCancelled = true
-		r.unrecorded = append(r.unrecorded, job.Index)
+		r.unrecordedCancellations = append(r.unrecordedCancellations, job.Index)
 		for _, index := range links.Dependents {
 			stack = append(stack, r.jobs[index])
 		}
@@ -138,19 +138,19 @@
 
 // UnrecordedCancellations returns the number of queued jobs that are cancelled because an
 // ancestor is, and whose own records may not show it yet.
-func (r *Replica) UnrecordedCancellations() int { return len(r.unrecorded) }
+func (r *Replica) UnrecordedCancellations() int { return len(r.unrecordedCancellations) }
 
 // FirstUnrecorded returns the first job of the queue that UnrecordedCancellations counts.
-func (r *Replica) FirstUnrecorded() *Job { return r.jobs[r.unrecorded[0]] }
+func (r *Replica) FirstUnrecorded() *Job { return r.jobs[r.unrecordedCancellations[0]] }
 
 // DropFirstUnrecorded removes the first job from the queue, because its record shows that it
 // is no longer live.
-func (r *Replica) DropFirstUnrecorded() { r.unrecorded = r.unrecorded[1:] }
+func (r *Replica) DropFirstUnrecorded() { r.unrecordedCancellations = r.unrecordedCancellations[1:] }
 
 // RequeueFirstUnrecorded moves the first job to the end of the queue. It is used while the
 // job's record is being written; the record is checked again later.
 func (r *Replica) RequeueFirstUnrecorded() {
-	r.unrecorded = append(r.unrecorded[1:], r.unrecorded[0])
+	r.unrecordedCancellations = append(r.unrecordedCancellations[1:], r.unrecordedCancellations[0])
 }
 
 // propagateUrgency raises the priority and tightens the deadline of all ancestors of a job,
@@ -164,8 +164,8 @@
 			continue // propagated further when its record is first applied
 		}
 		links, spec := job.Links, job.Record.Spec
-		if own := job.Record.AcceptedAtMS + int64(spec.DeadlineS*1000); spec.DeadlineS > 0 && (links.DeadlineMS == 0 || own < links.DeadlineMS) {
-			links.DeadlineMS = own
+		if ownDeadlineMS := job.Record.AcceptedAtMS + int64(spec.DeadlineS*1000); spec.DeadlineS > 0 && (links.DeadlineMS == 0 || ownDeadlineMS < links.DeadlineMS) {
+			links.DeadlineMS = ownDeadlineMS
 		}
 		var latestStartMS int64
 		if links.DeadlineMS != 0 {
--- a/internal/replica/dependency_list.go
+++ b/internal/replica/dependency_list.go
@@ -63,8 +63,8 @@
 // HasDependencyList reports whether the replica holds a key of a dependency list. The keys are
 // discarded once the record of their job has been applied.
 func (r *Replica) HasDependencyList(id, key string) bool {
-	_, known := r.dependencyLists[id][key]
-	return known
+	_, found := r.dependencyLists[id][key]
+	return found
 }
 
 // StagedDependencyLists returns the number of jobs whose dependency lists are kept until the
@@ -79,8 +79,8 @@
 		return record.Spec.Dependencies, true
 	}
 	for number := 1; number <= record.DependencyListKeys; number++ {
-		chunk, known := r.dependencyLists[id][wire.DependencyListKey(id, record.DependencyList, number)]
-		if !known {
+		chunk, found := r.dependencyLists[id][wire.DependencyListKey(id, record.DependencyList, number)]
+		if !found {
 			return ids, false
 		}
 		ids = append(ids, chunk...)
--- a/internal/replica/format.go
+++ b/internal/replica/format.go
@@ -15,7 +15,7 @@
 // controller reads. It returns nil if the replica already shows that record, or if the format
 // is the first one, which needs none.
 func (r *Replica) SupportedFormatWrites() []kv.Write {
-	if r.cfg.Format < wire.FormatDependencies || r.formats[r.cfg.Self] >= r.cfg.Format {
+	if r.cfg.Format < wire.FormatDependencies || r.supportedFormats[r.cfg.Self] >= r.cfg.Format {
 		return nil
 	}
 	return []kv.Write{{Key: wire.FormatPrefix + r.cfg.Self, Value: &wire.SupportedFormat{Format: r.cfg.Format}}}
@@ -23,35 +23,35 @@
 
 // PutFormat applies the record of the newest format that a controller reads.
 func (r *Replica) PutFormat(controller string, supported *wire.SupportedFormat) {
-	r.formats[controller] = max(r.formats[controller], supported.Format)
+	r.supportedFormats[controller] = max(r.supportedFormats[controller], supported.Format)
 	agreed := r.cfg.Format
 	for _, name := range r.cfg.Controllers {
-		agreed = min(agreed, r.formats[name])
+		agreed = min(agreed, r.supportedFormats[name])
 	}
-	if agreed <= r.agreed {
+	if agreed <= r.agreedFormat {
 		return
 	}
-	r.agreed = agreed
+	r.agreedFormat = agreed
 	for _, index := range r.live {
 		if job := r.jobs[index]; job.Record.Spec != nil {
-			r.measure(job)
+			r.updateRecordSize(job)
 		}
 	}
 	r.observer.FormatAgreed(agreed)
 }
 
 // AgreedFormat returns the newest format that all controllers read.
-func (r *Replica) AgreedFormat() int { return r.agreed }
+func (r *Replica) AgreedFormat() int { return r.agreedFormat }
 
 // WritesDependencies reports whether records may have dependencies and overflow keys.
-func (r *Replica) WritesDependencies() bool { return r.agreed >= wire.FormatDependencies }
+func (r *Replica) WritesDependencies() bool { return r.agreedFormat >= wire.FormatDependencies }
 
 // WritesDependencyLists reports whether dependencies may be stored in separate keys.
-func (r *Replica) WritesDependencyLists() bool { return r.agreed >= wire.FormatDependencyLists }
+func (r *Replica) WritesDependencyLists() bool { return r.agreedFormat >= wire.FormatDependencyLists }
 
 // WritesTeamAccounts reports whether teams may have accounts, and shard owners may admit
 // tasks within their shares.
-func (r *Replica) WritesTeamAccounts() bool { return r.agreed >= wire.FormatTeamAccounts }
+func (r *Replica) WritesTeamAccounts() bool { return r.agreedFormat >= wire.FormatTeamAccounts }
 
 // WritesEarlyFailover reports whether the record of the leadership may be marked as fenced.
-func (r *Replica) WritesEarlyFailover() bool { return r.agreed >= wire.FormatEarlyFailover }
+func (r *Replica) WritesEarlyFailover() bool { return r.agreedFormat >= wire.FormatEarlyFailover }
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -6,8 +6,8 @@
 	"micaport/internal/wire"
 )
 
-// finishedKind identifies the shared record of finished jobs that have no active tasks.
-type finishedKind struct {
+// finishedRecordKey identifies the shared record of finished jobs that have no active tasks.
+type finishedRecordKey struct {
 	state     wire.JobState
 	taskCount int
 }
@@ -22,12 +22,12 @@
 // putJob applies the record of a job, or its absence if record is nil. It ignores revisions
 // that are not newer than the applied one.
 func (r *Replica) putJob(id string, record *wire.Job, revision uint64) {
-	job := r.ensure(id)
+	job := r.findOrAdd(id)
 	if revision <= job.Revision {
 		return
 	}
 	if record != nil {
-		r.assemble(id, record)
+		r.addOverflowTasks(id, record)
 	}
 	r.observer.JobChanging(job, record)
 	r.charge(job, -1)
@@ -68,12 +68,12 @@
 // sharedFinishedRecord returns one record for all finished jobs with the same state and
 // number of tasks. Finished jobs are never deleted and numerous, so sharing saves memory.
 func (r *Replica) sharedFinishedRecord(record *wire.Job) *wire.Job {
-	key := finishedKind{record.State, record.TaskCount}
-	if shared := r.finished[key]; shared != nil {
+	key := finishedRecordKey{record.State, record.TaskCount}
+	if shared := r.finishedRecords[key]; shared != nil {
 		return shared
 	}
-	r.finished[key] = &wire.Job{State: record.State, TaskCount: record.TaskCount}
-	return r.finished[key]
+	r.finishedRecords[key] = &wire.Job{State: record.State, TaskCount: record.TaskCount}
+	return r.finishedRecords[key]
 }
 
 // indexSpec derives the fields of a job from its specification, with names as indices, and
@@ -86,7 +86,7 @@
 		job.Zone = r.names.Zones.Of(spec.Zone)
 	}
 	job.AllowSpot, job.AnyType = spec.AllowSpot, len(spec.MachineTypes) == 0 && !spec.NoMachineTypes
-	r.measure(job)
+	r.updateRecordSize(job)
 	for _, name := range spec.MachineTypes {
 		job.MachineTypes.Add(r.names.MachineTypes.Of(name))
 	}
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -9,19 +9,19 @@
 	// OverflowHeaderBytes bounds the size of an overflow record without its tasks.
 	OverflowHeaderBytes = 16
 
-	// maxListBytes limits the total size of a job's task lists, and thereby the number of
+	// maxTaskListBytes limits the total size of a job's task lists, and thereby the number of
 	// its overflow keys, since each of them costs a write per change. One value holds as
 	// much at sites whose arrays have up to a hundred tasks.
-	maxListBytes = 8 << 10
-	// recordSlackBytes is reserved for the growth of a record over its lifetime: the names
+	maxTaskListBytes = 8 << 10
+	// recordGrowthBytes is reserved for the growth of a record over its lifetime: the names
 	// of dependency lists and of a few machines on which the job failed.
-	recordSlackBytes = 120
-	// unknownRecordBytes is the assumed size of a record that can't be encoded.
-	unknownRecordBytes = 2000
+	recordGrowthBytes = 120
+	// fallbackRecordBytes is the assumed size of a record that can't be encoded.
+	fallbackRecordBytes = 2000
 	// singleTaskBytes is a generous bound for one active task and its part of the set of
-	// done tasks. singleTasksReserve is the size reserved for the rest of the record.
-	singleTaskBytes    = 60
-	singleTasksReserve = 2000
+	// done tasks. singleTasksReserveBytes is reserved for the rest of the record.
+	singleTaskBytes         = 60
+	singleTasksReserveBytes = 2000
 )
 
 // OverflowKeys returns the number of overflow keys per job that the leader plans with. All of
@@ -30,7 +30,7 @@
 	if !r.WritesDependencies() {
 		return 0
 	}
-	return max(0, min(maxListBytes/r.cfg.MaxValueBytes-1, r.cfg.MaxTransactionOps-2))
+	return max(0, min(maxTaskListBytes/r.cfg.MaxValueBytes-1, r.cfg.MaxTransactionOps-2))
 }
 
 // ValueBytes returns the largest size of a value that may be written now. While controllers
@@ -47,7 +47,7 @@
 // task is encoded separately. An array with more tasks is a large array, whose tasks are
 // recorded as runs.
 func (r *Replica) MaxSingleTasks() int {
-	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-singleTasksReserve)/singleTaskBytes)
+	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-singleTasksReserveBytes)/singleTaskBytes)
 }
 
 // TaskListBytes returns an upper bound of the size of the task lists in a record.
@@ -59,26 +59,26 @@
 // reserve for its growth.
 func BaseBytes(record *wire.Job) int {
 	const (
-		attemptsToCome  = 1000
-		errorsToCome    = 100
+		attemptGrowth   = 1000
+		errorGrowth     = 100
 		maxOverflowKeys = 10
 	)
 	bare := wire.Job{
 		Spec: record.Spec, State: record.State, TaskCount: record.TaskCount, AcceptedAtMS: record.AcceptedAtMS,
-		NextAttempt: record.NextAttempt + attemptsToCome, ConsecutiveErrors: record.ConsecutiveErrors + errorsToCome,
+		NextAttempt: record.NextAttempt + attemptGrowth, ConsecutiveErrors: record.ConsecutiveErrors + errorGrowth,
 		FailedMachines: record.FailedMachines, OverflowKeys: maxOverflowKeys,
 		DependencyList: record.DependencyList, DependencyListKeys: record.DependencyListKeys,
 	}
 	size, err := wire.JSONSize(&bare)
 	if err != nil {
-		return unknownRecordBytes
+		return fallbackRecordBytes
 	}
-	return size + recordSlackBytes
+	return size + recordGrowthBytes
 }
 
-// measure computes the size of a job's record without its task lists, and whether the job is
+// updateRecordSize computes the size of a job's record without its task lists, and whether the job is
 // a large array.
-func (r *Replica) measure(job *Job) {
+func (r *Replica) updateRecordSize(job *Job) {
 	job.BaseBytes = BaseBytes(job.Record)
 	job.LargeArray = job.Record.Spec.Shape == wire.ShapeArray && job.Record.Spec.TaskCount > r.MaxSingleTasks()
 }
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -27,12 +27,12 @@
 	r.overflow[id][number] = overflow.ActiveTasks
 }
 
-// assemble appends the tasks in the overflow keys to those in the record, and sets the key in
+// addOverflowTasks appends the tasks in the overflow keys to those in the record, and sets the key in
 // which each task is stored.
-func (r *Replica) assemble(id string, record *wire.Job) {
+func (r *Replica) addOverflowTasks(id string, record *wire.Job) {
 	record.ActiveTasks = slices.Clip(record.ActiveTasks)
 	for i := range record.ActiveTasks {
-		record.ActiveTasks[i].StoredIn = ownKey
+		record.ActiveTasks[i].StoredIn = jobKeyNumber
 	}
 	for number := 1; number <= record.OverflowKeys; number++ {
 		for _, task := range r.overflow[id][number] {
@@ -42,9 +42,9 @@
 	}
 }
 
-// ownKey is the number of the key of the job's record itself, as in wire.ActiveTask.StoredIn.
+// jobKeyNumber is the number of the key of the job's record itself, as in wire.ActiveTask.StoredIn.
 // The overflow key with number n has the number n+1 here.
-const ownKey = 1
+const jobKeyNumber = 1
 
 // tasksInKey returns the tasks that are stored in one key.
 func tasksInKey(tasks wire.ActiveTasks, key int) wire.ActiveTasks {
@@ -73,49 +73,49 @@
 	record    *wire.Job
 	baseBytes int // of the record without its task lists
 	stored    StoredRecord
-	cost      map[int]int // size of the tasks in each key, in bytes
+	usedBytes map[int]int // size of the tasks in each key, in bytes
 }
 
 // SplitRecord returns the writes that store a changed record, that of the job's own key
 // first. Tasks stay in the key in which they are stored if possible, so that few keys change.
 func (r *Replica) SplitRecord(id string, stored StoredRecord, record *wire.Job) []kv.Write {
-	split := &recordSplit{replica: r, id: id, record: record, baseBytes: BaseBytes(record), stored: stored, cost: map[int]int{}}
+	split := &recordSplit{replica: r, id: id, record: record, baseBytes: BaseBytes(record), stored: stored, usedBytes: map[int]int{}}
 	tasks := record.ActiveTasks
-	if !r.WritesDependencies() || len(tasks) == 0 || stored.OverflowKeys == 0 && tasks.Cost() <= split.room(ownKey) {
-		split.moveAll()
-		own := *record
-		own.OverflowKeys = stored.UnknownKeys
-		writes := []kv.Write{{Key: wire.JobKey(id), Value: &own}}
+	if !r.WritesDependencies() || len(tasks) == 0 || stored.OverflowKeys == 0 && tasks.Cost() <= split.capacity(jobKeyNumber) {
+		split.moveAllToJobKey()
+		jobRecord := *record
+		jobRecord.OverflowKeys = stored.UnknownKeys
+		writes := []kv.Write{{Key: wire.JobKey(id), Value: &jobRecord}}
 		return append(writes, deleteOverflow(id, stored.UnknownKeys+1, stored.OverflowKeys)...)
 	}
-	if stored.UnknownKeys == 0 && tasks.Cost() <= split.room(ownKey)*3/4 {
-		split.moveAll() // all tasks fit into the job's own key again, with a margin
+	if stored.UnknownKeys == 0 && tasks.Cost() <= split.capacity(jobKeyNumber)*3/4 {
+		split.moveAllToJobKey() // all tasks fit into the job's own key again, with a margin
 	}
-	split.evictOverfull()
-	split.placeRest()
+	split.evictFromOverfullKeys()
+	split.assignKeys()
 	return split.writes()
 }
 
-// room returns the size of the tasks that a key can hold, in bytes.
-func (s *recordSplit) room(key int) int {
-	if key == ownKey {
+// capacity returns the size of the tasks that a key can hold, in bytes.
+func (s *recordSplit) capacity(key int) int {
+	if key == jobKeyNumber {
 		return s.replica.ValueBytes() - s.baseBytes - TaskRangeBytes*len(s.record.DoneTasks)
 	}
 	return s.replica.cfg.MaxValueBytes - OverflowHeaderBytes
 }
 
-// moveAll assigns all tasks to the job's own key.
-func (s *recordSplit) moveAll() {
+// moveAllToJobKey assigns all tasks to the job's own key.
+func (s *recordSplit) moveAllToJobKey() {
 	for i := range s.record.ActiveTasks {
-		s.record.ActiveTasks[i].StoredIn = ownKey
+		s.record.ActiveTasks[i].StoredIn = jobKeyNumber
 	}
 }
 
-// evictOverfull removes the last runs of tasks from each key whose tasks exceed its capacity.
-func (s *recordSplit) evictOverfull() {
-	for key := ownKey; key <= s.stored.OverflowKeys+1; key++ {
+// evictFromOverfullKeys removes the last runs of tasks from each key whose tasks exceed its capacity.
+func (s *recordSplit) evictFromOverfullKeys() {
+	for key := jobKeyNumber; key <= s.stored.OverflowKeys+1; key++ {
 		held := tasksInKey(s.record.ActiveTasks, key)
-		for s.cost[key] = held.Cost(); s.cost[key] > s.room(key) && len(held) > 0; s.cost[key] = held.Cost() {
+		for s.usedBytes[key] = held.Cost(); s.usedBytes[key] > s.capacity(key) && len(held) > 0; s.usedBytes[key] = held.Cost() {
 			from, _ := held.Run(len(held) - 1)
 			s.evict(key, held[from:])
 			held = held[:from]
@@ -136,10 +136,10 @@
 	}
 }
 
-// placeRest assigns each run of tasks without a key to the first key with enough capacity.
-func (s *recordSplit) placeRest() {
+// assignKeys assigns each run of tasks without a key to the first key with enough capacity.
+func (s *recordSplit) assignKeys() {
 	tasks := s.record.ActiveTasks
-	last := s.stored.OverflowKeys + 1 + len(tasks) // never reached, as the leader plans with at most OverflowKeys
+	last := s.stored.OverflowKeys + 1 + len(tasks) // more than needed: the leader plans with at most OverflowKeys
 	for at := 0; at < len(tasks); {
 		from, to := tasks.Run(at)
 		at = to
@@ -147,47 +147,49 @@
 			continue
 		}
 		cost := wire.RunCost(tasks[from].Machine) + wire.GroupCost
-		key := ownKey
-		for key < last && (s.isUnknown(key) || s.cost[key]+cost > s.room(key)) {
+		key := jobKeyNumber
+		for key < last && (s.hasUnknownTasks(key) || s.usedBytes[key]+cost > s.capacity(key)) {
 			key++
 		}
-		s.cost[key] += cost
+		s.usedBytes[key] += cost
 		for i := from; i < to; i++ {
 			tasks[i].StoredIn = key
 		}
 	}
 }
 
-// isUnknown reports whether a key is one of StoredRecord.UnknownKeys.
-func (s *recordSplit) isUnknown(key int) bool { return key > ownKey && key <= s.stored.UnknownKeys+1 }
+// hasUnknownTasks reports whether a key is one of StoredRecord.UnknownKeys.
+func (s *recordSplit) hasUnknownTasks(key int) bool {
+	return key > jobKeyNumber && key <= s.stored.UnknownKeys+1
+}
 
 // writes returns the writes of the record and of the overflow keys that change.
 func (s *recordSplit) writes() []kv.Write {
-	own := *s.record
-	own.OverflowKeys = s.stored.UnknownKeys
+	jobRecord := *s.record
+	jobRecord.OverflowKeys = s.stored.UnknownKeys
 	for _, task := range s.record.ActiveTasks {
-		own.OverflowKeys = max(own.OverflowKeys, task.StoredIn-1)
+		jobRecord.OverflowKeys = max(jobRecord.OverflowKeys, task.StoredIn-1)
 	}
-	own.ActiveTasks = tasksInKey(s.record.ActiveTasks, ownKey)
-	writes := []kv.Write{{Key: wire.JobKey(s.id), Value: &own}}
-	for number := s.stored.UnknownKeys + 1; number <= own.OverflowKeys; number++ {
+	jobRecord.ActiveTasks = tasksInKey(s.record.ActiveTasks, jobKeyNumber)
+	writes := []kv.Write{{Key: wire.JobKey(s.id), Value: &jobRecord}}
+	for number := s.stored.UnknownKeys + 1; number <= jobRecord.OverflowKeys; number++ {
 		if overflow := s.changedOverflow(number); overflow != nil {
 			writes = append(writes, kv.Write{Key: wire.OverflowKey(s.id, number), Value: overflow})
 		}
 	}
-	return append(writes, deleteOverflow(s.id, own.OverflowKeys+1, s.stored.OverflowKeys)...)
+	return append(writes, deleteOverflow(s.id, jobRecord.OverflowKeys+1, s.stored.OverflowKeys)...)
 }
 
 // changedOverflow returns the new value of an overflow key, or nil if it is unchanged.
 func (s *recordSplit) changedOverflow(number int) *wire.Overflow {
-	now, before := tasksInKey(s.record.ActiveTasks, number+1), tasksInKey(s.stored.Tasks, number+1)
+	newTasks, storedTasks := tasksInKey(s.record.ActiveTasks, number+1), tasksInKey(s.stored.Tasks, number+1)
 	switch {
-	case number > s.stored.OverflowKeys && len(now) > 0 && sameTasks(now, s.replica.overflow[s.id][number]):
+	case number > s.stored.OverflowKeys && len(newTasks) > 0 && sameTasks(newTasks, s.replica.overflow[s.id][number]):
 		return nil // already written; see WritesAhead
-	case len(now) == 0 && len(before) > 0:
+	case len(newTasks) == 0 && len(storedTasks) > 0:
 		return &wire.Overflow{} // the key stays, so that the numbers remain consecutive
-	case len(now) > 0 && !slices.Equal(now, before):
-		return &wire.Overflow{ActiveTasks: now}
+	case len(newTasks) > 0 && !slices.Equal(newTasks, storedTasks):
+		return &wire.Overflow{ActiveTasks: newTasks}
 	}
 	return nil
 }
@@ -201,15 +203,15 @@
 }
 
 // WritesAhead returns at most maxWrites of the given writes, those of overflow keys that the
-// stored record does not refer to yet, where namedKeys is the number of keys that it does
+// stored record does not refer to yet, where storedKeys is the number of keys that it does
 // refer to. Such keys can be written in earlier transactions, as they have no effect until
 // the record refers to them. So a record that is too large for one transaction can be split
 // over several keys without any of its tasks missing from the stored state in between.
-func WritesAhead(writes []kv.Write, namedKeys, maxWrites int) []kv.Write {
+func WritesAhead(writes []kv.Write, storedKeys, maxWrites int) []kv.Write {
 	var ahead []kv.Write
 	for i := len(writes) - 1; i >= 0 && len(ahead) < maxWrites; i-- {
-		if _, is := writes[i].Value.(*wire.Overflow); is {
-			if _, number := wire.SplitOverflowKey(writes[i].Key); number > namedKeys {
+		if _, isOverflow := writes[i].Value.(*wire.Overflow); isOverflow {
+			if _, number := wire.SplitOverflowKey(writes[i].Key); number > storedKeys {
 				ahead = append(ahead, writes[i])
 			}
 		}
--- a/internal/replica/quotas.go
+++ b/internal/replica/quotas.go
@@ -30,15 +30,15 @@
 	if team < 0 {
 		return
 	}
-	before := r.ledger.Quota(team)
+	previous := r.ledger.Quota(team)
 	if err := r.ledger.SetRecord(team, account, revision); err != nil {
 		r.observer.AccountInvalid(team, err)
 		return
 	}
-	if now := r.ledger.Quota(team); now != before {
+	if current := r.ledger.Quota(team); current != previous {
 		q := &r.quotas[team]
-		q.MaxCores, q.MaxGPUs = now.Limit.Decimal()
-		q.GuaranteedCores, q.GuaranteedGPUs = now.Guarantee.Decimal()
+		q.MaxCores, q.MaxGPUs = current.Limit.Decimal()
+		q.GuaranteedCores, q.GuaranteedGPUs = current.Guarantee.Decimal()
 		r.observer.QuotaChanged(team)
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -85,30 +85,30 @@
 	loaded   bool // the first listing has been applied
 	revision uint64
 
-	jobs     []*Job // by index of the job's id
-	live     []int  // indices of jobs that are unfinished or still have active tasks, ascending
-	finished map[finishedKind]*wire.Job
+	jobs            []*Job // by index of the job's id
+	live            []int  // indices of jobs that are unfinished or still have active tasks, ascending
+	finishedRecords map[finishedRecordKey]*wire.Job
 
 	overflow        map[string]map[int]wire.ActiveTasks // by job id and number of the key
 	dependencyLists map[string]map[string][]string      // by job id and key, until the job's record is applied
 
-	unrecorded []int // queue of jobs that are cancelled by an ancestor, whose records may not show it yet
+	unrecordedCancellations []int // queue of jobs that are cancelled by an ancestor, whose records may not show it yet
 
 	ledger *quota.Ledger // accounts of the teams and the charges to them
 	quotas []Team        // guarantees and limits in force
 
-	formats map[string]int // newest format that each controller reads
-	agreed  int            // newest format that all controllers read
+	supportedFormats map[string]int // newest format that each controller reads
+	agreedFormat     int            // newest format that all controllers read
 }
 
 // New returns an empty replica.
 func New(cfg Config, names *Names, observer Observer) *Replica {
 	r := &Replica{
 		cfg: cfg, names: names, observer: observer,
-		finished:        map[finishedKind]*wire.Job{},
-		overflow:        map[string]map[int]wire.ActiveTasks{},
-		dependencyLists: map[string]map[string][]string{},
-		formats:         map[string]int{},
+		finishedRecords:  map[finishedRecordKey]*wire.Job{},
+		overflow:         map[string]map[int]wire.ActiveTasks{},
+		dependencyLists:  map[string]map[string][]string{},
+		supportedFormats: map[string]int{},
 	}
 	r.initQuotas()
 	return r
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// ensure returns the job with an id, and adds a job without a record if the id is new.
-func (r *Replica) ensure(id string) *Job {
+// findOrAdd returns the job with an id, and adds a job without a record if the id is new.
+func (r *Replica) findOrAdd(id string) *Job {
 	index := r.names.Jobs.Of(id)
 	if index == len(r.jobs) {
 		job := &Job{Index: index, ID: id, Image: -1, Team: -1, Zone: -1}
