--- a/internal/wire/active_task_codec.go
+++ b/internal/wire/active_task_codec.go
@@ -8,24 +8,24 @@
 
 // Active tasks are encoded as an array of groups, each of which is an array of four elements:
 //
-//	[shard, epoch, mark, [task, attempt, machine, count,  task, attempt, machine, count, ...]]
+//	[shard, epoch, flags, [task, attempt, machine, count,  task, attempt, machine, count, ...]]
 //
-// The tasks of a group have the same shard, epoch and mark. The last element lists the group's
-// runs, four values each: the first task number, the attempt, the machine and the number of
-// tasks. The mark is the StopRequest, plus admittedFlag if the tasks are admitted. Groups are in
-// the order in which they begin, and so are the runs of a group.
+// The tasks of a group have the same shard, epoch and flags. The flags are the StopRequest, plus
+// admittedFlag if the tasks are admitted. The last element lists the group's runs, four values
+// each: the first task number, the attempt, the machine and the number of tasks. Groups are in the
+// order in which their first tasks occur, and so are the runs of a group.
 //
-// An array of many small tasks has a dozen of neighbours on each machine. Only as runs do as many
-// of them as its machines can run fit into one value of the state service.
+// A job with many small tasks has about a dozen consecutive ones on each machine. Encoding them as
+// runs lets as many tasks as its machines can run fit into one value of the state service.
 
 const (
 	groupFields = 4 // elements of an encoded group
 	runFields   = 4 // values of an encoded run
-	// admittedFlag is added to the mark of a group of admitted tasks. Format 4.
+	// admittedFlag is set in the flags of a group of admitted tasks. Format 4.
 	admittedFlag = 4
 )
 
-// mark encodes the stop request and the admission of a group.
+// mark returns the encoded flags of a group: its stop request and whether it is admitted.
 func (g taskGroup) mark() int {
 	if g.admitted {
 		return int(g.stop) | admittedFlag
@@ -41,6 +41,7 @@
 	return nil
 }
 
+// encode writes the groups in the order in which their first tasks occur.
 func (l ActiveTasks) encode(encoder *msgpack.Encoder) error {
 	var groups []taskGroup
 	runs := map[taskGroup][]any{}
@@ -64,6 +65,7 @@
 	return nil
 }
 
+// encode writes a group with the values of its encoded runs.
 func (g taskGroup) encode(encoder *msgpack.Encoder, runs []any) error {
 	if err := encoder.EncodeArrayLen(groupFields); err != nil {
 		return err
@@ -108,14 +110,15 @@
 	return err
 }
 
-// decodeRun appends the tasks of an encoded run, which have the fields of their group from task.
+// decodeRun appends the tasks of an encoded run. The argument task has the fields of the run's
+// group.
 func (l *ActiveTasks) decodeRun(decoder *msgpack.Decoder, task ActiveTask) error {
 	count := 0
 	if err := decoder.DecodeMulti(&task.Task, &task.Attempt, &task.Machine, &count); err != nil {
 		return err
 	}
 	if count < 1 || count > MaxTasks {
-		return fmt.Errorf("a run of %d", count)
+		return fmt.Errorf("run of %d tasks, want 1 to %d", count, MaxTasks)
 	}
 	for range count {
 		*l = append(*l, task)
--- a/internal/wire/active_task_test.go
+++ b/internal/wire/active_task_test.go
@@ -11,7 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// randomActiveTasks makes some runs of tasks.
+// randomActiveTasks returns a list of random runs of tasks.
 func randomActiveTasks(rng *rand.Rand) ActiveTasks {
 	var tasks ActiveTasks
 	for number, end := rng.IntN(50), rng.IntN(3000); number < end; {
@@ -33,7 +33,7 @@
 	return slices.SortedFunc(slices.Values(tasks), func(a, b ActiveTask) int { return cmp.Compare(a.Task, b.Task) })
 }
 
-// Runs are decoded as the tasks that they were encoded from, and Cost bounds their size.
+// Decoding returns the encoded tasks, and the encoded size does not exceed Cost.
 func TestActiveTasksRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Encode writes v as MessagePack.
+// Encode returns v encoded as MessagePack.
 func Encode(v any) ([]byte, error) {
 	raw, err := msgpack.Marshal(v)
 	if err != nil {
@@ -16,7 +16,8 @@
 	return raw, nil
 }
 
-// Decode reads MessagePack into v, which must be a pointer. Fields that v lacks are ignored.
+// Decode decodes MessagePack into v, which must be a pointer. Encoded fields that v does not have
+// are ignored.
 func Decode(raw []byte, v any) error {
 	if err := msgpack.Unmarshal(raw, v); err != nil {
 		return fmt.Errorf("decode: %w", err)
@@ -24,8 +25,8 @@
 	return nil
 }
 
-// JSONSize is the size of v in bytes in the form in which the state service measures values:
-// as JSON.
+// JSONSize returns the size in bytes of v as JSON, which is how the state service measures the
+// size of values.
 func JSONSize(v any) (int, error) {
 	raw, err := Encode(v)
 	if err != nil {
@@ -37,7 +38,7 @@
 	}
 	text, err := json.Marshal(decoded)
 	if err != nil {
-		return 0, fmt.Errorf("size: %w", err)
+		return 0, fmt.Errorf("encode as JSON: %w", err)
 	}
 	return len(text), nil
 }
--- a/internal/wire/interner.go
+++ b/internal/wire/interner.go
@@ -1,7 +1,7 @@
 package wire
 
-// Interner maps names to consecutive indices from 0 on, so that lookups by name are needed only
-// where messages are read and written. The zero value is ready for use.
+// Interner maps names to consecutive indices, starting at 0, so that lookups by name are needed
+// only where messages are decoded and encoded. The zero value is ready for use.
 type Interner struct {
 	index map[string]int
 	names []string
@@ -21,7 +21,7 @@
 	return i
 }
 
-// Find returns the index of a name, or -1 if the name is not known.
+// Find returns the index of a name, or -1 if the name has none.
 func (n *Interner) Find(name string) int {
 	if i, known := n.index[name]; known {
 		return i
@@ -29,8 +29,8 @@
 	return -1
 }
 
-// Name is the inverse of Of. It panics if no name has the index.
+// Name returns the name with an index. It panics if no name has the index.
 func (n *Interner) Name(i int) string { return n.names[i] }
 
-// Len is the number of names.
+// Len returns the number of names.
 func (n *Interner) Len() int { return len(n.names) }
--- a/internal/wire/job_record.go
+++ b/internal/wire/job_record.go
@@ -10,23 +10,23 @@
 	JobCancelled JobState = 2
 )
 
-// Job is the record of a job and the only source of truth about it.
+// Job is the record of a job, which is the authoritative source of its state.
 type Job struct {
-	Spec              *JobSpec    `msgpack:"s,omitempty"` // nil once the job has ended and all its tasks are gone
+	Spec              *JobSpec    `msgpack:"s,omitempty"` // nil once the job is done or cancelled and none of its tasks is active
 	State             JobState    `msgpack:"st"`
 	TaskCount         int         `msgpack:"n"`
 	AcceptedAtMS      int64       `msgpack:"at"`           // wall-clock time of acceptance, Unix ms; used only to order queues
 	NextAttempt       uint64      `msgpack:"nx"`           // the next unused attempt number; never decreases
 	DoneTasks         TaskSet     `msgpack:"dn,omitempty"` // tasks that are done
 	ActiveTasks       ActiveTasks `msgpack:"ac,omitempty"`
-	ConsecutiveErrors int         `msgpack:"er,omitempty"` // failures since the last success, for the back-off
-	FailedMachines    []string    `msgpack:"av,omitempty"` // the last machines that it failed on
+	ConsecutiveErrors int         `msgpack:"er,omitempty"` // number of failures since the last success, for the back-off
+	FailedMachines    []string    `msgpack:"av,omitempty"` // the machines on which it failed most recently
 
 	// OverflowKeys is the number of Overflow records, numbered from 1 on, that hold the active
-	// tasks for which this record has no room. Format 2.
+	// tasks that don't fit into this record. Format 2.
 	OverflowKeys int `msgpack:"mo,omitempty"`
 
-	// Where the record has no room for the job's dependencies, they are in DependencyList
+	// If the job's dependencies don't fit into this record, they are stored in DependencyList
 	// records, all of which are written before this record and never change. Format 3.
 	DependencyList     string `msgpack:"nl,omitempty"` // name of the list in their keys
 	DependencyListKeys int    `msgpack:"nk,omitempty"` // number of keys, numbered from 1 on
@@ -37,14 +37,15 @@
 	return j.DependencyList != "" || j.Spec != nil && len(j.Spec.Dependencies) > 0
 }
 
-// DependencyList is the record of a part of a job's list of dependencies.
+// DependencyList is the record of a part of a job's dependencies that don't fit into the job's own
+// record.
 type DependencyList struct {
 	JobIDs []string `msgpack:"w"`
 }
 
-// Overflow is the record of active tasks for which a job's own record has no room. A
-// transaction that changes it changes the job's own record too, so that the revision of the
-// latter covers both.
+// Overflow is the record of active tasks that don't fit into a job's own record. It changes only
+// in transactions that also change the job's own record, so that the revision of that record
+// covers both.
 type Overflow struct {
 	ActiveTasks ActiveTasks `msgpack:"ac"`
 }
--- a/internal/wire/task_set.go
+++ b/internal/wire/task_set.go
@@ -5,24 +5,25 @@
 	"sort"
 )
 
-// TaskRange is a range of consecutive task numbers, encoded as [first, end].
+// TaskRange is a range of consecutive task numbers. It is encoded as [first, end].
 type TaskRange struct {
 	//lint:ignore U1000 the MessagePack library reads the options in its tag
 	_msgpack   struct{} `msgpack:",as_array"`
 	First, End int      // End is exclusive
 }
 
-// TaskSet is a set of task numbers, kept as sorted ranges that neither overlap nor touch.
+// TaskSet is a set of task numbers, stored as sorted ranges that are neither overlapping nor
+// adjacent.
 type TaskSet []TaskRange
 
-// Range is the set of the tasks from first up to end, exclusive.
+// Range returns the set of the tasks from first to end, exclusive.
 func Range(first, end int) TaskSet { return TaskSet{{First: first, End: end}} }
 
-// With returns the set with one more task. Like append, it may change the set in place.
+// With returns the set with a task added. Like append, it may modify the receiver's elements.
 func (s TaskSet) With(task int) TaskSet {
 	i := sort.Search(len(s), func(i int) bool { return s[i].End >= task })
 	switch {
-	case i < len(s) && s[i].First <= task && task < s[i].End:
+	case i < len(s) && s[i].First <= task && task < s[i].End: // already in the set
 	case i < len(s) && s[i].End == task:
 		s[i].End++
 		if i+1 < len(s) && s[i+1].First == task+1 {
@@ -43,7 +44,7 @@
 	return i < len(s) && s[i].First <= task
 }
 
-// Count is the number of tasks in the set.
+// Count returns the number of tasks in the set.
 func (s TaskSet) Count() int {
 	count := 0
 	for _, r := range s {
--- a/internal/wire/task_set_test.go
+++ b/internal/wire/task_set_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Tasks that are added in any order make one range once they are all there.
+// Consecutive tasks form a single range once all have been added, in any order.
 func TestTaskSet(t *testing.T) {
 	var set TaskSet
 	order := []int{5, 3, 4, 0, 9, 1, 2, 4, 8, 7, 6}
@@ -10,7 +10,7 @@
 		set = set.With(task)
 		for k, other := range order {
 			if want := k <= i; set.Has(other) != want && !(other == 4) {
-				t.Fatalf("after %v: done(%d) is %v in %v", order[:i+1], other, !want, set)
+				t.Fatalf("after adding %v: Has(%d) is %v in %v", order[:i+1], other, !want, set)
 			}
 		}
 	}
