--- a/internal/wire/keys.go
+++ b/internal/wire/keys.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Keys of the records in the state service. All share Prefix, so that one watch sees every
-// change in order. A key or prefix that a format adds is used only once that format has been
-// agreed on; see record_format.go.
+// Keys of the records in the state service. All share Prefix, so that a single watch reports all
+// changes in order. A key or prefix that a format adds is used only once all controllers support
+// that format; see record_format.go.
 const (
 	Prefix = "m/"
 
@@ -30,18 +30,19 @@
 	TakeoversKey    = "m/takeovers" // Takeovers; format 5
 )
 
-// JobKey is the key of a job's record.
+// JobKey returns the key of a job's record.
 func JobKey(jobID string) string { return JobPrefix + jobID }
 
-// ShardKey is the key of a shard's claim.
+// ShardKey returns the key of a shard's claim.
 func ShardKey(name string) string { return ShardPrefix + name }
 
-// OverflowKey is the key of a job's overflow record with the given number, from 1 on.
+// OverflowKey returns the key of a job's overflow record with the given number, from 1 on.
 func OverflowKey(jobID string, number int) string {
 	return OverflowPrefix + jobID + "/" + strconv.Itoa(number)
 }
 
-// SplitOverflowKey is the inverse of OverflowKey. The number of a malformed key is 0.
+// SplitOverflowKey returns the job ID and the number in a key made by OverflowKey. The number of a
+// malformed key is 0.
 func SplitOverflowKey(key string) (jobID string, number int) {
 	jobID, text, _ := strings.Cut(strings.TrimPrefix(key, OverflowPrefix), "/")
 	number, err := strconv.Atoi(text)
@@ -51,28 +52,28 @@
 	return jobID, number
 }
 
-// DependencyListKey is the key of a part of a job's list of dependencies. Parts are numbered
-// from 1 on.
+// DependencyListKey returns the key of a part of a job's list of dependencies. The argument list is
+// the list's name; parts are numbered from 1 on.
 func DependencyListKey(jobID, list string, number int) string {
 	return DependencyListPrefix + jobID + "/" + list + "/" + strconv.Itoa(number)
 }
 
-// DependencyListJob is the ID of the job that a key made by DependencyListKey belongs to.
+// DependencyListJob returns the job ID in a key made by DependencyListKey.
 func DependencyListJob(key string) string {
 	jobID, _, _ := strings.Cut(strings.TrimPrefix(key, DependencyListPrefix), "/")
 	return jobID
 }
 
-// GangKey is the key of the record of a gang's attempt.
+// GangKey returns the key of the record of an attempt to start a gang.
 func GangKey(jobID string, attempt uint64) string {
 	return GangPrefix + jobID + "/" + strconv.FormatUint(attempt, 10)
 }
 
-// AccountKey is the key of a team's account. The name of the team is escaped, as it may hold
-// characters that a key must not, such as spaces.
+// AccountKey returns the key of a team's account. The name of the team is escaped, as it may contain
+// characters that are not allowed in keys, such as spaces.
 func AccountKey(team string) string { return AccountPrefix + url.QueryEscape(team) }
 
-// AccountTeam is the inverse of AccountKey; "" if the name in the key is malformed.
+// AccountTeam returns the team in a key made by AccountKey, or "" if the name is malformed.
 func AccountTeam(key string) string {
 	team, err := url.QueryUnescape(key[len(AccountPrefix):])
 	if err != nil {
@@ -86,18 +87,20 @@
 // ValidJobID reports whether s has the form of a job ID.
 func ValidJobID(s string) bool { return jobIDPattern.MatchString(s) }
 
-// TaskName joins a job ID and a task number to the name by which workers know the task.
+// TaskName returns the name of a task in messages to and from workers, which consists of the job ID
+// and the task number.
 func TaskName(jobID string, task int) string { return jobID + "/" + strconv.Itoa(task) }
 
-// SplitTaskName is the inverse of TaskName. It does not check the form of the job ID.
+// SplitTaskName returns the job ID and the task number in a name made by TaskName. It does not check
+// the form of the job ID.
 func SplitTaskName(name string) (jobID string, task int, err error) {
 	slash := strings.LastIndexByte(name, '/')
 	if slash < 0 {
-		return "", 0, fmt.Errorf("task %q has no number", name)
+		return "", 0, fmt.Errorf("task name %q has no task number", name)
 	}
 	task, err = strconv.Atoi(name[slash+1:])
 	if err != nil || task < 0 {
-		return "", 0, fmt.Errorf("task %q has a bad number", name)
+		return "", 0, fmt.Errorf("task name %q has an invalid task number", name)
 	}
 	return name[:slash], task, nil
 }
--- a/internal/wire/keys_test.go
+++ b/internal/wire/keys_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// The name of a team may hold characters that a key must not.
+// The name of a team may contain characters that are not allowed in keys.
 func TestAccountKey(t *testing.T) {
 	for _, team := range []string{"kota-lama", "a b/c", "100%"} {
 		key := AccountKey(team)
@@ -35,13 +35,13 @@
 	}
 }
 
-// Versions that read format 1 only skip keys that they don't know, as DecodeRecord has always
-// done. No later key looks to them like one that they know.
+// Versions that support only format 1 skip keys with an unknown prefix. Keys of later formats must
+// therefore not begin with a key or prefix of format 1.
 func TestLaterKeysAreUnknownToFormat1(t *testing.T) {
 	for _, key := range []string{OverflowKey("wk-000412", 1), FormatPrefix + "stanok-0", TakeoversKey} {
 		for _, known := range []string{JobPrefix, ShardPrefix, GangPrefix, MailboxPrefix, ImagePrefix, LeaderKey, MachineTypesKey} {
 			if strings.HasPrefix(key, known) {
-				t.Errorf("%s begins like %s", key, known)
+				t.Errorf("key %s begins with %s, which format 1 uses", key, known)
 			}
 		}
 	}
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Record is a value that the controllers keep in the state service: a pointer to one of the
+// Record is a value that the controllers store in the state service. It is a pointer to one of the
 // types that DecodeRecord returns.
 type Record interface{ record() }
 
@@ -22,8 +22,8 @@
 func (*Account) record()          {}
 func (*Takeovers) record()        {}
 
-// recordsByPrefix makes the empty record of a key with a prefix, recordsByKey that of a key
-// that occurs once.
+// recordsByPrefix and recordsByKey have the constructors of empty records: recordsByPrefix for
+// kinds of records with many keys, and recordsByKey for those with a single key.
 var (
 	recordsByPrefix = []struct {
 		prefix string
@@ -46,8 +46,8 @@
 	}
 )
 
-// emptyRecord makes the record that a key holds; nil if no version up to this one has such a
-// key.
+// emptyRecord returns an empty record of the type that a key holds, or nil if this version does not
+// define the key.
 func emptyRecord(key string) Record {
 	for _, kind := range recordsByPrefix {
 		if strings.HasPrefix(key, kind.prefix) {
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// DecodeRecord reads the record of a key. It returns nil without an error for a key that is
-// not known, such as that of a later version. A damaged account is returned as an unreadable
-// one instead of an error, as it may hold shares, which must not count as free.
+// DecodeRecord decodes the record of a key. It returns nil without an error for an unknown key, such
+// as that of a later version. For a damaged account it returns an account marked as unreadable
+// instead of an error: the account may have shares, which must not be treated as free.
 func DecodeRecord(key string, raw []byte) (Record, error) {
 	record := emptyRecord(key)
 	if record == nil {
@@ -75,14 +75,14 @@
 	if _, isAccount := record.(*Account); isAccount {
 		return &Account{Unreadable: true}, nil
 	}
-	return nil, fmt.Errorf("record %s: %w", key, err)
+	return nil, fmt.Errorf("decode record %s: %w", key, err)
 }
 
 // Shard is the record of a shard's ownership. The owner's term, which is its fencing token, is
 // the revision at which the record was written.
 type Shard struct {
 	Owner       string `msgpack:"o"` // name of the controller
-	Incarnation string `msgpack:"b"` // the owning process, as opposed to earlier ones of that controller
+	Incarnation string `msgpack:"b"` // identifies the owning process among all processes of that controller
 }
 
 // GangState is the state of a gang's record.
@@ -90,27 +90,27 @@
 
 // States of a gang's record. Their numbers are stored.
 const (
-	GangTrying    GangState = 0 // the shards are asked to hold room for the attempt
-	GangConfirmed GangState = 1 // the attempt starts
-	GangDropped   GangState = 2
+	GangTrying    GangState = 0 // the owners of the shards are requested to hold capacity for the attempt
+	GangConfirmed GangState = 1 // the tasks of the attempt start
+	GangDropped   GangState = 2 // the attempt is abandoned
 )
 
-// Gang is the record of an attempt to start a gang whose tasks are in several shards.
+// Gang is the record of an attempt to start a gang whose tasks are placed in several shards.
 type Gang struct {
 	Attempt uint64    `msgpack:"t"`
 	State   GangState `msgpack:"st"`
 	Shards  []int     `msgpack:"p"`
 }
 
-// ImageCache is the record of the images that the machines of a controller's shards have
-// cached, so that a new process of the controller knows them.
+// ImageCache is the record of the images that the machines in a controller's shards have cached.
+// A new process of the controller reads it when it starts.
 type ImageCache struct {
-	Names    []string         `msgpack:"n"` // of the images
-	Machines map[string][]int `msgpack:"h"` // by machine, indices into Names
+	Names    []string         `msgpack:"n"` // names of the images
+	Machines map[string][]int `msgpack:"h"` // indices into Names, by machine
 }
 
-// MachineTypeCache is the record of the machine types that the cloud offered last, for
-// processes that start while the cloud does not answer.
+// MachineTypeCache is the record of the machine types that the cloud offered last. It is used by
+// processes that start while the cloud does not respond.
 type MachineTypeCache struct {
 	Types []MachineType `msgpack:"r"`
 }
--- a/internal/wire/record_test.go
+++ b/internal/wire/record_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// Each kind of key holds the record that belongs to it.
+// The key determines the type of the decoded record.
 func TestDecodeRecordByKey(t *testing.T) {
 	for key, want := range map[string]Record{
 		JobKey("wk-000412"):                    &Job{},
@@ -50,7 +50,7 @@
 	}
 }
 
-// A damaged account differs from an absent one: it may hold shares.
+// A damaged account must not be treated as absent, since it may have shares.
 func TestDamagedAccountIsUnreadable(t *testing.T) {
 	for _, raw := range [][]byte{{0xc1}, {0x81, 0xa1, 'l', 0x07}, nil} {
 		got, err := DecodeRecord(AccountKey("vision"), raw)
