--- a/internal/wire/forwarded_request.go
+++ b/internal/wire/forwarded_request.go
@@ -1,7 +1,7 @@
 package wire
 
-// This file holds users' requests that a controller forwards to a peer by net/rpc because the
-// state service refuses it. gob carries the names of the fields, so they stay.
+// This file defines users' requests that a controller forwards to a peer by net/rpc because the
+// state service refuses the controller. gob transmits the names of the fields, so they can't change.
 
 // RequestKind is the kind of a user's request. Its values are sent between controllers.
 type RequestKind string
@@ -17,10 +17,10 @@
 type UserCall struct {
 	Kind RequestKind
 	Ref  string // job ID
-	Body []byte // of a submission: MessagePack of the job
+	Body []byte // of a submission: the job as MessagePack
 }
 
-// UserAnswer is the peer's answer.
+// UserAnswer is the peer's response to a UserCall.
 type UserAnswer struct {
 	Status int    // HTTP status
 	Body   []byte // MessagePack
--- a/internal/wire/job_spec.go
+++ b/internal/wire/job_spec.go
@@ -10,18 +10,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Bounds of the fields of a submission.
+// Limits on the fields of a submission.
 const (
 	// MaxTasks is the largest number of tasks of a job.
 	MaxTasks = 100_000
-	// maxTextBytes is the largest length of a name.
+	// maxTextBytes is the largest length of a name in bytes.
 	maxTextBytes = 200
 	// maxQuantity is the largest quantity, whatever its unit.
 	maxQuantity = 1e12
 )
 
-// Faults of a submission as a whole; see FieldError for those of a field. Their texts are
-// returned to users.
+// Errors that concern a submission as a whole; see FieldError for those that concern a field. Their
+// texts are returned to users.
 var (
 	// ErrNotAMap is returned for a body that is not a MessagePack map.
 	ErrNotAMap = errors.New("body is not a MessagePack map")
@@ -39,10 +39,10 @@
 	return fmt.Sprintf("field %s is missing or invalid", e.Field)
 }
 
-// ParseJobSpec reads the body of a submission. Unknown fields are ignored, and what may be null
-// may be absent. The error is ErrNotAMap, ErrNoJobID or a FieldError for the first invalid
-// field; in the last case the job ID is returned too, since the repeated submission of a known
-// job is answered before its fields are checked.
+// ParseJobSpec parses the body of a submission. Unknown fields are ignored, and fields that may be
+// null may be absent. The error is ErrNotAMap, ErrNoJobID or a FieldError for the first invalid
+// field. With a FieldError the job ID is returned too, since the response to a repeated submission
+// of a known job does not depend on its other fields.
 func ParseJobSpec(body []byte) (jobID string, spec *JobSpec, err error) {
 	var fields map[string]any
 	if err := msgpack.Unmarshal(body, &fields); err != nil || fields == nil {
@@ -60,13 +60,14 @@
 	return jobID, spec, nil
 }
 
-// fieldReader reads the fields of a decoded map. It keeps the error of the first field that is
-// missing or invalid; what it returns for such a field is meaningless.
+// fieldReader reads the fields of a decoded map. It records the error of the first field that is
+// missing or invalid; the value that it returns for such a field must not be used.
 type fieldReader struct {
 	fields map[string]any
 	err    error
 }
 
+// jobSpec reads all fields of a submission but the job ID.
 func (r *fieldReader) jobSpec(jobID string) *JobSpec {
 	spec := &JobSpec{
 		ID:                  jobID,
@@ -103,7 +104,7 @@
 	return spec
 }
 
-// reject keeps the error of a field unless an earlier field was invalid.
+// reject records the error of a field unless an earlier field was invalid.
 func (r *fieldReader) reject(field string) {
 	if r.err == nil {
 		r.err = &FieldError{Field: field}
@@ -148,8 +149,8 @@
 	return value
 }
 
-// count reads an integer from low to high. A double is not an integer, even if its value is
-// whole.
+// count reads an integer from low to high. A floating-point number is rejected even if its value
+// is integral.
 func (r *fieldReader) count(field string, low, high int) int {
 	if _, isDouble := r.fields[field].(float64); isDouble {
 		r.reject(field)
@@ -184,7 +185,7 @@
 	return names
 }
 
-// jobIDs reads a list of job IDs. The result is sorted and has each ID once.
+// jobIDs reads a list of job IDs. The result is sorted and has no duplicates.
 func (r *fieldReader) jobIDs(field string) []string {
 	var jobIDs []string
 	for _, value := range r.list(field) {
@@ -199,7 +200,8 @@
 	return slices.Compact(jobIDs)
 }
 
-// number converts any of the numeric types that the decoder returns.
+// number converts a value of any numeric type that the decoder returns, and reports whether the
+// value is a number.
 func number(v any) (float64, bool) {
 	switch value := reflect.ValueOf(v); {
 	case value.CanFloat():
--- a/internal/wire/job_spec_test.go
+++ b/internal/wire/job_spec_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// submission is the body of a valid submission in which some fields are set to other values.
+// submission returns the body of a valid submission in which some fields have other values.
 func submission(t *testing.T, changes map[string]any) []byte {
 	t.Helper()
 	fields := map[string]any{
@@ -23,7 +23,7 @@
 	return mustEncode(t, fields)
 }
 
-// absent is the value of a field that is left out of a submission.
+// absent marks a field that is omitted from a submission.
 const absent = "(absent)"
 
 func mustEncode(t *testing.T, v any) []byte {
@@ -48,7 +48,7 @@
 	}
 }
 
-// What may be null may be absent. An empty list of machine types allows none.
+// Fields that may be null may be absent. An empty list of machine types allows no type.
 func TestParseJobSpecOptionalFields(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -71,7 +71,7 @@
 	}
 }
 
-// Dependencies may be absent, and each counts once.
+// Dependencies may be null or empty, and duplicates are removed.
 func TestParseDependencies(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -91,8 +91,8 @@
 	}
 }
 
-// An invalid field is named. The job ID is returned all the same, as a known job is answered
-// before its fields are checked.
+// The error names the invalid field. The job ID is returned too, as the response to a repeated
+// submission of a known job does not depend on its other fields.
 func TestParseJobSpecInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		name, field string
@@ -103,7 +103,7 @@
 		{"dependency is no job ID", "waits_on", []string{"wk-3", "job-4"}},
 		{"no task count", "frames", absent},
 		{"no tasks", "frames", 0},
-		{"too many tasks", "frames", 100_001}, // the limit is on the wire: not derived from MaxTasks
+		{"too many tasks", "frames", 100_001}, // the limit is part of the protocol, so the test does not derive it from MaxTasks
 		{"task count is text", "frames", "3"},
 		{"task count is a fraction", "frames", 2.5},
 		{"task count is a double", "frames", 3.0},
--- a/internal/wire/worker_api.go
+++ b/internal/wire/worker_api.go
@@ -1,19 +1,19 @@
 package wire
 
-// This file holds what workers and controllers say to each other: the heartbeats that workers
-// send, the replies, and the commands that controllers send to a worker's own address. The
-// tags and the values of the constants are the names of the protocol.
+// This file defines the messages between workers and controllers: the heartbeats that workers
+// send, the replies to them, and the commands that controllers send to a worker's own address. The
+// field tags and the values of the constants are the names in the protocol.
 
 // States of a task as workers report them.
 const (
 	TaskFetching       = "fetching"  // waits for its image
 	TaskWaitingForGang = "gathering" // waits for the other tasks of its gang attempt
 	TaskRunning        = "running"
-	TaskCheckpointing  = "saving" // was told to stop and saves a checkpoint
+	TaskCheckpointing  = "saving" // was requested to stop and saves a checkpoint
 	TaskExited         = "ended"  // see TaskStatus.ExitCause
 )
 
-// Causes for which a task has exited.
+// Causes of a task's exit.
 const (
 	CauseDone           = "done"    // completed
 	CauseStopped        = "halted"  // stopped by a command
@@ -21,7 +21,7 @@
 	CauseGangIncomplete = "alone"   // its gang was not complete in time
 	CauseError          = "error"   // failed
 	CauseNoCapacity     = "full"    // start refused: the machine lacks free resources
-	CauseDuplicate      = "in_use"  // start refused: the task is there with another attempt
+	CauseDuplicate      = "in_use"  // start refused: another attempt of the task is on the machine
 	CauseUnknownJob     = "unknown" // start refused: no such job or task
 )
 
@@ -29,21 +29,21 @@
 const (
 	CommandStart = "start"
 	CommandKill  = "kill"
-	CommandClear = "clear" // removes an exited task from the heartbeats
+	CommandClear = "clear" // removes an exited task from the worker's heartbeats
 )
 
-// WorkerHeartbeat is the report that a worker sends to a controller periodically and on
-// changes, and the answer to a CommandBatch.
+// WorkerHeartbeat is the report that a worker sends to a controller periodically and after changes,
+// and with which it responds to a CommandBatch.
 type WorkerHeartbeat struct {
 	Machine     string       `msgpack:"host"`
-	Addr        string       `msgpack:"addr"` // host:port at which it takes commands
+	Addr        string       `msgpack:"addr"` // host:port at which it receives commands
 	MachineType string       `msgpack:"rig"`
 	Zone        string       `msgpack:"hall"`
 	Spot        bool         `msgpack:"loaner"`
-	Epoch       uint64       `msgpack:"shift"`    // starts at 1, grows whenever the worker's lease expires
-	Sequence    uint64       `msgpack:"tick"`     // grows with every message of the worker
+	Epoch       uint64       `msgpack:"shift"`    // starts at 1 and increases whenever the worker's lease expires
+	Sequence    uint64       `msgpack:"tick"`     // increases with every message of the worker
 	Token       uint64       `msgpack:"mandate"`  // the highest fencing token that it has seen
-	ReclaimS    *float64     `msgpack:"recall_s"` // seconds until the cloud takes the machine away; nil: no notice
+	ReclaimS    *float64     `msgpack:"recall_s"` // seconds until the cloud reclaims the machine; nil: no notice
 	Tasks       []TaskStatus `msgpack:"frames"`   // all tasks on the machine, exited ones until they are cleared
 }
 
@@ -56,15 +56,15 @@
 	CheckpointSaved bool   `msgpack:"kept"`       // its progress was saved when it was stopped
 }
 
-// HeartbeatReply answers a heartbeat. A worker drops a reply whose token is lower than the
+// HeartbeatReply is the reply to a heartbeat. A worker ignores a reply whose token is lower than the
 // highest one it has seen; any other reply renews the worker's lease.
 type HeartbeatReply struct {
 	Token    uint64    `msgpack:"mandate"`
 	Commands []Command `msgpack:"orders"` // executed in order
 }
 
-// CommandBatch is sent to a worker's own address. The worker executes it only in the epoch that
-// it names and if its token is not lower than the highest one the worker has seen. It does not
+// CommandBatch is sent to a worker's own address. The worker executes the commands only if the epoch
+// is its current one and the token is not lower than the highest one that it has seen. They do not
 // renew the worker's lease.
 type CommandBatch struct {
 	Token    uint64    `msgpack:"mandate"`
@@ -72,7 +72,7 @@
 	Commands []Command `msgpack:"orders"` // executed in order
 }
 
-// Command tells a worker what to do with a task.
+// Command is an operation that a worker performs on a task.
 type Command struct {
 	Op      string  `msgpack:"order"` // CommandStart, CommandKill or CommandClear
 	Task    string  `msgpack:"frame"` // see TaskName
@@ -80,7 +80,7 @@
 	GraceS  float64 `msgpack:"wind_down_s"` // of CommandKill: seconds that the task has to save a checkpoint
 }
 
-// Redirect is the body with which a controller sends a worker to another controller (421).
+// Redirect is the body of a response (HTTP status 421) that directs a worker to another controller.
 type Redirect struct {
-	Owner string `msgpack:"foreman,omitempty"` // name of the owner of the worker's shard; "": not known
+	Owner string `msgpack:"foreman,omitempty"` // name of the owner of the worker's shard; "": unknown
 }
