--- a/internal/wire/format1_test.go
+++ b/internal/wire/format1_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// format1 returns the records and messages in testdata/format1, by file, as this version is to
-// read them. The files were written by the version that is in production; see the README there.
+// format1 returns the expected decoded records and messages of testdata/format1, by file. The files
+// were written by the version that is in production; see the README there.
 func format1() map[string]any {
 	spec := &JobSpec{ID: "wk-000412", Class: "train", Team: "vision", Shape: "array", Priority: "high", TaskCount: 16, Cores: 8, GPUs: 1, MemoryGB: 64,
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SameZone: true, AllowSpot: true, ExpectedS: 240, CheckpointIntervalS: 30, CheckpointTimeS: 4, DeadlineS: 900}
@@ -37,8 +37,8 @@
 	}
 }
 
-// The types of the messages between controllers as the version of format 1 has them. gob carries
-// the names of their fields.
+// Copies of the types of messages between controllers in the version of format 1. gob transmits the
+// names of their fields.
 type (
 	machineInfo1 struct {
 		Name   string
@@ -94,15 +94,15 @@
 	}
 )
 
-// messagesOfFormat1 makes the empty message of a file, of the types of format 1.
+// messagesOfFormat1 has the constructors of empty messages of format 1, by file.
 var messagesOfFormat1 = map[string]func() any{
 	"gob-gossip":     func() any { return new(gossip1) },
 	"gob-usercall":   func() any { return new(userCall1) },
 	"gob-useranswer": func() any { return new(userAnswer1) },
 }
 
-// Records that the version in production has written are read as they were meant, and written
-// byte for byte as it would write them, since it may run beside this one.
+// Records written by the production version are decoded correctly and encoded to the same bytes,
+// since both versions run at the same time during an upgrade.
 func TestFormat1Records(t *testing.T) {
 	for name, want := range format1() {
 		if !strings.HasPrefix(name, "gob-") {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Messages that the version in production has sent are read as they were meant, and it reads
-// ours as it reads its own.
+// Messages sent by the production version are decoded correctly, and that version decodes the
+// messages of this version like its own.
 func TestFormat1Messages(t *testing.T) {
 	for name, want := range format1() {
 		if !strings.HasPrefix(name, "gob-") {
@@ -125,14 +125,14 @@
 		}
 		newMessage := messagesOfFormat1[name]
 		if newMessage == nil {
-			t.Fatalf("%s: format 1 has no such message", name)
+			t.Fatalf("%s: no constructor for this message of format 1", name)
 		}
 		fromOurs, fromItsOwn := newMessage(), newMessage()
 		if err := gob.NewDecoder(&ours).Decode(fromOurs); err != nil {
-			t.Errorf("%s: format 1 can't read ours: %v", name, err)
+			t.Errorf("%s: format 1 can't decode the message of this version: %v", name, err)
 		}
 		if err := gob.NewDecoder(bytes.NewReader(fixture(t, "format1/"+name))).Decode(fromItsOwn); err != nil || !reflect.DeepEqual(fromOurs, fromItsOwn) {
-			t.Errorf("%s: format 1 reads ours as %+v, its own as %+v, %v", name, fromOurs, fromItsOwn, err)
+			t.Errorf("%s: format 1 decodes the message of this version as %+v, its own as %+v, %v", name, fromOurs, fromItsOwn, err)
 		}
 	}
 }
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// format2 returns the records in testdata/format2, by file. They were written by the first
-// version that serves jobs with dependencies.
+// format2 returns the expected decoded records of testdata/format2, by file. The files were written
+// by the first version that supports jobs with dependencies.
 func format2() map[string]any {
 	waiting := &JobSpec{ID: "wk-000413", Class: "gi-solve", Team: "vision", Shape: "gang", Priority: "standard", TaskCount: 4, Cores: 2, MemoryGB: 6.4,
 		Image: "img-08", ImageGB: 1, SameZone: true, ExpectedS: 20, CheckpointIntervalS: 20, CheckpointTimeS: 4, DeadlineS: 300, Dependencies: []string{"wk-000398", "wk-000405"}}
@@ -29,8 +29,8 @@
 	}
 }
 
-// format4 returns the records in testdata/format4, by file. They were written by the first
-// version with accounts of teams.
+// format4 returns the expected decoded records of testdata/format4, by file. The files were written
+// by the first version with accounts of teams.
 func format4() map[string]any {
 	spec := &JobSpec{ID: "wk-000415", Class: "proxy-mesh", Team: "vision", Shape: "array", Priority: "low", TaskCount: 20, Cores: 1, GPUs: 1, MemoryGB: 3.2,
 		Image: "img-09", ImageGB: 1, AllowSpot: true, ExpectedS: 25}
@@ -44,8 +44,8 @@
 	}
 }
 
-// format5 returns the records in testdata/format5, by file. They were written by the first
-// version with early takeovers.
+// format5 returns the expected decoded records of testdata/format5, by file. The files were written
+// by the first version with early takeovers.
 func format5() map[string]any {
 	return map[string]any{
 		"leader-fenced": &Leader{Controller: "stanok-0", Incarnation: "7-98-1", Fenced: true},
@@ -56,7 +56,8 @@
 	}
 }
 
-// messagesOfFormat5 returns the messages between controllers that format 5 adds, by file.
+// messagesOfFormat5 returns the expected decoded messages between controllers that format 5 adds or
+// extends, by file.
 func messagesOfFormat5() map[string]any {
 	return map[string]any{
 		"gob-heartbeat": &LeaderHeartbeat{From: "stanok-0", Life: "7-98-1", Term: 412, Standby: "stanok-1"},
@@ -68,8 +69,8 @@
 	}
 }
 
-// factsOfFormat5 has a fact of each kind that has fields of its own, as in
-// testdata/format5/facts.
+// factsOfFormat5 returns the expected decoded facts of testdata/format5/facts. Together they use
+// all fields of a fact.
 func factsOfFormat5() []Fact {
 	return []Fact{
 		{Kind: FactBooting, Name: "vm-000231", At: 1500, MachineType: "g8", Zone: "a", Spot: true, Seen: true},
@@ -80,9 +81,9 @@
 	}
 }
 
-// Records of later formats are read as they were meant and written byte for byte as by the first
-// version that has them, since it may run beside this one. Records without what a format adds
-// are written as before; see TestFormat1Records.
+// Records of later formats are decoded correctly and encoded to the same bytes as by the first
+// version that supports them, since it may run at the same time as this one. Records that do not
+// use a later format are encoded as in format 1; see TestFormat1Records.
 func TestLaterFormatRecords(t *testing.T) {
 	for directory, records := range map[string]map[string]any{"format2": format2(), "format4": format4(), "format5": format5()} {
 		for name, want := range records {
@@ -99,7 +100,7 @@
 	}
 }
 
-// fixture reads a file of testdata, such as format1/leader.
+// fixture returns the bytes of a hex-encoded file in testdata, such as format1/leader.
 func fixture(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../../testdata/" + name + ".hex")
@@ -113,24 +114,25 @@
 	return raw
 }
 
-// checkRecord compares a record with its stored bytes, in both directions.
+// checkRecord checks that the bytes in a fixture decode to a record and that the record encodes to
+// these bytes.
 func checkRecord(t *testing.T, name string, want any) {
 	t.Helper()
 	stored := fixture(t, name)
 	got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 	if err := Decode(stored, got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: read as %+v, %v", name, got, err)
+		t.Errorf("%s: decoded as %+v, %v", name, got, err)
 	}
 	if ours, err := Encode(want); err != nil || !bytes.Equal(ours, stored) {
-		t.Errorf("%s: written as %x, not %x, %v", name, ours, stored, err)
+		t.Errorf("%s: encoded as %x, want %x, %v", name, ours, stored, err)
 	}
 }
 
-// checkMessage compares a message between controllers with its encoding by gob.
+// checkMessage checks that the gob encoding in a fixture decodes to a message between controllers.
 func checkMessage(t *testing.T, name string, want any) {
 	t.Helper()
 	got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 	if err := gob.NewDecoder(bytes.NewReader(fixture(t, name))).Decode(got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: read as %+v, %v", name, got, err)
+		t.Errorf("%s: decoded as %+v, %v", name, got, err)
 	}
 }
--- a/internal/wire/production_test.go
+++ b/internal/wire/production_test.go
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// productionCommit is the version that deploy/service.toml says is in production.
+// productionCommit returns the commit of the production version according to
+// deploy/service.toml.
 func productionCommit(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/service.toml")
@@ -27,9 +28,9 @@
 	return string(found[1])
 }
 
-// roundTrip is a program that is built with the sources of the version in production. It reads
-// records, one line of key and hex each, as its controllers do, and prints them as they would
-// write them.
+// roundTrip is the source of a program that is built with the packages of the production version.
+// It reads lines with a key and a hex-encoded record, decodes each record as the controllers of
+// that version do, and prints its encoding by that version.
 const roundTrip = `package main
 
 import (
@@ -68,8 +69,8 @@
 }
 `
 
-// checkOutProduction writes the sources of the version in production, and roundTrip beside them,
-// to a temporary directory.
+// checkOutProduction writes the sources of the production version and the roundTrip program to a
+// temporary directory.
 func checkOutProduction(t *testing.T, commit string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -91,14 +92,14 @@
 	return dir
 }
 
-// Records as this version writes them before the upgrade is complete are given to the version in
-// production itself, built from the repository's history. It reads every record and would write
-// the same bytes, and skips the keys of later formats. A checkout without that history skips the
-// test, which internal/ci prints.
+// During an upgrade the production version must be able to read the records that this version
+// writes. A program built from the sources of the production version, taken from the repository's
+// history, has to read every record, encode it to the same bytes, and skip keys of later formats.
+// The test is skipped in a checkout without that history; internal/ci prints this.
 func TestProductionReadsOurRecords(t *testing.T) {
 	commit := productionCommit(t)
 	if err := exec.Command("git", "cat-file", "-e", commit+"^{commit}").Run(); err != nil {
-		t.Skipf("the history lacks the production version %s, so it could not be run: %v", commit, err)
+		t.Skipf("production version %s is not in the repository's history, so it was not run: %v", commit, err)
 	}
 	dir := checkOutProduction(t, commit)
 	keys := map[string]string{
@@ -127,6 +128,6 @@
 	}
 	got := strings.Fields(string(out))
 	if !slices.Equal(got, want) {
-		t.Errorf("the production version writes\n%s\nnot\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("the production version writes\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
