--- a/internal/replica/dependency_list.go
+++ b/internal/replica/dependency_list.go
@@ -35,14 +35,14 @@
 	var chunks [][]string
 	size := valueBytes
 	for _, id := range ids {
-		cost := len(id) + idOverheadBytes
-		if size+cost > valueBytes {
+		idBytes := len(id) + idOverheadBytes
+		if size+idBytes > valueBytes {
 			chunks = append(chunks, nil)
 			size = dependencyListHeaderBytes
 		}
 		last := len(chunks) - 1
 		chunks[last] = append(chunks[last], id)
-		size += cost
+		size += idBytes
 	}
 	return chunks
 }
@@ -50,7 +50,7 @@
 // PutDependencyList applies one key of a dependency list. The key is ignored if the record of
 // its job has been applied, and otherwise kept until then.
 func (r *Replica) PutDependencyList(key string, list *wire.DependencyList) {
-	id := wire.DependencyListJob(key)
+	id := wire.DependencyListJobID(key)
 	if job := r.Find(id); job != nil && job.Record != nil {
 		return
 	}
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -52,7 +52,7 @@
 
 // TaskListBytes returns an upper bound of the size of the task lists in a record.
 func TaskListBytes(active wire.ActiveTasks, done wire.TaskSet) int {
-	return active.Cost() + TaskRangeBytes*len(done)
+	return active.MaxEncodedBytes() + TaskRangeBytes*len(done)
 }
 
 // BaseBytes returns an upper bound of the size of a record without its task lists, with a
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -81,14 +81,14 @@
 func (r *Replica) SplitRecord(id string, stored StoredRecord, record *wire.Job) []kv.Write {
 	split := &recordSplit{replica: r, id: id, record: record, baseBytes: BaseBytes(record), stored: stored, usedBytes: map[int]int{}}
 	tasks := record.ActiveTasks
-	if !r.WritesDependencies() || len(tasks) == 0 || stored.OverflowKeys == 0 && tasks.Cost() <= split.capacity(jobKeyNumber) {
+	if !r.WritesDependencies() || len(tasks) == 0 || stored.OverflowKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber) {
 		split.moveAllToJobKey()
 		jobRecord := *record
 		jobRecord.OverflowKeys = stored.UnknownKeys
 		writes := []kv.Write{{Key: wire.JobKey(id), Value: &jobRecord}}
 		return append(writes, deleteOverflow(id, stored.UnknownKeys+1, stored.OverflowKeys)...)
 	}
-	if stored.UnknownKeys == 0 && tasks.Cost() <= split.capacity(jobKeyNumber)*3/4 {
+	if stored.UnknownKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber)*3/4 {
 		split.moveAllToJobKey() // all tasks fit into the job's own key again, with a margin
 	}
 	split.evictFromOverfullKeys()
@@ -115,7 +115,7 @@
 func (s *recordSplit) evictFromOverfullKeys() {
 	for key := jobKeyNumber; key <= s.stored.OverflowKeys+1; key++ {
 		held := tasksInKey(s.record.ActiveTasks, key)
-		for s.usedBytes[key] = held.Cost(); s.usedBytes[key] > s.capacity(key) && len(held) > 0; s.usedBytes[key] = held.Cost() {
+		for s.usedBytes[key] = held.MaxEncodedBytes(); s.usedBytes[key] > s.capacity(key) && len(held) > 0; s.usedBytes[key] = held.MaxEncodedBytes() {
 			from, _ := held.Run(len(held) - 1)
 			s.evict(key, held[from:])
 			held = held[:from]
@@ -146,12 +146,12 @@
 		if tasks[from].StoredIn != 0 {
 			continue
 		}
-		cost := wire.RunCost(tasks[from].Machine) + wire.GroupCost
+		maxBytes := wire.RunCost(tasks[from].Machine) + wire.GroupCost
 		key := jobKeyNumber
-		for key < last && (s.hasUnknownTasks(key) || s.usedBytes[key]+cost > s.capacity(key)) {
+		for key < last && (s.hasUnknownTasks(key) || s.usedBytes[key]+maxBytes > s.capacity(key)) {
 			key++
 		}
-		s.usedBytes[key] += cost
+		s.usedBytes[key] += maxBytes
 		for i := from; i < to; i++ {
 			tasks[i].StoredIn = key
 		}
--- a/internal/wire/active_task.go
+++ b/internal/wire/active_task.go
@@ -55,10 +55,10 @@
 		a.Machine == previous.Machine && a.group() == previous.group()
 }
 
-// Run returns the bounds of the run that contains the task at index at. The upper bound is
+// Run returns the bounds of the run that contains the task with an index. The upper bound is
 // exclusive.
-func (l ActiveTasks) Run(at int) (from, to int) {
-	from, to = at, at+1
+func (l ActiveTasks) Run(index int) (from, to int) {
+	from, to = index, index+1
 	for from > 0 && l[from].continues(&l[from-1]) {
 		from--
 	}
@@ -72,26 +72,26 @@
 const (
 	// GroupCost bounds the size of a group without its runs.
 	GroupCost = 24
-	// runCost bounds the size of a run without the name of its machine.
-	runCost = 22
+	// maxRunOverheadBytes bounds the size of a run without the name of its machine.
+	maxRunOverheadBytes = 22
 )
 
 // RunCost returns an upper bound of the encoded size of a run on a machine, in bytes as JSONSize
 // measures them.
-func RunCost(machine string) int { return runCost + len(machine) }
+func RunCost(machine string) int { return maxRunOverheadBytes + len(machine) }
 
-// Cost returns an upper bound of the encoded size of the tasks, in bytes as JSONSize measures
-// them.
-func (l ActiveTasks) Cost() int {
-	cost := 0
+// MaxEncodedBytes returns an upper bound of the encoded size of the tasks, in bytes as JSONSize
+// measures them.
+func (l ActiveTasks) MaxEncodedBytes() int {
+	bytes := 0
 	seen := map[taskGroup]bool{}
 	for at := 0; at < len(l); {
 		if group := l[at].group(); !seen[group] {
 			seen[group] = true
-			cost += GroupCost
+			bytes += GroupCost
 		}
-		cost += RunCost(l[at].Machine)
+		bytes += RunCost(l[at].Machine)
 		_, at = l.Run(at)
 	}
-	return cost
+	return bytes
 }
--- a/internal/wire/active_task_codec.go
+++ b/internal/wire/active_task_codec.go
@@ -25,8 +25,8 @@
 	admittedFlag = 4
 )
 
-// mark returns the encoded flags of a group: its stop request and whether it is admitted.
-func (g taskGroup) mark() int {
+// flags returns the encoded flags of a group: its stop request and whether it is admitted.
+func (g taskGroup) flags() int {
 	if g.admitted {
 		return int(g.stop) | admittedFlag
 	}
@@ -70,7 +70,7 @@
 	if err := encoder.EncodeArrayLen(groupFields); err != nil {
 		return err
 	}
-	if err := encoder.EncodeMulti(g.shard, g.epoch, g.mark()); err != nil {
+	if err := encoder.EncodeMulti(g.shard, g.epoch, g.flags()); err != nil {
 		return err
 	}
 	if err := encoder.EncodeArrayLen(len(runs)); err != nil {
@@ -98,11 +98,11 @@
 		return err
 	}
 	var task ActiveTask
-	mark := 0
-	if err := decoder.DecodeMulti(&task.Shard, &task.Epoch, &mark); err != nil {
+	flags := 0
+	if err := decoder.DecodeMulti(&task.Shard, &task.Epoch, &flags); err != nil {
 		return err
 	}
-	task.Admitted, task.Stop = mark&admittedFlag != 0, StopRequest(mark&^admittedFlag)
+	task.Admitted, task.Stop = flags&admittedFlag != 0, StopRequest(flags&^admittedFlag)
 	values, err := decoder.DecodeArrayLen()
 	for at := 0; at < values && err == nil; at += runFields {
 		err = l.decodeRun(decoder, task)
--- a/internal/wire/active_task_test.go
+++ b/internal/wire/active_task_test.go
@@ -33,7 +33,7 @@
 	return slices.SortedFunc(slices.Values(tasks), func(a, b ActiveTask) int { return cmp.Compare(a.Task, b.Task) })
 }
 
-// Decoding returns the encoded tasks, and the encoded size does not exceed Cost.
+// Decoding returns the encoded tasks, and the encoded size does not exceed MaxEncodedBytes.
 func TestActiveTasksRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -50,8 +50,8 @@
 		if err := msgpack.Unmarshal(raw, &fields); err != nil {
 			t.Fatal(err)
 		}
-		if text, err := json.Marshal(fields["ac"]); err != nil || len(text) > tasks.Cost()+4 {
-			t.Fatalf("%d tasks take %d bytes, more than the bound of %d, or %v", len(tasks), len(text), tasks.Cost(), err)
+		if text, err := json.Marshal(fields["ac"]); err != nil || len(text) > tasks.MaxEncodedBytes()+4 {
+			t.Fatalf("%d tasks take %d bytes, more than the bound of %d, or %v", len(tasks), len(text), tasks.MaxEncodedBytes(), err)
 		}
 	}
 }
--- a/internal/wire/format1_test.go
+++ b/internal/wire/format1_test.go
@@ -119,20 +119,20 @@
 			continue
 		}
 		checkMessage(t, "format1/"+name, want)
-		var ours bytes.Buffer
-		if err := gob.NewEncoder(&ours).Encode(want); err != nil {
+		var encoded bytes.Buffer
+		if err := gob.NewEncoder(&encoded).Encode(want); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		newMessage := messagesOfFormat1[name]
 		if newMessage == nil {
 			t.Fatalf("%s: no constructor for this message of format 1", name)
 		}
-		fromOurs, fromItsOwn := newMessage(), newMessage()
-		if err := gob.NewDecoder(&ours).Decode(fromOurs); err != nil {
+		fromThisVersion, fromFormat1 := newMessage(), newMessage()
+		if err := gob.NewDecoder(&encoded).Decode(fromThisVersion); err != nil {
 			t.Errorf("%s: format 1 can't decode the message of this version: %v", name, err)
 		}
-		if err := gob.NewDecoder(bytes.NewReader(fixture(t, "format1/"+name))).Decode(fromItsOwn); err != nil || !reflect.DeepEqual(fromOurs, fromItsOwn) {
-			t.Errorf("%s: format 1 decodes the message of this version as %+v, its own as %+v, %v", name, fromOurs, fromItsOwn, err)
+		if err := gob.NewDecoder(bytes.NewReader(fixture(t, "format1/"+name))).Decode(fromFormat1); err != nil || !reflect.DeepEqual(fromThisVersion, fromFormat1) {
+			t.Errorf("%s: format 1 decodes the message of this version as %+v, its own as %+v, %v", name, fromThisVersion, fromFormat1, err)
 		}
 	}
 }
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -123,8 +123,8 @@
 	if err := Decode(stored, got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: decoded as %+v, %v", name, got, err)
 	}
-	if ours, err := Encode(want); err != nil || !bytes.Equal(ours, stored) {
-		t.Errorf("%s: encoded as %x, want %x, %v", name, ours, stored, err)
+	if encoded, err := Encode(want); err != nil || !bytes.Equal(encoded, stored) {
+		t.Errorf("%s: encoded as %x, want %x, %v", name, encoded, stored, err)
 	}
 }
 
--- a/internal/wire/job_spec.go
+++ b/internal/wire/job_spec.go
@@ -142,7 +142,7 @@
 
 // quantity reads a number that is not negative.
 func (r *fieldReader) quantity(field string) float64 {
-	value, isNumber := number(r.fields[field])
+	value, isNumber := toFloat64(r.fields[field])
 	if !isNumber || math.IsNaN(value) || value < 0 || value > maxQuantity {
 		r.reject(field)
 	}
@@ -155,7 +155,7 @@
 	if _, isDouble := r.fields[field].(float64); isDouble {
 		r.reject(field)
 	}
-	value, isNumber := number(r.fields[field])
+	value, isNumber := toFloat64(r.fields[field])
 	if !isNumber || value < float64(low) || value > float64(high) || value != math.Trunc(value) {
 		r.reject(field)
 		return 0
@@ -200,9 +200,9 @@
 	return slices.Compact(jobIDs)
 }
 
-// number converts a value of any numeric type that the decoder returns, and reports whether the
-// value is a number.
-func number(v any) (float64, bool) {
+// toFloat64 converts a value of any numeric type that the decoder returns, and reports whether the
+// value is a toFloat64.
+func toFloat64(v any) (float64, bool) {
 	switch value := reflect.ValueOf(v); {
 	case value.CanFloat():
 		return value.Float(), true
--- a/internal/wire/job_spec_test.go
+++ b/internal/wire/job_spec_test.go
@@ -120,7 +120,7 @@
 			if err == nil || spec != nil || jobID != "wk-000412" {
 				t.Errorf("got %q, %+v, %v", jobID, spec, err)
 			}
-			if invalid, is := errors.AsType[*FieldError](err); !is || invalid.Field != c.field {
+			if invalid, isFieldError := errors.AsType[*FieldError](err); !isFieldError || invalid.Field != c.field {
 				t.Errorf("error %v does not name the field %s", err, c.field)
 			}
 		})
--- a/internal/wire/keys.go
+++ b/internal/wire/keys.go
@@ -52,14 +52,14 @@
 	return jobID, number
 }
 
-// DependencyListKey returns the key of a part of a job's list of dependencies. The argument list is
-// the list's name; parts are numbered from 1 on.
-func DependencyListKey(jobID, list string, number int) string {
-	return DependencyListPrefix + jobID + "/" + list + "/" + strconv.Itoa(number)
+// DependencyListKey returns the key of a part of a job's list of dependencies. Parts are numbered
+// from 1 on.
+func DependencyListKey(jobID, listName string, number int) string {
+	return DependencyListPrefix + jobID + "/" + listName + "/" + strconv.Itoa(number)
 }
 
-// DependencyListJob returns the job ID in a key made by DependencyListKey.
-func DependencyListJob(key string) string {
+// DependencyListJobID returns the job ID in a key made by DependencyListKey.
+func DependencyListJobID(key string) string {
 	jobID, _, _ := strings.Cut(strings.TrimPrefix(key, DependencyListPrefix), "/")
 	return jobID
 }
--- a/internal/wire/production_test.go
+++ b/internal/wire/production_test.go
@@ -28,10 +28,10 @@
 	return string(found[1])
 }
 
-// roundTrip is the source of a program that is built with the packages of the production version.
+// roundTripSource is the source of a program that is built with the packages of the production version.
 // It reads lines with a key and a hex-encoded record, decodes each record as the controllers of
 // that version do, and prints its encoding by that version.
-const roundTrip = `package main
+const roundTripSource = `package main
 
 import (
 	"bufio"
@@ -69,7 +69,7 @@
 }
 `
 
-// checkOutProduction writes the sources of the production version and the roundTrip program to a
+// checkOutProduction writes the sources of the production version and the roundTripSource program to a
 // temporary directory.
 func checkOutProduction(t *testing.T, commit string) string {
 	t.Helper()
@@ -86,7 +86,7 @@
 	if err := os.Mkdir(program, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(program, "main.go"), []byte(roundTrip), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(program, "main.go"), []byte(roundTripSource), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	return dir
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -22,12 +22,12 @@
 func (*Account) record()          {}
 func (*Takeovers) record()        {}
 
-// recordsByPrefix and recordsByKey have the constructors of empty records: recordsByPrefix for
-// kinds of records with many keys, and recordsByKey for those with a single key.
+// constructorsByPrefix and constructorsByKey have the constructors of empty records: the former for
+// kinds of records with many keys, the latter for those with a single key.
 var (
-	recordsByPrefix = []struct {
-		prefix string
-		empty  func() Record
+	constructorsByPrefix = []struct {
+		prefix    string
+		newRecord func() Record
 	}{
 		{JobPrefix, func() Record { return new(Job) }},
 		{OverflowPrefix, func() Record { return new(Overflow) }},
@@ -39,23 +39,23 @@
 		{FormatPrefix, func() Record { return new(SupportedFormat) }},
 		{AccountPrefix, func() Record { return new(Account) }},
 	}
-	recordsByKey = map[string]func() Record{
+	constructorsByKey = map[string]func() Record{
 		LeaderKey:       func() Record { return new(Leader) },
 		TakeoversKey:    func() Record { return new(Takeovers) },
 		MachineTypesKey: func() Record { return new(MachineTypeCache) },
 	}
 )
 
-// emptyRecord returns an empty record of the type that a key holds, or nil if this version does not
-// define the key.
-func emptyRecord(key string) Record {
-	for _, kind := range recordsByPrefix {
+// newRecordForKey returns an empty record of the type that a key holds, or nil if this version does
+// not define the key.
+func newRecordForKey(key string) Record {
+	for _, kind := range constructorsByPrefix {
 		if strings.HasPrefix(key, kind.prefix) {
-			return kind.empty()
+			return kind.newRecord()
 		}
 	}
-	if empty, known := recordsByKey[key]; known {
-		return empty()
+	if newRecord, known := constructorsByKey[key]; known {
+		return newRecord()
 	}
 	return nil
 }
@@ -64,7 +64,7 @@
 // as that of a later version. For a damaged account it returns an account marked as unreadable
 // instead of an error: the account may have shares, which must not be treated as free.
 func DecodeRecord(key string, raw []byte) (Record, error) {
-	record := emptyRecord(key)
+	record := newRecordForKey(key)
 	if record == nil {
 		return nil, nil
 	}
--- a/internal/wire/record_test.go
+++ b/internal/wire/record_test.go
@@ -54,7 +54,7 @@
 func TestDamagedAccountIsUnreadable(t *testing.T) {
 	for _, raw := range [][]byte{{0xc1}, {0x81, 0xa1, 'l', 0x07}, nil} {
 		got, err := DecodeRecord(AccountKey("vision"), raw)
-		if account, is := got.(*Account); err != nil || !is || !account.Unreadable {
+		if account, isAccount := got.(*Account); err != nil || !isAccount || !account.Unreadable {
 			t.Errorf("%x is read as %+v, %v", raw, got, err)
 		}
 	}
