--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -76,8 +76,8 @@
 	return size + recordGrowthBytes
 }
 
-// updateRecordSize computes the size of a job's record without its task lists, and whether the job is
-// a large array.
+// updateRecordSize computes the size of a job's record without its task lists, and whether the
+// job is a large array.
 func (r *Replica) updateRecordSize(job *Job) {
 	job.BaseBytes = BaseBytes(job.Record)
 	job.LargeArray = job.Record.Spec.Shape == wire.ShapeArray && job.Record.Spec.TaskCount > r.MaxSingleTasks()
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -27,8 +27,8 @@
 	r.overflow[id][number] = overflow.ActiveTasks
 }
 
-// addOverflowTasks appends the tasks in the overflow keys to those in the record, and sets the key in
-// which each task is stored.
+// addOverflowTasks appends the tasks in the overflow keys to those in the record, and sets the
+// key in which each task is stored.
 func (r *Replica) addOverflowTasks(id string, record *wire.Job) {
 	record.ActiveTasks = slices.Clip(record.ActiveTasks)
 	for i := range record.ActiveTasks {
@@ -111,7 +111,8 @@
 	}
 }
 
-// evictFromOverfullKeys removes the last runs of tasks from each key whose tasks exceed its capacity.
+// evictFromOverfullKeys removes the last runs of tasks from each key whose tasks exceed its
+// capacity.
 func (s *recordSplit) evictFromOverfullKeys() {
 	for key := jobKeyNumber; key <= s.stored.OverflowKeys+1; key++ {
 		held := tasksInKey(s.record.ActiveTasks, key)
--- a/internal/wire/production_test.go
+++ b/internal/wire/production_test.go
@@ -28,9 +28,9 @@
 	return string(found[1])
 }
 
-// roundTripSource is the source of a program that is built with the packages of the production version.
-// It reads lines with a key and a hex-encoded record, decodes each record as the controllers of
-// that version do, and prints its encoding by that version.
+// roundTripSource is the source of a program that is built with the packages of the production
+// version. It reads lines with a key and a hex-encoded record, decodes each record as the
+// controllers of that version do, and prints its encoding by that version.
 const roundTripSource = `package main
 
 import (
@@ -69,8 +69,8 @@
 }
 `
 
-// checkOutProduction writes the sources of the production version and the roundTripSource program to a
-// temporary directory.
+// checkOutProduction writes the sources of the production version and the program in
+// roundTripSource to a temporary directory.
 func checkOutProduction(t *testing.T, commit string) string {
 	t.Helper()
 	dir := t.TempDir()
