--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -75,7 +75,7 @@
 	if _, isAccount := record.(*Account); isAccount {
 		return &Account{Unreadable: true}, nil
 	}
-	return nil, fmt.Errorf("decode record %s: %w", key, err)
+	return nil, fmt.Errorf("record %s: %w", key, err)
 }
 
 // Shard is the record of a shard's ownership. The owner's term, which is its fencing token, is
