--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -6,27 +6,28 @@
 	"micaport/internal/wire"
 )
 
-// finishedKind is what tells finished jobs apart that have nothing left on machines.
-type finishedKind struct {
+// finishedRecordKey identifies the shared record of finished jobs that have no active tasks.
+type finishedRecordKey struct {
 	state     wire.JobState
 	taskCount int
 }
 
-// PutJob applies the record of a job. Overflow keys and lists of dependencies that the
-// record names must have been applied before.
+// PutJob applies the record of a job. The overflow keys and the dependency list that the
+// record refers to must have been applied before.
 func (r *Replica) PutJob(id string, record *wire.Job, revision uint64) {
 	r.putJob(id, record, revision)
 	delete(r.dependencyLists, id)
 }
 
-// putJob applies the record of a job, or its absence, unless it is an old one.
+// putJob applies the record of a job, or its absence if record is nil. It ignores revisions
+// that are not newer than the applied one.
 func (r *Replica) putJob(id string, record *wire.Job, revision uint64) {
-	job := r.ensure(id)
+	job := r.findOrAdd(id)
 	if revision <= job.Revision {
 		return
 	}
 	if record != nil {
-		r.assemble(id, record)
+		r.addOverflowTasks(id, record)
 	}
 	r.observer.JobChanging(job, record)
 	r.charge(job, -1)
@@ -53,7 +54,7 @@
 	r.setLive(job, record.State == wire.JobLive || len(record.ActiveTasks) > 0)
 }
 
-// countUnplaced counts the tasks that are granted and have no machine yet.
+// countUnplaced returns the number of tasks that are granted and have no machine yet.
 func countUnplaced(record *wire.Job) int {
 	count := 0
 	for i := range record.ActiveTasks {
@@ -64,18 +65,19 @@
 	return count
 }
 
-// sharedFinishedRecord is one record for all finished jobs that nothing tells apart any
-// more. Finished jobs are kept for ever, and there are very many.
+// sharedFinishedRecord returns one record for all finished jobs with the same state and
+// number of tasks. Finished jobs are never deleted and numerous, so sharing saves memory.
 func (r *Replica) sharedFinishedRecord(record *wire.Job) *wire.Job {
-	key := finishedKind{record.State, record.TaskCount}
-	if shared := r.finished[key]; shared != nil {
+	key := finishedRecordKey{record.State, record.TaskCount}
+	if shared := r.finishedRecords[key]; shared != nil {
 		return shared
 	}
-	r.finished[key] = &wire.Job{State: record.State, TaskCount: record.TaskCount}
-	return r.finished[key]
+	r.finishedRecords[key] = &wire.Job{State: record.State, TaskCount: record.TaskCount}
+	return r.finishedRecords[key]
 }
 
-// indexSpec maps the names in a specification to indices.
+// indexSpec derives the fields of a job from its specification, with names as indices, and
+// links the job to its dependencies.
 func (r *Replica) indexSpec(job *Job, spec *wire.JobSpec) {
 	job.Image = r.names.Images.Of(spec.Image)
 	job.Priority = max(job.Priority, priorityOf(spec.Priority))
@@ -84,14 +86,14 @@
 		job.Zone = r.names.Zones.Of(spec.Zone)
 	}
 	job.AllowSpot, job.AnyType = spec.AllowSpot, len(spec.MachineTypes) == 0 && !spec.NoMachineTypes
-	r.measure(job)
+	r.updateRecordSize(job)
 	for _, name := range spec.MachineTypes {
 		job.MachineTypes.Add(r.names.MachineTypes.Of(name))
 	}
 	r.linkDependencies(job)
 }
 
-// priorityOf is the rank of a priority's name, higher for more urgent.
+// priorityOf returns the rank of a named priority; more urgent ones rank higher.
 func priorityOf(name string) int {
 	switch name {
 	case "critical":
@@ -104,7 +106,7 @@
 	return 0
 }
 
-// setLive adds a job to the live ones or removes it.
+// setLive adds a job to the list of live jobs or removes it.
 func (r *Replica) setLive(job *Job, live bool) {
 	at, found := slices.BinarySearch(r.live, job.Index)
 	if live && !found {
