--- a/internal/server/core_config.go
+++ b/internal/server/core_config.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// maxLargeArrayTasksPerCore bounds the active tasks of one large array by processor
-	// time. Such tasks may last only a few seconds. While they end, their machines send a
-	// heartbeat twice a second, which costs their owner some 0.2 ms each, and as much for
-	// each task's grant, placement, start and end. So a thousand tasks, a dozen on each
-	// machine, that end within ten seconds take 50 ms of each second: a third of what the
-	// core share that allows them provides.
+	// maxLargeArrayTasksPerCore bounds the active tasks of one large array by the
+	// controller's share of a core. Such tasks may run for only a few seconds. While they
+	// end, their machines send two heartbeats a second. Each heartbeat costs the owner
+	// about 0.2 ms of processor time, and so do the grant, placement, start and end of each
+	// task together. For example, 1,000 tasks, a dozen on each machine, that all end within
+	// 10 s cost about 50 ms a second, a third of the core share that allows 1,000 tasks.
 	maxLargeArrayTasksPerCore = 6000
-	// A transaction of the core writes at most batchSeconds' worth of this controller's share
-	// of the writes, but at least minBatchWrites, which valid settings always allow. The
-	// state service must allow all writes of a transaction at once; a large one would wait
-	// behind every small one.
+	// The core batches at most the writes that this controller's share of the write rate
+	// allows in batchSeconds, but always up to minBatchWrites, which every valid
+	// configuration permits. The state service admits a transaction only when its rate limit
+	// allows all writes at once, so a large transaction would wait behind every small one.
 	minBatchWrites = 2
 	batchSeconds   = 1.5
 	bytesPerKB     = 1024
 )
 
-// admissions translates the operators' setting.
+// admissions maps the values of the operators' admission setting to the core's.
 var admissions = map[string]core.Admission{
 	config.AdmitByLeader:   core.AdmitNothing,
 	config.AdmitLeaderless: core.AdmitLeaderless,
 	config.AdmitGuaranteed: core.AdmitGuaranteed,
 }
 
-// coreConfig derives the core's configuration, with a new incarnation, from the settings.
+// coreConfig returns the core's configuration for the settings, with a new incarnation.
 func coreConfig(settings *config.Settings, operator config.OperatorSettings) core.Config {
 	deployment, limits := &settings.Deployment, settings.StateLimits()
 	controllers := len(settings.Peers) + 1
@@ -76,12 +76,13 @@
 	}
 }
 
-// newIncarnation identifies this process among all that run with the same label.
+// newIncarnation returns an identifier that distinguishes this process from all others that
+// run or ran with the same label.
 func newIncarnation() string {
 	return fmt.Sprintf("%d-%d-%d", os.Getpid(), time.Now().UnixNano(), rand.Uint32())
 }
 
-// members lists all controllers, this one first.
+// members returns all controllers, this one first.
 func members(settings *config.Settings) []ownership.Member {
 	var all []ownership.Member
 	for _, controller := range settings.Controllers() {
@@ -90,7 +91,7 @@
 	return all
 }
 
-// startObjectives selects the objectives for the time from submission to start.
+// startObjectives returns the objectives that limit the time from submission to start.
 func startObjectives(objectives []config.Objective) []core.StartObjective {
 	var selected []core.StartObjective
 	for _, objective := range objectives {
@@ -101,7 +102,7 @@
 	return selected
 }
 
-// teams translates the guarantees and quotas of teams.
+// teams converts the guarantees and quotas of teams to the form that the core uses.
 func teams(settings []config.Team) []replica.Team {
 	var translated []replica.Team
 	for _, team := range settings {
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -8,7 +8,8 @@
 	"micaport/internal/wire"
 )
 
-// perform begins an effect of the core and does not wait for its result. Requests end with ctx.
+// perform starts an effect of the core and does not wait for its result. Requests in progress
+// are cancelled when ctx ends.
 func (c *Controller) perform(ctx context.Context, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Commit:
@@ -44,29 +45,29 @@
 	}
 }
 
-// logLevels translates the core's log levels.
+// logLevels maps the core's log levels to those of slog.
 var logLevels = map[core.LogLevel]slog.Level{
 	core.LogDebug: slog.LevelDebug,
 	core.LogInfo:  slog.LevelInfo,
 	core.LogError: slog.LevelError,
 }
 
-// forward forwards a user's request to a peer. The answer is posted in another goroutine, as
-// it may come at once, in this one, and the queue of inputs may be full.
+// forward forwards a user's request to a peer. The answer is posted in a new goroutine: it may
+// be delivered in this goroutine, which would block forever if the queue of inputs were full.
 func (c *Controller) forward(request core.Forward) {
 	answered := func(answer wire.UserAnswer) {
 		go c.post(core.ForwardAnswered{RequestID: request.RequestID, Answer: answer})
 	}
 	link := c.links[request.To]
 	if link == nil {
-		answered(wire.UserAnswer{}) // status 0: there is no answer
+		answered(wire.UserAnswer{}) // status 0 means no answer
 		return
 	}
 	link.Forward(request.Call, answered)
 }
 
-// reply passes a reply on to the request that waits for it. It does not block, as each
-// request gets one reply.
+// reply delivers a reply to the request that waits for it. It does not block: the channel has
+// a capacity of one, and each request gets one reply.
 func (c *Controller) reply(reply core.Reply) {
 	if waiting := c.replies[reply.RequestID]; waiting != nil {
 		delete(c.replies, reply.RequestID)
--- a/internal/server/queues.go
+++ b/internal/server/queues.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// inputQueueSize is how many inputs may wait in Controller.inputs before those who
-	// deliver them wait. Each of them has a goroutine of its own, so that no input is lost.
+	// inputQueueSize is the capacity of Controller.inputs. When it is full, senders block.
+	// Each sender has a goroutine of its own, so no input is lost.
 	inputQueueSize = 1024
 	// replyTimeout is how long a request waits for the core's reply.
 	replyTimeout = 6 * time.Second
@@ -18,14 +18,15 @@
 	tickInterval = 50 * time.Millisecond
 )
 
-// pendingInput is an input with the channel for its reply, of capacity one.
+// pendingInput is an input that needs a reply, with the channel for the reply. The channel has
+// a capacity of one.
 type pendingInput struct {
 	requestID uint64
 	input     core.Input
 	reply     chan core.Reply
 }
 
-// post delivers an input to the core. After the controller has stopped it does nothing.
+// post queues an input for the core. After the controller has stopped it does nothing.
 func (c *Controller) post(input core.Input) {
 	select {
 	case c.inputs <- input:
@@ -33,7 +34,8 @@
 	}
 }
 
-// dispatcher returns an api.Dispatch for a queue. Requests are refused when the queue is full.
+// dispatcher returns an api.Dispatch that adds requests to a queue, and refuses them when the
+// queue is full.
 func (c *Controller) dispatcher(queue chan<- pendingInput) api.Dispatch {
 	return func(newInput func(requestID uint64) core.Input) (core.Reply, bool) {
 		pending := pendingInput{requestID: c.nextRequest.Add(1), reply: make(chan core.Reply, 1)}
@@ -54,7 +56,8 @@
 	}
 }
 
-// run owns the core until ctx ends.
+// run passes each input to the core and starts the resulting effects, until ctx ends. Only
+// this goroutine uses the core.
 func (c *Controller) run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -72,9 +75,9 @@
 	}
 }
 
-// next waits for an input, and returns nil when ctx ends. Controller.inputs has priority, so
-// that many requests at once can't delay lease renewals and the watch. Of the other sources
-// that have an input one is chosen at random.
+// next waits for an input and returns it, or nil when ctx ends. Controller.inputs has priority,
+// so that a burst of requests does not delay lease renewals and the watch. The other sources
+// with an input ready are chosen from at random.
 func (c *Controller) next(ctx context.Context, tick <-chan time.Time) core.Input {
 	select {
 	case input := <-c.inputs:
--- a/internal/server/queues_test.go
+++ b/internal/server/queues_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Many requests of workers or users do not delay what the state service sends, nor do those
-// of either keep the other's from being served.
+// Inputs from the state service are handled before queued requests of workers and users, and
+// neither workers nor users starve the other.
 func TestOrderOfInputs(t *testing.T) {
 	c := newTestController(200)
 	for i := range 200 {
@@ -27,10 +27,10 @@
 	c.inputs <- core.LeaseAnswered{ID: 1}
 	c.inputs <- core.RecordsChanged{Revision: 2}
 	if input, ok := c.next(t.Context(), nil).(core.LeaseAnswered); !ok {
-		t.Errorf("the first input is %T, not the state service's answer", input)
+		t.Errorf("the first input is %T, want the answer to the lease renewal", input)
 	}
 	if input, ok := c.next(t.Context(), nil).(core.RecordsChanged); !ok {
-		t.Errorf("the second input is %T, not that of the watch", input)
+		t.Errorf("the second input is %T, want the changes of records", input)
 	}
 	heartbeats := 0
 	for range 200 {
@@ -39,11 +39,11 @@
 		}
 	}
 	if heartbeats < 50 || heartbeats > 150 {
-		t.Errorf("%d of 200 requests taken were heartbeats", heartbeats)
+		t.Errorf("%d of 200 requests were heartbeats, want 50 to 150", heartbeats)
 	}
 }
 
-// A request for which there is no place is refused at once.
+// A request is refused at once when its queue is full.
 func TestFullQueueRefuses(t *testing.T) {
 	c := newTestController(1)
 	c.userInputs <- pendingInput{}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,7 @@
-// Package server runs a controller: it wires the core to its adapters. One goroutine owns the
-// core; it takes inputs from queues, steps the core, and carries out the effects. The adapters
-// make their requests in goroutines of their own and deliver the results as inputs.
+// Package server runs a controller: it connects the core to its adapters. A single goroutine
+// uses the core: it receives inputs from queues, passes them to the core, and starts the
+// effects that the core returns. The adapters make their requests in goroutines of their own
+// and deliver the results as inputs.
 package server
 
 import (
@@ -29,32 +30,32 @@
 // Controller is a running controller.
 type Controller struct {
 	log       *slog.Logger
-	startedAt time.Time  // zero of the core's clock
-	core      *core.Node // owned by run
+	startedAt time.Time  // origin of the core's clock
+	core      *core.Node // used by run only
 
 	inputs       chan core.Input            // from the state service, the cloud, workers' answers and peers
-	userInputs   chan pendingInput          // requests of users and operators, also those that peers forward
+	userInputs   chan pendingInput          // requests of users and operators, including those forwarded by peers
 	workerInputs chan pendingInput          // heartbeats of workers
 	stopped      <-chan struct{}            // closed when the controller stops
 	nextRequest  atomic.Uint64              // the last request ID
-	replies      map[uint64]chan core.Reply // by request ID; owned by run
+	replies      map[uint64]chan core.Reply // by request ID; used by run only
 	ready        atomic.Bool
 
 	links   map[string]*peer.Link // by the peer's label
 	store   *store.Client
 	cloud   *cloud.Client
 	workers *worker.CommandClient
-	running sync.WaitGroup // run and the watch
+	running sync.WaitGroup // goroutines of run and of the watch
 }
 
-// defaultConnections is how many connections of users and workers are accepted where the
-// settings have no limit of sockets: four times the machines of a site of 4,000. Each has a
-// place in both queues of requests, of 32 bytes.
+// defaultConnections is how many connections of users and workers are accepted when the
+// settings do not limit sockets: four for each machine of a site of 4,000 machines. Both queues
+// of requests reserve 32 bytes for each connection.
 const defaultConnections = 16_384
 
-// Run runs a controller until ctx ends or a listener fails. It returns the listener's error,
-// and waits for everything that it has started, requests that HTTP clients have in progress
-// aside if a listener failed.
+// Run runs a controller until ctx ends or a listener fails, and returns the listener's error.
+// Before it returns it waits for everything that it has started; after a listener has failed
+// it does not wait for the HTTP requests in progress.
 func Run(ctx context.Context, settings *config.Settings, operator config.OperatorSettings, log *slog.Logger) error {
 	limitMemory(settings.Deployment.Limits.MemoryMB)
 	public, private, err := listen(settings)
@@ -91,13 +92,13 @@
 	case err = <-failed:
 	case <-ctx.Done():
 	}
-	if ctx.Err() != nil { // the listener for peers fails then, too
+	if ctx.Err() != nil { // the listener for peers then fails as well, which is no error
 		err = server.Shutdown(context.Background())
 	} else {
 		cancel()
-		server.Close() // err matters more
+		server.Close() // its error is ignored in favor of err
 	}
-	c.running.Wait() // first, as run begins requests
+	c.running.Wait() // first, as run starts requests of the adapters
 	c.store.Wait()
 	c.cloud.Wait()
 	c.workers.Wait()
@@ -107,13 +108,14 @@
 	return err
 }
 
-// newController makes the core and its adapters. Links to peers connect until ctx ends.
+// newController returns a controller with its core and adapters. Links to peers run until ctx
+// ends.
 func newController(ctx context.Context, settings *config.Settings, operator config.OperatorSettings, log *slog.Logger, maxConnections int) *Controller {
 	c := &Controller{
 		log: log, startedAt: time.Now(), core: core.New(coreConfig(settings, operator)),
 		inputs: make(chan core.Input, inputQueueSize),
-		// A connection has at most one request in progress, so with a place for each
-		// connection no request is refused because a queue is full.
+		// A connection has at most one request in progress. With a slot for each connection
+		// no request is refused because a queue is full.
 		userInputs: make(chan pendingInput, maxConnections), workerInputs: make(chan pendingInput, maxConnections),
 		stopped: ctx.Done(), replies: map[uint64]chan core.Reply{}, links: map[string]*peer.Link{},
 	}
@@ -127,8 +129,8 @@
 	return c
 }
 
-// listen opens the listeners for users and workers (public) and for peers (private), which
-// accept no more connections than the limit of sockets allows.
+// listen opens the listeners for users and workers (public) and for peers (private). They
+// accept no more connections than the settings' limit of sockets allows.
 func listen(settings *config.Settings) (public, private net.Listener, err error) {
 	public, err = net.Listen("tcp", settings.Bind)
 	if err != nil {
@@ -147,16 +149,18 @@
 }
 
 const (
-	// heapShare of the machine's memory is for the Go runtime. The rest is for what the
-	// collector does not see: stacks of the C library, the binary, and network buffers.
+	// heapShare is the share of the machine's memory that the Go runtime may use. The rest
+	// is for memory that the runtime does not account for: stacks of the C library, the
+	// binary, and network buffers.
 	heapShare = 0.6
-	// gcPercent lets the heap grow more between collections than by default, which saves
-	// processor time; near the memory limit the collector runs more often.
+	// gcPercent lets the heap grow more between collections than Go's default of 100, which
+	// saves processor time. Near the memory limit the collector runs more often anyway.
 	gcPercent   = 200
 	bytesPerMiB = 1 << 20
 )
 
-// limitMemory keeps the process within the machine's memory, in MiB; 0 means no limit.
+// limitMemory limits the memory of the process for a machine with memoryMB MiB; 0 means no
+// limit.
 func limitMemory(memoryMB float64) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB * heapShare * bytesPerMiB))
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -12,7 +12,7 @@
 	"micaport/internal/config"
 )
 
-// freeAddress returns an address on loopback that nothing listens at.
+// freeAddress returns a loopback address that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,14 +40,14 @@
 	return settings
 }
 
-// start runs a controller and returns the result of Run.
+// start runs a controller and returns a channel that receives the result of Run.
 func start(ctx context.Context, settings *config.Settings) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, settings, config.DefaultOperator(), slog.New(slog.DiscardHandler)) }()
 	return ended
 }
 
-// A controller serves until its context ends, and then stops although its peer and services
+// A controller serves until its context ends, and then stops even if its peer and the services
 // can't be reached.
 func TestRunEndsWithItsContext(t *testing.T) {
 	settings := newTestSettings(t)
@@ -60,7 +60,7 @@
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("ready without a state service: status %d", response.StatusCode)
+				t.Errorf("/ready without a state service: status %d, want 503", response.StatusCode)
 			}
 			break
 		}
@@ -73,10 +73,10 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run returned %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the controller has not ended with its context")
+		t.Error("Run has not returned within 10 s of the end of its context")
 	}
 	listener, err := net.Listen("tcp", settings.ClusterBind)
 	if err != nil {
@@ -85,7 +85,7 @@
 	listener.Close()
 }
 
-// An address that is taken ends the controller with an error that names the setting.
+// When an address is already in use, Run fails with an error that names the setting.
 func TestRunNamesTheAddressThatIsTaken(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		if err := <-start(t.Context(), settings); err == nil || !strings.HasPrefix(err.Error(), test.name+": ") {
-			t.Errorf("%s is taken: got %v", test.name, err)
+			t.Errorf("address of %s in use: got %v", test.name, err)
 		}
 		listener.Close()
 	}
