--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -10,7 +10,7 @@
 	"micaport/internal/wire"
 )
 
-// Methods of Service.
+// Names of the methods of Service in net/rpc.
 const (
 	methodGossip      = serviceName + ".Gossip"
 	methodHeartbeat   = serviceName + ".Heartbeat"
@@ -21,20 +21,21 @@
 
 const (
 	gossipTimeout = 1500 * time.Millisecond
-	// callTimeout is for calls whose replies the core waits for.
+	// callTimeout limits calls whose replies the core needs.
 	callTimeout = 1700 * time.Millisecond
 )
 
-// errNoReply says that a peer did not reply within the timeout of a call.
+// errNoReply is returned when a peer does not reply within the timeout of a call.
 var errNoReply = errors.New("peer does not answer")
 
-// SendGossip sends gossip to the peer, in place of any that has not been sent yet.
+// SendGossip sends gossip to the peer. It replaces gossip that has not been sent yet.
 func (l *Link) SendGossip(message *wire.Gossip) { replace(l.gossip, message) }
 
-// SendHeartbeat sends a heartbeat to the peer, in place of one that has not been sent yet.
+// SendHeartbeat sends a heartbeat to the peer. It replaces a heartbeat that has not been sent
+// yet.
 func (l *Link) SendHeartbeat(message *wire.LeaderHeartbeat) { replace(l.heartbeats, message) }
 
-// replace puts a message into a mailbox of one, in place of an older one.
+// replace puts a message into a mailbox with a capacity of one, and discards an older message.
 func replace[M any](mailbox chan M, message M) {
 	for {
 		select {
@@ -49,8 +50,8 @@
 	}
 }
 
-// SendDecisionLog sends a message of the decision log. Acknowledged is called, in another
-// goroutine, if the peer replies in time.
+// SendDecisionLog sends a message of the decision log. If the peer replies in time,
+// acknowledged is called in another goroutine.
 func (l *Link) SendDecisionLog(message *wire.DecisionLog, acknowledged func(wire.DecisionLogAck)) {
 	l.enqueue(func(ctx context.Context, client *rpc.Client) {
 		if client == nil {
@@ -65,8 +66,8 @@
 	})
 }
 
-// Forward forwards a user's request. Answered is called with the answer, or with status 0 if
-// there is none; it must not block.
+// Forward forwards a user's request. It calls answered with the answer, or with status 0 if the
+// peer does not answer. The function may be called in any goroutine and must not block.
 func (l *Link) Forward(request wire.UserCall, answered func(wire.UserAnswer)) {
 	queued := l.enqueue(func(ctx context.Context, client *rpc.Client) {
 		if client == nil {
@@ -86,8 +87,8 @@
 	}
 }
 
-// enqueue has the actor run a function with the connection's client, which is nil if there is
-// no connection. It reports whether there was room in the queue.
+// enqueue queues a function for the actor, which calls it with the connection's client, or with
+// nil if the link is not connected. It reports whether the queue had space for the function.
 func (l *Link) enqueue(function func(context.Context, *rpc.Client)) bool {
 	select {
 	case l.calls <- function:
@@ -97,8 +98,8 @@
 	}
 }
 
-// call makes a call and waits for the reply. Without one in time it returns errNoReply; the
-// call may have been carried out.
+// call makes a call and waits for the reply. It returns errNoReply if the reply does not arrive
+// in time; the peer may have executed the call nevertheless.
 func call(ctx context.Context, client *rpc.Client, method string, args, reply any, timeout time.Duration) error {
 	pending := client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
@@ -111,7 +112,7 @@
 	}
 }
 
-// start makes a call whose reply nobody waits for. It reports whether the connection took it.
+// start makes a call without waiting for the reply. It reports false if the call failed at once.
 func start(client *rpc.Client, method string, args any) bool {
 	pending := client.Go(method, args, &Ack{}, make(chan *rpc.Call, 1))
 	select {
@@ -122,8 +123,8 @@
 	}
 }
 
-// QueryLeadership asks the controller at an address (host:port) for its view of the leader
-// and its standby. Connecting and the reply may each take up to timeout.
+// QueryLeadership queries the controller at an address (host:port) for its view of the leader
+// and the standby. The timeout applies to connecting and to the reply separately.
 func QueryLeadership(ctx context.Context, address string, timeout time.Duration) (wire.LeadershipStatus, error) {
 	var status wire.LeadershipStatus
 	dialer := net.Dialer{Timeout: timeout}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -1,7 +1,7 @@
-// Package peer connects the controllers of a deployment by net/rpc over TCP, with gob. The
-// protocol between controllers is the project's own: gossip, the leader's heartbeats and its
-// decision log, user requests that are forwarded, and the status that operators ask for.
-// Service serves it, and Link is one controller's connection to another.
+// Package peer connects the controllers of a deployment by net/rpc over TCP, with gob encoding.
+// Controllers exchange gossip, the leader's heartbeats and decision log, and forwarded user
+// requests; operators' commands query a controller's status. Service is the server side, and
+// Link is the connection of one controller to another.
 package peer
 
 import (
@@ -17,34 +17,36 @@
 
 const (
 	dialTimeout = time.Second
-	// redialInterval is the least time between an attempt to connect that failed and the next.
+	// redialInterval is the least time between a failed attempt to connect and the next one.
 	redialInterval = time.Second
-	// forwardQueueSize is how many calls may wait while gossip is on its way to the peer,
-	// which may take gossipTimeout. On a site of 4,000 machines users make some 500 requests
-	// a second, and a controller that the state service refuses forwards all of them.
+	// forwardQueueSize is how many calls may wait while the actor sends gossip, which may
+	// take gossipTimeout. On a site of 4,000 machines users make about 500 requests a second,
+	// and a controller that the state service refuses forwards all of them.
 	forwardQueueSize = 4096
 )
 
-// Link is the connection to one peer. An actor, run, owns it: it connects when there is
-// something to send, and again after the connection has broken.
+// Link is the connection to one peer. A goroutine of its own, the actor, runs run and owns the
+// connection: it connects when it has something to send, and reconnects after the connection
+// has broken.
 //
-// Gossip and heartbeats wait in mailboxes of one message, where a newer message replaces an
-// older one, as each is complete by itself. Calls wait in a queue.
+// Gossip and heartbeats each wait in a mailbox for one message. A newer message replaces an
+// older one, which is not needed any more, as each message is complete. Calls wait in a queue.
 type Link struct {
 	address    string
 	broken     func()
 	gossip     chan *wire.Gossip
 	heartbeats chan *wire.LeaderHeartbeat
 	calls      chan func(context.Context, *rpc.Client)
-	running    sync.WaitGroup // the actor and its calls
+	running    sync.WaitGroup // goroutines of the actor and of its calls
 
-	// What follows belongs to the actor.
-	client   *rpc.Client // nil while there is no connection
+	// The following fields are used by the actor only.
+	client   *rpc.Client // nil while not connected
 	redialAt time.Time
 }
 
-// Dial starts the actor of a link to the peer at an address (host:port), which ends with ctx.
-// Broken is called, in another goroutine, whenever the connection has broken or can't be made.
+// Dial returns a link to the peer at an address (host:port) and starts its actor, which ends
+// when ctx ends. Whenever the connection breaks or can't be made, broken is called in another
+// goroutine.
 func Dial(ctx context.Context, address string, broken func()) *Link {
 	l := &Link{
 		address: address, broken: broken,
@@ -55,10 +57,10 @@
 	return l
 }
 
-// Wait returns when the actor and all calls have ended, after the end of the context.
+// Wait waits until the actor and all calls have ended. They do after the context has ended.
 func (l *Link) Wait() { l.running.Wait() }
 
-// run is the actor. It closes the connection when ctx ends.
+// run sends messages and calls until ctx ends, and then closes the connection.
 func (l *Link) run(ctx context.Context) {
 	defer l.disconnect()
 	for {
@@ -66,7 +68,7 @@
 		case <-ctx.Done():
 			return
 		case message := <-l.heartbeats:
-			// The reply is not waited for: a late heartbeat is followed by the next.
+			// Not waiting for the reply keeps one late heartbeat from delaying the next.
 			if l.connect(ctx) && !start(l.client, methodHeartbeat, message) {
 				l.disconnect()
 			}
@@ -81,8 +83,8 @@
 	}
 }
 
-// connect connects unless there is a connection, or the last attempt failed too recently. It
-// reports whether there is a connection.
+// connect connects to the peer, unless the link is connected already or the last attempt failed
+// less than redialInterval ago. It reports whether the link is connected.
 func (l *Link) connect(ctx context.Context) bool {
 	if l.client != nil || time.Now().Before(l.redialAt) {
 		return l.client != nil
@@ -98,7 +100,7 @@
 	return true
 }
 
-// disconnect closes the connection, if there is one; calls in progress fail.
+// disconnect closes the connection, if any; calls in progress fail.
 func (l *Link) disconnect() {
 	if l.client != nil {
 		l.client.Close()
@@ -106,14 +108,15 @@
 	}
 }
 
-// monitoredConn is a connection that calls broken when the peer or the network has broken it.
+// monitoredConn is a connection that calls broken when it fails or the peer closes it.
 type monitoredConn struct {
 	net.Conn
 	broken func()
 }
 
-// Read calls broken after an error, unless this side has closed the connection. An
-// rpc.Client reads all the time, and does not read again after an error.
+// Read reads from the connection, and calls broken after an error unless this side has closed
+// the connection. An rpc.Client reads continuously and stops at the first error, so a broken
+// connection is detected at once, and reported once.
 func (c monitoredConn) Read(buffer []byte) (int, error) {
 	read, err := c.Conn.Read(buffer)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -11,7 +11,7 @@
 	"micaport/internal/wire"
 )
 
-// receiveTimeout is how long the tests wait for what should happen at once.
+// receiveTimeout is how long the tests wait for events that should occur at once.
 const receiveTimeout = 5 * time.Second
 
 // listen returns a listener on loopback that is closed when the test ends.
@@ -25,7 +25,7 @@
 	return listener
 }
 
-// receive returns the next value of a channel.
+// receive returns the next value of a channel; what describes it in the error message.
 func receive[T any](t *testing.T, values <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -44,7 +44,7 @@
 	dispatch := func(newInput func(uint64) core.Input) (core.Reply, bool) {
 		request := newInput(5).(core.UserRequest)
 		if !request.Forwarded {
-			t.Error("a forwarded request could be forwarded again")
+			t.Error("the request is not marked as forwarded, so it could be forwarded again")
 		}
 		return core.Reply{RequestID: 5, Status: http.StatusOK, Body: wire.JobStatus{JobID: request.JobID, Status: "done"}}, true
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// A leader's heartbeats and decision log reach its standby, which acknowledges the log;
-// operators get the status, and the end of a connection is noticed at once.
+// The standby receives the leader's heartbeats and decision log, and acknowledges the log.
+// Operators can query the status. The link reports at once that its connection has broken.
 func TestLeaderMessages(t *testing.T) {
 	listener := listen(t)
 	received := make(chan core.Input, 10)
@@ -94,12 +94,12 @@
 	if status, err := QueryLeadership(t.Context(), listener.Addr().String(), time.Second); err != nil || status.Leader != "n0" || status.Revision != 7 {
 		t.Errorf("got %+v, %v", status, err)
 	}
-	listener.Close() // the peer is gone: nothing accepts another connection
+	listener.Close() // so that the link can't reconnect
 	receive(t, accepted, "connection").Close()
-	receive(t, broken, "notice of the connection's end")
+	receive(t, broken, "report of the broken connection")
 }
 
-// recordingListener passes on the connections that it accepts.
+// recordingListener also sends the connections that it accepts to a channel.
 type recordingListener struct {
 	net.Listener
 	accepted chan net.Conn
@@ -113,7 +113,7 @@
 	return conn, err
 }
 
-// A request that is forwarded to a peer that is down is answered without a status.
+// A request that is forwarded to a peer that is down gets an answer with status 0.
 func TestPeerDown(t *testing.T) {
 	listener := listen(t)
 	listener.Close()
@@ -125,8 +125,8 @@
 	}
 }
 
-// When the context ends, a link and its calls end at once, and a server closes its listener
-// and connections.
+// When the context ends, a link and its calls end at once, and Serve closes its listener and
+// connections.
 func TestContextEndsLinkAndServer(t *testing.T) {
 	listener := listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -12,14 +12,14 @@
 	"micaport/internal/wire"
 )
 
-// serviceName is the name of Service in net/rpc. It and the names of the methods are the
-// protocol between controllers of different versions.
+// serviceName is the name of Service in net/rpc. It and the names of the methods must not
+// change, as they are the protocol between controllers of different versions.
 const serviceName = "Peer"
 
-// errOverloaded is returned for calls that the core could not take or answer in time.
+// errOverloaded is returned for calls that the core could not accept or answer in time.
 var errOverloaded = errors.New(api.OverloadedText)
 
-// Service is what controllers serve each other by net/rpc.
+// Service implements the net/rpc methods that controllers call on each other.
 type Service struct {
 	post     func(core.Input)
 	dispatch api.Dispatch
@@ -28,19 +28,19 @@
 // Ack is an empty argument or reply.
 type Ack struct{}
 
-// Gossip receives a peer's gossip.
+// Gossip passes a peer's gossip to the core.
 func (s *Service) Gossip(message *wire.Gossip, _ *Ack) error {
 	s.post(core.GossipReceived{Message: message})
 	return nil
 }
 
-// Heartbeat receives a leader's heartbeat.
+// Heartbeat passes a leader's heartbeat to the core.
 func (s *Service) Heartbeat(message *wire.LeaderHeartbeat, _ *Ack) error {
 	s.post(core.HeartbeatReceived{Message: message})
 	return nil
 }
 
-// DecisionLog receives a message of the leader's decision log and acknowledges it.
+// DecisionLog passes a message of the leader's decision log to the core, which acknowledges it.
 func (s *Service) DecisionLog(message *wire.DecisionLog, ack *wire.DecisionLogAck) error {
 	reply, ok := s.dispatch(func(requestID uint64) core.Input {
 		return core.DecisionLogReceived{RequestID: requestID, Message: message}
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// Serve accepts connections of peers until the listener fails or ctx ends, and returns the
-// listener's error. It then closes the listener and all connections; calls in progress end by
-// themselves.
+// Serve accepts connections of peers until the listener fails or ctx ends, then closes the
+// listener and all connections, and returns the listener's error. It does not wait for calls in
+// progress.
 func Serve(ctx context.Context, listener net.Listener, post func(core.Input), dispatch api.Dispatch) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, &Service{post: post, dispatch: dispatch}); err != nil {
@@ -102,13 +102,13 @@
 	}
 }
 
-// peerIdleTimeout is how long a connection may be silent. A peer sends something every
-// second; what remains of one that has failed without closing its connections must not take
-// the place of its next incarnation.
+// peerIdleTimeout is how long a connection may be idle; peers send a message every second. The
+// connections of a peer that failed without closing them must be closed, as the number of
+// connections is limited and the peer's next incarnation needs new ones.
 const peerIdleTimeout = 20 * time.Second
 
-// idleTimeoutConn is a connection whose reads fail after peerIdleTimeout without data, upon
-// which net/rpc closes it.
+// idleTimeoutConn is a connection whose reads fail after peerIdleTimeout without data. After
+// such an error net/rpc closes the connection.
 type idleTimeoutConn struct{ net.Conn }
 
 func (c idleTimeoutConn) Read(buffer []byte) (int, error) {
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -17,21 +17,21 @@
 const (
 	commandDialTimeout = 700 * time.Millisecond
 	commandTimeout     = 3 * time.Second
-	// maxCommandResponse bounds what is read of a worker's response, in bytes. Only its
-	// status matters.
+	// maxCommandResponse is how many bytes of a worker's response are read. Only its status
+	// is used.
 	maxCommandResponse = 64 << 10
 )
 
-// CommandClient sends batches of commands to workers' own addresses.
+// CommandClient sends batches of commands directly to workers.
 type CommandClient struct {
 	http     *http.Client
-	inFlight chan struct{} // a slot for each batch on its way
+	inFlight chan struct{} // a slot for each batch in progress
 	post     func(core.Input)
 	running  sync.WaitGroup // batches
 }
 
-// NewCommandClient returns a client. It keeps no connections open, as there are many workers
-// and each of them is rarely sent commands. Post delivers results to the core.
+// NewCommandClient returns a client that passes its results to post. It keeps no connections
+// open, as a deployment has many workers and rarely sends commands to the same one directly.
 func NewCommandClient(post func(core.Input)) *CommandClient {
 	return &CommandClient{
 		http: &http.Client{Timeout: commandTimeout, Transport: &http.Transport{
@@ -43,13 +43,14 @@
 	}
 }
 
-// Wait returns when all batches have been answered or given up. No batch may be sent
+// Wait waits until the results of all batches have been delivered. No batch may be sent
 // meanwhile.
 func (c *CommandClient) Wait() { c.running.Wait() }
 
-// Send sends a batch in a goroutine of its own, until ctx ends, and delivers
-// core.CommandsAnswered. With too many batches on their way it is not sent, and the outcome
-// is Refused: the worker gets the commands with the reply to its next heartbeat.
+// Send sends a batch in a goroutine of its own and delivers core.CommandsAnswered. The request
+// is cancelled when ctx ends. If too many batches are in progress, the batch is not sent and
+// the outcome is kv.Refused; the worker then receives the commands with the reply to its next
+// heartbeat.
 func (c *CommandClient) Send(ctx context.Context, commands core.SendCommands) {
 	select {
 	case c.inFlight <- struct{}{}:
@@ -64,13 +65,14 @@
 	})
 }
 
-// exchange sends a batch and returns what is certain about its effect.
+// exchange sends a batch and returns the outcome, which is kv.Unknown if the worker may have
+// executed the commands.
 func (c *CommandClient) exchange(ctx context.Context, commands core.SendCommands) kv.Outcome {
 	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
 		Method: http.MethodPost, URL: "http://" + commands.Address + "/orders", Body: commands.Batch,
 		NoReplay: true, MaxResponseBytes: maxCommandResponse,
 	})
-	switch response.Status { // known even if the body of the response broke off
+	switch response.Status { // set even if reading the body failed
 	case http.StatusOK:
 		return kv.OK
 	case http.StatusConflict, http.StatusBadRequest:
@@ -81,7 +83,7 @@
 	case errors.Is(err, msgpackhttp.ErrNotSent):
 		return kv.Refused
 	case errors.As(err, &network) && network.Op == "dial":
-		return kv.Refused // a connection that was given up does not complete later
+		return kv.Refused // after a failed dial the batch is not sent later either
 	}
 	return kv.Unknown
 }
--- a/internal/worker/commands_test.go
+++ b/internal/worker/commands_test.go
@@ -25,8 +25,8 @@
 	return listener.Addr().String()
 }
 
-// The outcome of sending a start decides what later proves that its task is gone, so only
-// what certainly did not happen may be Refused.
+// The outcome of a start command determines which evidence later proves that its task has
+// stopped, so it may be Refused only if the worker certainly did not execute the command.
 func TestCommandOutcomes(t *testing.T) {
 	const noResponse = 0
 	var status atomic.Int32
@@ -74,6 +74,6 @@
 		}
 	}
 	if batch := <-batches; batch.Token != 41 || batch.Epoch != 3 || len(batch.Commands) != 1 || batch.Commands[0].Attempt != 2 {
-		t.Errorf("the worker got %+v", batch)
+		t.Errorf("the worker received %+v", batch)
 	}
 }
--- a/internal/worker/heartbeats.go
+++ b/internal/worker/heartbeats.go
@@ -1,5 +1,5 @@
-// Package worker is the adapter to the workers, the agents on the machines, in MessagePack
-// over HTTP. It serves their heartbeats (POST /v1/report), whose replies carry commands, and
+// Package worker is the adapter to the workers, the agents on the machines, by MessagePack over
+// HTTP. It receives their heartbeats (POST /v1/report), whose replies contain commands, and
 // sends commands directly to workers (POST /orders).
 package worker
 
