--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,8 +1,8 @@
-// Package cloud is the adapter to the cloud from which machines are provisioned, spoken to in
-// MessagePack over HTTP: GET /flavors (machine types), POST /hosts (provision), POST
-// /hosts/return (deprovision) and GET /hosts (list of machines). It keeps within the cloud's
-// request rate, and begins provisioning and deprovisioning calls only for as long as the
-// leader that decided them may make them.
+// Package cloud is the adapter to the cloud that provides machines, whose API is MessagePack
+// over HTTP: GET /flavors (machine types), POST /hosts (provision), POST /hosts/return
+// (deprovision) and GET /hosts (list of machines). It keeps within the cloud's rate limit, and
+// starts provisioning and deprovisioning calls only while the leader that decided them is
+// still allowed to call the cloud.
 package cloud
 
 import (
@@ -27,11 +27,12 @@
 const (
 	dialTimeout    = 2 * time.Second
 	requestTimeout = 5 * time.Second
-	// callTimeout bounds a call with its waits, and with all pages of a list.
+	// callTimeout limits a call, including its waits and all pages of a list.
 	callTimeout = 20 * time.Second
-	// rateShare is the share of the cloud's request rate that is used.
+	// rateShare is the share of the cloud's rate limit that is used.
 	rateShare = 0.85
-	// A list waits while urgent calls are waiting, at most maxYields times yieldInterval.
+	// A list waits while provisioning or deprovisioning calls are pending, but at most
+	// maxYields times yieldInterval.
 	yieldInterval = 200 * time.Millisecond
 	maxYields     = 20
 
@@ -39,12 +40,12 @@
 	maxResponseBytes = 16 << 20
 )
 
-// noCapacityText is the error of a machine type and zone without capacity; status 503 with
-// another error is a failure of the cloud.
+// noCapacityText is the cloud's error, with status 503, when a machine type has no capacity in a
+// zone. Status 503 with another error is a failure of the cloud.
 const noCapacityText = "no capacity"
 
 // Client makes the calls of one controller. Every call runs in a goroutine of its own, which
-// delivers the result to the core and ends early when its context does.
+// delivers the result to the core; a call is cancelled when its context ends.
 type Client struct {
 	baseURL string
 	http    *http.Client
@@ -52,18 +53,19 @@
 	post    func(core.Input)
 	running sync.WaitGroup // calls
 
-	urgentCalls atomic.Int32 // provisioning and deprovisioning calls, waiting ones included
+	urgentCalls atomic.Int32 // provisioning and deprovisioning calls that are waiting or in progress
 	permission  atomic.Pointer[permission]
 }
 
-// permission is the time until which calls of a term may be begun.
+// permission allows the provisioning and deprovisioning calls of a leader's term to be started
+// until a time.
 type permission struct {
 	term  uint64
 	until time.Time
 }
 
-// New returns a client of the cloud at an address (host:port) that keeps below its requests a
-// second. Post delivers results to the core.
+// New returns a client of the cloud at an address (host:port). It keeps below rps, the requests
+// a second that the cloud allows, and passes its results to post.
 func New(address string, rps float64, post func(core.Input)) *Client {
 	return &Client{
 		baseURL: "http://" + address,
@@ -77,16 +79,18 @@
 	}
 }
 
-// Wait returns when all calls have ended. No call may begin meanwhile.
+// Wait waits until all calls have ended. No call may be started meanwhile.
 func (c *Client) Wait() { c.running.Wait() }
 
-// AllowCalls allows provisioning and deprovisioning calls of a term to be begun until a time,
-// including those that are waiting for their turn, and forbids those of all other terms.
+// AllowCalls allows the provisioning and deprovisioning calls of a term to be started until a
+// time, including those that are waiting already, and forbids those of all other terms.
 func (c *Client) AllowCalls(term uint64, until time.Time) {
 	c.permission.Store(&permission{term, until})
 }
 
-// deadline is the time until which a provisioning or deprovisioning call may be begun.
+// deadline returns the time until which a provisioning or deprovisioning call may be started.
+// A call without a term is valid for its ValidFor; the deadline of a call whose term has no
+// permission is the zero time.
 func (c *Client) deadline(call core.CallCloud, decided time.Time) time.Time {
 	if call.Term == 0 {
 		return decided.Add(call.ValidFor)
@@ -97,12 +101,12 @@
 	return time.Time{}
 }
 
-// dialDeadline is the context key of the time until which a call may be begun.
+// dialDeadline is the context key of the time until which a call may be started.
 type dialDeadline struct{}
 
-// dial connects to the cloud, at the latest when the call that needs the connection may no
-// longer be begun: a call that waits for a connection must not be sent by a leader that has
-// been replaced meanwhile.
+// dial connects to the cloud. It fails when the call that needs the connection may no longer be
+// started: a leader that has been replaced while its call waited for a connection must not send
+// the call.
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	if deadline, bounded := ctx.Value(dialDeadline{}).(time.Time); bounded {
@@ -111,8 +115,8 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Call makes a call and delivers core.CloudAnswered. Its outcome is Refused if the call was
-// not begun in time.
+// Call makes a call in a goroutine of its own and delivers core.CloudAnswered. The outcome is
+// kv.Refused if the call could not be started in time.
 func (c *Client) Call(ctx context.Context, call core.CallCloud) {
 	decided := time.Now()
 	c.running.Go(func() {
@@ -141,7 +145,7 @@
 	})
 }
 
-// perform makes a call now.
+// perform makes a call at once and returns the result.
 func (c *Client) perform(ctx context.Context, call core.CallCloud) core.CloudAnswered {
 	result := core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}
 	switch {
@@ -161,8 +165,8 @@
 	return result
 }
 
-// yieldToUrgent lets provisioning and deprovisioning calls go first, for a while: a list only
-// reveals machines that no controller knows.
+// yieldToUrgent waits while provisioning or deprovisioning calls are pending, for a limited time.
+// Lists are less urgent: they only reveal machines that no controller has recorded.
 func (c *Client) yieldToUrgent(ctx context.Context) {
 	for i := 0; i < maxYields && c.urgentCalls.Load() > 0; i++ {
 		select {
@@ -173,7 +177,8 @@
 	}
 }
 
-// listMachines fetches all pages of the list of machines, each within the rate limit.
+// listMachines returns the machines of all pages of the list. It applies the rate limit to
+// each page.
 func (c *Client) listMachines(ctx context.Context) ([]wire.CloudMachine, kv.Outcome) {
 	var machines []wire.CloudMachine
 	query := url.Values{"limit": {listPageSize}}
@@ -194,8 +199,8 @@
 	}
 }
 
-// exchange sends a request, decodes the response into target unless that is nil, and returns
-// what is certain about the request's effect.
+// exchange sends a request and decodes the response into target, unless that is nil. It returns
+// the outcome, which is kv.Unknown if the cloud may have processed the request.
 func (c *Client) exchange(ctx context.Context, method, path string, body, target any) kv.Outcome {
 	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
 		Method: method, URL: c.baseURL + path, Body: body, MaxResponseBytes: maxResponseBytes,
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -13,7 +13,7 @@
 	"micaport/internal/wire"
 )
 
-// call makes a call to a cloud that the handler stands for, and returns the result.
+// call makes a call to a cloud that is simulated by the handler, and returns the result.
 func call(t *testing.T, handler http.HandlerFunc, request core.CallCloud) core.CloudAnswered {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -30,11 +30,12 @@
 	}
 }
 
-// object is a MessagePack map, as the cloud sends it.
+// object is a MessagePack map, the form of all responses of the cloud.
 type object = map[string]any
 
-// Without capacity another machine type or zone is tried, after a refusal the same one later,
-// and without an answer the request may have been carried out.
+// The core needs to distinguish these outcomes: after NoCapacity it tries another machine type
+// or zone, after Refused the same one later, and after Unknown the request may have been
+// processed.
 func TestProvisionOutcomes(t *testing.T) {
 	provision := core.CallCloud{ID: 4, ValidFor: time.Minute, Provision: &wire.ProvisionRequest{Name: "r-1-1", MachineType: "g2", Zone: "a", Count: 2}}
 	for _, test := range []struct {
@@ -76,8 +77,8 @@
 	}
 }
 
-// A call that was decided too long ago is not sent: another controller may lead by now, and
-// the machines may be in use.
+// A call that was decided too long ago is not sent: another controller may be the leader by
+// now, and the machines may be in use.
 func TestLateDeprovisioningIsNotSent(t *testing.T) {
 	sent := false
 	result := call(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -89,27 +90,27 @@
 	}
 }
 
-// A call that waits for its turn may be begun for as long as the permission of its term
-// lasts, which later ones extend, and not with the permission of another term.
+// A waiting call may be started until the permission of its term ends. Later permissions of
+// the same term extend that time, those of other terms do not.
 func TestCallsNeedThePermissionOfTheirTerm(t *testing.T) {
 	now := time.Now()
 	client := New("127.0.0.1:1", 100, nil)
 	request := core.CallCloud{Deprovision: []string{"vm-1"}, ValidFor: time.Second, Term: 7}
 	if deadline := client.deadline(request, now); !deadline.IsZero() {
-		t.Errorf("without a permission it may be begun until %v", deadline)
+		t.Errorf("without a permission the call may be started until %v", deadline)
 	}
 	for _, until := range []time.Time{now.Add(3 * time.Second), now.Add(4 * time.Second)} {
 		client.AllowCalls(7, until)
 		if deadline := client.deadline(request, now); !deadline.Equal(until) {
-			t.Errorf("may be begun until %v, not %v", deadline, until)
+			t.Errorf("the call may be started until %v, want %v", deadline, until)
 		}
 	}
 	client.AllowCalls(9, now.Add(time.Minute))
 	if !client.deadline(request, now).IsZero() {
-		t.Error("a call of an earlier term may be begun")
+		t.Error("a call of an earlier term may be started")
 	}
 	request.Term = 0
 	if !client.deadline(request, now).Equal(now.Add(time.Second)) {
-		t.Error("a call without a term depends on the permission of another")
+		t.Error("a call without a term depends on the permission of a term")
 	}
 }
