--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,7 +1,7 @@
-// Package api serves users (POST and GET /api/jobs, cancellation) and the load balancer's
-// health checks (GET /ready), in MessagePack over HTTP. It defines how an HTTP request becomes
-// an input of the core, and limits the connections to the address that it shares with the
-// workers' routes of package worker.
+// Package api is the HTTP API for users (POST and GET /api/jobs, cancellation) and for the load
+// balancer's health checks (GET /ready), with MessagePack bodies. It converts HTTP requests to
+// inputs of the core, and limits the connections to the listener, which also serves the routes
+// for workers of package worker.
 package api
 
 import (
@@ -18,22 +18,22 @@
 	"micaport/internal/wire"
 )
 
-// MaxBodyBytes is the protocol's limit for the body of a request.
+// MaxBodyBytes is the largest body of a request that the protocol allows.
 const MaxBodyBytes = 64 << 10
 
-// OverloadedText is the error of requests that the core could not take or answer in time.
+// OverloadedText is the error of requests that the core could not accept or answer in time.
 const OverloadedText = "overloaded"
 
-// overloadedRetryS is after how many seconds a user may repeat such a request.
+// overloadedRetryS is the Retry-After of such requests, in seconds.
 const overloadedRetryS = 1
 
-// Dispatch passes an input to the core and waits for the reply. The input is made by newInput
-// for the ID that the reply will carry. The result is false if the core could not take the
-// input, or did not reply in time.
+// Dispatch passes an input to the core and returns the reply. It calls newInput with the ID of
+// the request, which the input and its reply carry. It returns false if the core could not
+// accept the input, or did not reply in time.
 type Dispatch func(newInput func(requestID uint64) core.Input) (core.Reply, bool)
 
-// RegisterRoutes adds the routes for users, which are passed to dispatch, and the health
-// check, which succeeds once ready returns true.
+// RegisterRoutes adds the routes for users, whose requests are passed to dispatch, and the
+// health check, which succeeds once ready returns true.
 func RegisterRoutes(router *httprouter.Router, dispatch Dispatch, ready func() bool) {
 	const jobParam = "job"
 	router.POST("/api/jobs", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -63,8 +63,8 @@
 	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
 }
 
-// ReadBody reads the body of a request. If that fails or the body is too large it responds
-// with status 400 and returns false.
+// ReadBody returns the body of a request. If the body can't be read or is too large, ReadBody
+// responds with status 400 and returns false.
 func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -111,17 +111,17 @@
 	readTimeout       = 15 * time.Second
 	writeTimeout      = 15 * time.Second
 	maxHeaderBytes    = 8 << 10
-	// spareConnections is the share, one in so many, of the connections that is kept free.
+	// spareConnections: one in spareConnections of the allowed connections is kept free.
 	spareConnections = 16
 )
 
 // NewServer returns an HTTP server that bounds slow and half-open connections.
 //
-// A connection that has been idle for a worker lease is closed, as it is of no use to its
-// worker any more. When nearly maxConnections are open, the one that has been idle for longest
-// is closed for each new one: those of dead machines and of machines behind a partition are
-// idle for longest, and would lock out users, health checks and the workers of a controller
-// that has failed.
+// A connection that has been idle for the duration of a worker lease is closed: the lease of
+// its worker has expired. When nearly maxConnections are open, each new connection closes the
+// one that has been idle for longest. The longest idle connections are those of failed or
+// partitioned machines, which would otherwise lock out users, health checks and the workers of
+// a controller that has failed.
 func NewServer(handler http.Handler, workerLease time.Duration, maxConnections int) *http.Server {
 	limiter := newConnLimiter(maxConnections - max(1, maxConnections/spareConnections))
 	return &http.Server{
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -12,8 +12,9 @@
 	"micaport/internal/wire"
 )
 
-// newTestServer serves the routes with a core that gives every request the same reply, or
-// none if it does not serve. It returns the requests that the core has received.
+// newTestServer serves the routes with a simulated core, which gives every request the same
+// reply if serves is true, and otherwise none. It returns the server and the requests that the
+// core has received.
 func newTestServer(t *testing.T, reply core.Reply, serves bool) (*httptest.Server, *[]core.UserRequest) {
 	t.Helper()
 	var received []core.UserRequest
@@ -85,7 +86,7 @@
 	}
 }
 
-// A user learns when to repeat a request that the core could not take.
+// The response to a request that the core could not accept has a Retry-After header.
 func TestOverloadNamesARetryTime(t *testing.T) {
 	server, _ := newTestServer(t, core.Reply{}, false)
 	response := send(t, http.MethodPost, server.URL+"/api/jobs", []byte{0x80})
--- a/internal/api/connlimit.go
+++ b/internal/api/connlimit.go
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// connLimiter keeps the number of open connections below a limit by closing idle ones.
-// Connections in use are never closed, so the limit may be exceeded.
+// connLimiter limits the number of open connections by closing idle ones. It never closes
+// connections in use, so the limit may be exceeded.
 type connLimiter struct {
 	limit int
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the following fields
 	open   int
-	idle   *list.List // of net.Conn, the one that has been idle for longest first
+	idle   *list.List // net.Conn values, the longest idle one first
 	byConn map[net.Conn]*list.Element
 }
 
@@ -29,8 +29,8 @@
 	}
 }
 
-// track records the state of a connection. It returns an idle connection to be closed in
-// favor of a new one, or nil.
+// track records the state of a connection. If the connection is new and the limit is exceeded,
+// it returns an idle connection to be closed; otherwise it returns nil.
 func (l *connLimiter) track(conn net.Conn, state http.ConnState) net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/api/connlimit_test.go
+++ b/internal/api/connlimit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Near the limit the connection that has been idle for longest is closed, never one that is
+// At the limit the connection that has been idle for longest is closed, and never one that is
 // in use.
 func TestLongestIdleIsClosed(t *testing.T) {
 	limiter := newConnLimiter(3)
@@ -28,7 +28,7 @@
 	}
 	expect(1, http.StateIdle, nil)
 	expect(0, http.StateIdle, nil)
-	expect(1, http.StateActive, nil) // 1 is served again, so 0 has been idle for longest
+	expect(1, http.StateActive, nil) // 1 is in use again, so 0 has been idle for longest
 	expect(3, http.StateNew, conns[0])
 	expect(0, http.StateClosed, nil)
 	expect(4, http.StateNew, nil) // none is idle
--- a/internal/msgpackhttp/msgpackhttp.go
+++ b/internal/msgpackhttp/msgpackhttp.go
@@ -1,6 +1,6 @@
-// Package msgpackhttp sends and answers HTTP requests with MessagePack bodies. The adapters
-// to the state service, the cloud and the workers send with it, and the API answers with it.
-// Their protocols differ in what a status means; the exchange itself is the same.
+// Package msgpackhttp sends HTTP requests and writes HTTP responses with MessagePack bodies. The
+// adapters to the state service, the cloud and the workers send requests with it, and the API
+// responds with it. The meaning of a status is left to the callers, as their protocols differ.
 package msgpackhttp
 
 import (
@@ -14,7 +14,7 @@
 	"micaport/internal/wire"
 )
 
-// ErrNotSent says that a request could not be built, so that certainly nothing was sent.
+// ErrNotSent is wrapped by the error of a request that could not be built: nothing was sent.
 var ErrNotSent = errors.New("request was not sent")
 
 // Request is an HTTP request.
@@ -22,9 +22,9 @@
 	Method string // one of the http.Method constants
 	URL    string
 	Body   any // encoded as MessagePack; nil sends no body
-	// NoReplay keeps net/http from sending a request with a body again on a new connection
-	// when an idle one turns out to be closed. It is for callers that must know how often
-	// the receiver may have seen a request.
+	// NoReplay keeps net/http from resending a request with a body on a new connection when
+	// an idle connection is found to be closed. It is for callers that depend on how often
+	// the receiver may have received a request.
 	NoReplay bool
 	// MaxResponseBytes is how much of the response's body is read; the rest is discarded.
 	MaxResponseBytes int64
@@ -38,9 +38,9 @@
 
 // Do sends a request and reads the response.
 //
-// An error wraps ErrNotSent when the request could not be built. Any other error is that of
-// client.Do, a *url.Error, if there is no response: then the request may have been carried
-// out. If the response broke off after its header, Do returns its status with the error.
+// If the request could not be built, the error wraps ErrNotSent. If no response was received,
+// the error is the *url.Error of client.Do, and the receiver may have processed the request. If
+// the response was cut off after its header, Do returns the status together with the error.
 func Do(ctx context.Context, client *http.Client, r Request) (Response, error) {
 	request, err := build(ctx, r)
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return Response{}, err // names the method and the URL
+		return Response{}, err // contains the method and the URL
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, r.MaxResponseBytes))
@@ -58,7 +58,7 @@
 	return Response{Status: response.StatusCode, Body: body}, nil
 }
 
-// build makes the request of net/http, with the encoded body.
+// build returns the http.Request with the encoded body.
 func build(ctx context.Context, r Request) (*http.Request, error) {
 	var body io.Reader
 	if r.Body != nil {
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	if r.NoReplay {
-		request.GetBody = nil // without it the transport has nothing to send again
+		request.GetBody = nil // without it the transport can't resend the body
 	}
 	return request, nil
 }
@@ -90,8 +90,8 @@
 const contentType = "application/msgpack"
 
 // Respond writes a response with a body, which is encoded as MessagePack unless it is a
-// []byte, which is already encoded. A body that can't be encoded becomes status 500. Errors
-// of the connection are left to the HTTP server, which closes it.
+// []byte, which must be encoded already. If the body can't be encoded, the status is 500. Errors
+// of the connection are ignored, as the HTTP server closes it.
 func Respond(w http.ResponseWriter, status int, body any) {
 	encoded, isEncoded := body.([]byte)
 	if !isEncoded {
--- a/internal/msgpackhttp/msgpackhttp_test.go
+++ b/internal/msgpackhttp/msgpackhttp_test.go
@@ -11,7 +11,7 @@
 	"micaport/internal/wire"
 )
 
-// serve answers with the handler and returns the URL.
+// serve runs an HTTP server with the handler until the test ends, and returns its URL.
 func serve(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -19,7 +19,7 @@
 	return server.URL
 }
 
-// A request carries its body as MessagePack, and a response is read up to the limit.
+// Do sends the body as MessagePack, and reads the response up to the limit.
 func TestExchange(t *testing.T) {
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		var received wire.Error
@@ -47,7 +47,8 @@
 	}
 }
 
-// Errors tell what certainly was not sent from what may have been carried out.
+// The errors of Do distinguish requests that were not sent from those that may have been
+// processed.
 func TestErrors(t *testing.T) {
 	broken := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "10")
@@ -87,7 +88,8 @@
 	}
 }
 
-// A response body is encoded, passed on if it is encoded already, or replaced by status 500.
+// Respond encodes a body, sends an encoded one unchanged, and responds with status 500 if the
+// body can't be encoded.
 func TestRespond(t *testing.T) {
 	encoded, err := wire.Encode(wire.Error{Error: "x"})
 	if err != nil {
