--- a/internal/config/operator_settings.go
+++ b/internal/config/operator_settings.go
@@ -13,40 +13,41 @@
 	"micaport/internal/failover"
 )
 
-// OperatorSettings are the operators' settings, from their INI file or the command line.
+// OperatorSettings are the operators' settings, from their INI file and the command line.
 type OperatorSettings struct {
 	// IdleReturnS is how many seconds a machine may be idle before it is deprovisioned.
 	IdleReturnS float64 `ini:"idle_return_s"`
 	// SpareMachines is how many idle machines of each type and zone are kept.
 	SpareMachines int `ini:"spare_machines"`
-	// MaxMachines bounds the machines that are up or being provisioned; 0 is no bound.
+	// MaxMachines limits the machines that are up or being provisioned; 0 means no limit.
 	MaxMachines int `ini:"max_machines"`
 	// Preempt allows tasks to be preempted for guarantees and priorities.
 	Preempt bool `ini:"preempt"`
-	// Admission is what controllers admit without the leader: one of the Admit constants.
+	// Admission determines what controllers admit without the leader: one of the Admit
+	// constants.
 	Admission string `ini:"admission"`
-	// Takeover is when a failed leader is replaced: one of the Takeover constants.
+	// Takeover determines when a failed leader is replaced: one of the Takeover constants.
 	Takeover string `ini:"takeover"`
 }
 
 // Values of OperatorSettings.Takeover.
 const (
-	TakeoverByLease = "lease" // after lease expiry
+	TakeoverByLease = "lease" // after the leader's lease has expired
 	TakeoverEarly   = "early" // as soon as a quorum suspects the leader
 )
 
 // Values of OperatorSettings.Admission.
 const (
 	AdmitByLeader   = "leader"     // the leader grants everything
-	AdmitLeaderless = "leaderless" // shard owners admit while no leader can be reached
+	AdmitLeaderless = "leaderless" // shard owners admit jobs while no leader can be reached
 	AdmitGuaranteed = "guaranteed" // shard owners also admit new work within guarantees at any time
 )
 
-// LeaderLease is the duration of the leader's lease on the state service.
+// LeaderLease is the duration of the leader's lease in the state service.
 const LeaderLease = 5 * time.Second
 
-// DefaultOperator returns the settings that hold where neither the INI file nor the command
-// line sets another value.
+// DefaultOperator returns the values of settings that neither the INI file nor the command line
+// sets.
 func DefaultOperator() OperatorSettings {
 	return OperatorSettings{IdleReturnS: 40, SpareMachines: 0, Preempt: true, Admission: AdmitByLeader, Takeover: TakeoverByLease}
 }
@@ -58,9 +59,10 @@
 	"standby":   {"takeover"},
 }
 
-// LoadOperator reads and validates the operators' settings; the error joins every
-// violation. An empty path stands for an empty file. Overrides, keyed SECTION.NAME as in
-// "quota.admission", take precedence over the file: a machine without a disk has none.
+// LoadOperator reads and validates the operators' settings; the error joins all violations. An
+// empty path means an empty file. Overrides, with keys of the form SECTION.NAME such as
+// "quota.admission", take precedence over the file; they allow settings on a machine without a
+// disk, which has no file.
 func LoadOperator(path string, overrides map[string]string) (OperatorSettings, error) {
 	settings := DefaultOperator()
 	file := ini.Empty()
@@ -84,7 +86,8 @@
 	return settings, nil
 }
 
-// applyOverrides adds overrides to the parsed file, in the order of their names.
+// applyOverrides sets the overrides in the parsed file, in the order of their names, and
+// returns an error for each name that is malformed.
 func applyOverrides(file *ini.File, overrides map[string]string) []error {
 	var violations []error
 	for _, fullName := range slices.Sorted(maps.Keys(overrides)) {
@@ -117,7 +120,8 @@
 	return violations
 }
 
-// validate checks the values; names and types are checked while the file is read.
+// validate returns the violations of the values. Names and types have been checked while the
+// file was read.
 func (o *OperatorSettings) validate() []error {
 	var violations []error
 	if !slices.Contains([]string{AdmitByLeader, AdmitLeaderless, AdmitGuaranteed}, o.Admission) {
@@ -132,10 +136,11 @@
 	return violations
 }
 
-// ValidateOperator checks the operators' settings against those of the platform.
+// ValidateOperator returns an error if the operators' settings conflict with those of the
+// platform.
 func (s *Settings) ValidateOperator(operator OperatorSettings) error {
-	// Until a leader that replaced another early may call the cloud, no controller
-	// deprovisions a machine. That must not outlast the leases of the workers.
+	// After an early takeover no controller deprovisions machines until the new leader may
+	// call the cloud. This time must be shorter than a worker lease.
 	least := LeaderLease + failover.CloudFenceTime(LeaderLease)
 	if lease := Seconds(s.Deployment.Workers.LeaseS); operator.Takeover == TakeoverEarly && lease <= least {
 		return fmt.Errorf("takeover = %s needs workers.lease_s above %v, not %v", TakeoverEarly, least, lease)
--- a/internal/config/quota_changes.go
+++ b/internal/config/quota_changes.go
@@ -10,9 +10,9 @@
 	"micaport/internal/quota"
 )
 
-// LoadQuotaChanges reads an operators' file of changes to the quotas and guarantees of teams:
-// a section for each team, with the version of the account that the change is based on and
-// the amounts that change. The error joins every violation.
+// LoadQuotaChanges reads an operators' file of changes to the quotas and guarantees of teams.
+// The file has a section for each team, with the version of the account that the change is
+// based on and the amounts that change. The error joins all violations.
 //
 //	[candi]
 //	version = 0
@@ -36,7 +36,7 @@
 		violations = append(violations, sectionViolations...)
 	}
 	if len(changes) == 0 {
-		violations = append(violations, errors.New("no team is named"))
+		violations = append(violations, errors.New("no section of a team"))
 	}
 	if len(violations) > 0 {
 		return nil, fmt.Errorf("changes of limits %s:\n%w", path, errors.Join(violations...))
@@ -44,7 +44,7 @@
 	return changes, nil
 }
 
-// quotaChange parses the section of one team.
+// quotaChange returns the change that the section of a team describes, and its violations.
 func quotaChange(section *ini.Section) (quota.Change, []error) {
 	change := quota.Change{Team: section.Name()}
 	var violations []error
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,10 +1,9 @@
-// Package config reads the two settings files of a controller, the platform's (JSON) and
-// the operators' (INI), as well as the operators' files of quota changes (INI), and
-// validates them before any address is bound. It also derives from the settings the
+// Package config reads and validates the two settings files of a controller, the platform's
+// (JSON) and the operators' (INI), and the operators' files of quota changes (INI). Settings
+// are validated before any address is bound. The package also derives from the settings the
 // durations and numbers of connections that the other packages use.
 //
-// Field names of the structs are fixed by their tags; names in error messages are those of
-// the files.
+// The tags of the structs are the names in the files; error messages use these names as well.
 package config
 
 import (
@@ -14,8 +13,8 @@
 	"time"
 )
 
-// Settings is the platform's settings file. Unknown fields are ignored, as the platform may
-// add some.
+// Settings is the platform's settings file. Unknown fields are ignored, as the platform may add
+// fields.
 type Settings struct {
 	Label       string           `json:"label"`          // name of this controller
 	Zone        string           `json:"site"`           // zone that this controller runs in
@@ -39,8 +38,8 @@
 	State string `json:"state"`
 }
 
-// Deployment describes what all controllers have in common, and the limits under which each
-// of them runs.
+// Deployment contains the settings that all controllers have in common, and the limits of the
+// machine of each of them.
 type Deployment struct {
 	Size         int           `json:"size"` // number of controllers; 0 if not stated
 	Zones        []string      `json:"zones"`
@@ -62,25 +61,25 @@
 	MaxGPUs         float64 `json:"gpus_max"`
 }
 
-// ObjectiveWait is the Kind of an objective for the time from submission to start.
+// ObjectiveWait is the Kind of an objective that limits the time from submission to start.
 const ObjectiveWait = "wait"
 
-// Objective is a service level objective: a share of the jobs of a class is to reach a
+// Objective is a service level objective: the share of the jobs of a class that must reach a
 // milestone within a time.
 type Objective struct {
-	Kind    string  `json:"kind"`     // milestone, such as ObjectiveWait
+	Kind    string  `json:"kind"`     // the milestone, such as ObjectiveWait
 	Class   string  `json:"class"`    // class of jobs; empty for all
 	WithinS float64 `json:"within_s"` // seconds since submission
 	Share   float64 `json:"share"`    // share of the jobs, 0 to 1
 }
 
-// WorkerTimes are the durations of the workers' protocol, in seconds.
+// WorkerTimes are the durations of the protocol with the workers, in seconds.
 type WorkerTimes struct {
 	ReportS   float64 `json:"report_s"`    // interval between two heartbeats
 	LeaseS    float64 `json:"lease_s"`     // a worker kills its tasks this long after sending the last heartbeat that was answered
 	GangWaitS float64 `json:"gang_wait_s"` // a gang task exits when its gang is not complete after this time
-	GangPeerS float64 `json:"gang_peer_s"` // the tasks of a gang notice within this time that one of them has disappeared
-	CancelS   float64 `json:"cancel_s"`    // after a confirmed cancellation no task may run for longer
+	GangPeerS float64 `json:"gang_peer_s"` // the tasks of a gang detect within this time that one of them has disappeared
+	CancelS   float64 `json:"cancel_s"`    // no task may run for longer than this after its cancellation was confirmed
 }
 
 // StateSettings are the limits of the state service for the whole deployment. StateLimits
@@ -90,7 +89,7 @@
 	WriteRPS float64 `json:"write_rps"` // keys written or deleted a second
 	ValueKB  float64 `json:"value_kb"`  // KiB of a value
 	TxnOps   int     `json:"txn_ops"`   // keys written or deleted in a transaction
-	// Next are limits that replace the present ones at a time that is not announced.
+	// Next are limits that replace the current ones at an unannounced time.
 	Next NextStateSettings `json:"next"`
 }
 
@@ -116,7 +115,7 @@
 	Sockets   int     `json:"fd_limit"`   // open sockets
 }
 
-// Load reads and validates the platform's settings file; the error joins every violation.
+// Load reads and validates the platform's settings file; the error joins all violations.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -137,13 +136,14 @@
 	return append([]Peer{{Label: s.Label, Zone: s.Zone, Address: s.ClusterBind}}, s.Peers...)
 }
 
-// Seconds converts a number of seconds to a duration.
+// Seconds returns the duration of a number of seconds.
 func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// bytesPerKB converts the unit of value_kb.
+// bytesPerKB is the number of bytes in the unit of value_kb.
 const bytesPerKB = 1024
 
-// StateLimits are limits of the state service that hold at all times.
+// StateLimits are limits of the state service that are valid both before and after the current
+// limits are replaced by the next ones.
 type StateLimits struct {
 	RPS        float64 // requests a second
 	WriteRPS   float64 // keys written or deleted a second
@@ -151,8 +151,7 @@
 	TxnOps     int     // keys written or deleted in a transaction
 }
 
-// StateLimits returns the smaller of the present and the next limits, which hold both before
-// and after the change.
+// StateLimits returns the smaller of each current limit and its next value.
 func (s *Settings) StateLimits() StateLimits {
 	current, next := &s.Deployment.State, &s.Deployment.State.Next
 	limits := StateLimits{
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// validSettings is a settings file without violations; "new_field" is unknown to the program.
+// validSettings is a settings file without violations. "new_field" is a field that Settings
+// does not have.
 const validSettings = `{"label":"n0","site":"a","bind":"127.0.0.1:1","cluster_listen":"127.0.0.1:2",
  "peers":[{"label":"n1","site":"b","address":"127.0.0.1:3"}],
  "external":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"}, "new_field":true,
@@ -16,7 +17,7 @@
   "state":{"rps":250,"write_rps":20,"value_kb":8,"txn_ops":12},"cloud":{"rps":2,"list_lag_s":4},
   "limits":{"core_share":0.1,"mem_mb":125,"fd_limit":1200},"clock_error_ms":1000}}`
 
-// writeFile writes a file of the test's own and returns its path.
+// writeFile writes a temporary file and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -26,7 +27,7 @@
 	return path
 }
 
-// loadSettings loads settings of the given text.
+// loadSettings loads settings from a file with the given text.
 func loadSettings(t *testing.T, text string) (*Settings, error) {
 	t.Helper()
 	return Load(writeFile(t, "settings.json", text))
@@ -44,8 +45,8 @@
 	}
 }
 
-// StateLimits are the smaller of the present and the next limits, each of which may be
-// absent; violations in them are reported.
+// StateLimits returns the smaller of the current and the next limits. Each next limit may be
+// absent; an invalid one is reported.
 func TestNextStateLimits(t *testing.T) {
 	load := func(next string) (*Settings, error) {
 		t.Helper()
--- a/internal/config/sockets_test.go
+++ b/internal/config/sockets_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// All sockets together stay within the limit, and nearly all of them are for users and
-// workers, as one controller may have to serve the workers of all controllers.
+// The numbers of sockets add up to at most the limit. Nearly all sockets must be for users and
+// workers, as a single controller may have to serve the workers of all controllers.
 func TestSockets(t *testing.T) {
 	settings, err := loadSettings(t, strings.Replace(validSettings, "1200", "3389", 1))
 	if err != nil {
@@ -16,7 +16,7 @@
 	if public := settings.PublicSockets(); public+rest > 3389 || public < 3200 {
 		t.Errorf("%d sockets for users and workers, %d for the rest", public, rest)
 	}
-	// Few sockets are a violation only when the controller can't serve at all.
+	// A low limit is a violation only if the controller can't serve at all.
 	if _, err := loadSettings(t, strings.Replace(validSettings, "1200", "150", 1)); err != nil {
 		t.Errorf("150 sockets: %v", err)
 	}
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -6,45 +6,46 @@
 	"net"
 )
 
-// Least values with which a controller can serve at all.
+// Minimum values with which a controller can serve.
 const (
 	minPublicSockets = 16 // connections of users and workers
-	minMemoryMB      = 24 // MiB that the program takes by itself
-	// minTransactionOps: granting a gang across shards changes two keys.
+	minMemoryMB      = 24 // MiB that the program needs before it serves anything
+	// minTransactionOps is 2, as granting a gang across shards changes two keys.
 	minTransactionOps = 2
-	// minValueBytes: a record takes a few hundred bytes before it lists any task.
+	// minValueBytes allows for records of a few hundred bytes before they list any tasks.
 	minValueBytes = 1024
 )
 
 // validator collects the violations of settings.
 type validator struct{ violations []error }
 
+// violate adds a violation.
 func (v *validator) violate(format string, args ...any) {
 	v.violations = append(v.violations, fmt.Errorf("  "+format, args...))
 }
 
-// address requires host:port.
+// address requires a value of the form host:port.
 func (v *validator) address(name, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
 		v.violate("%s: %q is not host:port", name, value)
 	}
 }
 
-// positive also rejects NaN.
+// positive requires a value above 0. It rejects NaN, too.
 func (v *validator) positive(name string, value float64) {
 	if !(value > 0) {
 		v.violate("%s must be positive, not %v", name, value)
 	}
 }
 
-// optional requires a value to be positive unless it is absent.
+// optional requires a value to be positive unless it is nil.
 func (v *validator) optional(name string, value *float64) {
 	if value != nil {
 		v.positive(name, *value)
 	}
 }
 
-// Validate joins every violation of the settings in one error, or returns nil.
+// Validate returns an error that joins all violations of the settings, or nil.
 func (s *Settings) Validate() error {
 	v := &validator{}
 	v.controllers(s)
@@ -56,7 +57,7 @@
 	return errors.Join(v.violations...)
 }
 
-// controllers checks the names and addresses of this controller and its peers.
+// controllers checks the names and addresses of this controller, its peers and the services.
 func (v *validator) controllers(s *Settings) {
 	if s.Label == "" {
 		v.violate("label is missing")
@@ -74,7 +75,7 @@
 	labels := map[string]bool{s.Label: true}
 	for i, peer := range s.Peers {
 		if peer.Label == "" || labels[peer.Label] {
-			v.violate("peers[%d]: label %q is missing or taken", i, peer.Label)
+			v.violate("peers[%d]: label %q is missing or duplicate", i, peer.Label)
 		}
 		labels[peer.Label] = true
 		v.address(fmt.Sprintf("peers[%d].address", i), peer.Address)
@@ -104,12 +105,12 @@
 	}
 }
 
-// teams checks names, guarantees and quotas.
+// teams checks the names, guarantees and quotas of teams.
 func (v *validator) teams(teams []Team) {
 	names := map[string]bool{}
 	for i, team := range teams {
 		if team.Name == "" || names[team.Name] {
-			v.violate("teams[%d]: name %q is missing or taken", i, team.Name)
+			v.violate("teams[%d]: name %q is missing or duplicate", i, team.Name)
 		}
 		names[team.Name] = true
 		if team.GuaranteedCores < 0 || team.GuaranteedGPUs < 0 || team.MaxCores < 0 || team.MaxGPUs < 0 {
@@ -121,7 +122,8 @@
 	}
 }
 
-// workers checks the durations, and that they leave a validity of at least two heartbeats.
+// workers checks the durations, and that they allow an owner's validity of at least two
+// heartbeat intervals.
 func (v *validator) workers(s *Settings) {
 	workers := &s.Deployment.Workers
 	v.positive("workers.report_s", workers.ReportS)
@@ -134,7 +136,8 @@
 	}
 }
 
-// services checks the present and next limits of the state service, and those of the cloud.
+// services checks the current and next limits of the state service, and the limits of the
+// cloud.
 func (v *validator) services(s *Settings) {
 	state := &s.Deployment.State
 	v.positive("state.rps", state.RPS)
@@ -157,13 +160,13 @@
 	v.positive("cloud.rps", s.Deployment.Cloud.RPS)
 }
 
-// machine checks that the machine's limits allow a controller to serve at all.
+// machine checks that the machine's limits allow a controller to serve.
 func (v *validator) machine(s *Settings) {
 	limits := &s.Deployment.Limits
 	if limits.Sockets != 0 && s.PublicSockets() < minPublicSockets {
 		v.violate("limits.fd_limit: %d sockets leave %d for users and workers, at least %d are needed", limits.Sockets, max(0, s.PublicSockets()), minPublicSockets)
 	}
 	if limits.MemoryMB != 0 && limits.MemoryMB < minMemoryMB {
-		v.violate("limits.mem_mb: %v is less than the %d that a controller takes by itself", limits.MemoryMB, minMemoryMB)
+		v.violate("limits.mem_mb: %v is less than the minimum of %d for a controller", limits.MemoryMB, minMemoryMB)
 	}
 }
--- a/internal/config/validation_test.go
+++ b/internal/config/validation_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Every violation is reported at once, so that operators need not find them one by one.
+// One error reports all violations, so that operators can fix them at once.
 func TestEveryViolationIsReported(t *testing.T) {
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(validSettings), &settings); err != nil {
--- a/internal/config/validity.go
+++ b/internal/config/validity.go
@@ -3,36 +3,39 @@
 import "time"
 
 const (
-	// clockDriftDivisor bounds the drift between two monotonic clocks: a tenth of a percent.
+	// clockDriftDivisor bounds the drift between two monotonic clocks to 1/1000 of a duration.
 	clockDriftDivisor = 1000
-	// timerSlack covers timers that fire in steps and responses in flight.
+	// timerSlack allows for the granularity of timers and for responses in flight.
 	timerSlack = time.Second
-	// cancelSlack is kept free of the time for a cancellation beyond all margins.
+	// cancelSlack is the part of the time for a cancellation that is not used, in addition
+	// to the margin.
 	cancelSlack = 250 * time.Millisecond
-	// takeoverSlack is how much shorter than a worker lease, less its margin, an owner's
-	// validity is.
+	// takeoverSlack is the least difference between a worker lease, less its margin, and an
+	// owner's validity.
 	takeoverSlack = time.Second
 )
 
-// Margin is what is added to a duration that the clock of another machine measures.
+// Margin returns the safety margin to add to a duration that another machine's clock measures.
 func Margin(duration time.Duration) time.Duration { return duration/clockDriftDivisor + timerSlack }
 
-// Validity is how long the owner of a shard may act after its last proven lease renewal,
-// for the workers' times of the settings.
+// Validity returns the owner validity for the worker times of the settings; see the function
+// Validity.
 func (s *Settings) Validity() time.Duration {
 	workers := &s.Deployment.Workers
 	return Validity(Seconds(workers.LeaseS), Seconds(workers.CancelS))
 }
 
-// Validity is how long the owner of a shard may act after its last proven lease renewal,
-// given the worker lease and the time after which a cancelled task may not run.
+// Validity returns the owner validity: how long the owner of a shard may act after its last
+// proven lease renewal. It depends on the worker lease and on cancel, the time after which a
+// cancelled task must not run any more.
 //
-// When an owner can't be told of a cancellation, the last heartbeat that it answers was sent
-// before its validity ended, and a worker lease later its tasks have stopped; that must be
-// within cancel. Below that bound it is as long as possible: a zone that is partitioned off
-// together with its controller keeps its tasks for the validity and a lease. It is also
-// shorter than the worker lease, so that a peer that waits for the expiry of an owner's claim
-// is not too late for the tasks of its workers.
+// An owner that can't be reached with a cancellation answers no heartbeat that was sent after
+// its validity ended. One worker lease after that heartbeat its tasks have stopped, which must
+// be within cancel. Below that bound the validity is as long as possible: in a zone that is
+// partitioned from the others together with its controller, tasks keep running for the validity
+// and a lease. The validity is also shorter than the worker lease, so that a peer that waits
+// for an owner's claim to expire can still reach the owner's workers before they kill their
+// tasks.
 func Validity(workerLease, cancel time.Duration) time.Duration {
 	withinCancel := cancel - workerLease - Margin(workerLease) - cancelSlack
 	return min(withinCancel, workerLease-Margin(workerLease)-takeoverSlack)
