--- a/internal/failoverctl/print.go
+++ b/internal/failoverctl/print.go
@@ -18,7 +18,7 @@
 	return encoder.Encode(o)
 }
 
-// PrintTable writes an overview as two tables, of the controllers and of the takeovers.
+// PrintTable writes an overview as two tables, one of the controllers and one of the takeovers.
 func PrintTable(out io.Writer, o *Overview) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	printControllers(table, o.Controllers)
@@ -63,7 +63,7 @@
 	}
 }
 
-// printTakeover writes the line of one takeover, with the time of each stage since the last
+// printTakeover writes the line of a takeover. The time of each stage is counted from the last
 // heartbeat of the replaced leader.
 func printTakeover(table io.Writer, t *wire.Takeover) {
 	silence := fmt.Sprintf("%d ms", t.SilenceMS)
@@ -81,7 +81,7 @@
 		t.Suspecting, t.Members, t.Hearing, strings.Join(times, "\t"))
 }
 
-// role returns the controller's role as it sees itself.
+// role returns the controller's role according to its own status.
 func (c *Controller) role() string {
 	switch c.Controller {
 	case c.Leader:
@@ -92,7 +92,7 @@
 	return "follows"
 }
 
-// leader returns the leader that the controller sees.
+// leader returns the leader according to the controller's status.
 func (c *Controller) leader() string {
 	if c.Leader == "" {
 		return "-"
@@ -100,7 +100,8 @@
 	return c.Leader
 }
 
-// silence returns the time since the leader's last heartbeat, where it decides on a takeover.
+// silence returns the time since the leader's last heartbeat, and how many controllers suspect
+// the leader. It returns "-" for the leader itself, and when an early takeover is impossible.
 func (c *Controller) silence() string {
 	if !c.Fenced || c.Controller == c.Leader {
 		return "-"
@@ -112,8 +113,8 @@
 	return text
 }
 
-// decisionLog returns, at the leader, how far the standby is behind the decision log, and
-// elsewhere how much of the leader's log is held.
+// decisionLog returns the state of the decision log: for the leader how far its standby is
+// behind, and for other controllers how many facts of the leader's log they hold.
 func (c *Controller) decisionLog() string {
 	switch {
 	case !c.Fenced:
@@ -128,7 +129,8 @@
 	return "-"
 }
 
-// setting returns the takeover setting that is effective.
+// setting returns the controller's takeover setting, and whether the leader does not allow an
+// early takeover.
 func (c *Controller) setting() string {
 	switch {
 	case !c.Early:
@@ -139,7 +141,8 @@
 	return "early"
 }
 
-// fault returns why the controller can't do its work, if it can't.
+// fault returns "refused by the state service" if the state service does not answer the
+// controller, and otherwise an empty string.
 func (c *Controller) fault() string {
 	if !c.Served {
 		return "refused by the state service"
--- a/internal/failoverctl/status.go
+++ b/internal/failoverctl/status.go
@@ -1,6 +1,6 @@
-// Package failoverctl implements the operators' command "standby show". It shows the leader
-// and its standby as every controller sees them, how far each controller's replica of the
-// records lags, and the last takeovers.
+// Package failoverctl implements the operators' command "standby show". It shows the leader and
+// its standby according to each controller, how far each controller's replica of the records
+// lags, and the last takeovers.
 package failoverctl
 
 import (
@@ -13,13 +13,13 @@
 	"micaport/internal/wire"
 )
 
-// Records reads the records on the state service; *store.AdminClient does.
+// Records reads the records in the state service. *store.AdminClient implements it.
 type Records interface {
 	List(ctx context.Context, prefix string) (map[string]kv.Event, error)
 }
 
-// Query asks the controller at an address (host:port) for its status; peer.QueryLeadership
-// does.
+// Query queries the controller at an address (host:port) for its status. peer.QueryLeadership
+// implements it.
 type Query func(ctx context.Context, address string, timeout time.Duration) (wire.LeadershipStatus, error)
 
 // queryTimeout is how long a controller has to answer.
@@ -28,21 +28,21 @@
 // Controller is the status of one controller.
 type Controller struct {
 	wire.LeadershipStatus
-	// Lag is how many revisions its replica of the records is behind the most recent one of
-	// all controllers.
+	// Lag is the number of revisions by which the controller's replica of the records is
+	// behind the most recent replica of all controllers.
 	Lag   uint64 `json:"lag"`
-	Fault string `json:"fault,omitempty"` // the error if it could not be queried
+	Fault string `json:"fault,omitempty"` // the error if the controller could not be queried
 }
 
-// Overview is what the command shows.
+// Overview is the output of the command.
 type Overview struct {
 	Controllers []Controller    `json:"controllers"`
 	Takeovers   []wire.Takeover `json:"takeovers"`
 	Fault       string          `json:"fault,omitempty"` // the error if the takeovers could not be read
 }
 
-// Read queries all controllers at the same time and then reads the last takeovers. Errors are
-// part of the overview.
+// Read queries all controllers concurrently and then reads the last takeovers. Errors are
+// reported in the overview.
 func Read(ctx context.Context, settings *config.Settings, records Records, query Query) *Overview {
 	overview := &Overview{Controllers: queryAll(ctx, settings.Controllers(), query), Takeovers: []wire.Takeover{}}
 	setLags(overview.Controllers)
@@ -57,7 +57,7 @@
 	return overview
 }
 
-// queryAll queries controllers and waits for all answers.
+// queryAll queries the controllers concurrently and returns their statuses in the same order.
 func queryAll(ctx context.Context, peers []config.Peer, query Query) []Controller {
 	controllers := make([]Controller, len(peers))
 	var queries sync.WaitGroup
--- a/internal/failoverctl/status_test.go
+++ b/internal/failoverctl/status_test.go
@@ -14,7 +14,7 @@
 	"micaport/internal/wire"
 )
 
-// fakeRecords is a state service with a record of takeovers, or one that fails.
+// fakeRecords is a state service with a record of takeovers. List returns err.
 type fakeRecords struct{ err error }
 
 func (r fakeRecords) List(context.Context, string) (map[string]kv.Event, error) {
@@ -23,7 +23,7 @@
 	return map[string]kv.Event{wire.TakeoversKey: {Key: wire.TakeoversKey, Value: record}}, r.err
 }
 
-// query answers for n0, the leader, and n1, its standby; n2 can't be reached.
+// query returns the status of n0, the leader, and n1, its standby; n2 can't be reached.
 func query(_ context.Context, address string, _ time.Duration) (wire.LeadershipStatus, error) {
 	status := wire.LeadershipStatus{Leader: "n0", Term: 12, Fenced: true, Streak: 1, Standby: "n1", Revision: 40, Early: true, Agreed: 5, Served: true}
 	switch address {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Without the state service the controllers' answers are still shown.
+// When the state service can't be reached, the statuses of the controllers are still shown.
 func TestOverviewWithoutStateService(t *testing.T) {
 	var out bytes.Buffer
 	if err := PrintTable(&out, Read(t.Context(), settings, fakeRecords{errors.New("away")}, query)); err != nil {
--- a/internal/quotactl/accounts.go
+++ b/internal/quotactl/accounts.go
@@ -1,5 +1,5 @@
-// Package quotactl implements the operators' commands "limits show" and "limits apply". They
-// show the accounts of teams with their usage, and change quotas and guarantees while the
+// Package quotactl implements the operators' commands "limits show" and "limits apply", which
+// show the accounts of teams with their usage, and change their quotas and guarantees while the
 // controllers are serving.
 package quotactl
 
@@ -15,11 +15,11 @@
 
 // Usage is the sum of the resources of a team's active tasks.
 type Usage struct {
-	Granted  wire.Resources         `json:"granted"`  // granted by the leader
-	Admitted map[int]wire.Resources `json:"admitted"` // admitted by shard owners, by index of the shard
+	Granted  wire.Resources         `json:"granted"`  // of tasks granted by the leader
+	Admitted map[int]wire.Resources `json:"admitted"` // of tasks admitted by shard owners, by index of the shard
 }
 
-// Account is the state of a team's account.
+// Account is a team's account with its usage.
 type Account struct {
 	Team      string         `json:"team"`
 	Version   uint64         `json:"version"`
@@ -27,9 +27,9 @@
 	Guarantee wire.Resources `json:"guarantee"`
 	Shares    []wire.Share   `json:"shares,omitempty"`
 	Usage     Usage          `json:"usage"`
-	Error     string         `json:"fault,omitempty"` // why the stored record is invalid
+	Error     string         `json:"fault,omitempty"` // why the stored record is invalid; empty if it is valid
 
-	record   *wire.Account // what a change is based on
+	record   *wire.Account // the record that a change is based on
 	revision uint64        // of the stored record; 0 if there is none
 }
 
@@ -52,8 +52,8 @@
 	return accounts, nil
 }
 
-// newAccount returns a team's account as stored or, without a readable record, as the
-// settings define it. The shares of an invalid record are left out.
+// newAccount returns a team's account as stored, without its shares if the record is invalid. If
+// no readable record is stored, it returns the account that the settings define.
 func newAccount(team *config.Team, stored map[string]kv.Event, shards int) Account {
 	record := &wire.Account{
 		Limit:     wire.Resources{Cores: team.MaxCores, GPUs: team.MaxGPUs},
@@ -68,7 +68,7 @@
 		}
 		switch {
 		case storedRecord.Unreadable:
-			record.Unreadable = true // a change is then based on the settings
+			record.Unreadable = true // the amounts are those of the settings
 		case account.Error != "":
 			withoutShares := *storedRecord
 			withoutShares.Shares = nil
@@ -84,7 +84,7 @@
 	return account
 }
 
-// readUsage sums up the active tasks of all jobs by team.
+// readUsage returns the usage of each team, the sum over the active tasks of all its jobs.
 func readUsage(ctx context.Context, records Records) (map[string]Usage, error) {
 	jobs, err := records.List(ctx, wire.JobPrefix)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return teams, nil
 }
 
-// activeTasks returns the active tasks of a job's record and of its overflow records.
+// activeTasks returns the active tasks in a job's record and its overflow records.
 func activeTasks(jobID string, job *wire.Job, overflows map[string]kv.Event) wire.ActiveTasks {
 	active := slices.Clone(job.ActiveTasks)
 	for i := 1; i <= job.OverflowKeys; i++ {
@@ -118,7 +118,7 @@
 	return active
 }
 
-// add adds active tasks that need the same resources each.
+// add adds active tasks that use the given resources each.
 func (u *Usage) add(active wire.ActiveTasks, each wire.Resources) {
 	for i := range active {
 		if !active[i].Admitted {
--- a/internal/quotactl/apply.go
+++ b/internal/quotactl/apply.go
@@ -10,11 +10,11 @@
 	"micaport/internal/wire"
 )
 
-// ErrTooManyTeams says that a file changes more teams than one transaction can.
-var ErrTooManyTeams = errors.New("more teams are changed at once than the state service takes in a transaction")
+// ErrTooManyTeams is returned for changes of more teams than one transaction can write.
+var ErrTooManyTeams = errors.New("more teams are changed than the state service allows in one transaction")
 
-// Apply makes all changes in one transaction, or none. If check is set it writes nothing. The
-// error joins every violation; it is one of Records if that fails.
+// Apply makes all changes in one transaction, or none. If check is true it only validates them.
+// The error joins all violations, or is the error of records if reading or writing fails.
 func Apply(ctx context.Context, records Records, site *Site, changes []quota.Change, check bool) error {
 	if err := site.allReadAccounts(ctx, records); err != nil {
 		return err
@@ -40,15 +40,15 @@
 	return records.Commit(ctx, planned.conditions, planned.writes)
 }
 
-// plan is the transaction for a list of changes.
+// plan is the transaction for a list of changes, with the resulting accounts.
 type plan struct {
 	accounts   map[string]*wire.Account // of all teams, after the transaction
 	conditions []kv.Condition
 	writes     []kv.Write
-	violations []error // changes that are not possible
+	violations []error // errors of the changes that are not allowed
 }
 
-// newPlan applies changes to the stored accounts.
+// newPlan returns the transaction that applies changes to the stored accounts.
 func newPlan(site *Site, changes []quota.Change, stored map[string]kv.Event) *plan {
 	planned := &plan{accounts: map[string]*wire.Account{}}
 	accounts := map[string]Account{}
--- a/internal/quotactl/print.go
+++ b/internal/quotactl/print.go
@@ -17,8 +17,8 @@
 	return encoder.Encode(accounts)
 }
 
-// PrintTable writes accounts as a table, with a line for each team and below it one for each
-// shard that holds a share or has admitted tasks.
+// PrintTable writes accounts as a table: a line for each team, followed by a line for each shard
+// that has a share or admitted tasks of the team.
 func PrintTable(out io.Writer, site *Site, accounts []Account) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TEAM\tVERSION\tGUARANTEE\tLIMIT\tGRANTED\tADMITTED\tFAULT")
@@ -41,7 +41,7 @@
 	return table.Flush()
 }
 
-// shareOf returns the share that a shard holds, if it holds one.
+// shareOf returns a shard's share and whether it has one.
 func (a *Account) shareOf(shard int) (wire.Resources, bool) {
 	for _, share := range a.Shares {
 		if share.Shard == shard {
@@ -51,7 +51,7 @@
 	return wire.Resources{}, false
 }
 
-// amount formats the resources that are not 0.
+// amount formats resources, without those that are 0.
 func amount(r wire.Resources) string {
 	var named []string
 	if r.GPUs != 0 {
--- a/internal/quotactl/quotactl_test.go
+++ b/internal/quotactl/quotactl_test.go
@@ -16,11 +16,11 @@
 	"micaport/internal/wire"
 )
 
-// fakeRecords is a state service in memory.
+// fakeRecords is an in-memory state service.
 type fakeRecords struct {
 	records  map[string]kv.Event
 	revision uint64
-	race     func() // called between the reads and the write of a change
+	race     func() // called before each commit, to simulate a concurrent change
 }
 
 func (r *fakeRecords) write(key string, value wire.Record) {
@@ -71,7 +71,7 @@
 	records, site := newSite()
 	changes := []quota.Change{{Team: "red", GPUsLimit: pointerTo(12)}, {Team: "blue", GPUsLimit: pointerTo(6)}}
 	if err := Apply(t.Context(), records, site, changes, true); err != nil || len(records.records) != 3 {
-		t.Fatalf("a check wrote something, or failed: %v", err)
+		t.Fatalf("check: got error %v and %d records, want 3", err, len(records.records))
 	}
 	if err := Apply(t.Context(), records, site, changes, false); err != nil {
 		t.Fatal(err)
@@ -80,15 +80,15 @@
 	if err != nil || accounts[0].Limit.GPUs != 12 || accounts[0].Version != 1 || accounts[0].Guarantee.GPUs != 4 || accounts[1].Limit.GPUs != 6 {
 		t.Errorf("%+v, %v", accounts, err)
 	}
-	// The same changes again are based on versions that are no longer current.
+	// Applied again, the changes are based on versions that are no longer current.
 	if err := Apply(t.Context(), records, site, changes, false); !errors.Is(err, quota.ErrStaleVersion) {
-		t.Errorf("a stale change: %v", err)
+		t.Errorf("stale change: %v", err)
 	}
 	records.race = func() {
 		records.write(wire.AccountKey("red"), &wire.Account{Version: 1, Limit: wire.Resources{GPUs: 9}})
 	}
 	if err := Apply(t.Context(), records, site, []quota.Change{{Team: "red", Version: 1, GPUsLimit: pointerTo(7)}}, false); !errors.Is(err, errConflict) {
-		t.Errorf("two changes at once: %v", err)
+		t.Errorf("concurrent changes: %v", err)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	records.write(wire.FormatPrefix+"n1", &wire.SupportedFormat{Format: wire.FormatDependencyLists})
 	if err := Apply(t.Context(), records, site, []quota.Change{{Team: "red", GPUsLimit: pointerTo(9)}}, false); !errors.Is(err, quota.ErrNotAllUpgraded) {
-		t.Errorf("a controller that does not read accounts: %v", err)
+		t.Errorf("with a controller that does not read accounts: %v", err)
 	}
 }
 
@@ -135,7 +135,7 @@
 	if accounts, _ = Read(t.Context(), records, site); accounts[0].Error != "" || accounts[0].Limit.GPUs != 8 || accounts[0].Guarantee.GPUs != 4 {
 		t.Errorf("%+v", accounts[0])
 	}
-	// A share of a shard that does not exist goes with the next change.
+	// The next change removes the share of a shard that does not exist.
 	records.write(wire.AccountKey("red"), &wire.Account{Version: 5, Limit: wire.Resources{GPUs: 8}, Shares: []wire.Share{{Shard: 7, GPUs: 1}}})
 	if err := Apply(t.Context(), records, site, []quota.Change{{Team: "red", Version: 5, GPUsLimit: pointerTo(9)}}, false); err != nil {
 		t.Fatal(err)
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -14,22 +14,22 @@
 	"micaport/internal/wire"
 )
 
-// Records reads and changes the records on the state service; *store.AdminClient does.
+// Records reads and writes the records in the state service. *store.AdminClient implements it.
 type Records interface {
 	List(ctx context.Context, prefix string) (map[string]kv.Event, error)
 	Commit(ctx context.Context, conditions []kv.Condition, writes []kv.Write) error
 }
 
-// Site is what the commands need to know of a deployment.
+// Site contains the settings of a deployment that the commands use.
 type Site struct {
-	Shards      []ownership.ShardID // in the order in which records number them
+	Shards      []ownership.ShardID // in the order of their indices in records
 	Controllers []string            // labels
 	Teams       []config.Team
-	TxnOps      int // writes in a transaction
-	MaxMachines int // as operators bound them; 0 is no bound
+	TxnOps      int // maximum number of writes in a transaction
+	MaxMachines int // limit that operators set; 0 means no limit
 }
 
-// NewSite derives a site from the settings.
+// NewSite returns the site that the settings define.
 func NewSite(settings *config.Settings, operator config.OperatorSettings) *Site {
 	site := &Site{Teams: settings.Deployment.Teams, TxnOps: settings.StateLimits().TxnOps, MaxMachines: operator.MaxMachines}
 	var members []ownership.Member
@@ -41,8 +41,8 @@
 	return site
 }
 
-// allReadAccounts returns quota.ErrNotAllUpgraded, with the controllers' labels, if some
-// controller is of a version that does not read accounts: it would follow the settings.
+// allReadAccounts returns quota.ErrNotAllUpgraded with the labels of the controllers whose
+// version does not read accounts. Such a controller would apply the settings instead.
 func (s *Site) allReadAccounts(ctx context.Context, records Records) error {
 	formats, err := records.List(ctx, wire.FormatPrefix)
 	if err != nil {
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// canHold returns quota.ErrBeyondTheSite if the guarantees of all accounts together exceed
-// what the site can have. It can tell only if the operators bound the number of machines and
-// the leader has recorded the machine types.
+// canHold returns quota.ErrBeyondTheSite if the sum of all guarantees exceeds the capacity of the
+// maximum number of machines. It returns nil if the operators do not limit the number of machines
+// or the leader has not recorded the machine types yet.
 func (s *Site) canHold(accounts map[string]*wire.Account, stored map[string]kv.Event) error {
 	machineTypes, ok := stored[wire.MachineTypesKey].Value.(*wire.MachineTypeCache)
 	if !ok || s.MaxMachines == 0 {
@@ -75,7 +75,7 @@
 		capacity.Cores = max(capacity.Cores, machineType.Cores*float64(s.MaxMachines))
 		capacity.GPUs = max(capacity.GPUs, machineType.GPUs*float64(s.MaxMachines))
 	}
-	for _, team := range slices.Sorted(maps.Keys(accounts)) { // a fixed order of rounding
+	for _, team := range slices.Sorted(maps.Keys(accounts)) { // in a fixed order, as rounding depends on it
 		guaranteed = sum(guaranteed, accounts[team].Guarantee)
 	}
 	if guaranteed.Cores > capacity.Cores || guaranteed.GPUs > capacity.GPUs {
