--- a/cmd/micaport/commands.go
+++ b/cmd/micaport/commands.go
@@ -15,17 +15,17 @@
 	"micaport/internal/store"
 )
 
-// settingsFiles are the flags for the settings that every command reads.
+// settingsFiles are the flags for the settings, which every command reads.
 type settingsFiles struct {
 	Config   string `help:"Settings file of the platform (JSON)." type:"path" placeholder:"FILE" env:"MICAPORT_CONFIG"`
 	Operator string `help:"Settings of the operators (INI)." type:"path" placeholder:"FILE" env:"MICAPORT_OPERATOR"`
 
-	Set map[string]string `help:"A setting of the operators by name, instead of the file's." placeholder:"SECTION.NAME=VALUE"`
+	Set map[string]string `help:"Override a setting of the operators' file." placeholder:"SECTION.NAME=VALUE"`
 }
 
 var errNoConfig = errors.New("--config FILE is required; see --help")
 
-// load reads and validates the settings of both files; the error joins the violations of both.
+// load reads and validates the settings of both files. The error joins the violations of both.
 func (f *settingsFiles) load() (*config.Settings, config.OperatorSettings, error) {
 	if f.Config == "" {
 		return nil, config.OperatorSettings{}, errNoConfig
@@ -40,7 +40,7 @@
 
 // serveCommand runs a controller.
 type serveCommand struct {
-	Check bool `help:"Check the settings, name every fault, and exit."`
+	Check bool `help:"Check the settings, report every violation, and exit."`
 }
 
 // Run runs the controller until ctx ends, or only checks the settings.
@@ -53,13 +53,13 @@
 		fmt.Fprintln(out, "settings are in order")
 		return nil
 	}
-	// The platform's machines run one thread of a controller at a time; more would only take
-	// turns.
+	// The platform's machines run one thread of a controller at a time, so more threads
+	// would not run in parallel.
 	runtime.GOMAXPROCS(1)
 	return server.Run(ctx, settings, operator, newLogger())
 }
 
-// limitsShowCommand prints the accounts of teams.
+// limitsShowCommand prints the accounts of all teams.
 type limitsShowCommand struct {
 	JSON bool `help:"Print JSON."`
 }
@@ -84,10 +84,10 @@
 // limitsApplyCommand changes quotas and guarantees of teams.
 type limitsApplyCommand struct {
 	Changes string `arg:"" help:"File of the changes (INI): a section for each team." type:"path"`
-	Check   bool   `help:"Name every fault, and change nothing."`
+	Check   bool   `help:"Report every violation without changing anything."`
 }
 
-// Run makes all changes of the file or none, or only checks them.
+// Run applies all changes of the file or none, or only checks them.
 func (c *limitsApplyCommand) Run(ctx context.Context, files *settingsFiles, out io.Writer) error {
 	settings, operator, err := files.load()
 	if err != nil {
--- a/cmd/micaport/main.go
+++ b/cmd/micaport/main.go
@@ -1,5 +1,5 @@
-// Command micaport runs one controller of the cluster scheduler, and the operators' commands
-// on team limits and on leader and standby.
+// Command micaport runs a controller of the cluster scheduler. It also has the operators'
+// commands that show and change the limits of teams, and that show the leader and its standby.
 package main
 
 import (
@@ -13,19 +13,19 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine is the grammar of the command line: names and help texts are its fields' names
-// and tags.
+// commandLine defines the commands and flags for kong, which derives their names from the names
+// of the fields and the help texts from the tags.
 type commandLine struct {
 	settingsFiles
 	Version kong.VersionFlag `help:"Print the version and exit."`
 
 	Serve  serveCommand `cmd:"" default:"withargs" help:"Run one controller until it is killed (the default)."`
 	Limits struct {
-		Show  limitsShowCommand  `cmd:"" help:"Show every team's limit, its shares, and what is used."`
+		Show  limitsShowCommand  `cmd:"" help:"Show the limit, the shares and the usage of every team."`
 		Apply limitsApplyCommand `cmd:"" help:"Change limits and guarantees of teams while the controllers serve."`
 	} `cmd:"" help:"Limits of teams."`
 	Standby struct {
-		Show standbyShowCommand `cmd:"" help:"Show who leads, who stands by, how far each is, and the last takeovers."`
+		Show standbyShowCommand `cmd:"" help:"Show the leader, its standby, the lag of every controller, and the last takeovers."`
 	} `cmd:"" help:"Leader and standby."`
 }
 
@@ -36,12 +36,12 @@
 	}
 }
 
-// run parses a command line and runs the command until it is done or ctx ends. Output goes to
-// out.
+// run parses a command line and runs the command, which writes its output to out, until the
+// command is done or ctx ends.
 func run(ctx context.Context, args []string, out io.Writer) error {
 	var line commandLine
 	parser, err := kong.New(&line, kong.Name("micaport"),
-		kong.Description("Runs one controller of the scheduler until it is killed. LOG_LEVEL (error, info, debug) governs what is logged to standard error."),
+		kong.Description("Runs one controller of the scheduler until it is killed. LOG_LEVEL (error, info, debug) is the level of the log on standard error."),
 		kong.Vars{"version": version()}, kong.BindTo(out, (*io.Writer)(nil)), kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(&line.settingsFiles))
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	return command.Run()
 }
 
-// newLogger returns a logger to standard error of the level that LOG_LEVEL names.
+// newLogger returns a logger that writes to standard error, with the level of LOG_LEVEL.
 func newLogger() *slog.Logger {
 	level := slog.LevelInfo
 	switch os.Getenv("LOG_LEVEL") {
@@ -65,7 +65,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
 
-// version returns the version of the main module, as the build recorded it.
+// version returns the version of the main module from the build information.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok && info.Main.Version != "" {
 		return info.Main.Version
--- a/cmd/micaport/main_test.go
+++ b/cmd/micaport/main_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// validSettings is a settings file of a single controller whose services can't be reached.
+// validSettings is the settings file of a single controller whose services can't be reached.
 const validSettings = `{"label":"n0","site":"a","bind":"127.0.0.1:0","cluster_listen":"127.0.0.1:1","peers":[],
 "external":{"cloud":"127.0.0.1:2","state":"127.0.0.1:3"},
 "deployment":{"zones":["a"],"teams":[{"name":"red","gpus":4,"gpus_max":8}],
 "workers":{"report_s":3,"lease_s":30,"gang_wait_s":35,"gang_peer_s":8,"cancel_s":55},
 "state":{"rps":250,"write_rps":20,"value_kb":8,"txn_ops":12},"cloud":{"rps":2,"list_lag_s":4}}}`
 
-// writeFile writes a file of the test's own and returns its path.
+// writeFile writes a temporary file and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -27,7 +27,7 @@
 	return path
 }
 
-// Each violation in the command line or a file is reported, and ends the program with an error.
+// All violations in the command line and the files are reported by the error of run.
 func TestCommandLine(t *testing.T) {
 	settings := writeFile(t, "settings.json", validSettings)
 	bad := writeFile(t, "bad.json", strings.ReplaceAll(strings.Replace(validSettings, `"site":"a"`, `"site":"x"`, 1), `"gpus_max":8`, `"gpus_max":2`))
@@ -38,8 +38,8 @@
 	shortLease := writeFile(t, "short.json", strings.Replace(validSettings, `"lease_s":30`, `"lease_s":9`, 1))
 	cases := []struct {
 		args   []string
-		out    string   // of a call that succeeds
-		faults []string // of one that does not
+		out    string   // part of the output of a run that succeeds
+		faults []string // parts of the error of a run that fails
 	}{
 		{args: []string{"--config", settings, "--operator", operator, "--check"}, out: "settings are in order"},
 		{args: []string{"--config", settings, "--set", "quota.admission=leaderless", "--check"}, out: "settings are in order"},
