--- a/internal/ci/architecture_test.go
+++ b/internal/ci/architecture_test.go
@@ -13,8 +13,8 @@
 
 const architecturePage = "../../docs/architecture.md"
 
-// TestArchitectureNamesExist: every package, and every function, type and method that the
-// page of architecture names, exists.
+// TestArchitectureNamesExist checks that every directory, and every function, type and method
+// that the architecture page names, exists.
 func TestArchitectureNamesExist(t *testing.T) {
 	text, err := os.ReadFile(architecturePage)
 	if err != nil {
@@ -29,7 +29,7 @@
 		switch {
 		case strings.HasPrefix(name, "internal/") || strings.HasPrefix(name, "cmd/") || strings.HasPrefix(name, "testdata/"):
 			if info, err := os.Stat(filepath.Join("../..", name)); err != nil || !info.IsDir() {
-				t.Errorf("%s is no directory", name)
+				t.Errorf("%s is not a directory", name)
 			}
 		case identifier.MatchString(name):
 			if !names[name] {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestArchitectureListsAllPackages: the page names every package.
+// TestArchitectureListsAllPackages checks that the architecture page names every package.
 func TestArchitectureListsAllPackages(t *testing.T) {
 	text, err := os.ReadFile(architecturePage)
 	if err != nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// declaredNames are the names that the packages declare outside their tests, as
-// package.Name and package.Type.Method.
+// declaredNames returns the names that the packages declare outside of their tests, in the form
+// package.Name or package.Type.Method.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob("../*/*.go")
@@ -86,6 +86,7 @@
 	return names
 }
 
+// addNames adds the names that a declaration declares.
 func addNames(names map[string]bool, packageName string, declaration ast.Decl) {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
@@ -104,7 +105,7 @@
 	}
 }
 
-// receiver is "." and the type of a method's receiver, or "".
+// receiver returns "." and the type of a method's receiver, or "" for a function.
 func receiver(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
--- a/internal/ci/known_failures.go
+++ b/internal/ci/known_failures.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-// listFile lists the tests that fail for a real fault that is not mended yet, one a line:
-// "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are ignored.
+// listFile lists the tests that fail because of a real fault that is not fixed yet, each on a
+// line of its own: "PACKAGE.TEST | cause | issue". Empty lines and lines that begin with # are
+// ignored.
 const listFile = "KNOWN-RED.txt"
 
-// maxKnownFailures is how many tests may be listed.
+// maxKnownFailures is the maximum number of listed tests.
 const maxKnownFailures = 3
 
-// knownFailure is a line of the list.
+// knownFailure is a line of listFile.
 type knownFailure struct{ test, cause, issue string }
 
-// parseKnownFailures parses the list.
+// parseKnownFailures parses the text of listFile.
 func parseKnownFailures(text string) ([]knownFailure, error) {
 	var list []knownFailure
 	for _, line := range strings.Split(text, "\n") {
--- a/internal/ci/length_test.go
+++ b/internal/ci/length_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// maxFunctionLines is how many lines a function may have, tests aside.
+// maxFunctionLines is the maximum number of lines of a function outside of tests.
 const maxFunctionLines = 60
 
-// A function that does not fit a screen does more than one thing.
+// Functions must fit on a screen: longer ones usually do more than one thing.
 func TestFunctionsAreShort(t *testing.T) {
-	const minFunctions = 500 // fewer were not all of the repository's
+	const minFunctions = 500 // with fewer, part of the repository has not been checked
 	checked := 0
 	for _, root := range []string{"../../cmd", "../../internal"} {
 		err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -1,7 +1,6 @@
-// Command ci runs the go test command that it is given, and tolerates the failures of the
-// tests that KNOWN-RED.txt lists, and of no others. The listed tests still run and are
-// printed; one that passes or does not exist fails the run, so that the list can't become
-// stale.
+// Command ci runs the go test command in its arguments, and tolerates only failures of the tests
+// that KNOWN-RED.txt lists. The listed tests run as well, and their failures are printed. The
+// run fails if a listed test passes or does not exist, so that the list can't become stale.
 package main
 
 import (
@@ -22,8 +21,8 @@
 	}
 }
 
-// run runs a go test command and prints its output to out. It returns an error unless all
-// tests passed, those listed aside.
+// run runs a go test command and prints its output to out. It returns an error unless exactly
+// the listed tests failed.
 func run(command []string, out io.Writer) error {
 	if len(command) < 2 || command[0] != "go" || command[1] != "test" {
 		return fmt.Errorf("%q is not a go test command", command)
@@ -44,11 +43,11 @@
 	return results.judge(known, failed)
 }
 
-// maxLineBytes bounds a line of go test -json.
+// maxLineBytes is the maximum length of a line of go test -json.
 const maxLineBytes = 16 << 20
 
-// runTests runs go test with the given arguments and adds its events to the results. It
-// reports whether the command failed.
+// runTests runs go test with the given arguments, adds its events to the results, and reports
+// whether the command failed.
 func runTests(args []string, results *verdict) (failed bool, err error) {
 	command := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	command.Stderr = os.Stderr
@@ -67,7 +66,7 @@
 			results.add(event)
 		}
 	}
-	output.Close() // after an error, so that the command does not block
+	output.Close() // keeps the command from blocking if reading its output failed
 	failed = command.Wait() != nil
 	return failed, lines.Err()
 }
--- a/internal/ci/verdict.go
+++ b/internal/ci/verdict.go
@@ -17,7 +17,7 @@
 	actionSkip        = "skip"
 )
 
-// testEvent is a line of go test -json. Test is empty for events of a package.
+// testEvent is a line of go test -json. Test is empty in the events of a package.
 type testEvent struct {
 	Action, Package, Test, Output string
 }
@@ -25,15 +25,15 @@
 func (e testEvent) name() string { return e.Package + "." + e.Test }
 
 // verdict collects the results of tests. It prints the output of packages, and the output of
-// tests that failed or were skipped: a skipped test proves nothing, so it must be seen.
+// tests that failed or were skipped; skipped tests must be visible, as they prove nothing.
 type verdict struct {
 	out            io.Writer
 	output         map[string][]string // of tests in progress
 	failedTests    []string
-	failedPackages []string // that failed although none of their tests did
+	failedPackages []string // packages that failed although none of their tests did
 }
 
-// add takes the next event.
+// add processes an event.
 func (v *verdict) add(e testEvent) {
 	switch {
 	case e.Action == actionBuildOutput:
@@ -45,7 +45,7 @@
 	}
 }
 
-// addPackageEvent takes an event of a package.
+// addPackageEvent processes an event of a package.
 func (v *verdict) addPackageEvent(e testEvent) {
 	switch e.Action {
 	case actionOutput:
@@ -60,7 +60,7 @@
 	}
 }
 
-// addTestEvent takes an event of a test.
+// addTestEvent processes an event of a test.
 func (v *verdict) addTestEvent(e testEvent) {
 	if v.output == nil {
 		v.output = map[string][]string{}
@@ -81,8 +81,8 @@
 	}
 }
 
-// judge returns an error unless each test that failed is known to, or failed only through
-// its subtests, and each known failure did fail. Failed is whether go test failed.
+// judge returns an error unless each failed test is a known failure or has a failed subtest, and
+// each known failure did fail. The argument failed states whether go test itself failed.
 func (v *verdict) judge(known []knownFailure, failed bool) error {
 	var violations []error
 	for _, name := range v.failedPackages {
--- a/internal/ci/verdict_test.go
+++ b/internal/ci/verdict_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Only the listed tests may fail, and all of them must.
+// Only the listed tests may fail, and each of them must fail.
 func TestJudge(t *testing.T) {
 	red, other := knownFailure{"p.TestA/red", "a fault", "1"}, knownFailure{"p.TestB", "another", "2"}
 	fail := func(test string) testEvent { return testEvent{Action: "fail", Package: "p", Test: test} }
@@ -43,11 +43,11 @@
 		}
 	}
 	if err := (&verdict{out: &strings.Builder{}}).judge(nil, true); err == nil {
-		t.Error("a failure that names no test is tolerated")
+		t.Error("a failure of go test without a failed test is tolerated")
 	}
 }
 
-// A test that was skipped is printed, with the reason.
+// A skipped test is printed with the reason.
 func TestSkippedTestsArePrinted(t *testing.T) {
 	var out strings.Builder
 	v := verdict{out: &out}
