--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -8,9 +8,9 @@
 	"micaport/internal/wire"
 )
 
-// perform starts an effect of the core and does not wait for its result. Requests in progress
-// are cancelled when ctx ends.
-func (c *Controller) perform(ctx context.Context, effect core.Effect) {
+// startEffect starts an effect of the core and does not wait for its result. Requests in
+// progress are cancelled when ctx ends.
+func (c *Controller) startEffect(ctx context.Context, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Commit:
 		c.store.Commit(ctx, e)
@@ -69,8 +69,8 @@
 // reply delivers a reply to the request that waits for it. It does not block: the channel has
 // a capacity of one, and each request gets one reply.
 func (c *Controller) reply(reply core.Reply) {
-	if waiting := c.replies[reply.RequestID]; waiting != nil {
-		delete(c.replies, reply.RequestID)
+	if waiting := c.replyChannels[reply.RequestID]; waiting != nil {
+		delete(c.replyChannels, reply.RequestID)
 		waiting <- reply
 	}
 }
--- a/internal/server/queues.go
+++ b/internal/server/queues.go
@@ -18,9 +18,9 @@
 	tickInterval = 50 * time.Millisecond
 )
 
-// pendingInput is an input that needs a reply, with the channel for the reply. The channel has
-// a capacity of one.
-type pendingInput struct {
+// pendingRequest is an input that needs a reply, with the channel for the reply. The channel
+// has a capacity of one.
+type pendingRequest struct {
 	requestID uint64
 	input     core.Input
 	reply     chan core.Reply
@@ -36,9 +36,9 @@
 
 // dispatcher returns an api.Dispatch that adds requests to a queue, and refuses them when the
 // queue is full.
-func (c *Controller) dispatcher(queue chan<- pendingInput) api.Dispatch {
+func (c *Controller) dispatcher(queue chan<- pendingRequest) api.Dispatch {
 	return func(newInput func(requestID uint64) core.Input) (core.Reply, bool) {
-		pending := pendingInput{requestID: c.nextRequest.Add(1), reply: make(chan core.Reply, 1)}
+		pending := pendingRequest{requestID: c.lastRequestID.Add(1), reply: make(chan core.Reply, 1)}
 		pending.input = newInput(pending.requestID)
 		select {
 		case queue <- pending:
@@ -62,12 +62,12 @@
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		input := c.next(ctx, ticker.C)
+		input := c.nextInput(ctx, ticker.C)
 		if input == nil {
 			return
 		}
 		for _, effect := range c.core.Step(time.Since(c.startedAt), input) {
-			c.perform(ctx, effect)
+			c.startEffect(ctx, effect)
 		}
 		if !c.ready.Load() {
 			c.ready.Store(c.core.Ready())
@@ -75,16 +75,16 @@
 	}
 }
 
-// next waits for an input and returns it, or nil when ctx ends. Controller.inputs has priority,
-// so that a burst of requests does not delay lease renewals and the watch. The other sources
-// with an input ready are chosen from at random.
-func (c *Controller) next(ctx context.Context, tick <-chan time.Time) core.Input {
+// nextInput waits for an input and returns it, or nil when ctx ends. Controller.inputs has
+// priority, so that a burst of requests does not delay lease renewals and the watch. One of the
+// other sources with an input is chosen at random.
+func (c *Controller) nextInput(ctx context.Context, tick <-chan time.Time) core.Input {
 	select {
 	case input := <-c.inputs:
 		return input
 	default:
 	}
-	var pending pendingInput
+	var pending pendingRequest
 	select {
 	case <-ctx.Done():
 		return nil
@@ -92,9 +92,9 @@
 		return core.Tick{}
 	case input := <-c.inputs:
 		return input
-	case pending = <-c.userInputs:
-	case pending = <-c.workerInputs:
+	case pending = <-c.userRequests:
+	case pending = <-c.workerRequests:
 	}
-	c.replies[pending.requestID] = pending.reply
+	c.replyChannels[pending.requestID] = pending.reply
 	return pending.input
 }
--- a/internal/server/queues_test.go
+++ b/internal/server/queues_test.go
@@ -10,9 +10,9 @@
 // given size.
 func newTestController(queueSize int) *Controller {
 	return &Controller{
-		inputs:     make(chan core.Input, queueSize),
-		userInputs: make(chan pendingInput, queueSize), workerInputs: make(chan pendingInput, queueSize),
-		replies: map[uint64]chan core.Reply{},
+		inputs:       make(chan core.Input, queueSize),
+		userRequests: make(chan pendingRequest, queueSize), workerRequests: make(chan pendingRequest, queueSize),
+		replyChannels: map[uint64]chan core.Reply{},
 	}
 }
 
@@ -21,20 +21,20 @@
 func TestOrderOfInputs(t *testing.T) {
 	c := newTestController(200)
 	for i := range 200 {
-		c.workerInputs <- pendingInput{requestID: uint64(i), input: core.WorkerReported{}}
-		c.userInputs <- pendingInput{requestID: uint64(1000 + i), input: core.UserRequest{}}
+		c.workerRequests <- pendingRequest{requestID: uint64(i), input: core.WorkerReported{}}
+		c.userRequests <- pendingRequest{requestID: uint64(1000 + i), input: core.UserRequest{}}
 	}
 	c.inputs <- core.LeaseAnswered{ID: 1}
 	c.inputs <- core.RecordsChanged{Revision: 2}
-	if input, ok := c.next(t.Context(), nil).(core.LeaseAnswered); !ok {
+	if input, ok := c.nextInput(t.Context(), nil).(core.LeaseAnswered); !ok {
 		t.Errorf("the first input is %T, want the answer to the lease renewal", input)
 	}
-	if input, ok := c.next(t.Context(), nil).(core.RecordsChanged); !ok {
+	if input, ok := c.nextInput(t.Context(), nil).(core.RecordsChanged); !ok {
 		t.Errorf("the second input is %T, want the changes of records", input)
 	}
 	heartbeats := 0
 	for range 200 {
-		if _, ok := c.next(t.Context(), nil).(core.WorkerReported); ok {
+		if _, ok := c.nextInput(t.Context(), nil).(core.WorkerReported); ok {
 			heartbeats++
 		}
 	}
@@ -46,8 +46,8 @@
 // A request is refused at once when its queue is full.
 func TestFullQueueRefuses(t *testing.T) {
 	c := newTestController(1)
-	c.userInputs <- pendingInput{}
-	if _, ok := c.dispatcher(c.userInputs)(func(uint64) core.Input { return nil }); ok {
+	c.userRequests <- pendingRequest{}
+	if _, ok := c.dispatcher(c.userRequests)(func(uint64) core.Input { return nil }); ok {
 		t.Error("a request got a reply from a full queue")
 	}
 }
@@ -61,7 +61,7 @@
 	for range 10 {
 		c.post(core.Tick{})
 	}
-	if _, ok := c.dispatcher(c.userInputs)(func(uint64) core.Input { return nil }); ok {
+	if _, ok := c.dispatcher(c.userRequests)(func(uint64) core.Input { return nil }); ok {
 		t.Error("a request got a reply from a controller that has stopped")
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -33,13 +33,13 @@
 	startedAt time.Time  // origin of the core's clock
 	core      *core.Node // used by run only
 
-	inputs       chan core.Input            // from the state service, the cloud, workers' answers and peers
-	userInputs   chan pendingInput          // requests of users and operators, including those forwarded by peers
-	workerInputs chan pendingInput          // heartbeats of workers
-	stopped      <-chan struct{}            // closed when the controller stops
-	nextRequest  atomic.Uint64              // the last request ID
-	replies      map[uint64]chan core.Reply // by request ID; used by run only
-	ready        atomic.Bool
+	inputs         chan core.Input     // from the state service, the cloud, workers' answers and peers
+	userRequests   chan pendingRequest // requests of users and operators, including those forwarded by peers
+	workerRequests chan pendingRequest // heartbeats of workers
+	stopped        <-chan struct{}     // closed when the controller stops
+	lastRequestID  atomic.Uint64
+	replyChannels  map[uint64]chan core.Reply // by request ID; used by run only
+	ready          atomic.Bool
 
 	links   map[string]*peer.Link // by the peer's label
 	store   *store.Client
@@ -48,10 +48,10 @@
 	running sync.WaitGroup // goroutines of run and of the watch
 }
 
-// defaultConnections is how many connections of users and workers are accepted when the
+// defaultMaxConnections is how many connections of users and workers are accepted when the
 // settings do not limit sockets: four for each machine of a site of 4,000 machines. Both queues
 // of requests reserve 32 bytes for each connection.
-const defaultConnections = 16_384
+const defaultMaxConnections = 16_384
 
 // Run runs a controller until ctx ends or a listener fails, and returns the listener's error.
 // Before it returns it waits for everything that it has started; after a listener has failed
@@ -64,13 +64,13 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	maxConnections := defaultConnections
+	maxConnections := defaultMaxConnections
 	if settings.Deployment.Limits.Sockets > 0 {
 		maxConnections = settings.PublicSockets()
 	}
 	c := newController(ctx, settings, operator, log, maxConnections)
 	router := httprouter.New()
-	dispatchUser, dispatchWorker := c.dispatcher(c.userInputs), c.dispatcher(c.workerInputs)
+	dispatchUser, dispatchWorker := c.dispatcher(c.userRequests), c.dispatcher(c.workerRequests)
 	api.RegisterRoutes(router, dispatchUser, c.ready.Load)
 	worker.RegisterRoutes(router, dispatchWorker)
 	server := api.NewServer(router, config.Seconds(settings.Deployment.Workers.LeaseS), maxConnections)
@@ -81,12 +81,12 @@
 	c.running.Go(func() { c.store.Watch(ctx) })
 	c.running.Go(func() { c.run(ctx) })
 	log.Info("serving", "controller", settings.Label, "bind", settings.Bind, "validity", settings.Validity())
-	return c.waitForEnd(ctx, cancel, server, failed)
+	return c.waitAndStop(ctx, cancel, server, failed)
 }
 
-// waitForEnd waits until ctx ends or a listener has failed, stops the controller, and waits
+// waitAndStop waits until ctx ends or a listener has failed, stops the controller, and waits
 // until it has stopped.
-func (c *Controller) waitForEnd(ctx context.Context, cancel context.CancelFunc, server *http.Server, failed <-chan error) error {
+func (c *Controller) waitAndStop(ctx context.Context, cancel context.CancelFunc, server *http.Server, failed <-chan error) error {
 	var err error
 	select {
 	case err = <-failed:
@@ -116,8 +116,8 @@
 		inputs: make(chan core.Input, inputQueueSize),
 		// A connection has at most one request in progress. With a slot for each connection
 		// no request is refused because a queue is full.
-		userInputs: make(chan pendingInput, maxConnections), workerInputs: make(chan pendingInput, maxConnections),
-		stopped: ctx.Done(), replies: map[uint64]chan core.Reply{}, links: map[string]*peer.Link{},
+		userRequests: make(chan pendingRequest, maxConnections), workerRequests: make(chan pendingRequest, maxConnections),
+		stopped: ctx.Done(), replyChannels: map[uint64]chan core.Reply{}, links: map[string]*peer.Link{},
 	}
 	controllers := len(settings.Peers) + 1
 	c.store = store.New(settings.External.State, controllers, settings.StateLimits().RPS, c.post)
