--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -38,14 +38,14 @@
 	const jobParam = "job"
 	router.POST("/api/jobs", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		if body, ok := ReadBody(w, r); ok {
-			serve(w, dispatch, core.UserRequest{Kind: wire.RequestSubmit, Body: body})
+			serveUserRequest(w, dispatch, core.UserRequest{Kind: wire.RequestSubmit, Body: body})
 		}
 	})
 	router.GET("/api/jobs/:"+jobParam, func(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
-		serve(w, dispatch, core.UserRequest{Kind: wire.RequestStatus, JobID: params.ByName(jobParam)})
+		serveUserRequest(w, dispatch, core.UserRequest{Kind: wire.RequestStatus, JobID: params.ByName(jobParam)})
 	})
 	router.POST("/api/jobs/:"+jobParam+"/withdraw", func(w http.ResponseWriter, _ *http.Request, params httprouter.Params) {
-		serve(w, dispatch, core.UserRequest{Kind: wire.RequestCancel, JobID: params.ByName(jobParam)})
+		serveUserRequest(w, dispatch, core.UserRequest{Kind: wire.RequestCancel, JobID: params.ByName(jobParam)})
 	})
 	router.GET("/ready", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		if ready() {
@@ -77,8 +77,8 @@
 	return body, err == nil
 }
 
-// serve passes a user's request to the core and writes the reply.
-func serve(w http.ResponseWriter, dispatch Dispatch, request core.UserRequest) {
+// serveUserRequest passes a user's request to the core and writes the reply.
+func serveUserRequest(w http.ResponseWriter, dispatch Dispatch, request core.UserRequest) {
 	reply, ok := dispatch(func(requestID uint64) core.Input {
 		request.RequestID = requestID
 		return request
@@ -111,8 +111,8 @@
 	readTimeout       = 15 * time.Second
 	writeTimeout      = 15 * time.Second
 	maxHeaderBytes    = 8 << 10
-	// spareConnections: one in spareConnections of the allowed connections is kept free.
-	spareConnections = 16
+	// One in spareConnectionDivisor of the allowed connections is kept free.
+	spareConnectionDivisor = 16
 )
 
 // NewServer returns an HTTP server that bounds slow and half-open connections.
@@ -123,7 +123,7 @@
 // partitioned machines, which would otherwise lock out users, health checks and the workers of
 // a controller that has failed.
 func NewServer(handler http.Handler, workerLease time.Duration, maxConnections int) *http.Server {
-	limiter := newConnLimiter(maxConnections - max(1, maxConnections/spareConnections))
+	limiter := newConnLimiter(maxConnections - max(1, maxConnections/spareConnectionDivisor))
 	return &http.Server{
 		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
 		WriteTimeout: writeTimeout, IdleTimeout: workerLease, MaxHeaderBytes: maxHeaderBytes,
--- a/internal/api/connlimit.go
+++ b/internal/api/connlimit.go
@@ -12,14 +12,14 @@
 type connLimiter struct {
 	limit int
 
-	mu     sync.Mutex // guards the following fields
-	open   int
-	idle   *list.List // net.Conn values, the longest idle one first
-	byConn map[net.Conn]*list.Element
+	mu         sync.Mutex // guards the following fields
+	open       int
+	idle       *list.List // net.Conn values, the longest idle one first
+	idleByConn map[net.Conn]*list.Element
 }
 
 func newConnLimiter(limit int) *connLimiter {
-	return &connLimiter{limit: limit, idle: list.New(), byConn: map[net.Conn]*list.Element{}}
+	return &connLimiter{limit: limit, idle: list.New(), idleByConn: map[net.Conn]*list.Element{}}
 }
 
 // stateChanged is the ConnState hook of the HTTP server.
@@ -44,7 +44,7 @@
 			return surplus
 		}
 	case http.StateIdle:
-		l.byConn[conn] = l.idle.PushBack(conn)
+		l.idleByConn[conn] = l.idle.PushBack(conn)
 	case http.StateClosed, http.StateHijacked:
 		l.open--
 	}
@@ -53,8 +53,8 @@
 
 // removeIdle removes a connection from the idle ones, if it is one of them.
 func (l *connLimiter) removeIdle(conn net.Conn) {
-	if element := l.byConn[conn]; element != nil {
+	if element := l.idleByConn[conn]; element != nil {
 		l.idle.Remove(element)
-		delete(l.byConn, conn)
+		delete(l.idleByConn, conn)
 	}
 }
--- a/internal/api/connlimit_test.go
+++ b/internal/api/connlimit_test.go
@@ -34,7 +34,7 @@
 	expect(4, http.StateNew, nil) // none is idle
 	expect(1, http.StateIdle, nil)
 	expect(5, http.StateNew, conns[1])
-	if limiter.open != 5 || limiter.idle.Len() != 0 || len(limiter.byConn) != 0 {
+	if limiter.open != 5 || limiter.idle.Len() != 0 || len(limiter.idleByConn) != 0 {
 		t.Errorf("%d open, %d idle", limiter.open, limiter.idle.Len())
 	}
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -32,9 +32,9 @@
 	// rateShare is the share of the cloud's rate limit that is used.
 	rateShare = 0.85
 	// A list waits while provisioning or deprovisioning calls are pending, but at most
-	// maxYields times yieldInterval.
-	yieldInterval = 200 * time.Millisecond
-	maxYields     = 20
+	// maxUrgentWaits times urgentWaitInterval.
+	urgentWaitInterval = 200 * time.Millisecond
+	maxUrgentWaits     = 20
 
 	listPageSize     = "500"
 	maxResponseBytes = 16 << 20
@@ -54,12 +54,12 @@
 	running sync.WaitGroup // calls
 
 	urgentCalls atomic.Int32 // provisioning and deprovisioning calls that are waiting or in progress
-	permission  atomic.Pointer[permission]
+	permission  atomic.Pointer[callPermission]
 }
 
-// permission allows the provisioning and deprovisioning calls of a leader's term to be started
-// until a time.
-type permission struct {
+// callPermission allows the provisioning and deprovisioning calls of a leader's term to be
+// started until a time.
+type callPermission struct {
 	term  uint64
 	until time.Time
 }
@@ -85,13 +85,13 @@
 // AllowCalls allows the provisioning and deprovisioning calls of a term to be started until a
 // time, including those that are waiting already, and forbids those of all other terms.
 func (c *Client) AllowCalls(term uint64, until time.Time) {
-	c.permission.Store(&permission{term, until})
+	c.permission.Store(&callPermission{term, until})
 }
 
-// deadline returns the time until which a provisioning or deprovisioning call may be started.
+// startDeadline returns the time until which a provisioning or deprovisioning call may be started.
 // A call without a term is valid for its ValidFor; the deadline of a call whose term has no
 // permission is the zero time.
-func (c *Client) deadline(call core.CallCloud, decided time.Time) time.Time {
+func (c *Client) startDeadline(call core.CallCloud, decided time.Time) time.Time {
 	if call.Term == 0 {
 		return decided.Add(call.ValidFor)
 	}
@@ -101,15 +101,15 @@
 	return time.Time{}
 }
 
-// dialDeadline is the context key of the time until which a call may be started.
-type dialDeadline struct{}
+// dialDeadlineKey is the context key of the time until which a call may be started.
+type dialDeadlineKey struct{}
 
 // dial connects to the cloud. It fails when the call that needs the connection may no longer be
 // started: a leader that has been replaced while its call waited for a connection must not send
 // the call.
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	if deadline, bounded := ctx.Value(dialDeadline{}).(time.Time); bounded {
+	if deadline, bounded := ctx.Value(dialDeadlineKey{}).(time.Time); bounded {
 		dialer.Deadline = deadline
 	}
 	return dialer.DialContext(ctx, network, address)
@@ -127,26 +127,26 @@
 			c.urgentCalls.Add(1)
 			defer c.urgentCalls.Add(-1)
 		} else {
-			c.yieldToUrgent(ctx)
+			c.waitForUrgentCalls(ctx)
 		}
 		if c.limiter.Wait(ctx) != nil {
 			c.post(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused})
 			return
 		}
 		if urgent {
-			deadline := c.deadline(call, decided)
+			deadline := c.startDeadline(call, decided)
 			if time.Now().After(deadline) {
 				c.post(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused})
 				return
 			}
-			ctx = context.WithValue(ctx, dialDeadline{}, deadline)
+			ctx = context.WithValue(ctx, dialDeadlineKey{}, deadline)
 		}
-		c.post(c.perform(ctx, call))
+		c.post(c.sendCall(ctx, call))
 	})
 }
 
-// perform makes a call at once and returns the result.
-func (c *Client) perform(ctx context.Context, call core.CallCloud) core.CloudAnswered {
+// sendCall makes a call at once and returns the result.
+func (c *Client) sendCall(ctx context.Context, call core.CallCloud) core.CloudAnswered {
 	result := core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}
 	switch {
 	case call.ListTypes:
@@ -165,12 +165,12 @@
 	return result
 }
 
-// yieldToUrgent waits while provisioning or deprovisioning calls are pending, for a limited time.
-// Lists are less urgent: they only reveal machines that no controller has recorded.
-func (c *Client) yieldToUrgent(ctx context.Context) {
-	for i := 0; i < maxYields && c.urgentCalls.Load() > 0; i++ {
+// waitForUrgentCalls waits while provisioning or deprovisioning calls are pending, for a limited
+// time. Lists are less urgent: they only reveal machines that no controller has recorded.
+func (c *Client) waitForUrgentCalls(ctx context.Context) {
+	for i := 0; i < maxUrgentWaits && c.urgentCalls.Load() > 0; i++ {
 		select {
-		case <-time.After(yieldInterval):
+		case <-time.After(urgentWaitInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -192,7 +192,7 @@
 			return machines, kv.OK
 		}
 		query.Set("from", page.Machines[len(page.Machines)-1].Name)
-		c.yieldToUrgent(ctx)
+		c.waitForUrgentCalls(ctx)
 		if c.limiter.Wait(ctx) != nil {
 			return nil, kv.Refused
 		}
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -96,21 +96,21 @@
 	now := time.Now()
 	client := New("127.0.0.1:1", 100, nil)
 	request := core.CallCloud{Deprovision: []string{"vm-1"}, ValidFor: time.Second, Term: 7}
-	if deadline := client.deadline(request, now); !deadline.IsZero() {
+	if deadline := client.startDeadline(request, now); !deadline.IsZero() {
 		t.Errorf("without a permission the call may be started until %v", deadline)
 	}
 	for _, until := range []time.Time{now.Add(3 * time.Second), now.Add(4 * time.Second)} {
 		client.AllowCalls(7, until)
-		if deadline := client.deadline(request, now); !deadline.Equal(until) {
+		if deadline := client.startDeadline(request, now); !deadline.Equal(until) {
 			t.Errorf("the call may be started until %v, want %v", deadline, until)
 		}
 	}
 	client.AllowCalls(9, now.Add(time.Minute))
-	if !client.deadline(request, now).IsZero() {
+	if !client.startDeadline(request, now).IsZero() {
 		t.Error("a call of an earlier term may be started")
 	}
 	request.Term = 0
-	if !client.deadline(request, now).Equal(now.Add(time.Second)) {
+	if !client.startDeadline(request, now).Equal(now.Add(time.Second)) {
 		t.Error("a call without a term depends on the permission of a term")
 	}
 }
--- a/internal/msgpackhttp/msgpackhttp.go
+++ b/internal/msgpackhttp/msgpackhttp.go
@@ -42,7 +42,7 @@
 // the error is the *url.Error of client.Do, and the receiver may have processed the request. If
 // the response was cut off after its header, Do returns the status together with the error.
 func Do(ctx context.Context, client *http.Client, r Request) (Response, error) {
-	request, err := build(ctx, r)
+	request, err := newHTTPRequest(ctx, r)
 	if err != nil {
 		return Response{}, fmt.Errorf("%s %s: %w: %w", r.Method, r.URL, ErrNotSent, err)
 	}
@@ -58,8 +58,8 @@
 	return Response{Status: response.StatusCode, Body: body}, nil
 }
 
-// build returns the http.Request with the encoded body.
-func build(ctx context.Context, r Request) (*http.Request, error) {
+// newHTTPRequest returns the http.Request with the encoded body.
+func newHTTPRequest(ctx context.Context, r Request) (*http.Request, error) {
 	var body io.Reader
 	if r.Body != nil {
 		encoded, err := wire.Encode(r.Body)
--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -29,14 +29,15 @@
 var errNoReply = errors.New("peer does not answer")
 
 // SendGossip sends gossip to the peer. It replaces gossip that has not been sent yet.
-func (l *Link) SendGossip(message *wire.Gossip) { replace(l.gossip, message) }
+func (l *Link) SendGossip(message *wire.Gossip) { replaceMessage(l.gossip, message) }
 
 // SendHeartbeat sends a heartbeat to the peer. It replaces a heartbeat that has not been sent
 // yet.
-func (l *Link) SendHeartbeat(message *wire.LeaderHeartbeat) { replace(l.heartbeats, message) }
+func (l *Link) SendHeartbeat(message *wire.LeaderHeartbeat) { replaceMessage(l.heartbeats, message) }
 
-// replace puts a message into a mailbox with a capacity of one, and discards an older message.
-func replace[M any](mailbox chan M, message M) {
+// replaceMessage puts a message into a mailbox with a capacity of one, and discards an older
+// message.
+func replaceMessage[M any](mailbox chan M, message M) {
 	for {
 		select {
 		case mailbox <- message:
@@ -112,8 +113,9 @@
 	}
 }
 
-// start makes a call without waiting for the reply. It reports false if the call failed at once.
-func start(client *rpc.Client, method string, args any) bool {
+// startCall makes a call without waiting for the reply. It returns false if the call failed at
+// once.
+func startCall(client *rpc.Client, method string, args any) bool {
 	pending := client.Go(method, args, &Ack{}, make(chan *rpc.Call, 1))
 	select {
 	case <-pending.Done:
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -19,10 +19,10 @@
 	dialTimeout = time.Second
 	// redialInterval is the least time between a failed attempt to connect and the next one.
 	redialInterval = time.Second
-	// forwardQueueSize is how many calls may wait while the actor sends gossip, which may
+	// callQueueSize is how many calls may wait while the actor sends gossip, which may
 	// take gossipTimeout. On a site of 4,000 machines users make about 500 requests a second,
 	// and a controller that the state service refuses forwards all of them.
-	forwardQueueSize = 4096
+	callQueueSize = 4096
 )
 
 // Link is the connection to one peer. A goroutine of its own, the actor, runs run and owns the
@@ -33,7 +33,7 @@
 // older one, which is not needed any more, as each message is complete. Calls wait in a queue.
 type Link struct {
 	address    string
-	broken     func()
+	onBroken   func()
 	gossip     chan *wire.Gossip
 	heartbeats chan *wire.LeaderHeartbeat
 	calls      chan func(context.Context, *rpc.Client)
@@ -45,13 +45,13 @@
 }
 
 // Dial returns a link to the peer at an address (host:port) and starts its actor, which ends
-// when ctx ends. Whenever the connection breaks or can't be made, broken is called in another
+// when ctx ends. Whenever the connection breaks or can't be made, onBroken is called in another
 // goroutine.
-func Dial(ctx context.Context, address string, broken func()) *Link {
+func Dial(ctx context.Context, address string, onBroken func()) *Link {
 	l := &Link{
-		address: address, broken: broken,
+		address: address, onBroken: onBroken,
 		gossip: make(chan *wire.Gossip, 1), heartbeats: make(chan *wire.LeaderHeartbeat, 1),
-		calls: make(chan func(context.Context, *rpc.Client), forwardQueueSize),
+		calls: make(chan func(context.Context, *rpc.Client), callQueueSize),
 	}
 	l.running.Go(func() { l.run(ctx) })
 	return l
@@ -69,16 +69,16 @@
 			return
 		case message := <-l.heartbeats:
 			// Not waiting for the reply keeps one late heartbeat from delaying the next.
-			if l.connect(ctx) && !start(l.client, methodHeartbeat, message) {
+			if l.connect(ctx) && !startCall(l.client, methodHeartbeat, message) {
 				l.disconnect()
 			}
 		case message := <-l.gossip:
 			if l.connect(ctx) && call(ctx, l.client, methodGossip, message, &Ack{}, gossipTimeout) != nil {
 				l.disconnect()
 			}
-		case forward := <-l.calls:
+		case sendCall := <-l.calls:
 			l.connect(ctx)
-			forward(ctx, l.client)
+			sendCall(ctx, l.client)
 		}
 	}
 }
@@ -93,10 +93,10 @@
 	conn, err := dialer.DialContext(ctx, "tcp", l.address)
 	if err != nil {
 		l.redialAt = time.Now().Add(redialInterval)
-		l.running.Go(l.broken)
+		l.running.Go(l.onBroken)
 		return false
 	}
-	l.client = rpc.NewClient(monitoredConn{conn, l.broken})
+	l.client = rpc.NewClient(monitoredConn{conn, l.onBroken})
 	return true
 }
 
@@ -108,19 +108,19 @@
 	}
 }
 
-// monitoredConn is a connection that calls broken when it fails or the peer closes it.
+// monitoredConn is a connection that calls onBroken when it fails or the peer closes it.
 type monitoredConn struct {
 	net.Conn
-	broken func()
+	onBroken func()
 }
 
-// Read reads from the connection, and calls broken after an error unless this side has closed
+// Read reads from the connection, and calls onBroken after an error unless this side has closed
 // the connection. An rpc.Client reads continuously and stops at the first error, so a broken
 // connection is detected at once, and reported once.
 func (c monitoredConn) Read(buffer []byte) (int, error) {
 	read, err := c.Conn.Read(buffer)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		c.broken()
+		c.onBroken()
 	}
 	return read, err
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -40,9 +40,9 @@
 	// minWatchInterval is the least time between two watches. Changes occur in bursts, and
 	// the wait lets one response return several of them.
 	minWatchInterval = 40 * time.Millisecond
-	// watchShare limits the watches of all controllers together to one in watchShare of the
-	// requests that the service allows.
-	watchShare = 3
+	// The watches of all controllers together are limited to one in watchRequestDivisor of
+	// the requests that the service allows.
+	watchRequestDivisor = 3
 )
 
 // Client sends the requests of one controller. Every request runs in a goroutine of its own,
@@ -66,7 +66,7 @@
 	// The core limits its own writes. This limit keeps one controller from using up the
 	// requests of all with background requests, which can wait.
 	backgroundRate := rate.Limit(rps * min(1, 2/float64(members)))
-	watchInterval := time.Duration(float64(watchShare*members) / rps * float64(time.Second))
+	watchInterval := time.Duration(float64(watchRequestDivisor*members) / rps * float64(time.Second))
 	return &Client{
 		baseURL:       "http://" + address,
 		http:          &http.Client{Transport: newTransport(config.StateSockets), Timeout: requestTimeout},
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -63,7 +63,7 @@
 // Commit sends a conditional transaction and delivers core.Committed.
 func (c *Client) Commit(ctx context.Context, request core.Commit) {
 	c.running.Go(func() {
-		if request.Class == core.ClassBackground && !c.waitForBackground(ctx) {
+		if request.Class == core.ClassBackground && !c.waitForBackgroundRate(ctx) {
 			c.post(core.Committed{ID: request.ID, Outcome: kv.Refused})
 			return
 		}
@@ -79,9 +79,9 @@
 	})
 }
 
-// waitForBackground waits for the rate limiter of background requests, and reports whether it
+// waitForBackgroundRate waits for the rate limiter of background requests, and reports whether it
 // allowed a request within backgroundTimeout.
-func (c *Client) waitForBackground(ctx context.Context) bool {
+func (c *Client) waitForBackgroundRate(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, backgroundTimeout)
 	defer cancel()
 	return c.background.Wait(ctx) == nil
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -25,14 +25,15 @@
 	watchJitterMS     = 200
 )
 
-// changes is the response of a watch.
-type changes struct {
-	Revision uint64   `msgpack:"ledger_rev"`
-	Events   []change `msgpack:"events"`
+// watchResponse is the response of a watch.
+type watchResponse struct {
+	Revision uint64       `msgpack:"ledger_rev"`
+	Events   []watchEvent `msgpack:"events"`
 }
 
-// change is the write of the key Put or the deletion of the key Drop; the other field is empty.
-type change struct {
+// watchEvent is the write of the key Put or the deletion of the key Drop; the other field is
+// empty.
+type watchEvent struct {
 	Put      string             `msgpack:"put"`
 	Drop     string             `msgpack:"drop"`
 	Value    msgpack.RawMessage `msgpack:"v"`
@@ -52,14 +53,14 @@
 				continue
 			}
 		}
-		var latest changes
+		var latest watchResponse
 		status, err := c.exchange(ctx, c.watchHTTP, http.MethodGet, watchPath(revision), nil, &latest)
 		switch {
 		case err != nil:
 			sleep(ctx, watchErrorBackoff)
 		case status == http.StatusOK:
 			revision = max(revision, latest.Revision)
-			c.post(core.RecordsChanged{Revision: revision, Events: events(latest.Events)})
+			c.post(core.RecordsChanged{Revision: revision, Events: decodeEvents(latest.Events)})
 			sleep(ctx, c.watchInterval)
 		case status == http.StatusGone:
 			listed = false
@@ -91,8 +92,9 @@
 	return "/watch?" + query.Encode()
 }
 
-// events converts changes to events. Values that can't be decoded are left out.
-func events(changed []change) []kv.Event {
+// decodeEvents converts events of the service to those of the core. Values that can't be decoded
+// are left out.
+func decodeEvents(changed []watchEvent) []kv.Event {
 	var translated []kv.Event
 	for _, e := range changed {
 		if e.Drop != "" {
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -17,9 +17,9 @@
 const (
 	commandDialTimeout = 700 * time.Millisecond
 	commandTimeout     = 3 * time.Second
-	// maxCommandResponse is how many bytes of a worker's response are read. Only its status
+	// maxCommandResponseBytes is how many bytes of a worker's response are read. Only its status
 	// is used.
-	maxCommandResponse = 64 << 10
+	maxCommandResponseBytes = 64 << 10
 )
 
 // CommandClient sends batches of commands directly to workers.
@@ -70,7 +70,7 @@
 func (c *CommandClient) exchange(ctx context.Context, commands core.SendCommands) kv.Outcome {
 	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
 		Method: http.MethodPost, URL: "http://" + commands.Address + "/orders", Body: commands.Batch,
-		NoReplay: true, MaxResponseBytes: maxCommandResponse,
+		NoReplay: true, MaxResponseBytes: maxCommandResponseBytes,
 	})
 	switch response.Status { // set even if reading the body failed
 	case http.StatusOK:
