--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -40,7 +40,7 @@
 	}
 	workers := &settings.Deployment.Workers
 	lease, cancel := Seconds(workers.LeaseS), Seconds(workers.CancelS)
-	if validity := settings.Validity(); validity <= 0 || validity+lease+Margin(lease) >= cancel {
+	if validity := settings.Validity(); validity <= 0 || validity+lease+ClockMargin(lease) >= cancel {
 		t.Errorf("validity %v, a worker lease of %v and the margin reach cancel_s %v", validity, lease, cancel)
 	}
 }
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -15,20 +15,20 @@
 	listenerSockets = 2
 	runtimeSockets  = 5 // for the Go runtime
 
-	ownSockets = StateSockets + WatchSockets + CloudSockets + listenerSockets + runtimeSockets
+	reservedSockets = StateSockets + WatchSockets + CloudSockets + listenerSockets + runtimeSockets
 )
 
-// peerConnections is how many connections of one peer are accepted at the same time. A peer
-// reconnects whenever a reply is late, and during a partition its old connections may remain
-// open.
-const peerConnections = 8
+// maxConnectionsPerPeer is how many connections of one peer are accepted at the same time. A
+// peer reconnects whenever a reply is late, and during a partition its old connections may
+// remain open.
+const maxConnectionsPerPeer = 8
 
 // PeerSockets returns how many connections of other controllers are accepted at the same time.
-func (s *Settings) PeerSockets() int { return peerConnections * (len(s.Peers) + 1) }
+func (s *Settings) PeerSockets() int { return maxConnectionsPerPeer * (len(s.Peers) + 1) }
 
 // PublicSockets returns how many connections of users and workers are accepted at the same
 // time: the limit of sockets less all other sockets, including one for a connection to each
 // peer.
 func (s *Settings) PublicSockets() int {
-	return s.Deployment.Limits.Sockets - ownSockets - CommandSockets - s.PeerSockets() - len(s.Peers)
+	return s.Deployment.Limits.Sockets - reservedSockets - CommandSockets - s.PeerSockets() - len(s.Peers)
 }
--- a/internal/config/sockets_test.go
+++ b/internal/config/sockets_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rest := settings.PeerSockets() + CommandSockets + ownSockets + len(settings.Peers)
+	rest := settings.PeerSockets() + CommandSockets + reservedSockets + len(settings.Peers)
 	if public := settings.PublicSockets(); public+rest > 3389 || public < 3200 {
 		t.Errorf("%d sockets for users and workers, %d for the rest", public, rest)
 	}
--- a/internal/config/validity.go
+++ b/internal/config/validity.go
@@ -15,8 +15,10 @@
 	takeoverSlack = time.Second
 )
 
-// Margin returns the safety margin to add to a duration that another machine's clock measures.
-func Margin(duration time.Duration) time.Duration { return duration/clockDriftDivisor + timerSlack }
+// ClockMargin returns the safety margin to add to a duration that another machine's clock measures.
+func ClockMargin(duration time.Duration) time.Duration {
+	return duration/clockDriftDivisor + timerSlack
+}
 
 // Validity returns the owner validity for the worker times of the settings; see the function
 // Validity.
@@ -37,6 +39,6 @@
 // for an owner's claim to expire can still reach the owner's workers before they kill their
 // tasks.
 func Validity(workerLease, cancel time.Duration) time.Duration {
-	withinCancel := cancel - workerLease - Margin(workerLease) - cancelSlack
-	return min(withinCancel, workerLease-Margin(workerLease)-takeoverSlack)
+	withinCancel := cancel - workerLease - ClockMargin(workerLease) - cancelSlack
+	return min(withinCancel, workerLease-ClockMargin(workerLease)-takeoverSlack)
 }
