--- a/cmd/micaport/main_test.go
+++ b/cmd/micaport/main_test.go
@@ -37,41 +37,41 @@
 	badChanges := writeFile(t, "bad-changes.ini", "[red]\ngpus_max = many\nspeed = 3\n")
 	shortLease := writeFile(t, "short.json", strings.Replace(validSettings, `"lease_s":30`, `"lease_s":9`, 1))
 	cases := []struct {
-		args   []string
-		out    string   // part of the output of a run that succeeds
-		faults []string // parts of the error of a run that fails
+		args       []string
+		wantOutput string   // part of the output of a run that succeeds
+		wantErrors []string // parts of the error of a run that fails
 	}{
-		{args: []string{"--config", settings, "--operator", operator, "--check"}, out: "settings are in order"},
-		{args: []string{"--config", settings, "--set", "quota.admission=leaderless", "--check"}, out: "settings are in order"},
-		{args: []string{"--config", settings, "--set", "quota.admission=x", "--set", "speed=1", "--check"}, faults: []string{"admission must be", `"speed" is not SECTION.NAME`}},
-		{args: []string{"--config", settings, "--set", "standby.takeover=early", "--check"}, out: "settings are in order"},
-		{args: []string{"--config", settings, "--set", "standby.takeover=soon", "--check"}, faults: []string{`takeover must be lease or early, not "soon"`}},
-		{args: []string{"--config", shortLease, "--set", "standby.takeover=early", "--check"}, faults: []string{"takeover = early needs workers.lease_s above 9.5s, not 9s"}},
-		{args: []string{"--config", shortLease, "--check"}, out: "settings are in order"},
-		{args: []string{"--config", settings, "standby", "show"}, out: "the last takeovers can't be read"},
-		{args: []string{"--config", settings, "standby", "show", "--json"}, out: `"fault": "dial tcp`},
-		{args: []string{"--check"}, faults: []string{"--config FILE is required"}},
-		{args: []string{"--config", settings + ".none", "--check"}, faults: []string{"no such file"}},
-		{args: []string{"--config", changes, "--check"}, faults: []string{"invalid character"}},
+		{args: []string{"--config", settings, "--operator", operator, "--check"}, wantOutput: "settings are in order"},
+		{args: []string{"--config", settings, "--set", "quota.admission=leaderless", "--check"}, wantOutput: "settings are in order"},
+		{args: []string{"--config", settings, "--set", "quota.admission=x", "--set", "speed=1", "--check"}, wantErrors: []string{"admission must be", `"speed" is not SECTION.NAME`}},
+		{args: []string{"--config", settings, "--set", "standby.takeover=early", "--check"}, wantOutput: "settings are in order"},
+		{args: []string{"--config", settings, "--set", "standby.takeover=soon", "--check"}, wantErrors: []string{`takeover must be lease or early, not "soon"`}},
+		{args: []string{"--config", shortLease, "--set", "standby.takeover=early", "--check"}, wantErrors: []string{"takeover = early needs workers.lease_s above 9.5s, not 9s"}},
+		{args: []string{"--config", shortLease, "--check"}, wantOutput: "settings are in order"},
+		{args: []string{"--config", settings, "standby", "show"}, wantOutput: "the last takeovers can't be read"},
+		{args: []string{"--config", settings, "standby", "show", "--json"}, wantOutput: `"fault": "dial tcp`},
+		{args: []string{"--check"}, wantErrors: []string{"--config FILE is required"}},
+		{args: []string{"--config", settings + ".none", "--check"}, wantErrors: []string{"no such file"}},
+		{args: []string{"--config", changes, "--check"}, wantErrors: []string{"invalid character"}},
 		{args: []string{"--config", bad, "--operator", badOperator, "--check"},
-			faults: []string{`site "x"`, "guarantee exceeds the limit", "admission must be", "unknown setting share", "unknown section [limits]"}},
-		{args: []string{"--unknown"}, faults: []string{"unknown flag"}},
-		{args: []string{"--config", settings, "limits", "apply", badChanges}, faults: []string{"gpus_max", "unknown setting speed", "version is missing"}},
-		{args: []string{"--config", settings, "limits", "apply", changes, "--check"}, faults: []string{"state service can't be reached"}},
-		{args: []string{"--config", settings, "limits", "show"}, faults: []string{"state service can't be reached"}},
+			wantErrors: []string{`site "x"`, "guarantee exceeds the limit", "admission must be", "unknown setting share", "unknown section [limits]"}},
+		{args: []string{"--unknown"}, wantErrors: []string{"unknown flag"}},
+		{args: []string{"--config", settings, "limits", "apply", badChanges}, wantErrors: []string{"gpus_max", "unknown setting speed", "version is missing"}},
+		{args: []string{"--config", settings, "limits", "apply", changes, "--check"}, wantErrors: []string{"state service can't be reached"}},
+		{args: []string{"--config", settings, "limits", "show"}, wantErrors: []string{"state service can't be reached"}},
 	}
 	for _, test := range cases {
 		var out bytes.Buffer
 		err := run(t.Context(), test.args, &out)
-		if len(test.faults) == 0 {
-			if err != nil || !strings.Contains(out.String(), test.out) {
-				t.Errorf("%v: got %q, %v, want %q", test.args, out.String(), err, test.out)
+		if len(test.wantErrors) == 0 {
+			if err != nil || !strings.Contains(out.String(), test.wantOutput) {
+				t.Errorf("%v: got %q, %v, want %q", test.args, out.String(), err, test.wantOutput)
 			}
 			continue
 		}
-		for _, fault := range test.faults {
-			if err == nil || !strings.Contains(err.Error(), fault) {
-				t.Errorf("%v: error %v does not contain %q", test.args, err, fault)
+		for _, want := range test.wantErrors {
+			if err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("%v: error %v does not contain %q", test.args, err, want)
 			}
 		}
 	}
--- a/internal/failoverctl/print.go
+++ b/internal/failoverctl/print.go
@@ -26,8 +26,8 @@
 		return err
 	}
 	switch {
-	case o.Fault != "":
-		fmt.Fprintf(out, "\nthe last takeovers can't be read: %s\n", o.Fault)
+	case o.TakeoversError != "":
+		fmt.Fprintf(out, "\nthe last takeovers can't be read: %s\n", o.TakeoversError)
 		return nil
 	case len(o.Takeovers) == 0:
 		fmt.Fprintln(out, "\nno takeovers")
@@ -43,12 +43,12 @@
 	fmt.Fprintln(table, "CONTROLLER\tROLE\tLEADER\tTERM\tLAG\tSILENCE\tLOG\tTAKEOVER\tFORMAT\tFAULT")
 	for i := range controllers {
 		c := &controllers[i]
-		if c.Fault != "" {
-			fmt.Fprintf(table, "%s\t?\t\t\t\t\t\t\t\t%s\n", c.Controller, c.Fault)
+		if c.QueryError != "" {
+			fmt.Fprintf(table, "%s\t?\t\t\t\t\t\t\t\t%s\n", c.Controller, c.QueryError)
 			continue
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\t%d\t%s\n", c.Controller, c.role(), c.leader(), c.Term, c.Lag,
-			c.silence(), c.decisionLog(), c.setting(), c.Agreed, c.fault())
+			c.silence(), c.decisionLogStatus(), c.takeoverSetting(), c.Agreed, c.stateServiceFault())
 	}
 }
 
@@ -113,9 +113,9 @@
 	return text
 }
 
-// decisionLog returns the state of the decision log: for the leader how far its standby is
-// behind, and for other controllers how many facts of the leader's log they hold.
-func (c *Controller) decisionLog() string {
+// decisionLogStatus returns the state of the decision log: for the leader how far its standby
+// is behind, and for other controllers how many facts of the leader's log they hold.
+func (c *Controller) decisionLogStatus() string {
 	switch {
 	case !c.Fenced:
 		return "-"
@@ -129,9 +129,9 @@
 	return "-"
 }
 
-// setting returns the controller's takeover setting, and whether the leader does not allow an
-// early takeover.
-func (c *Controller) setting() string {
+// takeoverSetting returns the controller's takeover setting, and whether an early takeover is
+// impossible because the leader is not fenced.
+func (c *Controller) takeoverSetting() string {
 	switch {
 	case !c.Early:
 		return "lease"
@@ -141,9 +141,9 @@
 	return "early"
 }
 
-// fault returns "refused by the state service" if the state service does not answer the
-// controller, and otherwise an empty string.
-func (c *Controller) fault() string {
+// stateServiceFault returns "refused by the state service" if the state service does not answer
+// the controller, and otherwise an empty string.
+func (c *Controller) stateServiceFault() string {
 	if !c.Served {
 		return "refused by the state service"
 	}
--- a/internal/failoverctl/status.go
+++ b/internal/failoverctl/status.go
@@ -30,15 +30,15 @@
 	wire.LeadershipStatus
 	// Lag is the number of revisions by which the controller's replica of the records is
 	// behind the most recent replica of all controllers.
-	Lag   uint64 `json:"lag"`
-	Fault string `json:"fault,omitempty"` // the error if the controller could not be queried
+	Lag        uint64 `json:"lag"`
+	QueryError string `json:"fault,omitempty"` // the error if the controller could not be queried
 }
 
 // Overview is the output of the command.
 type Overview struct {
-	Controllers []Controller    `json:"controllers"`
-	Takeovers   []wire.Takeover `json:"takeovers"`
-	Fault       string          `json:"fault,omitempty"` // the error if the takeovers could not be read
+	Controllers    []Controller    `json:"controllers"`
+	Takeovers      []wire.Takeover `json:"takeovers"`
+	TakeoversError string          `json:"fault,omitempty"` // the error if the takeovers could not be read
 }
 
 // Read queries all controllers concurrently and then reads the last takeovers. Errors are
@@ -48,7 +48,7 @@
 	setLags(overview.Controllers)
 	stored, err := records.List(ctx, wire.TakeoversKey)
 	if err != nil {
-		overview.Fault = err.Error()
+		overview.TakeoversError = err.Error()
 		return overview
 	}
 	if takeovers, ok := stored[wire.TakeoversKey].Value.(*wire.Takeovers); ok {
@@ -67,7 +67,7 @@
 			status.Controller = peer.Label
 			controllers[i] = Controller{LeadershipStatus: status}
 			if err != nil {
-				controllers[i].Fault = err.Error()
+				controllers[i].QueryError = err.Error()
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 		latest = max(latest, controllers[i].Revision)
 	}
 	for i := range controllers {
-		if c := &controllers[i]; c.Fault == "" {
+		if c := &controllers[i]; c.QueryError == "" {
 			c.Lag = latest - c.Revision
 		}
 	}
--- a/internal/failoverctl/status_test.go
+++ b/internal/failoverctl/status_test.go
@@ -69,7 +69,7 @@
 	if err := json.Unmarshal(out.Bytes(), &got); err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Controllers) != 3 || got.Controllers[1].Lag != 3 || got.Controllers[2].Fault == "" || got.Takeovers[0].From != "n2" {
+	if len(got.Controllers) != 3 || got.Controllers[1].Lag != 3 || got.Controllers[2].QueryError == "" || got.Takeovers[0].From != "n2" {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/internal/quotactl/accounts.go
+++ b/internal/quotactl/accounts.go
@@ -122,16 +122,16 @@
 func (u *Usage) add(active wire.ActiveTasks, each wire.Resources) {
 	for i := range active {
 		if !active[i].Admitted {
-			u.Granted = sum(u.Granted, each)
+			u.Granted = addResources(u.Granted, each)
 			continue
 		}
 		if u.Admitted == nil {
 			u.Admitted = map[int]wire.Resources{}
 		}
-		u.Admitted[active[i].Shard] = sum(u.Admitted[active[i].Shard], each)
+		u.Admitted[active[i].Shard] = addResources(u.Admitted[active[i].Shard], each)
 	}
 }
 
-func sum(a, b wire.Resources) wire.Resources {
+func addResources(a, b wire.Resources) wire.Resources {
 	return wire.Resources{Cores: a.Cores + b.Cores, GPUs: a.GPUs + b.GPUs}
 }
--- a/internal/quotactl/apply.go
+++ b/internal/quotactl/apply.go
@@ -16,7 +16,7 @@
 // Apply makes all changes in one transaction, or none. If check is true it only validates them.
 // The error joins all violations, or is the error of records if reading or writing fails.
 func Apply(ctx context.Context, records Records, site *Site, changes []quota.Change, check bool) error {
-	if err := site.allReadAccounts(ctx, records); err != nil {
+	if err := site.checkAllUpgraded(ctx, records); err != nil {
 		return err
 	}
 	stored, err := records.List(ctx, wire.AccountPrefix)
@@ -28,7 +28,7 @@
 		return err
 	}
 	planned := newPlan(site, changes, stored)
-	if err := site.canHold(planned.accounts, machineTypes); err != nil {
+	if err := site.checkCapacity(planned.accounts, machineTypes); err != nil {
 		planned.violations = append(planned.violations, err)
 	}
 	if len(planned.writes) > site.TxnOps {
--- a/internal/quotactl/print.go
+++ b/internal/quotactl/print.go
@@ -26,15 +26,15 @@
 		account := &accounts[i]
 		admitted := wire.Resources{}
 		for _, used := range account.Usage.Admitted {
-			admitted = sum(admitted, used)
+			admitted = addResources(admitted, used)
 		}
-		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%s\t%s\n", account.Team, account.Version, amount(account.Guarantee), amount(account.Limit),
-			amount(account.Usage.Granted), amount(admitted), account.Error)
+		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%s\t%s\n", account.Team, account.Version, formatResources(account.Guarantee), formatResources(account.Limit),
+			formatResources(account.Usage.Granted), formatResources(admitted), account.Error)
 		for shard, id := range site.Shards {
 			share, hasShare := account.shareOf(shard)
 			used, hasUsage := account.Usage.Admitted[shard]
 			if hasShare || hasUsage {
-				fmt.Fprintf(table, "  %s\t\t\t%s\t\t%s\t\n", id.Name(), amount(share), amount(used))
+				fmt.Fprintf(table, "  %s\t\t\t%s\t\t%s\t\n", id.Name(), formatResources(share), formatResources(used))
 			}
 		}
 	}
@@ -51,8 +51,8 @@
 	return wire.Resources{}, false
 }
 
-// amount formats resources, without those that are 0.
-func amount(r wire.Resources) string {
+// formatResources formats resources, without those that are 0.
+func formatResources(r wire.Resources) string {
 	var named []string
 	if r.GPUs != 0 {
 		named = append(named, fmt.Sprintf("%v GPUs", r.GPUs))
--- a/internal/quotactl/quotactl_test.go
+++ b/internal/quotactl/quotactl_test.go
@@ -18,9 +18,9 @@
 
 // fakeRecords is an in-memory state service.
 type fakeRecords struct {
-	records  map[string]kv.Event
-	revision uint64
-	race     func() // called before each commit, to simulate a concurrent change
+	records      map[string]kv.Event
+	revision     uint64
+	beforeCommit func() // called before each commit, to simulate a concurrent change
 }
 
 func (r *fakeRecords) write(key string, value wire.Record) {
@@ -37,8 +37,8 @@
 var errConflict = errors.New("conflict")
 
 func (r *fakeRecords) Commit(_ context.Context, conditions []kv.Condition, writes []kv.Write) error {
-	if r.race != nil {
-		r.race()
+	if r.beforeCommit != nil {
+		r.beforeCommit()
 	}
 	for _, condition := range conditions {
 		if r.records[condition.Key].Revision != condition.Revision {
@@ -84,7 +84,7 @@
 	if err := Apply(t.Context(), records, site, changes, false); !errors.Is(err, quota.ErrStaleVersion) {
 		t.Errorf("stale change: %v", err)
 	}
-	records.race = func() {
+	records.beforeCommit = func() {
 		records.write(wire.AccountKey("red"), &wire.Account{Version: 1, Limit: wire.Resources{GPUs: 9}})
 	}
 	if err := Apply(t.Context(), records, site, []quota.Change{{Team: "red", Version: 1, GPUsLimit: pointerTo(7)}}, false); !errors.Is(err, errConflict) {
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -41,9 +41,9 @@
 	return site
 }
 
-// allReadAccounts returns quota.ErrNotAllUpgraded with the labels of the controllers whose
+// checkAllUpgraded returns quota.ErrNotAllUpgraded with the labels of the controllers whose
 // version does not read accounts. Such a controller would apply the settings instead.
-func (s *Site) allReadAccounts(ctx context.Context, records Records) error {
+func (s *Site) checkAllUpgraded(ctx context.Context, records Records) error {
 	formats, err := records.List(ctx, wire.FormatPrefix)
 	if err != nil {
 		return err
@@ -61,10 +61,10 @@
 	return nil
 }
 
-// canHold returns quota.ErrBeyondTheSite if the sum of all guarantees exceeds the capacity of the
-// maximum number of machines. It returns nil if the operators do not limit the number of machines
-// or the leader has not recorded the machine types yet.
-func (s *Site) canHold(accounts map[string]*wire.Account, stored map[string]kv.Event) error {
+// checkCapacity returns quota.ErrBeyondTheSite if the sum of all guarantees exceeds the capacity
+// of the maximum number of machines. It returns nil if the operators do not limit the number of
+// machines or the leader has not recorded the machine types yet.
+func (s *Site) checkCapacity(accounts map[string]*wire.Account, stored map[string]kv.Event) error {
 	machineTypes, ok := stored[wire.MachineTypesKey].Value.(*wire.MachineTypeCache)
 	if !ok || s.MaxMachines == 0 {
 		return nil
@@ -76,7 +76,7 @@
 		capacity.GPUs = max(capacity.GPUs, machineType.GPUs*float64(s.MaxMachines))
 	}
 	for _, team := range slices.Sorted(maps.Keys(accounts)) { // in a fixed order, as rounding depends on it
-		guaranteed = sum(guaranteed, accounts[team].Guarantee)
+		guaranteed = addResources(guaranteed, accounts[team].Guarantee)
 	}
 	if guaranteed.Cores > capacity.Cores || guaranteed.GPUs > capacity.GPUs {
 		return fmt.Errorf("%w: %v of %v cores, %v of %v GPUs", quota.ErrBeyondTheSite, guaranteed.Cores, capacity.Cores, guaranteed.GPUs, capacity.GPUs)
