--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -27,7 +27,7 @@
 	if len(command) < 2 || command[0] != "go" || command[1] != "test" {
 		return fmt.Errorf("%q is not a go test command", command)
 	}
-	text, err := os.ReadFile(listFile)
+	text, err := os.ReadFile(knownFailuresFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("list of known failures: %w", err)
 	}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return fmt.Errorf("go test: %w", err)
 	}
-	return results.judge(known, failed)
+	return results.checkFailures(known, failed)
 }
 
 // maxLineBytes is the maximum length of a line of go test -json.
--- a/internal/ci/verdict.go
+++ b/internal/ci/verdict.go
@@ -81,9 +81,10 @@
 	}
 }
 
-// judge returns an error unless each failed test is a known failure or has a failed subtest, and
-// each known failure did fail. The argument failed states whether go test itself failed.
-func (v *verdict) judge(known []knownFailure, failed bool) error {
+// checkFailures returns an error unless each failed test is a known failure or has a failed
+// subtest, and each known failure did fail. The argument failed states whether go test itself
+// failed.
+func (v *verdict) checkFailures(known []knownFailure, failed bool) error {
 	var violations []error
 	for _, name := range v.failedPackages {
 		violations = append(violations, fmt.Errorf("%s failed outside its tests", name))
@@ -97,7 +98,7 @@
 	}
 	for _, k := range known {
 		if !slices.Contains(v.failedTests, k.test) {
-			violations = append(violations, fmt.Errorf("%s is listed in %s, but passed or does not exist", k.test, listFile))
+			violations = append(violations, fmt.Errorf("%s is listed in %s, but passed or does not exist", k.test, knownFailuresFile))
 			continue
 		}
 		fmt.Fprintf(v.out, "known to fail: %s (%s, issue %s)\n", k.test, k.cause, k.issue)
--- a/internal/ci/verdict_test.go
+++ b/internal/ci/verdict_test.go
@@ -6,7 +6,7 @@
 )
 
 // Only the listed tests may fail, and each of them must fail.
-func TestJudge(t *testing.T) {
+func TestCheckFailures(t *testing.T) {
 	red, other := knownFailure{"p.TestA/red", "a fault", "1"}, knownFailure{"p.TestB", "another", "2"}
 	fail := func(test string) testEvent { return testEvent{Action: "fail", Package: "p", Test: test} }
 	for _, test := range []struct {
@@ -28,7 +28,7 @@
 		for _, e := range test.events {
 			v.add(e)
 		}
-		err := v.judge(test.list, len(v.failedTests)+len(v.failedPackages) > 0)
+		err := v.checkFailures(test.list, len(v.failedTests)+len(v.failedPackages) > 0)
 		got := 0
 		if err != nil {
 			got = len(strings.Split(err.Error(), "\n"))
@@ -42,7 +42,7 @@
 			}
 		}
 	}
-	if err := (&verdict{out: &strings.Builder{}}).judge(nil, true); err == nil {
+	if err := (&verdict{out: &strings.Builder{}}).checkFailures(nil, true); err == nil {
 		t.Error("a failure of go test without a failed test is tolerated")
 	}
 }
