--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Wait waits until all calls have ended. No call may be started meanwhile.
+// Wait waits until all calls have ended. No call may be started during the wait.
 func (c *Client) Wait() { c.running.Wait() }
 
 // AllowCalls allows the provisioning and deprovisioning calls of a term to be started until a
--- a/internal/config/validity.go
+++ b/internal/config/validity.go
@@ -29,15 +29,15 @@
 
 // Validity returns the owner validity: how long the owner of a shard may act after its last
 // proven lease renewal. It depends on the worker lease and on cancel, the time after which a
-// cancelled task must not run any more.
+// cancelled task must no longer run.
 //
 // An owner that can't be reached with a cancellation answers no heartbeat that was sent after
-// its validity ended. One worker lease after that heartbeat its tasks have stopped, which must
-// be within cancel. Below that bound the validity is as long as possible: in a zone that is
-// partitioned from the others together with its controller, tasks keep running for the validity
-// and a lease. The validity is also shorter than the worker lease, so that a peer that waits
-// for an owner's claim to expire can still reach the owner's workers before they kill their
-// tasks.
+// its validity ended. Its workers therefore kill their tasks at most one worker lease after the
+// end of the validity, which must be within cancel. Below that bound the validity is as long as
+// possible: in a zone that is partitioned from the others together with its controller, tasks
+// run on for the validity and a lease. The validity is also shorter than the worker lease, so
+// that a peer that waits for an owner's claim to expire can still reach the owner's workers
+// before they kill their tasks.
 func Validity(workerLease, cancel time.Duration) time.Duration {
 	withinCancel := cancel - workerLease - ClockMargin(workerLease) - cancelSlack
 	return min(withinCancel, workerLease-ClockMargin(workerLease)-takeoverSlack)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Wait waits until all requests have ended. No request may be started meanwhile.
+// Wait waits until all requests have ended. No request may be started during the wait.
 func (c *Client) Wait() { c.running.Wait() }
 
 // exchange sends a request and decodes the body of the response into target if the status is
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Wait waits until the results of all batches have been delivered. No batch may be sent
-// meanwhile.
+// Wait waits until the results of all batches have been delivered. No batch may be sent during
+// the wait.
 func (c *CommandClient) Wait() { c.running.Wait() }
 
 // Send sends a batch in a goroutine of its own and delivers core.CommandsAnswered. The request
