--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -12,41 +12,40 @@
 	"micaport/internal/ownership"
 )
 
-// controller is a controller: a core, its clock and what waits for it. With real processes
-// it has no core, and only its state is tracked here.
+// controller is a controller of the simulation: its core, its clock and its pending requests.
+// With real processes the core is nil, and only the state of the process is tracked here.
 type controller struct {
 	sim            *Simulation
-	index          int // in Simulation.controllers
+	index          int // position in Simulation.controllers
 	label          string
 	zone           string
 	core           *core.Node
 	running        bool
-	oldVersion     bool // it runs the version before, which reads Settings.OldFormat
-	incarnation    int  // how often it was started
+	oldVersion     bool // it runs the previous version, which supports formats up to Settings.OldFormat
+	incarnation    int  // number of starts so far
 	startedAt      time.Duration
-	clockRate      float64 // of its clock, by the simulation's
+	clockRate      float64 // rate of its clock relative to that of the simulation
 	pendingReplies map[uint64]func(core.Reply)
 	lastRequestID  uint64
 
 	frozenUntil         time.Duration
-	queuedInputs        []core.Input  // that arrived while it was frozen
-	heldEffects         []core.Effect // decided on when it froze, and not performed yet
-	freezeBeforeEffects bool          // it takes one more step, and freezes before its effects
+	queuedInputs        []core.Input  // inputs that arrived while it was frozen
+	heldEffects         []core.Effect // effects of its last step before it froze, not performed yet
+	freezeBeforeEffects bool          // it executes one more step, and freezes before it performs the effects
 }
 
-// Timing of a controller.
+// Timing and limits of a controller.
 const (
 	tickInterval       = 50 * time.Millisecond
-	tickStagger        = 7 * time.Millisecond // between the first ticks of two controllers
+	tickStagger        = 7 * time.Millisecond // between the first ticks of successive controllers
 	leaderLease        = 5 * time.Second
-	cloudListLag       = 4 * time.Second // a new machine is listed after it
+	cloudListLag       = 4 * time.Second // time after which the cloud lists a new machine
 	maxLargeArrayTasks = 600
 	coreCloudRPS       = 2
 	coreStateRPS       = 250
 	spareMachines      = 1
 )
 
-// endpoint returns the controller as a party of the network.
 func (c *controller) endpoint() endpoint { return endpoint{c.label, c.zone} }
 
 // start starts a new incarnation of the controller.
@@ -60,7 +59,7 @@
 	c.queuedInputs = nil
 	c.pendingReplies = map[uint64]func(core.Reply){}
 	if sim.startController != nil {
-		sim.store.watchPositions[c.label] = watchNotStarted // it watches over its protocol
+		sim.store.watchPositions[c.label] = watchNotStarted // the process watches the state service through its protocol
 		sim.startController(c)
 		return
 	}
@@ -77,7 +76,7 @@
 	sim.after(time.Duration(c.index)*tickStagger, tick)
 }
 
-// isRunning reports whether an incarnation of the controller still runs.
+// isRunning reports whether the given incarnation of the controller still runs.
 func (c *controller) isRunning(incarnation int) bool {
 	return c.incarnation == incarnation && c.running
 }
@@ -99,7 +98,7 @@
 	if c.oldVersion {
 		cfg.Format = sim.OldFormat
 	}
-	if cfg.Format != 1 { // format 1 knows no limits that are to come
+	if cfg.Format != 1 { // format 1 does not support limits that apply later
 		cfg.CurrentValueBytes, cfg.MaxValueBytes = cfg.MaxValueBytes, lowerLimit(cfg.MaxValueBytes, sim.NextMaxValueBytes)
 		cfg.MaxTransactionOps, cfg.NextWriteRPS = lowerLimit(cfg.MaxTransactionOps, sim.NextMaxTransactionOps), sim.NextWriteRPS
 	}
@@ -109,7 +108,7 @@
 	return cfg
 }
 
-// lowerLimit returns the lower of a limit and the next one, of which 0 is none.
+// lowerLimit returns the lower of a limit and the next one. If next is 0, none follows.
 func lowerLimit(now, next int) int {
 	if next > 0 {
 		return min(now, next)
@@ -117,7 +116,8 @@
 	return now
 }
 
-// step gives an input to the core and performs the effects, unless the controller is frozen.
+// step runs a step of the core with an input and performs its effects. While the controller
+// is frozen, it queues the input instead, and ignores ticks.
 func (c *controller) step(in core.Input) {
 	sim := c.sim
 	if !c.running {
@@ -143,7 +143,8 @@
 	}
 }
 
-// deliver gives an input to the present incarnation of the controller after a delay.
+// deliver passes an input to the controller after a delay, unless the controller has been
+// restarted by then.
 func (c *controller) deliver(d time.Duration, in core.Input) {
 	incarnation := c.incarnation
 	c.sim.after(d, func() {
@@ -153,7 +154,8 @@
 	})
 }
 
-// request sends a request to the controller; reply is called at most once.
+// request sends a request to the controller. Reply receives the reply and is called at most
+// once.
 func (c *controller) request(input func(requestID uint64) core.Input, reply func(core.Reply)) {
 	if c.sim.sendRequest != nil {
 		c.sim.sendRequest(c, input(0), reply)
@@ -167,7 +169,8 @@
 	})
 }
 
-// stepRequest gives a request to the core, whose reply goes to a function.
+// stepRequest passes a request to the core and registers the function that receives the
+// reply.
 func (c *controller) stepRequest(input func(requestID uint64) core.Input, reply func(core.Reply)) {
 	c.lastRequestID++
 	c.pendingReplies[c.lastRequestID] = reply
@@ -179,14 +182,15 @@
 	return s.controllers[s.rng.IntN(len(s.controllers))]
 }
 
-// labelled returns the index of the controller with a label, or -1.
+// labelled returns the index of the controller with the given label, or -1.
 func (s *Simulation) labelled(label string) int {
 	return slices.IndexFunc(s.controllers, func(ctrl *controller) bool { return ctrl.label == label })
 }
 
-// controllerNamed finds a controller by the name that scripts use: its index, its role
+// controllerNamed returns the controller that a script refers to by its index, its role
 // ("leader", "standby", or "other" for the one after the leader), or the shard that it owns
-// ("owner:SHARD"). Who has no holder is the first controller.
+// ("owner:SHARD"). If no controller has the role or owns the shard, the first one counts as
+// the leader, the standby or the owner.
 func (s *Simulation) controllerNamed(name string) *controller {
 	leader := 0
 	if claim := s.store.leader(); claim != nil {
@@ -207,7 +211,8 @@
 	return s.controllers[index]
 }
 
-// reachablePeer returns the peer with a label that the controller can reach, or nil.
+// reachablePeer returns the controller with the given label, or nil if it does not exist or
+// a cut separates the two.
 func (c *controller) reachablePeer(label string) *controller {
 	index := c.sim.labelled(label)
 	if index < 0 || c.sim.network.isCut(c.endpoint(), c.sim.controllers[index].endpoint()) {
--- a/internal/simulation/controller_faults.go
+++ b/internal/simulation/controller_faults.go
@@ -7,8 +7,8 @@
 	"micaport/internal/kv"
 )
 
-// beginFailure records that the controller ends or freezes now, for d. It reports false if
-// the controller does not run.
+// beginFailure records that the controller crashes or freezes now, for d. It reports false
+// if the controller does not run.
 func (c *controller) beginFailure(d time.Duration) bool {
 	if !c.running {
 		return false
@@ -18,7 +18,7 @@
 	return true
 }
 
-// crash ends the controller and starts it again after d.
+// crash stops the controller and restarts it after d.
 func (c *controller) crash(d time.Duration) {
 	if !c.beginFailure(d) {
 		return
@@ -31,8 +31,9 @@
 	c.sim.after(d, c.start)
 }
 
-// freeze makes the controller stand still for d while its clock goes on: at once, or, every
-// second time, after its next step and before the effects of that.
+// freeze suspends the controller for d, during which its clock advances. With a probability
+// of one half the controller executes one more step first, and freezes before it performs
+// the effects of that step.
 func (c *controller) freeze(d time.Duration) {
 	if !c.beginFailure(d) {
 		return
@@ -47,16 +48,16 @@
 	})
 }
 
-// thaw performs what the controller had decided on before it was frozen for d, and gives it
-// the inputs that arrived meanwhile.
+// thaw ends a freeze that lasted d. It performs the effects that were outstanding, and then
+// passes the queued inputs to the core.
 func (c *controller) thaw(d time.Duration) {
 	effects, inputs := c.heldEffects, c.queuedInputs
 	c.heldEffects = nil
 	c.queuedInputs = nil
 	c.freezeBeforeEffects = false
 	for _, effect := range effects {
-		if call, is := effect.(core.CallCloud); is && (call.Provision != nil || call.Deprovision != nil) && d > call.ValidFor {
-			c.step(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}) // as the cloud client does
+		if call, ok := effect.(core.CallCloud); ok && (call.Provision != nil || call.Deprovision != nil) && d > call.ValidFor {
+			c.step(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}) // the cloud client refuses a call that is no longer valid
 			continue
 		}
 		c.perform(effect)
@@ -66,7 +67,8 @@
 	}
 }
 
-// notifyDisconnected tells the peers of a crashed controller that their connections broke.
+// notifyDisconnected notifies the peers of a crashed controller that the connection to it
+// was closed.
 func (c *controller) notifyDisconnected() {
 	for _, peer := range c.sim.controllers {
 		if peer != c && !c.sim.network.isCut(c.endpoint(), peer.endpoint()) {
--- a/internal/simulation/leadership.go
+++ b/internal/simulation/leadership.go
@@ -11,34 +11,35 @@
 	"micaport/internal/wire"
 )
 
-// staleLeaderAfter is how long a replaced leader may go on calling the cloud.
+// staleLeaderAfter is how long a replaced leader may continue to call the cloud.
 const staleLeaderAfter = 6 * time.Second
 
-// leadershipWatch follows who leads, and checks what must hold between a replaced leader
-// and the next: every decision on condition of the leader's key is by its holder, and once
-// a leader has called the cloud none before it does.
+// leadershipWatch records the successive leaders and checks that a replaced leader does not
+// interfere with its successors: every decision that is conditional on the leader's key is
+// committed by the holder of that key, and once a leader has called the cloud no earlier
+// leader calls it any more.
 type leadershipWatch struct {
 	sim               *Simulation
-	rng               *rand.Rand // for messages between leader and peers; see heartbeatStream
+	rng               *rand.Rand // for messages between the leader and its peers; see heartbeatStream
 	tenures           []leaderTenure
-	lastCloudTenure   int           // index of the latest tenure under which the cloud was called; -1: none
-	failedAt          time.Duration // when the present leader ended or froze; 0: it did not
-	crashNextClaimant time.Duration // for how long the next controller to claim the leadership ends; 0: it does not
-	standby           string        // that the last heartbeat named
-	heartbeats        int           // of leaders
-	failedClaims      int           // claims that failed since another had been carried out
-	disconnectDelay   time.Duration // until peers see that a connection has ended
+	lastCloudTenure   int           // index of the latest tenure in which the cloud was called; -1: none
+	failedAt          time.Duration // when the current leader crashed or froze; 0: it did not
+	crashNextClaimant time.Duration // downtime of the next controller that claims the leadership, which crashes then; 0: no crash
+	standby           string        // label of the standby, from the last heartbeat of a leader
+	heartbeats        int           // number of heartbeats sent by leaders
+	failedClaims      int           // number of claims that failed because of a conflict
+	disconnectDelay   time.Duration // time until peers detect a closed connection
 }
 
-// leaderTenure is the time under one claim of the leadership.
+// leaderTenure is the period of one claim of the leadership.
 type leaderTenure struct {
 	controller string
-	early      bool          // it replaced a live record of another controller
-	decidedAt  time.Duration // when the first commit changed a job's record; 0: none did
-	failedAt   time.Duration // when the leader before ended or froze; 0: it did not
+	early      bool          // it replaced another controller whose record had not expired
+	decidedAt  time.Duration // when the leader first committed a change of a job's record; 0: not yet
+	failedAt   time.Duration // when the previous leader crashed or froze; 0: it did not
 }
 
-// newLeadershipWatch returns a watch that has seen no leader.
+// newLeadershipWatch returns a leadershipWatch without tenures.
 func newLeadershipWatch(sim *Simulation) *leadershipWatch {
 	return &leadershipWatch{
 		sim: sim, rng: rand.New(rand.NewPCG(sim.Seed, heartbeatStream)),
@@ -46,12 +47,12 @@
 	}
 }
 
-// latency draws the time that a message between leader and peers takes.
+// latency draws the delivery time of a message between the leader and a peer.
 func (w *leadershipWatch) latency() time.Duration {
 	return time.Millisecond + time.Duration(w.rng.IntN(6000))*time.Microsecond
 }
 
-// current returns the tenure of the present leader, or nil if none has led.
+// current returns the tenure of the latest leader, or nil before the first one.
 func (w *leadershipWatch) current() *leaderTenure {
 	if len(w.tenures) == 0 {
 		return nil
@@ -59,8 +60,9 @@
 	return &w.tenures[len(w.tenures)-1]
 }
 
-// recordClaim records a claim that is about to be carried out. It reports whether a process
-// begins to lead with it; one that leads already may claim anew to be fenced.
+// recordClaim records a claim of the leadership that is about to be written. It reports
+// whether the claim begins a new tenure; the current leader may renew its claim in order to
+// become fenced.
 func (w *leadershipWatch) recordClaim(claim *wire.Leader) bool {
 	sim, holder := w.sim, w.sim.store.leader()
 	if holder != nil {
@@ -71,34 +73,35 @@
 	}
 	early := holder != nil && holder.Controller != claim.Controller
 	if early && (!holder.Fenced || claim.Streak == 0) {
-		sim.rules.violated("unfenced_takeover", "%s replaces %+v", claim.Controller, holder)
+		sim.rules.violated("unfenced_takeover", "%s replaced the leader %+v before its lease expired", claim.Controller, holder)
 	}
-	if away := w.crashNextClaimant; away > 0 {
+	if downtime := w.crashNextClaimant; downtime > 0 {
 		w.crashNextClaimant = 0
 		claimant := sim.controllers[sim.labelled(claim.Controller)]
-		sim.after(0, func() { claimant.crash(away) })
+		sim.after(0, func() { claimant.crash(downtime) })
 	}
 	w.tenures = append(w.tenures, leaderTenure{controller: claim.Controller, early: early, failedAt: w.failedAt})
 	w.failedAt = 0
 	return true
 }
 
-// recordFailure records that a controller ends or freezes now.
+// recordFailure records that a controller crashes or freezes now.
 func (w *leadershipWatch) recordFailure(ctrl *controller) {
 	if tenure := w.current(); tenure != nil && tenure.controller == ctrl.label && w.failedAt == 0 {
 		w.failedAt = w.sim.now
 	}
 }
 
-// recordConflict records a transaction that failed on its conditions.
+// recordConflict counts a transaction that failed because of its conditions if it was a
+// claim of the leadership.
 func (w *leadershipWatch) recordConflict(writes []recordWrite) {
 	if slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey && write.raw != nil }) {
 		w.failedClaims++
 	}
 }
 
-// slowestTakeover returns the longest time from the failure of a leader until the first
-// decision of the next, of those that were replaced early.
+// slowestTakeover returns the longest time from the failure of a leader that was replaced
+// early until the first decision of its successor.
 func (w *leadershipWatch) slowestTakeover() time.Duration {
 	slowest := time.Duration(0)
 	for _, tenure := range w.tenures {
@@ -109,7 +112,7 @@
 	return slowest
 }
 
-// countEarly counts the takeovers that did not wait for the lease to expire.
+// countEarly returns the number of takeovers that happened before the lease expired.
 func (w *leadershipWatch) countEarly() int {
 	count := 0
 	for _, tenure := range w.tenures {
@@ -120,8 +123,8 @@
 	return count
 }
 
-// checkCommit checks a transaction that has been carried out: if it is a leader's decision,
-// the controller leads.
+// checkCommit checks a transaction that has been committed: if it is conditional on the
+// leader's key, the controller must be the leader.
 func (w *leadershipWatch) checkCommit(ctrl *controller, conditions []kv.Condition, writes []recordWrite) {
 	tenure := w.current()
 	underClaim := slices.ContainsFunc(conditions, func(c kv.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 })
@@ -130,7 +133,7 @@
 		return
 	}
 	if tenure.controller != ctrl.label {
-		w.sim.rules.violated("foreign_decision", "%s decides under the claim of %s", ctrl.label, tenure.controller)
+		w.sim.rules.violated("foreign_decision", "%s committed a decision under the claim of %s", ctrl.label, tenure.controller)
 	}
 	changesJob := slices.ContainsFunc(writes, func(write recordWrite) bool { return strings.HasPrefix(write.key, wire.JobPrefix) })
 	if tenure.decidedAt == 0 && changesJob {
@@ -138,14 +141,14 @@
 	}
 }
 
-// checkCloudCall checks that a controller may provision or deprovision machines: it was not
-// replaced long ago, and no later leader has called the cloud.
+// checkCloudCall checks that a controller may provision or deprovision machines: it is not
+// a stale leader, and no later leader has called the cloud.
 func (w *leadershipWatch) checkCloudCall(ctrl *controller, call core.CallCloud) {
 	if call.Provision == nil && call.Deprovision == nil {
 		return
 	}
 	if w.isStale(ctrl) {
-		w.sim.rules.violated("stale_leader", "%s calls the cloud", ctrl.label)
+		w.sim.rules.violated("stale_leader", "%s called the cloud while another controller leads", ctrl.label)
 	}
 	latest := -1
 	for i, tenure := range w.tenures {
@@ -154,13 +157,13 @@
 		}
 	}
 	if latest < w.lastCloudTenure {
-		w.sim.rules.violated("two_leaders_at_cloud", "%s calls after %s", ctrl.label, w.tenures[w.lastCloudTenure].controller)
+		w.sim.rules.violated("two_leaders_at_cloud", "%s called the cloud after %s, a later leader", ctrl.label, w.tenures[w.lastCloudTenure].controller)
 	}
 	w.lastCloudTenure = max(w.lastCloudTenure, latest)
 }
 
-// isStale reports whether another controller has led for longer than staleLeaderAfter. A
-// stale leader would deprovision machines that are in use.
+// isStale reports whether another controller has been the leader for longer than
+// staleLeaderAfter. A stale leader would deprovision machines that are in use.
 func (w *leadershipWatch) isStale(ctrl *controller) bool {
 	leader := w.sim.store.leader()
 	return leader != nil && leader.Controller != ctrl.label && w.sim.now-w.sim.store.leaderSince > staleLeaderAfter
--- a/internal/simulation/service_calls.go
+++ b/internal/simulation/service_calls.go
@@ -8,19 +8,21 @@
 	"micaport/internal/wire"
 )
 
-// requestTimeout is how long a controller waits for the state service or the cloud.
+// requestTimeout is how long a controller waits for a reply of the state service or the
+// cloud.
 const requestTimeout = 1500 * time.Millisecond
 
-// serviceCall is a request of a controller to a service. Each function is called at most
-// once.
+// serviceCall is a request of a controller to a service. Each of its functions is called at
+// most once.
 type serviceCall struct {
-	refusal func() core.Input  // returns the answer of a service that refuses at once, or nil
-	fate    func() requestFate // draws what happens to the request otherwise
-	run     func() core.Input  // carries the request out and returns its answer
-	lost    core.Input         // the answer if none arrives in time
+	refusal func() core.Input  // returns the answer if the service refuses the request immediately, nil otherwise
+	fate    func() requestFate // draws how the network treats a request that is not refused
+	run     func() core.Input  // executes the request and returns the answer
+	lost    core.Input         // delivered to the controller if no answer arrives before requestTimeout
 }
 
-// callService runs a request of a controller against a service.
+// callService executes a request of the controller to a service and delivers the answer to
+// the controller.
 func (c *controller) callService(call serviceCall) {
 	sim := c.sim
 	if refusal := call.refusal(); refusal != nil {
@@ -43,8 +45,8 @@
 	}
 }
 
-// refusedWith returns a function that gives the answer to a request if the state service
-// refuses this controller now, and nil otherwise.
+// refusedWith returns a function that returns the given answer if the state service refuses
+// requests of this controller at the time of the call, and nil otherwise.
 func (c *controller) refusedWith(refusal core.Input) func() core.Input {
 	return func() core.Input {
 		if c.sim.store.refuses(c) {
@@ -55,35 +57,35 @@
 }
 
 // commit sends a transaction to the state service.
-func (c *controller) commit(x core.Commit) {
+func (c *controller) commit(effect core.Commit) {
 	sim := c.sim
-	writes := encodeRecordWrites(x.Writes)
+	writes := encodeRecordWrites(effect.Writes)
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.Committed{ID: x.ID, Outcome: kv.Refused}),
+		refusal: c.refusedWith(core.Committed{ID: effect.ID, Outcome: kv.Refused}),
 		fate:    func() requestFate { return sim.store.commitFate(len(writes)) },
 		run: func() core.Input {
 			refused := sim.meter.refusedCommits
-			outcome, revision, failed := sim.store.commit(c, x.Conditions, writes)
+			outcome, revision, failed := sim.store.commit(c, effect.Conditions, writes)
 			return core.Committed{
-				ID:       x.ID,
+				ID:       effect.ID,
 				Outcome:  outcome,
 				Revision: revision,
 				Failed:   failed,
 				Limited:  sim.meter.refusedCommits > refused,
 			}
 		},
-		lost: core.Committed{ID: x.ID, Outcome: kv.Unknown},
+		lost: core.Committed{ID: effect.ID, Outcome: kv.Unknown},
 	})
 }
 
 // readJob reads the record of a job from the state service.
-func (c *controller) readJob(x core.ReadJob) {
+func (c *controller) readJob(effect core.ReadJob) {
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.JobRead{ID: x.ID, Outcome: kv.Refused}),
+		refusal: c.refusedWith(core.JobRead{ID: effect.ID, Outcome: kv.Refused}),
 		fate:    c.sim.store.fate,
 		run: func() core.Input {
-			answer := core.JobRead{ID: x.ID, Outcome: kv.NotFound}
-			if record := c.sim.store.records[wire.JobKey(x.JobID)]; record != nil {
+			answer := core.JobRead{ID: effect.ID, Outcome: kv.NotFound}
+			if record := c.sim.store.records[wire.JobKey(effect.JobID)]; record != nil {
 				answer.Outcome = kv.OK
 				answer.Revision = record.revision
 				answer.Job = new(wire.Job)
@@ -91,39 +93,39 @@
 			}
 			return answer
 		},
-		lost: core.JobRead{ID: x.ID, Outcome: kv.Unknown},
+		lost: core.JobRead{ID: effect.ID, Outcome: kv.Unknown},
 	})
 }
 
-// renewLease makes or renews a lease of the state service.
-func (c *controller) renewLease(x core.RenewLease) {
+// renewLease creates or renews a lease of the state service.
+func (c *controller) renewLease(effect core.RenewLease) {
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.LeaseAnswered{ID: x.ID, Outcome: kv.Refused}),
+		refusal: c.refusedWith(core.LeaseAnswered{ID: effect.ID, Outcome: kv.Refused}),
 		fate:    c.sim.store.fate,
 		run: func() core.Input {
-			outcome, id := c.sim.store.renewLease(x.LeaseID, x.TTL)
-			return core.LeaseAnswered{ID: x.ID, Outcome: outcome, LeaseID: id}
+			outcome, id := c.sim.store.renewLease(effect.LeaseID, effect.TTL)
+			return core.LeaseAnswered{ID: effect.ID, Outcome: outcome, LeaseID: id}
 		},
-		lost: core.LeaseAnswered{ID: x.ID, Outcome: kv.Unknown},
+		lost: core.LeaseAnswered{ID: effect.ID, Outcome: kv.Unknown},
 	})
 }
 
 // callCloud sends a call to the cloud.
-func (c *controller) callCloud(x core.CallCloud) {
+func (c *controller) callCloud(effect core.CallCloud) {
 	sim := c.sim
-	sim.leadership.checkCloudCall(c, x)
+	sim.leadership.checkCloudCall(c, effect)
 	c.callService(serviceCall{
 		refusal: func() core.Input {
 			if sim.network.isCut(c.endpoint(), cloudEndpoint) {
-				return core.CloudAnswered{ID: x.ID, Outcome: kv.Unknown}
+				return core.CloudAnswered{ID: effect.ID, Outcome: kv.Unknown}
 			}
 			if sim.cloud.outage {
-				return core.CloudAnswered{ID: x.ID, Outcome: kv.Refused}
+				return core.CloudAnswered{ID: effect.ID, Outcome: kv.Refused}
 			}
 			return nil
 		},
 		fate: sim.network.fate,
-		run:  func() core.Input { return sim.cloud.call(x) },
-		lost: core.CloudAnswered{ID: x.ID, Outcome: kv.Unknown},
+		run:  func() core.Input { return sim.cloud.call(effect) },
+		lost: core.CloudAnswered{ID: effect.ID, Outcome: kv.Unknown},
 	})
 }
