--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -9,23 +9,23 @@
 	"micaport/internal/wire"
 )
 
-// cloud is a model of the cloud that provides machines, all of one type.
+// cloud models the cloud provider, whose machines are all of one type.
 type cloud struct {
 	sim         *Simulation
 	machineType wire.MachineType
 	machines    map[string]*cloudMachine
-	provisioned map[string][]string              // the machines of each provision request, by its name
+	provisioned map[string][]string              // names of the machines provisioned for each request, by the name of the request
 	requests    map[string]wire.ProvisionRequest // by name
-	created     int                              // machines so far
+	created     int                              // number of machines created so far
 
-	deprovisioned  int // machines that controllers have returned
+	deprovisioned  int // number of machines that controllers have asked to deprovision
 	outage         bool
 	outOfCapacity  bool
-	slowBoot       timedValue // factor on the boot time
-	neverBootShare float64    // share of the machines that never boot while slowBoot holds
+	slowBoot       timedValue // factor by which the boot time increases
+	neverBootShare float64    // share of the machines created while slowBoot applies that never boot
 }
 
-// cloudMachine is a machine that was provisioned.
+// cloudMachine is a provisioned machine.
 type cloudMachine struct {
 	wire.CloudMachine
 	createdAt  time.Duration
@@ -43,7 +43,7 @@
 	}
 }
 
-// call carries out a controller's call.
+// call executes a call of a controller.
 func (c *cloud) call(call core.CallCloud) core.CloudAnswered {
 	answer := core.CloudAnswered{ID: call.ID, Outcome: kv.OK}
 	switch {
@@ -65,7 +65,8 @@
 	return answer
 }
 
-// list returns the machines that are listed: those older than cloudListLag.
+// list returns the machines that are older than cloudListLag, since new machines appear in
+// the list late.
 func (c *cloud) list() []wire.CloudMachine {
 	var listed []wire.CloudMachine
 	for _, name := range sortedKeys(c.machines) {
@@ -90,8 +91,9 @@
 	return count
 }
 
-// provisionOnce provisions machines and returns their names. A request whose name was used
-// already gets the machines of the first one, and has to be the same.
+// provisionOnce provisions machines and returns their names. It is idempotent: a repeated
+// request, recognized by its name, returns the machines of the first. A request that reuses
+// a name with different contents violates a rule.
 func (c *cloud) provisionOnce(request *wire.ProvisionRequest) []string {
 	if names, known := c.provisioned[request.Name]; known {
 		if c.requests[request.Name] != *request {
@@ -106,7 +108,8 @@
 	return names
 }
 
-// provision creates machines as far as there is capacity and returns their names.
+// provision creates as many of the requested machines as the capacity allows and returns
+// their names.
 func (c *cloud) provision(request *wire.ProvisionRequest) []string {
 	used := 0
 	for _, machine := range c.machines {
@@ -124,7 +127,7 @@
 	return names
 }
 
-// create creates a machine that boots, and returns its name.
+// create creates a machine, starts to boot it, and returns its name.
 func (c *cloud) create(request *wire.ProvisionRequest) string {
 	sim := c.sim
 	name := fmt.Sprintf("vm-%06d", c.created)
@@ -136,7 +139,7 @@
 	bootTime := time.Duration(float64(sim.BootTime) * (0.6 + 0.9*sim.rng.Float64()))
 	if sim.now < c.slowBoot.until {
 		if sim.rng.Float64() < c.neverBootShare {
-			return name // it goes on booting, and is paid for, until it is deprovisioned
+			return name // it stays in the booting state, and is charged for, until it is deprovisioned
 		}
 		bootTime = time.Duration(float64(bootTime) * c.slowBoot.value)
 	}
@@ -149,7 +152,7 @@
 	return name
 }
 
-// terminate ends a machine and its worker.
+// terminate terminates a machine and its worker.
 func (c *cloud) terminate(name string) {
 	if machine := c.machines[name]; machine != nil {
 		machine.terminated = true
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// network is the network between controllers, workers and services: latency, loss,
-// duplicates and cuts.
+// network models the network between controllers, workers and services: its latency, lost
+// and duplicate messages, and cuts, during which two endpoints can't reach each other.
 type network struct {
 	sim *Simulation
 
-	lossShare  float64 // share of requests that are lost, before or after they are carried out
-	lateShare  float64 // share of requests that are carried out up to a minute later
-	lossyUntil time.Duration
-	slowdown   timedValue // factor on the latency
+	lossShare  float64       // share of requests that are lost, or whose reply is lost
+	lateShare  float64       // share of requests that are executed up to a minute late
+	lossyUntil time.Duration // when lossShare and lateShare cease to apply
+	slowdown   timedValue    // factor by which the latency increases
 
-	duplicateUntil time.Duration // heartbeats and commands sent before are delivered twice
-	duplicateDelay time.Duration // the longest delay of the second delivery
+	duplicateUntil time.Duration // heartbeats and commands sent before this time are delivered twice
+	duplicateDelay time.Duration // upper bound of the random delay of the second delivery
 
-	cuts map[string]int  // how many cuts separate a pair of endpoints, by linkName
-	held map[string]bool // whether what is sent during a cut is delivered after it
+	cuts map[string]int  // number of cuts in effect between two endpoints, by linkName
+	held map[string]bool // whether messages sent during a cut are delivered after it, by linkName
 }
 
-// endpoint is a party of the network. A cut may name it or its zone.
+// endpoint is a sender or receiver on the network. A cut may name it or its zone.
 type endpoint struct{ name, zone string }
 
-// cloudEndpoint is the cloud, which belongs to no zone.
+// cloudEndpoint is the endpoint of the cloud, which belongs to no zone.
 var cloudEndpoint = endpoint{name: "cloud"}
 
-// linkName returns the key of a pair of endpoints in the network's maps.
+// linkName returns the key of a pair of endpoints in network.cuts and network.held.
 func linkName(from, to string) string { return from + "|" + to }
 
-// latency draws the time that a message takes.
+// latency draws the delivery time of a message.
 func (n *network) latency() time.Duration {
 	d := time.Millisecond + time.Duration(n.sim.rng.IntN(6000))*time.Microsecond
 	if n.sim.now < n.slowdown.until {
@@ -40,7 +40,7 @@
 	return d
 }
 
-// setLossy makes the network lose and delay shares of the requests for d.
+// setLossy makes the network lose and delay the given shares of requests for d.
 func (n *network) setLossy(lossShare, lateShare float64, d time.Duration) {
 	n.lossShare = lossShare
 	n.lateShare = lateShare
@@ -58,19 +58,19 @@
 	n.sim.rules.faultsLast(d + longestDelay)
 }
 
-// duplicateAfter draws when the second delivery of a message happens.
+// duplicateAfter draws the delay of the second delivery of a message.
 func (n *network) duplicateAfter() time.Duration {
 	return time.Second + time.Duration(n.sim.rng.Int64N(int64(n.duplicateDelay)))
 }
 
-// requestFate is what happens to a request.
+// requestFate describes how the network treats a request.
 type requestFate struct {
-	delay    time.Duration // until it is carried out
-	runs     bool          // it is carried out at all
-	answered bool          // its answer arrives
+	delay    time.Duration // until the request is executed
+	runs     bool          // whether the request is executed at all
+	answered bool          // whether the reply arrives
 }
 
-// fate draws what happens to a request.
+// fate draws how the network treats a request.
 func (n *network) fate() requestFate {
 	if n.sim.now < n.lossyUntil {
 		drawn := n.sim.rng.Float64()
@@ -86,18 +86,19 @@
 	return requestFate{delay: n.latency(), runs: true, answered: true}
 }
 
-// isCut reports whether two endpoints can't reach each other now.
+// isCut reports whether a cut currently separates two endpoints.
 func (n *network) isCut(a, b endpoint) bool {
 	return anyLink(a, b, func(link string) bool { return n.cuts[link] > 0 })
 }
 
-// isHeld reports whether a cut between two endpoints delivers afterwards what was sent.
+// isHeld reports whether messages sent during a cut between two endpoints are delivered
+// after it.
 func (n *network) isHeld(a, b endpoint) bool {
 	return anyLink(a, b, func(link string) bool { return n.held[link] })
 }
 
-// anyLink reports whether a link between two endpoints or their zones, in either
-// direction, has a property.
+// anyLink reports whether has is true for any link between two endpoints or their zones, in
+// either direction.
 func anyLink(a, b endpoint, has func(link string) bool) bool {
 	for _, from := range []string{a.name, "zone:" + a.zone} {
 		for _, to := range []string{b.name, "zone:" + b.zone} {
@@ -109,8 +110,9 @@
 	return false
 }
 
-// cut separates two endpoints for d. Endpoints are controllers and workers by name, zones
-// as "zone:a", and "cloud". With hold, what is sent during the cut arrives after it.
+// cut separates two endpoints for d. An endpoint is the label of a controller, the name of
+// a worker's machine, a zone such as "zone:a", or "cloud". With hold, messages sent during
+// the cut are delivered after it.
 func (n *network) cut(a, b string, d time.Duration, hold bool) {
 	n.sim.rules.faultsLast(d)
 	link := linkName(a, b)
--- a/internal/simulation/state_faults.go
+++ b/internal/simulation/state_faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fate draws what happens to a request to the state service.
+// fate draws how a request to the state service is treated.
 func (s *stateService) fate() requestFate {
 	fate := s.sim.network.fate()
 	if s.sim.now < s.slowdown.until {
@@ -11,8 +11,8 @@
 	return fate
 }
 
-// commitFate draws what happens to a transaction with a number of writes. One without
-// writes only compares, and is a request as any other.
+// commitFate draws how a transaction with the given number of writes is treated. One without
+// writes only checks conditions, and is treated like any other request.
 func (s *stateService) commitFate(writes int) requestFate {
 	switch {
 	case writes > 0 && s.sim.draw(s.lostReplies):
@@ -23,7 +23,8 @@
 	return s.fate()
 }
 
-// startOutage stops the service for d. Every lease has its full time afterwards.
+// startOutage makes the service unavailable for d. Every lease is extended by its full TTL
+// when the outage ends.
 func (s *stateService) startOutage(d time.Duration) {
 	s.sim.rules.faultsLast(d)
 	s.outage = true
@@ -36,7 +37,7 @@
 	})
 }
 
-// refuseController makes the service refuse a controller for d.
+// refuseController makes the service refuse the requests of a controller for d.
 func (s *stateService) refuseController(ctrl *controller, d time.Duration) {
 	s.countFault(s.refused, ctrl, d)
 }
@@ -46,7 +47,7 @@
 	s.countFault(s.hungWatches, ctrl, d)
 }
 
-// countFault counts a fault of a controller for d. Faults may overlap.
+// countFault increments a controller's count of faults for d, since faults may overlap.
 func (s *stateService) countFault(faults map[string]int, ctrl *controller, d time.Duration) {
 	s.sim.rules.faultsLast(d)
 	faults[ctrl.label]++
--- a/internal/simulation/state_records.go
+++ b/internal/simulation/state_records.go
@@ -8,7 +8,7 @@
 	"micaport/internal/wire"
 )
 
-// encodeRecordWrites encodes the values of a core's writes.
+// encodeRecordWrites encodes the values of the writes of a core.
 func encodeRecordWrites(writes []kv.Write) []recordWrite {
 	var encoded []recordWrite
 	for _, write := range writes {
@@ -23,15 +23,17 @@
 	return encoded
 }
 
-// mustDecodeRecord decodes the value of a key. Controllers write only valid ones.
+// mustDecodeRecord decodes the value of a key. It panics if the value is invalid, since
+// controllers write valid values only.
 func mustDecodeRecord(key string, raw []byte) wire.Record {
 	record, err := wire.DecodeRecord(key, raw)
 	must(err)
 	return record
 }
 
-// encodedJSONSize returns the size of a value in JSON, which the service's limit is about.
-// For values far below the limit, of at most approximate bytes, it returns their own size.
+// encodedJSONSize returns the size of a value in JSON, to which the limit of the service
+// applies. For a value of at most approximate bytes, which is far below the limit, it returns
+// the size of its encoding instead.
 func encodedJSONSize(raw []byte, approximate int) int {
 	if len(raw) <= approximate {
 		return len(raw)
@@ -43,7 +45,7 @@
 	return len(text)
 }
 
-// revisionOf returns the revision of a record, or 0 if there is none.
+// revisionOf returns the revision of the record of a key, or 0 if the key has none.
 func (s *stateService) revisionOf(key string) uint64 {
 	if record := s.records[key]; record != nil {
 		return record.revision
@@ -51,7 +53,7 @@
 	return 0
 }
 
-// leader returns the claim of the leadership that stands, or nil.
+// leader returns the current leader's record, or nil.
 func (s *stateService) leader() *wire.Leader {
 	record := s.records[wire.LeaderKey]
 	if record == nil {
@@ -60,7 +62,7 @@
 	return mustDecodeRecord(wire.LeaderKey, record.raw).(*wire.Leader)
 }
 
-// shardOwner returns the label of the controller whose claim of a shard stands, or "".
+// shardOwner returns the label of the controller that owns a shard, or "".
 func (s *stateService) shardOwner(shard string) string {
 	key := wire.ShardKey(shard)
 	record := s.records[key]
@@ -70,7 +72,7 @@
 	return mustDecodeRecord(key, record.raw).(*wire.Shard).Owner
 }
 
-// countOverflowKeys counts the overflow keys of jobs' records.
+// countOverflowKeys returns the number of overflow keys of job records.
 func (s *stateService) countOverflowKeys() int {
 	count := 0
 	for key := range s.records {
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -8,44 +8,44 @@
 	"micaport/internal/wire"
 )
 
-// leaseCheckInterval is how often expired leases are looked for.
+// leaseCheckInterval is the interval at which expired leases are detected.
 const leaseCheckInterval = 100 * time.Millisecond
 
-// conditionsPerOp is how many conditions a transaction may have for each write that it may
-// have.
+// conditionsPerOp is the ratio of the limit on the conditions of a transaction to the limit
+// on its writes.
 const conditionsPerOp = 4
 
-// stateService is a model of the state service: records with revisions, conditional
-// transactions, leases and watches.
+// stateService models the state service: records with revisions, conditional transactions,
+// leases and watches.
 type stateService struct {
 	sim           *Simulation
 	revision      uint64
 	records       map[string]*storedRecord
 	leases        map[uint64]*storedLease
 	lastLeaseID   uint64
-	writeCredit   float64 // writes that the service takes at once; see Settings.WriteRPS
-	writeCreditAt time.Duration
+	writeCredit   float64       // writes that the service currently accepts; see Settings.WriteRPS
+	writeCreditAt time.Duration // when writeCredit was last updated
 
 	changes        []recordChange
-	watchPositions map[string]int // how many changes each controller's watch has delivered; see watchNotStarted
+	watchPositions map[string]int // number of changes delivered by each controller's watch, by label; see watchNotStarted
 
-	leaderSince   time.Duration // when the present leader claimed the leadership
-	leaderChanges int           // claims of the leadership so far
-	shardClaims   int           // claims of shards so far
+	leaderSince   time.Duration // when the current leader claimed the leadership
+	leaderChanges int           // number of tenures so far; see leaderTenure
+	shardClaims   int           // number of claims of shards so far
 
 	outage      bool
-	refused     map[string]int // how many faults make the service refuse a controller
-	hungWatches map[string]int // how many faults make a controller's watch hang
-	lateWrites  timedValue     // share of transactions carried out 2 to 12 s late and not answered
-	lostReplies timedValue     // share of transactions carried out at once and not answered
-	slowdown    timedValue     // factor on the latency
+	refused     map[string]int // number of faults in effect that make the service refuse a controller, by label
+	hungWatches map[string]int // number of faults in effect that make a controller's watch hang, by label
+	lateWrites  timedValue     // share of transactions executed 2 to 12 s late and not answered
+	lostReplies timedValue     // share of transactions executed without delay and not answered
+	slowdown    timedValue     // factor by which the latency increases
 }
 
-// storedRecord is the value of a key.
+// storedRecord is the stored value of a key.
 type storedRecord struct {
 	raw      []byte
-	revision uint64 // of its last write
-	leaseID  uint64 // of the lease that it is deleted with; 0: none
+	revision uint64 // revision of its last write
+	leaseID  uint64 // ID of the lease whose expiry deletes the record; 0: none
 }
 
 // storedLease is a lease that has not expired.
@@ -54,7 +54,7 @@
 	expiresAt time.Duration
 }
 
-// recordChange is a write that was carried out.
+// recordChange is a write that has been applied.
 type recordChange struct {
 	key      string
 	raw      []byte // nil: deleted
@@ -65,7 +65,7 @@
 type recordWrite struct {
 	key     string
 	raw     []byte // nil: delete
-	leaseID uint64 // that the record is tied to; 0: none
+	leaseID uint64 // ID of the lease whose expiry deletes the record; 0: none
 }
 
 // newStateService returns a state service without records.
@@ -78,14 +78,14 @@
 	return store
 }
 
-// refuses reports whether the service refuses a controller now.
+// refuses reports whether the service currently refuses requests of a controller.
 func (s *stateService) refuses(ctrl *controller) bool {
 	return s.outage || s.refused[ctrl.label] > 0
 }
 
-// commit carries out a transaction: all writes, if every record has the revision that a
-// condition names, 0 for none. It returns the store's revision, and the keys of the
-// conditions that failed.
+// commit executes a transaction: it applies all writes if every condition's key has the
+// expected revision, where 0 means that the key has no record. It returns the revision of
+// the store and the keys of the conditions that failed.
 func (s *stateService) commit(ctrl *controller, conditions []kv.Condition, writes []recordWrite) (outcome kv.Outcome, revision uint64, failed []string) {
 	if s.outage {
 		return kv.Refused, 0, nil
@@ -122,7 +122,7 @@
 	return kv.OK, s.revision, nil
 }
 
-// checkLimits checks that a transaction keeps the service's limits.
+// checkLimits checks that a transaction is within the limits of the service.
 func (s *stateService) checkLimits(ctrl *controller, conditions []kv.Condition, writes []recordWrite) {
 	sim := s.sim
 	if len(writes) > sim.MaxTransactionOps || len(conditions) > conditionsPerOp*sim.MaxTransactionOps {
@@ -135,8 +135,8 @@
 	}
 }
 
-// takeCredit uses up a number of the writes that the service takes now, or reports false if
-// it takes fewer.
+// takeCredit subtracts a number of writes from the write credit, which grows with time at
+// the rate of the write limit. It reports false if the credit is too small.
 func (s *stateService) takeCredit(writes int) bool {
 	limit := s.sim.WriteRPS
 	if limit <= 0 {
@@ -151,9 +151,9 @@
 	return true
 }
 
-// apply carries out a write at the present revision.
+// apply applies a write at the current revision.
 func (s *stateService) apply(write recordWrite) {
-	begins := write.key == wire.LeaderKey && write.raw != nil &&
+	becomesLeader := write.key == wire.LeaderKey && write.raw != nil &&
 		s.sim.leadership.recordClaim(mustDecodeRecord(write.key, write.raw).(*wire.Leader))
 	if write.raw == nil {
 		if s.records[write.key] == nil {
@@ -163,7 +163,7 @@
 	} else {
 		s.records[write.key] = &storedRecord{raw: write.raw, revision: s.revision, leaseID: write.leaseID}
 	}
-	if begins {
+	if becomesLeader {
 		s.leaderChanges++
 		s.leaderSince = s.sim.now
 		s.sim.replays.deliverRetained()
@@ -174,7 +174,7 @@
 	s.changes = append(s.changes, recordChange{write.key, write.raw, s.revision})
 }
 
-// overwrite writes a key from outside the controllers.
+// overwrite writes a key on behalf of the test, not of a controller.
 func (s *stateService) overwrite(key string, raw []byte) {
 	s.revision++
 	write := recordWrite{key: key, raw: raw}
@@ -183,7 +183,7 @@
 	s.notifyWatches()
 }
 
-// renewLease renews a lease, or makes one if the id is 0, and returns the id of a new one.
+// renewLease renews a lease, or creates one if the id is 0 and returns its id.
 func (s *stateService) renewLease(id uint64, ttl time.Duration) (kv.Outcome, uint64) {
 	if s.outage {
 		return kv.Refused, 0
--- a/internal/simulation/state_watch.go
+++ b/internal/simulation/state_watch.go
@@ -7,17 +7,17 @@
 	"micaport/internal/kv"
 )
 
-// watchNotStarted is the position of a watch that has not delivered its snapshot yet.
+// watchNotStarted is the position of a watch that has not delivered the snapshot yet.
 const watchNotStarted = -1
 
 // Timing of watches.
 const (
-	snapshotRetry     = 200 * time.Millisecond
-	longestWatchDelay = 40 // milliseconds, beyond the latency
+	snapshotRetry     = 200 * time.Millisecond // until a refused snapshot is requested again
+	longestWatchDelay = 40                     // milliseconds, in addition to the latency
 )
 
-// sendSnapshot delivers all records to an incarnation of a controller that starts, and lets
-// its watch go on from there.
+// sendSnapshot delivers all records to an incarnation of a controller that starts. The
+// controller's watch then delivers the changes made after the snapshot.
 func (s *stateService) sendSnapshot(ctrl *controller, incarnation int) {
 	sim := s.sim
 	s.watchPositions[ctrl.label] = watchNotStarted
@@ -47,7 +47,7 @@
 	})
 }
 
-// notifyWatches delivers to each controller the changes that it has not seen, in order.
+// notifyWatches schedules the delivery of new changes to each controller.
 func (s *stateService) notifyWatches() {
 	sim := s.sim
 	for _, ctrl := range sim.controllers {
@@ -60,7 +60,7 @@
 	}
 }
 
-// deliverChanges delivers the changes that a controller has not seen, if there are any.
+// deliverChanges delivers, in order, the changes that a controller has not received yet.
 func (s *stateService) deliverChanges(ctrl *controller) {
 	position := s.watchPositions[ctrl.label]
 	if position == watchNotStarted || position >= len(s.changes) {
