--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// workerFleet is the workers on all machines that have booted.
+// workerFleet holds the workers of all machines that have booted.
 type workerFleet struct {
 	sim     *Simulation
-	workers map[string]*simWorker // by machine
+	workers map[string]*simWorker // by the name of the machine
 }
 
-// boot starts the worker of a machine that has booted.
+// boot starts the worker on a machine that has booted.
 func (f *workerFleet) boot(machine *cloudMachine) {
 	sim := f.sim
 	worker := &simWorker{sim: sim, machine: machine, epoch: 1, tasks: map[string]*simTask{}, images: map[string]bool{},
@@ -21,7 +21,8 @@
 	worker.loop()
 }
 
-// running returns the workers whose machines run, ordered by machine.
+// running returns the workers whose machines have not been terminated, ordered by the name
+// of the machine.
 func (f *workerFleet) running() []*simWorker {
 	var running []*simWorker
 	for _, name := range sortedKeys(f.workers) {
@@ -32,7 +33,7 @@
 	return running
 }
 
-// countRunning counts the running workers that match.
+// countRunning returns the number of running workers for which matches is true.
 func (f *workerFleet) countRunning(matches func(*simWorker) bool) int {
 	count := 0
 	for _, worker := range f.running() {
@@ -43,7 +44,7 @@
 	return count
 }
 
-// hosting returns the worker that has a task, or nil.
+// hosting returns the worker that executes a task, or nil.
 func (f *workerFleet) hosting(taskName string) *simWorker {
 	var found *simWorker
 	f.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
@@ -54,7 +55,7 @@
 	return found
 }
 
-// atAddress returns the worker that takes commands at an address, or nil.
+// atAddress returns the worker that accepts commands at an address, or nil.
 func (f *workerFleet) atAddress(address string) *simWorker {
 	for _, worker := range f.workers {
 		if worker.machine.Addr == address {
@@ -64,21 +65,22 @@
 	return nil
 }
 
-// workerFault is a fault of a worker, by the name that scripts use.
+// workerFault is a kind of worker fault. Its value is the name that scripts use.
 type workerFault string
 
-// Faults of a worker.
+// Kinds of worker faults.
 const (
-	faultHang        workerFault = "hang"   // it does nothing for a while
-	faultInboundCut  workerFault = "deaf"   // its heartbeats arrive, but neither replies nor commands reach it
-	faultOutboundCut workerFault = "mute"   // it reaches no controller, while commands to its address arrive
-	faultReset       workerFault = "reset"  // it is back at once and has lost its tasks
-	faultTerminate   workerFault = "take"   // its machine is gone without notice
-	faultReclaim     workerFault = "recall" // its machine is gone after notice
+	faultHang        workerFault = "hang"   // it does not execute anything for a while
+	faultInboundCut  workerFault = "deaf"   // it can send heartbeats, but receives neither replies nor commands
+	faultOutboundCut workerFault = "mute"   // its heartbeats are lost, but it receives commands sent to its address
+	faultReset       workerFault = "reset"  // it restarts without delay and has lost its tasks
+	faultTerminate   workerFault = "take"   // its machine is terminated without notice
+	faultReclaim     workerFault = "recall" // its machine is terminated after notice
 	faultFailTasks   workerFault = "sick"   // it fails every task for a while
 )
 
-// injectFault makes a worker fail for d.
+// injectFault injects a fault into a worker. D is how long the fault lasts or, with
+// faultReclaim, the time until the machine is terminated.
 func (f *workerFleet) injectFault(fault workerFault, worker *simWorker, d time.Duration) {
 	sim := f.sim
 	sim.rules.faultsLast(d)
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -2,7 +2,8 @@
 
 import "micaport/internal/wire"
 
-// startGangIfComplete runs all tasks of a gang once they wait with the same attempt.
+// startGangIfComplete runs all tasks of a gang if all of them are waiting with the same
+// attempt number.
 func (t *simTask) startGangIfComplete() {
 	var waiting []*simTask
 	for _, other := range t.user.tasks {
@@ -20,7 +21,8 @@
 	}
 }
 
-// checkGang ends a gang task whose peers have not come, or are missing, for too long.
+// checkGang ends a gang task that has waited for its peers for too long, or that has run for
+// too long while a peer was missing.
 func (w *simWorker) checkGang(task *simTask) {
 	if task.user == nil || task.user.spec.Shape != wire.ShapeGang {
 		return
@@ -45,8 +47,8 @@
 	}
 }
 
-// countGang counts the tasks of a gang that run with the attempt of this one, itself
-// included.
+// countGang returns the number of running tasks of the gang that have the same attempt
+// number as this one, itself included.
 func (t *simTask) countGang() int {
 	count := 0
 	t.user.eachActiveTask(func(worker *simWorker, other *simTask) {
--- a/internal/simulation/heartbeat_replay.go
+++ b/internal/simulation/heartbeat_replay.go
@@ -7,19 +7,20 @@
 	"micaport/internal/wire"
 )
 
-// maxRetainedHeartbeats bounds the heartbeats that are retained for the next leader.
+// maxRetainedHeartbeats limits the number of heartbeats retained for the next leader.
 const maxRetainedHeartbeats = 400
 
-// heartbeatReplays delivers copies of workers' heartbeats late.
+// heartbeatReplays delivers late copies of workers' heartbeats.
 type heartbeatReplays struct {
 	sim       *Simulation
-	delayed   timedValue // share of heartbeats delivered again, up to one and a half worker leases later
-	retention timedValue // share of heartbeats retained for the next leader
-	retained  []*wire.WorkerHeartbeat
-	stashed   *wire.WorkerHeartbeat // that a script delivers
+	delayed   timedValue              // share of heartbeats delivered again, 2 s to 2 s plus 1.5 worker leases later
+	retention timedValue              // share of heartbeats retained for the next leader
+	retained  []*wire.WorkerHeartbeat // for the next leader
+	stashed   *wire.WorkerHeartbeat   // delivered by the script's command "deliver"
 }
 
-// observe is given each heartbeat that the network delivers.
+// observe draws whether a heartbeat that is being delivered is delivered again later, and
+// whether it is retained for the next leader.
 func (r *heartbeatReplays) observe(heartbeat *wire.WorkerHeartbeat) {
 	sim := r.sim
 	if sim.draw(r.delayed) {
@@ -32,7 +33,8 @@
 	}
 }
 
-// deliverRetained delivers the retained heartbeats to every controller when a leader begins.
+// deliverRetained delivers the retained heartbeats to every controller. It is called when a
+// new leader has claimed the leadership.
 func (r *heartbeatReplays) deliverRetained() {
 	sim, retained := r.sim, r.retained
 	r.retained = nil
@@ -43,12 +45,12 @@
 	}
 }
 
-// deliverHeartbeat delivers a copy of a worker's heartbeat, whose reply nobody reads.
+// deliverHeartbeat delivers a worker's heartbeat to the controller and ignores the reply.
 func (c *controller) deliverHeartbeat(heartbeat *wire.WorkerHeartbeat) {
 	c.request(heartbeatInput(heartbeat), func(core.Reply) {})
 }
 
-// heartbeatInput returns the input of a core for a worker's heartbeat.
+// heartbeatInput returns a function that makes the core's input for a worker's heartbeat.
 func heartbeatInput(heartbeat *wire.WorkerHeartbeat) func(requestID uint64) core.Input {
 	return func(requestID uint64) core.Input {
 		return core.WorkerReported{RequestID: requestID, Heartbeat: heartbeat}
--- a/internal/simulation/random_faults.go
+++ b/internal/simulation/random_faults.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// randomFault injects a fault for a while, into a controller unless it is one of the
-// network, the services, the workers or the users.
+// randomFault injects a fault, which lasts for d unless its kind has a duration of its own.
+// Faults of the network, the services, the workers and the users ignore the controller.
 type randomFault func(sim *Simulation, ctrl *controller, d time.Duration)
 
-// randomWorkerFault returns a fault of a worker drawn at random.
+// randomWorkerFault returns a randomFault that injects the fault into a random worker.
 func randomWorkerFault(fault workerFault) randomFault {
 	return func(sim *Simulation, _ *controller, d time.Duration) {
-		if up := sim.fleet.running(); len(up) > 0 {
-			sim.fleet.injectFault(fault, up[sim.rng.IntN(len(up))], d)
+		if running := sim.fleet.running(); len(running) > 0 {
+			sim.fleet.injectFault(fault, running[sim.rng.IntN(len(running))], d)
 		}
 	}
 }
 
-// randomFaults are drawn evenly; some are listed twice. Their order is part of what a seed
-// means.
+// randomFaults are the faults that injectRandomFaults draws from with equal probability; a
+// fault listed twice is drawn twice as often. Changing the order changes which faults a seed
+// gives.
 var randomFaults = []randomFault{
 	0: crashBriefly, 1: crashBriefly,
 	2: func(sim *Simulation, ctrl *controller, _ time.Duration) { ctrl.crash(200 * time.Millisecond) },
@@ -60,12 +61,12 @@
 	},
 }
 
-// crashBriefly crashes a controller for ten seconds at most.
+// crashBriefly crashes a controller for at most 10 s.
 func crashBriefly(_ *Simulation, ctrl *controller, d time.Duration) {
 	ctrl.crash(min(d, 10*time.Second))
 }
 
-// injectRandomFaults injects random faults every few seconds until the given time.
+// injectRandomFaults injects a random fault every few seconds until the given time.
 func (s *Simulation) injectRandomFaults(until time.Duration) {
 	if s.now >= until {
 		return
@@ -77,8 +78,8 @@
 	s.after(time.Duration(2+s.rng.IntN(15))*time.Second, func() { s.injectRandomFaults(until) })
 }
 
-// crashRepeatedly crashes controllers for a fraction of a second until the given time, also
-// during an election that the last crash has caused.
+// crashRepeatedly crashes random controllers, each for a fraction of a second, until the
+// given time. A crash may happen during the election that the previous crash has caused.
 func (s *Simulation) crashRepeatedly(until time.Duration) {
 	if s.now >= until {
 		return
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -5,41 +5,40 @@
 	"time"
 )
 
-// simWorker is a worker of the protocol, on a machine of the cloud.
+// simWorker models a worker on a machine of the cloud.
 type simWorker struct {
 	sim        *Simulation
 	machine    *cloudMachine
 	terminated bool
 	hung       bool
-	failsTasks bool
-	clockRate  float64             // of its clock, by the simulation's
-	epoch      uint64              // of its session; a new one begins when it loses its tasks
-	sequence   uint64              // of its last heartbeat
-	token      uint64              // the highest fencing token that it has seen
+	failsTasks bool                // every task that it runs fails
+	clockRate  float64             // rate of its clock relative to that of the simulation
+	epoch      uint64              // incremented when it loses its tasks
+	sequence   uint64              // of its last heartbeat or executed command batch
+	token      uint64              // the highest fencing token received
 	tasks      map[string]*simTask // by attemptName
-	images     map[string]bool     // that it has fetched
+	images     map[string]bool     // images that it has fetched
 
-	controllerIndex int // of the controller that it sends heartbeats to
+	controllerIndex int // index of the controller to which it sends heartbeats
 	awaitingReply   bool
-	heartbeatID     int // of the last heartbeat; replies to others are ignored
+	heartbeatID     int // of the last heartbeat; replies to earlier ones are ignored
 	lastHeartbeatAt time.Duration
-	heartbeatDue    bool          // it has something to report at once
-	renewedAt       time.Duration // when the last heartbeat with a reply was sent, which renewed its lease
-	reclaimAt       time.Duration // when its machine will be gone; 0: it won't
+	heartbeatDue    bool          // it sends a heartbeat without waiting for the interval to end
+	renewedAt       time.Duration // when the heartbeat that last renewed its lease was sent
+	reclaimAt       time.Duration // when its machine is going to be reclaimed; 0: no reclaim is announced
 
-	inboundCutUntil  time.Duration // no reply or command reaches it until then
-	outboundCutUntil time.Duration // it reaches no controller until then
+	inboundCutUntil  time.Duration // until this time it receives no reply or command
+	outboundCutUntil time.Duration // until this time its heartbeats are lost
 }
 
 // workerLoopInterval is how often a worker checks its lease and whether to send a heartbeat.
 const workerLoopInterval = 500 * time.Millisecond
 
-// endpoint returns the worker as a party of the network.
 func (w *simWorker) endpoint() endpoint {
 	return endpoint{w.machine.Name, w.machine.Zone}
 }
 
-// loop runs the worker until its machine is gone.
+// loop runs the worker until its machine is terminated.
 func (w *simWorker) loop() {
 	w.sim.after(workerLoopInterval, func() {
 		if w.terminated {
@@ -54,14 +53,14 @@
 	})
 }
 
-// checkLease begins a new epoch if the lease has expired.
+// checkLease ends all tasks and begins a new epoch if the worker's lease has expired.
 func (w *simWorker) checkLease() {
 	if time.Duration(float64(w.sim.now-w.renewedAt)*w.clockRate) > w.sim.WorkerLease {
 		w.beginEpoch()
 	}
 }
 
-// beginEpoch ends all tasks and begins a new epoch.
+// beginEpoch removes all tasks and begins a new epoch.
 func (w *simWorker) beginEpoch() {
 	w.dropTasks()
 	w.epoch++
@@ -69,13 +68,13 @@
 	w.abandonHeartbeat()
 }
 
-// abandonHeartbeat makes the worker wait no longer for the reply to its last heartbeat.
+// abandonHeartbeat makes the worker ignore the reply to its last heartbeat.
 func (w *simWorker) abandonHeartbeat() {
 	w.awaitingReply = false
 	w.heartbeatID++
 }
 
-// dropTasks loses all tasks.
+// dropTasks removes all tasks.
 func (w *simWorker) dropTasks() {
 	for _, key := range sortedKeys(w.tasks) {
 		w.removeTask(key)
--- a/internal/simulation/worker_commands.go
+++ b/internal/simulation/worker_commands.go
@@ -8,74 +8,74 @@
 	"micaport/internal/wire"
 )
 
-// Timing of commands to a worker's address.
+// Timing of commands that are sent to a worker's address.
 const (
-	commandTimeout    = 3 * time.Second        // how long a controller waits for the answer
-	connectionRefused = 700 * time.Millisecond // until a controller sees that it can't connect
-	commandRetry      = 300 * time.Millisecond // between attempts of a held-up command to be carried out
+	commandTimeout    = 3 * time.Second        // how long a controller waits for the reply
+	connectionRefused = 700 * time.Millisecond // until a controller detects that it can't connect
+	commandRetry      = 300 * time.Millisecond // between attempts to execute a delayed command batch
 )
 
-// sendCommands sends commands to a worker's address. What is held back or late may be
-// carried out long after the sender has given up, and twice.
-func (c *controller) sendCommands(x core.SendCommands) {
+// sendCommands sends commands to a worker's address. Delayed commands may be executed long
+// after the sender has timed out, and may be executed twice.
+func (c *controller) sendCommands(effect core.SendCommands) {
 	sim := c.sim
-	worker := sim.fleet.atAddress(x.Address)
+	worker := sim.fleet.atAddress(effect.Address)
 	if worker == nil || worker.terminated || sim.now < worker.inboundCutUntil {
-		c.answerCommands(connectionRefused, x, kv.Refused)
+		c.answerCommands(connectionRefused, effect, kv.Refused)
 		return
 	}
 	isCut := func() bool { return sim.network.isCut(worker.endpoint(), c.endpoint()) }
 	if !isCut() {
-		c.deliverCommands(worker, x)
+		c.deliverCommands(worker, effect)
 		return
 	}
 	if !sim.network.isHeld(worker.endpoint(), c.endpoint()) || sim.rng.IntN(2) == 0 {
-		c.answerCommands(connectionRefused, x, kv.Refused)
+		c.answerCommands(connectionRefused, effect, kv.Refused)
 		return
 	}
-	// The connection stood already when the cut began.
-	c.answerCommands(commandTimeout, x, kv.Unknown)
-	worker.acceptCommands(x.Batch, isCut, ignoreOutcome)
+	// The connection was established before the cut, so the commands arrive after the cut.
+	c.answerCommands(commandTimeout, effect, kv.Unknown)
+	worker.acceptCommands(effect.Batch, isCut, ignoreOutcome)
 }
 
-// answerCommands delivers the outcome of commands to the controller after a delay.
-func (c *controller) answerCommands(d time.Duration, x core.SendCommands, outcome kv.Outcome) {
-	c.deliver(d, core.CommandsAnswered{ID: x.ID, Outcome: outcome})
+// answerCommands delivers the outcome of sending commands to the controller after a delay.
+func (c *controller) answerCommands(d time.Duration, effect core.SendCommands, outcome kv.Outcome) {
+	c.deliver(d, core.CommandsAnswered{ID: effect.ID, Outcome: outcome})
 }
 
-// ignoreOutcome is given the outcome of commands whose sender does not wait for it.
+// ignoreOutcome ignores the outcome of commands whose sender no longer waits for it.
 func ignoreOutcome(kv.Outcome) {}
 
-// deliverCommands delivers commands to a worker that the controller reaches, as the network
-// has it.
-func (c *controller) deliverCommands(worker *simWorker, x core.SendCommands) {
+// deliverCommands delivers commands to a worker that no cut separates from the controller.
+// The network may lose, delay or duplicate them.
+func (c *controller) deliverCommands(worker *simWorker, effect core.SendCommands) {
 	sim, fate := c.sim, c.sim.network.fate()
 	incarnation, answered := c.incarnation, false
 	waits := func() bool { return !answered && c.incarnation == incarnation }
 	if fate.runs {
 		sim.after(fate.delay, func() {
-			worker.acceptCommands(x.Batch, nil, func(outcome kv.Outcome) {
+			worker.acceptCommands(effect.Batch, nil, func(outcome kv.Outcome) {
 				if fate.answered && waits() {
 					answered = true
-					c.answerCommands(sim.network.latency(), x, outcome)
+					c.answerCommands(sim.network.latency(), effect, outcome)
 				}
 			})
 		})
 	}
 	if sim.now < sim.network.duplicateUntil {
-		sim.after(sim.network.duplicateAfter(), func() { worker.acceptCommands(x.Batch, nil, ignoreOutcome) })
+		sim.after(sim.network.duplicateAfter(), func() { worker.acceptCommands(effect.Batch, nil, ignoreOutcome) })
 	}
 	sim.after(commandTimeout, func() {
 		if waits() {
 			answered = true
-			c.answerCommands(0, x, kv.Unknown)
+			c.answerCommands(0, effect, kv.Unknown)
 		}
 	})
 }
 
-// acceptCommands carries out commands that came to the worker's address, once it runs and
-// nothing holds them back any more. Done is given the outcome; it is not called if the
-// machine is gone.
+// acceptCommands executes commands that were sent to the worker's address, as soon as the
+// worker does not hang and held, unless nil, reports false. Done receives the outcome; it is
+// not called if the machine has been terminated.
 func (w *simWorker) acceptCommands(batch wire.CommandBatch, held func() bool, done func(kv.Outcome)) {
 	if w.terminated {
 		return
@@ -93,11 +93,11 @@
 	for _, command := range batch.Commands {
 		w.execute(command)
 	}
-	w.sequence++ // its answer shows what it does, as a heartbeat would
+	w.sequence++ // the reply reports the worker's state, as a heartbeat does
 	done(kv.OK)
 }
 
-// execute carries out one command.
+// execute applies one command of a controller to the task that it names.
 func (w *simWorker) execute(command wire.Command) {
 	jobID, index, err := wire.SplitTaskName(command.Task)
 	must(err)
--- a/internal/simulation/worker_heartbeat.go
+++ b/internal/simulation/worker_heartbeat.go
@@ -11,10 +11,10 @@
 // Timing of a worker's heartbeats.
 const (
 	heartbeatTimeout = 4 * time.Second // how long a worker waits for the reply
-	retryInterval    = time.Second     // until it tries the next controller
+	retryInterval    = time.Second     // until it tries the next controller after a failure
 )
 
-// newHeartbeat returns a heartbeat of the worker as it is now.
+// newHeartbeat returns a heartbeat with the current state of the worker.
 func (w *simWorker) newHeartbeat() *wire.WorkerHeartbeat {
 	w.sequence++
 	machine := w.machine
@@ -23,8 +23,8 @@
 		Epoch: w.epoch, Sequence: w.sequence, Token: w.token,
 	}
 	if w.reclaimAt > 0 {
-		left := (w.reclaimAt - w.sim.now).Seconds()
-		heartbeat.ReclaimS = &left
+		remaining := (w.reclaimAt - w.sim.now).Seconds()
+		heartbeat.ReclaimS = &remaining
 	}
 	for _, key := range sortedKeys(w.tasks) {
 		heartbeat.Tasks = append(heartbeat.Tasks, w.tasks[key].status())
@@ -32,17 +32,17 @@
 	return heartbeat
 }
 
-// pendingHeartbeat is a heartbeat that waits for its reply.
+// pendingHeartbeat is a heartbeat whose reply has not arrived yet.
 type pendingHeartbeat struct {
 	worker    *simWorker
 	recipient *controller
 	message   *wire.WorkerHeartbeat
 	id        int    // simWorker.heartbeatID when it was sent
-	epoch     uint64 // of the worker then
+	epoch     uint64 // epoch of the worker when it was sent
 	sentAt    time.Duration
 }
 
-// sendHeartbeat sends a heartbeat to the worker's controller.
+// sendHeartbeat sends a heartbeat to the controller at controllerIndex.
 func (w *simWorker) sendHeartbeat() {
 	sim := w.sim
 	w.awaitingReply = true
@@ -66,14 +66,16 @@
 			sim.after(time.Second, pending.deliverAfterCut)
 		}
 	case sim.network.loses(sim.rng):
-		// It may be held back instead, and reach a controller that has taken over meanwhile.
+		// A lost heartbeat is delivered late instead, to a random controller, which may have
+		// taken over in the meantime.
 		sim.after(time.Duration(sim.rng.IntN(60000))*time.Millisecond, func() { sim.randomController().deliverHeartbeat(pending.message) })
 	default:
 		pending.deliver()
 	}
 }
 
-// deliver delivers the heartbeat, and perhaps copies of it to any controller.
+// deliver delivers the heartbeat to its recipient. With the corresponding faults in effect,
+// it also schedules the delivery of copies to random controllers.
 func (p *pendingHeartbeat) deliver() {
 	sim := p.worker.sim
 	sim.replays.observe(p.message)
@@ -84,13 +86,13 @@
 	p.recipient.request(heartbeatInput(p.message), p.receiveReply)
 }
 
-// isCut reports whether the worker and the controller can't reach each other now.
+// isCut reports whether a cut currently separates the worker from the recipient.
 func (p *pendingHeartbeat) isCut() bool {
 	return p.worker.sim.network.isCut(p.worker.endpoint(), p.recipient.endpoint())
 }
 
-// deliverAfterCut delivers the heartbeat once the cut is over, when its reply would be too
-// late.
+// deliverAfterCut delivers the heartbeat when the cut has ended. The reply is ignored, since
+// it would be too late.
 func (p *pendingHeartbeat) deliverAfterCut() {
 	if p.isCut() {
 		p.worker.sim.after(time.Second, p.deliverAfterCut)
@@ -99,7 +101,7 @@
 	p.recipient.deliverHeartbeat(p.message)
 }
 
-// redirect makes the worker send its next heartbeat to another controller after a while.
+// redirect makes the worker send its next heartbeat to another controller, after wait.
 func (p *pendingHeartbeat) redirect(wait time.Duration, controllerIndex int) {
 	worker := p.worker
 	worker.controllerIndex = controllerIndex
@@ -110,13 +112,13 @@
 	})
 }
 
-// tryNextController redirects the worker to the next controller in turn.
+// tryNextController redirects the worker to the next controller in round-robin order.
 func (p *pendingHeartbeat) tryNextController() {
 	worker := p.worker
 	p.redirect(retryInterval, (worker.controllerIndex+1)%len(worker.sim.controllers))
 }
 
-// receiveReply delivers the reply to the worker, unless it is lost.
+// receiveReply delivers the reply to the worker, unless the network loses it.
 func (p *pendingHeartbeat) receiveReply(reply core.Reply) {
 	sim := p.worker.sim
 	if sim.now < p.worker.inboundCutUntil || p.isCut() || sim.network.loses(sim.rng) {
@@ -125,7 +127,7 @@
 	sim.after(sim.network.latency(), func() { p.handleReply(reply) })
 }
 
-// handleReply carries out a reply that has arrived, if the worker still waits for it.
+// handleReply processes a reply that has arrived, if the worker still waits for it.
 func (p *pendingHeartbeat) handleReply(reply core.Reply) {
 	worker, sim := p.worker, p.worker.sim
 	if worker.terminated || worker.hung || worker.heartbeatID != p.id || !worker.awaitingReply || worker.epoch != p.epoch {
@@ -147,8 +149,9 @@
 	}
 }
 
-// applyReply carries out the reply to an accepted heartbeat, which renews the lease from
-// when that was sent. A reply under a lower fencing token than the highest seen is ignored.
+// applyReply applies the reply to an accepted heartbeat: it renews the lease as of the time
+// when the heartbeat was sent and executes the commands. A reply with a lower fencing token
+// than the highest received is ignored.
 func (w *simWorker) applyReply(reply wire.HeartbeatReply, sentAt time.Duration) {
 	if reply.Token < w.token {
 		return
--- a/internal/simulation/worker_task.go
+++ b/internal/simulation/worker_task.go
@@ -9,28 +9,28 @@
 
 // simTask is one attempt of a task on a worker.
 type simTask struct {
-	user             *simUser // nil: the job is unknown
+	user             *simUser // the user whose job it belongs to; nil: the job is unknown
 	worker           *simWorker
 	jobID            string
-	index            int // in the job
+	index            int // position in the job
 	attempt          uint64
-	state            string // wire.TaskFetching and its like
-	exitCause        string // wire.CauseDone and its like, once it has exited
+	state            string // one of the task states, such as wire.TaskFetching
+	exitCause        string // one of the exit causes, such as wire.CauseDone, once it has exited
 	checkpointSaved  bool
-	stateSince       time.Duration // when it began to fetch, to wait for its gang, or to run without one
-	generation       int           // changes when what was scheduled for the task is void
+	stateSince       time.Duration // when it began to fetch its image, to wait for its gang, or to run without a gang
+	generation       int           // incremented when an action scheduled for the task becomes obsolete
 	peerMissingSince time.Duration // when a running gang task first missed a peer; 0: none is missing
 }
 
-// attemptName names an attempt of a task among those of a worker.
+// attemptName returns the name of an attempt of a task, which is its key in simWorker.tasks.
 func attemptName(taskName string, attempt uint64) string {
 	return fmt.Sprintf("%s#%d", taskName, attempt)
 }
 
-// name returns the name of the task, which all its attempts share.
+// name returns the name of the task, which is the same for all attempts.
 func (t *simTask) name() string { return wire.TaskName(t.jobID, t.index) }
 
-// status returns the task as a heartbeat shows it.
+// status returns the status of the task as reported in a heartbeat.
 func (t *simTask) status() wire.TaskStatus {
 	return wire.TaskStatus{
 		Task:            t.name(),
@@ -41,7 +41,8 @@
 	}
 }
 
-// startTask accepts a task, fetches its image and runs it, or rejects it.
+// startTask rejects a task, or fetches its image and then runs it. A gang task first waits
+// for its gang.
 func (w *simWorker) startTask(key string, task *simTask) {
 	sim, user := w.sim, task.user
 	w.heartbeatDue = true
@@ -67,7 +68,8 @@
 	})
 }
 
-// rejectionCause returns why the worker rejects a task, or "".
+// rejectionCause returns the cause for which the worker rejects a task, or "" if it accepts
+// the task.
 func (w *simWorker) rejectionCause(task *simTask) string {
 	if task.user == nil || task.index >= task.user.spec.TaskCount {
 		return wire.CauseUnknownJob
@@ -93,7 +95,9 @@
 	return ""
 }
 
-// killTask stops a task. It saves a checkpoint first if the grace period allows.
+// killTask stops a task. A running task saves a checkpoint first if its job has checkpoints
+// and the grace period is long enough. A task that is saving one already may finish doing so
+// unless the grace period is 0.
 func (w *simWorker) killTask(task *simTask, graceS float64) {
 	spec := &task.user.spec
 	if task.state == wire.TaskRunning && spec.CheckpointIntervalS > 0 && graceS >= spec.CheckpointTimeS {
@@ -110,8 +114,8 @@
 	w.exitTask(task, wire.CauseStopped)
 }
 
-// schedule runs a function for a task after d, or once the worker no longer hangs, unless
-// the task is gone or something else is scheduled for it by then.
+// schedule runs a function for a task after d, or later if the worker hangs then. It does not
+// run it if the task has been removed or its generation has changed by then.
 func (w *simWorker) schedule(task *simTask, d time.Duration, run func()) {
 	task.generation++
 	generation := task.generation
@@ -130,19 +134,19 @@
 	w.sim.after(d, attempt)
 }
 
-// setState changes the state of a task, which a heartbeat reports at once.
+// setState changes the state of a task and makes a heartbeat due, which reports it.
 func (w *simWorker) setState(task *simTask, state string) {
 	task.state, w.heartbeatDue = state, true
 }
 
-// exitTask ends a task.
+// exitTask ends a task with the given exit cause.
 func (w *simWorker) exitTask(task *simTask, cause string) {
 	task.generation++
 	task.exitCause = cause
 	w.setState(task, wire.TaskExited)
 }
 
-// runTask runs a task whose image is there, and whose gang waits with it.
+// runTask runs a task whose image has been fetched and whose gang, if any, is complete.
 func (w *simWorker) runTask(task *simTask) {
 	user := task.user
 	w.setState(task, wire.TaskRunning)
@@ -161,7 +165,8 @@
 	}
 }
 
-// completeTask ends a task that has done its work; with one task of a gang all are done.
+// completeTask ends a task that has completed its work. When one task of a gang completes,
+// all tasks of the gang count as completed.
 func (w *simWorker) completeTask(task *simTask) {
 	user, completed := task.user, w.sim.users.completedTasks
 	completed[task.name()] = true
