--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -7,23 +7,23 @@
 	"micaport/internal/wire"
 )
 
-// Limits on how long the answers to a job's user may stay away.
+// Limits on the time that a user may be without an answer, and intervals of the checks.
 const (
-	unansweredAfter    = 90 * time.Second // of one user, while others get answers
-	answeredWithin     = 6 * time.Second  // of those others
-	unansweredAtCalm   = 75 * time.Second // of any user, once all faults are over
+	unansweredAfter    = 90 * time.Second // of some users, while more users get answers
+	answeredWithin     = 6 * time.Second  // how recent the last answer of those other users is
+	unansweredAtCalm   = 75 * time.Second // of any user, once all faults have ended
 	ruleCheckInterval  = time.Second
-	waitingJobInterval = 5 * time.Second // between checks of the jobs that wait
+	waitingJobInterval = 5 * time.Second // between checks of the waiting jobs
 )
 
 // ruleChecker checks the rules of the protocol and collects violations.
 type ruleChecker struct {
 	sim             *Simulation
 	violations      []string
-	attemptMachines map[string]string // the machine of every attempt of a task
-	starts          map[string]int    // starts of tasks by job
-	lateStarts      int               // starts after the user was told that the job is cancelled
-	faultsEndAt     time.Duration     // when the last fault ends, as far as is known
+	attemptMachines map[string]string // name of the machine of each task attempt, by attemptName
+	starts          map[string]int    // number of task starts, by job
+	lateStarts      int               // number of task starts after the cancellation of the job was confirmed to the user
+	faultsEndAt     time.Duration     // when the last of the faults recorded so far ends
 }
 
 // violated records that a rule was violated now.
@@ -31,12 +31,13 @@
 	r.violations = append(r.violations, fmt.Sprintf("%.3fs %s: %s", r.sim.now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// faultsLast records that a fault goes on for d from now.
+// faultsLast records that a fault lasts for d from now.
 func (r *ruleChecker) faultsLast(d time.Duration) {
 	r.faultsEndAt = max(r.faultsEndAt, r.sim.now+d)
 }
 
-// taskStarted checks the rules that the start of a task on a worker can violate.
+// taskStarted records the start of a task on a worker and checks the rules that it can
+// violate.
 func (r *ruleChecker) taskStarted(worker *simWorker, task *simTask) {
 	user, machine := task.user, worker.machine
 	r.starts[task.jobID]++
@@ -45,12 +46,12 @@
 	}
 	name := attemptName(task.name(), task.attempt)
 	if before := r.attemptMachines[name]; before != "" && before != machine.Name {
-		r.violated("attempt_recurs", "%s on %s and then on %s", name, before, machine.Name)
+		r.violated("attempt_recurs", "%s started on %s and then on %s", name, before, machine.Name)
 	}
 	r.attemptMachines[name] = machine.Name
 	for _, jobID := range user.spec.Dependencies {
 		if dependency := r.sim.users.byJob[jobID]; dependency == nil || !dependency.allTasksDone() {
-			r.violated("too_early", "%s before %s is done", task.name(), jobID)
+			r.violated("too_early", "%s started before %s was done", task.name(), jobID)
 		}
 	}
 	zones := map[string]int{}
@@ -65,12 +66,12 @@
 	}
 	r.checkPlacement(worker, task, zones)
 	if cancelled := r.sim.now - user.cancelledAt; user.cancelledAt > 0 && cancelled > r.sim.CancelDeadline {
-		r.violated("ran_cancelled", "%s started %v after", task.jobID, cancelled)
+		r.violated("ran_cancelled", "%s started a task %v after its cancellation", task.jobID, cancelled)
 	}
 }
 
-// checkPlacement checks that a job may use a machine, given how many of its tasks are in
-// each zone.
+// checkPlacement checks that a job may use the worker's machine, given the number of its
+// active tasks in each zone.
 func (r *ruleChecker) checkPlacement(worker *simWorker, task *simTask, zones map[string]int) {
 	spec, machine := &task.user.spec, worker.machine
 	switch {
@@ -85,8 +86,8 @@
 	}
 }
 
-// check checks the rules that hold at all times, once a ruleCheckInterval. Gang tasks look
-// for their peers then too.
+// check checks the rules that apply at all times. It runs once every ruleCheckInterval, and
+// also makes the gang tasks check whether their peers are running.
 func (r *ruleChecker) check() {
 	r.checkAnswers()
 	r.checkCancelled()
@@ -102,8 +103,9 @@
 	}
 }
 
-// checkAnswers checks that users get answers: most of them always, and each of them once
-// all faults are over.
+// checkAnswers checks that users get answers: at any time the users without answers must
+// not be outnumbered by those that get answers, and once all faults have ended every user
+// must get answers.
 func (r *ruleChecker) checkAnswers() {
 	now, answered, unanswered := r.sim.now, 0, 0
 	for _, user := range r.sim.users.byJob {
@@ -120,24 +122,24 @@
 		r.violated("forgotten", "%d jobs get no answers while %d do", unanswered, answered)
 	}
 	for _, user := range r.sim.users.ordered {
-		quiet := now - max(user.lastAnsweredAt, r.faultsEndAt)
-		if user.accepted && user.cancelledAt == 0 && quiet > unansweredAtCalm {
-			r.violated("forgotten", "%s: no answer for %v, the last was %d", user.spec.ID, quiet, user.lastCode)
+		unansweredTime := now - max(user.lastAnsweredAt, r.faultsEndAt)
+		if user.accepted && user.cancelledAt == 0 && unansweredTime > unansweredAtCalm {
+			r.violated("forgotten", "%s: no answer for %v, the last status was %d", user.spec.ID, unansweredTime, user.lastCode)
 		}
 	}
 }
 
-// checkCancelled checks that the tasks of cancelled jobs are gone by the deadline.
+// checkCancelled checks that the tasks of cancelled jobs have ended by the deadline.
 func (r *ruleChecker) checkCancelled() {
 	r.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
 		cancelled := r.sim.now - task.user.cancelledAt
 		if task.user.cancelledAt > 0 && cancelled > r.sim.CancelDeadline {
-			r.violated("ran_cancelled", "%s on %s %v after (%s)", task.name(), worker.machine.Name, cancelled, task.state)
+			r.violated("ran_cancelled", "%s is active on %s %v after its cancellation (%s)", task.name(), worker.machine.Name, cancelled, task.state)
 		}
 	})
 }
 
-// teamUsage returns what the tasks of a team that are on machines use.
+// teamUsage returns the resources that the active tasks of a team use.
 func (r *ruleChecker) teamUsage(team string) (cores, gpus float64) {
 	for _, user := range r.sim.users.ordered {
 		if user.spec.Team == team {
@@ -150,14 +152,14 @@
 	return cores, gpus
 }
 
-// exceedsHighestLimit reports whether a use exceeds the highest limit that a team has had:
-// what was placed before the limit was lowered may start after. Whether it may be placed is
-// checked by quotaAccounting.
+// exceedsHighestLimit reports whether a usage exceeds the highest limit that a team has had,
+// since tasks that were placed before the limit was lowered may start afterwards. Whether
+// they may be placed is checked by quotaAccounting.
 func (r *ruleChecker) exceedsHighestLimit(team string, cores, gpus float64) bool {
 	return exceedsLimit(r.sim.quota.highestLimits[team], cores, gpus)
 }
 
-// exceedsLimit reports whether a use exceeds a limit, of which 0 is none.
+// exceedsLimit reports whether a usage exceeds a limit. A limit of 0 means unlimited.
 func exceedsLimit(limit wire.Resources, cores, gpus float64) bool {
 	return limit.GPUs > 0 && gpus > limit.GPUs+quotaTolerance || limit.Cores > 0 && cores > limit.Cores+quotaTolerance
 }
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -10,8 +10,8 @@
 	"micaport/internal/wire"
 )
 
-// idleSimulation returns a simulation with a user's job and a worker, whose controllers do
-// not run.
+// idleSimulation returns a simulation with one job and one worker, whose controllers do not
+// run.
 func idleSimulation(shape string, taskCount int) (*Simulation, *simUser, *simWorker) {
 	sim := New(Defaults(), discardLog)
 	for _, ctrl := range sim.controllers {
@@ -35,22 +35,22 @@
 	return worker
 }
 
-// addRunningTask adds a running task of the user's job to a worker.
+// addRunningTask adds a running task of the user's job to a worker without checking the rules.
 func (u *simUser) addRunningTask(worker *simWorker, index int, attempt uint64) *simTask {
 	task := &simTask{user: u, worker: worker, jobID: u.spec.ID, index: index, attempt: attempt, state: wire.TaskRunning, stateSince: u.sim.now}
 	worker.addTask(task.name(), task)
 	return task
 }
 
-// TestRulesAreChecked shows for each rule of the simulation that a violation is found, and
-// that none is found where nothing is wrong.
+// TestRulesAreChecked checks for rules of the simulation that a violation is reported, and
+// that none is reported for allowed behaviour.
 func TestRulesAreChecked(t *testing.T) {
 	answer := func(status string) core.Reply {
 		return core.Reply{Status: http.StatusOK, Body: wire.JobStatus{JobID: "wk-000001", Status: status}}
 	}
 	for _, test := range []struct {
 		name string
-		rule string // that is violated; "" if none is
+		rule string // the violated rule; "": none
 		do   func(sim *Simulation, user *simUser, worker *simWorker)
 	}{
 		{"a running task", "", func(sim *Simulation, user *simUser, worker *simWorker) {
@@ -89,39 +89,39 @@
 			user.addRunningTask(worker, 0, 1)
 			sim.rules.check()
 		}},
-		{"a user without answers", "forgotten", func(sim *Simulation, user *simUser, worker *simWorker) {
+		{"a user without answers for too long", "forgotten", func(sim *Simulation, user *simUser, worker *simWorker) {
 			user.addRunningTask(worker, 0, 1)
 			user.lastAnsweredAt = sim.now - 76*time.Second
 			sim.rules.check()
 		}},
-		{"done, then running", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"a job that is done and then running", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.spec.TaskCount = 0
 			user.checkStatus(sim.now, answer(wire.StatusDone))
 			user.checkStatus(sim.now, answer(wire.StatusRunning))
 		}},
-		{"cancelled, then pending", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"a job that is cancelled and then pending", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.cancelRequested = true
 			user.checkStatus(sim.now, answer(wire.StatusCancelled))
 			user.checkStatus(sim.now, answer(wire.StatusPending))
 		}},
-		{"cancelled without a request", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"a job that is cancelled without a request", "went_back", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.checkStatus(sim.now, answer(wire.StatusCancelled))
 		}},
-		{"done with a task that is not", "not_done", func(sim *Simulation, user *simUser, _ *simWorker) { user.checkStatus(sim.now, answer(wire.StatusDone)) }},
-		{"a refused job accepted", "accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) {
+		{"a job that is done while a task is not", "not_done", func(sim *Simulation, user *simUser, _ *simWorker) { user.checkStatus(sim.now, answer(wire.StatusDone)) }},
+		{"an invalid job that is accepted", "accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) {
 			sim.users.checkRejection("wk-700001", http.StatusUnprocessableEntity, http.StatusCreated)
 		}},
-		{"a malformed job refused as one that can not run", "accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) {
+		{"a malformed job that is rejected with 422 instead of 400", "accepted_wrongly", func(sim *Simulation, _ *simUser, _ *simWorker) {
 			sim.users.checkRejection("wk-700001", http.StatusBadRequest, http.StatusUnprocessableEntity)
 		}},
-		{"a malformed job answered with unavailable", "", func(sim *Simulation, _ *simUser, _ *simWorker) {
+		{"a malformed job that is answered with 503", "", func(sim *Simulation, _ *simUser, _ *simWorker) {
 			sim.users.checkRejection("wk-700001", http.StatusBadRequest, http.StatusServiceUnavailable)
 		}},
-		{"a job that waits beside free capacity for too long", "left_waiting", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"a job that waits for too long despite free capacity", "left_waiting", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.idleCapacitySince = sim.now - 91*time.Second
 			sim.rules.checkWaitingJobs()
 		}},
-		{"a job that waits beside free capacity", "", func(sim *Simulation, user *simUser, _ *simWorker) {
+		{"a job that waits for less than the limit despite free capacity", "", func(sim *Simulation, user *simUser, _ *simWorker) {
 			user.idleCapacitySince = sim.now - 89*time.Second
 			sim.rules.checkWaitingJobs()
 		}},
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestLateStartsAreCounted: a start that a worker carries out soon after the user was told
-// that the job is cancelled violates no rule, and is counted.
+// TestLateStartsAreCounted checks that a task start soon after the cancellation of the job
+// was confirmed to the user is counted and violates no rule.
 func TestLateStartsAreCounted(t *testing.T) {
 	sim, user, worker := idleSimulation(wire.ShapeArray, 1)
 	user.cancelRequested, user.cancelledAt = true, sim.now-time.Second
@@ -163,7 +163,8 @@
 	}
 }
 
-// TestInvalidFieldsAreRejected: submissions of withInvalidField are invalid, each of them.
+// TestInvalidFieldsAreRejected checks that every submission made by withInvalidField is
+// invalid.
 func TestInvalidFieldsAreRejected(t *testing.T) {
 	_, user, _ := idleSimulation(wire.ShapeArray, 1)
 	user.spec.Priority, user.spec.Image = "low", "img"
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -8,21 +8,21 @@
 	"micaport/internal/wire"
 )
 
-// largestStartLimit is how long the largest jobs of a class may take to start.
+// largestStartLimit is how long the largest jobs of each class may take to start.
 const largestStartLimit = 240 * time.Second
 
-// startCount counts jobs of one kind and how many of them have started.
+// startCount counts the jobs of one kind and those of them that have started.
 type startCount struct{ started, all int }
 
-// underserved returns the kinds of jobs of which less than half have started at the end of
-// a scenario: each class, each team, and the largest jobs of each class, which have to
-// start in time.
+// underserved returns a fault for each kind of jobs of which fewer than half have started by
+// the end of a scenario. The kinds are each class, each team, and the largest jobs of each
+// class, which must have started within largestStartLimit.
 func (r *ruleChecker) underserved() []string {
-	var judged []*simUser
+	var eligible []*simUser
 	largest := map[string]int{}
 	for _, user := range r.sim.users.ordered {
 		if r.shouldHaveStarted(user) {
-			judged = append(judged, user)
+			eligible = append(eligible, user)
 			largest[user.spec.Class] = max(largest[user.spec.Class], user.spec.TaskCount)
 		}
 	}
@@ -35,7 +35,7 @@
 		}
 		counts[kind] = c
 	}
-	for _, user := range judged {
+	for _, user := range eligible {
 		started := user.startedAt > 0
 		count("class "+user.spec.Class, started)
 		count("team "+user.spec.Team, started)
@@ -52,15 +52,15 @@
 	return faults
 }
 
-// shouldHaveStarted reports whether a job came early enough to be judged by whether it has
-// started, and can run.
+// shouldHaveStarted reports whether a job can run and was submitted early enough to have
+// started.
 func (r *ruleChecker) shouldHaveStarted(user *simUser) bool {
 	return user.accepted && !user.cancelRequested && !user.alwaysFails &&
 		r.sim.now-user.submittedAt > largestStartLimit && !user.isBlocked()
 }
 
-// maxIdleCapacityWait is how long a job may wait, once all faults are over, while a machine
-// that fits has capacity and its team is below its limit.
+// maxIdleCapacityWait is how long a job may wait, once all faults have ended, while machines
+// with enough free capacity are running and the limit of its team allows it to run.
 const maxIdleCapacityWait = 90 * time.Second
 
 // checkWaitingJobs checks that no job waits for longer than maxIdleCapacityWait.
@@ -86,12 +86,12 @@
 			user.idleCapacitySince = now
 		}
 		if now-max(user.idleCapacitySince, r.faultsEndAt) > maxIdleCapacityWait {
-			r.violated("left_waiting", "%s waits beside room since %v", user.spec.ID, user.idleCapacitySince)
+			r.violated("left_waiting", "%s has waited despite free capacity since %v", user.spec.ID, user.idleCapacitySince)
 		}
 	}
 }
 
-// isWaiting reports whether a job that should run has no task on any machine.
+// isWaiting reports whether a job that should run has no active task.
 func (u *simUser) isWaiting() bool {
 	if !u.accepted || u.cancelRequested || u.alwaysFails || u.isBlocked() {
 		return false
@@ -100,13 +100,14 @@
 	return !hasTask && !u.allTasksDone()
 }
 
-// freeCapacity is what is free on a worker's machine.
+// freeCapacity holds the free resources of a worker's machine.
 type freeCapacity struct {
 	worker                *simWorker
 	cores, gpus, memoryGB float64
 }
 
-// freeCapacity returns what is free on each machine whose worker is healthy. It is not nil.
+// freeCapacity returns the free resources of each machine whose worker is healthy. The result
+// is never nil.
 func (f *workerFleet) freeCapacity() []*freeCapacity {
 	now, machineType := f.sim.now, &f.sim.cloud.machineType
 	all := []*freeCapacity{}
@@ -127,28 +128,28 @@
 	return all
 }
 
-// reserve takes the resources of one task.
+// reserve subtracts the resources of one task.
 func (f *freeCapacity) reserve(spec *wire.JobSpec) {
 	f.cores -= spec.Cores
 	f.gpus -= spec.GPUs
 	f.memoryGB -= spec.MemoryGB
 }
 
-// has reports whether one task fits.
+// has reports whether the free resources are sufficient for one task.
 func (f *freeCapacity) has(spec *wire.JobSpec) bool {
 	return f.cores >= spec.Cores && f.gpus >= spec.GPUs && f.memoryGB >= spec.MemoryGB
 }
 
-// fits reports whether one task of an array or daemon, or all of a gang in one zone, fits
-// the free capacity and the team's limit.
+// fits reports whether the free capacity and the limit of the team allow one more task of an
+// array or daemon, or all tasks of a gang in one zone.
 func (u *simUser) fits(free []*freeCapacity) bool {
 	spec, sim := &u.spec, u.sim
-	need := 1
+	required := 1
 	if spec.Shape == wire.ShapeGang {
-		need = spec.TaskCount
+		required = spec.TaskCount
 	}
 	cores, gpus := sim.rules.teamUsage(spec.Team)
-	if exceedsLimit(sim.quota.teams[spec.Team].limit, cores+float64(need)*spec.Cores, gpus+float64(need)*spec.GPUs) {
+	if exceedsLimit(sim.quota.teams[spec.Team].limit, cores+float64(required)*spec.Cores, gpus+float64(required)*spec.GPUs) {
 		return false
 	}
 	zones := map[string]int{}
@@ -157,12 +158,12 @@
 		if machine.Spot && !spec.AllowSpot || spec.Zone != "" && spec.Zone != machine.Zone {
 			continue
 		}
-		for left := *machineFree; left.has(spec) && zones[machine.Zone] < need; left.reserve(spec) {
+		for remaining := *machineFree; remaining.has(spec) && zones[machine.Zone] < required; remaining.reserve(spec) {
 			zones[machine.Zone]++
 		}
 	}
 	for _, count := range zones {
-		if count >= need {
+		if count >= required {
 			return true
 		}
 	}
