--- a/internal/simulation/event_loop.go
+++ b/internal/simulation/event_loop.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// eventLoop is the clock of a simulation and the events that it has scheduled. Events of
-// the same time run in the order in which they were scheduled.
+// eventLoop is the clock and the event queue of a simulation. Events scheduled for the same
+// time run in the order in which they were scheduled.
 type eventLoop struct {
-	now          time.Duration // since the simulation began
+	now          time.Duration // time since the start of the simulation
 	queue        eventQueue
 	lastSequence int
 }
@@ -19,13 +19,13 @@
 	heap.Push(&l.queue, scheduledEvent{l.now + d, l.lastSequence, run})
 }
 
-// every schedules a function to run again and again, first after d.
+// every schedules a function to run repeatedly at intervals of d, first after d.
 func (l *eventLoop) every(d time.Duration, run func()) {
 	l.after(d, func() { run(); l.every(d, run) })
 }
 
-// runUntil runs the events that are due until the given time, unless stopped reports
-// true before one of them. The clock shows that time at least afterwards.
+// runUntil runs the events that are due up to the given time, or until stopped reports
+// true, which is checked before each event. It then advances the clock to that time.
 func (l *eventLoop) runUntil(until time.Duration, stopped func() bool) {
 	for len(l.queue) > 0 && l.queue[0].at <= until && !stopped() {
 		event := heap.Pop(&l.queue).(scheduledEvent)
@@ -35,14 +35,14 @@
 	l.now = max(l.now, until)
 }
 
-// scheduledEvent is a function that runs at a time.
+// scheduledEvent is a function and the time at which it runs.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int // orders events of the same time
 	run      func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events, ordered by time and sequence.
 type eventQueue []scheduledEvent
 
 // Len implements heap.Interface.
--- a/internal/simulation/meter.go
+++ b/internal/simulation/meter.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// meter counts what a period costs, so that a script can bound it.
+// meter counts the costs of a period, so that a script can check them against bounds.
 type meter struct {
-	since          time.Duration // when the period began
-	heartbeats     int           // of workers
-	gossipBytes    int           // between controllers
-	refusedCommits int           // by the write limit
-	coreWork       uint64        // of all controllers when the period began
+	since          time.Duration // start of the period
+	heartbeats     int           // sent by workers
+	gossipBytes    int           // sent between controllers
+	refusedCommits int           // refused because of the write limit
+	coreWork       uint64        // coreWork at the start of the period
 }
 
-// coreWork returns how many machines the cores of all controllers have looked at so far.
+// coreWork returns the number of machines that the cores of all controllers have examined
+// since they were started.
 func (s *Simulation) coreWork() uint64 {
 	sum := uint64(0)
 	for _, ctrl := range s.controllers {
--- a/internal/simulation/settings.go
+++ b/internal/simulation/settings.go
@@ -7,37 +7,38 @@
 	"micaport/internal/replica"
 )
 
-// Settings of a simulation. Defaults returns those of a small deployment.
+// Settings are the settings of a simulation. Defaults returns those of a small deployment.
 type Settings struct {
 	Seed              uint64
 	ControllerZones   []string // the zone of each controller
 	Zones             []string
 	Teams             []replica.Team
 	HeartbeatInterval time.Duration // of workers
-	WorkerLease       time.Duration // a worker without a reply for as long ends its tasks
-	GangWait          time.Duration // a gang task waits as long for its peers
-	GangPeerTimeout   time.Duration // a gang task runs as long without all of its peers
-	CancelDeadline    time.Duration // the tasks of a cancelled job are gone by then
-	BootTime          time.Duration // of a machine, on average
-	Capacity          int           // machines of each kind, spot or not, that a zone has
-	IdleTimeout       time.Duration // an idle machine is deprovisioned after it
+	WorkerLease       time.Duration // a worker that receives no reply for this long ends its tasks
+	GangWait          time.Duration // how long a gang task waits for its peers to start
+	GangPeerTimeout   time.Duration // how long a running gang task tolerates a missing peer
+	CancelDeadline    time.Duration // time from the confirmed cancellation of a job until all of its tasks have ended
+	BootTime          time.Duration // approximate time that a machine takes to boot
+	Capacity          int           // machines that a zone has of each kind, spot and on-demand
+	IdleTimeout       time.Duration // time after which an idle machine is deprovisioned
 
 	// Limits of the state service.
-	WriteRPS          float64 // writes a second; 0: unlimited
+	WriteRPS          float64 // writes per second; 0: unlimited
 	MaxTransactionOps int
 	MaxValueBytes     int
 
-	// Limits of the state service that the script puts into force; 0: none.
+	// Limits of the state service that apply once the script's command "limits" runs; 0: none.
 	NextWriteRPS          float64
 	NextMaxTransactionOps int
 	NextMaxValueBytes     int
 
-	Admission     core.Admission // what shard owners admit without the leader
-	OldFormat     int            // format that controllers read until they are upgraded; 0: the newest
-	EarlyTakeover bool           // a suspected leader is replaced before its lease expires
+	Admission     core.Admission // which jobs shard owners admit without the leader
+	OldFormat     int            // newest record format that controllers support until they are upgraded; 0: the current one
+	EarlyTakeover bool           // a leader suspected to have failed is replaced before its lease expires
 
-	// With real controller processes: how one is started, how a request is sent to it, and
-	// how a worker gets an address for commands.
+	// Set with real controller processes only: startController starts a process, sendRequest
+	// sends a request to one, and serveWorker returns an address at which a worker accepts
+	// commands.
 	startController func(*controller)
 	sendRequest     func(ctrl *controller, in core.Input, reply func(core.Reply))
 	serveWorker     func(*simWorker) string
@@ -70,8 +71,8 @@
 	}
 }
 
-// maxBatchWrites returns how many writes a controller may batch: its part of one and a half
-// seconds' writes, as the deployed program computes it.
+// maxBatchWrites returns how many writes a controller may put into one batch: its share of
+// the writes of 1.5 s. The deployed program computes it in the same way.
 func (s *Simulation) maxBatchWrites() int {
 	if s.WriteRPS <= 0 {
 		return s.MaxTransactionOps
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,8 +1,8 @@
-// Package simulation is a model of everything around the controllers: the state service,
-// the cloud, the workers, the users and the network between them. It runs any number of
-// controller cores in simulated time, drops, delays, duplicates and reorders what passes
-// between them under a seed, and checks the rules of the protocol after every step. With
-// Loopback the controllers are real processes instead. Only tests use this package.
+// Package simulation models the environment of the controllers: the state service, the
+// cloud, the workers, the users and the network between them. It runs any number of
+// controller cores in simulated time; loses, delays, duplicates and reorders messages
+// according to a seed; and checks the rules of the protocol while they run. With Loopback
+// the controllers are real processes instead. Only tests use this package.
 package simulation
 
 import (
@@ -15,8 +15,8 @@
 	"micaport/internal/core"
 )
 
-// Simulation runs controllers against models of what surrounds them. All of it runs on one
-// goroutine, and a seed determines every random draw.
+// Simulation runs controllers against models of their environment. All of it runs on one
+// goroutine, and the seed determines every random draw.
 type Simulation struct {
 	Settings
 	eventLoop
@@ -34,21 +34,22 @@
 	leadership  *leadershipWatch
 	meter       meter
 
-	logf    func(format string, args ...any) // takes the controllers' log lines
+	logf    func(format string, args ...any) // receives the log lines of the controllers
 	observe effectObserver
 }
 
-// effectObserver is given the effects of one step of a controller; nil observes nothing.
+// effectObserver receives the effects of each step of a controller. It may be nil.
 type effectObserver func(now time.Duration, controller string, effects []core.Effect)
 
-// New makes a simulation whose controllers start at once. Logf takes their log lines.
+// New returns a simulation whose controllers have been started. Logf receives their log
+// lines.
 func New(settings Settings, logf func(format string, args ...any)) *Simulation {
 	sim := newSimulation(settings, logf)
 	sim.start()
 	return sim
 }
 
-// newSimulation makes a simulation in which nothing runs yet.
+// newSimulation returns a simulation whose controllers have not been started.
 func newSimulation(settings Settings, logf func(format string, args ...any)) *Simulation {
 	sim := &Simulation{Settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, mainStream)), logf: logf}
 	sim.network = &network{sim: sim, cuts: map[string]int{}, held: map[string]bool{}}
@@ -69,17 +70,18 @@
 	return sim
 }
 
-// Streams of the random numbers of a seed. Heartbeats of leaders have one of their own, so
-// that all other draws are the same with and without them.
+// Streams of random numbers that are derived from a seed. Heartbeats of leaders use a
+// separate stream, so that all other draws are the same with and without them.
 const (
 	mainStream      = 7
 	heartbeatStream = 11
 )
 
-// maxClockDrift is how much faster or slower than the simulation's clock others run.
+// maxClockDrift is the largest relative difference between the rate of a controller's or
+// worker's clock and that of the simulation.
 const maxClockDrift = 0.0005
 
-// start starts the controllers and the checks.
+// start starts the controllers and the periodic check of the rules.
 func (s *Simulation) start() {
 	for _, ctrl := range s.controllers {
 		ctrl.start()
@@ -92,13 +94,13 @@
 	s.runUntil(until, func() bool { return len(s.rules.violations) > 0 })
 }
 
-// must panics on an error that can't happen unless the simulation itself is wrong.
+// must panics on an error that only a bug in the simulation itself can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// sortedKeys returns the keys of a map in order, since the order of a range over a map
-// would make runs of the same seed differ.
+// sortedKeys returns the sorted keys of a map. Ranging over the map itself would make runs
+// with the same seed differ.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
