--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -11,12 +11,12 @@
 
 // cloud models the cloud provider, whose machines are all of one type.
 type cloud struct {
-	sim         *Simulation
-	machineType wire.MachineType
-	machines    map[string]*cloudMachine
-	provisioned map[string][]string              // names of the machines provisioned for each request, by the name of the request
-	requests    map[string]wire.ProvisionRequest // by name
-	created     int                              // number of machines created so far
+	sim             *Simulation
+	machineType     wire.MachineType
+	machines        map[string]*cloudMachine
+	provisioned     map[string][]string              // names of the machines provisioned for each request, by the name of the request
+	requests        map[string]wire.ProvisionRequest // by name
+	createdMachines int                              // number of machines created so far
 
 	deprovisioned  int // number of machines that controllers have asked to deprovision
 	outage         bool
@@ -130,8 +130,8 @@
 // create creates a machine, starts to boot it, and returns its name.
 func (c *cloud) create(request *wire.ProvisionRequest) string {
 	sim := c.sim
-	name := fmt.Sprintf("vm-%06d", c.created)
-	c.created++
+	name := fmt.Sprintf("vm-%06d", c.createdMachines)
+	c.createdMachines++
 	machine := &cloudMachine{createdAt: sim.now, CloudMachine: wire.CloudMachine{
 		Name: name, Addr: name + ":1", MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Status: wire.MachineBooting,
 	}}
@@ -159,6 +159,6 @@
 	}
 	if worker := c.sim.fleet.workers[name]; worker != nil {
 		worker.terminated = true
-		worker.dropTasks()
+		worker.removeAllTasks()
 	}
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -30,7 +30,7 @@
 
 	frozenUntil         time.Duration
 	queuedInputs        []core.Input  // inputs that arrived while it was frozen
-	heldEffects         []core.Effect // effects of its last step before it froze, not performed yet
+	pendingEffects      []core.Effect // effects of its last step before it froze, not performed yet
 	freezeBeforeEffects bool          // it executes one more step, and freezes before it performs the effects
 }
 
@@ -55,7 +55,7 @@
 	c.incarnation++
 	c.frozenUntil = 0
 	c.freezeBeforeEffects = false
-	c.heldEffects = nil
+	c.pendingEffects = nil
 	c.queuedInputs = nil
 	c.pendingReplies = map[uint64]func(core.Reply){}
 	if sim.startController != nil {
@@ -135,7 +135,7 @@
 		sim.observe(sim.now, c.label, effects)
 	}
 	if c.freezeBeforeEffects {
-		c.freezeBeforeEffects, c.heldEffects = false, effects
+		c.freezeBeforeEffects, c.pendingEffects = false, effects
 		return
 	}
 	for _, effect := range effects {
@@ -162,7 +162,7 @@
 		return
 	}
 	incarnation := c.incarnation
-	c.sim.after(c.sim.network.latency(), func() {
+	c.sim.after(c.sim.network.drawLatency(), func() {
 		if c.isRunning(incarnation) {
 			c.stepRequest(input, reply)
 		}
@@ -182,8 +182,8 @@
 	return s.controllers[s.rng.IntN(len(s.controllers))]
 }
 
-// labelled returns the index of the controller with the given label, or -1.
-func (s *Simulation) labelled(label string) int {
+// controllerIndexOf returns the index of the controller with the given label, or -1.
+func (s *Simulation) controllerIndexOf(label string) int {
 	return slices.IndexFunc(s.controllers, func(ctrl *controller) bool { return ctrl.label == label })
 }
 
@@ -194,16 +194,16 @@
 func (s *Simulation) controllerNamed(name string) *controller {
 	leader := 0
 	if claim := s.store.leader(); claim != nil {
-		leader = s.labelled(claim.Controller)
+		leader = s.controllerIndexOf(claim.Controller)
 	}
 	if shard, ok := strings.CutPrefix(name, "owner:"); ok {
-		return s.controllers[max(0, s.labelled(s.store.shardOwner(shard)))]
+		return s.controllers[max(0, s.controllerIndexOf(s.store.shardOwner(shard)))]
 	}
 	switch name {
 	case "leader":
 		return s.controllers[leader]
 	case "standby":
-		return s.controllers[max(0, s.labelled(s.leadership.standby))]
+		return s.controllers[max(0, s.controllerIndexOf(s.leadership.standby))]
 	case "other":
 		return s.controllers[(leader+1)%len(s.controllers)]
 	}
@@ -214,7 +214,7 @@
 // reachablePeer returns the controller with the given label, or nil if it does not exist or
 // a cut separates the two.
 func (c *controller) reachablePeer(label string) *controller {
-	index := c.sim.labelled(label)
+	index := c.sim.controllerIndexOf(label)
 	if index < 0 || c.sim.network.isCut(c.endpoint(), c.sim.controllers[index].endpoint()) {
 		return nil
 	}
--- a/internal/simulation/controller_effects.go
+++ b/internal/simulation/controller_effects.go
@@ -42,44 +42,44 @@
 func (c *controller) sendGossip(effect core.SendGossip) {
 	sim := c.sim
 	peer := c.reachablePeer(effect.To)
-	if peer == nil || sim.network.loses(sim.rng) {
+	if peer == nil || sim.network.drawLoss(sim.rng) {
 		return
 	}
 	message := *effect.Message
 	if raw, err := wire.Encode(effect.Message); err == nil {
 		sim.meter.gossipBytes += len(raw)
 	}
-	peer.deliver(sim.network.latency(), core.GossipReceived{Message: &message})
+	peer.deliver(sim.network.drawLatency(), core.GossipReceived{Message: &message})
 }
 
 // sendHeartbeat sends a leader's heartbeat to a peer.
 func (c *controller) sendHeartbeat(effect core.SendHeartbeat) {
-	watch := c.sim.leadership
-	watch.standby = effect.Message.Standby
-	watch.heartbeats++
+	monitor := c.sim.leadership
+	monitor.standby = effect.Message.Standby
+	monitor.heartbeats++
 	peer := c.reachablePeer(effect.To)
-	if peer == nil || c.sim.network.loses(watch.rng) {
+	if peer == nil || c.sim.network.drawLoss(monitor.rng) {
 		return
 	}
 	message := *effect.Message
-	peer.deliver(watch.latency(), core.HeartbeatReceived{Message: &message})
+	peer.deliver(monitor.drawLatency(), core.HeartbeatReceived{Message: &message})
 }
 
 // sendDecisionLog sends a message of the decision log to the standby, and delivers its
 // acknowledgement to the sender.
 func (c *controller) sendDecisionLog(effect core.SendDecisionLog) {
-	sim, watch := c.sim, c.sim.leadership
+	sim, monitor := c.sim, c.sim.leadership
 	peer := c.reachablePeer(effect.To)
-	if peer == nil || sim.network.loses(watch.rng) {
+	if peer == nil || sim.network.drawLoss(monitor.rng) {
 		return
 	}
 	incarnation, sender := peer.incarnation, c.incarnation
 	acknowledge := func(reply core.Reply) {
-		if c.incarnation == sender && c.reachablePeer(effect.To) != nil && !sim.network.loses(watch.rng) {
-			c.deliver(watch.latency(), core.DecisionLogAcknowledged{Ack: reply.Body.(wire.DecisionLogAck)})
+		if c.incarnation == sender && c.reachablePeer(effect.To) != nil && !sim.network.drawLoss(monitor.rng) {
+			c.deliver(monitor.drawLatency(), core.DecisionLogAcknowledged{Ack: reply.Body.(wire.DecisionLogAck)})
 		}
 	}
-	sim.after(watch.latency(), func() {
+	sim.after(monitor.drawLatency(), func() {
 		if peer.isRunning(incarnation) {
 			peer.stepRequest(func(requestID uint64) core.Input {
 				return core.DecisionLogReceived{RequestID: requestID, Message: effect.Message}
@@ -105,7 +105,7 @@
 		must(err)
 		if c.incarnation == incarnation {
 			answer := wire.UserAnswer{Status: reply.Status, Body: body}
-			c.deliver(sim.network.latency(), core.ForwardAnswered{RequestID: effect.RequestID, Answer: answer})
+			c.deliver(sim.network.drawLatency(), core.ForwardAnswered{RequestID: effect.RequestID, Answer: answer})
 		}
 	})
 }
--- a/internal/simulation/controller_faults.go
+++ b/internal/simulation/controller_faults.go
@@ -43,16 +43,16 @@
 	incarnation := c.incarnation
 	sim.after(d, func() {
 		if c.isRunning(incarnation) && sim.now >= c.frozenUntil {
-			c.thaw(d)
+			c.resume(d)
 		}
 	})
 }
 
-// thaw ends a freeze that lasted d. It performs the effects that were outstanding, and then
+// resume ends a freeze that lasted d. It performs the effects that were outstanding, and then
 // passes the queued inputs to the core.
-func (c *controller) thaw(d time.Duration) {
-	effects, inputs := c.heldEffects, c.queuedInputs
-	c.heldEffects = nil
+func (c *controller) resume(d time.Duration) {
+	effects, inputs := c.pendingEffects, c.queuedInputs
+	c.pendingEffects = nil
 	c.queuedInputs = nil
 	c.freezeBeforeEffects = false
 	for _, effect := range effects {
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -55,8 +55,8 @@
 	return found
 }
 
-// atAddress returns the worker that accepts commands at an address, or nil.
-func (f *workerFleet) atAddress(address string) *simWorker {
+// findByAddress returns the worker that accepts commands at an address, or nil.
+func (f *workerFleet) findByAddress(address string) *simWorker {
 	for _, worker := range f.workers {
 		if worker.machine.Addr == address {
 			return worker
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -37,7 +37,7 @@
 		}
 	case wire.TaskRunning:
 		switch {
-		case task.countGang() == task.user.spec.TaskCount || w.sim.users.completedTasks[task.name()]:
+		case task.countRunningGangTasks() == task.user.spec.TaskCount || w.sim.users.completedTasks[task.name()]:
 			task.peerMissingSince = 0
 		case task.peerMissingSince == 0:
 			task.peerMissingSince = now
@@ -47,9 +47,9 @@
 	}
 }
 
-// countGang returns the number of running tasks of the gang that have the same attempt
-// number as this one, itself included.
-func (t *simTask) countGang() int {
+// countRunningGangTasks returns the number of running tasks of the gang that have the same
+// attempt number as this one, itself included.
+func (t *simTask) countRunningGangTasks() int {
 	count := 0
 	t.user.eachActiveTask(func(worker *simWorker, other *simTask) {
 		if other.attempt == t.attempt && !worker.hung &&
--- a/internal/simulation/heartbeat_replay.go
+++ b/internal/simulation/heartbeat_replay.go
@@ -19,9 +19,9 @@
 	stashed   *wire.WorkerHeartbeat   // delivered by the script's command "deliver"
 }
 
-// observe draws whether a heartbeat that is being delivered is delivered again later, and
-// whether it is retained for the next leader.
-func (r *heartbeatReplays) observe(heartbeat *wire.WorkerHeartbeat) {
+// captureForReplay draws whether a heartbeat that is being delivered is delivered again
+// later, and whether it is retained for the next leader.
+func (r *heartbeatReplays) captureForReplay(heartbeat *wire.WorkerHeartbeat) {
 	sim := r.sim
 	if sim.draw(r.delayed) {
 		ctrl := sim.randomController()
--- a/internal/simulation/leadership.go
+++ b/internal/simulation/leadership.go
@@ -14,11 +14,11 @@
 // staleLeaderAfter is how long a replaced leader may continue to call the cloud.
 const staleLeaderAfter = 6 * time.Second
 
-// leadershipWatch records the successive leaders and checks that a replaced leader does not
+// leadershipMonitor records the successive leaders and checks that a replaced leader does not
 // interfere with its successors: every decision that is conditional on the leader's key is
 // committed by the holder of that key, and once a leader has called the cloud no earlier
 // leader calls it any more.
-type leadershipWatch struct {
+type leadershipMonitor struct {
 	sim               *Simulation
 	rng               *rand.Rand // for messages between the leader and its peers; see heartbeatStream
 	tenures           []leaderTenure
@@ -39,32 +39,32 @@
 	failedAt   time.Duration // when the previous leader crashed or froze; 0: it did not
 }
 
-// newLeadershipWatch returns a leadershipWatch without tenures.
-func newLeadershipWatch(sim *Simulation) *leadershipWatch {
-	return &leadershipWatch{
+// newLeadershipMonitor returns a leadershipMonitor without tenures.
+func newLeadershipMonitor(sim *Simulation) *leadershipMonitor {
+	return &leadershipMonitor{
 		sim: sim, rng: rand.New(rand.NewPCG(sim.Seed, heartbeatStream)),
 		lastCloudTenure: -1, disconnectDelay: 2 * time.Millisecond,
 	}
 }
 
-// latency draws the delivery time of a message between the leader and a peer.
-func (w *leadershipWatch) latency() time.Duration {
-	return time.Millisecond + time.Duration(w.rng.IntN(6000))*time.Microsecond
+// drawLatency draws the delivery time of a message between the leader and a peer.
+func (m *leadershipMonitor) drawLatency() time.Duration {
+	return time.Millisecond + time.Duration(m.rng.IntN(6000))*time.Microsecond
 }
 
-// current returns the tenure of the latest leader, or nil before the first one.
-func (w *leadershipWatch) current() *leaderTenure {
-	if len(w.tenures) == 0 {
+// currentTenure returns the tenure of the latest leader, or nil before the first one.
+func (m *leadershipMonitor) currentTenure() *leaderTenure {
+	if len(m.tenures) == 0 {
 		return nil
 	}
-	return &w.tenures[len(w.tenures)-1]
+	return &m.tenures[len(m.tenures)-1]
 }
 
 // recordClaim records a claim of the leadership that is about to be written. It reports
 // whether the claim begins a new tenure; the current leader may renew its claim in order to
 // become fenced.
-func (w *leadershipWatch) recordClaim(claim *wire.Leader) bool {
-	sim, holder := w.sim, w.sim.store.leader()
+func (m *leadershipMonitor) recordClaim(claim *wire.Leader) bool {
+	sim, holder := m.sim, m.sim.store.leader()
 	if holder != nil {
 		same := wire.Leader{Controller: claim.Controller, Incarnation: claim.Incarnation, Streak: holder.Streak}
 		if *holder == same {
@@ -75,36 +75,36 @@
 	if early && (!holder.Fenced || claim.Streak == 0) {
 		sim.rules.violated("unfenced_takeover", "%s replaced the leader %+v before its lease expired", claim.Controller, holder)
 	}
-	if downtime := w.crashNextClaimant; downtime > 0 {
-		w.crashNextClaimant = 0
-		claimant := sim.controllers[sim.labelled(claim.Controller)]
+	if downtime := m.crashNextClaimant; downtime > 0 {
+		m.crashNextClaimant = 0
+		claimant := sim.controllers[sim.controllerIndexOf(claim.Controller)]
 		sim.after(0, func() { claimant.crash(downtime) })
 	}
-	w.tenures = append(w.tenures, leaderTenure{controller: claim.Controller, early: early, failedAt: w.failedAt})
-	w.failedAt = 0
+	m.tenures = append(m.tenures, leaderTenure{controller: claim.Controller, early: early, failedAt: m.failedAt})
+	m.failedAt = 0
 	return true
 }
 
 // recordFailure records that a controller crashes or freezes now.
-func (w *leadershipWatch) recordFailure(ctrl *controller) {
-	if tenure := w.current(); tenure != nil && tenure.controller == ctrl.label && w.failedAt == 0 {
-		w.failedAt = w.sim.now
+func (m *leadershipMonitor) recordFailure(ctrl *controller) {
+	if tenure := m.currentTenure(); tenure != nil && tenure.controller == ctrl.label && m.failedAt == 0 {
+		m.failedAt = m.sim.now
 	}
 }
 
-// recordConflict counts a transaction that failed because of its conditions if it was a
+// countFailedClaim counts a transaction that failed because of its conditions if it was a
 // claim of the leadership.
-func (w *leadershipWatch) recordConflict(writes []recordWrite) {
+func (m *leadershipMonitor) countFailedClaim(writes []recordWrite) {
 	if slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey && write.raw != nil }) {
-		w.failedClaims++
+		m.failedClaims++
 	}
 }
 
 // slowestTakeover returns the longest time from the failure of a leader that was replaced
 // early until the first decision of its successor.
-func (w *leadershipWatch) slowestTakeover() time.Duration {
+func (m *leadershipMonitor) slowestTakeover() time.Duration {
 	slowest := time.Duration(0)
-	for _, tenure := range w.tenures {
+	for _, tenure := range m.tenures {
 		if tenure.early && tenure.failedAt > 0 && tenure.decidedAt > 0 {
 			slowest = max(slowest, tenure.decidedAt-tenure.failedAt)
 		}
@@ -113,9 +113,9 @@
 }
 
 // countEarly returns the number of takeovers that happened before the lease expired.
-func (w *leadershipWatch) countEarly() int {
+func (m *leadershipMonitor) countEarly() int {
 	count := 0
-	for _, tenure := range w.tenures {
+	for _, tenure := range m.tenures {
 		if tenure.early {
 			count++
 		}
@@ -125,46 +125,46 @@
 
 // checkCommit checks a transaction that has been committed: if it is conditional on the
 // leader's key, the controller must be the leader.
-func (w *leadershipWatch) checkCommit(ctrl *controller, conditions []kv.Condition, writes []recordWrite) {
-	tenure := w.current()
+func (m *leadershipMonitor) checkCommit(ctrl *controller, conditions []kv.Condition, writes []recordWrite) {
+	tenure := m.currentTenure()
 	underClaim := slices.ContainsFunc(conditions, func(c kv.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 })
 	isClaim := slices.ContainsFunc(writes, func(write recordWrite) bool { return write.key == wire.LeaderKey })
 	if tenure == nil || !underClaim || isClaim {
 		return
 	}
 	if tenure.controller != ctrl.label {
-		w.sim.rules.violated("foreign_decision", "%s committed a decision under the claim of %s", ctrl.label, tenure.controller)
+		m.sim.rules.violated("foreign_decision", "%s committed a decision under the claim of %s", ctrl.label, tenure.controller)
 	}
 	changesJob := slices.ContainsFunc(writes, func(write recordWrite) bool { return strings.HasPrefix(write.key, wire.JobPrefix) })
 	if tenure.decidedAt == 0 && changesJob {
-		tenure.decidedAt = w.sim.now
+		tenure.decidedAt = m.sim.now
 	}
 }
 
 // checkCloudCall checks that a controller may provision or deprovision machines: it is not
 // a stale leader, and no later leader has called the cloud.
-func (w *leadershipWatch) checkCloudCall(ctrl *controller, call core.CallCloud) {
+func (m *leadershipMonitor) checkCloudCall(ctrl *controller, call core.CallCloud) {
 	if call.Provision == nil && call.Deprovision == nil {
 		return
 	}
-	if w.isStale(ctrl) {
-		w.sim.rules.violated("stale_leader", "%s called the cloud while another controller leads", ctrl.label)
+	if m.isStale(ctrl) {
+		m.sim.rules.violated("stale_leader", "%s called the cloud while another controller leads", ctrl.label)
 	}
 	latest := -1
-	for i, tenure := range w.tenures {
+	for i, tenure := range m.tenures {
 		if tenure.controller == ctrl.label {
 			latest = i
 		}
 	}
-	if latest < w.lastCloudTenure {
-		w.sim.rules.violated("two_leaders_at_cloud", "%s called the cloud after %s, a later leader", ctrl.label, w.tenures[w.lastCloudTenure].controller)
+	if latest < m.lastCloudTenure {
+		m.sim.rules.violated("two_leaders_at_cloud", "%s called the cloud after %s, a later leader", ctrl.label, m.tenures[m.lastCloudTenure].controller)
 	}
-	w.lastCloudTenure = max(w.lastCloudTenure, latest)
+	m.lastCloudTenure = max(m.lastCloudTenure, latest)
 }
 
 // isStale reports whether another controller has been the leader for longer than
 // staleLeaderAfter. A stale leader would deprovision machines that are in use.
-func (w *leadershipWatch) isStale(ctrl *controller) bool {
-	leader := w.sim.store.leader()
-	return leader != nil && leader.Controller != ctrl.label && w.sim.now-w.sim.store.leaderSince > staleLeaderAfter
+func (m *leadershipMonitor) isStale(ctrl *controller) bool {
+	leader := m.sim.store.leader()
+	return leader != nil && leader.Controller != ctrl.label && m.sim.now-m.sim.store.leaderSince > staleLeaderAfter
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -31,8 +31,8 @@
 // linkName returns the key of a pair of endpoints in network.cuts and network.held.
 func linkName(from, to string) string { return from + "|" + to }
 
-// latency draws the delivery time of a message.
-func (n *network) latency() time.Duration {
+// drawLatency draws the delivery time of a message.
+func (n *network) drawLatency() time.Duration {
 	d := time.Millisecond + time.Duration(n.sim.rng.IntN(6000))*time.Microsecond
 	if n.sim.now < n.slowdown.until {
 		d = time.Duration(float64(d) * n.slowdown.value)
@@ -47,8 +47,8 @@
 	n.lossyUntil = n.sim.now + d
 }
 
-// loses draws whether a message is lost.
-func (n *network) loses(rng *rand.Rand) bool {
+// drawLoss draws whether a message is lost.
+func (n *network) drawLoss(rng *rand.Rand) bool {
 	return n.sim.now < n.lossyUntil && rng.Float64() < n.lossShare
 }
 
@@ -58,32 +58,32 @@
 	n.sim.rules.faultsLast(d + longestDelay)
 }
 
-// duplicateAfter draws the delay of the second delivery of a message.
-func (n *network) duplicateAfter() time.Duration {
+// drawDuplicateDelay draws the delay of the second delivery of a message.
+func (n *network) drawDuplicateDelay() time.Duration {
 	return time.Second + time.Duration(n.sim.rng.Int64N(int64(n.duplicateDelay)))
 }
 
-// requestFate describes how the network treats a request.
-type requestFate struct {
+// requestDelivery describes how the network treats a request.
+type requestDelivery struct {
 	delay    time.Duration // until the request is executed
-	runs     bool          // whether the request is executed at all
+	executed bool          // whether the request is executed at all
 	answered bool          // whether the reply arrives
 }
 
-// fate draws how the network treats a request.
-func (n *network) fate() requestFate {
+// drawDelivery draws how the network treats a request.
+func (n *network) drawDelivery() requestDelivery {
 	if n.sim.now < n.lossyUntil {
 		drawn := n.sim.rng.Float64()
 		switch {
 		case drawn < n.lateShare:
-			return requestFate{delay: time.Duration(n.sim.rng.IntN(60000)) * time.Millisecond, runs: true}
+			return requestDelivery{delay: time.Duration(n.sim.rng.IntN(60000)) * time.Millisecond, executed: true}
 		case drawn < n.lateShare+n.lossShare/2:
-			return requestFate{}
+			return requestDelivery{}
 		case drawn < n.lateShare+n.lossShare:
-			return requestFate{delay: n.latency(), runs: true}
+			return requestDelivery{delay: n.drawLatency(), executed: true}
 		}
 	}
-	return requestFate{delay: n.latency(), runs: true, answered: true}
+	return requestDelivery{delay: n.drawLatency(), executed: true, answered: true}
 }
 
 // isCut reports whether a cut currently separates two endpoints.
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -9,11 +9,11 @@
 
 // Limits on the time that a user may be without an answer, and intervals of the checks.
 const (
-	unansweredAfter    = 90 * time.Second // of some users, while more users get answers
-	answeredWithin     = 6 * time.Second  // how recent the last answer of those other users is
-	unansweredAtCalm   = 75 * time.Second // of any user, once all faults have ended
-	ruleCheckInterval  = time.Second
-	waitingJobInterval = 5 * time.Second // between checks of the waiting jobs
+	unansweredAfter       = 90 * time.Second // of some users, while more users get answers
+	answeredWithin        = 6 * time.Second  // how recent the last answer of those other users is
+	unansweredAfterFaults = 75 * time.Second // of any user, once all faults have ended
+	ruleCheckInterval     = time.Second
+	waitingJobInterval    = 5 * time.Second // between checks of the waiting jobs
 )
 
 // ruleChecker checks the rules of the protocol and collects violations.
@@ -123,7 +123,7 @@
 	}
 	for _, user := range r.sim.users.ordered {
 		unansweredTime := now - max(user.lastAnsweredAt, r.faultsEndAt)
-		if user.accepted && user.cancelledAt == 0 && unansweredTime > unansweredAtCalm {
+		if user.accepted && user.cancelledAt == 0 && unansweredTime > unansweredAfterFaults {
 			r.violated("forgotten", "%s: no answer for %v, the last status was %d", user.spec.ID, unansweredTime, user.lastCode)
 		}
 	}
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -8,11 +8,12 @@
 	"micaport/internal/wire"
 )
 
-// largestStartLimit is how long the largest jobs of each class may take to start.
-const largestStartLimit = 240 * time.Second
+// largestJobStartLimit is how long the largest jobs of each class may take to start. Jobs
+// submitted later than this before the end of a scenario are not judged.
+const largestJobStartLimit = 240 * time.Second
 
 // startCount counts the jobs of one kind and those of them that have started.
-type startCount struct{ started, all int }
+type startCount struct{ started, total int }
 
 // underserved returns a fault for each kind of jobs of which fewer than half have started by
 // the end of a scenario. The kinds are each class, each team, and the largest jobs of each
@@ -29,7 +30,7 @@
 	counts := map[string]startCount{}
 	count := func(kind string, started bool) {
 		c := counts[kind]
-		c.all++
+		c.total++
 		if started {
 			c.started++
 		}
@@ -40,13 +41,13 @@
 		count("class "+user.spec.Class, started)
 		count("team "+user.spec.Team, started)
 		if user.spec.TaskCount == largest[user.spec.Class] {
-			count("largest of class "+user.spec.Class, started && user.startedAt-user.submittedAt <= largestStartLimit)
+			count("largest of class "+user.spec.Class, started && user.startedAt-user.submittedAt <= largestJobStartLimit)
 		}
 	}
 	var faults []string
 	for _, kind := range sortedKeys(counts) {
-		if c := counts[kind]; 2*c.started < c.all {
-			faults = append(faults, fmt.Sprintf("served: %d of %d of %s", c.started, c.all, kind))
+		if c := counts[kind]; 2*c.started < c.total {
+			faults = append(faults, fmt.Sprintf("served: %d of %d of %s", c.started, c.total, kind))
 		}
 	}
 	return faults
@@ -56,7 +57,7 @@
 // started.
 func (r *ruleChecker) shouldHaveStarted(user *simUser) bool {
 	return user.accepted && !user.cancelRequested && !user.alwaysFails &&
-		r.sim.now-user.submittedAt > largestStartLimit && !user.isBlocked()
+		r.sim.now-user.submittedAt > largestJobStartLimit && !user.isBlocked()
 }
 
 // maxIdleCapacityWait is how long a job may wait, once all faults have ended, while machines
@@ -78,7 +79,7 @@
 		if free == nil {
 			free = r.sim.fleet.freeCapacity()
 		}
-		if !user.fits(free) {
+		if !user.fitsFreeCapacity(free) {
 			user.idleCapacitySince = 0
 			continue
 		}
@@ -135,14 +136,14 @@
 	f.memoryGB -= spec.MemoryGB
 }
 
-// has reports whether the free resources are sufficient for one task.
-func (f *freeCapacity) has(spec *wire.JobSpec) bool {
+// fitsTask reports whether the free resources are sufficient for one task.
+func (f *freeCapacity) fitsTask(spec *wire.JobSpec) bool {
 	return f.cores >= spec.Cores && f.gpus >= spec.GPUs && f.memoryGB >= spec.MemoryGB
 }
 
-// fits reports whether the free capacity and the limit of the team allow one more task of an
-// array or daemon, or all tasks of a gang in one zone.
-func (u *simUser) fits(free []*freeCapacity) bool {
+// fitsFreeCapacity reports whether the free capacity and the limit of the team allow one
+// more task of an array or daemon, or all tasks of a gang in one zone.
+func (u *simUser) fitsFreeCapacity(free []*freeCapacity) bool {
 	spec, sim := &u.spec, u.sim
 	required := 1
 	if spec.Shape == wire.ShapeGang {
@@ -158,7 +159,7 @@
 		if machine.Spot && !spec.AllowSpot || spec.Zone != "" && spec.Zone != machine.Zone {
 			continue
 		}
-		for remaining := *machineFree; remaining.has(spec) && zones[machine.Zone] < required; remaining.reserve(spec) {
+		for remaining := *machineFree; remaining.fitsTask(spec) && zones[machine.Zone] < required; remaining.reserve(spec) {
 			zones[machine.Zone]++
 		}
 	}
--- a/internal/simulation/service_calls.go
+++ b/internal/simulation/service_calls.go
@@ -15,10 +15,10 @@
 // serviceCall is a request of a controller to a service. Each of its functions is called at
 // most once.
 type serviceCall struct {
-	refusal func() core.Input  // returns the answer if the service refuses the request immediately, nil otherwise
-	fate    func() requestFate // draws how the network treats a request that is not refused
-	run     func() core.Input  // executes the request and returns the answer
-	lost    core.Input         // delivered to the controller if no answer arrives before requestTimeout
+	refusal       func() core.Input      // returns the answer if the service refuses the request immediately, nil otherwise
+	drawDelivery  func() requestDelivery // draws how the network treats a request that is not refused
+	run           func() core.Input      // executes the request and returns the answer
+	timeoutAnswer core.Input             // delivered to the controller if no answer arrives before requestTimeout
 }
 
 // callService executes a request of the controller to a service and delivers the answer to
@@ -26,28 +26,28 @@
 func (c *controller) callService(call serviceCall) {
 	sim := c.sim
 	if refusal := call.refusal(); refusal != nil {
-		c.deliver(sim.network.latency(), refusal)
+		c.deliver(sim.network.drawLatency(), refusal)
 		return
 	}
-	fate := call.fate()
-	answered := fate.answered && fate.delay < requestTimeout
+	delivery := call.drawDelivery()
+	answered := delivery.answered && delivery.delay < requestTimeout
 	incarnation := c.incarnation
-	if fate.runs {
-		sim.after(fate.delay, func() {
+	if delivery.executed {
+		sim.after(delivery.delay, func() {
 			answer := call.run()
 			if answered && c.incarnation == incarnation {
-				c.deliver(sim.network.latency(), answer)
+				c.deliver(sim.network.drawLatency(), answer)
 			}
 		})
 	}
 	if !answered {
-		c.deliver(requestTimeout, call.lost)
+		c.deliver(requestTimeout, call.timeoutAnswer)
 	}
 }
 
-// refusedWith returns a function that returns the given answer if the state service refuses
-// requests of this controller at the time of the call, and nil otherwise.
-func (c *controller) refusedWith(refusal core.Input) func() core.Input {
+// answerIfRefused returns a function that returns the given answer if the state service
+// refuses requests of this controller at the time of the call, and nil otherwise.
+func (c *controller) answerIfRefused(refusal core.Input) func() core.Input {
 	return func() core.Input {
 		if c.sim.store.refuses(c) {
 			return refusal
@@ -61,28 +61,28 @@
 	sim := c.sim
 	writes := encodeRecordWrites(effect.Writes)
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.Committed{ID: effect.ID, Outcome: kv.Refused}),
-		fate:    func() requestFate { return sim.store.commitFate(len(writes)) },
+		refusal:      c.answerIfRefused(core.Committed{ID: effect.ID, Outcome: kv.Refused}),
+		drawDelivery: func() requestDelivery { return sim.store.drawCommitDelivery(len(writes)) },
 		run: func() core.Input {
-			refused := sim.meter.refusedCommits
+			refusedBefore := sim.meter.refusedCommits
 			outcome, revision, failed := sim.store.commit(c, effect.Conditions, writes)
 			return core.Committed{
 				ID:       effect.ID,
 				Outcome:  outcome,
 				Revision: revision,
 				Failed:   failed,
-				Limited:  sim.meter.refusedCommits > refused,
+				Limited:  sim.meter.refusedCommits > refusedBefore,
 			}
 		},
-		lost: core.Committed{ID: effect.ID, Outcome: kv.Unknown},
+		timeoutAnswer: core.Committed{ID: effect.ID, Outcome: kv.Unknown},
 	})
 }
 
 // readJob reads the record of a job from the state service.
 func (c *controller) readJob(effect core.ReadJob) {
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.JobRead{ID: effect.ID, Outcome: kv.Refused}),
-		fate:    c.sim.store.fate,
+		refusal:      c.answerIfRefused(core.JobRead{ID: effect.ID, Outcome: kv.Refused}),
+		drawDelivery: c.sim.store.drawDelivery,
 		run: func() core.Input {
 			answer := core.JobRead{ID: effect.ID, Outcome: kv.NotFound}
 			if record := c.sim.store.records[wire.JobKey(effect.JobID)]; record != nil {
@@ -93,20 +93,20 @@
 			}
 			return answer
 		},
-		lost: core.JobRead{ID: effect.ID, Outcome: kv.Unknown},
+		timeoutAnswer: core.JobRead{ID: effect.ID, Outcome: kv.Unknown},
 	})
 }
 
 // renewLease creates or renews a lease of the state service.
 func (c *controller) renewLease(effect core.RenewLease) {
 	c.callService(serviceCall{
-		refusal: c.refusedWith(core.LeaseAnswered{ID: effect.ID, Outcome: kv.Refused}),
-		fate:    c.sim.store.fate,
+		refusal:      c.answerIfRefused(core.LeaseAnswered{ID: effect.ID, Outcome: kv.Refused}),
+		drawDelivery: c.sim.store.drawDelivery,
 		run: func() core.Input {
 			outcome, id := c.sim.store.renewLease(effect.LeaseID, effect.TTL)
 			return core.LeaseAnswered{ID: effect.ID, Outcome: outcome, LeaseID: id}
 		},
-		lost: core.LeaseAnswered{ID: effect.ID, Outcome: kv.Unknown},
+		timeoutAnswer: core.LeaseAnswered{ID: effect.ID, Outcome: kv.Unknown},
 	})
 }
 
@@ -124,8 +124,8 @@
 			}
 			return nil
 		},
-		fate: sim.network.fate,
-		run:  func() core.Input { return sim.cloud.call(effect) },
-		lost: core.CloudAnswered{ID: effect.ID, Outcome: kv.Unknown},
+		drawDelivery:  sim.network.drawDelivery,
+		run:           func() core.Input { return sim.cloud.call(effect) },
+		timeoutAnswer: core.CloudAnswered{ID: effect.ID, Outcome: kv.Unknown},
 	})
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -31,7 +31,7 @@
 	users       *userSet
 	rules       *ruleChecker
 	quota       *quotaAccounting
-	leadership  *leadershipWatch
+	leadership  *leadershipMonitor
 	meter       meter
 
 	logf    func(format string, args ...any) // receives the log lines of the controllers
@@ -60,7 +60,7 @@
 	sim.store = newStateService(sim)
 	sim.quota = newQuotaAccounting(sim)
 	sim.cloud = newCloud(sim)
-	sim.leadership = newLeadershipWatch(sim)
+	sim.leadership = newLeadershipMonitor(sim)
 	for i, zone := range settings.ControllerZones {
 		sim.controllers = append(sim.controllers, &controller{
 			sim: sim, index: i, label: fmt.Sprintf("n%d", i), zone: zone, oldVersion: settings.OldFormat > 0,
--- a/internal/simulation/state_faults.go
+++ b/internal/simulation/state_faults.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// fate draws how a request to the state service is treated.
-func (s *stateService) fate() requestFate {
-	fate := s.sim.network.fate()
+// drawDelivery draws how a request to the state service is treated.
+func (s *stateService) drawDelivery() requestDelivery {
+	delivery := s.sim.network.drawDelivery()
 	if s.sim.now < s.slowdown.until {
-		fate.delay = time.Duration(float64(fate.delay) * s.slowdown.value * (0.5 + s.sim.rng.Float64()))
+		delivery.delay = time.Duration(float64(delivery.delay) * s.slowdown.value * (0.5 + s.sim.rng.Float64()))
 	}
-	return fate
+	return delivery
 }
 
-// commitFate draws how a transaction with the given number of writes is treated. One without
-// writes only checks conditions, and is treated like any other request.
-func (s *stateService) commitFate(writes int) requestFate {
+// drawCommitDelivery draws how a transaction with the given number of writes is treated. One
+// without writes only checks conditions, and is treated like any other request.
+func (s *stateService) drawCommitDelivery(writes int) requestDelivery {
 	switch {
 	case writes > 0 && s.sim.draw(s.lostReplies):
-		return requestFate{delay: s.sim.network.latency(), runs: true}
+		return requestDelivery{delay: s.sim.network.drawLatency(), executed: true}
 	case writes > 0 && s.sim.draw(s.lateWrites):
-		return requestFate{delay: 2*time.Second + time.Duration(s.sim.rng.IntN(10000))*time.Millisecond, runs: true}
+		return requestDelivery{delay: 2*time.Second + time.Duration(s.sim.rng.IntN(10000))*time.Millisecond, executed: true}
 	}
-	return s.fate()
+	return s.drawDelivery()
 }
 
 // startOutage makes the service unavailable for d. Every lease is extended by its full TTL
@@ -39,16 +39,16 @@
 
 // refuseController makes the service refuse the requests of a controller for d.
 func (s *stateService) refuseController(ctrl *controller, d time.Duration) {
-	s.countFault(s.refused, ctrl, d)
+	s.addFault(s.refusalFaults, ctrl, d)
 }
 
 // hangWatch makes the watch of a controller hang for d.
 func (s *stateService) hangWatch(ctrl *controller, d time.Duration) {
-	s.countFault(s.hungWatches, ctrl, d)
+	s.addFault(s.watchFaults, ctrl, d)
 }
 
-// countFault increments a controller's count of faults for d, since faults may overlap.
-func (s *stateService) countFault(faults map[string]int, ctrl *controller, d time.Duration) {
+// addFault increments a controller's count of faults for d, since faults may overlap.
+func (s *stateService) addFault(faults map[string]int, ctrl *controller, d time.Duration) {
 	s.sim.rules.faultsLast(d)
 	faults[ctrl.label]++
 	s.sim.after(d, func() { faults[ctrl.label]--; s.notifyWatches() })
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -33,12 +33,12 @@
 	leaderChanges int           // number of tenures so far; see leaderTenure
 	shardClaims   int           // number of claims of shards so far
 
-	outage      bool
-	refused     map[string]int // number of faults in effect that make the service refuse a controller, by label
-	hungWatches map[string]int // number of faults in effect that make a controller's watch hang, by label
-	lateWrites  timedValue     // share of transactions executed 2 to 12 s late and not answered
-	lostReplies timedValue     // share of transactions executed without delay and not answered
-	slowdown    timedValue     // factor by which the latency increases
+	outage        bool
+	refusalFaults map[string]int // number of faults in effect that make the service refuse a controller, by label
+	watchFaults   map[string]int // number of faults in effect that make a controller's watch hang, by label
+	lateWrites    timedValue     // share of transactions executed 2 to 12 s late and not answered
+	lostReplies   timedValue     // share of transactions executed without delay and not answered
+	slowdown      timedValue     // factor by which the latency increases
 }
 
 // storedRecord is the stored value of a key.
@@ -72,7 +72,7 @@
 func newStateService(sim *Simulation) *stateService {
 	store := &stateService{
 		sim: sim, records: map[string]*storedRecord{}, leases: map[uint64]*storedLease{},
-		refused: map[string]int{}, hungWatches: map[string]int{}, watchPositions: map[string]int{},
+		refusalFaults: map[string]int{}, watchFaults: map[string]int{}, watchPositions: map[string]int{},
 	}
 	sim.every(leaseCheckInterval, store.expireLeases)
 	return store
@@ -80,7 +80,7 @@
 
 // refuses reports whether the service currently refuses requests of a controller.
 func (s *stateService) refuses(ctrl *controller) bool {
-	return s.outage || s.refused[ctrl.label] > 0
+	return s.outage || s.refusalFaults[ctrl.label] > 0
 }
 
 // commit executes a transaction: it applies all writes if every condition's key has the
@@ -91,7 +91,7 @@
 		return kv.Refused, 0, nil
 	}
 	s.checkLimits(ctrl, conditions, writes)
-	if !s.takeCredit(len(writes)) {
+	if !s.useWriteCredit(len(writes)) {
 		s.sim.meter.refusedCommits++
 		return kv.Refused, 0, nil
 	}
@@ -106,7 +106,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		s.sim.leadership.recordConflict(writes)
+		s.sim.leadership.countFailedClaim(writes)
 		return kv.Conflict, s.revision, failed
 	}
 	if len(writes) == 0 {
@@ -135,9 +135,9 @@
 	}
 }
 
-// takeCredit subtracts a number of writes from the write credit, which grows with time at
+// useWriteCredit subtracts a number of writes from the write credit, which grows with time at
 // the rate of the write limit. It reports false if the credit is too small.
-func (s *stateService) takeCredit(writes int) bool {
+func (s *stateService) useWriteCredit(writes int) bool {
 	limit := s.sim.WriteRPS
 	if limit <= 0 {
 		return true
--- a/internal/simulation/state_watch.go
+++ b/internal/simulation/state_watch.go
@@ -12,8 +12,8 @@
 
 // Timing of watches.
 const (
-	snapshotRetry     = 200 * time.Millisecond // until a refused snapshot is requested again
-	longestWatchDelay = 40                     // milliseconds, in addition to the latency
+	snapshotRetry       = 200 * time.Millisecond // until a refused snapshot is requested again
+	longestWatchDelayMS = 40                     // milliseconds, in addition to the latency
 )
 
 // sendSnapshot delivers all records to an incarnation of a controller that starts. The
@@ -21,7 +21,7 @@
 func (s *stateService) sendSnapshot(ctrl *controller, incarnation int) {
 	sim := s.sim
 	s.watchPositions[ctrl.label] = watchNotStarted
-	sim.after(sim.network.latency(), func() {
+	sim.after(sim.network.drawLatency(), func() {
 		if !ctrl.isRunning(incarnation) {
 			return
 		}
@@ -52,8 +52,8 @@
 	sim := s.sim
 	for _, ctrl := range sim.controllers {
 		incarnation := ctrl.incarnation
-		sim.after(sim.network.latency()+time.Duration(sim.rng.IntN(longestWatchDelay))*time.Millisecond, func() {
-			if ctrl.isRunning(incarnation) && !s.refuses(ctrl) && s.hungWatches[ctrl.label] == 0 {
+		sim.after(sim.network.drawLatency()+time.Duration(sim.rng.IntN(longestWatchDelayMS))*time.Millisecond, func() {
+			if ctrl.isRunning(incarnation) && !s.refuses(ctrl) && s.watchFaults[ctrl.label] == 0 {
 				s.deliverChanges(ctrl)
 			}
 		})
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -62,7 +62,7 @@
 
 // beginEpoch removes all tasks and begins a new epoch.
 func (w *simWorker) beginEpoch() {
-	w.dropTasks()
+	w.removeAllTasks()
 	w.epoch++
 	w.renewedAt = w.sim.now
 	w.abandonHeartbeat()
@@ -74,8 +74,7 @@
 	w.heartbeatID++
 }
 
-// dropTasks removes all tasks.
-func (w *simWorker) dropTasks() {
+func (w *simWorker) removeAllTasks() {
 	for _, key := range sortedKeys(w.tasks) {
 		w.removeTask(key)
 	}
--- a/internal/simulation/worker_commands.go
+++ b/internal/simulation/worker_commands.go
@@ -19,7 +19,7 @@
 // after the sender has timed out, and may be executed twice.
 func (c *controller) sendCommands(effect core.SendCommands) {
 	sim := c.sim
-	worker := sim.fleet.atAddress(effect.Address)
+	worker := sim.fleet.findByAddress(effect.Address)
 	if worker == nil || worker.terminated || sim.now < worker.inboundCutUntil {
 		c.answerCommands(connectionRefused, effect, kv.Refused)
 		return
@@ -49,24 +49,24 @@
 // deliverCommands delivers commands to a worker that no cut separates from the controller.
 // The network may lose, delay or duplicate them.
 func (c *controller) deliverCommands(worker *simWorker, effect core.SendCommands) {
-	sim, fate := c.sim, c.sim.network.fate()
+	sim, delivery := c.sim, c.sim.network.drawDelivery()
 	incarnation, answered := c.incarnation, false
-	waits := func() bool { return !answered && c.incarnation == incarnation }
-	if fate.runs {
-		sim.after(fate.delay, func() {
+	waiting := func() bool { return !answered && c.incarnation == incarnation }
+	if delivery.executed {
+		sim.after(delivery.delay, func() {
 			worker.acceptCommands(effect.Batch, nil, func(outcome kv.Outcome) {
-				if fate.answered && waits() {
+				if delivery.answered && waiting() {
 					answered = true
-					c.answerCommands(sim.network.latency(), effect, outcome)
+					c.answerCommands(sim.network.drawLatency(), effect, outcome)
 				}
 			})
 		})
 	}
 	if sim.now < sim.network.duplicateUntil {
-		sim.after(sim.network.duplicateAfter(), func() { worker.acceptCommands(effect.Batch, nil, ignoreOutcome) })
+		sim.after(sim.network.drawDuplicateDelay(), func() { worker.acceptCommands(effect.Batch, nil, ignoreOutcome) })
 	}
 	sim.after(commandTimeout, func() {
-		if waits() {
+		if waiting() {
 			answered = true
 			c.answerCommands(0, effect, kv.Unknown)
 		}
--- a/internal/simulation/worker_heartbeat.go
+++ b/internal/simulation/worker_heartbeat.go
@@ -65,7 +65,7 @@
 		if sim.network.isHeld(w.endpoint(), pending.recipient.endpoint()) {
 			sim.after(time.Second, pending.deliverAfterCut)
 		}
-	case sim.network.loses(sim.rng):
+	case sim.network.drawLoss(sim.rng):
 		// A lost heartbeat is delivered late instead, to a random controller, which may have
 		// taken over in the meantime.
 		sim.after(time.Duration(sim.rng.IntN(60000))*time.Millisecond, func() { sim.randomController().deliverHeartbeat(pending.message) })
@@ -78,12 +78,12 @@
 // it also schedules the delivery of copies to random controllers.
 func (p *pendingHeartbeat) deliver() {
 	sim := p.worker.sim
-	sim.replays.observe(p.message)
+	sim.replays.captureForReplay(p.message)
 	if sim.now < sim.network.duplicateUntil {
 		ctrl := sim.randomController()
-		sim.after(sim.network.duplicateAfter(), func() { ctrl.deliverHeartbeat(p.message) })
+		sim.after(sim.network.drawDuplicateDelay(), func() { ctrl.deliverHeartbeat(p.message) })
 	}
-	p.recipient.request(heartbeatInput(p.message), p.receiveReply)
+	p.recipient.request(heartbeatInput(p.message), p.deliverReply)
 }
 
 // isCut reports whether a cut currently separates the worker from the recipient.
@@ -118,17 +118,17 @@
 	p.redirect(retryInterval, (worker.controllerIndex+1)%len(worker.sim.controllers))
 }
 
-// receiveReply delivers the reply to the worker, unless the network loses it.
-func (p *pendingHeartbeat) receiveReply(reply core.Reply) {
+// deliverReply delivers the reply to the worker, unless the network loses it.
+func (p *pendingHeartbeat) deliverReply(reply core.Reply) {
 	sim := p.worker.sim
-	if sim.now < p.worker.inboundCutUntil || p.isCut() || sim.network.loses(sim.rng) {
+	if sim.now < p.worker.inboundCutUntil || p.isCut() || sim.network.drawLoss(sim.rng) {
 		return
 	}
-	sim.after(sim.network.latency(), func() { p.handleReply(reply) })
+	sim.after(sim.network.drawLatency(), func() { p.complete(reply) })
 }
 
-// handleReply processes a reply that has arrived, if the worker still waits for it.
-func (p *pendingHeartbeat) handleReply(reply core.Reply) {
+// complete processes a reply that has arrived, if the worker still waits for it.
+func (p *pendingHeartbeat) complete(reply core.Reply) {
 	worker, sim := p.worker, p.worker.sim
 	if worker.terminated || worker.hung || worker.heartbeatID != p.id || !worker.awaitingReply || worker.epoch != p.epoch {
 		return
@@ -138,7 +138,7 @@
 		worker.awaitingReply = false
 		worker.applyReply(reply.Body.(wire.HeartbeatReply), p.sentAt)
 	case http.StatusMisdirectedRequest:
-		owner := sim.labelled(reply.Body.(wire.Redirect).Owner)
+		owner := sim.controllerIndexOf(reply.Body.(wire.Redirect).Owner)
 		if owner < 0 || owner == worker.controllerIndex {
 			p.tryNextController()
 			return
