--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -31,7 +31,7 @@
 	r.violations = append(r.violations, fmt.Sprintf("%.3fs %s: %s", r.sim.now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// faultsLast records that a fault lasts for d from now.
+// faultsLast records that a fault which begins now lasts for d.
 func (r *ruleChecker) faultsLast(d time.Duration) {
 	r.faultsEndAt = max(r.faultsEndAt, r.sim.now+d)
 }
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -17,7 +17,7 @@
 
 // underserved returns a fault for each kind of jobs of which fewer than half have started by
 // the end of a scenario. The kinds are each class, each team, and the largest jobs of each
-// class, which must have started within largestStartLimit.
+// class, which must have started within largestJobStartLimit.
 func (r *ruleChecker) underserved() []string {
 	var eligible []*simUser
 	largest := map[string]int{}
@@ -64,7 +64,8 @@
 // with enough free capacity are running and the limit of its team allows it to run.
 const maxIdleCapacityWait = 90 * time.Second
 
-// checkWaitingJobs checks that no job waits for longer than maxIdleCapacityWait.
+// checkWaitingJobs checks that no job that could run waits for longer than
+// maxIdleCapacityWait.
 func (r *ruleChecker) checkWaitingJobs() {
 	now := r.sim.now
 	if now < r.faultsEndAt || now%waitingJobInterval >= ruleCheckInterval {
