--- a/internal/simulation/state_watch.go
+++ b/internal/simulation/state_watch.go
@@ -13,7 +13,7 @@
 // Timing of watches.
 const (
 	snapshotRetry       = 200 * time.Millisecond // until a refused snapshot is requested again
-	longestWatchDelayMS = 40                     // milliseconds, in addition to the latency
+	longestWatchDelayMS = 40                     // in addition to the latency
 )
 
 // sendSnapshot delivers all records to an incarnation of a controller that starts. The
