--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// network is the network between controllers, workers and services: latency, loss,
-// duplicates and cuts.
+// network models the network between controllers, workers and services: its latency, lost
+// and duplicate messages, and cuts, during which two endpoints can't reach each other.
 type network struct {
 	sim *Simulation
 
-	lossShare  float64 // share of requests that are lost, before or after they are carried out
-	lateShare  float64 // share of requests that are carried out up to a minute later
-	lossyUntil time.Duration
-	slowdown   timedValue // factor on the latency
+	lossShare  float64       // share of requests that are lost, or whose reply is lost
+	lateShare  float64       // share of requests that are executed up to a minute late
+	lossyUntil time.Duration // when lossShare and lateShare cease to apply
+	slowdown   timedValue    // factor by which the latency increases
 
-	duplicateUntil time.Duration // heartbeats and commands sent before are delivered twice
-	duplicateDelay time.Duration // the longest delay of the second delivery
+	duplicateUntil time.Duration // heartbeats and commands sent before this time are delivered twice
+	duplicateDelay time.Duration // upper bound of the random delay of the second delivery
 
-	cuts map[string]int  // how many cuts separate a pair of endpoints, by linkName
-	held map[string]bool // whether what is sent during a cut is delivered after it
+	cuts map[string]int  // number of cuts in effect between two endpoints, by linkName
+	held map[string]bool // whether messages sent during a cut are delivered after it, by linkName
 }
 
-// endpoint is a party of the network. A cut may name it or its zone.
+// endpoint is a sender or receiver on the network. A cut may name it or its zone.
 type endpoint struct{ name, zone string }
 
-// cloudEndpoint is the cloud, which belongs to no zone.
+// cloudEndpoint is the endpoint of the cloud, which belongs to no zone.
 var cloudEndpoint = endpoint{name: "cloud"}
 
-// linkName returns the key of a pair of endpoints in the network's maps.
+// linkName returns the key of a pair of endpoints in network.cuts and network.held.
 func linkName(from, to string) string { return from + "|" + to }
 
-// latency draws the time that a message takes.
-func (n *network) latency() time.Duration {
+// drawLatency draws the delivery time of a message.
+func (n *network) drawLatency() time.Duration {
 	d := time.Millisecond + time.Duration(n.sim.rng.IntN(6000))*time.Microsecond
 	if n.sim.now < n.slowdown.until {
 		d = time.Duration(float64(d) * n.slowdown.value)
@@ -40,15 +40,15 @@
 	return d
 }
 
-// setLossy makes the network lose and delay shares of the requests for d.
+// setLossy makes the network lose and delay the given shares of requests for d.
 func (n *network) setLossy(lossShare, lateShare float64, d time.Duration) {
 	n.lossShare = lossShare
 	n.lateShare = lateShare
 	n.lossyUntil = n.sim.now + d
 }
 
-// loses draws whether a message is lost.
-func (n *network) loses(rng *rand.Rand) bool {
+// drawLoss draws whether a message is lost.
+func (n *network) drawLoss(rng *rand.Rand) bool {
 	return n.sim.now < n.lossyUntil && rng.Float64() < n.lossShare
 }
 
@@ -58,46 +58,47 @@
 	n.sim.rules.faultsLast(d + longestDelay)
 }
 
-// duplicateAfter draws when the second delivery of a message happens.
-func (n *network) duplicateAfter() time.Duration {
+// drawDuplicateDelay draws the delay of the second delivery of a message.
+func (n *network) drawDuplicateDelay() time.Duration {
 	return time.Second + time.Duration(n.sim.rng.Int64N(int64(n.duplicateDelay)))
 }
 
-// requestFate is what happens to a request.
-type requestFate struct {
-	delay    time.Duration // until it is carried out
-	runs     bool          // it is carried out at all
-	answered bool          // its answer arrives
+// requestDelivery describes how the network treats a request.
+type requestDelivery struct {
+	delay    time.Duration // until the request is executed
+	executed bool          // whether the request is executed at all
+	answered bool          // whether the reply arrives
 }
 
-// fate draws what happens to a request.
-func (n *network) fate() requestFate {
+// drawDelivery draws how the network treats a request.
+func (n *network) drawDelivery() requestDelivery {
 	if n.sim.now < n.lossyUntil {
 		drawn := n.sim.rng.Float64()
 		switch {
 		case drawn < n.lateShare:
-			return requestFate{delay: time.Duration(n.sim.rng.IntN(60000)) * time.Millisecond, runs: true}
+			return requestDelivery{delay: time.Duration(n.sim.rng.IntN(60000)) * time.Millisecond, executed: true}
 		case drawn < n.lateShare+n.lossShare/2:
-			return requestFate{}
+			return requestDelivery{}
 		case drawn < n.lateShare+n.lossShare:
-			return requestFate{delay: n.latency(), runs: true}
+			return requestDelivery{delay: n.drawLatency(), executed: true}
 		}
 	}
-	return requestFate{delay: n.latency(), runs: true, answered: true}
+	return requestDelivery{delay: n.drawLatency(), executed: true, answered: true}
 }
 
-// isCut reports whether two endpoints can't reach each other now.
+// isCut reports whether a cut currently separates two endpoints.
 func (n *network) isCut(a, b endpoint) bool {
 	return anyLink(a, b, func(link string) bool { return n.cuts[link] > 0 })
 }
 
-// isHeld reports whether a cut between two endpoints delivers afterwards what was sent.
+// isHeld reports whether messages sent during a cut between two endpoints are delivered
+// after it.
 func (n *network) isHeld(a, b endpoint) bool {
 	return anyLink(a, b, func(link string) bool { return n.held[link] })
 }
 
-// anyLink reports whether a link between two endpoints or their zones, in either
-// direction, has a property.
+// anyLink reports whether has is true for any link between two endpoints or their zones, in
+// either direction.
 func anyLink(a, b endpoint, has func(link string) bool) bool {
 	for _, from := range []string{a.name, "zone:" + a.zone} {
 		for _, to := range []string{b.name, "zone:" + b.zone} {
@@ -109,8 +110,9 @@
 	return false
 }
 
-// cut separates two endpoints for d. Endpoints are controllers and workers by name, zones
-// as "zone:a", and "cloud". With hold, what is sent during the cut arrives after it.
+// cut separates two endpoints for d. An endpoint is the label of a controller, the name of
+// a worker's machine, a zone such as "zone:a", or "cloud". With hold, messages sent during
+// the cut are delivered after it.
 func (n *network) cut(a, b string, d time.Duration, hold bool) {
 	n.sim.rules.faultsLast(d)
 	link := linkName(a, b)
--- a/internal/simulation/state_watch.go
+++ b/internal/simulation/state_watch.go
@@ -7,21 +7,21 @@
 	"micaport/internal/kv"
 )
 
-// watchNotStarted is the position of a watch that has not delivered its snapshot yet.
+// watchNotStarted is the position of a watch that has not delivered the snapshot yet.
 const watchNotStarted = -1
 
 // Timing of watches.
 const (
-	snapshotRetry     = 200 * time.Millisecond
-	longestWatchDelay = 40 // milliseconds, beyond the latency
+	snapshotRetry       = 200 * time.Millisecond // until a refused snapshot is requested again
+	longestWatchDelayMS = 40                     // in addition to the latency
 )
 
-// sendSnapshot delivers all records to an incarnation of a controller that starts, and lets
-// its watch go on from there.
+// sendSnapshot delivers all records to an incarnation of a controller that starts. The
+// controller's watch then delivers the changes made after the snapshot.
 func (s *stateService) sendSnapshot(ctrl *controller, incarnation int) {
 	sim := s.sim
 	s.watchPositions[ctrl.label] = watchNotStarted
-	sim.after(sim.network.latency(), func() {
+	sim.after(sim.network.drawLatency(), func() {
 		if !ctrl.isRunning(incarnation) {
 			return
 		}
@@ -47,20 +47,20 @@
 	})
 }
 
-// notifyWatches delivers to each controller the changes that it has not seen, in order.
+// notifyWatches schedules the delivery of new changes to each controller.
 func (s *stateService) notifyWatches() {
 	sim := s.sim
 	for _, ctrl := range sim.controllers {
 		incarnation := ctrl.incarnation
-		sim.after(sim.network.latency()+time.Duration(sim.rng.IntN(longestWatchDelay))*time.Millisecond, func() {
-			if ctrl.isRunning(incarnation) && !s.refuses(ctrl) && s.hungWatches[ctrl.label] == 0 {
+		sim.after(sim.network.drawLatency()+time.Duration(sim.rng.IntN(longestWatchDelayMS))*time.Millisecond, func() {
+			if ctrl.isRunning(incarnation) && !s.refuses(ctrl) && s.watchFaults[ctrl.label] == 0 {
 				s.deliverChanges(ctrl)
 			}
 		})
 	}
 }
 
-// deliverChanges delivers the changes that a controller has not seen, if there are any.
+// deliverChanges delivers, in order, the changes that a controller has not received yet.
 func (s *stateService) deliverChanges(ctrl *controller) {
 	position := s.watchPositions[ctrl.label]
 	if position == watchNotStarted || position >= len(s.changes) {
