--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// acceptancePoll is how often a user looks whether the dependencies of the next job are
-// accepted.
+// acceptancePoll is the interval at which a user checks whether the dependencies of the next
+// job are ready for its submission.
 const acceptancePoll = 100 * time.Millisecond
 
-// findDependency returns a job that matches among those that this one depends on, directly
-// or through others, or nil.
+// findDependency returns a matching job among the direct and transitive dependencies of the
+// user's job, or nil.
 func (u *simUser) findDependency(matches func(*simUser) bool) *simUser {
 	seen := map[string]bool{}
 	pending := append([]string(nil), u.spec.Dependencies...)
@@ -31,15 +31,15 @@
 	return nil
 }
 
-// isBlocked reports whether the job can't run yet, or ever, because of a dependency.
+// isBlocked reports whether a dependency prevents the job from running, for now or for ever.
 func (u *simUser) isBlocked() bool {
 	return u.findDependency(func(dependency *simUser) bool {
 		return dependency.cancelRequested || dependency.alwaysFails || !dependency.allTasksDone()
 	}) != nil
 }
 
-// submitWhen submits a job with attributes and dependencies, once
-// each of the dependencies is ready.
+// submitWhen submits a job with attributes and dependencies as soon as each dependency is
+// ready.
 func (u *userSet) submitWhen(ready func(dependency *simUser) bool, jobID string, dependencies, attributes []string) {
 	for _, id := range dependencies {
 		if dependency := u.byJob[id]; dependency == nil || !ready(dependency) {
@@ -57,7 +57,7 @@
 // isAccepted reports whether the job was accepted.
 func (u *simUser) isAccepted() bool { return u.accepted }
 
-// isOver reports whether the user was told that the job is done or cancelled.
+// isOver reports whether the last status that the user received is done or cancelled.
 func (u *simUser) isOver() bool { return u.accepted && isFinal(u.lastStatus) }
 
 // Attributes of the jobs of a pipeline.
@@ -69,9 +69,10 @@
 	pipelineLast   = "frames=2 run=3 cards=0 cores=1 mem=2 gb=0.2 urgency=high class=last due=90"
 )
 
-// submitPipeline makes a user submit jobs whose dependencies form a diamond, each as soon as
-// its dependencies are accepted. A share submits the last one only when those are over, and
-// a share cancels one of the jobs after a while.
+// submitPipeline submits jobs whose dependencies form a diamond, each as soon as its
+// dependencies are accepted. In a share lateShare of the pipelines the last job is submitted
+// only when its dependencies have ended. In a share cancelShare one of the jobs is cancelled
+// within 25 s.
 func (u *userSet) submitPipeline(cancelShare, lateShare float64) {
 	sim := u.sim
 	var all []string
@@ -102,8 +103,8 @@
 	}
 }
 
-// submitFanIn makes a user submit a number of small jobs at once and, as soon as all are
-// accepted, one that depends on each of them.
+// submitFanIn submits count small jobs and, as soon as all of them are accepted, a job that
+// depends on each of them.
 func (u *userSet) submitFanIn(jobID string, count int, attributes []string) error {
 	var dependencies []string
 	for range count {
--- a/internal/simulation/irregular_requests.go
+++ b/internal/simulation/irregular_requests.go
@@ -12,10 +12,10 @@
 // Timing of irregular requests.
 const (
 	irregularInterval = 300 * time.Millisecond
-	inventedAfter     = 8 * time.Second // when a refused job is looked for
+	inventedAfter     = 8 * time.Second // after a rejected submission, until a check that the job was not stored
 )
 
-// sendIrregularRequests sends irregular requests until a time.
+// sendIrregularRequests sends an irregular request every irregularInterval until a time.
 func (u *userSet) sendIrregularRequests(until time.Duration) {
 	if u.sim.now < until {
 		u.sendIrregularRequest()
@@ -24,7 +24,7 @@
 }
 
 // sendIrregularRequest repeats the submission of an unfinished job, cancels a job that is
-// done, or submits one that can't run or has an invalid field.
+// done, or makes an invalid submission.
 func (u *userSet) sendIrregularRequest() {
 	sim := u.sim
 	var unfinished, done []*simUser
@@ -48,8 +48,8 @@
 	}
 }
 
-// submitInvalid submits a job that can't run, or with an invalid field, and checks that it
-// is refused and not stored.
+// submitInvalid submits a job that can never run or that has an invalid field, and checks
+// that it is rejected and not stored.
 func (u *userSet) submitInvalid() {
 	sim := u.sim
 	u.irregularCount++
@@ -71,7 +71,7 @@
 		want = http.StatusBadRequest
 	}
 	body := user.submissionBody()
-	if want == http.StatusBadRequest || sim.rng.IntN(4) == 0 { // some have both faults
+	if want == http.StatusBadRequest || sim.rng.IntN(4) == 0 { // some that can never run also have an invalid field
 		want = http.StatusBadRequest
 		body = withInvalidField(body, sim.rng.IntN(1<<20))
 	}
@@ -81,18 +81,19 @@
 	sim.after(inventedAfter, func() {
 		u.requestAt(sim.randomController(), wire.RequestStatus, user.spec.ID, nil, statusTimeout, func(reply core.Reply) {
 			if reply.Status == http.StatusOK {
-				sim.rules.violated("invented", "%s is known though it was refused", user.spec.ID)
+				sim.rules.violated("invented", "%s has a status although it was rejected", user.spec.ID)
 			}
 		})
 	})
 }
 
-// checkRejection checks the answer to a job that must not be accepted.
+// checkRejection checks the reply to a submission that must be rejected. No reply, or one
+// that the service is unavailable, is allowed.
 func (u *userSet) checkRejection(jobID string, want, status int) {
 	switch status {
 	case want, 0, http.StatusServiceUnavailable:
 	default:
-		u.sim.rules.violated("accepted_wrongly", "%s got %d, not %d", jobID, status, want)
+		u.sim.rules.violated("accepted_wrongly", "%s: got %d, want %d", jobID, status, want)
 	}
 }
 
@@ -102,8 +103,8 @@
 	"same_place", "spread", "loaner", "expected_s", "snapshot_every_s", "snapshot_s",
 }
 
-// withInvalidField returns a submission without one of its required fields, or with a wrong
-// type in one. Pick chooses the field and which of the two.
+// withInvalidField returns a submission in which one required field is missing or has a
+// wrong type. Pick selects the field and the kind of error.
 func withInvalidField(body []byte, pick int) []byte {
 	var fields map[string]any
 	must(wire.Decode(body, &fields))
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -9,15 +9,15 @@
 	"micaport/internal/wire"
 )
 
-// submission is a job as a script's line describes it.
+// submission is a job as described by a line of a script.
 type submission struct {
 	spec        wire.JobSpec
 	runtime     time.Duration // of each task
 	alwaysFails bool          // each task fails
-	pinnedTo    int           // index of the controller that the user asks; -1: any
+	pinnedTo    int           // index of the only controller that the user sends requests to; -1: any
 }
 
-// newSubmission returns a job with the attributes that it has by default.
+// newSubmission returns a job with the default attributes.
 func newSubmission(jobID string) *submission {
 	return &submission{
 		runtime: 20 * time.Second, pinnedTo: -1,
@@ -29,7 +29,7 @@
 	}
 }
 
-// submissionFlags are attributes without a value.
+// submissionFlags are the setters of attributes without a value, by name.
 var submissionFlags = map[string]func(*submission){
 	"one_zone":       func(s *submission) { s.spec.SameZone = true },
 	"spread":         func(s *submission) { s.spec.Spread = true },
@@ -38,7 +38,7 @@
 	"fails":          func(s *submission) { s.alwaysFails = true },
 }
 
-// submissionTexts are attributes with a text.
+// submissionTexts are the setters of attributes with a text value, by name.
 var submissionTexts = map[string]func(*submission, string){
 	"shape": func(s *submission, text string) {
 		s.spec.Shape = text
@@ -57,7 +57,7 @@
 	"after":   func(s *submission, text string) { s.spec.Dependencies = strings.Split(text, ",") },
 }
 
-// submissionNumbers are attributes with a number.
+// submissionNumbers are the setters of attributes with a numeric value, by name.
 var submissionNumbers = map[string]func(*submission, float64){
 	"frames": func(s *submission, x float64) { s.spec.TaskCount = int(x) },
 	"cards":  func(s *submission, x float64) { s.spec.GPUs = x },
@@ -69,7 +69,7 @@
 	"ask":    func(s *submission, x float64) { s.pinnedTo = int(x) },
 }
 
-// setAttribute sets an attribute of a script's line: a flag, or NAME=VALUE.
+// setAttribute applies an attribute of a script's line, which is a flag or NAME=VALUE.
 func (s *submission) setAttribute(attribute string) error {
 	name, text, _ := strings.Cut(attribute, "=")
 	if set := submissionFlags[name]; set != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// submitLine makes a user submit a job: its id and attributes.
+// submitLine submits the job that the arguments describe: its id, then its attributes.
 func (u *userSet) submitLine(args []string) error {
 	job := newSubmission(args[0])
 	for _, attribute := range args[1:] {
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -13,24 +13,24 @@
 	sim         *Simulation
 	spec        wire.JobSpec
 	runtime     time.Duration // of each task
-	alwaysFails bool          // each task fails: the job was submitted with a mistake
-	pinnedTo    int           // index of the controller that the user asks; -1: any
+	alwaysFails bool          // each task fails, as if the job was submitted with an error
+	pinnedTo    int           // index of the only controller that the user sends requests to; -1: any
 
-	submittedAt     time.Duration // for the first time
+	submittedAt     time.Duration // when the job was first submitted
 	accepted        bool
 	cancelRequested bool          // the user has asked to cancel the job
-	cancelledAt     time.Duration // when that was confirmed; 0: it was not
-	startedAt       time.Duration // when all of a gang, or the first of other tasks, ran; 0: not yet
-	tasks           []*simTask    // on machines, in the order in which they came
+	cancelledAt     time.Duration // when the cancellation was confirmed; 0: not yet
+	startedAt       time.Duration // when all tasks of a gang, or the first task of another job, ran; 0: not yet
+	tasks           []*simTask    // on machines, in the order in which they were placed
 
 	lastReply      wire.JobStatus
 	lastStatus     string        // the last status that was checked
-	lastStatusAt   time.Duration // when it was
+	lastStatusAt   time.Duration // when lastStatus was checked
 	lastCode       int           // the status code of the last poll
 	lastAnsweredAt time.Duration
 	submitCodes    []int // the status codes of all submissions
 
-	idleCapacitySince time.Duration // since when the job waits though there is capacity; 0: it does not
+	idleCapacitySince time.Duration // since when the job has waited despite free capacity; 0: it does not
 }
 
 // submissionBody returns the body of the job's submission.
@@ -59,11 +59,11 @@
 	return body
 }
 
-// submit submits the job, repeatedly until it is accepted.
+// submit submits the job and retries until it is accepted.
 func (u *simUser) submit() { u.sendSubmission(u.sim.now, u.submissionBody()) }
 
-// sendSubmission submits a body, repeatedly until it is accepted, refused for good, or was
-// first sent too long ago.
+// sendSubmission submits a body. It retries until the submission is accepted, rejected with
+// a permanent error, or was first sent longer than submitAttempts ago.
 func (u *simUser) sendSubmission(firstAt time.Duration, body []byte) {
 	askedAt := u.sim.now
 	u.sim.users.request(wire.RequestSubmit, u.spec.ID, body, changeTimeout, func(reply core.Reply) {
@@ -75,7 +75,7 @@
 			u.checkStatus(askedAt, reply)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			if u.accepted {
-				u.sim.rules.violated("forgotten", "%s: repeat got %d", u.spec.ID, reply.Status)
+				u.sim.rules.violated("forgotten", "%s: repeated submission got %d", u.spec.ID, reply.Status)
 			}
 		default:
 			if u.sim.now-firstAt < submitAttempts {
@@ -85,7 +85,7 @@
 	})
 }
 
-// poll asks for the job's status, once the job is accepted.
+// poll requests the job's status if the job has been accepted.
 func (u *simUser) poll() {
 	if !u.accepted {
 		return
@@ -98,12 +98,12 @@
 			u.lastAnsweredAt = u.sim.now
 			u.checkStatus(askedAt, reply)
 		case http.StatusNotFound:
-			u.sim.rules.violated("forgotten", "%s: 404 after it was accepted", u.spec.ID)
+			u.sim.rules.violated("forgotten", "%s: got 404 after the job was accepted", u.spec.ID)
 		}
 	})
 }
 
-// requestAt sends a request about the accepted job to a controller.
+// requestAt sends a request about the accepted job to the given controller.
 func (u *simUser) requestAt(ctrl *controller, kind wire.RequestKind, body []byte) {
 	askedAt := u.sim.now
 	u.sim.users.requestAt(ctrl, kind, u.spec.ID, body, statusTimeout, func(reply core.Reply) {
@@ -112,18 +112,19 @@
 			u.lastAnsweredAt = u.sim.now
 			u.checkStatus(askedAt, reply)
 		case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.sim.rules.violated("forgotten", "%s: %s got %d after it was accepted", u.spec.ID, kind, reply.Status)
+			u.sim.rules.violated("forgotten", "%s: %s got %d after the job was accepted", u.spec.ID, kind, reply.Status)
 		}
 	})
 }
 
-// isFinal reports whether a job with a status is over.
+// isFinal reports whether a status is final: the job is done or cancelled.
 func isFinal(status string) bool {
 	return status == wire.StatusDone || status == wire.StatusCancelled
 }
 
-// checkStatus checks an answer against what the user was told before. One that was asked
-// for before the last one came may be older, and is ignored.
+// checkStatus checks a reply against the replies that the user received before. A reply to
+// a request that was sent before the last checked reply arrived may be older than that one,
+// and is ignored.
 func (u *simUser) checkStatus(askedAt time.Duration, reply core.Reply) {
 	var answer wire.JobStatus
 	switch body := reply.Body.(type) {
@@ -151,7 +152,7 @@
 		}
 	case wire.StatusDone:
 		if !u.allTasksDone() {
-			u.sim.rules.violated("not_done", "%s: called done, and not all of its tasks are", u.spec.ID)
+			u.sim.rules.violated("not_done", "%s: reported as done before all of its tasks are", u.spec.ID)
 		}
 	default:
 		u.checkOrphaned(askedAt, status)
@@ -159,7 +160,8 @@
 	u.lastStatus, u.lastStatusAt = status, u.sim.now
 }
 
-// checkOrphaned checks that no dependency of an unfinished job was cancelled too long ago.
+// checkOrphaned checks that no dependency of an unfinished job was cancelled longer than
+// CancelDeadline ago.
 func (u *simUser) checkOrphaned(askedAt time.Duration, status string) {
 	dependency := u.findDependency(func(dependency *simUser) bool {
 		return dependency.cancelledAt > 0 && askedAt-dependency.cancelledAt > u.sim.CancelDeadline
@@ -169,7 +171,7 @@
 	}
 }
 
-// allTasksDone reports whether all tasks of the job have done their work.
+// allTasksDone reports whether all tasks of the job have completed.
 func (u *simUser) allTasksDone() bool {
 	for i := range u.spec.TaskCount {
 		if !u.sim.users.completedTasks[wire.TaskName(u.spec.ID, i)] {
@@ -179,7 +181,7 @@
 	return true
 }
 
-// eachActiveTask calls a function for each task that is on a machine and has not exited.
+// eachActiveTask calls visit for each task that is on a machine and has not exited.
 func (u *simUser) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
 	for _, task := range u.tasks {
 		if task.state != wire.TaskExited && !task.worker.terminated {
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -9,13 +9,12 @@
 
 // Limits of cancelRunning.
 const (
-	longRemaining   = 30 * time.Second // a task with more to go counts as running for long
-	maxHungAtCancel = 8                // workers that hang at most
+	longRemaining   = 30 * time.Second // a task with more time left than this counts as long-running
+	maxHungAtCancel = 8                // the most workers that are made to hang
 )
 
-// cancelRunning makes the users of some jobs that will run for long cancel them within a
-// fifth of a second, and workers that have their tasks hang for a while. Only jobs whose
-// ids begin with prefix are meant.
+// cancelRunning cancels up to count random long-running jobs whose ids begin with prefix, all
+// within 200 ms. Some of the workers that run their tasks hang for the time given by hang.
 func (u *userSet) cancelRunning(count int, hang time.Duration, prefix string) {
 	sim := u.sim
 	var long []*simUser
@@ -37,7 +36,8 @@
 	}
 }
 
-// runsForLong reports whether a task of the job runs and has long to go.
+// runsForLong reports whether a task of the job is running and has more than longRemaining
+// left. Tasks of services run without an end.
 func (u *simUser) runsForLong() bool {
 	long := false
 	u.eachActiveTask(func(_ *simWorker, task *simTask) {
@@ -47,8 +47,8 @@
 	return long
 }
 
-// maybeCancelAtEnd makes some users cancel their job at the moment at which its last task
-// ends.
+// maybeCancelAtEnd makes some users cancel their job within 1.5 s after its last task has
+// ended. It is called whenever a task completes.
 func (u *userSet) maybeCancelAtEnd(user *simUser) {
 	sim := u.sim
 	if sim.now >= u.cancelAtEnd.until || user.cancelRequested || !user.allTasksDone() || !sim.draw(u.cancelAtEnd) {
@@ -61,9 +61,9 @@
 	})
 }
 
-// pollClosely polls all controllers again and again within milliseconds, repeats the
-// submission, and cancels some of the jobs that nextGeneratedID named at once, if users do so
-// now. checkStatus judges the answers.
+// pollClosely polls all controllers three times within 12 ms and repeats the submission. It
+// also cancels a sixth of the unfinished jobs that have an id of nextGeneratedID. It does
+// nothing after closePollingUntil. checkStatus checks the replies.
 func (u *simUser) pollClosely() {
 	sim := u.sim
 	if sim.now >= sim.users.closePollingUntil {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -11,37 +11,37 @@
 
 // Timing of users.
 const (
-	pollInterval   = 5 * time.Second // between the questions of a user for the job's status
-	retryDelay     = time.Second     // until a request that was not accepted is repeated
-	statusTimeout  = 2 * time.Second // how long a user waits for a status
-	changeTimeout  = 5 * time.Second // how long a user waits for the answer to a submission or cancellation
-	submitAttempts = time.Minute     // how long a user repeats a submission
+	pollInterval   = 5 * time.Second // between two status requests of a user
+	retryDelay     = time.Second     // before a failed request is retried
+	statusTimeout  = 2 * time.Second // for the reply to a status request
+	changeTimeout  = 5 * time.Second // for the reply to a submission or cancellation
+	submitAttempts = time.Minute     // how long a user retries a submission
 )
 
-// userSet is all users, each with one job.
+// userSet holds the simulated users. Each of them has one job.
 type userSet struct {
 	sim            *Simulation
 	byJob          map[string]*simUser
-	ordered        []*simUser      // in the order in which they came
+	ordered        []*simUser      // in the order of their first submission
 	completedTasks map[string]bool // by name
-	generatedJobs  int             // jobs named by the simulation: of the commands bulk, pipelines and the like
-	irregularCount int             // irregular requests with a job id of their own
+	generatedJobs  int             // jobs whose ids the simulation has generated, for commands such as bulk and pipelines
+	irregularCount int             // irregular requests that were sent with a new job id
 
-	cancelAtEnd       timedValue    // share of jobs that are cancelled at the moment of their end
-	closePollingUntil time.Duration // until when users poll all controllers after each change
+	cancelAtEnd       timedValue    // share of jobs that are cancelled when their last task ends
+	closePollingUntil time.Duration // until then, users poll all controllers after each status change
 }
 
-// generatedIDPrefix begins the ids of jobs that nextGeneratedID names.
+// generatedIDPrefix is the prefix of the ids that nextGeneratedID returns.
 const generatedIDPrefix = "wk-9"
 
-// nextGeneratedID returns a new id for one of many jobs.
+// nextGeneratedID returns an unused job id for commands that submit many jobs.
 func (u *userSet) nextGeneratedID() string {
 	jobID := fmt.Sprintf("wk-%06d", 900000+u.generatedJobs)
 	u.generatedJobs++
 	return jobID
 }
 
-// submit makes a user submit a job, repeatedly until it is accepted, and ask for its status
+// submit adds a user who submits a job, retries until it is accepted, and polls its status
 // from then on.
 func (u *userSet) submit(job *submission) {
 	user := &simUser{
@@ -58,7 +58,7 @@
 	u.sim.every(pollInterval, user.poll)
 }
 
-// cancel makes a job's user cancel it, repeatedly until that is confirmed.
+// cancel makes a job's user cancel it and retry until the cancellation is confirmed.
 func (u *userSet) cancel(jobID string) {
 	user := u.byJob[jobID]
 	user.cancelRequested = true
@@ -75,7 +75,7 @@
 	})
 }
 
-// pollAll makes every user ask for the job's status a number of times within a second.
+// pollAll makes every user request the job's status count times within a second.
 func (u *userSet) pollAll(count int) {
 	for i := range count {
 		for _, user := range u.ordered {
@@ -84,8 +84,8 @@
 	}
 }
 
-// request sends a request to the controller that the job's user is pinned to, or to any.
-// Receive is called once, with status 0 if no answer comes in time.
+// request sends a request to the controller that the job's user is pinned to, or else to a
+// random one. Receive is called once, with status 0 if no reply arrives before the timeout.
 func (u *userSet) request(kind wire.RequestKind, jobID string, body []byte, timeout time.Duration, receive func(core.Reply)) {
 	ctrl := u.sim.randomController()
 	if user := u.byJob[jobID]; user != nil && user.pinnedTo >= 0 {
@@ -94,7 +94,7 @@
 	u.requestAt(ctrl, kind, jobID, body, timeout, receive)
 }
 
-// requestAt is request for a controller.
+// requestAt sends a request to the given controller. Receive is called as by request.
 func (u *userSet) requestAt(ctrl *controller, kind wire.RequestKind, jobID string, body []byte, timeout time.Duration, receive func(core.Reply)) {
 	answered := false
 	receiveOnce := func(reply core.Reply) {
@@ -111,9 +111,9 @@
 	}
 }
 
-// eachActiveTask calls a function for each task that is on a machine and has not exited, in
-// a fixed order. Tasks that still fetch their image count, which is stricter than the
-// protocol.
+// eachActiveTask calls visit for each task that is on a machine and has not exited, in a
+// fixed order. It includes tasks that are still fetching their image, which makes the checks
+// stricter than the protocol.
 func (u *userSet) eachActiveTask(visit func(worker *simWorker, task *simTask)) {
 	for _, user := range u.ordered {
 		user.eachActiveTask(visit)
