--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -9,37 +9,37 @@
 	"micaport/internal/wire"
 )
 
-// quotaTolerance is the rounding error that sums of resources may have.
+// quotaTolerance is the rounding error that is tolerated in sums of resources.
 const quotaTolerance = 1e-6
 
-// quotaAccounting follows what every revision of the records charges to each team, and
-// checks that no commit brings a team above the limit in force in that revision. It is
-// computed from the stored bytes, not from what any controller knows.
+// quotaAccounting computes what each team is charged in every revision of the records, and
+// checks that no commit raises a team's charge above the limit of that revision. It reads
+// the stored bytes only, not the state of any controller.
 type quotaAccounting struct {
 	sim           *Simulation
 	jobs          map[string]jobCharge
 	teams         map[string]*teamCharge
-	highestLimits map[string]wire.Resources // the highest limits that each team has had
+	highestLimits map[string]wire.Resources // the highest limit that each team has had so far
 	admissions    int                       // tasks that shard owners have admitted
 	createdAt     map[string]time.Duration  // when each job's record was created
-	placedAt      map[string]time.Duration  // when a task of each job first had a machine
+	placedAt      map[string]time.Duration  // when a task of each job was first assigned a machine
 }
 
-// jobCharge is what the active tasks of a job are charged.
+// jobCharge is what a job's active tasks are charged to its team.
 type jobCharge struct {
 	team     string
 	perTask  wire.Resources
 	byLeader int         // tasks that the leader has admitted
 	admitted map[int]int // tasks that shard owners have admitted, by shard
-	placed   bool        // a task has a machine
+	placed   bool        // a task is assigned a machine
 }
 
-// teamCharge is what a team is charged.
+// teamCharge is a team's limit and what it is charged.
 type teamCharge struct {
 	limit    wire.Resources
-	shares   map[int]wire.Resources // by shard
-	byLeader wire.Resources
-	admitted map[int]wire.Resources // by shard
+	shares   map[int]wire.Resources // of the limit, by shard
+	byLeader wire.Resources         // admitted by the leader
+	admitted map[int]wire.Resources // admitted by shard owners, by shard
 }
 
 // newQuotaAccounting returns an accounting without charges.
@@ -56,8 +56,9 @@
 	return accounting
 }
 
-// checkCommit applies a transaction that has been carried out, and checks that it brings no
-// team above its limit and that its charges are conditional on the teams' accounts.
+// checkCommit applies a committed transaction to the charges. It checks that no team's
+// charge is raised above its limit, and that new charges are conditional on the accounts of
+// their teams.
 func (a *quotaAccounting) checkCommit(conditions []kv.Condition, writes []recordWrite) {
 	before := map[string]wire.Resources{}
 	for name, charge := range a.teams {
@@ -83,14 +84,14 @@
 	for name, charge := range a.teams {
 		now, was := charge.total(), before[name]
 		if raisesAboveLimit(now.Cores, charge.limit.Cores, was.Cores) || raisesAboveLimit(now.GPUs, charge.limit.GPUs, was.GPUs) {
-			a.sim.rules.violated("quota", "revision %d charges %s %v, limit %v, before %v", a.sim.store.revision, name, now, charge.limit, was)
+			a.sim.rules.violated("quota", "revision %d charges %s %v, the limit is %v, charged before: %v", a.sim.store.revision, name, now, charge.limit, was)
 		}
 	}
 }
 
-// checkFence checks that a commit which charges more for a job was conditional on the
-// team's account, if there is one. Without that it could be carried out after the limit was
-// lowered, or the share revoked.
+// checkFence checks that a commit which raises the charge of a job was conditional on the
+// team's account, if that is stored. Without the condition it could be applied after the
+// limit was lowered or the share revoked.
 func (a *quotaAccounting) checkFence(conditions []kv.Condition, jobID string, was jobCharge) {
 	now := a.jobs[jobID]
 	if now.byLeader <= was.byLeader && now.countAdmitted() <= was.countAdmitted() {
@@ -103,8 +104,8 @@
 	}
 }
 
-// raisesAboveLimit reports whether a commit has raised a charge above its limit. One that
-// was above it already, since the limit was lowered, may only fall.
+// raisesAboveLimit reports whether a commit has raised a charge above its limit. A charge
+// that already exceeded the limit, because the limit was lowered, must not rise.
 func raisesAboveLimit(now, limit, was float64) bool {
 	return limit > 0 && now > limit+quotaTolerance && now > was+quotaTolerance
 }
@@ -126,7 +127,7 @@
 	}
 }
 
-// updateJob computes a job's charge anew from its record and its overflow keys.
+// updateJob recomputes a job's charge from its record and its overflow keys.
 func (a *quotaAccounting) updateJob(jobID string) {
 	before := a.jobs[jobID]
 	a.applyCharge(before, -1)
@@ -146,8 +147,8 @@
 	a.admissions += max(0, charge.countAdmitted()-before.countAdmitted())
 }
 
-// readCharge reads a job's charge from the store. It reports false if the job has no record
-// with its spec, or its team is unknown.
+// readCharge computes a job's charge from the store. It reports false if the job has no
+// record, its record has no spec, or its team is unknown.
 func (a *quotaAccounting) readCharge(jobID string) (charge jobCharge, ok bool) {
 	records, key := a.sim.store.records, wire.JobKey(jobID)
 	record := records[key]
@@ -173,7 +174,7 @@
 	return charge, true
 }
 
-// add adds active tasks to a job's charge.
+// add adds active tasks to the charge.
 func (c *jobCharge) add(tasks wire.ActiveTasks) {
 	for i := range tasks {
 		c.placed = c.placed || tasks[i].Machine != ""
@@ -211,9 +212,9 @@
 	return wire.Resources{Cores: a.Cores + b.Cores*float64(count), GPUs: a.GPUs + b.GPUs*float64(count)}
 }
 
-// total returns what a team is charged: what the leader has admitted, and of each shard the
-// share or what was admitted, whichever is more. Unused parts of a share count too, since
-// the shard's owner may admit within it at any moment.
+// total returns a team's charge: what the leader has admitted, plus for each shard the
+// larger of its share and what its owner has admitted. The unused part of a share is
+// included because the shard's owner may admit tasks within it at any time.
 func (c *teamCharge) total() wire.Resources {
 	sum := c.byLeader
 	for shard, share := range c.shares {
@@ -229,7 +230,7 @@
 	return sum
 }
 
-// countShares counts the shares that are distributed.
+// countShares counts the shares that are distributed to shards.
 func (a *quotaAccounting) countShares() int {
 	count := 0
 	for _, charge := range a.teams {
--- a/internal/simulation/quota_accounting_test.go
+++ b/internal/simulation/quota_accounting_test.go
@@ -9,22 +9,22 @@
 	"micaport/internal/wire"
 )
 
-// testCommit is a commit that adds a job of a team of 8 GPUs, of which shard 0 has a share
-// of 3.
+// testCommit is a commit that adds a job of a team with a limit of 8 GPUs, of which shard 0
+// has a share of 3.
 type testCommit struct {
 	tasks    int
-	admitted bool // by the owner of shard 0, not by the leader
-	fenced   bool // it is conditional on the team's account
+	admitted bool // by the owner of shard 0; false: by the leader
+	fenced   bool // the commit is conditional on the team's account
 }
 
-// TestAccountingFindsFaults: each fault that the accounting checks for is found in a history
-// that has it, and none is found where there is none.
+// TestAccountingFindsFaults checks that the accounting reports each kind of fault in a
+// history of commits that contains it, and reports nothing for correct histories.
 func TestAccountingFindsFaults(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		commits []testCommit
-		limit   string // that an operator sets between the first and the second commit
-		rule    string // that is violated; "" if none is
+		limit   string // set by an operator between the first and the second commit
+		rule    string // the rule that is violated; "": none
 	}{
 		{"within limit and share", []testCommit{{5, false, true}, {3, true, true}}, "", ""},
 		{"the leader admits within an idle share", []testCommit{{6, false, true}}, "", "quota"},
@@ -60,7 +60,7 @@
 	}
 }
 
-// carryOut commits a job with tasks of one GPU.
+// carryOut commits a job whose tasks need one GPU each.
 func (c testCommit) carryOut(t *testing.T, sim *Simulation, jobID string) {
 	t.Helper()
 	job := &wire.Job{Spec: &wire.JobSpec{ID: jobID, Team: "red", Shape: wire.ShapeArray, TaskCount: c.tasks, GPUs: 1}, TaskCount: c.tasks, NextAttempt: 2}
@@ -74,6 +74,6 @@
 	}
 	writes := encodeRecordWrites([]kv.Write{{Key: wire.JobKey(jobID), Value: job}})
 	if outcome, _, _ := sim.store.commit(nil, conditions, writes); outcome != kv.OK {
-		t.Fatalf("the commit of %s came to %v, want %v", jobID, outcome, kv.OK)
+		t.Fatalf("commit of %s: got outcome %v, want %v", jobID, outcome, kv.OK)
 	}
 }
--- a/internal/simulation/quota_changes.go
+++ b/internal/simulation/quota_changes.go
@@ -10,11 +10,11 @@
 	"micaport/internal/wire"
 )
 
-// errUnknownAmount is the error of a change that names no amount of an account.
+// errUnknownAmount is returned for a change whose name is not one of quotaAmounts.
 var errUnknownAmount = errors.New("unknown amount")
 
-// changeLimit changes a team's limits and guarantee as an operator does with the command
-// line. Args are NAME=VALUE, with a name of quotaAmounts.
+// changeLimit changes a team's limits and guarantee as an operator does with the
+// command-line tool. Args are of the form NAME=VALUE, with a name of quotaAmounts.
 func (a *quotaAccounting) changeLimit(team string, args []string) error {
 	account := a.account(team)
 	change := quota.Change{Team: team, Version: account.Version}
@@ -25,7 +25,7 @@
 	}
 	next, err := change.Apply(account)
 	if err != nil {
-		return fmt.Errorf("change of %s: %w", team, err)
+		return fmt.Errorf("change quota of %s: %w", team, err)
 	}
 	raw, err := wire.Encode(next)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// account returns a team's account as it is stored, or as the settings have it if it is not
-// or can't be read.
+// account returns a team's stored account. If none is stored or it can't be read, account
+// returns one with the limits of the settings.
 func (a *quotaAccounting) account(team string) *wire.Account {
 	key := wire.AccountKey(team)
 	if record := a.sim.store.records[key]; record != nil {
@@ -54,14 +54,15 @@
 	return account
 }
 
-// quotaAmounts are the amounts of an account that a script can change.
+// quotaAmounts are the amounts of an account that a script can change, by name. Each
+// function returns the field of a change that sets the amount.
 var quotaAmounts = map[string]func(*quota.Change) **float64{
 	"cards":     func(change *quota.Change) **float64 { return &change.GPUsLimit },
 	"cores":     func(change *quota.Change) **float64 { return &change.CoresLimit },
 	"guarantee": func(change *quota.Change) **float64 { return &change.GPUsGuarantee },
 }
 
-// setAmount sets an amount of a change as NAME=VALUE says.
+// setAmount sets an amount of a change from an argument NAME=VALUE.
 func setAmount(change *quota.Change, arg string) error {
 	name, value, _ := strings.Cut(arg, "=")
 	x, err := strconv.ParseFloat(value, 64)
