--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -9,12 +9,13 @@
 	"micaport/internal/wire"
 )
 
-// expect checks the conditions of an "expect" line: "JOB CONDITION..." or one condition of
-// the simulation as a whole.
+// expect checks the conditions of an "expect" line, which is "JOB CONDITION..." or one
+// condition of the simulation as a whole.
 //
-// The latter are NAME<=N and NAME>=N with a name of counts, deaf=0 and sick=0 for faults of
-// workers, and owner=SHARD:CONTROLLER|CONTROLLER. Conditions of a job are those of
-// jobExpectations, as NAME=N or NAME<=N, or its status as its user was last told.
+// Conditions of the simulation are NAME<=N and NAME>=N with a name of counts, deaf=0 and
+// sick=0 (no running worker has that fault), and owner=SHARD:CONTROLLER|CONTROLLER.
+// Conditions of a job are those of jobExpectations, as NAME=N or NAME<=N, or the status that
+// its user received last.
 func (s *Simulation) expect(args arguments) error {
 	condition := args.word(0)
 	if met, got, known := s.evaluate(condition); known {
@@ -35,10 +36,10 @@
 	return nil
 }
 
-// unmet returns the error of a condition that is not met.
+// unmet returns the error for a condition that is not met.
 func unmet(condition string, got any) error { return fmt.Errorf("want %s, got %v", condition, got) }
 
-// counts returns the numbers that a script can bound.
+// counts returns the numbers that a script can bound, by name.
 func (s *Simulation) counts() map[string]int {
 	metered := max(1, int((s.now - s.meter.since).Seconds()))
 	return map[string]int{
@@ -47,23 +48,23 @@
 		"waiting":     s.cloud.countBooting(),
 		"leaders":     s.store.leaderChanges,
 		"claims":      s.store.shardClaims,
-		"late_starts": s.rules.lateStarts, // after the user was told that the job is cancelled
+		"late_starts": s.rules.lateStarts, // of tasks, after the cancellation was confirmed to the user
 		"more_keys":   s.store.countOverflowKeys(),
-		"admitted":    s.quota.admissions, // tasks, by shard owners
+		"admitted":    s.quota.admissions, // tasks admitted by shard owners
 		"shares":      s.quota.countShares(),
 		"early":       s.leadership.countEarly(), // leaders replaced before their lease expired
 		"takeover_ms": int(s.leadership.slowestTakeover().Milliseconds()),
 		"heartbeats":  s.leadership.heartbeats, // of leaders
 
-		// Since the last "meter":
+		// Costs since the last "meter" command.
 		"refused":          s.meter.refusedCommits,
 		"looks_per_report": int(s.coreWork()-s.meter.coreWork) / max(1, s.meter.heartbeats),
 		"bytes_per_s":      s.meter.gossipBytes / metered,
 	}
 }
 
-// evaluate evaluates a condition of the simulation as a whole. It reports whether that is
-// met, what was found, and whether there is such a condition.
+// evaluate evaluates a condition of the simulation as a whole. It reports whether the
+// condition is met, the value found, and whether the condition is known.
 func (s *Simulation) evaluate(condition string) (met bool, got any, known bool) {
 	if name, limit, ok := strings.Cut(condition, "<="); ok {
 		return s.evaluateBound(name, limit, func(got, bound int) bool { return got <= bound })
@@ -87,7 +88,7 @@
 	return false, nil, false
 }
 
-// evaluateBound evaluates a bound of one of the counts.
+// evaluateBound evaluates a bound on one of the counts. Its results are those of evaluate.
 func (s *Simulation) evaluateBound(name, limit string, holds func(got, bound int) bool) (met bool, got any, known bool) {
 	count, known := s.counts()[name]
 	if !known {
@@ -100,11 +101,11 @@
 	return holds(count, bound), count, true
 }
 
-// jobExpectation is a condition of a job with a number. It reports whether that is met and
-// what was found.
+// jobExpectation evaluates a condition that compares a property of a job with a number. It
+// reports whether the condition is met and the value found.
 type jobExpectation func(user *simUser, want int) (met bool, got any)
 
-// jobExpectations are the conditions of a job with a number, with their operator.
+// jobExpectations are the numeric conditions of a job, by name and operator.
 var jobExpectations = map[string]jobExpectation{
 	"running=": func(user *simUser, want int) (bool, any) {
 		running := user.placement().running
@@ -118,7 +119,7 @@
 		machines := len(user.placement().machines)
 		return machines == want, machines
 	},
-	// The status code of the last answer to a submission.
+	// The status code of the last reply to a submission.
 	"code=": func(user *simUser, want int) (bool, any) {
 		codes := user.submitCodes
 		return len(codes) > 0 && codes[len(codes)-1] == want, codes
@@ -127,7 +128,7 @@
 		starts := user.sim.rules.starts[user.spec.ID]
 		return starts <= want, starts
 	},
-	// Seconds from the beginning of the scenario.
+	// Seconds from the start of the scenario until the job started.
 	"begun<=": func(user *simUser, want int) (bool, any) {
 		return user.startedAt > 0 && user.startedAt <= seconds(float64(want)), user.startedAt
 	},
@@ -156,9 +157,9 @@
 	return nil
 }
 
-// jobPlacement is where the tasks of a job are, other than those that have exited.
+// jobPlacement is where the tasks of a job that have not exited are.
 type jobPlacement struct {
-	running         int // of the tasks
+	running         int // tasks that are running
 	zones, machines map[string]bool
 }
 
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -9,14 +9,14 @@
 	"golang.org/x/tools/txtar"
 )
 
-// scenario is a parsed scenario: a text file with a comment that says what it guards
-// against, and the sections
+// scenario is a parsed scenario. Its file is a txtar archive with a comment that describes
+// the failure that the scenario guards against, and the sections
 //
-//	-- world --   settings, one "NAME VALUE..." a line
+//	-- world --   settings, one "NAME VALUE..." per line
 //	-- script --  "at SECONDS COMMAND ARGUMENTS" lines, in any order
-//	-- seeds --   how many seeds to run it with; 1 if absent
+//	-- seeds --   the number of seeds to run the scenario with; 1 if absent
 //
-// commandGroups lists the commands.
+// commandGroups returns the commands of scripts.
 type scenario struct {
 	settings Settings
 	script   string
@@ -45,13 +45,13 @@
 	return parsed, nil
 }
 
-// Play runs a scenario with every seed, until one has faults, and returns those: failed
-// expectations and violated rules. Logf takes the controllers' log lines.
+// Play runs a scenario with each of its seeds and returns the faults of the first seed that
+// has any: failed expectations and violated rules. Logf receives the controllers' log lines.
 func Play(archive *txtar.Archive, logf func(format string, args ...any)) []string {
 	return play(archive, logf, nil)
 }
 
-// play is Play with an observer for each seed, if observe is not nil.
+// play implements Play. If observe is not nil, it returns the observer for a seed.
 func play(archive *txtar.Archive, logf func(format string, args ...any), observe func(seed int) effectObserver) []string {
 	parsed, err := parseScenario(archive)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// numericSettings returns a function that sets each setting with a number, by the name
-// that scenarios use.
+// numericSettings returns the setters of the settings with a numeric value, by their name
+// in scenarios.
 func (s *Settings) numericSettings() map[string]func(float64) {
 	integer := func(field *int) func(float64) { return func(x float64) { *field = int(x) } }
 	decimal := func(field *float64) func(float64) { return func(x float64) { *field = x } }
@@ -97,7 +97,7 @@
 	}
 }
 
-// parse reads the settings of a scenario's section.
+// parse applies the settings of a scenario's world section.
 func (s *Settings) parse(text string) error {
 	numeric := s.numericSettings()
 	for _, line := range scriptLines(text) {
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -11,10 +11,10 @@
 	"golang.org/x/tools/txtar"
 )
 
-// discardLog takes the controllers' log lines where a test does not want them.
+// discardLog discards the controllers' log lines.
 func discardLog(string, ...any) {}
 
-// readScenario reads a scenario by its file.
+// readScenario reads a scenario from a file.
 func readScenario(t *testing.T, file string) *txtar.Archive {
 	t.Helper()
 	archive, err := txtar.ParseFile(file)
@@ -24,7 +24,8 @@
 	return archive
 }
 
-// TestScenarios runs every scenario, each of which says what it guards against.
+// TestScenarios runs every scenario. Each must have a comment that describes the failure
+// that it guards against.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(scenarioDir, "*.txt"))
 	if err != nil || len(files) < 10 {
@@ -35,7 +36,7 @@
 			t.Parallel()
 			archive := readScenario(t, file)
 			if len(strings.TrimSpace(string(archive.Comment))) == 0 {
-				t.Error("the scenario does not say what it guards against")
+				t.Error("the scenario has no comment on the failure that it guards against")
 			}
 			logf := discardLog
 			if testing.Verbose() {
@@ -48,8 +49,9 @@
 	}
 }
 
-// TestFaultCombinationsHaveScenarios: the design's table of faults that coincide names
-// scenarios that exist, and lists each of the operators' 25 combinations and bad input.
+// TestFaultCombinationsHaveScenarios checks the table of coinciding faults in the design
+// document: it has a row for each of the operators' 25 combinations and one for bad input,
+// and the scenarios that it names exist.
 func TestFaultCombinationsHaveScenarios(t *testing.T) {
 	const combinations = 26
 	text, err := os.ReadFile("../../docs/design.md")
@@ -58,12 +60,12 @@
 	}
 	_, table, found := strings.Cut(string(text), "| meeting | scenarios |\n| --- | --- |\n")
 	if !found {
-		t.Fatal("the design has no table of meetings")
+		t.Fatal("the design document has no table of coinciding faults")
 	}
 	table, _, _ = strings.Cut(table, "\n\n")
 	rows := strings.Split(strings.TrimSpace(table), "\n")
 	if len(rows) != combinations {
-		t.Errorf("%d combinations are listed, not %d", len(rows), combinations)
+		t.Errorf("got %d combinations, want %d", len(rows), combinations)
 	}
 	validName := regexp.MustCompile(`^[a-z-]+$`)
 	for _, row := range rows {
@@ -80,9 +82,9 @@
 	}
 }
 
-// TestOneTaskJobsAreAcceptedAtOnce: while one-task jobs are submitted four a second and
-// writes are few, acceptances are written first. With all writes for admissions and ends a
-// submission waited for a second.
+// TestOneTaskJobsAreAcceptedAtOnce checks that acceptances are written before other records
+// while four one-task jobs are submitted per second and writes are scarce. When all writes
+// were used for admissions and ended tasks, a submission waited for a second.
 func TestOneTaskJobsAreAcceptedAtOnce(t *testing.T) {
 	parsed, err := parseScenario(readScenario(t, filepath.Join(scenarioDir, "one-task-jobs.txt")))
 	if err != nil {
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -17,10 +17,10 @@
 	errUnknownAttribute   = errors.New("unknown attribute")
 )
 
-// arguments are the words of a script's line after its command.
+// arguments are the words that follow the command in a line of a script.
 type arguments []string
 
-// word returns an argument, or "" if there are fewer.
+// word returns the argument at index i, or "" if it is absent.
 func (a arguments) word(i int) string {
 	if i >= len(a) {
 		return ""
@@ -28,27 +28,27 @@
 	return a[i]
 }
 
-// number returns an argument as a number, or 0 if it is none.
+// number returns the argument at index i as a number, or 0 if it is absent or no number.
 func (a arguments) number(i int) float64 {
 	x, _ := strconv.ParseFloat(a.word(i), 64)
 	return x
 }
 
-// duration returns an argument, which is in seconds.
+// duration returns the argument at index i, a number of seconds.
 func (a arguments) duration(i int) time.Duration { return seconds(a.number(i)) }
 
-// from returns the arguments from one on.
+// from returns the arguments from index i on.
 func (a arguments) from(i int) arguments { return a[min(i, len(a)):] }
 
-// scriptCommand carries out a command of a script.
+// scriptCommand executes a command of a script.
 type scriptCommand func(*Simulation, arguments) error
 
-// commandGroups are the commands that a line of a script can name.
+// commandGroups returns all commands of scripts, by name.
 func commandGroups() []map[string]scriptCommand {
 	return []map[string]scriptCommand{userCommands, controllerCommands, serviceCommands, networkCommands, workerCommands, generalCommands}
 }
 
-// runCommand carries out one line of a script.
+// runCommand executes the command with the given name.
 func (s *Simulation) runCommand(name string, args []string) error {
 	for _, group := range commandGroups() {
 		if run := group[name]; run != nil {
@@ -58,8 +58,8 @@
 	return fmt.Errorf("%w %s", errUnknownCommand, name)
 }
 
-// runScript runs the lines of a script and returns its failed expectations and the rules
-// that were violated.
+// runScript schedules the lines of a script, runs the simulation until the last of them, and
+// returns the failed expectations and violated rules.
 func (s *Simulation) runScript(text string) []string {
 	var faults []string
 	last := time.Duration(0)
@@ -86,7 +86,7 @@
 	return append(faults, s.rules.violations...)
 }
 
-// scriptLines returns the lines of a section, without empty ones and comments.
+// scriptLines returns the lines of a section, without empty lines and comments.
 func scriptLines(text string) []string {
 	var lines []string
 	for line := range strings.Lines(text) {
@@ -97,16 +97,16 @@
 	return lines
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// infallible makes a command of a function that can't fail.
+// infallible returns a command that runs a function which can't fail.
 func infallible(run func(*Simulation, arguments)) scriptCommand {
 	return func(sim *Simulation, args arguments) error { run(sim, args); return nil }
 }
 
-// timedShare makes a command that sets a share or factor for some seconds: VALUE SECONDS.
-// Its effects go on for aftermath.
+// timedShare returns a command with the arguments VALUE SECONDS, which sets a share or
+// factor for that time. Aftermath returns how long effects of the fault may follow its end.
 func timedShare(field func(*Simulation) *timedValue, aftermath func(*Simulation) time.Duration) scriptCommand {
 	return infallible(func(sim *Simulation, args arguments) {
 		sim.setFor(field(sim), args.number(0), args.duration(1))
@@ -114,5 +114,5 @@
 	})
 }
 
-// noAftermath is the aftermath of what has no effects later.
+// noAftermath is for faults that have no effects after their end.
 func noAftermath(*Simulation) time.Duration { return 0 }
--- a/internal/simulation/script_users.go
+++ b/internal/simulation/script_users.go
@@ -7,16 +7,16 @@
 	"micaport/internal/wire"
 )
 
-// userCommands are what users and operators do. JOB is a job's id; ATTRIBUTES are those of
-// submitLine.
+// userCommands are the commands for actions of users and operators. JOB is a job's id, and
+// ATTRIBUTES are those of submitLine.
 var userCommands = map[string]scriptCommand{
-	// submit JOB ATTRIBUTES
+	// submit JOB ATTRIBUTES: a new user submits a job.
 	"submit": func(sim *Simulation, args arguments) error { return sim.users.submitLine(args) },
-	// withdraw JOB: its user cancels it.
+	// withdraw JOB: the job's user cancels it.
 	"withdraw": infallible(func(sim *Simulation, args arguments) { sim.users.cancel(args.word(0)) }),
-	// repeat JOB: a known job is submitted once more.
+	// repeat JOB: a submitted job is submitted once more.
 	"repeat": infallible(func(sim *Simulation, args arguments) { sim.users.byJob[args.word(0)].submit() }),
-	// repeat-faulty JOB: a known job is submitted with its id and nothing else.
+	// repeat-faulty JOB: a submitted job is submitted once more, with its id as the only field.
 	"repeat-faulty": func(sim *Simulation, args arguments) error {
 		body, err := wire.Encode(map[string]any{"ref": args.word(0)})
 		if err != nil {
@@ -25,17 +25,18 @@
 		sim.users.byJob[args.word(0)].sendSubmission(sim.now, body)
 		return nil
 	},
-	// stick JOB CONTROLLER: its user asks that controller only.
+	// stick JOB CONTROLLER: the job's user sends requests to that controller only.
 	"stick": infallible(func(sim *Simulation, args arguments) {
 		sim.users.byJob[args.word(0)].pinnedTo = sim.controllerNamed(args.word(1)).index
 	}),
-	// polls SECONDS COUNT: each user asks COUNT times a second.
+	// polls SECONDS COUNT: each user requests the job's status COUNT times a second.
 	"polls": infallible(func(sim *Simulation, args arguments) {
 		for second := range int(args.number(0)) {
 			sim.after(time.Duration(second)*time.Second, func() { sim.users.pollAll(int(args.number(1))) })
 		}
 	}),
-	// bulk COUNT SECONDS ATTRIBUTES: COUNT jobs, one a second, each cancelled SECONDS later if that is not 0.
+	// bulk COUNT SECONDS ATTRIBUTES: COUNT jobs are submitted, one a second; each is cancelled about SECONDS later
+	// unless that is 0.
 	"bulk": infallible(func(sim *Simulation, args arguments) {
 		for i := range int(args.number(0)) {
 			jobID := sim.users.nextGeneratedID()
@@ -46,7 +47,7 @@
 			})
 		}
 	}),
-	// stream RATE SECONDS SHARE ATTRIBUTES: RATE jobs a second, of which SHARE are cancelled.
+	// stream RATE SECONDS SHARE ATTRIBUTES: RATE jobs a second are submitted, and a share of them is cancelled.
 	"stream": infallible(func(sim *Simulation, args arguments) {
 		interval := seconds(1 / args.number(0))
 		for i := range int(args.number(0) * args.number(1)) {
@@ -58,26 +59,28 @@
 			})
 		}
 	}),
-	// fan-in JOB COUNT ATTRIBUTES: a job that depends on COUNT small ones, which come first.
+	// fan-in JOB COUNT ATTRIBUTES: COUNT small jobs are submitted, then a job that depends on all of them.
 	"fan-in": func(sim *Simulation, args arguments) error {
 		return sim.users.submitFanIn(args.word(0), int(args.number(1)), args.from(2))
 	},
-	// pipelines RATE SECONDS SHARE SHARE: RATE a second, shares of which are cancelled, and submit their last job late.
+	// pipelines RATE SECONDS SHARE SHARE: RATE pipelines a second are submitted; in the first share of them a job is
+	// cancelled, in the second the last job is submitted late.
 	"pipelines": infallible(func(sim *Simulation, args arguments) {
 		interval := seconds(1 / args.number(0))
 		for i := range int(args.number(0) * args.number(1)) {
 			sim.after(time.Duration(i)*interval, func() { sim.users.submitPipeline(args.number(2), args.number(3)) })
 		}
 	}),
-	// cancel-now COUNT SECONDS [PREFIX]: COUNT running jobs are cancelled, and some of their workers hang for SECONDS.
+	// cancel-now COUNT SECONDS [PREFIX]: COUNT long-running jobs whose ids begin with PREFIX are cancelled, and some
+	// of their workers hang for SECONDS.
 	"cancel-now": infallible(func(sim *Simulation, args arguments) {
 		sim.users.cancelRunning(int(args.number(0)), args.duration(1), args.word(2))
 	}),
-	// cancel-at-end SHARE SECONDS: jobs are cancelled at the moment of their end.
+	// cancel-at-end SHARE SECONDS: a share of the jobs is cancelled just after their last task has ended.
 	"cancel-at-end": infallible(func(sim *Simulation, args arguments) {
 		sim.setFor(&sim.users.cancelAtEnd, args.number(0), args.duration(1))
 	}),
-	// close-looks SECONDS: users poll all controllers after each change.
+	// close-looks SECONDS: users poll all controllers after each change of a job's status.
 	"close-looks": infallible(func(sim *Simulation, args arguments) {
 		sim.users.closePollingUntil = sim.now + args.duration(0)
 	}),
@@ -85,15 +88,16 @@
 	"odd-requests": infallible(func(sim *Simulation, args arguments) {
 		sim.users.sendIrregularRequests(sim.now + args.duration(0))
 	}),
-	// limit TEAM cards=N cores=N guarantee=N: an operator changes a team's limits.
+	// limit TEAM cards=N cores=N guarantee=N: an operator changes a team's limits and guarantee.
 	"limit": func(sim *Simulation, args arguments) error { return sim.quota.changeLimit(args.word(0), args.from(1)) },
-	// damage TEAM: the record of its account becomes unreadable.
+	// damage TEAM: the record of the team's account becomes unreadable.
 	"damage": infallible(func(sim *Simulation, args arguments) {
 		sim.store.overwrite(wire.AccountKey(args.word(0)), []byte{unusedMessagePackCode})
 	}),
-	// switch ADMISSION: what shard owners admit, for controllers that start from now on.
+	// switch ADMISSION: sets what shard owners may admit, for controllers that start from now on.
 	"switch": infallible(func(sim *Simulation, args arguments) { sim.Admission = core.Admission(args.number(0)) }),
 }
 
-// unusedMessagePackCode is the one byte that begins no MessagePack value.
+// unusedMessagePackCode is the only first byte that MessagePack assigns to no format, so that
+// decoding a value that begins with it fails.
 const unusedMessagePackCode = 0xc1
