--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// Loopback runs real controllers: processes of the built program that reach the models of
-// this package over their protocols on 127.0.0.1, through a proxy on every link. Models and
-// rules are those of Simulation, whose clock follows the real one. All of it runs on the
-// goroutine that calls NewLoopback, Play and Close; others hand functions to it with post.
+// Loopback runs real controllers: processes of the built program, which reach the models of
+// this package over their network protocols on 127.0.0.1, through a proxy on every link. The
+// models and rules are those of Simulation, whose clock follows the real one. They run on the
+// goroutine that calls NewLoopback, Play and Close; other goroutines use post to run a
+// function there.
 type Loopback struct {
 	*Simulation
-	dir          string // of the processes' settings and logs
+	dir          string // directory for the processes' settings and logs
 	binary       string
-	operatorFile string // the operators' settings, or ""
+	operatorFile string // file with the operators' settings; "": none
 	startedAt    time.Time
 	client       *http.Client
-	processes    []*process // by controller
+	processes    []*process // by index of the controller
 	servers      []*http.Server
 
-	posted chan func()
+	posted chan func()     // functions that the simulation's goroutine is to run
 	ctx    context.Context // done when Close is called
 	cancel context.CancelFunc
 }
@@ -31,14 +32,14 @@
 // Limits of a Loopback.
 const (
 	postedCapacity   = 1024
-	connectionsAhead = 4096            // idle connections that workers and users keep to a controller
-	requestLimit     = 6 * time.Second // how long a worker or user waits for an answer
-	postLimit        = 5 * time.Second // how long a service waits for the simulation
+	connectionsAhead = 4096            // idle connections that workers and users keep open to a controller
+	requestLimit     = 6 * time.Second // for a controller's reply to a worker or user
+	postLimit        = 5 * time.Second // for the simulation's goroutine to run a function
 )
 
 // NewLoopback starts the services and the controllers. Binary is the built program, dir a
-// directory for its settings and logs, and operatorFile the operators' settings or "". Who
-// calls it has to call Close, unless it fails.
+// directory for its settings and logs, and operatorFile the file with the operators' settings
+// or "". Unless NewLoopback fails, its caller must call Close.
 func NewLoopback(settings Settings, binary, dir, operatorFile string, logf func(format string, args ...any)) (*Loopback, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	loopback := &Loopback{
@@ -58,18 +59,19 @@
 	return loopback, nil
 }
 
-// connectAll prepares the processes of all controllers.
+// connectAll reserves the addresses of all controllers, creates their links and writes their
+// settings.
 func (l *Loopback) connectAll() error {
 	for _, ctrl := range l.controllers {
 		proc, err := reserveAddresses(l.Seed, ctrl.index)
 		if err != nil {
-			return fmt.Errorf("addresses of %s: %w", ctrl.label, err)
+			return fmt.Errorf("reserve addresses of %s: %w", ctrl.label, err)
 		}
 		l.processes = append(l.processes, proc)
 	}
 	for _, ctrl := range l.controllers {
 		if err := l.connect(ctrl); err != nil {
-			return fmt.Errorf("links of %s: %w", ctrl.label, err)
+			return fmt.Errorf("set up links of %s: %w", ctrl.label, err)
 		}
 	}
 	return nil
@@ -100,7 +102,8 @@
 	}
 }
 
-// post makes the simulation's goroutine run a function, unless Close is called before.
+// post makes the simulation's goroutine run a function. The function may not run if Close is
+// called.
 func (l *Loopback) post(run func()) {
 	select {
 	case <-l.ctx.Done():
@@ -121,7 +124,7 @@
 	}
 }
 
-// Close ends all processes, links and servers.
+// Close kills all processes and closes all links and servers.
 func (l *Loopback) Close() {
 	l.cancel()
 	for i, proc := range l.processes {
@@ -134,7 +137,7 @@
 	l.client.CloseIdleConnections()
 }
 
-// serve starts a server at an address of its own, until Close, and returns the address.
+// serve starts a server on a free port and returns its address. It runs until Close.
 func (l *Loopback) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/simulation/loopback_cloud.go
+++ b/internal/simulation/loopback_cloud.go
@@ -35,7 +35,7 @@
 	return mux
 }
 
-// callCloud carries out a controller's call.
+// callCloud carries out a controller's call to the cloud and returns the reply.
 func (l *Loopback) callCloud(ctrl *controller, call core.CallCloud) serviceReply {
 	l.leadership.checkCloudCall(ctrl, call)
 	if l.cloud.outage {
--- a/internal/simulation/loopback_encoding.go
+++ b/internal/simulation/loopback_encoding.go
@@ -7,24 +7,26 @@
 	"micaport/internal/wire"
 )
 
-// serviceReply is the answer of a service: a status code and a body for MessagePack.
+// serviceReply is the reply of a service: a status code and a body to encode as MessagePack.
 type serviceReply struct {
 	status int
 	body   any
 }
 
-// unavailable is the answer of a service that is out, refuses a controller or is too slow.
+// unavailable is the reply of a service that has an outage, refuses the controller or is too
+// slow.
 var unavailable = serviceReply{http.StatusServiceUnavailable, wire.Error{Error: "trouble"}}
 
-// write writes the answer.
+// write writes the reply to the connection.
 func (r serviceReply) write(w http.ResponseWriter) {
 	raw, err := wire.Encode(r.body)
 	must(err)
 	w.WriteHeader(r.status)
-	_, _ = w.Write(raw) // the controller may be gone
+	_, _ = w.Write(raw) // the controller may have ended
 }
 
-// readRequest decodes a request's body. It answers 400 and reports false if it can't.
+// readRequest decodes a request's body. If that fails, it replies with status 400 and reports
+// false.
 func readRequest(w http.ResponseWriter, request *http.Request, into any) bool {
 	body, err := io.ReadAll(request.Body)
 	if err == nil {
--- a/internal/simulation/loopback_failover_test.go
+++ b/internal/simulation/loopback_failover_test.go
@@ -9,14 +9,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// failoverSettings returns settings of five controllers and capacity for all jobs.
+// failoverSettings returns settings of five controllers in which the limit of team red fits
+// all of its jobs.
 func failoverSettings(workers int) Settings {
 	s := contendedSettings(workers)
 	s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = float64(workers), float64(workers)
 	return s
 }
 
-// submitSteadily submits jobs and gangs between two times, and cancels a tenth of them.
+// submitSteadily submits a job every interval between two times, a sixth of them gangs, and
+// cancels a tenth of them.
 func (l *Loopback) submitSteadily(interval, begin, end time.Duration, rng *rand.Rand) {
 	count := 0
 	l.every(interval, func() {
@@ -36,8 +38,9 @@
 	})
 }
 
-// failoverTimes returns the times from the failure of each leader until the next one's first
-// decision, in ms, and how many of the takeovers did not wait for the lease to expire.
+// failoverTimes returns the distribution, in ms, of the times from the failure of a leader
+// until the first decision of the next, and the number of takeovers that did not wait for
+// the lease to expire.
 func (l *Loopback) failoverTimes() (times *hdrhistogram.Histogram, early int) {
 	times = hdrhistogram.New(1, 120_000, 3)
 	for _, tenure := range l.leadership.tenures {
@@ -60,10 +63,11 @@
 	return count
 }
 
-// TestTakeoverOnLoopback: leaders of real controllers are killed and stopped at seeded
-// moments while jobs, gangs and cancellations are submitted. Each is replaced, no task is
-// placed twice, none that was confirmed as cancelled starts, none is forgotten, no limit is
-// exceeded, and no controller decides under another's claim.
+// TestTakeoverOnLoopback kills and stops leaders among real controllers at random moments,
+// determined by a seed, while jobs, gangs and cancellations are submitted. Leaders are
+// replaced, and no rule is violated: no task runs twice or starts after its cancellation was
+// confirmed, no job is lost, no limit is exceeded, and no controller decides under another's
+// claim.
 func TestTakeoverOnLoopback(t *testing.T) {
 	const (
 		length = 30 * time.Second
@@ -94,14 +98,14 @@
 	}
 	times, early := loopback.failoverTimes()
 	jobs, done := len(loopback.users.ordered), loopback.users.countDone()
-	t.Logf("takeovers %d, to the first decision p50 %d p99 %d most %d ms, placed twice %d, forgotten %d; %d before the lease expired, %d jobs",
+	t.Logf("takeovers %d, until the first decision p50 %d p99 %d max %d ms, ran twice %d, forgotten %d; %d before the lease expired, %d jobs",
 		times.TotalCount(), times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(),
 		loopback.countViolations("ran_twice"), loopback.countViolations("forgotten"), early, jobs)
 	if failures < 3 || times.TotalCount() < 3 || early < 2 {
-		t.Errorf("got %d failures, %d takeovers, %d of them early, want 3, 3 and 2 at least: too little was tried", failures, times.TotalCount(), early)
+		t.Errorf("got %d failures, %d takeovers, %d of them early, want 3, 3 and 2 at least for a valid test", failures, times.TotalCount(), early)
 	}
 	if jobs < 50 || done < jobs*3/4 {
-		t.Errorf("got %d of %d jobs done, want three quarters of 50 at least", done, jobs)
+		t.Errorf("got %d of %d jobs done, want three quarters of at least 50", done, jobs)
 	}
 	if t.Failed() {
 		t.Log(loopback.Logs(3000))
--- a/internal/simulation/loopback_faults.go
+++ b/internal/simulation/loopback_faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kill ends a controller's process with SIGKILL and starts it again after d.
+// Kill kills a controller's process with SIGKILL and restarts it after d.
 func (l *Loopback) Kill(ctrl *controller, d time.Duration) {
 	if !ctrl.running {
 		return
@@ -28,8 +28,9 @@
 	})
 }
 
-// Isolate cuts a controller for d from the state service, or else from its peers. Each
-// direction has a state of its own.
+// Isolate puts the links between a controller and the state service, or else those between it
+// and its peers, into the given states for d. Forward and backward are the two directions of
+// each link.
 func (l *Loopback) Isolate(ctrl *controller, fromState bool, forward, backward linkState, d time.Duration) {
 	l.rules.faultsLast(d)
 	proc := l.processes[ctrl.index]
@@ -56,6 +57,6 @@
 // signal sends a signal to a controller's process, if it was started.
 func (l *Loopback) signal(ctrl *controller, signal syscall.Signal) {
 	if command := l.processes[ctrl.index].command; command != nil && command.Process != nil {
-		_ = command.Process.Signal(signal) // it may have ended
+		_ = command.Process.Signal(signal) // the process may have ended
 	}
 }
--- a/internal/simulation/loopback_http.go
+++ b/internal/simulation/loopback_http.go
@@ -12,21 +12,21 @@
 	"micaport/internal/wire"
 )
 
-// workerAnswerLimit is how long a worker's server waits until commands are carried out.
+// workerAnswerLimit is how long a worker's server waits until the worker accepts commands.
 const workerAnswerLimit = 4 * time.Second
 
-// sendRequest sends a worker's or user's request to a controller. No answer is a reply with
-// status 0.
+// sendRequest sends a worker's or user's request to a controller. If no valid reply arrives,
+// receive gets one with status 0.
 func (l *Loopback) sendRequest(ctrl *controller, in core.Input, receive func(core.Reply)) {
 	request, err := l.newRequest(l.processes[ctrl.index].frontProxy.address(), in)
 	must(err)
-	go func() { // until the client's timeout, or Close
+	go func() { // ends by the client's timeout or Close
 		reply := l.exchange(request, in)
 		l.post(func() { receive(reply) })
 	}()
 }
 
-// newRequest returns the HTTP request for an input of a controller at an address.
+// newRequest returns the HTTP request that sends an input to the controller at an address.
 func (l *Loopback) newRequest(address string, in core.Input) (*http.Request, error) {
 	method, path, body := http.MethodPost, "", []byte(nil)
 	switch x := in.(type) {
@@ -52,7 +52,7 @@
 	return http.NewRequestWithContext(l.ctx, method, "http://"+address+path, bytes.NewReader(body))
 }
 
-// exchange sends a request and returns the reply, or one with status 0.
+// exchange sends a request and returns the reply, or one with status 0 if that fails.
 func (l *Loopback) exchange(request *http.Request, in core.Input) core.Reply {
 	response, err := l.client.Do(request)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return decodeReply(in, response.StatusCode, body)
 }
 
-// decodeReply returns a reply as the models expect it: replies to heartbeats are decoded. A
-// malformed one is as none.
+// decodeReply returns a reply in the form that the models expect: the body of a reply to a
+// heartbeat is decoded. For a malformed body it returns a reply with status 0.
 func decodeReply(in core.Input, status int, body []byte) core.Reply {
 	reply := core.Reply{Status: status, Body: body}
 	if _, heartbeat := in.(core.WorkerReported); !heartbeat {
@@ -90,7 +90,7 @@
 	return reply
 }
 
-// serveWorker serves a worker's address for commands and returns it.
+// serveWorker starts the server that receives a worker's commands, and returns its address.
 func (l *Loopback) serveWorker(worker *simWorker) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, request *http.Request) {
--- a/internal/simulation/loopback_process.go
+++ b/internal/simulation/loopback_process.go
@@ -14,7 +14,7 @@
 
 // process is a controller's process with its addresses and links.
 type process struct {
-	command       *exec.Cmd // nil: it was not started yet
+	command       *exec.Cmd // nil: not started yet
 	settingsPath  string
 	logFile       *os.File
 	publicAddress string
@@ -25,9 +25,9 @@
 	peerProxies   map[int]*proxy // to other controllers, by index
 }
 
-// reserveAddresses finds two free addresses for a controller. They are at a loopback address
-// of its own: everything else listens at 127.0.0.1 and can't take a port while the
-// controller is away. Simulations with other seeds use other loopback addresses.
+// reserveAddresses finds two free ports for a controller, on a loopback IP address that only
+// this controller uses. All other listeners are on 127.0.0.1, so that none can take a port
+// while the controller is down. Simulations with other seeds use other IP addresses.
 func reserveAddresses(seed uint64, index int) (*process, error) {
 	proc := &process{peerProxies: map[int]*proxy{}}
 	for _, address := range []*string{&proc.publicAddress, &proc.peerAddress} {
@@ -35,13 +35,13 @@
 		if err != nil {
 			return nil, err
 		}
-		defer listener.Close() // both are held until both are found
+		defer listener.Close() // keeps the first port taken while the second is found
 		*address = listener.Addr().String()
 	}
 	return proc, nil
 }
 
-// connect makes the links of a controller and writes its settings.
+// connect creates the services and links of a controller, its log file and its settings file.
 func (l *Loopback) connect(ctrl *controller) error {
 	proc := l.processes[ctrl.index]
 	state, err := l.serve(l.stateHandler(ctrl))
@@ -96,7 +96,7 @@
 	}
 }
 
-// settings returns the platform's settings for a controller.
+// settings returns the settings of a controller's process, as the platform provides them.
 func (l *Loopback) settings(ctrl *controller) *config.Settings {
 	proc, sim := l.processes[ctrl.index], l.Simulation
 	s := &config.Settings{Label: ctrl.label, Zone: ctrl.zone, Bind: proc.publicAddress, ClusterBind: proc.peerAddress}
@@ -128,13 +128,15 @@
 	return s
 }
 
-// What the services on loopback take a second.
+// Requests per second that the services on loopback accept, as given in the controllers'
+// settings.
 const (
 	stateRPS = 2000
 	cloudRPS = 20
 )
 
-// startProcess starts a controller's process, unless Close was called.
+// startProcess starts a controller's process unless Close was called. A process that ends
+// while its controller should be running is a violation.
 func (l *Loopback) startProcess(ctrl *controller) {
 	if l.ctx.Err() != nil {
 		return
@@ -152,7 +154,7 @@
 		return
 	}
 	incarnation := ctrl.incarnation
-	go func() { // until the process ends, which Close sees to
+	go func() { // ends with the process, at the latest by Close
 		err := command.Wait()
 		l.post(func() {
 			if ctrl.isRunning(incarnation) {
@@ -162,7 +164,7 @@
 	}()
 }
 
-// Logs returns the end of each controller's log, for a failed test.
+// Logs returns the last bytes of each controller's log, for the output of a failed test.
 func (l *Loopback) Logs(bytes int64) string {
 	var logs strings.Builder
 	for i, proc := range l.processes {
--- a/internal/simulation/loopback_state.go
+++ b/internal/simulation/loopback_state.go
@@ -12,7 +12,7 @@
 	"micaport/internal/wire"
 )
 
-// storedRow is a key in the protocol of the state service.
+// storedRow is a stored key with its value in the protocol of the state service.
 type storedRow struct {
 	Key   string             `msgpack:"k"`
 	Value msgpack.RawMessage `msgpack:"v"`
@@ -33,7 +33,7 @@
 	} `msgpack:"writes"`
 }
 
-// leaseRequest asks for a lease.
+// leaseRequest is a request for a new lease in the protocol of the state service.
 type leaseRequest struct {
 	LifeMS int64 `msgpack:"life_ms"`
 }
@@ -83,12 +83,12 @@
 	return mux
 }
 
-// atRevision is the body of an answer that tells only the store's revision.
+// atRevision returns the body of a reply that contains only the store's revision.
 func (s *stateService) atRevision() map[string]any {
 	return map[string]any{"ledger_rev": s.revision}
 }
 
-// serveRecord answers with a record.
+// serveRecord returns the record of a key.
 func (s *stateService) serveRecord(key string) serviceReply {
 	record := s.records[key]
 	if record == nil {
@@ -97,7 +97,7 @@
 	return serviceReply{http.StatusOK, storedRow{key, record.raw, record.revision}}
 }
 
-// servePage answers with one page of a listing.
+// servePage returns one page of a listing.
 func (s *stateService) servePage(request *http.Request) serviceReply {
 	query := request.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
@@ -114,7 +114,7 @@
 	return serviceReply{http.StatusOK, map[string]any{"rows": rows, "has_next": more, "ledger_rev": s.revision}}
 }
 
-// serveCommit carries out a transaction.
+// serveCommit commits a transaction.
 func (s *stateService) serveCommit(ctrl *controller, commit *commitRequest) serviceReply {
 	var conditions []kv.Condition
 	for _, x := range commit.If {
@@ -149,18 +149,18 @@
 	return serviceReply{http.StatusOK, map[string]any{"permit": id}}
 }
 
-// watchPollInterval is how often the store is asked for changes on behalf of a watch.
+// watchPollInterval is the interval at which a watch checks the store for changes.
 const watchPollInterval = 15 * time.Millisecond
 
-// watchProgress is what a watch finds when it looks for changes.
+// watchProgress is the result of a watch's check for changes.
 type watchProgress struct {
 	events   []map[string]any
 	revision uint64
-	refused  bool // it has to hang
+	refused  bool // the service refuses the controller, so that the watch hangs
 }
 
-// serveWatch answers with the changes after a revision, once there are any or the time that
-// the controller gives is over.
+// serveWatch replies with the changes after a revision. It waits until a change exists, or
+// until the time given by the request's block_ms has passed.
 func (l *Loopback) serveWatch(ctrl *controller, w http.ResponseWriter, request *http.Request) {
 	from, _ := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
 	block, _ := strconv.Atoi(request.URL.Query().Get("block_ms"))
@@ -185,8 +185,8 @@
 	}
 }
 
-// changesSince returns the changes after a revision in the service's protocol, and the
-// revision that they lead to.
+// changesSince returns the changes after a revision in the form of the service's protocol,
+// and the revision that they result in.
 func (s *stateService) changesSince(from uint64) ([]map[string]any, uint64) {
 	first := len(s.changes)
 	for first > 0 && s.changes[first-1].revision > from {
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -12,14 +12,14 @@
 )
 
 var (
-	loopbackFor     = flag.Duration("loopback.for", 40*time.Second, "how long the controllers on loopback run under faults")
-	loopbackWorkers = flag.Int("loopback.workers", 40, "how many workers they have")
+	loopbackFor     = flag.Duration("loopback.for", 40*time.Second, "how long the test of controllers on loopback runs")
+	loopbackWorkers = flag.Int("loopback.workers", 40, "how many workers the controllers on loopback have")
 )
 
 // loopbackZones are the zones of the five controllers on loopback.
 var loopbackZones = []string{"a", "b", "a", "b", "a"}
 
-// buildProgram builds the program as it is deployed and returns its path.
+// buildProgram builds the micaport program and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "micaport")
@@ -29,7 +29,7 @@
 	return binary
 }
 
-// operatorFile writes operators' settings and returns their path.
+// operatorFile writes a file with operators' settings and returns its path.
 func operatorFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.ini")
@@ -39,8 +39,8 @@
 	return path
 }
 
-// startLoopback starts controllers on loopback with the operators' settings, until the test
-// ends.
+// startLoopback starts controllers on loopback with the operators' settings. They are closed
+// when the test ends.
 func startLoopback(t *testing.T, settings Settings, binary, operatorText string) *Loopback {
 	t.Helper()
 	loopback, err := NewLoopback(settings, binary, t.TempDir(), operatorFile(t, operatorText), discardLog)
@@ -51,7 +51,7 @@
 	return loopback
 }
 
-// countDone counts the jobs whose tasks are all done.
+// countDone counts the jobs whose tasks have all completed.
 func (u *userSet) countDone() int {
 	done := 0
 	for _, user := range u.ordered {
@@ -62,25 +62,25 @@
 	return done
 }
 
-// contendedSettings returns settings of five controllers and teams with low limits, so that
-// their shares are contended all the time.
+// contendedSettings returns settings of five controllers, with limits so low that teams
+// compete for their shares all the time.
 func contendedSettings(workers int) Settings {
 	s := Defaults()
 	s.ControllerZones = loopbackZones
 	s.HeartbeatInterval, s.WorkerLease, s.CancelDeadline = time.Second, 12*time.Second, 24*time.Second
 	s.BootTime, s.IdleTimeout = 300*time.Millisecond, time.Minute
 	s.Capacity, s.WriteRPS = workers/4, 400
-	limit := float64(workers) / 2 // a quarter of the GPUs that there are
+	limit := float64(workers) / 2 // a quarter of all GPUs
 	s.Teams[0].GuaranteedGPUs, s.Teams[0].MaxGPUs = limit/2, limit
 	s.Teams[1].GuaranteedGPUs, s.Teams[1].MaxGPUs = limit/4, limit/2
 	return s
 }
 
-// maxTasksByTeam bounds the tasks of a team's jobs: red stays below its limit at times, so
-// that it has shares, and blue does not.
+// maxTasksByTeam bounds the tasks of each job of a team. Team red is below its limit at times
+// and then has shares, while blue is not.
 var maxTasksByTeam = map[string]int{"red": 3, "blue": 8, "wide": 8}
 
-// submitContending submits jobs of all teams, some of them gangs, until a time.
+// submitContending submits jobs of three teams, some of them gangs, until a time.
 func (l *Loopback) submitContending(rng *rand.Rand, until time.Duration) {
 	count := 0
 	l.every(200*time.Millisecond, func() {
@@ -88,7 +88,7 @@
 			return
 		}
 		team := []string{"red", "blue", "wide"}[count%3]
-		// Longer tasks, not more jobs, keep more workers busy: each job's user goes on asking.
+		// More workers get longer tasks instead of more jobs, because the user of each job keeps polling.
 		runtime := float64(1+rng.IntN(3)) * float64(*loopbackWorkers) / 40
 		line := []string{
 			fmt.Sprintf("wk-%06d", count), "team=" + team, "gb=0", fmt.Sprintf("frames=%d", 1+rng.IntN(maxTasksByTeam[team])),
@@ -102,8 +102,8 @@
 	})
 }
 
-// injectProcessFaults kills, stops and isolates controllers from 6 s on until a time. The
-// first to be killed is the leader.
+// injectProcessFaults kills, stops and isolates controllers every 3 s, from 6 s on until a
+// time. The first fault kills the leader.
 func (l *Loopback) injectProcessFaults(rng *rand.Rand, until time.Duration) {
 	faults := []func(ctrl, leader *controller, d time.Duration){
 		func(_, leader *controller, d time.Duration) { l.Kill(leader, d) },
@@ -127,9 +127,10 @@
 	})
 }
 
-// TestLimitsHoldOnLoopback: real controllers on loopback are killed, stopped and cut from
-// each other and from the state service while work beyond the teams' limits is submitted.
-// No revision of the records charges a team more than its limit, and no rule is violated.
+// TestLimitsHoldOnLoopback kills and stops real controllers, and cuts them off from each
+// other and from the state service, while jobs that exceed the teams' limits are submitted.
+// No revision of the records may charge a team more than its limit, and no other rule may be
+// violated.
 func TestLimitsHoldOnLoopback(t *testing.T) {
 	loopback := startLoopback(t, contendedSettings(*loopbackWorkers), buildProgram(t), "[quota]\nadmission = guaranteed\n[placement]\nidle_return_s = 60\n")
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -147,10 +148,10 @@
 	t.Logf("%d workers at most, %d jobs, %d done, %d tasks admitted by owners, %d revisions, %d claims of leadership",
 		mostWorkers, jobs, done, admissions, loopback.store.revision, claims)
 	if admissions == 0 || claims < 2 {
-		t.Errorf("got %d admissions by owners and %d claims of leadership, want 1 and 2 at least: nothing was tried", admissions, claims)
+		t.Errorf("got %d admissions by owners and %d claims of leadership, want 1 and 2 at least for a valid test", admissions, claims)
 	}
 	if jobs < 20 || done < jobs/2 {
-		t.Errorf("got %d of %d jobs done, want half of 20 at least", done, jobs)
+		t.Errorf("got %d of %d jobs done, want half of at least 20", done, jobs)
 	}
 	if t.Failed() {
 		t.Log(loopback.Logs(3000))
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// linkState is what a proxy does to one direction of a link.
+// linkState is how a proxy treats one direction of a link.
 type linkState int
 
 // States of a link.
 const (
 	linkUp      linkState = iota
-	linkHeld              // bytes wait until the link is up again, and connections hang
-	linkRefused           // connections are reset, and new ones refused at once
+	linkHeld              // bytes are delayed until the link is up again, and connections hang
+	linkRefused           // connections are closed, and new ones are closed immediately
 )
 
-// Sizes and times of a proxy.
+// Limits of a proxy.
 const (
 	proxyDialTimeout = time.Second
 	proxyBufferBytes = 16 << 10
 )
 
-// proxy is the link from one process to another on loopback. It can be cut in either
-// direction, or made to refuse. Its goroutines end with close.
+// proxy is a TCP proxy that acts as the link from one process to another on loopback. Each
+// direction can be held or refused. Its goroutines end with close.
 type proxy struct {
 	listener     net.Listener
-	target       string       // the address that it leads to
-	relayedBytes atomic.Int64 // both ways
+	target       string       // the address that connections are relayed to
+	relayedBytes atomic.Int64 // in both directions
 
 	mu          sync.Mutex
-	changed     chan struct{} // closed when a state changes
+	changed     chan struct{} // closed and replaced when a state is set
 	forward     linkState     // towards the target
 	backward    linkState
 	connections map[net.Conn]bool
 }
 
-// newProxy starts a proxy to a target at an address of its own.
+// newProxy starts a proxy to a target on a free port.
 func newProxy(target string) (*proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,13 +51,14 @@
 // address returns the address that the proxy listens at.
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// close ends the proxy and its connections.
+// close stops the proxy and closes its connections.
 func (p *proxy) close() {
 	p.listener.Close()
 	p.set(linkRefused, linkRefused)
 }
 
-// set changes the state of both directions.
+// set sets the states of both directions. If either is linkRefused, it closes all
+// connections.
 func (p *proxy) set(forward, backward linkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +72,8 @@
 	}
 }
 
-// state returns the state of a direction, and a channel that is closed when it changes.
+// state returns the state of a direction, and a channel that is closed when the states are
+// set again.
 func (p *proxy) state(forward bool) (linkState, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +98,7 @@
 	}
 }
 
-// serve connects to the target and relays both ways until either end closes.
+// serve connects to the target and relays in both directions until either side closes.
 func (p *proxy) serve(in net.Conn) {
 	defer in.Close()
 	out, err := net.DialTimeout("tcp", p.target, proxyDialTimeout)
@@ -112,7 +114,7 @@
 	<-done
 }
 
-// track lets set close connections.
+// track adds connections to those that set closes.
 func (p *proxy) track(connections ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// untrack is the opposite of track.
+// untrack removes connections that track has added.
 func (p *proxy) untrack(connections ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +132,8 @@
 	}
 }
 
-// relay copies bytes one way for as long as the link lets them pass.
+// relay copies bytes in one direction until a connection fails or the link refuses. While
+// the link is held, it waits.
 func (p *proxy) relay(to, from net.Conn, forward bool) {
 	buffer := make([]byte, proxyBufferBytes)
 	for {
