--- a/internal/simulation/effects_test.go
+++ b/internal/simulation/effects_test.go
@@ -23,24 +23,25 @@
 	"micaport/internal/wire"
 )
 
-// The digests of all effects show whether a change that is meant to keep the behaviour
-// does so. To compare two versions, write the digests with each and diff the files:
+// The digests of all effects show whether a change that should not alter the behaviour does
+// so. To compare two versions, write the digests with each and diff the files:
 //
 //	go test ./internal/simulation -run TestEffectsAreRepeatable -effects.digests /tmp/after.txt
 //
-// Where they differ, -effects.dump DIR writes the effects themselves, a file for each
-// scenario and seed of those that -effects.only selects, for another diff.
+// If they differ, run both versions with -effects.dump DIR, which writes the effects in full
+// to a file for each scenario and seed, and diff these. -effects.only selects one scenario.
 var (
 	effectDigests = flag.String("effects.digests", "", "file for the digests of the effects of all scenarios")
 	effectDump    = flag.String("effects.dump", "", "directory for the effects in full")
-	effectOnly    = flag.String("effects.only", "", "scenario to play; empty: all")
+	effectOnly    = flag.String("effects.only", "", "scenario to run; empty: all")
 )
 
-// repeatedScenarios are played twice in every test run.
+// repeatedScenarios are the scenarios that TestEffectsAreRepeatable runs twice.
 var repeatedScenarios = []string{"gang-across-parts", "standby-gang", "chain"}
 
-// TestEffectsAreRepeatable: two plays of a scenario have the same effects at the same times.
-// With -effects.digests every scenario is played once and its digests are written.
+// TestEffectsAreRepeatable checks that two runs of a scenario have the same effects at the
+// same times. With -effects.digests it instead runs every scenario once and writes the
+// digests.
 func TestEffectsAreRepeatable(t *testing.T) {
 	if *effectDigests != "" {
 		writeDigests(t)
@@ -60,7 +61,7 @@
 
 const scenarioDir = "../../testdata/scenarios"
 
-// writeDigests plays all scenarios and writes a line for each and each of its seeds.
+// writeDigests runs all scenarios and writes a line for each seed of each scenario.
 func writeDigests(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(scenarioDir, "*.txt"))
 	if err != nil {
@@ -90,7 +91,7 @@
 
 func scenarioName(file string) string { return strings.TrimSuffix(filepath.Base(file), ".txt") }
 
-// digestScenario plays a scenario and gives a line for each of its seeds.
+// digestScenario runs a scenario and returns a line for each of its seeds.
 func digestScenario(t *testing.T, file string) []string {
 	t.Helper()
 	archive, err := txtar.ParseFile(file)
@@ -123,12 +124,13 @@
 	return lines
 }
 
-// effectRecorder digests effects. Lines of the log are left out: they may be reworded.
+// effectRecorder computes a digest of effects. Log lines are left out because their wording
+// may change.
 type effectRecorder struct {
 	seed   int
 	count  int
 	digest hash.Hash
-	dump   *bytes.Buffer // nil: not wanted
+	dump   *bytes.Buffer // the effects in full; nil: not recorded
 }
 
 func (r *effectRecorder) record(now time.Duration, controller string, effects []core.Effect) {
@@ -145,7 +147,8 @@
 	}
 }
 
-// effectKind tells effects apart by names of their own, so that types can be renamed.
+// effectKind returns a name for the type of an effect. The names are independent of those of
+// the Go types, so that types can be renamed without changing the digests.
 func effectKind(effect core.Effect) string {
 	switch effect.(type) {
 	case core.Commit:
@@ -181,8 +184,8 @@
 	return text.String()
 }
 
-// describeValue writes a value without the names of Go's types and fields, which may
-// change, but for those that are on the wire.
+// describeValue writes a value. It leaves out the names of Go types and fields, which may
+// change, except for field names that are on the wire.
 func describeValue(text *strings.Builder, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -226,7 +229,7 @@
 	case wire.DecisionLog:
 		v = reflect.ValueOf(orderedFacts(value))
 	case wire.UserCall:
-		// The simulated users write the fields of a submission in any order.
+		// The simulated users encode the fields of a submission in no fixed order.
 		var body map[string]any
 		if wire.Decode(value.Body, &body) == nil {
 			value.Body = fmt.Append(nil, body)
@@ -250,8 +253,8 @@
 	text.WriteString("}")
 }
 
-// orderedFacts puts the facts of a message, whose order says nothing, into one order. Its
-// checksum covers them as they were.
+// orderedFacts returns a message with its facts sorted, since their order has no meaning. It
+// checks the checksum, which covers the facts in their original order, and sets it to 0.
 func orderedFacts(m wire.DecisionLog) wire.DecisionLog {
 	var facts []wire.Fact
 	must(wire.Decode(m.Facts, &facts))
@@ -265,9 +268,10 @@
 	return m
 }
 
-// fieldNames gives what stands before each field of a type; nil for types that are written
-// as they are in MessagePack. Messages between controllers are gob, which encodes names of
-// fields; maps have no order in MessagePack.
+// fieldNames returns the text to write before each field of a type, or nil for types that are
+// written in their MessagePack encoding. Messages between controllers keep their field names,
+// because gob encodes these. ImageCache is written by field as well, because it has a map,
+// whose encoding in MessagePack has no fixed order.
 func fieldNames(t reflect.Type) []string {
 	names := make([]string, t.NumField())
 	switch t {
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -10,8 +10,8 @@
 	"micaport/internal/wire"
 )
 
-// earlyTakeoverSimulation returns a simulation of five controllers with early takeovers and
-// work.
+// earlyTakeoverSimulation returns a simulation of five controllers with early takeovers, a
+// service and a steady load of jobs.
 func earlyTakeoverSimulation(seed uint64) *Simulation {
 	settings := Defaults()
 	settings.Seed, settings.ControllerZones, settings.EarlyTakeover = seed, loopbackZones, true
@@ -28,9 +28,10 @@
 	return sim
 }
 
-// TestThawAtEachStage: a frozen leader thaws at each stage of the takeover: before it is
-// suspected, between suspicion, claim, the watch, the proof and the first decision, and
-// after. No rule is violated, and it is replaced unless it thawed before it was suspected.
+// TestThawAtEachStage resumes a frozen leader at each stage of a takeover: before the leader
+// is suspected, between the stages (suspicion, claim, the watch, the proof and the first
+// decision), and afterwards. No rule may be violated, and the leader must be replaced unless
+// it resumed before it was suspected.
 func TestThawAtEachStage(t *testing.T) {
 	for ms := 1000; ms <= 4000; ms += 100 {
 		t.Run(fmt.Sprintf("%dms", ms), func(t *testing.T) {
@@ -43,7 +44,8 @@
 				if len(sim.rules.violations) > 0 {
 					t.Errorf("seed %d: %v", seed, sim.rules.violations)
 				}
-				// A heartbeat was sent up to half a second before, and the quorum has to agree.
+				// The last heartbeat may be half a second old when the leader freezes, and the
+				// quorum must agree on the suspicion. Between 1.2 s and 2.4 s both results are valid.
 				if early := sim.leadership.countEarly(); ms <= 1200 && early > 0 || ms >= 2400 && early != 1 {
 					t.Errorf("seed %d: got %d takeovers of a leader frozen for %d ms", seed, early, ms)
 				}
@@ -52,9 +54,9 @@
 	}
 }
 
-// TestTwoClaimsAtOnce: two candidates claim the leadership of a leader that has crashed. The
-// second does not see the first one's claim, as its watch hangs. Its own claim fails, and it
-// follows the first.
+// TestTwoClaimsAtOnce makes two candidates claim the leadership after the leader has crashed.
+// The second does not see the claim of the first because its watch hangs. Its own claim must
+// fail, and the first must stay the leader.
 func TestTwoClaimsAtOnce(t *testing.T) {
 	for seed := range uint64(4) {
 		sim := earlyTakeoverSimulation(seed + 1)
@@ -76,8 +78,8 @@
 	}
 }
 
-// decisionsOf returns what only a leader knows, by kind and name, with times of the
-// simulation's clock.
+// decisionsOf returns the facts of a leader's decision log, by kind and name, with their
+// times converted to the simulation's clock.
 func decisionsOf(ctrl *controller) map[string]wire.Fact {
 	facts := map[string]wire.Fact{}
 	for _, f := range ctrl.core.Decisions() {
@@ -89,15 +91,15 @@
 	return facts
 }
 
-// hasEnded reports whether a job has a record that says that it is over.
+// hasEnded reports whether a job has a record in which it is no longer live.
 func (s *stateService) hasEnded(jobID string) bool {
 	key := wire.JobKey(jobID)
 	record := s.records[key]
 	return record != nil && mustDecodeRecord(key, record.raw).(*wire.Job).State != wire.JobLive
 }
 
-// crowdedSimulation returns a simulation with two large gangs that wait while smaller work
-// fills every machine, and no more machines can be provisioned.
+// crowdedSimulation returns a simulation in which two large gangs wait while smaller jobs
+// occupy every machine and no more machines can be provisioned.
 func crowdedSimulation(seed uint64) *Simulation {
 	settings := Defaults()
 	settings.Seed, settings.EarlyTakeover, settings.Capacity = seed, true, 6
@@ -119,8 +121,8 @@
 	return sim
 }
 
-// runUntilDecisionsSettle runs until the leader has reserved machines for a gang and has
-// decided nothing new for a while, so that its standby must have received all of it.
+// runUntilDecisionsSettle runs until the leader has reserved machines for a gang and its
+// decisions have not changed for 300 ms, so that its standby must have received all of them.
 func runUntilDecisionsSettle(sim *Simulation) (leader *controller, facts map[string]wire.Fact) {
 	const quiet = 300 * time.Millisecond
 	since := sim.now
@@ -141,9 +143,10 @@
 	return leader, facts
 }
 
-// TestTakeoverContinuesFromTheLog: the next leader continues from what only the last one
-// knew: estimates of boot times, pools without machines, machines reserved for the gang that
-// has waited longest. That gang keeps its place: it starts before the other.
+// TestTakeoverContinuesFromTheLog checks that the next leader continues with the facts that
+// are only in the decision log of the last one: estimates of boot times, pools without
+// capacity, machines reserved for the gang that has waited longest. That gang keeps its
+// position in the queue and starts before the other.
 func TestTakeoverContinuesFromTheLog(t *testing.T) {
 	compared := map[wire.FactKind]int{}
 	for seed := range uint64(4) {
@@ -154,13 +157,13 @@
 		for sim.leadership.countEarly() == 0 && sim.now < 150*time.Second {
 			sim.Run(sim.now + 10*time.Millisecond)
 		}
-		sim.Run(sim.now + 60*time.Millisecond) // its watch shows its claim; it has made no pass
+		sim.Run(sim.now + 60*time.Millisecond) // its watch delivers its claim; it has made no scheduling pass yet
 		first := ""
 		after := decisionsOf(sim.controllerNamed("leader"))
 		for key, f := range before {
 			got, known := after[key]
 			if !known && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptedAt) && f.At < sim.now.Milliseconds() {
-				continue // over by now
+				continue // has expired
 			}
 			if !known && sim.store.hasEnded(f.Name) {
 				continue // the job has ended meanwhile
--- a/internal/simulation/measure_failover_test.go
+++ b/internal/simulation/measure_failover_test.go
@@ -15,25 +15,26 @@
 )
 
 var (
-	takeoverSites    = flag.Int("takeover.sites", 8, "how many sites of five controllers are measured at once")
-	takeoverFailures = flag.Int("takeover.failures", 13, "how many leaders of each site fail")
-	takeoverWorkers  = flag.Int("takeover.workers", 40, "how many workers each site has, of 400 at most")
+	takeoverSites    = flag.Int("takeover.sites", 8, "how many deployments of five controllers are measured at once")
+	takeoverFailures = flag.Int("takeover.failures", 13, "how many leaders of each deployment fail")
+	takeoverWorkers  = flag.Int("takeover.workers", 40, "how many workers each deployment has, 400 at most")
 )
 
-// failureSpacing is the time between two failures of a deployment's leader: the streak of
-// early takeovers ends meanwhile, so that each may be an early one.
+// failureSpacing is the time between two failures of a deployment's leader. It is long enough
+// for a streak of early takeovers to end, so that each takeover can be an early one.
 const failureSpacing = 18 * time.Second
 
-// stageNames are the names of the stages of wire.Takeover, in their order.
+// stageNames are the names of the stages of wire.Takeover, in the order of StagesMS.
 var stageNames = []string{"suspected", "claimed", "seen", "caught up", "decided"}
 
-// failoverSample is what the deployments of one kind of failure and one setting have shown.
+// failoverSample collects the results of all deployments with one kind of failure and one
+// takeover setting.
 type failoverSample struct {
 	mu         sync.Mutex
 	total      waitHistogram            // from the failure to the first decision
-	stages     map[string]waitHistogram // from the last heartbeat, of early takeovers
-	early      int
-	workersUp  []int // workers that ran at the end, by deployment
+	stages     map[string]waitHistogram // from the last heartbeat until each stage, of early takeovers
+	early      int                      // takeovers before the lease expired
+	workersUp  []int                    // workers that ran at the end, one value for each deployment
 	violations []string
 }
 
@@ -62,9 +63,9 @@
 	}
 }
 
-// TestMeasureTakeover measures how long it takes from the failure of a leader until the
-// next one's first decision, with real controllers on loopback, by kind of failure and by
-// when a leader is replaced.
+// TestMeasureTakeover measures the time from the failure of a leader until the first decision
+// of the next, with real controllers on loopback, for each kind of failure and each takeover
+// setting.
 func TestMeasureTakeover(t *testing.T) {
 	binary := buildProgram(t)
 	for _, failure := range []string{"kill", "freeze"} {
@@ -75,7 +76,7 @@
 				wait.Go(func() { measureDeployment(t, binary, failure, takeover, uint64(deployment), sample) })
 			}
 			wait.Wait()
-			t.Logf("%s, %s: %v; %d early; %d sites of 5 controllers at once, workers up at each %v", failure, takeover, sample.total, sample.early, *takeoverSites, sample.workersUp)
+			t.Logf("%s, %s: %v; %d early; %d deployments of 5 controllers at once, workers up at each %v", failure, takeover, sample.total, sample.early, *takeoverSites, sample.workersUp)
 			for _, name := range stageNames {
 				if sample.stages[name].TotalCount() > 0 {
 					t.Logf("  %s: %v", name, sample.stages[name])
@@ -102,7 +103,7 @@
 	}
 	defer loopback.Close()
 	rng := rand.New(rand.NewPCG(seed, 5))
-	loopback.after(time.Second, func() { // brings all workers up, and they stay
+	loopback.after(time.Second, func() { // all workers boot, and idle ones stay until the end
 		must(loopback.users.submitLine([]string{"wk-999999", "team=wide", fmt.Sprintf("frames=%d", *takeoverWorkers), "run=8", "cards=2", "gb=0"}))
 	})
 	loopback.submitSteadily(200*time.Millisecond, time.Second, end, rng)
@@ -127,8 +128,8 @@
 	sample.add(loopback, seen)
 }
 
-// TestMeasureFollowing measures what following the leader costs while nothing fails: bytes
-// between controllers and processor time.
+// TestMeasureFollowing measures the cost of following the leader in the absence of faults:
+// bytes between controllers and processor time.
 func TestMeasureFollowing(t *testing.T) {
 	const length = 60 * time.Second
 	binary := buildProgram(t)
--- a/internal/simulation/measure_loopback_test.go
+++ b/internal/simulation/measure_loopback_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// TestMeasureAdmissionOnLoopback measures how long jobs wait from their acceptance until
-// the records give them a machine, with five real controllers of which the leader is
-// killed every 15 s and back after 5 s, by what owners may admit.
+// TestMeasureAdmissionOnLoopback measures how long jobs wait from their acceptance until one
+// of their tasks is assigned a machine in the records, with five real controllers whose
+// leader is killed every 15 s and restarted after 5 s. It compares the settings of what shard
+// owners may admit.
 func TestMeasureAdmissionOnLoopback(t *testing.T) {
 	const (
 		length  = 135 * time.Second
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -24,14 +24,15 @@
 	return fmt.Sprintf("n %d, p50 %d ms, p90 %d, p99 %d, max %d", h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max())
 }
 
-// admissionLoad is a load of the measurement: how leaders fail, and how much is submitted.
+// admissionLoad is a load to measure: how leaders fail, and how often a job is submitted.
 type admissionLoad struct {
 	name   string
 	faults func(sim *Simulation)
-	every  time.Duration // between two jobs
+	every  time.Duration // interval between two submissions
 }
 
-// crashLeaders crashes the leader again and again, for a while each time.
+// crashLeaders returns a fault that crashes the leader at an interval, after the first
+// minute. Each restarts after back.
 func crashLeaders(every, back time.Duration) func(*Simulation) {
 	return func(sim *Simulation) {
 		sim.every(every, func() {
@@ -42,16 +43,16 @@
 	}
 }
 
-// TestMeasureAdmission measures how long jobs wait from their acceptance until the records
-// give a task of theirs a machine, and how much of a team's limit is in use, by what owners
-// may admit.
+// TestMeasureAdmission measures how long jobs wait from their acceptance until one of their
+// tasks is assigned a machine in the records, and how much of a team's limit is used. It
+// compares the settings of what shard owners may admit.
 func TestMeasureAdmission(t *testing.T) {
 	loads := []admissionLoad{
 		{"quiet, a third of the limit", func(*Simulation) {}, 900 * time.Millisecond},
 		{"quiet, at the limit", func(*Simulation) {}, 250 * time.Millisecond},
-		{"the leader ends every 12 s, a third of the limit", crashLeaders(12*time.Second, 4*time.Second), 900 * time.Millisecond},
-		{"the leader ends every 12 s, at the limit", crashLeaders(12*time.Second, 4*time.Second), 250 * time.Millisecond},
-		{"the leader stands still for 9 s every 20 s, a third of the limit", func(sim *Simulation) {
+		{"the leader crashes every 12 s, a third of the limit", crashLeaders(12*time.Second, 4*time.Second), 900 * time.Millisecond},
+		{"the leader crashes every 12 s, at the limit", crashLeaders(12*time.Second, 4*time.Second), 250 * time.Millisecond},
+		{"the leader freezes for 9 s every 20 s, a third of the limit", func(sim *Simulation) {
 			sim.every(20*time.Second, func() {
 				if sim.now > 60*time.Second {
 					sim.controllerNamed("leader").freeze(9 * time.Second)
@@ -59,7 +60,7 @@
 			})
 		}, 900 * time.Millisecond},
 	}
-	loads = append(loads, admissionLoad{"nobody leads for 30 s, twice, a third of the limit", func(sim *Simulation) {
+	loads = append(loads, admissionLoad{"no leader for 30 s, twice, a third of the limit", func(sim *Simulation) {
 		sim.every(300*time.Millisecond, func() {
 			inSpell := sim.now > 90*time.Second && sim.now < 120*time.Second || sim.now > 200*time.Second && sim.now < 230*time.Second
 			if record := sim.store.records[wire.LeaderKey]; inSpell && record != nil {
@@ -78,8 +79,10 @@
 	}
 }
 
-// measureAdmissionLoad runs a load with one seed: 400 machines, five controllers, 240 s of
-// jobs of one to four tasks of 15 s after a minute for the machines to come up.
+// measureAdmissionLoad runs a load with one seed, on 400 machines with five controllers. After
+// a minute in which the machines boot, it submits jobs for 240 s, each of one to four tasks of
+// 15 s. It adds the waiting times and the used part of the limit to histogram and used, and
+// returns how many tasks shard owners admitted.
 func measureAdmissionLoad(t *testing.T, load admissionLoad, admission core.Admission, seed uint64, histogram waitHistogram, used *float64) int {
 	const begin, end = 60 * time.Second, 300 * time.Second
 	s := Defaults()
