--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// acceptancePoll is the interval at which a user checks whether the dependencies of the next
+// dependencyPollInterval is the interval at which a user checks whether the dependencies of the next
 // job are ready for its submission.
-const acceptancePoll = 100 * time.Millisecond
+const dependencyPollInterval = 100 * time.Millisecond
 
 // findDependency returns a matching job among the direct and transitive dependencies of the
 // user's job, or nil.
@@ -43,7 +43,7 @@
 func (u *userSet) submitWhen(ready func(dependency *simUser) bool, jobID string, dependencies, attributes []string) {
 	for _, id := range dependencies {
 		if dependency := u.byJob[id]; dependency == nil || !ready(dependency) {
-			u.sim.after(acceptancePoll, func() { u.submitWhen(ready, jobID, dependencies, attributes) })
+			u.sim.after(dependencyPollInterval, func() { u.submitWhen(ready, jobID, dependencies, attributes) })
 			return
 		}
 	}
@@ -57,8 +57,8 @@
 // isAccepted reports whether the job was accepted.
 func (u *simUser) isAccepted() bool { return u.accepted }
 
-// isOver reports whether the last status that the user received is done or cancelled.
-func (u *simUser) isOver() bool { return u.accepted && isFinal(u.lastStatus) }
+// hasFinalStatus reports whether the last status that the user received is done or cancelled.
+func (u *simUser) hasFinalStatus() bool { return u.accepted && isFinalStatus(u.lastStatus) }
 
 // Attributes of the jobs of a pipeline.
 const (
@@ -91,7 +91,7 @@
 	}
 	ready := (*simUser).isAccepted
 	if sim.rng.Float64() < lateShare {
-		ready = (*simUser).isOver
+		ready = (*simUser).hasFinalStatus
 	}
 	submit(ready, pipelineLast, second...)
 	if sim.rng.Float64() < cancelShare {
--- a/internal/simulation/effects_test.go
+++ b/internal/simulation/effects_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	var recorders []*effectRecorder
-	faults := play(archive, func(string, ...any) {}, func(seed int) effectObserver {
+	faults := runScenario(archive, func(string, ...any) {}, func(seed int) effectObserver {
 		recorder := &effectRecorder{seed: seed, digest: sha256.New()}
 		if *effectDump != "" {
 			recorder.dump = new(bytes.Buffer)
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -20,7 +20,7 @@
 	condition := args.word(0)
 	if met, got, known := s.evaluate(condition); known {
 		if !met {
-			return unmet(condition, got)
+			return conditionError(condition, got)
 		}
 		return nil
 	}
@@ -36,8 +36,10 @@
 	return nil
 }
 
-// unmet returns the error for a condition that is not met.
-func unmet(condition string, got any) error { return fmt.Errorf("want %s, got %v", condition, got) }
+// conditionError returns the error for a condition that is not met.
+func conditionError(condition string, got any) error {
+	return fmt.Errorf("want %s, got %v", condition, got)
+}
 
 // counts returns the numbers that a script can bound, by name.
 func (s *Simulation) counts() map[string]int {
@@ -139,7 +141,7 @@
 	i := strings.Index(condition, "=") + 1
 	if i == 0 {
 		if u.lastReply.Status != condition {
-			return unmet(condition, u.lastReply.Status)
+			return conditionError(condition, u.lastReply.Status)
 		}
 		return nil
 	}
@@ -152,7 +154,7 @@
 		return fmt.Errorf("bad number in %s: %w", condition, err)
 	}
 	if met, got := evaluate(u, want); !met {
-		return unmet(condition, got)
+		return conditionError(condition, got)
 	}
 	return nil
 }
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// decisionsOf returns the facts of a leader's decision log, by kind and name, with their
+// decisionFacts returns the facts of a leader's decision log, by kind and name, with their
 // times converted to the simulation's clock.
-func decisionsOf(ctrl *controller) map[string]wire.Fact {
+func decisionFacts(ctrl *controller) map[string]wire.Fact {
 	facts := map[string]wire.Fact{}
 	for _, f := range ctrl.core.Decisions() {
 		if f.At != 0 {
@@ -98,9 +98,9 @@
 	return record != nil && mustDecodeRecord(key, record.raw).(*wire.Job).State != wire.JobLive
 }
 
-// crowdedSimulation returns a simulation in which two large gangs wait while smaller jobs
+// fullCapacitySimulation returns a simulation in which two large gangs wait while smaller jobs
 // occupy every machine and no more machines can be provisioned.
-func crowdedSimulation(seed uint64) *Simulation {
+func fullCapacitySimulation(seed uint64) *Simulation {
 	settings := Defaults()
 	settings.Seed, settings.EarlyTakeover, settings.Capacity = seed, true, 6
 	settings.ControllerZones, settings.Zones = []string{"a", "a", "a", "a", "a"}, []string{"a"}
@@ -129,12 +129,12 @@
 	for sim.now < 140*time.Second {
 		sim.Run(sim.now + 10*time.Millisecond)
 		leader = sim.controllerNamed("leader")
-		now, reserved := decisionsOf(leader), false
-		for _, f := range now {
+		current, reserved := decisionFacts(leader), false
+		for _, f := range current {
 			reserved = reserved || f.Kind == wire.FactReserved
 		}
-		if !maps.Equal(now, facts) {
-			facts, since = now, sim.now
+		if !maps.Equal(current, facts) {
+			facts, since = current, sim.now
 		}
 		if reserved && sim.now-since >= quiet {
 			break
@@ -150,7 +150,7 @@
 func TestTakeoverContinuesFromTheLog(t *testing.T) {
 	compared := map[wire.FactKind]int{}
 	for seed := range uint64(4) {
-		sim := crowdedSimulation(seed + 1)
+		sim := fullCapacitySimulation(seed + 1)
 		sim.Run(104 * time.Second)
 		old, before := runUntilDecisionsSettle(sim)
 		old.crash(8 * time.Second)
@@ -159,7 +159,7 @@
 		}
 		sim.Run(sim.now + 60*time.Millisecond) // its watch delivers its claim; it has made no scheduling pass yet
 		first := ""
-		after := decisionsOf(sim.controllerNamed("leader"))
+		after := decisionFacts(sim.controllerNamed("leader"))
 		for key, f := range before {
 			got, known := after[key]
 			if !known && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptedAt) && f.At < sim.now.Milliseconds() {
--- a/internal/simulation/irregular_requests.go
+++ b/internal/simulation/irregular_requests.go
@@ -11,8 +11,8 @@
 
 // Timing of irregular requests.
 const (
-	irregularInterval = 300 * time.Millisecond
-	inventedAfter     = 8 * time.Second // after a rejected submission, until a check that the job was not stored
+	irregularInterval     = 300 * time.Millisecond
+	rejectedJobCheckDelay = 8 * time.Second // after a rejected submission, until a check that the job was not stored
 )
 
 // sendIrregularRequests sends an irregular request every irregularInterval until a time.
@@ -78,7 +78,7 @@
 	u.requestAt(sim.randomController(), wire.RequestSubmit, user.spec.ID, body, changeTimeout, func(reply core.Reply) {
 		u.checkRejection(user.spec.ID, want, reply.Status)
 	})
-	sim.after(inventedAfter, func() {
+	sim.after(rejectedJobCheckDelay, func() {
 		u.requestAt(sim.randomController(), wire.RequestStatus, user.spec.ID, nil, statusTimeout, func(reply core.Reply) {
 			if reply.Status == http.StatusOK {
 				sim.rules.violated("invented", "%s has a status although it was rejected", user.spec.ID)
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -12,7 +12,7 @@
 // Loopback runs real controllers: processes of the built program, which reach the models of
 // this package over their network protocols on 127.0.0.1, through a proxy on every link. The
 // models and rules are those of Simulation, whose clock follows the real one. They run on the
-// goroutine that calls NewLoopback, Play and Close; other goroutines use post to run a
+// goroutine that calls NewLoopback, RunInRealTime and Close; other goroutines use post to run a
 // function there.
 type Loopback struct {
 	*Simulation
@@ -24,17 +24,17 @@
 	processes    []*process // by index of the controller
 	servers      []*http.Server
 
-	posted chan func()     // functions that the simulation's goroutine is to run
-	ctx    context.Context // done when Close is called
-	cancel context.CancelFunc
+	postQueue chan func()     // functions that the simulation's goroutine is to run
+	ctx       context.Context // done when Close is called
+	cancel    context.CancelFunc
 }
 
 // Limits of a Loopback.
 const (
-	postedCapacity   = 1024
-	connectionsAhead = 4096            // idle connections that workers and users keep open to a controller
-	requestLimit     = 6 * time.Second // for a controller's reply to a worker or user
-	postLimit        = 5 * time.Second // for the simulation's goroutine to run a function
+	postQueueCapacity  = 1024
+	maxIdleConnections = 4096            // idle connections that workers and users keep open to a controller
+	clientTimeout      = 6 * time.Second // for a controller's reply to a worker or user
+	postTimeout        = 5 * time.Second // for the simulation's goroutine to run a function
 )
 
 // NewLoopback starts the services and the controllers. Binary is the built program, dir a
@@ -44,14 +44,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	loopback := &Loopback{
 		dir: dir, binary: binary, operatorFile: operatorFile, startedAt: time.Now(),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connectionsAhead}, Timeout: requestLimit},
-		posted: make(chan func(), postedCapacity), ctx: ctx, cancel: cancel,
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}, Timeout: clientTimeout},
+		postQueue: make(chan func(), postQueueCapacity), ctx: ctx, cancel: cancel,
 	}
 	settings.startController = loopback.startProcess
 	settings.sendRequest = loopback.sendRequest
 	settings.serveWorker = loopback.serveWorker
 	loopback.Simulation = newSimulation(settings, logf)
-	if err := loopback.connectAll(); err != nil {
+	if err := loopback.setUpProcesses(); err != nil {
 		loopback.Close()
 		return nil, err
 	}
@@ -59,9 +59,9 @@
 	return loopback, nil
 }
 
-// connectAll reserves the addresses of all controllers, creates their links and writes their
+// setUpProcesses reserves the addresses of all controllers, creates their links and writes their
 // settings.
-func (l *Loopback) connectAll() error {
+func (l *Loopback) setUpProcesses() error {
 	for _, ctrl := range l.controllers {
 		proc, err := reserveAddresses(l.Seed, ctrl.index)
 		if err != nil {
@@ -70,16 +70,16 @@
 		l.processes = append(l.processes, proc)
 	}
 	for _, ctrl := range l.controllers {
-		if err := l.connect(ctrl); err != nil {
+		if err := l.setUpProcess(ctrl); err != nil {
 			return fmt.Errorf("set up links of %s: %w", ctrl.label, err)
 		}
 	}
 	return nil
 }
 
-// Play runs the simulation in step with the real clock until the given time, or until a
+// RunInRealTime runs the simulation in step with the real clock until the given time, or until a
 // rule is violated.
-func (l *Loopback) Play(until time.Duration) {
+func (l *Loopback) RunInRealTime(until time.Duration) {
 	for len(l.rules.violations) == 0 {
 		now := time.Since(l.startedAt)
 		if now >= until {
@@ -94,7 +94,7 @@
 			continue
 		}
 		select {
-		case run := <-l.posted:
+		case run := <-l.postQueue:
 			l.now = max(l.now, time.Since(l.startedAt))
 			run()
 		case <-time.After(next - now):
@@ -107,19 +107,19 @@
 func (l *Loopback) post(run func()) {
 	select {
 	case <-l.ctx.Done():
-	case l.posted <- run:
+	case l.postQueue <- run:
 	}
 }
 
 // postAndWait makes the simulation's goroutine run a function and returns its result. It
-// reports false if that takes longer than postLimit.
+// reports false if that takes longer than postTimeout.
 func postAndWait[T any](loopback *Loopback, run func() T) (result T, ok bool) {
 	results := make(chan T, 1)
 	loopback.post(func() { results <- run() })
 	select {
 	case result = <-results:
 		return result, true
-	case <-time.After(postLimit):
+	case <-time.After(postTimeout):
 		return result, false
 	}
 }
--- a/internal/simulation/loopback_failover_test.go
+++ b/internal/simulation/loopback_failover_test.go
@@ -92,12 +92,12 @@
 			failures++
 		})
 	})
-	loopback.Play(length)
+	loopback.RunInRealTime(length)
 	for _, violation := range loopback.rules.violations {
 		t.Error(violation)
 	}
 	times, early := loopback.failoverTimes()
-	jobs, done := len(loopback.users.ordered), loopback.users.countDone()
+	jobs, done := len(loopback.users.ordered), loopback.users.countCompletedJobs()
 	t.Logf("takeovers %d, until the first decision p50 %d p99 %d max %d ms, ran twice %d, forgotten %d; %d before the lease expired, %d jobs",
 		times.TotalCount(), times.ValueAtQuantile(50), times.ValueAtQuantile(99), times.Max(),
 		loopback.countViolations("ran_twice"), loopback.countViolations("forgotten"), early, jobs)
--- a/internal/simulation/loopback_faults.go
+++ b/internal/simulation/loopback_faults.go
@@ -45,11 +45,11 @@
 		}
 	}
 	for _, link := range links {
-		link.set(forward, backward)
+		link.setStates(forward, backward)
 	}
 	l.after(d, func() {
 		for _, link := range links {
-			link.set(linkUp, linkUp)
+			link.setStates(linkUp, linkUp)
 		}
 	})
 }
--- a/internal/simulation/loopback_http.go
+++ b/internal/simulation/loopback_http.go
@@ -12,8 +12,8 @@
 	"micaport/internal/wire"
 )
 
-// workerAnswerLimit is how long a worker's server waits until the worker accepts commands.
-const workerAnswerLimit = 4 * time.Second
+// workerReplyTimeout is how long a worker's server waits until the worker accepts commands.
+const workerReplyTimeout = 4 * time.Second
 
 // sendRequest sends a worker's or user's request to a controller. If no valid reply arrives,
 // receive gets one with status 0.
@@ -21,7 +21,7 @@
 	request, err := l.newRequest(l.processes[ctrl.index].frontProxy.address(), in)
 	must(err)
 	go func() { // ends by the client's timeout or Close
-		reply := l.exchange(request, in)
+		reply := l.sendHTTPRequest(request, in)
 		l.post(func() { receive(reply) })
 	}()
 }
@@ -52,8 +52,8 @@
 	return http.NewRequestWithContext(l.ctx, method, "http://"+address+path, bytes.NewReader(body))
 }
 
-// exchange sends a request and returns the reply, or one with status 0 if that fails.
-func (l *Loopback) exchange(request *http.Request, in core.Input) core.Reply {
+// sendHTTPRequest sends a request and returns the reply, or one with status 0 if that fails.
+func (l *Loopback) sendHTTPRequest(request *http.Request, in core.Input) core.Reply {
 	response, err := l.client.Do(request)
 	if err != nil {
 		return core.Reply{}
@@ -107,7 +107,7 @@
 			if outcome != kv.OK {
 				w.WriteHeader(http.StatusConflict)
 			}
-		case <-time.After(workerAnswerLimit):
+		case <-time.After(workerReplyTimeout):
 		}
 	})
 	address, err := l.serve(mux)
--- a/internal/simulation/loopback_state.go
+++ b/internal/simulation/loopback_state.go
@@ -83,8 +83,8 @@
 	return mux
 }
 
-// atRevision returns the body of a reply that contains only the store's revision.
-func (s *stateService) atRevision() map[string]any {
+// revisionBody returns the body of a reply that contains only the store's revision.
+func (s *stateService) revisionBody() map[string]any {
 	return map[string]any{"ledger_rev": s.revision}
 }
 
@@ -92,7 +92,7 @@
 func (s *stateService) serveRecord(key string) serviceReply {
 	record := s.records[key]
 	if record == nil {
-		return serviceReply{http.StatusNotFound, s.atRevision()}
+		return serviceReply{http.StatusNotFound, s.revisionBody()}
 	}
 	return serviceReply{http.StatusOK, storedRow{key, record.raw, record.revision}}
 }
@@ -143,7 +143,7 @@
 // serveRenewal renews a lease.
 func (s *stateService) serveRenewal(id uint64) serviceReply {
 	if id == 0 || s.leases[id] == nil {
-		return serviceReply{http.StatusNotFound, s.atRevision()}
+		return serviceReply{http.StatusNotFound, s.revisionBody()}
 	}
 	s.renewLease(id, 0)
 	return serviceReply{http.StatusOK, map[string]any{"permit": id}}
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	loopbackFor     = flag.Duration("loopback.for", 40*time.Second, "how long the test of controllers on loopback runs")
-	loopbackWorkers = flag.Int("loopback.workers", 40, "how many workers the controllers on loopback have")
+	loopbackDuration = flag.Duration("loopback.for", 40*time.Second, "how long the test of controllers on loopback runs")
+	loopbackWorkers  = flag.Int("loopback.workers", 40, "how many workers the controllers on loopback have")
 )
 
 // loopbackZones are the zones of the five controllers on loopback.
@@ -51,8 +51,8 @@
 	return loopback
 }
 
-// countDone counts the jobs whose tasks have all completed.
-func (u *userSet) countDone() int {
+// countCompletedJobs counts the jobs whose tasks have all completed.
+func (u *userSet) countCompletedJobs() int {
 	done := 0
 	for _, user := range u.ordered {
 		if user.allTasksDone() {
@@ -134,16 +134,16 @@
 func TestLimitsHoldOnLoopback(t *testing.T) {
 	loopback := startLoopback(t, contendedSettings(*loopbackWorkers), buildProgram(t), "[quota]\nadmission = guaranteed\n[placement]\nidle_return_s = 60\n")
 	rng := rand.New(rand.NewPCG(1, 2))
-	faultsUntil := *loopbackFor - 12*time.Second
+	faultsUntil := *loopbackDuration - 12*time.Second
 	loopback.submitContending(rng, faultsUntil)
 	loopback.injectProcessFaults(rng, faultsUntil)
 	mostWorkers := 0
 	loopback.every(time.Second, func() { mostWorkers = max(mostWorkers, len(loopback.fleet.running())) })
-	loopback.Play(*loopbackFor)
+	loopback.RunInRealTime(*loopbackDuration)
 	for _, violation := range loopback.rules.violations {
 		t.Error(violation)
 	}
-	jobs, done := len(loopback.users.ordered), loopback.users.countDone()
+	jobs, done := len(loopback.users.ordered), loopback.users.countCompletedJobs()
 	admissions, claims := loopback.quota.admissions, loopback.store.leaderChanges
 	t.Logf("%d workers at most, %d jobs, %d done, %d tasks admitted by owners, %d revisions, %d claims of leadership",
 		mostWorkers, jobs, done, admissions, loopback.store.revision, claims)
--- a/internal/simulation/measure_failover_test.go
+++ b/internal/simulation/measure_failover_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	takeoverSites    = flag.Int("takeover.sites", 8, "how many deployments of five controllers are measured at once")
-	takeoverFailures = flag.Int("takeover.failures", 13, "how many leaders of each deployment fail")
-	takeoverWorkers  = flag.Int("takeover.workers", 40, "how many workers each deployment has, 400 at most")
+	takeoverDeployments = flag.Int("takeover.sites", 8, "how many deployments of five controllers are measured at once")
+	takeoverFailures    = flag.Int("takeover.failures", 13, "how many leaders of each deployment fail")
+	takeoverWorkers     = flag.Int("takeover.workers", 40, "how many workers each deployment has, 400 at most")
 )
 
 // failureSpacing is the time between two failures of a deployment's leader. It is long enough
@@ -72,11 +72,11 @@
 		for _, takeover := range []string{"lease", "early"} {
 			sample := newFailoverSample()
 			var wait sync.WaitGroup
-			for deployment := range *takeoverSites {
+			for deployment := range *takeoverDeployments {
 				wait.Go(func() { measureDeployment(t, binary, failure, takeover, uint64(deployment), sample) })
 			}
 			wait.Wait()
-			t.Logf("%s, %s: %v; %d early; %d deployments of 5 controllers at once, workers up at each %v", failure, takeover, sample.total, sample.early, *takeoverSites, sample.workersUp)
+			t.Logf("%s, %s: %v; %d early; %d deployments of 5 controllers at once, workers up at each %v", failure, takeover, sample.total, sample.early, *takeoverDeployments, sample.workersUp)
 			for _, name := range stageNames {
 				if sample.stages[name].TotalCount() > 0 {
 					t.Logf("  %s: %v", name, sample.stages[name])
@@ -124,7 +124,7 @@
 			}
 		}
 	})
-	loopback.Play(end + 10*time.Second)
+	loopback.RunInRealTime(end + 10*time.Second)
 	sample.add(loopback, seen)
 }
 
@@ -137,11 +137,11 @@
 		operatorText := "[standby]\ntakeover = " + takeover + "\n[placement]\nidle_return_s = 300\n"
 		loopback := startLoopback(t, failoverSettings(*takeoverWorkers), binary, operatorText)
 		loopback.submitSteadily(200*time.Millisecond, time.Second, length, rand.New(rand.NewPCG(1, 5)))
-		loopback.Play(length)
-		carried := int64(0)
+		loopback.RunInRealTime(length)
+		relayed := int64(0)
 		for _, proc := range loopback.processes {
 			for _, link := range proc.peerProxies {
-				carried += link.relayedBytes.Load()
+				relayed += link.relayedBytes.Load()
 			}
 		}
 		if len(loopback.rules.violations) > 0 {
@@ -160,6 +160,6 @@
 			processor = append(processor, fmt.Sprintf("%.1f", float64(used.Milliseconds())/length.Seconds()))
 		}
 		t.Logf("%s: %.0f bytes a second between 5 controllers, processor time of each %s ms a second, %d workers, %d jobs", takeover,
-			float64(carried)/length.Seconds(), strings.Join(processor, " "), len(loopback.fleet.running()), len(loopback.users.ordered))
+			float64(relayed)/length.Seconds(), strings.Join(processor, " "), len(loopback.fleet.running()), len(loopback.users.ordered))
 	}
 }
--- a/internal/simulation/measure_loopback_test.go
+++ b/internal/simulation/measure_loopback_test.go
@@ -38,7 +38,7 @@
 				loopback.Kill(loopback.controllerNamed("leader"), 5*time.Second)
 			}
 		})
-		loopback.Play(length)
+		loopback.RunInRealTime(length)
 		if len(loopback.rules.violations) > 0 {
 			t.Errorf("%s: %v", admission, loopback.rules.violations)
 		}
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -31,13 +31,13 @@
 	every  time.Duration // interval between two submissions
 }
 
-// crashLeaders returns a fault that crashes the leader at an interval, after the first
-// minute. Each restarts after back.
-func crashLeaders(every, back time.Duration) func(*Simulation) {
+// crashLeaders returns a fault that crashes the leader every interval after the first
+// minute. Each restarts after downtime.
+func crashLeaders(interval, downtime time.Duration) func(*Simulation) {
 	return func(sim *Simulation) {
-		sim.every(every, func() {
+		sim.every(interval, func() {
 			if sim.now > 60*time.Second {
-				sim.controllerNamed("leader").crash(back)
+				sim.controllerNamed("leader").crash(downtime)
 			}
 		})
 	}
@@ -62,8 +62,8 @@
 	}
 	loads = append(loads, admissionLoad{"no leader for 30 s, twice, a third of the limit", func(sim *Simulation) {
 		sim.every(300*time.Millisecond, func() {
-			inSpell := sim.now > 90*time.Second && sim.now < 120*time.Second || sim.now > 200*time.Second && sim.now < 230*time.Second
-			if record := sim.store.records[wire.LeaderKey]; inSpell && record != nil {
+			withoutLeader := sim.now > 90*time.Second && sim.now < 120*time.Second || sim.now > 200*time.Second && sim.now < 230*time.Second
+			if record := sim.store.records[wire.LeaderKey]; withoutLeader && record != nil {
 				sim.controllerNamed("leader").crash(500 * time.Millisecond)
 			}
 		})
@@ -101,8 +101,8 @@
 	sum, samples := 0.0, 0
 	sim.every(time.Second, func() {
 		if sim.now > begin+20*time.Second && sim.now < end {
-			sum += sim.quota.teams["pool"].byLeader.GPUs
-			for _, admitted := range sim.quota.teams["pool"].admitted {
+			sum += sim.quota.teams["pool"].admittedByLeader.GPUs
+			for _, admitted := range sim.quota.teams["pool"].admittedByShard {
 				sum += admitted.GPUs
 			}
 			samples++
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -54,12 +54,12 @@
 // close stops the proxy and closes its connections.
 func (p *proxy) close() {
 	p.listener.Close()
-	p.set(linkRefused, linkRefused)
+	p.setStates(linkRefused, linkRefused)
 }
 
-// set sets the states of both directions. If either is linkRefused, it closes all
+// setStates sets the states of both directions. If either is linkRefused, it closes all
 // connections.
-func (p *proxy) set(forward, backward linkState) {
+func (p *proxy) setStates(forward, backward linkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forward, p.backward = forward, backward
--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -27,19 +27,19 @@
 
 // jobCharge is what a job's active tasks are charged to its team.
 type jobCharge struct {
-	team     string
-	perTask  wire.Resources
-	byLeader int         // tasks that the leader has admitted
-	admitted map[int]int // tasks that shard owners have admitted, by shard
-	placed   bool        // a task is assigned a machine
+	team             string
+	perTask          wire.Resources
+	admittedByLeader int         // tasks that the leader has admitted
+	admittedByShard  map[int]int // tasks that shard owners have admitted, by shard
+	placed           bool        // a task is assigned a machine
 }
 
 // teamCharge is a team's limit and what it is charged.
 type teamCharge struct {
-	limit    wire.Resources
-	shares   map[int]wire.Resources // of the limit, by shard
-	byLeader wire.Resources         // admitted by the leader
-	admitted map[int]wire.Resources // admitted by shard owners, by shard
+	limit            wire.Resources
+	sharesByShard    map[int]wire.Resources // of the limit, by shard
+	admittedByLeader wire.Resources         // admitted by the leader
+	admittedByShard  map[int]wire.Resources // admitted by shard owners, by shard
 }
 
 // newQuotaAccounting returns an accounting without charges.
@@ -50,7 +50,7 @@
 	}
 	for _, team := range sim.Teams {
 		limit := wire.Resources{Cores: team.MaxCores, GPUs: team.MaxGPUs}
-		accounting.teams[team.Name] = &teamCharge{limit: limit, admitted: map[int]wire.Resources{}}
+		accounting.teams[team.Name] = &teamCharge{limit: limit, admittedByShard: map[int]wire.Resources{}}
 		accounting.highestLimits[team.Name] = limit
 	}
 	return accounting
@@ -77,37 +77,37 @@
 		}
 	}
 	for jobID := range changed {
-		was := a.jobs[jobID]
+		previous := a.jobs[jobID]
 		a.updateJob(jobID)
-		a.checkFence(conditions, jobID, was)
+		a.checkChargeCondition(conditions, jobID, previous)
 	}
 	for name, charge := range a.teams {
-		now, was := charge.total(), before[name]
-		if raisesAboveLimit(now.Cores, charge.limit.Cores, was.Cores) || raisesAboveLimit(now.GPUs, charge.limit.GPUs, was.GPUs) {
-			a.sim.rules.violated("quota", "revision %d charges %s %v, the limit is %v, charged before: %v", a.sim.store.revision, name, now, charge.limit, was)
+		current, previous := charge.total(), before[name]
+		if raisesAboveLimit(current.Cores, charge.limit.Cores, previous.Cores) || raisesAboveLimit(current.GPUs, charge.limit.GPUs, previous.GPUs) {
+			a.sim.rules.violated("quota", "revision %d charges %s %v, the limit is %v, charged before: %v", a.sim.store.revision, name, current, charge.limit, previous)
 		}
 	}
 }
 
-// checkFence checks that a commit which raises the charge of a job was conditional on the
+// checkChargeCondition checks that a commit which raises the charge of a job was conditional on the
 // team's account, if that is stored. Without the condition it could be applied after the
 // limit was lowered or the share revoked.
-func (a *quotaAccounting) checkFence(conditions []kv.Condition, jobID string, was jobCharge) {
-	now := a.jobs[jobID]
-	if now.byLeader <= was.byLeader && now.countAdmitted() <= was.countAdmitted() {
+func (a *quotaAccounting) checkChargeCondition(conditions []kv.Condition, jobID string, previous jobCharge) {
+	current := a.jobs[jobID]
+	if current.admittedByLeader <= previous.admittedByLeader && current.countAdmittedByOwners() <= previous.countAdmittedByOwners() {
 		return
 	}
-	key := wire.AccountKey(now.team)
+	key := wire.AccountKey(current.team)
 	fenced := slices.ContainsFunc(conditions, func(c kv.Condition) bool { return c.Key == key })
 	if a.sim.store.records[key] != nil && !fenced {
-		a.sim.rules.violated("unfenced", "%s is charged to %s without a condition on its account", jobID, now.team)
+		a.sim.rules.violated("unfenced", "%s is charged to %s without a condition on its account", jobID, current.team)
 	}
 }
 
 // raisesAboveLimit reports whether a commit has raised a charge above its limit. A charge
 // that already exceeded the limit, because the limit was lowered, must not rise.
-func raisesAboveLimit(now, limit, was float64) bool {
-	return limit > 0 && now > limit+quotaTolerance && now > was+quotaTolerance
+func raisesAboveLimit(current, limit, previous float64) bool {
+	return limit > 0 && current > limit+quotaTolerance && current > previous+quotaTolerance
 }
 
 // updateAccount applies a write of a team's account.
@@ -115,7 +115,7 @@
 	name := wire.AccountTeam(write.key)
 	charge := a.teams[name]
 	record, _ := mustDecodeRecord(write.key, write.raw).(*wire.Account)
-	charge.shares = map[int]wire.Resources{}
+	charge.sharesByShard = map[int]wire.Resources{}
 	if record == nil || record.Unreadable {
 		return
 	}
@@ -123,7 +123,7 @@
 	highest := a.highestLimits[name]
 	a.highestLimits[name] = wire.Resources{Cores: max(highest.Cores, record.Limit.Cores), GPUs: max(highest.GPUs, record.Limit.GPUs)}
 	for _, share := range record.Shares {
-		charge.shares[share.Shard] = wire.Resources{Cores: share.Cores, GPUs: share.GPUs}
+		charge.sharesByShard[share.Shard] = wire.Resources{Cores: share.Cores, GPUs: share.GPUs}
 	}
 }
 
@@ -144,7 +144,7 @@
 		a.placedAt[jobID] = a.sim.now
 	}
 	a.applyCharge(charge, 1)
-	a.admissions += max(0, charge.countAdmitted()-before.countAdmitted())
+	a.admissions += max(0, charge.countAdmittedByOwners()-before.countAdmittedByOwners())
 }
 
 // readCharge computes a job's charge from the store. It reports false if the job has no
@@ -160,9 +160,9 @@
 		return jobCharge{}, false
 	}
 	charge = jobCharge{
-		team:     job.Spec.Team,
-		perTask:  wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs},
-		admitted: map[int]int{},
+		team:            job.Spec.Team,
+		perTask:         wire.Resources{Cores: job.Spec.Cores, GPUs: job.Spec.GPUs},
+		admittedByShard: map[int]int{},
 	}
 	charge.add(job.ActiveTasks)
 	for i := 1; i <= job.OverflowKeys; i++ {
@@ -179,17 +179,17 @@
 	for i := range tasks {
 		c.placed = c.placed || tasks[i].Machine != ""
 		if tasks[i].Admitted {
-			c.admitted[tasks[i].Shard]++
+			c.admittedByShard[tasks[i].Shard]++
 		} else {
-			c.byLeader++
+			c.admittedByLeader++
 		}
 	}
 }
 
-// countAdmitted counts the tasks that shard owners have admitted.
-func (c *jobCharge) countAdmitted() int {
+// countAdmittedByOwners counts the tasks that shard owners have admitted.
+func (c *jobCharge) countAdmittedByOwners() int {
 	sum := 0
-	for _, count := range c.admitted {
+	for _, count := range c.admittedByShard {
 		sum += count
 	}
 	return sum
@@ -201,9 +201,9 @@
 		return
 	}
 	team := a.teams[job.team]
-	team.byLeader = addResources(team.byLeader, job.perTask, sign*job.byLeader)
-	for shard, count := range job.admitted {
-		team.admitted[shard] = addResources(team.admitted[shard], job.perTask, sign*count)
+	team.admittedByLeader = addResources(team.admittedByLeader, job.perTask, sign*job.admittedByLeader)
+	for shard, count := range job.admittedByShard {
+		team.admittedByShard[shard] = addResources(team.admittedByShard[shard], job.perTask, sign*count)
 	}
 }
 
@@ -216,14 +216,14 @@
 // larger of its share and what its owner has admitted. The unused part of a share is
 // included because the shard's owner may admit tasks within it at any time.
 func (c *teamCharge) total() wire.Resources {
-	sum := c.byLeader
-	for shard, share := range c.shares {
-		used := c.admitted[shard]
+	sum := c.admittedByLeader
+	for shard, share := range c.sharesByShard {
+		used := c.admittedByShard[shard]
 		sum.Cores += max(share.Cores, used.Cores)
 		sum.GPUs += max(share.GPUs, used.GPUs)
 	}
-	for shard, used := range c.admitted {
-		if _, shared := c.shares[shard]; !shared {
+	for shard, used := range c.admittedByShard {
+		if _, shared := c.sharesByShard[shard]; !shared {
 			sum = addResources(sum, used, 1)
 		}
 	}
@@ -234,7 +234,7 @@
 func (a *quotaAccounting) countShares() int {
 	count := 0
 	for _, charge := range a.teams {
-		count += len(charge.shares)
+		count += len(charge.sharesByShard)
 	}
 	return count
 }
--- a/internal/simulation/quota_accounting_test.go
+++ b/internal/simulation/quota_accounting_test.go
@@ -12,9 +12,9 @@
 // testCommit is a commit that adds a job of a team with a limit of 8 GPUs, of which shard 0
 // has a share of 3.
 type testCommit struct {
-	tasks    int
-	admitted bool // by the owner of shard 0; false: by the leader
-	fenced   bool // the commit is conditional on the team's account
+	tasks           int
+	admittedByOwner bool // by the owner of shard 0; false: by the leader
+	fenced          bool // the commit is conditional on the team's account
 }
 
 // TestAccountingFindsFaults checks that the accounting reports each kind of fault in a
@@ -50,7 +50,7 @@
 						t.Fatal(err)
 					}
 				}
-				commit.carryOut(t, sim, fmt.Sprintf("wk-%06d", i+1))
+				commit.apply(t, sim, fmt.Sprintf("wk-%06d", i+1))
 			}
 			violations := strings.Join(sim.rules.violations, "; ")
 			if test.rule == "" && violations != "" || test.rule != "" && !strings.Contains(violations, test.rule) {
@@ -60,12 +60,12 @@
 	}
 }
 
-// carryOut commits a job whose tasks need one GPU each.
-func (c testCommit) carryOut(t *testing.T, sim *Simulation, jobID string) {
+// apply commits a job whose tasks need one GPU each.
+func (c testCommit) apply(t *testing.T, sim *Simulation, jobID string) {
 	t.Helper()
 	job := &wire.Job{Spec: &wire.JobSpec{ID: jobID, Team: "red", Shape: wire.ShapeArray, TaskCount: c.tasks, GPUs: 1}, TaskCount: c.tasks, NextAttempt: 2}
 	for task := range c.tasks {
-		job.ActiveTasks = append(job.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1, Machine: "vm-000001", Epoch: 1, Admitted: c.admitted})
+		job.ActiveTasks = append(job.ActiveTasks, wire.ActiveTask{Task: task, Attempt: 1, Machine: "vm-000001", Epoch: 1, Admitted: c.admittedByOwner})
 	}
 	conditions := []kv.Condition{{Key: wire.JobKey(jobID)}}
 	if c.fenced {
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -42,7 +42,7 @@
 			if testing.Verbose() {
 				logf = t.Logf
 			}
-			for _, fault := range Play(archive, logf) {
+			for _, fault := range RunScenario(archive, logf) {
 				t.Error(fault)
 			}
 		})
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -105,14 +105,14 @@
 	return func(sim *Simulation, args arguments) error { run(sim, args); return nil }
 }
 
-// timedShare returns a command with the arguments VALUE SECONDS, which sets a share or
-// factor for that time. Aftermath returns how long effects of the fault may follow its end.
-func timedShare(field func(*Simulation) *timedValue, aftermath func(*Simulation) time.Duration) scriptCommand {
+// timedValueCommand returns a command with the arguments VALUE SECONDS, which sets a share or
+// factor for that time. DelayedEffects returns how long the fault can have effects after its end.
+func timedValueCommand(field func(*Simulation) *timedValue, delayedEffects func(*Simulation) time.Duration) scriptCommand {
 	return infallible(func(sim *Simulation, args arguments) {
 		sim.setFor(field(sim), args.number(0), args.duration(1))
-		sim.rules.faultsLast(args.duration(1) + aftermath(sim))
+		sim.rules.faultsLast(args.duration(1) + delayedEffects(sim))
 	})
 }
 
-// noAftermath is for faults that have no effects after their end.
-func noAftermath(*Simulation) time.Duration { return 0 }
+// noDelayedEffects is for faults that have no effects after their end.
+func noDelayedEffects(*Simulation) time.Duration { return 0 }
--- a/internal/simulation/script_commands.go
+++ b/internal/simulation/script_commands.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// lateWriteAftermath is the longest delay of a late write.
-const lateWriteAftermath = 12 * time.Second
+// maxLateWriteDelay is the longest delay of a late write.
+const maxLateWriteDelay = 12 * time.Second
 
 // controllerCommands are the commands for faults of controllers. CONTROLLER is a label or a
 // role, see controllerNamed.
@@ -71,12 +71,12 @@
 		sim.MaxValueBytes = sim.NextMaxValueBytes
 	}),
 	// late-writes SHARE SECONDS: a share of the transactions is applied late and not answered.
-	"late-writes": timedShare(func(sim *Simulation) *timedValue { return &sim.store.lateWrites },
-		func(*Simulation) time.Duration { return lateWriteAftermath }),
+	"late-writes": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.store.lateWrites },
+		func(*Simulation) time.Duration { return maxLateWriteDelay }),
 	// answers-lost SHARE SECONDS: a share of the transactions is applied and not answered.
-	"answers-lost": timedShare(func(sim *Simulation) *timedValue { return &sim.store.lostReplies }, noAftermath),
+	"answers-lost": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.store.lostReplies }, noDelayedEffects),
 	// slow-store FACTOR SECONDS: the state service takes FACTOR times as long.
-	"slow-store": timedShare(func(sim *Simulation) *timedValue { return &sim.store.slowdown }, noAftermath),
+	"slow-store": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.store.slowdown }, noDelayedEffects),
 }
 
 // networkCommands are the commands for faults of the network.
@@ -97,16 +97,16 @@
 		sim.rules.faultsLast(args.duration(2))
 	}),
 	// slow-links FACTOR SECONDS: all messages take FACTOR times as long.
-	"slow-links": timedShare(func(sim *Simulation) *timedValue { return &sim.network.slowdown }, noAftermath),
+	"slow-links": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.network.slowdown }, noDelayedEffects),
 	// copies SECONDS DELAY: heartbeats and commands are delivered twice, the second time up to DELAY seconds later.
 	"copies": infallible(func(sim *Simulation, args arguments) {
 		sim.network.setDuplicating(args.duration(0), args.duration(1))
 	}),
 	// late-reports SHARE SECONDS: a share of the heartbeats is delivered a second time, late.
-	"late-reports": timedShare(func(sim *Simulation) *timedValue { return &sim.replays.delayed },
+	"late-reports": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.replays.delayed },
 		func(sim *Simulation) time.Duration { return 2 * sim.WorkerLease }),
 	// reports-for-next-leader SHARE SECONDS: a share of the heartbeats is delivered again when the next leader begins.
-	"reports-for-next-leader": timedShare(func(sim *Simulation) *timedValue { return &sim.replays.retention }, noAftermath),
+	"reports-for-next-leader": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.replays.retention }, noDelayedEffects),
 }
 
 // cutEndpoint returns the network endpoint for a name in a script: "host:TASK" for the
--- a/internal/simulation/script_users.go
+++ b/internal/simulation/script_users.go
@@ -82,7 +82,7 @@
 	}),
 	// close-looks SECONDS: users poll all controllers after each change of a job's status.
 	"close-looks": infallible(func(sim *Simulation, args arguments) {
-		sim.users.closePollingUntil = sim.now + args.duration(0)
+		sim.users.pollBurstsUntil = sim.now + args.duration(0)
 	}),
 	// odd-requests SECONDS: users send irregular requests.
 	"odd-requests": infallible(func(sim *Simulation, args arguments) {
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -63,7 +63,7 @@
 func (u *simUser) submit() { u.sendSubmission(u.sim.now, u.submissionBody()) }
 
 // sendSubmission submits a body. It retries until the submission is accepted, rejected with
-// a permanent error, or was first sent longer than submitAttempts ago.
+// a permanent error, or was first sent longer than submitRetryPeriod ago.
 func (u *simUser) sendSubmission(firstAt time.Duration, body []byte) {
 	askedAt := u.sim.now
 	u.sim.users.request(wire.RequestSubmit, u.spec.ID, body, changeTimeout, func(reply core.Reply) {
@@ -78,7 +78,7 @@
 				u.sim.rules.violated("forgotten", "%s: repeated submission got %d", u.spec.ID, reply.Status)
 			}
 		default:
-			if u.sim.now-firstAt < submitAttempts {
+			if u.sim.now-firstAt < submitRetryPeriod {
 				u.sim.after(retryDelay, func() { u.sendSubmission(firstAt, body) })
 			}
 		}
@@ -117,8 +117,8 @@
 	})
 }
 
-// isFinal reports whether a status is final: the job is done or cancelled.
-func isFinal(status string) bool {
+// isFinalStatus reports whether a status is final: the job is done or cancelled.
+func isFinalStatus(status string) bool {
 	return status == wire.StatusDone || status == wire.StatusCancelled
 }
 
@@ -138,10 +138,10 @@
 	}
 	u.lastReply = answer
 	status, last := answer.Status, u.lastStatus
-	if last == "" || isFinal(status) && status != last {
-		defer u.pollClosely()
+	if last == "" || isFinalStatus(status) && status != last {
+		defer u.startPollBurst()
 	}
-	if isFinal(last) && status != last {
+	if isFinalStatus(last) && status != last {
 		u.sim.rules.violated("went_back", "%s: %s after %s", u.spec.ID, status, last)
 	}
 	switch status {
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -19,7 +19,7 @@
 	sim := u.sim
 	var long []*simUser
 	for _, user := range u.ordered {
-		if user.accepted && !user.cancelRequested && strings.HasPrefix(user.spec.ID, prefix) && user.runsForLong() {
+		if user.accepted && !user.cancelRequested && strings.HasPrefix(user.spec.ID, prefix) && user.hasLongRunningTask() {
 			long = append(long, user)
 		}
 	}
@@ -36,9 +36,9 @@
 	}
 }
 
-// runsForLong reports whether a task of the job is running and has more than longRemaining
+// hasLongRunningTask reports whether a task of the job is running and has more than longRemaining
 // left. Tasks of services run without an end.
-func (u *simUser) runsForLong() bool {
+func (u *simUser) hasLongRunningTask() bool {
 	long := false
 	u.eachActiveTask(func(_ *simWorker, task *simTask) {
 		remaining := task.stateSince + u.runtime - u.sim.now
@@ -61,12 +61,12 @@
 	})
 }
 
-// pollClosely polls all controllers three times within 12 ms and repeats the submission. It
+// startPollBurst polls all controllers three times within 12 ms and repeats the submission. It
 // also cancels a sixth of the unfinished jobs that have an id of nextGeneratedID. It does
-// nothing after closePollingUntil. checkStatus checks the replies.
-func (u *simUser) pollClosely() {
+// nothing after pollBurstsUntil. checkStatus checks the replies.
+func (u *simUser) startPollBurst() {
 	sim := u.sim
-	if sim.now >= sim.users.closePollingUntil {
+	if sim.now >= sim.users.pollBurstsUntil {
 		return
 	}
 	for i := range 3 {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -11,11 +11,11 @@
 
 // Timing of users.
 const (
-	pollInterval   = 5 * time.Second // between two status requests of a user
-	retryDelay     = time.Second     // before a failed request is retried
-	statusTimeout  = 2 * time.Second // for the reply to a status request
-	changeTimeout  = 5 * time.Second // for the reply to a submission or cancellation
-	submitAttempts = time.Minute     // how long a user retries a submission
+	pollInterval      = 5 * time.Second // between two status requests of a user
+	retryDelay        = time.Second     // before a failed request is retried
+	statusTimeout     = 2 * time.Second // for the reply to a status request
+	changeTimeout     = 5 * time.Second // for the reply to a submission or cancellation
+	submitRetryPeriod = time.Minute     // how long a user retries a submission
 )
 
 // userSet holds the simulated users. Each of them has one job.
@@ -27,8 +27,8 @@
 	generatedJobs  int             // jobs whose ids the simulation has generated, for commands such as bulk and pipelines
 	irregularCount int             // irregular requests that were sent with a new job id
 
-	cancelAtEnd       timedValue    // share of jobs that are cancelled when their last task ends
-	closePollingUntil time.Duration // until then, users poll all controllers after each status change
+	cancelAtEnd     timedValue    // share of jobs that are cancelled when their last task ends
+	pollBurstsUntil time.Duration // until then, users poll all controllers after each status change
 }
 
 // generatedIDPrefix is the prefix of the ids that nextGeneratedID returns.
