--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// dependencyPollInterval is the interval at which a user checks whether the dependencies of the next
-// job are ready for its submission.
+// dependencyPollInterval is the interval at which a user checks whether the dependencies of
+// the next job are ready for its submission.
 const dependencyPollInterval = 100 * time.Millisecond
 
 // findDependency returns a matching job among the direct and transitive dependencies of the
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -161,20 +161,20 @@
 		first := ""
 		after := decisionFacts(sim.controllerNamed("leader"))
 		for key, f := range before {
-			got, known := after[key]
-			if !known && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptedAt) && f.At < sim.now.Milliseconds() {
+			got, found := after[key]
+			if !found && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptedAt) && f.At < sim.now.Milliseconds() {
 				continue // has expired
 			}
-			if !known && sim.store.hasEnded(f.Name) {
+			if !found && sim.store.hasEnded(f.Name) {
 				continue // the job has ended meanwhile
 			}
 			if f.Kind == wire.FactReserved {
 				first = f.JobID
 			}
-			if off := got.At - f.At; !known || off < -50 || off > 50 {
+			if difference := got.At - f.At; !found || difference < -50 || difference > 50 {
 				t.Errorf("seed %d: fact %+v became %+v", seed, f, got)
 			}
-			if got.At = f.At; known && got != f {
+			if got.At = f.At; found && got != f {
 				t.Errorf("seed %d: fact %+v became %+v", seed, f, got)
 			}
 			compared[f.Kind]++
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -12,8 +12,8 @@
 // Loopback runs real controllers: processes of the built program, which reach the models of
 // this package over their network protocols on 127.0.0.1, through a proxy on every link. The
 // models and rules are those of Simulation, whose clock follows the real one. They run on the
-// goroutine that calls NewLoopback, RunInRealTime and Close; other goroutines use post to run a
-// function there.
+// goroutine that calls NewLoopback, RunInRealTime and Close; other goroutines use post to run
+// a function there.
 type Loopback struct {
 	*Simulation
 	dir          string // directory for the processes' settings and logs
@@ -59,8 +59,8 @@
 	return loopback, nil
 }
 
-// setUpProcesses reserves the addresses of all controllers, creates their links and writes their
-// settings.
+// setUpProcesses reserves the addresses of all controllers, creates their links and writes
+// their settings.
 func (l *Loopback) setUpProcesses() error {
 	for _, ctrl := range l.controllers {
 		proc, err := reserveAddresses(l.Seed, ctrl.index)
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// RunInRealTime runs the simulation in step with the real clock until the given time, or until a
-// rule is violated.
+// RunInRealTime runs the simulation in step with the real clock until the given time, or
+// until a rule is violated.
 func (l *Loopback) RunInRealTime(until time.Duration) {
 	for len(l.rules.violations) == 0 {
 		now := time.Since(l.startedAt)
--- a/internal/simulation/loopback_cloud.go
+++ b/internal/simulation/loopback_cloud.go
@@ -11,25 +11,25 @@
 // cloudHandler serves the cloud's protocol to a controller.
 func (l *Loopback) cloudHandler(ctrl *controller) http.Handler {
 	mux := http.NewServeMux()
-	answer := func(w http.ResponseWriter, call core.CallCloud) {
+	respond := func(w http.ResponseWriter, call core.CallCloud) {
 		reply, ok := postAndWait(l, func() serviceReply { return l.callCloud(ctrl, call) })
 		if !ok {
 			reply = unavailable
 		}
 		reply.write(w)
 	}
-	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) { answer(w, core.CallCloud{ListTypes: true}) })
-	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) { answer(w, core.CallCloud{ListMachines: true}) })
+	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) { respond(w, core.CallCloud{ListTypes: true}) })
+	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) { respond(w, core.CallCloud{ListMachines: true}) })
 	mux.HandleFunc("POST /hosts", func(w http.ResponseWriter, request *http.Request) {
 		var provision wire.ProvisionRequest
 		if readRequest(w, request, &provision) {
-			answer(w, core.CallCloud{Provision: &provision})
+			respond(w, core.CallCloud{Provision: &provision})
 		}
 	})
 	mux.HandleFunc("POST /hosts/return", func(w http.ResponseWriter, request *http.Request) {
 		var machines wire.MachineNames
 		if readRequest(w, request, &machines) {
-			answer(w, core.CallCloud{Deprovision: machines.Names})
+			respond(w, core.CallCloud{Deprovision: machines.Names})
 		}
 	})
 	return mux
@@ -41,16 +41,16 @@
 	if l.cloud.outage {
 		return unavailable
 	}
-	answer := l.cloud.call(call)
+	result := l.cloud.call(call)
 	switch {
-	case answer.Outcome == kv.NoCapacity:
+	case result.Outcome == kv.NoCapacity:
 		return serviceReply{http.StatusServiceUnavailable, wire.Error{Error: "no capacity"}}
-	case answer.Outcome != kv.OK:
+	case result.Outcome != kv.OK:
 		return unavailable
 	case call.ListTypes:
-		return serviceReply{http.StatusOK, wire.MachineTypeList{MachineTypes: answer.MachineTypes}}
+		return serviceReply{http.StatusOK, wire.MachineTypeList{MachineTypes: result.MachineTypes}}
 	case call.ListMachines:
-		return serviceReply{http.StatusOK, wire.MachineList{Machines: answer.Machines}}
+		return serviceReply{http.StatusOK, wire.MachineList{Machines: result.Machines}}
 	}
-	return serviceReply{http.StatusOK, wire.MachineNames{Names: answer.Names}}
+	return serviceReply{http.StatusOK, wire.MachineNames{Names: result.Names}}
 }
--- a/internal/simulation/loopback_failover_test.go
+++ b/internal/simulation/loopback_failover_test.go
@@ -83,11 +83,11 @@
 			return
 		}
 		loopback.after(time.Duration(rng.IntN(500))*time.Millisecond, func() {
-			leader, away := loopback.controllerNamed("leader"), time.Duration(2500+rng.IntN(1500))*time.Millisecond
+			leader, downtime := loopback.controllerNamed("leader"), time.Duration(2500+rng.IntN(1500))*time.Millisecond
 			if failures%2 == 0 {
-				loopback.Kill(leader, away)
+				loopback.Kill(leader, downtime)
 			} else {
-				loopback.Stop(leader, away)
+				loopback.Stop(leader, downtime)
 			}
 			failures++
 		})
--- a/internal/simulation/loopback_http.go
+++ b/internal/simulation/loopback_http.go
@@ -76,13 +76,13 @@
 	var err error
 	switch status {
 	case http.StatusOK:
-		var answer wire.HeartbeatReply
-		err = wire.Decode(body, &answer)
-		reply.Body = answer
+		var decoded wire.HeartbeatReply
+		err = wire.Decode(body, &decoded)
+		reply.Body = decoded
 	case http.StatusMisdirectedRequest:
-		var answer wire.Redirect
-		err = wire.Decode(body, &answer)
-		reply.Body = answer
+		var decoded wire.Redirect
+		err = wire.Decode(body, &decoded)
+		reply.Body = decoded
 	}
 	if err != nil {
 		return core.Reply{}
--- a/internal/simulation/loopback_process.go
+++ b/internal/simulation/loopback_process.go
@@ -41,7 +41,8 @@
 	return proc, nil
 }
 
-// setUpProcess creates the services and links of a controller, its log file and its settings file.
+// setUpProcess creates the services and links of a controller, its log file and its settings
+// file.
 func (l *Loopback) setUpProcess(ctrl *controller) error {
 	proc := l.processes[ctrl.index]
 	state, err := l.serve(l.stateHandler(ctrl))
--- a/internal/simulation/loopback_state.go
+++ b/internal/simulation/loopback_state.go
@@ -42,7 +42,7 @@
 func (l *Loopback) stateHandler(ctrl *controller) http.Handler {
 	store := l.store
 	mux := http.NewServeMux()
-	answer := func(w http.ResponseWriter, run func() serviceReply) {
+	respond := func(w http.ResponseWriter, run func() serviceReply) {
 		reply, ok := postAndWait(l, func() serviceReply {
 			if store.refuses(ctrl) {
 				return unavailable
@@ -55,21 +55,21 @@
 		reply.write(w)
 	}
 	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, request *http.Request) {
-		answer(w, func() serviceReply { return store.serveRecord(request.PathValue("key")) })
+		respond(w, func() serviceReply { return store.serveRecord(request.PathValue("key")) })
 	})
 	mux.HandleFunc("GET /store", func(w http.ResponseWriter, request *http.Request) {
-		answer(w, func() serviceReply { return store.servePage(request) })
+		respond(w, func() serviceReply { return store.servePage(request) })
 	})
 	mux.HandleFunc("POST /commit", func(w http.ResponseWriter, request *http.Request) {
 		var commit commitRequest
 		if readRequest(w, request, &commit) {
-			answer(w, func() serviceReply { return store.serveCommit(ctrl, &commit) })
+			respond(w, func() serviceReply { return store.serveCommit(ctrl, &commit) })
 		}
 	})
 	mux.HandleFunc("POST /grants", func(w http.ResponseWriter, request *http.Request) {
 		var lease leaseRequest
 		if readRequest(w, request, &lease) {
-			answer(w, func() serviceReply {
+			respond(w, func() serviceReply {
 				_, id := store.renewLease(0, time.Duration(lease.LifeMS)*time.Millisecond)
 				return serviceReply{http.StatusOK, map[string]any{"permit": id}}
 			})
@@ -77,7 +77,7 @@
 	})
 	mux.HandleFunc("POST /grants/{id}/extend", func(w http.ResponseWriter, request *http.Request) {
 		id, _ := strconv.ParseUint(request.PathValue("id"), 10, 64)
-		answer(w, func() serviceReply { return store.serveRenewal(id) })
+		respond(w, func() serviceReply { return store.serveRenewal(id) })
 	})
 	mux.HandleFunc("GET /watch", func(w http.ResponseWriter, request *http.Request) { l.serveWatch(ctrl, w, request) })
 	return mux
--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// checkChargeCondition checks that a commit which raises the charge of a job was conditional on the
-// team's account, if that is stored. Without the condition it could be applied after the
+// checkChargeCondition checks that a commit which raises the charge of a job was conditional
+// on the team's account, if that is stored. Without the condition it could be applied after the
 // limit was lowered or the share revoked.
 func (a *quotaAccounting) checkChargeCondition(conditions []kv.Condition, jobID string, previous jobCharge) {
 	current := a.jobs[jobID]
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -45,13 +45,15 @@
 	return parsed, nil
 }
 
-// RunScenario runs a scenario with each of its seeds and returns the faults of the first seed that
-// has any: failed expectations and violated rules. Logf receives the controllers' log lines.
+// RunScenario runs a scenario with each of its seeds and returns the faults of the first seed
+// that has any: failed expectations and violated rules. Logf receives the controllers' log
+// lines.
 func RunScenario(archive *txtar.Archive, logf func(format string, args ...any)) []string {
 	return runScenario(archive, logf, nil)
 }
 
-// runScenario implements RunScenario. If observe is not nil, it returns the observer for a seed.
+// runScenario implements RunScenario. If observe is not nil, it returns the observer for a
+// seed.
 func runScenario(archive *txtar.Archive, logf func(format string, args ...any), observe func(seed int) effectObserver) []string {
 	parsed, err := parseScenario(archive)
 	if err != nil {
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -106,7 +106,8 @@
 }
 
 // timedValueCommand returns a command with the arguments VALUE SECONDS, which sets a share or
-// factor for that time. DelayedEffects returns how long the fault can have effects after its end.
+// factor for that time. DelayedEffects returns how long the fault can have effects after its
+// end.
 func timedValueCommand(field func(*Simulation) *timedValue, delayedEffects func(*Simulation) time.Duration) scriptCommand {
 	return infallible(func(sim *Simulation, args arguments) {
 		sim.setFor(field(sim), args.number(0), args.duration(1))
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -18,7 +18,7 @@
 
 	submittedAt     time.Duration // when the job was first submitted
 	accepted        bool
-	cancelRequested bool          // the user has asked to cancel the job
+	cancelRequested bool          // the user has requested a cancellation
 	cancelledAt     time.Duration // when the cancellation was confirmed; 0: not yet
 	startedAt       time.Duration // when all tasks of a gang, or the first task of another job, ran; 0: not yet
 	tasks           []*simTask    // on machines, in the order in which they were placed
@@ -126,18 +126,18 @@
 // a request that was sent before the last checked reply arrived may be older than that one,
 // and is ignored.
 func (u *simUser) checkStatus(askedAt time.Duration, reply core.Reply) {
-	var answer wire.JobStatus
+	var received wire.JobStatus
 	switch body := reply.Body.(type) {
 	case wire.JobStatus:
-		answer = body
+		received = body
 	case []byte:
-		must(wire.Decode(body, &answer))
+		must(wire.Decode(body, &received))
 	}
 	if askedAt < u.lastStatusAt {
 		return
 	}
-	u.lastReply = answer
-	status, last := answer.Status, u.lastStatus
+	u.lastReply = received
+	status, last := received.Status, u.lastStatus
 	if last == "" || isFinalStatus(status) && status != last {
 		defer u.startPollBurst()
 	}
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// hasLongRunningTask reports whether a task of the job is running and has more than longRemaining
-// left. Tasks of services run without an end.
+// hasLongRunningTask reports whether a task of the job is running and has more than
+// longRemaining left. Running tasks of services always count.
 func (u *simUser) hasLongRunningTask() bool {
 	long := false
 	u.eachActiveTask(func(_ *simWorker, task *simTask) {
@@ -62,7 +62,7 @@
 }
 
 // startPollBurst polls all controllers three times within 12 ms and repeats the submission. It
-// also cancels a sixth of the unfinished jobs that have an id of nextGeneratedID. It does
+// also cancels a sixth of the jobs that are not done and have an id of nextGeneratedID. It does
 // nothing after pollBurstsUntil. checkStatus checks the replies.
 func (u *simUser) startPollBurst() {
 	sim := u.sim
