--- a/internal/simulation/loopback_state.go
+++ b/internal/simulation/loopback_state.go
@@ -12,7 +12,7 @@
 	"micaport/internal/wire"
 )
 
-// storedRow is a key in the protocol of the state service.
+// storedRow is a stored key with its value in the protocol of the state service.
 type storedRow struct {
 	Key   string             `msgpack:"k"`
 	Value msgpack.RawMessage `msgpack:"v"`
@@ -33,7 +33,7 @@
 	} `msgpack:"writes"`
 }
 
-// leaseRequest asks for a lease.
+// leaseRequest is a request for a new lease in the protocol of the state service.
 type leaseRequest struct {
 	LifeMS int64 `msgpack:"life_ms"`
 }
@@ -42,7 +42,7 @@
 func (l *Loopback) stateHandler(ctrl *controller) http.Handler {
 	store := l.store
 	mux := http.NewServeMux()
-	answer := func(w http.ResponseWriter, run func() serviceReply) {
+	respond := func(w http.ResponseWriter, run func() serviceReply) {
 		reply, ok := postAndWait(l, func() serviceReply {
 			if store.refuses(ctrl) {
 				return unavailable
@@ -55,21 +55,21 @@
 		reply.write(w)
 	}
 	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, request *http.Request) {
-		answer(w, func() serviceReply { return store.serveRecord(request.PathValue("key")) })
+		respond(w, func() serviceReply { return store.serveRecord(request.PathValue("key")) })
 	})
 	mux.HandleFunc("GET /store", func(w http.ResponseWriter, request *http.Request) {
-		answer(w, func() serviceReply { return store.servePage(request) })
+		respond(w, func() serviceReply { return store.servePage(request) })
 	})
 	mux.HandleFunc("POST /commit", func(w http.ResponseWriter, request *http.Request) {
 		var commit commitRequest
 		if readRequest(w, request, &commit) {
-			answer(w, func() serviceReply { return store.serveCommit(ctrl, &commit) })
+			respond(w, func() serviceReply { return store.serveCommit(ctrl, &commit) })
 		}
 	})
 	mux.HandleFunc("POST /grants", func(w http.ResponseWriter, request *http.Request) {
 		var lease leaseRequest
 		if readRequest(w, request, &lease) {
-			answer(w, func() serviceReply {
+			respond(w, func() serviceReply {
 				_, id := store.renewLease(0, time.Duration(lease.LifeMS)*time.Millisecond)
 				return serviceReply{http.StatusOK, map[string]any{"permit": id}}
 			})
@@ -77,27 +77,27 @@
 	})
 	mux.HandleFunc("POST /grants/{id}/extend", func(w http.ResponseWriter, request *http.Request) {
 		id, _ := strconv.ParseUint(request.PathValue("id"), 10, 64)
-		answer(w, func() serviceReply { return store.serveRenewal(id) })
+		respond(w, func() serviceReply { return store.serveRenewal(id) })
 	})
 	mux.HandleFunc("GET /watch", func(w http.ResponseWriter, request *http.Request) { l.serveWatch(ctrl, w, request) })
 	return mux
 }
 
-// atRevision is the body of an answer that tells only the store's revision.
-func (s *stateService) atRevision() map[string]any {
+// revisionBody returns the body of a reply that contains only the store's revision.
+func (s *stateService) revisionBody() map[string]any {
 	return map[string]any{"ledger_rev": s.revision}
 }
 
-// serveRecord answers with a record.
+// serveRecord returns the record of a key.
 func (s *stateService) serveRecord(key string) serviceReply {
 	record := s.records[key]
 	if record == nil {
-		return serviceReply{http.StatusNotFound, s.atRevision()}
+		return serviceReply{http.StatusNotFound, s.revisionBody()}
 	}
 	return serviceReply{http.StatusOK, storedRow{key, record.raw, record.revision}}
 }
 
-// servePage answers with one page of a listing.
+// servePage returns one page of a listing.
 func (s *stateService) servePage(request *http.Request) serviceReply {
 	query := request.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
@@ -114,7 +114,7 @@
 	return serviceReply{http.StatusOK, map[string]any{"rows": rows, "has_next": more, "ledger_rev": s.revision}}
 }
 
-// serveCommit carries out a transaction.
+// serveCommit commits a transaction.
 func (s *stateService) serveCommit(ctrl *controller, commit *commitRequest) serviceReply {
 	var conditions []kv.Condition
 	for _, x := range commit.If {
@@ -143,24 +143,24 @@
 // serveRenewal renews a lease.
 func (s *stateService) serveRenewal(id uint64) serviceReply {
 	if id == 0 || s.leases[id] == nil {
-		return serviceReply{http.StatusNotFound, s.atRevision()}
+		return serviceReply{http.StatusNotFound, s.revisionBody()}
 	}
 	s.renewLease(id, 0)
 	return serviceReply{http.StatusOK, map[string]any{"permit": id}}
 }
 
-// watchPollInterval is how often the store is asked for changes on behalf of a watch.
+// watchPollInterval is the interval at which a watch checks the store for changes.
 const watchPollInterval = 15 * time.Millisecond
 
-// watchProgress is what a watch finds when it looks for changes.
+// watchProgress is the result of a watch's check for changes.
 type watchProgress struct {
 	events   []map[string]any
 	revision uint64
-	refused  bool // it has to hang
+	refused  bool // the service refuses the controller, so that the watch hangs
 }
 
-// serveWatch answers with the changes after a revision, once there are any or the time that
-// the controller gives is over.
+// serveWatch replies with the changes after a revision. It waits until a change exists, or
+// until the time given by the request's block_ms has passed.
 func (l *Loopback) serveWatch(ctrl *controller, w http.ResponseWriter, request *http.Request) {
 	from, _ := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
 	block, _ := strconv.Atoi(request.URL.Query().Get("block_ms"))
@@ -185,8 +185,8 @@
 	}
 }
 
-// changesSince returns the changes after a revision in the service's protocol, and the
-// revision that they lead to.
+// changesSince returns the changes after a revision in the form of the service's protocol,
+// and the revision that they result in.
 func (s *stateService) changesSince(from uint64) ([]map[string]any, uint64) {
 	first := len(s.changes)
 	for first > 0 && s.changes[first-1].revision > from {
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -9,18 +9,17 @@
 
 // Limits of cancelRunning.
 const (
-	longRemaining   = 30 * time.Second // a task with more to go counts as running for long
-	maxHungAtCancel = 8                // workers that hang at most
+	longRemaining   = 30 * time.Second // a task with more time left than this counts as long-running
+	maxHungAtCancel = 8                // the most workers that are made to hang
 )
 
-// cancelRunning makes the users of some jobs that will run for long cancel them within a
-// fifth of a second, and workers that have their tasks hang for a while. Only jobs whose
-// ids begin with prefix are meant.
+// cancelRunning cancels up to count random long-running jobs whose ids begin with prefix, all
+// within 200 ms. Some of the workers that run their tasks hang for the time given by hang.
 func (u *userSet) cancelRunning(count int, hang time.Duration, prefix string) {
 	sim := u.sim
 	var long []*simUser
 	for _, user := range u.ordered {
-		if user.accepted && !user.cancelRequested && strings.HasPrefix(user.spec.ID, prefix) && user.runsForLong() {
+		if user.accepted && !user.cancelRequested && strings.HasPrefix(user.spec.ID, prefix) && user.hasLongRunningTask() {
 			long = append(long, user)
 		}
 	}
@@ -37,8 +36,9 @@
 	}
 }
 
-// runsForLong reports whether a task of the job runs and has long to go.
-func (u *simUser) runsForLong() bool {
+// hasLongRunningTask reports whether a task of the job is running and has more than
+// longRemaining left. Running tasks of services always count.
+func (u *simUser) hasLongRunningTask() bool {
 	long := false
 	u.eachActiveTask(func(_ *simWorker, task *simTask) {
 		remaining := task.stateSince + u.runtime - u.sim.now
@@ -47,8 +47,8 @@
 	return long
 }
 
-// maybeCancelAtEnd makes some users cancel their job at the moment at which its last task
-// ends.
+// maybeCancelAtEnd makes some users cancel their job within 1.5 s after its last task has
+// ended. It is called whenever a task completes.
 func (u *userSet) maybeCancelAtEnd(user *simUser) {
 	sim := u.sim
 	if sim.now >= u.cancelAtEnd.until || user.cancelRequested || !user.allTasksDone() || !sim.draw(u.cancelAtEnd) {
@@ -61,12 +61,12 @@
 	})
 }
 
-// pollClosely polls all controllers again and again within milliseconds, repeats the
-// submission, and cancels some of the jobs that nextGeneratedID named at once, if users do so
-// now. checkStatus judges the answers.
-func (u *simUser) pollClosely() {
+// startPollBurst polls all controllers three times within 12 ms and repeats the submission. It
+// also cancels a sixth of the jobs that are not done and have an id of nextGeneratedID. It does
+// nothing after pollBurstsUntil. checkStatus checks the replies.
+func (u *simUser) startPollBurst() {
 	sim := u.sim
-	if sim.now >= sim.users.closePollingUntil {
+	if sim.now >= sim.users.pollBurstsUntil {
 		return
 	}
 	for i := range 3 {
