--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -206,7 +206,7 @@
 		count := min(p.provisions[pool], maxMachinesPerProvision)
 		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: n.now,
 			request: wire.ProvisionRequest{
-				Name:        n.provisionName(),
+				Name:        n.newProvisionName(),
 				MachineType: n.names.MachineTypes.Name(pool.machineType),
 				Zone:        n.names.Zones.Name(pool.zone),
 				Spot:        pool.spot,
--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -71,7 +71,7 @@
 func (a *autoscaler) drainUnhealthy(site *site) {
 	for _, shard := range site.shards {
 		for _, machine := range shard.machines {
-			if machine.returned || !machine.view.known {
+			if machine.returned || !machine.view.reportedByOwner {
 				continue
 			}
 			if machine.view.unreachable || machine.view.unhealthy && len(machine.placements) == 0 {
@@ -94,7 +94,7 @@
 				delete(a.draining, name)
 				continue
 			}
-			if machine.view.known && !machine.view.unreachable && !(machine.draining && len(machine.placements) == 0) {
+			if machine.view.reportedByOwner && !machine.view.unreachable && !(machine.draining && len(machine.placements) == 0) {
 				continue
 			}
 		}
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -97,10 +97,10 @@
 		"vm-not-yet":     func(*machine) {},
 		"vm-returned":    func(m *machine) { m.returned = true },
 		"vm-unreachable": func(m *machine) { m.view.unreachable, m.placements = true, []placement{{}} },
-		"vm-silent":      func(m *machine) { m.view.known = false },
+		"vm-silent":      func(m *machine) { m.view.reportedByOwner = false },
 	} {
 		machine := n.machineNamed(name)
-		machine.view.known = true
+		machine.view.reportedByOwner = true
 		prepare(machine)
 		scaler.draining[name] = true
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -74,7 +74,7 @@
 	for _, objective := range cfg.StartObjectives {
 		n.arrivals.addObjective(objective)
 	}
-	n.leader.sharesDistributedAt = neverDistributed(len(cfg.Teams))
+	n.leader.sharesDistributedAt = initialDistributionTimes(len(cfg.Teams))
 	n.leader.reset()
 	n.batch.role = "owner"
 	return n
@@ -92,7 +92,7 @@
 	switch x := in.(type) {
 	case Tick:
 	case WorkerReported:
-		n.workerHeartbeat(x)
+		n.receiveWorkerHeartbeat(x)
 	case UserRequest:
 		n.userRequest(x)
 	case ForwardAnswered:
@@ -110,15 +110,15 @@
 	case RecordsChanged:
 		n.recordsChanged(x)
 	case GossipReceived:
-		n.gossipReceived(x.Message)
+		n.receiveGossip(x.Message)
 	case HeartbeatReceived:
-		n.leaderHeartbeat(x.Message)
+		n.receiveLeaderHeartbeat(x.Message)
 	case Disconnected:
-		n.disconnected(x.Peer)
+		n.peerDisconnected(x.Peer)
 	case DecisionLogReceived:
-		n.decisionLogReceived(x)
+		n.receiveDecisionLog(x)
 	case DecisionLogAcknowledged:
-		n.failover.publisher.Acknowledged(n.now, x.Ack)
+		n.failover.logPublisher.Acknowledged(n.now, x.Ack)
 	case StatusRequest:
 		n.emit(Reply{RequestID: x.RequestID, Status: http.StatusOK, Body: n.leadershipStatus()})
 	}
@@ -140,11 +140,11 @@
 	n.runOwner()
 	n.sendDelayedReplies()
 	n.sendDirectStarts()
-	n.shareOwnViews()
+	n.updateAndSendOwnViews()
 	n.runLeader()
 	n.sendGossip(false)
 	n.writeImageCache()
-	n.forgetMachines()
+	n.removeGoneMachines()
 	n.queryRevision()
 	n.answerStatusQueries()
 	n.expireRequests()
--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -120,7 +120,7 @@
 // unless it is contradicted. It reports whether it did.
 func (n *Node) adoptMachineFact(fact *wire.Fact, machine *machine) bool {
 	scaler := &n.leader.autoscaler
-	hasReported := machine != nil && machine.view.known
+	hasReported := machine != nil && machine.view.reportedByOwner
 	switch fact.Kind {
 	case wire.FactBooting:
 		pool, known := poolOf(fact, n.names)
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -23,20 +23,20 @@
 	if !n.fenced() {
 		return
 	}
-	s.publisher.Direct(s.standby, n.leadership.Term())
+	s.logPublisher.Direct(s.standby, n.leadership.Term())
 	if s.standby == "" || n.now < s.nextPublishAt {
 		return
 	}
 	facts := n.leaderFacts()
 	s.nextPublishAt = n.now + publishInterval + Time(len(n.replica.Live())+len(facts))*publishIntervalPerFact
-	s.publisher.Publish(facts)
-	if to, m := s.publisher.Next(n.now, n.cfg.Self, n.cfg.Incarnation); m != nil {
+	s.logPublisher.Publish(facts)
+	if to, m := s.logPublisher.Next(n.now, n.cfg.Self, n.cfg.Incarnation); m != nil {
 		n.emit(SendDecisionLog{To: to, Message: m})
 	}
 }
 
-// decisionLogReceived applies a message of the leader's decision log and acknowledges it.
-func (n *Node) decisionLogReceived(received DecisionLogReceived) {
+// receiveDecisionLog applies a message of the leader's decision log and acknowledges it.
+func (n *Node) receiveDecisionLog(received DecisionLogReceived) {
 	ack := wire.DecisionLogAck{Resync: true}
 	if received.Message != nil {
 		ack = n.failover.logReplica.Take(n.now, n.failover.follower.Claim(), received.Message)
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// noteUnstarted adds a machine that this controller owns to unstartedMachines when a task has
+// addUnstartedMachine adds a machine that this controller owns to unstartedMachines when a task has
 // been placed on it that it has not reported.
-func (n *Node) noteUnstarted(machine *machine, key taskKey) {
+func (n *Node) addUnstartedMachine(machine *machine, key taskKey) {
 	if machine.unstartedListed || machine.shard < 0 || !n.owns(n.shards[machine.shard]) {
 		return
 	}
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -20,7 +20,7 @@
 	heartbeatAt      Time            // when the leader's next heartbeats are due
 	takeovers        *wire.Takeovers // the record, as the replica shows it
 
-	publisher     *failover.Publisher // the leader's side of the decision log
+	logPublisher  *failover.Publisher // the leader's side of the decision log
 	logReplica    *failover.Replica   // the standby's side of the decision log
 	nextPublishAt Time                // earliest time of the next publication
 }
@@ -33,7 +33,7 @@
 	}
 	slices.Sort(cfg.Members)
 	n.failover.follower = failover.NewFollower(cfg)
-	n.failover.publisher, n.failover.logReplica = failover.NewPublisher(), failover.NewReplica()
+	n.failover.logPublisher, n.failover.logReplica = failover.NewPublisher(), failover.NewReplica()
 }
 
 // fenced reports whether this process leads under a claim that may be replaced early.
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -351,7 +351,7 @@
 	for _, fromPredecessor := range []bool{true, false} {
 		m := newFailoverHarness(t)
 		m.n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
-		m.n.machineNamed("vm-4").view.known = true
+		m.n.machineNamed("vm-4").view.reportedByOwner = true
 		m.n.machineNamed("vm-5").returned = true
 		term := m.showLeader("n0", "x", true, 0)
 		m.advance(2*second, term)
--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -8,20 +8,20 @@
 	"micaport/internal/wire"
 )
 
-// receiveGangHolds applies owners' answers in gang transactions (see package gang). Only the leader
+// applyGangAnswers applies owners' answers in gang transactions (see package gang). Only the leader
 // acts on them.
-func (n *Node) receiveGangHolds(answers []wire.GangHold) {
+func (n *Node) applyGangAnswers(answers []wire.GangHold) {
 	if n.gangs.ApplyAnswers(answers) {
 		n.leader.passNeeded = true
 	}
 }
 
-// gangHolds returns this controller's answers, as an owner, for the gangs that are being tried.
-func (n *Node) gangHolds() []wire.GangHold { return n.gangs.OwnAnswers(n.mayActInShard) }
+// ownGangAnswers returns this controller's answers, as an owner, for the gangs that are being tried.
+func (n *Node) ownGangAnswers() []wire.GangHold { return n.gangs.OwnAnswers(n.mayActInShard) }
 
 // advanceGangs carries out the leader's next action for every gang that spans shards.
 func (n *Node) advanceGangs(writer *writer) {
-	n.receiveGangHolds(n.gangHolds())
+	n.applyGangAnswers(n.ownGangAnswers())
 	for _, attempt := range n.gangs.Sorted() {
 		switch attempt.LeaderAction(n.gangTransitionInput(attempt)) {
 		case gang.Confirm:
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -50,7 +50,7 @@
 func (n *Node) gossipMessage() wire.Gossip {
 	message := wire.Gossip{
 		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isolated(),
-		Holds: n.gangHolds(), Strays: n.missedMachineNames(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
+		Holds: n.ownGangAnswers(), Strays: n.missedMachineNames(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
 		Leader: n.leaderView(),
 	}
 	for _, shard := range n.shards {
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -7,8 +7,8 @@
 	"micaport/internal/wire"
 )
 
-// gossipReceived applies a gossip message of a peer.
-func (n *Node) gossipReceived(message *wire.Gossip) {
+// receiveGossip applies a gossip message of a peer.
+func (n *Node) receiveGossip(message *wire.Gossip) {
 	if message == nil || !n.isPeer(message.From) {
 		return
 	}
@@ -34,7 +34,7 @@
 		p.viewVersion = message.Ver
 		n.receiveMachines(message)
 	}
-	n.receiveGangHolds(message.Holds)
+	n.applyGangAnswers(message.Holds)
 	n.receiveLeaderView(message.From, message.Leader)
 	n.receiveShards(message)
 	n.applyLeaderInstructions(message)
@@ -52,7 +52,7 @@
 func (n *Node) receiveShards(message *wire.Gossip) {
 	for i, index := range message.Parts {
 		if index >= 0 && index < len(n.shards) && i < len(message.Terms) && message.Terms[i] > n.shards[index].Term {
-			n.putShard(n.shards[index], &wire.Shard{Owner: message.From, Incarnation: message.Life}, message.Terms[i])
+			n.applyShardClaim(n.shards[index], &wire.Shard{Owner: message.From, Incarnation: message.Life}, message.Terms[i])
 		}
 	}
 }
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -117,11 +117,11 @@
 	})
 }
 
-// forgetPlacedGrants deletes the times of grants that have been placed or revoked. It is called
+// removeStaleGrantTimes deletes the times of grants that have been placed or revoked. It is called
 // periodically, so the number of waiting grants bounds the memory. A fixed limit would restrict
 // the size of the site: clearing all times at a limit kept every grant from timing out while
 // more grants were waiting than the limit.
-func (n *Node) forgetPlacedGrants() {
+func (n *Node) removeStaleGrantTimes() {
 	for key := range n.grantSeenAt {
 		if !n.jobs[key.job].awaitsPlacement(key) {
 			delete(n.grantSeenAt, key)
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -108,7 +108,7 @@
 			taskKey:     taskKey{job.Index, task.Task, task.Attempt},
 		})
 		machine.usedKnown = false
-		n.noteUnstarted(machine, taskKey{job.Index, task.Task, task.Attempt})
+		n.addUnstartedMachine(machine, taskKey{job.Index, task.Task, task.Attempt})
 	}
 }
 
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("%d grants time out immediately", got)
 	}
 	n.now = grantTimeout + second
-	n.forgetPlacedGrants()
+	n.removeStaleGrantTimes()
 	if got := timedOut(); got != grants {
 		t.Errorf("%d of %d grants have timed out", got, grants)
 	}
@@ -42,7 +42,7 @@
 		placed.ActiveTasks[i].Machine = "vm-000001"
 	}
 	n.replica.PutJob("wk-1", placed, 2)
-	n.forgetPlacedGrants()
+	n.removeStaleGrantTimes()
 	if len(n.grantSeenAt) != 0 {
 		t.Errorf("%d times of placed grants are still stored", len(n.grantSeenAt))
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -21,11 +21,11 @@
 
 	sharesDistributedAt []Time             // by team: when the shares of its limit were last distributed
 	sharesReclaimed     []bool             // by team: the last distribution reclaimed idle shares
-	excessAt            Time               // earliest time of the next report of teams above their limits
+	nextExcessReportAt  Time               // earliest time of the next report of teams above their limits
 	pendingPlacements   []pendingPlacement // tasks that the current batch places on own machines
 
-	autoscaler autoscaler
-	recordsFit bool // all records are within the announced size limits; see shrinkRecords
+	autoscaler          autoscaler
+	recordsWithinLimits bool // all records are within the announced size limits; see shrinkRecords
 	// Machines that the cloud has recently confirmed as deprovisioned, to be announced to the
 	// owners of shards.
 	returned     []returnedMachine
@@ -67,7 +67,7 @@
 	l.grantHints, l.pendingPlacements = map[taskKey]*machine{}, nil
 	l.autoscaler = newAutoscaler()
 	l.returned, l.reservations = nil, nil
-	l.sharesDistributedAt = neverDistributed(len(l.sharesDistributedAt))
+	l.sharesDistributedAt = initialDistributionTimes(len(l.sharesDistributedAt))
 	l.sharesReclaimed = make([]bool, len(l.sharesDistributedAt))
 	l.passNeeded = true
 }
@@ -126,7 +126,7 @@
 	n.revokeUnownedGrants(writer)
 	n.updateOwnViews()
 	unwritten := n.runSchedulingPass(writer)
-	n.reportExcess()
+	n.logQuotaExcess()
 	n.recordCancellations(writer)
 	n.budget.pendingGrants = len(writer.order) + unwritten
 	n.log(LogDebug, "scheduling pass",
@@ -140,7 +140,7 @@
 func (n *Node) cleanUpHints() {
 	if n.now >= n.leader.hintsCleanupAt {
 		n.leader.hintsCleanupAt = n.now + 5*second
-		n.forgetHints()
+		n.removeStaleGrantHints()
 	}
 }
 
@@ -210,9 +210,9 @@
 	return n.owns(shard) || owner != nil && n.now-owner.receivedAt < ownerResponseTimeout
 }
 
-// provisionName returns a new name for a provisioning request. Names are never reused, as no two
+// newProvisionName returns a new name for a provisioning request. Names are never reused, as no two
 // leaders have the same term.
-func (n *Node) provisionName() string {
+func (n *Node) newProvisionName() string {
 	n.leader.autoscaler.requestSequence++
 	return fmt.Sprintf("r-%d-%d", n.leadership.Term(), n.leader.autoscaler.requestSequence)
 }
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -48,15 +48,15 @@
 	return list
 }
 
-// leaderHeartbeat applies a heartbeat that a leader has sent.
-func (n *Node) leaderHeartbeat(m *wire.LeaderHeartbeat) {
+// receiveLeaderHeartbeat applies a heartbeat that a leader has sent.
+func (n *Node) receiveLeaderHeartbeat(m *wire.LeaderHeartbeat) {
 	if m != nil {
 		n.failover.follower.Heartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
 	}
 }
 
-// disconnected records that the connection to a peer has broken.
-func (n *Node) disconnected(label string) {
+// peerDisconnected records that the connection to a peer has broken.
+func (n *Node) peerDisconnected(label string) {
 	n.failover.follower.Disconnected(n.now, label)
 	if p := n.peers[label]; p != nil {
 		p.disconnected = true
--- a/internal/core/leadership_status.go
+++ b/internal/core/leadership_status.go
@@ -17,8 +17,8 @@
 	status.Streak = n.leadership.Record().Streak
 	if n.isLeader() {
 		status.Standby = s.standby
-		status.LogMessages, status.LogFacts = s.publisher.Lag()
-		status.LogResyncs = s.publisher.Resyncs()
+		status.LogMessages, status.LogFacts = s.logPublisher.Lag()
+		status.LogResyncs = s.logPublisher.Resyncs()
 		return status
 	}
 	if term, _ := s.logReplica.Sequence(); term == n.leadership.Term() {
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -35,6 +35,6 @@
 
 func (r leaseRenewal) resume(n *Node, result Result) {
 	answer := result.(LeaseAnswered)
-	n.noteStoreOutcome(answer.Outcome)
+	n.recordStoreOutcome(answer.Outcome)
 	r.renewal.Answered(n.now, answer.Outcome, answer.LeaseID, n.ownership.ProofInterval())
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -74,15 +74,15 @@
 
 // machineView is the state of a machine that its owner reports to the other controllers.
 type machineView struct {
-	known            bool
-	reclaimed        bool // the cloud is about to reclaim it
+	reportedByOwner  bool
+	reclaimPending   bool // the cloud is about to reclaim it
 	draining         bool
 	unhealthy        bool // tasks fail on it, probably through its own fault
 	unreachable      bool
 	unconfirmed      bool // its worker has not yet sent the token of the owner's term
 	missedHeartbeats int  // 1: no heartbeat for two intervals, 2: for three
-	errors           int  // jobs of which a task failed on it since a task last succeeded
-	images           int  // their number, so that a new image changes the view
+	failedJobCount   int  // jobs of which a task failed on it since a task last succeeded
+	imageCount       int  // their number, so that a new image changes the view
 }
 
 // placement is a task that a job record places on a machine.
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -4,9 +4,9 @@
 // while no heartbeat changes one.
 const ownViewsInterval = second
 
-// shareOwnViews updates the views of this controller's machines if an update is due. If one has
+// updateAndSendOwnViews updates the views of this controller's machines if an update is due. If one has
 // changed, the next gossip is sent as soon as possible.
-func (n *Node) shareOwnViews() {
+func (n *Node) updateAndSendOwnViews() {
 	if n.now < n.ownViewsAt {
 		return
 	}
@@ -59,9 +59,9 @@
 	failedJobs := n.failedJobCount(machine)
 	machine.unhealthy = machine.unhealthy && failedJobs > 0 // the jobs may have turned out to be at fault
 	view := machineView{
-		known: true, reclaimed: machine.reclaimAt > 0, draining: machine.draining, unhealthy: machine.unhealthy,
-		unconfirmed: !machine.tokenConfirmed && !machine.newlyBooted,
-		errors:      failedJobs, images: n.imageCount(machine),
+		reportedByOwner: true, reclaimPending: machine.reclaimAt > 0, draining: machine.draining, unhealthy: machine.unhealthy,
+		unconfirmed:    !machine.tokenConfirmed && !machine.newlyBooted,
+		failedJobCount: failedJobs, imageCount: n.imageCount(machine),
 	}
 	switch {
 	case silent > 3*n.cfg.HeartbeatInterval:
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -106,7 +106,7 @@
 			return
 		}
 	}
-	n.gossipReceived(message)
+	n.receiveGossip(message)
 	if p := n.peers[message.From]; p != nil && p.message == message {
 		p.viaMailbox = true
 	}
--- a/internal/core/overflow.go
+++ b/internal/core/overflow.go
@@ -5,17 +5,17 @@
 // shrinkRecords rewrites records of the earlier version that exceed the announced lower limits,
 // before these take effect and such records can't be written any more.
 func (n *Node) shrinkRecords(writer *writer) {
-	if !n.replica.WritesDependencies() || n.leader.recordsFit {
+	if !n.replica.WritesDependencies() || n.leader.recordsWithinLimits {
 		return
 	}
-	n.leader.recordsFit = true
+	n.leader.recordsWithinLimits = true
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
 		if job.Record.Spec == nil || job.Record.OverflowKeys > 0 ||
 			job.BaseBytes+replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks) <= n.cfg.MaxValueBytes {
 			continue
 		}
-		n.leader.recordsFit = false
+		n.leader.recordsWithinLimits = false
 		writer.writeOverflowFirst = true
 		if writer.job(job) == nil {
 			return
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -14,7 +14,7 @@
 // on the condition that the record has not changed. Only the last one writes the record that
 // names the keys.
 func TestOverflowKeysAreWrittenAhead(t *testing.T) {
-	d, _ := ownerWith(t, func(cfg *Config) {
+	d, _ := newOwnerHarnessWith(t, func(cfg *Config) {
 		cfg.MaxTransactionOps, cfg.MaxValueBytes, cfg.CurrentValueBytes, cfg.MaxBatchWrites = 4, 2048, 16<<10, 8
 	})
 	d.wait(6 * second)
@@ -26,7 +26,7 @@
 		big.ActiveTasks = append(big.ActiveTasks, wire.ActiveTask{Task: i, Attempt: uint64(i + 1), Machine: fmt.Sprintf("vm-%06d", i), Epoch: 1})
 	}
 	d.put(big)
-	n.leader.recordsFit = false
+	n.leader.recordsWithinLimits = false
 	namedKeys := 0
 	for range 400 {
 		d.now += 50 * time.Millisecond
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -15,11 +15,11 @@
 // of a machine, the second with the shard's term as token, and that term.
 func newOwnerHarness(t *testing.T) (d *controllerHarness, term uint64) {
 	t.Helper()
-	return ownerWith(t, func(*Config) {})
+	return newOwnerHarnessWith(t, func(*Config) {})
 }
 
-// ownerWith is like newOwnerHarness, with a changed configuration.
-func ownerWith(t *testing.T, change func(*Config)) (d *controllerHarness, term uint64) {
+// newOwnerHarnessWith is like newOwnerHarness, with a changed configuration.
+func newOwnerHarnessWith(t *testing.T, change func(*Config)) (d *controllerHarness, term uint64) {
 	t.Helper()
 	cfg := Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
@@ -83,7 +83,7 @@
 	d.put(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 	key := taskKey{0, 0, 1}
 	d.n.outcomes[key] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].Term}
-	d.n.putShard(d.n.shards[0], &wire.Shard{Owner: "n0", Incarnation: "x"}, d.rev+5)
+	d.n.applyShardClaim(d.n.shards[0], &wire.Shard{Owner: "n0", Incarnation: "x"}, d.rev+5)
 	if len(d.n.outcomes) != 0 {
 		t.Error("an outcome was kept in a later term")
 	}
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -36,7 +36,7 @@
 	n.replica.DeleteUnlisted(listed, listing.Revision)
 	for _, shard := range n.shards {
 		if shard.Record != nil && !listed[wire.ShardKey(shard.Name)] {
-			n.putShard(shard, nil, listing.Revision)
+			n.applyShardClaim(shard, nil, listing.Revision)
 		}
 	}
 	n.gangs.DeleteUnlisted(listed)
@@ -84,7 +84,7 @@
 		n.replica.PutJob(e.Key[len(wire.JobPrefix):], v, e.Revision)
 	case *wire.Shard:
 		if shard := n.shardWithKey(e.Key); shard != nil {
-			n.putShard(shard, v, e.Revision)
+			n.applyShardClaim(shard, v, e.Revision)
 		}
 	case *wire.Leader:
 		n.putLeader(v, e.Revision)
@@ -114,7 +114,7 @@
 		n.putLeader(nil, e.Revision)
 	case strings.HasPrefix(e.Key, wire.ShardPrefix):
 		if shard := n.shardWithKey(e.Key); shard != nil {
-			n.putShard(shard, nil, e.Revision)
+			n.applyShardClaim(shard, nil, e.Revision)
 		}
 	case strings.HasPrefix(e.Key, wire.GangPrefix):
 		n.gangs.Delete(e.Key)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -43,7 +43,7 @@
 
 func (t transaction) resume(n *Node, result Result) {
 	committed := result.(Committed)
-	n.noteStoreOutcome(committed.Outcome)
+	n.recordStoreOutcome(committed.Outcome)
 	if committed.Limited && t.writes > 0 {
 		n.budget.recordRefusal(n.now)
 	}
@@ -67,7 +67,7 @@
 
 func (f jobFetch) resume(n *Node, result Result) {
 	read := result.(JobRead)
-	n.noteStoreOutcome(read.Outcome)
+	n.recordStoreOutcome(read.Outcome)
 	f.next.jobRead(n, read)
 }
 
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -115,7 +115,7 @@
 // most.
 func (n *Node) grantableSlot(machine *machine) *slot {
 	view := &machine.view
-	if machine.returned || !view.known || view.reclaimed || view.unhealthy ||
+	if machine.returned || !view.reportedByOwner || view.reclaimPending || view.unhealthy ||
 		view.unreachable || machine.draining ||
 		view.unconfirmed && n.now-machine.unconfirmedSince > maxUnconfirmedTime {
 		return nil
@@ -189,10 +189,10 @@
 	return slots
 }
 
-// forgetHints deletes the hints of grants that don't wait for their placement, once
+// removeStaleGrantHints deletes the hints of grants that don't wait for their placement, once
 // grantHintRetention has passed since the last grant to the job. The number of hints is thereby
 // bounded by the waiting grants, without a fixed limit.
-func (n *Node) forgetHints() {
+func (n *Node) removeStaleGrantHints() {
 	for key := range n.leader.grantHints {
 		if job := n.jobs[key.job]; !job.awaitsPlacement(key) && n.now-job.grantedAt > grantHintRetention {
 			delete(n.leader.grantHints, key)
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -83,24 +83,24 @@
 	return demand
 }
 
-// reportExcess logs teams that use more than their limits allow. This follows from a lowered
+// logQuotaExcess logs teams that use more than their limits allow. This follows from a lowered
 // limit, for which no tasks are stopped.
-func (n *Node) reportExcess() {
-	if n.now < n.leader.excessAt {
+func (n *Node) logQuotaExcess() {
+	if n.now < n.leader.nextExcessReportAt {
 		return
 	}
 	for team := range n.cfg.Teams {
 		if excess := n.replica.Ledger().Excess(team); excess != (quota.Amount{}) {
 			cores, gpus := excess.Decimal()
 			n.log(LogInfo, "team exceeds its quota", "team", n.cfg.Teams[team].Name, "excess_cores", cores, "excess_gpus", gpus)
-			n.leader.excessAt = n.now + excessReportInterval
+			n.leader.nextExcessReportAt = n.now + excessReportInterval
 		}
 	}
 }
 
-// neverDistributed returns the times of the last distribution by team for a new leader, to which
+// initialDistributionTimes returns the times of the last distribution by team for a new leader, to which
 // none is known.
-func neverDistributed(teams int) []Time {
+func initialDistributionTimes(teams int) []Time {
 	times := make([]Time, teams)
 	for team := range times {
 		times[team] = -neverDistributedAge
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -14,9 +14,9 @@
 	n.leader.autoscaler = newAutoscaler()
 }
 
-// granted adds the record of a job whose only task has a machine, as if this leader had just
+// addGrantedJob adds the record of a job whose only task has a machine, as if this leader had just
 // granted it.
-func granted(n *Node, revision uint64, id string, expectedS float64) {
+func addGrantedJob(n *Node, revision uint64, id string, expectedS float64) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
 	record := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
 	n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []kv.Event{{Key: wire.JobKey(id), Revision: revision, Value: record}}})
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			n := newTestNode()
 			makeLeader(n)
-			granted(n, 2000, "wk-000001", test.expectedS)
+			addGrantedJob(n, 2000, "wk-000001", test.expectedS)
 			showJob(n, 2001, "wk-000002", wire.JobLive, nil)
 			showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
 			n.jobNamed("wk-000003").Record.TaskCount = 3
@@ -74,7 +74,7 @@
 	t.Run("another dependency is not granted", func(t *testing.T) {
 		n := newTestNode()
 		makeLeader(n)
-		granted(n, 2000, "wk-000001", 10)
+		addGrantedJob(n, 2000, "wk-000001", 10)
 		showJob(n, 2001, "wk-000002", wire.JobLive, nil)
 		showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
 		if got := countPlannedMachines(t, n); got != 0 {
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -30,15 +30,15 @@
 // mayActAsOwner reports whether this controller may act as the owner of a shard now.
 func (s *site) mayActAsOwner(shard *shard) bool { return s.ownership.MayAct(s.now, shard.Shard) }
 
-// putShard applies a new claim of a shard, or the deletion of a claim, at a revision.
-func (n *Node) putShard(shard *shard, claim *wire.Shard, revision uint64) {
+// applyShardClaim applies a new claim of a shard, or the deletion of a claim, at a revision.
+func (n *Node) applyShardClaim(shard *shard, claim *wire.Shard, revision uint64) {
 	change := n.ownership.Put(n.now, shard.Shard, claim, revision)
 	if change == ownership.Stale {
 		return
 	}
 	// Redirects and bounces under the previous owner are no evidence against the new one. When
 	// they counted, two peers repeatedly took the shard from each other.
-	shard.forgetRedirects()
+	shard.clearRedirects()
 	n.discardOutcomes(shard)
 	switch change {
 	case ownership.Claimed:
@@ -59,8 +59,8 @@
 	}
 }
 
-// forgetRedirects discards the redirects and bounces of a shard's machines.
-func (s *shard) forgetRedirects() {
+// clearRedirects discards the redirects and bounces of a shard's machines.
+func (s *shard) clearRedirects() {
 	for _, machine := range s.machines {
 		machine.redirectedAt, machine.bouncedAt = 0, 0
 	}
@@ -113,7 +113,7 @@
 		if machine.returned || machine.view.unreachable {
 			continue
 		}
-		if machine.view.known && machine.view.missedHeartbeats < 2 {
+		if machine.view.reportedByOwner && machine.view.missedHeartbeats < 2 {
 			e.MachinesKnown++
 		}
 		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < bounceRetention {
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -43,7 +43,7 @@
 	for _, c := range []struct {
 		name       string
 		steps      []*wire.Shard // a second apart; nil for a claim that is deleted with its lease
-		ownedSince Time          //  after the first step
+		ownedSince Time          // after the first step
 	}{
 		{"no earlier owner", nil, 0},
 		{"the owner stopped", []*wire.Shard{claim("n1", "a"), nil}, 2 * second},
@@ -57,7 +57,7 @@
 		n.replica.Reached(0, true)
 		rev := uint64(1)
 		for _, rec := range append(c.steps, claim("n0", "x")) {
-			n.putShard(shard, rec, rev)
+			n.applyShardClaim(shard, rec, rev)
 			rev++
 			n.now += second
 		}
@@ -67,7 +67,7 @@
 	}
 	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 5})
-	n.putShard(n.shards[0], claim("n0", "x"), 6)
+	n.applyShardClaim(n.shards[0], claim("n0", "x"), 6)
 	if since := n.shards[0].OwnedSince; since != second+validity {
 		t.Errorf("just started: owned since %v, want %v", since, second+validity)
 	}
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -36,15 +36,15 @@
 // cleanupInterval is the time between two searches for outdated machines and grants.
 const cleanupInterval = 5 * second
 
-// forgetMachines removes machines that are gone from their shards and discards their state,
+// removeGoneMachines removes machines that are gone from their shards and discards their state,
 // so that they cost no time or memory. It also discards the times of grants that
 // have been placed or revoked.
-func (n *Node) forgetMachines() {
+func (n *Node) removeGoneMachines() {
 	if n.now < n.cleanupAt {
 		return
 	}
 	n.cleanupAt = n.now + cleanupInterval
-	n.forgetPlacedGrants()
+	n.removeStaleGrantTimes()
 	for _, shard := range n.shards {
 		for i := len(shard.machines) - 1; i >= 0; i-- {
 			if machine := shard.machines[i]; len(machine.placements) == 0 && n.isGone(shard, machine) {
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -115,7 +115,7 @@
 	return &slot{machine: machine, shard: machine.shard, zone: machine.zone, machineType: machine.machineType, spot: machine.spot, typeInfo: machineType,
 		cores: machineType.Cores - used.cores, gpus: machineType.GPUs - used.gpus, memoryGB: machineType.MemoryGB - used.memoryGB,
 		releasingCores: used.releasingCores, releasingGPUs: used.releasingGPUs, releasingMemoryGB: used.releasingMemoryGB, daemon: used.daemon,
-		images: machine.images, errors: machine.view.errors, fetchGB: s.pendingFetchGB(machine)}
+		images: machine.images, errors: machine.view.failedJobCount, fetchGB: s.pendingFetchGB(machine)}
 }
 
 // slotClass groups slots that are nearly equivalent for the choice of a machine.
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -18,7 +18,7 @@
 	n.resumedAt = n.now
 	n.ownership.Resumed(n.now)
 	for _, shard := range n.shards {
-		shard.forgetRedirects()
+		shard.clearRedirects()
 	}
 	for _, p := range n.peers {
 		p.receivedAt += gap
--- a/internal/core/store_state.go
+++ b/internal/core/store_state.go
@@ -21,9 +21,9 @@
 // serving this controller.
 const storeSilenceTimeout = 3 * time.Second
 
-// noteStoreOutcome updates whether the state service serves this controller from the outcome of
+// recordStoreOutcome updates whether the state service serves this controller from the outcome of
 // a request.
-func (n *Node) noteStoreOutcome(outcome kv.Outcome) {
+func (n *Node) recordStoreOutcome(outcome kv.Outcome) {
 	switch outcome {
 	case kv.OK, kv.Conflict, kv.NotFound, kv.LeaseExpired, kv.TooLarge:
 		if !n.storeOK {
@@ -31,7 +31,7 @@
 			// redirected in vain. That is no evidence against the owners afterwards.
 			n.storeOKSince = n.now
 			for _, shard := range n.shards {
-				shard.forgetRedirects()
+				shard.clearRedirects()
 			}
 		}
 		n.storeOK, n.storeAnsweredAt = true, n.now
--- a/internal/core/topology.go
+++ b/internal/core/topology.go
@@ -81,5 +81,5 @@
 // controller knows.
 func (t *topology) hasReported(name string) bool {
 	machine := t.knownMachine(name)
-	return machine != nil && machine.view.known
+	return machine != nil && machine.view.reportedByOwner
 }
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -52,7 +52,7 @@
 		n.workCount++
 		if machine.viewVersion != change.version || machine.shard < 0 ||
 			!n.mayActAsOwner(n.shards[machine.shard]) ||
-			!machine.view.known {
+			!machine.view.reportedByOwner {
 			continue
 		}
 		if len(message.Hosts) >= limit {
@@ -75,8 +75,8 @@
 // message refers to by index.
 func (s *site) encodeView(machine *machine, names *wire.Interner) wire.MachineInfo {
 	view := &machine.view
-	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(s.names.Zones.Name(machine.zone)), Errors: view.errors,
-		Flags: wire.Flags(machine.spot, view.reclaimed, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<missedHeartbeatsShift}
+	info := wire.MachineInfo{Name: machine.name, Zone: names.Of(s.names.Zones.Name(machine.zone)), Errors: view.failedJobCount,
+		Flags: wire.Flags(machine.spot, view.reclaimPending, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<missedHeartbeatsShift}
 	if machine.machineType >= 0 {
 		info.Rig = names.Of(s.names.MachineTypes.Name(machine.machineType))
 	}
@@ -87,6 +87,6 @@
 // decodeView decodes the view of a machine in a message.
 func decodeView(info *wire.MachineInfo) machineView {
 	flags := info.Flags
-	return machineView{known: true, reclaimed: flags&wire.FlagReclaimed != 0, draining: flags&wire.FlagDraining != 0, unhealthy: flags&wire.FlagUnhealthy != 0,
-		unreachable: flags&wire.FlagUnreachable != 0, unconfirmed: flags&wire.FlagUnconfirmed != 0, missedHeartbeats: flags >> missedHeartbeatsShift, errors: info.Errors}
+	return machineView{reportedByOwner: true, reclaimPending: flags&wire.FlagReclaimed != 0, draining: flags&wire.FlagDraining != 0, unhealthy: flags&wire.FlagUnhealthy != 0,
+		unreachable: flags&wire.FlagUnreachable != 0, unconfirmed: flags&wire.FlagUnconfirmed != 0, missedHeartbeats: flags >> missedHeartbeatsShift, failedJobCount: info.Errors}
 }
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -6,9 +6,9 @@
 	"micaport/internal/wire"
 )
 
-// workerHeartbeat processes a worker's heartbeat. The reply is sent immediately or after a delay
+// receiveWorkerHeartbeat processes a worker's heartbeat. The reply is sent immediately or after a delay
 // (worker_reply.go), or redirects the worker to the machine's owner (worker_redirect.go).
-func (n *Node) workerHeartbeat(in WorkerReported) {
+func (n *Node) receiveWorkerHeartbeat(in WorkerReported) {
 	heartbeat := in.Heartbeat
 	index := n.ownership.ShardOf(n.names.Zones.Find(heartbeat.Zone), heartbeat.Machine)
 	if index < 0 || heartbeat.Machine == "" {
@@ -87,7 +87,7 @@
 	machine.startSentAt, machine.directStarts = map[taskKey]uint64{}, map[taskKey]directStart{}
 	// The first heartbeat of a machine that no owner has seen before: the worker can't have
 	// received a token yet.
-	machine.newlyBooted = firstReports && heartbeat.Token == 0 && !machine.view.known && len(machine.placements) == 0
+	machine.newlyBooted = firstReports && heartbeat.Token == 0 && !machine.view.reportedByOwner && len(machine.placements) == 0
 	n.ownViewsAt = 0
 }
 
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -80,7 +80,7 @@
 // simulation's clock.
 func decisionsOf(ctrl *controller) map[string]wire.Fact {
 	facts := map[string]wire.Fact{}
-	for _, f := range ctrl.core.Decisions() {
+	for _, f := range ctrl.core.DecisionLogFacts() {
 		if f.At != 0 {
 			f.At = int64(float64(f.At)/ctrl.clockRate) + ctrl.startedAt.Milliseconds()
 		}
