--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -10,7 +10,7 @@
 // adoptDecisions initializes the state of a new leader from the decision log that this controller
 // received as the standby of the previous leader, whose term is passed.
 func (n *Node) adoptDecisions(term uint64) {
-	facts := n.failover.logReplica.Of(term)
+	facts := n.failover.logReplica.FactsOfTerm(term)
 	if len(facts) == 0 {
 		return
 	}
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -23,7 +23,7 @@
 	if !n.fenced() {
 		return
 	}
-	s.logPublisher.Direct(s.standby, n.leadership.Term())
+	s.logPublisher.SetStandby(s.standby, n.leadership.Term())
 	if s.standby == "" || n.now < s.nextPublishAt {
 		return
 	}
@@ -39,7 +39,7 @@
 func (n *Node) receiveDecisionLog(received DecisionLogReceived) {
 	ack := wire.DecisionLogAck{Resync: true}
 	if received.Message != nil {
-		ack = n.failover.logReplica.Take(n.now, n.failover.follower.Claim(), received.Message)
+		ack = n.failover.logReplica.Receive(n.now, n.failover.follower.Claim(), received.Message)
 	}
 	n.emit(Reply{RequestID: received.RequestID, Status: http.StatusOK, Body: ack})
 }
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -126,7 +126,7 @@
 	m := newFailoverHarness(t)
 	term := m.showLeader("n0", "x", true, 0)
 	m.advance(10*second, term)
-	m.n.leadership.Lease.Renew(m.n.now) // a renewal without an answer
+	m.n.leadership.Lease.StartRenewal(m.n.now) // a renewal without an answer
 	m.advance(2500*time.Millisecond, 0)
 	m.deliverSuspicion(term)
 	m.advance(300*time.Millisecond, 0)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -91,7 +91,7 @@
 // runLeader makes the calls to the cloud and the scheduling pass that are due, if this process
 // leads.
 func (n *Node) runLeader() {
-	if !n.isLeader() || n.resign() || !n.leadership.LeaseHolds(n.now) {
+	if !n.isLeader() || n.resign() || !n.leadership.LeaseValid(n.now) {
 		return
 	}
 	if n.resumedAt > 0 && n.now-n.resumedAt < firstPassDelayAfterStall || !n.mayDecide() {
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -69,14 +69,14 @@
 	if n.leadership.Record() == nil || !n.leadership.Record().Fenced || n.leadership.Record().Controller == n.cfg.Self {
 		return nil
 	}
-	o := n.failover.follower.Opinion(n.now)
+	o := n.failover.follower.SuspicionReport(n.now)
 	return &wire.LeaderView{Term: o.Term, SilenceMS: o.Silence.Milliseconds(), Broken: o.Broken, Suspected: o.Suspected}
 }
 
 // receiveLeaderView stores a peer's opinion of the leader.
 func (n *Node) receiveLeaderView(from string, v *wire.LeaderView) {
 	if v != nil {
-		n.failover.follower.ReceiveOpinion(n.now, from, failover.Opinion{
+		n.failover.follower.ReceiveSuspicionReport(n.now, from, failover.SuspicionReport{
 			Term: v.Term, Silence: Time(v.SilenceMS) * time.Millisecond, Broken: v.Broken, Suspected: v.Suspected,
 		})
 	}
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -38,7 +38,7 @@
 	switch {
 	case n.leadership.Term() != p.term:
 	case result.Outcome == kv.Conflict:
-		n.leadership.Replaced(p.term) // the replica does not show the new claim yet
+		n.leadership.MarkReplaced(p.term) // the replica does not show the new claim yet
 	case result.Outcome == kv.OK && p.sentAt >= n.resumedAt:
 		n.failover.fence.AddProof(p.sentAt, result.Revision)
 		n.settleProofs()
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -26,7 +26,7 @@
 	if !n.leader.batch.changes(job) || !n.isLeader() {
 		t.Fatal("the leader's commit is not pending")
 	}
-	n.leadership.Replaced(n.leadership.Term())
+	n.leadership.MarkReplaced(n.leadership.Term())
 	n.putLeader(&wire.Leader{Controller: "n1", Incarnation: "y"}, 9)
 	if n.leader.batch.changes(job) {
 		t.Error("the commit of a leader that has resigned still blocks the record")
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -88,7 +88,7 @@
 // abandonUnseenClaim abandons a claim that was accepted but that the replica still does not show
 // after a timeout, and deletes its record; see leadership.UnseenClaim.
 func (n *Node) abandonUnseenClaim() {
-	if term, unseen := n.leadership.UnseenClaim(n.now, n.replica.Revision()); unseen {
+	if term, unseen := n.leadership.AbandonUnseenClaim(n.now, n.replica.Revision()); unseen {
 		n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
 		n.transact(ClassLease, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}, []kv.Write{{Key: wire.LeaderKey}}, ignoreResult{})
 	}
@@ -152,6 +152,6 @@
 
 func (resignation) committed(n *Node, result Committed) {
 	if result.Outcome == kv.Refused {
-		n.leadership.ResignRefused()
+		n.leadership.RevertResignation()
 	}
 }
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -16,7 +16,7 @@
 		// This controller needs no lease while another one leads, and requests are scarce. An
 		// old lease is discarded, as it may have ended by the time that one is needed.
 		if leader.Age(n.now) > leader.TTL/2 {
-			leader.Forget()
+			leader.Discard()
 		}
 		return
 	}
@@ -25,7 +25,7 @@
 
 // renew sends a request that extends a lease, or that creates one.
 func (n *Node) renew(l *lease.Lease) {
-	renewal := l.Renew(n.now)
+	renewal := l.StartRenewal(n.now)
 	id := n.continueWith(leaseRenewal{renewal})
 	n.emit(RenewLease{ID: id, LeaseID: renewal.ID(), TTL: l.TTL})
 }
@@ -36,5 +36,5 @@
 func (r leaseRenewal) resume(n *Node, result Result) {
 	answer := result.(LeaseAnswered)
 	n.recordStoreOutcome(answer.Outcome)
-	r.renewal.Answered(n.now, answer.Outcome, answer.LeaseID, n.ownership.ProofInterval())
+	r.renewal.Complete(n.now, answer.Outcome, answer.LeaseID, n.ownership.ProofInterval())
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -142,7 +142,7 @@
 
 func (shardClaim) committed(n *Node, result Committed) {
 	if result.Outcome == kv.LeaseExpired {
-		n.ownership.Lease.Ended(n.now)
+		n.ownership.Lease.MarkExpired(n.now)
 	}
 }
 
@@ -159,7 +159,7 @@
 
 func (p ownershipProof) committed(n *Node, result Committed) {
 	if result.Outcome == kv.OK {
-		n.ownership.Succeeded(p.proof, result.Revision)
+		n.ownership.AddProof(p.proof, result.Revision)
 		n.ownership.Settle(n.now, n.replica.Revision())
 	}
 }
--- a/internal/core/takeover_record.go
+++ b/internal/core/takeover_record.go
@@ -56,7 +56,7 @@
 func (f *failoverState) stagesMS() []int64 {
 	var stages []int64
 	for stage := failover.Suspected; stage <= failover.Decided && f.takeover.Reached(stage); stage++ {
-		stages = append(stages, f.takeover.After(stage).Milliseconds())
+		stages = append(stages, f.takeover.SinceLastHeartbeat(stage).Milliseconds())
 	}
 	return stages
 }
--- a/internal/failover/decision_log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -24,7 +24,7 @@
 // name.
 func factsHeld(r *Replica, term uint64) map[string]int64 {
 	facts := map[string]int64{}
-	for _, f := range r.Of(term) {
+	for _, f := range r.FactsOfTerm(term) {
 		facts[f.Name] = f.At - r.offset.Milliseconds()
 	}
 	return facts
@@ -33,7 +33,7 @@
 // The standby receives all facts at first and then each change once.
 func TestLogCarriesChanges(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
-	p.Direct("b", 7)
+	p.SetStandby("b", 7)
 	// exchange publishes facts and returns how many are sent, or -1 if no message is sent.
 	exchange := func(now time.Duration, facts ...wire.Fact) int {
 		p.Publish(facts)
@@ -41,7 +41,7 @@
 		if m == nil {
 			return -1
 		}
-		p.Acknowledged(now, r.Take(now+time.Hour, leaderClaim, m))
+		p.Acknowledged(now, r.Receive(now+time.Hour, leaderClaim, m))
 		var sent []wire.Fact
 		if err := wire.Decode(m.Facts, &sent); err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 			t.Errorf("step %d: the standby holds %v, want %v", i, got, want)
 		}
 	}
-	if facts := r.Of(6); facts != nil {
+	if facts := r.FactsOfTerm(6); facts != nil {
 		t.Errorf("facts of another term: %v", facts)
 	}
 }
@@ -74,11 +74,11 @@
 // The times of facts are converted to the standby's clock.
 func TestLogConvertsTimes(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
-	p.Direct("b", 7)
+	p.SetStandby("b", 7)
 	p.Publish([]wire.Fact{fact("x", 1500), {Kind: wire.FactDraining, Name: "y"}})
 	_, m := p.Next(2*time.Second, "a", "a1")
-	r.Take(time.Hour, leaderClaim, m)
-	for _, f := range r.Of(7) {
+	r.Receive(time.Hour, leaderClaim, m)
+	for _, f := range r.FactsOfTerm(7) {
 		want := int64(0)
 		if f.Kind == wire.FactIdle {
 			want = (time.Hour - 500*time.Millisecond).Milliseconds()
@@ -93,7 +93,7 @@
 // facts. The facts of a large site are sent in several messages.
 func TestLogIsBounded(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
-	p.Direct("b", 7)
+	p.SetStandby("b", 7)
 	facts := make([]wire.Fact, 4000)
 	for round := range 50 {
 		for i := range facts {
@@ -114,7 +114,7 @@
 			t.Errorf("a message has %d bytes of facts, want at most %d", len(m.Facts), 64<<10)
 		}
 		messages++
-		p.Acknowledged(now, r.Take(now, leaderClaim, m))
+		p.Acknowledged(now, r.Receive(now, leaderClaim, m))
 	}
 	if r.Facts() != len(facts) || messages != 4 || p.Resyncs() == 0 {
 		t.Errorf("%d facts in %d messages after %d resyncs", r.Facts(), messages, p.Resyncs())
@@ -129,7 +129,7 @@
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		m := &wire.DecisionLog{From: "a", Life: "a1", Term: 7, Sequence: 1, Reset: true, Facts: raw, Checksum: crc32.ChecksumIEEE(raw)}
-		ack := r.Take(time.Second, leaderClaim, m)
+		ack := r.Receive(time.Second, leaderClaim, m)
 		runtime.ReadMemStats(&after)
 		if allocated := after.TotalAlloc - before.TotalAlloc; !ack.Resync || r.Dropped() != 1 || allocated > 1<<20 {
 			t.Errorf("%x: acknowledgement %+v, %d refused, %d bytes allocated", raw, ack, r.Dropped(), allocated)
@@ -140,10 +140,10 @@
 // A standby whose replica of the records lags refuses a message. The next message is delayed.
 func TestLogDelaysAfterRefusal(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
-	p.Direct("b", 8)
+	p.SetStandby("b", 8)
 	p.Publish([]wire.Fact{fact("x", 1)})
 	_, m := p.Next(time.Second, "a", "a1")
-	p.Acknowledged(time.Second, r.Take(time.Second, leaderClaim, m))
+	p.Acknowledged(time.Second, r.Receive(time.Second, leaderClaim, m))
 	if _, m := p.Next(time.Second+resyncDelay-1, "a", "a1"); m != nil {
 		t.Error("the next message is not delayed")
 	}
@@ -161,7 +161,7 @@
 func TestLogRecoversFromFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, r := NewPublisher(), NewReplica()
-		p.Direct("b", 7)
+		p.SetStandby("b", 7)
 		now := time.Second
 		leaderFacts := map[string]int64{}
 		var sent []*wire.DecisionLog
@@ -186,9 +186,9 @@
 				switch rapid.IntRange(0, 4).Draw(t, "delivery") {
 				case 0: // lost
 				case 1: // received, but its acknowledgement is lost
-					r.Take(now, leaderClaim, m)
+					r.Receive(now, leaderClaim, m)
 				default:
-					p.Acknowledged(now, r.Take(now, leaderClaim, m))
+					p.Acknowledged(now, r.Receive(now, leaderClaim, m))
 				}
 			}
 			if len(sent) > 0 && rapid.IntRange(0, 2).Draw(t, "fault") == 0 {
@@ -207,14 +207,14 @@
 					}
 					m.Checksum = crc32.ChecksumIEEE(m.Facts)
 				}
-				p.Acknowledged(now, r.Take(now, leaderClaim, &m))
+				p.Acknowledged(now, r.Receive(now, leaderClaim, &m))
 			}
 		}
 		for range 40 {
 			now += time.Second
 			publish()
 			if _, m := p.Next(now, "a", "a1"); m != nil {
-				p.Acknowledged(now, r.Take(now, leaderClaim, m))
+				p.Acknowledged(now, r.Receive(now, leaderClaim, m))
 			}
 		}
 		if got := factsHeld(r, 7); !maps.Equal(got, leaderFacts) {
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Opinion is a controller's view of the leader, which it sends to its peers.
-type Opinion struct {
+// SuspicionReport is a controller's view of the leader, which it sends to its peers.
+type SuspicionReport struct {
 	Term      uint64        // term of the leader
 	Silence   time.Duration // since the controller received the leader's last heartbeat
 	Broken    bool          // the controller's connection to the leader is broken
 	Suspected bool          // the controller suspects that the leader has failed
 }
 
-// peerOpinion is the latest opinion received from a peer.
-type peerOpinion struct {
-	Opinion
+// peerReport is the latest opinion received from a peer.
+type peerReport struct {
+	SuspicionReport
 	receivedAt time.Duration
 }
 
-// opinionLifetime is how long a peer's opinion is valid: two intervals of the messages that
+// suspicionReportLifetime is how long a peer's opinion is valid: two intervals of the messages that
 // controllers send each other every second.
-const opinionLifetime = 2 * time.Second
+const suspicionReportLifetime = 2 * time.Second
 
-// Opinion returns this controller's opinion, to be sent to its peers.
-func (f *Follower) Opinion(now time.Duration) Opinion {
-	return Opinion{
+// SuspicionReport returns this controller's opinion, to be sent to its peers.
+func (f *Follower) SuspicionReport(now time.Duration) SuspicionReport {
+	return SuspicionReport{
 		Term: f.claim.Term, Silence: f.detector.silence(now), Broken: f.detector.broken(),
 		Suspected: f.mayReplaceEarly() && f.detector.suspects(now),
 	}
 }
 
-// ReceiveOpinion stores the opinion of a peer.
-func (f *Follower) ReceiveOpinion(now time.Duration, peer string, opinion Opinion) {
-	f.opinions[peer] = peerOpinion{opinion, now}
+// ReceiveSuspicionReport stores the opinion of a peer.
+func (f *Follower) ReceiveSuspicionReport(now time.Duration, peer string, opinion SuspicionReport) {
+	f.peerReports[peer] = peerReport{opinion, now}
 }
 
 // Evidence is the evidence for and against a failure of the leader.
@@ -55,9 +55,9 @@
 		evidence.Suspecting++
 	}
 	for _, name := range f.config.Members {
-		opinion, known := f.opinions[name]
+		opinion, known := f.peerReports[name]
 		if !known || name == f.config.Self || name == f.claim.Controller ||
-			now-opinion.receivedAt > opinionLifetime ||
+			now-opinion.receivedAt > suspicionReportLifetime ||
 			opinion.Term != f.claim.Term {
 			continue
 		}
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -31,15 +31,15 @@
 	claim       Claim
 	claimSeenAt time.Duration
 	detector    detector
-	opinions    map[string]peerOpinion // by controller name
-	standby     string                 // named by the leader; "": none
-	suspectedAt time.Duration          // since when this controller has suspected the leader; 0: it does not
-	confirmedAt time.Duration          // since when a quorum has suspected the leader; 0: it does not
+	peerReports map[string]peerReport // by controller name
+	standby     string                // named by the leader; "": none
+	suspectedAt time.Duration         // since when this controller has suspected the leader; 0: it does not
+	confirmedAt time.Duration         // since when a quorum has suspected the leader; 0: it does not
 }
 
 // NewFollower returns a follower without a leader.
 func NewFollower(config Config) *Follower {
-	return &Follower{config: config, detector: detector{maxTimeout: config.LeaseTTL}, opinions: map[string]peerOpinion{}}
+	return &Follower{config: config, detector: detector{maxTimeout: config.LeaseTTL}, peerReports: map[string]peerReport{}}
 }
 
 // Observe records the claim of the current leader. A new leader is treated as if it had sent a
@@ -69,7 +69,7 @@
 	if peer == f.claim.Controller {
 		f.detector.disconnected(now)
 	}
-	delete(f.opinions, peer)
+	delete(f.peerReports, peer)
 }
 
 // Resumed discards the state that a pause of this process has made stale: no message was received
@@ -77,7 +77,7 @@
 func (f *Follower) Resumed(now time.Duration) {
 	f.detector.reset(now)
 	f.suspectedAt, f.confirmedAt = 0, 0
-	clear(f.opinions)
+	clear(f.peerReports)
 }
 
 // mayReplaceEarly reports whether there is a leader that this controller may replace early.
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -26,7 +26,7 @@
 // suspect delivers opinions of peers that suspect the leader of a term.
 func suspect(f *Follower, now time.Duration, term uint64, peers ...string) {
 	for _, peer := range peers {
-		f.ReceiveOpinion(now, peer, Opinion{Term: term, Suspected: true})
+		f.ReceiveSuspicionReport(now, peer, SuspicionReport{Term: term, Suspected: true})
 	}
 }
 
@@ -46,7 +46,7 @@
 // those about another term are ignored.
 func TestAdviceNeedsQuorum(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
-	trusts := func(f *Follower, peer string) { f.ReceiveOpinion(now, peer, Opinion{Term: 7}) }
+	trusts := func(f *Follower, peer string) { f.ReceiveSuspicionReport(now, peer, SuspicionReport{Term: 7}) }
 	for _, c := range []struct {
 		name     string
 		opinions func(*Follower)
@@ -56,7 +56,7 @@
 		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); trusts(f, "d") }, Prepare},
 		{"two peers suspect", func(f *Follower) { suspect(f, now, 7, "c", "d") }, Replace},
 		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); trusts(f, "e") }, Replace},
-		{"the opinions have expired", func(f *Follower) { suspect(f, now-opinionLifetime-1, 7, "c", "d") }, Prepare},
+		{"the opinions have expired", func(f *Follower) { suspect(f, now-suspicionReportLifetime-1, 7, "c", "d") }, Prepare},
 		{"the opinions are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
 		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.Disconnected(now, "c") }, Prepare},
 		{"the leader suspects itself", func(f *Follower) { suspect(f, now, 7, "a", "c") }, Prepare},
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -43,9 +43,9 @@
 	return &Publisher{facts: map[factKey]wire.Fact{}, changed: map[factKey]bool{}}
 }
 
-// Direct sets the standby, "" for none, and the leader's term. A change of either causes all facts
+// SetStandby sets the standby, "" for none, and the leader's term. A change of either causes all facts
 // to be sent again.
-func (p *Publisher) Direct(standby string, term uint64) {
+func (p *Publisher) SetStandby(standby string, term uint64) {
 	if p.standby == standby && p.term == term {
 		return
 	}
--- a/internal/failover/takeover_test.go
+++ b/internal/failover/takeover_test.go
@@ -23,7 +23,7 @@
 		t.Error("a later stage is reached too early")
 	}
 	for stage, want := range map[Stage]time.Duration{Suspected: time.Second, Claimed: 2 * time.Second, Seen: 3 * time.Second} {
-		if got := takeover.After(stage); got != want {
+		if got := takeover.SinceLastHeartbeat(stage); got != want {
 			t.Errorf("stage %d is reached after %v, want %v", stage, got, want)
 		}
 	}
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -184,7 +184,7 @@
 func (l *Leadership) ClaimAnswered(now Time, outcome kv.Outcome, revision uint64) {
 	switch outcome {
 	case kv.LeaseExpired:
-		l.Lease.Ended(now)
+		l.Lease.MarkExpired(now)
 	case kv.OK:
 		l.acceptedTerm, l.acceptedAt = revision, now
 	}
@@ -195,18 +195,18 @@
 	return now >= l.nextClaimAt && l.Lease.ID == l.claimLeaseID && l.Lease.Age(now) <= l.Lease.TTL/2
 }
 
-// LeaseHolds reports whether the lease of the claim cannot have expired yet. A leader that the
+// LeaseValid reports whether the lease of the claim cannot have expired yet. A leader that the
 // state service refuses to serve may have lost the leadership without seeing it. A new lease
 // does not extend a claim that was made under an expired one.
-func (l *Leadership) LeaseHolds(now Time) bool {
+func (l *Leadership) LeaseValid(now Time) bool {
 	return l.Lease.Age(now) <= l.Lease.TTL && l.Lease.ID == l.claimLeaseID
 }
 
-// UnseenClaim abandons a claim that was accepted at least unseenClaimTimeout ago and that the
+// AbandonUnseenClaim abandons a claim that was accepted at least unseenClaimTimeout ago and that the
 // replica, which has reached a revision, does not show yet because the watch hangs. It returns
 // the term of the claim and whether there was one. Renewals of the lease would keep such a
 // claim alive and leave the site without a leader that decides.
-func (l *Leadership) UnseenClaim(now Time, revision uint64) (term uint64, unseen bool) {
+func (l *Leadership) AbandonUnseenClaim(now Time, revision uint64) (term uint64, unseen bool) {
 	if l.acceptedTerm <= revision || now-l.acceptedAt < unseenClaimTimeout || !l.cfg.EarlyFailover {
 		return 0, false
 	}
@@ -215,9 +215,9 @@
 	return term, true
 }
 
-// Replaced records that a claim of this process has been replaced, before the replica shows
+// MarkReplaced records that a claim of this process has been replaced, before the replica shows
 // it.
-func (l *Leadership) Replaced(term uint64) { l.abandonedTerm = term }
+func (l *Leadership) MarkReplaced(term uint64) { l.abandonedTerm = term }
 
 // Resign reports whether to resign now, and if so abandons the claim. An isolated leader that
 // the state service still serves resigns if successor reports that a controller which is not
@@ -242,8 +242,8 @@
 	return true
 }
 
-// ResignRefused reverts a resignation that the state service has certainly not carried out.
-func (l *Leadership) ResignRefused() { l.abandonedTerm = 0 }
+// RevertResignation reverts a resignation that the state service has certainly not carried out.
+func (l *Leadership) RevertResignation() { l.abandonedTerm = 0 }
 
 // Resumed discards the state that a stall of the process has made stale.
 func (l *Leadership) Resumed() { l.isolatedSince = 0 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -15,7 +15,7 @@
 
 func newLeadership() *Leadership {
 	l := New(Config{Self: self, Incarnation: incarnation, Rank: 1, LeaseTTL: 5 * time.Second, HeartbeatInterval: 3 * time.Second, EarlyFailover: true})
-	l.Lease.Renew(0).Answered(0, kv.OK, 7, time.Second)
+	l.Lease.StartRenewal(0).Complete(0, kv.OK, 7, time.Second)
 	return l
 }
 
@@ -107,7 +107,7 @@
 	if !l.Resign(later, true, always) || l.IsLeader() {
 		t.Error("did not resign")
 	}
-	l.ResignRefused()
+	l.RevertResignation()
 	if !l.IsLeader() {
 		t.Error("does not lead although the resignation was refused")
 	}
@@ -131,7 +131,7 @@
 		{time.Second + unseenClaimTimeout, 8, true},
 		{time.Second + 2*unseenClaimTimeout, 8, false}, // abandoned only once
 	} {
-		if _, unseen := l.UnseenClaim(c.at, c.revision); unseen != c.want {
+		if _, unseen := l.AbandonUnseenClaim(c.at, c.revision); unseen != c.want {
 			t.Errorf("at %v, revision %d: unseen %v, want %v", c.at, c.revision, unseen, c.want)
 		}
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -35,15 +35,15 @@
 // ID returns the ID of the lease to be extended; 0 if a new one is requested.
 func (r Renewal) ID() uint64 { return r.id }
 
-// Renew records that a request is sent now, and returns it.
-func (l *Lease) Renew(now time.Duration) Renewal {
+// StartRenewal records that a request is sent now, and returns it.
+func (l *Lease) StartRenewal(now time.Duration) Renewal {
 	l.renewing = true
 	return Renewal{lease: l, id: l.ID, sentAt: now}
 }
 
-// Answered processes the answer to the request. The lease is renewed again after the interval,
+// Complete processes the answer to the request. The lease is renewed again after the interval,
 // or after a quarter of its TTL if that is shorter.
-func (r Renewal) Answered(now time.Duration, outcome kv.Outcome, id uint64, interval time.Duration) {
+func (r Renewal) Complete(now time.Duration, outcome kv.Outcome, id uint64, interval time.Duration) {
 	l := r.lease
 	l.renewing = false
 	l.renewAt = now + retryInterval
@@ -55,15 +55,15 @@
 		l.SentAt = r.sentAt
 		l.renewAt = r.sentAt + min(l.TTL/4, interval)
 	case kv.NotFound:
-		l.Ended(now)
+		l.MarkExpired(now)
 	}
 }
 
-// Ended records that the lease has expired. A request for a new one is due at once.
-func (l *Lease) Ended(now time.Duration) { l.ID, l.renewAt = 0, now }
+// MarkExpired records that the lease has expired. A request for a new one is due at once.
+func (l *Lease) MarkExpired(now time.Duration) { l.ID, l.renewAt = 0, now }
 
-// Forget discards a lease that may have expired, without requesting a new one.
-func (l *Lease) Forget() { l.ID = 0 }
+// Discard discards a lease that may have expired, without requesting a new one.
+func (l *Lease) Discard() { l.ID = 0 }
 
 // RenewNow makes a request due now.
 func (l *Lease) RenewNow(now time.Duration) { l.renewAt = min(l.renewAt, now) }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -31,11 +31,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := Lease{ID: c.id, TTL: ttl}
-			renewal := l.Renew(sentAt)
+			renewal := l.StartRenewal(sentAt)
 			if l.Due(sentAt + time.Hour) {
 				t.Error("a second request is due while one is in flight")
 			}
-			renewal.Answered(now, c.outcome, 7, interval)
+			renewal.Complete(now, c.outcome, 7, interval)
 			if l.ID != c.wantID {
 				t.Errorf("lease %d, want %d", l.ID, c.wantID)
 			}
@@ -55,7 +55,7 @@
 	if l.Usable(0) {
 		t.Error("usable before it was created")
 	}
-	l.Renew(time.Second).Answered(2*time.Second, kv.OK, 3, time.Second)
+	l.StartRenewal(time.Second).Complete(2*time.Second, kv.OK, 3, time.Second)
 	if !l.Usable(5*time.Second) || l.Usable(5*time.Second+1) {
 		t.Error("not usable for exactly half of its TTL, counted from when the renewal was sent")
 	}
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -57,8 +57,8 @@
 	maxBouncedRequired = 12
 )
 
-// enoughBounced reports whether so many machines have bounced that the owner must be at fault.
-func (e *Evidence) enoughBounced() bool {
+// hasEnoughBounces reports whether so many machines have bounced that the owner must be at fault.
+func (e *Evidence) hasEnoughBounces() bool {
 	needed := max(1, min(e.MachinesKnown, max(minBouncedRequired, min(e.MachinesKnown/bouncedDivisor, maxBouncedRequired))))
 	return e.MachinesBounced >= needed
 }
@@ -94,7 +94,7 @@
 		extra = otherZoneExtraWait
 	}
 	switch {
-	case e.enoughBounced() && now-e.BouncingSince > minBouncingTime+extra && waited > unreachableWait:
+	case e.hasEnoughBounces() && now-e.BouncingSince > minBouncingTime+extra && waited > unreachableWait:
 		return Unreachable
 	case e.OwnerSilent && e.MachinesBounced >= 1 && waited > ownerSilentWait+extra:
 		return OwnerSilent
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -20,7 +20,7 @@
 	zones := map[string]int{"a": 0, "b": 1}
 	t := New(Config{Self: self, Incarnation: incarnation, Zone: 0, Members: members, Validity: validity, MaxConditions: 2},
 		ShardIDs([]string{"a", "b"}, members), len(zones), func(zone string) int { return zones[zone] })
-	t.Lease.Renew(0).Answered(0, kv.OK, 7, time.Second)
+	t.Lease.StartRenewal(0).Complete(0, kv.OK, 7, time.Second)
 	return t
 }
 
@@ -44,8 +44,8 @@
 	if again := table.NextProofs(now); again != nil {
 		t.Errorf("proofs are due again immediately: %+v", again)
 	}
-	table.Lease.Renew(now).Answered(now, kv.OK, 7, time.Second)
-	table.Succeeded(proofs[0], 9)
+	table.Lease.StartRenewal(now).Complete(now, kv.OK, 7, time.Second)
+	table.AddProof(proofs[0], 9)
 	table.Settle(now, 8)
 	if table.MayAct(now, s) {
 		t.Error("acts on a proof whose revision the replica has not reached")
@@ -68,7 +68,7 @@
 	table.Put(time.Second, s, claimOf(self, incarnation), 5)
 	proofs := table.NextProofs(2 * time.Second)
 	table.Resumed(3 * time.Second)
-	table.Succeeded(proofs[0], 6)
+	table.AddProof(proofs[0], 6)
 	table.Settle(3*time.Second, 6)
 	if table.MayAct(3*time.Second, s) {
 		t.Error("acts on a proof that was sent before the stall")
--- a/internal/ownership/proof.go
+++ b/internal/ownership/proof.go
@@ -70,10 +70,10 @@
 	return proofs
 }
 
-// Succeeded records that a proof has succeeded at a revision. The proof takes effect once the
+// AddProof records that a proof has succeeded at a revision. The proof takes effect once the
 // replica has reached the revision: otherwise an owner whose watch hangs could keep tasks alive
 // whose cancellation it has not seen. Proofs that were sent before a stall are ignored.
-func (t *Table) Succeeded(p Proof, revision uint64) {
+func (t *Table) AddProof(p Proof, revision uint64) {
 	if p.sentAt >= t.resumedAt {
 		t.pending = append(t.pending, pendingProof{sentAt: p.sentAt, revision: revision, terms: p.terms})
 	}
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -16,8 +16,8 @@
 	maxQuantity = 1e9
 )
 
-// Of returns the amount for decimal quantities, rounded to billionths.
-func Of(cores, gpus float64) Amount { return Amount{toBillionths(cores), toBillionths(gpus)} }
+// NewAmount returns the amount for decimal quantities, rounded to billionths.
+func NewAmount(cores, gpus float64) Amount { return Amount{toBillionths(cores), toBillionths(gpus)} }
 
 func toBillionths(quantity float64) int64 { return int64(math.Round(quantity * scale)) }
 
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -12,7 +12,7 @@
 var (
 	ErrStaleVersion    = errors.New("the account has been changed in the meantime")
 	ErrUnknownTeam     = errors.New("unknown team")
-	ErrBeyondTheSite   = errors.New("the guarantees of all teams together exceed the capacity of the site")
+	ErrExceedsCapacity = errors.New("the guarantees of all teams together exceed the capacity of the site")
 	ErrNotAllUpgraded  = errors.New("not all controllers support team accounts yet")
 	ErrNothingToChange = errors.New("the change sets no amount")
 )
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -102,7 +102,7 @@
 	}
 	for _, s := range t.record.Shares {
 		if s.Shard == shard {
-			return Of(s.Cores, s.GPUs), true
+			return NewAmount(s.Cores, s.GPUs), true
 		}
 	}
 	return Amount{}, false
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -84,7 +84,7 @@
 func (m *model) restart(i int) {
 	m.revision++
 	m.terms[i] = m.revision
-	a := &actor{term: m.revision, ledger: NewLedger([]Quota{{Limit: Of(0, modelLimit)}}, modelShards), revision: m.revision}
+	a := &actor{term: m.revision, ledger: NewLedger([]Quota{{Limit: NewAmount(0, modelLimit)}}, modelShards), revision: m.revision}
 	m.actors[i] = a
 	m.catchUp(a, len(m.events))
 	a.revision = m.revision
@@ -122,7 +122,7 @@
 	switch m.choose("action", 12) {
 	case 0, 1, 2, 3:
 		if m.mayDecide(a) {
-			m.decide(i, a, Of(0, float64(1+m.choose("GPUs", 4))))
+			m.decide(i, a, NewAmount(0, float64(1+m.choose("GPUs", 4))))
 		}
 	case 4, 5:
 		m.catchUp(a, min(len(m.events), a.seenEvents+1+m.choose("events", 4)))
@@ -261,7 +261,7 @@
 		if m.account != nil {
 			for _, s := range m.account.Shares {
 				if s.Shard == shard {
-					share = Of(s.Cores, s.GPUs)
+					share = NewAmount(s.Cores, s.GPUs)
 				}
 			}
 		}
@@ -274,7 +274,7 @@
 // no more than the revision before it: operators may have lowered the limit. It also records an
 // invalid account.
 func (m *model) check(before Amount) {
-	limit := Of(0, modelLimit)
+	limit := NewAmount(0, modelLimit)
 	if m.account != nil {
 		limit = quotaOf(m.account.Limit, m.account.Guarantee).Limit
 	}
--- a/internal/quota/validate.go
+++ b/internal/quota/validate.go
@@ -15,17 +15,17 @@
 	return Quota{Limit: amountOf(limit), Guarantee: amountOf(guarantee)}
 }
 
-func amountOf(r wire.Resources) Amount { return Of(r.Cores, r.GPUs) }
+func amountOf(r wire.Resources) Amount { return NewAmount(r.Cores, r.GPUs) }
 
 // Errors of an account. Their texts are printed to operators.
 var (
-	ErrNotANumber        = errors.New("an amount is not a number or is too large")
-	ErrNegative          = errors.New("an amount is negative")
-	ErrGuarantee         = errors.New("the guarantee exceeds the limit")
-	ErrUnknownShard      = errors.New("a share belongs to a shard that does not exist")
-	ErrDuplicateShare    = errors.New("a shard has two shares")
-	ErrSharesExceedLimit = errors.New("the shares exceed the limit")
-	ErrUnreadable        = errors.New("the record can't be decoded")
+	ErrInvalidAmount         = errors.New("an amount is not a number or is too large")
+	ErrNegative              = errors.New("an amount is negative")
+	ErrGuaranteeExceedsLimit = errors.New("the guarantee exceeds the limit")
+	ErrUnknownShard          = errors.New("a share belongs to a shard that does not exist")
+	ErrDuplicateShare        = errors.New("a shard has two shares")
+	ErrSharesExceedLimit     = errors.New("the shares exceed the limit")
+	ErrUnreadable            = errors.New("the record can't be decoded")
 )
 
 // Validate checks an account of a site with a number of shards. The error wraps one of the errors
@@ -64,7 +64,7 @@
 		return fmt.Errorf("guarantee: %w", err)
 	}
 	if limit.Cores > 0 && guarantee.Cores > limit.Cores || limit.GPUs > 0 && guarantee.GPUs > limit.GPUs {
-		return ErrGuarantee
+		return ErrGuaranteeExceedsLimit
 	}
 	return nil
 }
@@ -73,7 +73,7 @@
 	for _, quantity := range []float64{r.Cores, r.GPUs} {
 		switch {
 		case math.IsNaN(quantity) || quantity > maxQuantity:
-			return ErrNotANumber
+			return ErrInvalidAmount
 		case quantity < 0:
 			return ErrNegative
 		}
@@ -84,7 +84,7 @@
 func sumOfShares(account *wire.Account) Amount {
 	sum := Amount{}
 	for _, share := range account.Shares {
-		sum = sum.Plus(Of(share.Cores, share.GPUs))
+		sum = sum.Plus(NewAmount(share.Cores, share.GPUs))
 	}
 	return sum
 }
--- a/internal/quotactl/quotactl_test.go
+++ b/internal/quotactl/quotactl_test.go
@@ -101,13 +101,13 @@
 		{quota.Change{Team: "green", GPUsLimit: pointerTo(1)}, quota.ErrUnknownTeam},
 		{quota.Change{Team: "red"}, quota.ErrNothingToChange},
 		{quota.Change{Team: "red", GPUsLimit: pointerTo(-1)}, quota.ErrNegative},
-		{quota.Change{Team: "red", GPUsLimit: pointerTo(math.NaN())}, quota.ErrNotANumber},
-		{quota.Change{Team: "red", GPUsLimit: pointerTo(math.Inf(1))}, quota.ErrNotANumber},
-		{quota.Change{Team: "red", GPUsLimit: pointerTo(1e300)}, quota.ErrNotANumber},
-		{quota.Change{Team: "red", GPUsLimit: pointerTo(3)}, quota.ErrGuarantee},
-		{quota.Change{Team: "red", GPUsGuarantee: pointerTo(9)}, quota.ErrGuarantee},
+		{quota.Change{Team: "red", GPUsLimit: pointerTo(math.NaN())}, quota.ErrInvalidAmount},
+		{quota.Change{Team: "red", GPUsLimit: pointerTo(math.Inf(1))}, quota.ErrInvalidAmount},
+		{quota.Change{Team: "red", GPUsLimit: pointerTo(1e300)}, quota.ErrInvalidAmount},
+		{quota.Change{Team: "red", GPUsLimit: pointerTo(3)}, quota.ErrGuaranteeExceedsLimit},
+		{quota.Change{Team: "red", GPUsGuarantee: pointerTo(9)}, quota.ErrGuaranteeExceedsLimit},
 		{quota.Change{Team: "red", Version: 3, GPUsLimit: pointerTo(9)}, quota.ErrStaleVersion},
-		{quota.Change{Team: "red", GPUsLimit: pointerTo(20), GPUsGuarantee: pointerTo(9)}, quota.ErrBeyondTheSite},
+		{quota.Change{Team: "red", GPUsLimit: pointerTo(20), GPUsGuarantee: pointerTo(9)}, quota.ErrExceedsCapacity},
 	}
 	for _, test := range cases {
 		before := records.revision
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -79,7 +79,7 @@
 		guaranteed = sum(guaranteed, accounts[team].Guarantee)
 	}
 	if guaranteed.Cores > capacity.Cores || guaranteed.GPUs > capacity.GPUs {
-		return fmt.Errorf("%w: %v of %v cores, %v of %v GPUs", quota.ErrBeyondTheSite, guaranteed.Cores, capacity.Cores, guaranteed.GPUs, capacity.GPUs)
+		return fmt.Errorf("%w: %v of %v cores, %v of %v GPUs", quota.ErrExceedsCapacity, guaranteed.Cores, capacity.Cores, guaranteed.GPUs, capacity.GPUs)
 	}
 	return nil
 }
--- a/internal/replica/quotas.go
+++ b/internal/replica/quotas.go
@@ -12,7 +12,7 @@
 	quotas := make([]quota.Quota, len(r.cfg.Teams))
 	for i := range r.cfg.Teams {
 		team := &r.cfg.Teams[i]
-		quotas[i] = quota.Quota{Limit: quota.Of(team.MaxCores, team.MaxGPUs), Guarantee: quota.Of(team.GuaranteedCores, team.GuaranteedGPUs)}
+		quotas[i] = quota.Quota{Limit: quota.NewAmount(team.MaxCores, team.MaxGPUs), Guarantee: quota.NewAmount(team.GuaranteedCores, team.GuaranteedGPUs)}
 	}
 	r.ledger = quota.NewLedger(quotas, r.cfg.Shards)
 	r.quotas = slices.Clone(r.cfg.Teams)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -206,5 +206,5 @@
 
 // Demand is what a number of the job's tasks are charged.
 func (j *Job) Demand(tasks int) quota.Amount {
-	return quota.Of(j.Record.Spec.Cores, j.Record.Spec.GPUs).Times(tasks)
+	return quota.NewAmount(j.Record.Spec.Cores, j.Record.Spec.GPUs).Times(tasks)
 }
