--- a/internal/core/ancestor_search.go
+++ b/internal/core/ancestor_search.go
@@ -51,7 +51,7 @@
 	for len(s.unvisited) > 0 {
 		id := s.unvisited[len(s.unvisited)-1]
 		s.unvisited = s.unvisited[:len(s.unvisited)-1]
-		job := n.jobNamed(id)
+		job := n.findJob(id)
 		if job == nil || job.Record == nil || job.State() == wire.JobLive {
 			s.reading = id
 			n.fetchJob(id, s)
--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -21,9 +21,9 @@
 	newestJob   *job // the job that arrived last
 	arrivals    []jobEvent
 	completions []jobEvent // jobs that have released their machines
-	// backfillGuard is set for a class that has no start objective and belongs to a team with
+	// fromBackfillOnly is set for a class that has no start objective and belongs to a team with
 	// a guarantee: its reserved capacity is withheld from backfill only.
-	backfillGuard bool
+	fromBackfillOnly bool
 }
 
 // jobEvent is the arrival or the completion of a job.
@@ -75,7 +75,7 @@
 	name := job.Record.Spec.Class
 	class := f.class(name)
 	if class == nil && guaranteed && len(f.classes) < maxClasses {
-		class = &classArrivals{class: name, backfillGuard: true}
+		class = &classArrivals{class: name, fromBackfillOnly: true}
 		f.classes = append(f.classes, class)
 	}
 	if class == nil {
@@ -96,9 +96,9 @@
 	class.completions = append(class.completions, jobEvent{now, tasks})
 }
 
-// reserve returns the number of tasks of a class to reserve capacity for; see
+// tasksToReserve returns the number of tasks of a class to tasksToReserve capacity for; see
 // classArrivals.tasksToReserve.
-func (f *arrivalForecast) reserve(class *classArrivals, now, leadTime Time) int {
+func (f *arrivalForecast) tasksToReserve(class *classArrivals, now, leadTime Time) int {
 	return class.tasksToReserve(now, f.countingSince, leadTime)
 }
 
@@ -117,8 +117,8 @@
 	return slices.ContainsFunc(t.shards, func(shard *shard) bool { return len(shard.machines) > 0 })
 }
 
-// noteArrival counts a new job if its class has a start objective or its team has a guarantee.
-func (n *Node) noteArrival(job *job) {
+// countArrival counts a new job if its class has a start objective or its team has a guarantee.
+func (n *Node) countArrival(job *job) {
 	if n.countsArrivals() {
 		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
 		n.arrivals.countArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxSingleTasks()), guaranteed)
@@ -164,9 +164,9 @@
 	return mean, variance
 }
 
-// sampleOf returns a recent job of the class that still has its specification, or nil. Records of
+// recentJobOf returns a recent job of the class that still has its specification, or nil. Records of
 // finished jobs have none. If the job that arrived last has finished, another live one is chosen.
-func (s *site) sampleOf(class *classArrivals) *job {
+func (s *site) recentJobOf(class *classArrivals) *job {
 	usable := func(job *job) bool {
 		return job != nil && job.Record != nil && job.Record.Spec != nil && job.Team >= 0
 	}
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -18,14 +18,14 @@
 // calls concern. It is not stored in the state service: a new leader adopts what it has of the
 // previous leader's decision log and rebuilds the rest from the cloud's machine list.
 type autoscaler struct {
-	requestSequence int // number of the last provisioning request, part of its name
-	provisions      []*provisioning
-	booting         map[string]*bootingMachine
-	recentBoots     []boot               // newest last
-	retryAt         map[machinePool]Time // earliest time of the next request to the pool
-	shortageAt      map[machinePool]Time // when the pool last provided fewer machines than requested
-	draining        map[string]bool      // machines to be deprovisioned once they are empty
-	idleSince       map[string]Time
+	requestSequence   int // number of the last provisioning request, part of its name
+	pendingProvisions []*pendingProvision
+	booting           map[string]*bootingMachine
+	recentBoots       []bootRecord         // newest last
+	retryAt           map[machinePool]Time // earliest time of the next request to the pool
+	shortageAt        map[machinePool]Time // when the pool last provided fewer machines than requested
+	markedForDraining map[string]bool      // machines to be deprovisioned once they are empty
+	idleSince         map[string]Time
 
 	nextListAt            Time            // next fetch of the machine list
 	listInProgress        bool            // a fetch of the machine list is in progress
@@ -36,8 +36,8 @@
 	unreportedSince       map[string]Time // machines that the machine list shows as running but that have not reported
 }
 
-// provisioning is a request for machines of one pool whose outcome is not known yet.
-type provisioning struct {
+// pendingProvision is a request for machines of one pool whose outcome is not known yet.
+type pendingProvision struct {
 	pool      machinePool
 	request   wire.ProvisionRequest
 	sent      bool // a call with the request is in progress
@@ -54,7 +54,7 @@
 
 func newAutoscaler() autoscaler {
 	return autoscaler{
-		booting: map[string]*bootingMachine{}, retryAt: map[machinePool]Time{}, shortageAt: map[machinePool]Time{}, draining: map[string]bool{},
+		booting: map[string]*bootingMachine{}, retryAt: map[machinePool]Time{}, shortageAt: map[machinePool]Time{}, markedForDraining: map[string]bool{},
 		idleSince: map[string]Time{}, unreportedSince: map[string]Time{},
 	}
 }
--- a/internal/core/autoscaler_boot_times.go
+++ b/internal/core/autoscaler_boot_times.go
@@ -30,8 +30,8 @@
 	maxRecentBoots = 24
 )
 
-// boot records how long a machine took to come up.
-type boot struct {
+// bootRecord records how long a machine took to come up.
+type bootRecord struct {
 	name          string
 	provisionedAt Time
 	ratio         float64 // measured boot time, as a multiple of the type's boot time
@@ -46,7 +46,7 @@
 	}
 	delete(a.booting, name)
 	if machineType := site.typeAt(booting.pool.machineType); machineType != nil && machineType.BootS > 0 {
-		a.recentBoots = append(a.recentBoots, boot{name, booting.provisionedAt, (site.now - booting.provisionedAt).Seconds() / machineType.BootS})
+		a.recentBoots = append(a.recentBoots, bootRecord{name, booting.provisionedAt, (site.now - booting.provisionedAt).Seconds() / machineType.BootS})
 		a.recentBoots = a.recentBoots[max(0, len(a.recentBoots)-maxRecentBoots):]
 	}
 }
@@ -69,7 +69,7 @@
 // must not plan with it, and whether it is abandoned, so that it should be deprovisioned.
 func (a *autoscaler) overdue(now Time, machineType *wire.MachineType, provisionedAt Time) (late, abandoned bool) {
 	lateFactor, abandonFactor := lateBootFactor, abandonBootFactor
-	if !slices.ContainsFunc(a.recentBoots, func(b boot) bool { return b.provisionedAt >= provisionedAt-sameBatchWindow }) {
+	if !slices.ContainsFunc(a.recentBoots, func(b bootRecord) bool { return b.provisionedAt >= provisionedAt-sameBatchWindow }) {
 		lateFactor, abandonFactor = 2*lateBootFactor, maxBootFactor
 	}
 	age, slowdown := (now - provisionedAt).Seconds(), a.bootSlowdown()
--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -20,7 +20,7 @@
 	for i := range list {
 		entry := &list[i]
 		listed[entry.Name] = true
-		if machine := site.knownMachine(entry.Name); machine != nil && machine.returned {
+		if machine := site.findMachine(entry.Name); machine != nil && machine.returned {
 			continue
 		}
 		if a.reconcileMachine(site, entry) {
@@ -33,7 +33,7 @@
 		}
 	}
 	for _, name := range unneeded {
-		a.draining[name] = true
+		a.markedForDraining[name] = true
 	}
 }
 
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// shortageTime is how long after a shortage the scheduler does not rely on a pool; see
+	// shortagePeriod is how long after a shortage the scheduler does not rely on a pool; see
 	// canProvision.
-	shortageTime = 60 * second
+	shortagePeriod = 60 * second
 	// maxMachinesPerProvision is the largest number of machines that the cloud provisions in
 	// one call.
 	maxMachinesPerProvision = 50
@@ -41,7 +41,7 @@
 		}
 		p.addExpectedMachine(booting.pool)
 	}
-	for _, provisioning := range scaler.provisions {
+	for _, provisioning := range scaler.pendingProvisions {
 		for range provisioning.request.Count {
 			p.addExpectedMachine(provisioning.pool)
 		}
@@ -130,7 +130,7 @@
 // shortageTime.
 func (a *autoscaler) hasShortage(now Time, pool machinePool) bool {
 	at, short := a.shortageAt[pool]
-	return short && now-at < shortageTime
+	return short && now-at < shortagePeriod
 }
 
 // canProvision reports whether the scheduler can rely on getting machines for a job in a zone,
@@ -162,7 +162,7 @@
 			continue
 		}
 		if slot := n.newSlot(pool.machinePool); slot != nil && accept(slot) {
-			p.provisions[pool.machinePool]++
+			p.machinesToProvision[pool.machinePool]++
 			return p.addExpectedMachine(pool.machinePool)
 		}
 	}
@@ -173,13 +173,13 @@
 // most machines first: the cloud limits the rate of calls, and each call provisions at most
 // maxMachinesPerProvision machines.
 func (p *schedulingPass) poolsByMachineCount() []machinePool {
-	pools := make([]machinePool, 0, len(p.provisions))
-	for pool := range p.provisions {
+	pools := make([]machinePool, 0, len(p.machinesToProvision))
+	for pool := range p.machinesToProvision {
 		pools = append(pools, pool)
 	}
 	slices.SortFunc(pools, func(a, b machinePool) int {
 		return cmp.Or(
-			cmp.Compare(p.provisions[b], p.provisions[a]),
+			cmp.Compare(p.machinesToProvision[b], p.machinesToProvision[a]),
 			cmp.Compare(a.zone, b.zone),
 			cmp.Compare(a.machineType, b.machineType),
 			boolToInt(b.spot)-boolToInt(a.spot))
@@ -196,15 +196,15 @@
 		return // no call may be sent now; the next passes plan the machines again
 	}
 	pools := p.poolsByMachineCount()
-	for open := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.provisions); open > 0 && len(pools) > 0; open-- {
+	for open := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.pendingProvisions); open > 0 && len(pools) > 0; open-- {
 		pool := pools[0]
 		if len(p.available.all) == 0 {
 			// No machine is up. Boot times vary by more than a factor of two, so the first
 			// machines come up sooner if more are requested.
-			p.provisions[pool] += min((p.provisions[pool]+1)/2, maxExtraMachines)
+			p.machinesToProvision[pool] += min((p.machinesToProvision[pool]+1)/2, maxExtraMachines)
 		}
-		count := min(p.provisions[pool], maxMachinesPerProvision)
-		scaler.provisions = append(scaler.provisions, &provisioning{pool: pool, decidedAt: n.now,
+		count := min(p.machinesToProvision[pool], maxMachinesPerProvision)
+		scaler.pendingProvisions = append(scaler.pendingProvisions, &pendingProvision{pool: pool, decidedAt: n.now,
 			request: wire.ProvisionRequest{
 				Name:        n.newProvisionName(),
 				MachineType: n.names.MachineTypes.Name(pool.machineType),
@@ -212,7 +212,7 @@
 				Spot:        pool.spot,
 				Count:       count,
 			}})
-		if p.provisions[pool] -= count; p.provisions[pool] == 0 {
+		if p.machinesToProvision[pool] -= count; p.machinesToProvision[pool] == 0 {
 			pools = pools[1:]
 		} else {
 			pools = append(pools[1:], pool)
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -82,7 +82,7 @@
 		scaler.listInProgress = true
 		n.callCloud(CallCloud{ListMachines: true}, listMachinesCall{tenure: n.leader.tenure})
 	}
-	for _, provisioning := range scaler.provisions {
+	for _, provisioning := range scaler.pendingProvisions {
 		if provisioning.sent || n.now < provisioning.sendAt || n.cloudCallTime() == 0 {
 			continue
 		}
@@ -151,7 +151,7 @@
 
 // provisionCall is a provisioning call in progress.
 type provisionCall struct {
-	provisioning *provisioning
+	provisioning *pendingProvision
 	tenure       int
 }
 
@@ -172,7 +172,7 @@
 
 // provisionAnswered applies the answer to a provisioning request. The request is removed, or
 // scheduled to be repeated if its outcome is unknown.
-func (a *autoscaler) provisionAnswered(now Time, request *provisioning, answer CloudAnswered) {
+func (a *autoscaler) provisionAnswered(now Time, request *pendingProvision, answer CloudAnswered) {
 	closed := true
 	switch answer.Outcome {
 	case kv.OK:
@@ -193,7 +193,7 @@
 		closed = now-request.decidedAt > provisionRetryPeriod
 	}
 	if closed {
-		a.provisions = slices.DeleteFunc(a.provisions, func(other *provisioning) bool { return other == request })
+		a.pendingProvisions = slices.DeleteFunc(a.pendingProvisions, func(other *pendingProvision) bool { return other == request })
 	}
 }
 
@@ -217,7 +217,7 @@
 func (r deprovisionCall) cloudAnswered(n *Node, answer CloudAnswered) {
 	if answer.Outcome == kv.OK {
 		for _, name := range r.names {
-			n.machineNamed(name).returned = true
+			n.getOrAddMachine(name).returned = true
 		}
 	}
 	if n.leader.tenure != r.tenure {
@@ -239,7 +239,7 @@
 
 // removeMachine removes the state of a machine that has been deprovisioned.
 func (a *autoscaler) removeMachine(name string) {
-	delete(a.draining, name)
+	delete(a.markedForDraining, name)
 	delete(a.booting, name)
 	delete(a.unreportedSince, name)
 }
--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -50,7 +50,7 @@
 			a.idleSince[name] = site.now
 		}
 		timeout := site.cfg.IdleTimeout
-		if slot.errors > 0 {
+		if slot.failedJobCount > 0 {
 			// The machine failed a job and none has succeeded on it since, so it is not
 			// counted as a spare machine.
 			timeout = min(faultyIdleTimeout, timeout)
@@ -61,7 +61,7 @@
 			}
 		}
 		if site.now-a.idleSince[name] > timeout {
-			a.draining[name] = true
+			a.markedForDraining[name] = true
 		}
 	}
 }
@@ -75,9 +75,9 @@
 				continue
 			}
 			if machine.view.unreachable || machine.view.unhealthy && len(machine.placements) == 0 {
-				a.draining[machine.name] = true
+				a.markedForDraining[machine.name] = true
 			} else if len(machine.placements) > 0 && !machine.draining {
-				delete(a.draining, machine.name)
+				delete(a.markedForDraining, machine.name)
 			}
 		}
 	}
@@ -88,10 +88,10 @@
 // from them.
 func (a *autoscaler) drainedMachines(site *site) []string {
 	var drained []string
-	for name := range a.draining {
-		if machine := site.knownMachine(name); machine != nil {
+	for name := range a.markedForDraining {
+		if machine := site.findMachine(name); machine != nil {
 			if machine.returned {
-				delete(a.draining, name)
+				delete(a.markedForDraining, name)
 				continue
 			}
 			if machine.view.reportedByOwner && !machine.view.unreachable && !(machine.draining && len(machine.placements) == 0) {
@@ -106,5 +106,5 @@
 
 // drainList returns the names of the machines that their owners should drain, in order.
 func (l *leaderState) drainList(*Node) []string {
-	return slices.Sorted(maps.Keys(l.autoscaler.draining))
+	return slices.Sorted(maps.Keys(l.autoscaler.markedForDraining))
 }
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -15,23 +15,23 @@
 	const bootS = 10
 	machineType := &wire.MachineType{Name: "g", BootS: bootS}
 	const provisionedAt = 100 * second
-	usual := boot{provisionedAt: provisionedAt, ratio: 1}
-	slow := boot{provisionedAt: provisionedAt, ratio: 3} // twice the usual spread
-	earlier := boot{provisionedAt: provisionedAt - 2*second, ratio: 1}
+	usual := bootRecord{provisionedAt: provisionedAt, ratio: 1}
+	slow := bootRecord{provisionedAt: provisionedAt, ratio: 3} // twice the usual spread
+	earlier := bootRecord{provisionedAt: provisionedAt - 2*second, ratio: 1}
 	for name, test := range map[string]struct {
-		boots           []boot
+		boots           []bootRecord
 		age             Time
 		late, abandoned bool
 	}{
-		"usual":                      {boots: []boot{usual}, age: 18 * second},
-		"late":                       {boots: []boot{usual}, age: 20 * second, late: true},
-		"abandoned":                  {boots: []boot{usual}, age: 26 * second, late: true, abandoned: true},
-		"others are slow":            {boots: []boot{slow}, age: 34 * second},
-		"late while others are slow": {boots: []boot{slow}, age: 36 * second, late: true},
+		"usual":                      {boots: []bootRecord{usual}, age: 18 * second},
+		"late":                       {boots: []bootRecord{usual}, age: 20 * second, late: true},
+		"abandoned":                  {boots: []bootRecord{usual}, age: 26 * second, late: true, abandoned: true},
+		"others are slow":            {boots: []bootRecord{slow}, age: 34 * second},
+		"late while others are slow": {boots: []bootRecord{slow}, age: 36 * second, late: true},
 		"no boot seen":               {age: 34 * second},
 		"late, no boot seen":         {age: 36 * second, late: true},
 		"abandoned, no boot seen":    {age: 86 * second, late: true, abandoned: true},
-		"only an earlier boot":       {boots: []boot{earlier}, age: 36 * second, late: true},
+		"only an earlier boot":       {boots: []bootRecord{earlier}, age: 36 * second, late: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			scaler := &autoscaler{recentBoots: test.boots}
@@ -63,11 +63,11 @@
 		"unknown for long": {answer: CloudAnswered{Outcome: kv.Unknown}, decidedAt: now - provisionRetryPeriod - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request := &provisioning{pool: pool, request: wire.ProvisionRequest{Name: "r-1-1", Count: 2}, sent: true, decidedAt: test.decidedAt}
+			request := &pendingProvision{pool: pool, request: wire.ProvisionRequest{Name: "r-1-1", Count: 2}, sent: true, decidedAt: test.decidedAt}
 			scaler := newAutoscaler()
-			scaler.provisions = []*provisioning{request}
+			scaler.pendingProvisions = []*pendingProvision{request}
 			scaler.provisionAnswered(now, request, test.answer)
-			if open := len(scaler.provisions) == 1; open != test.open {
+			if open := len(scaler.pendingProvisions) == 1; open != test.open {
 				t.Errorf("open = %v, want %v", open, test.open)
 			}
 			if test.open && (request.sent || request.sendAt != now+provisionRetryDelay) {
@@ -99,16 +99,16 @@
 		"vm-unreachable": func(m *machine) { m.view.unreachable, m.placements = true, []placement{{}} },
 		"vm-silent":      func(m *machine) { m.view.reportedByOwner = false },
 	} {
-		machine := n.machineNamed(name)
+		machine := n.getOrAddMachine(name)
 		machine.view.reportedByOwner = true
 		prepare(machine)
-		scaler.draining[name] = true
+		scaler.markedForDraining[name] = true
 	}
-	scaler.draining["vm-unknown"] = true
+	scaler.markedForDraining["vm-unknown"] = true
 	if got, want := scaler.drainedMachines(&n.site), []string{"vm-drained", "vm-silent", "vm-unknown", "vm-unreachable"}; !slices.Equal(got, want) {
 		t.Errorf("drainedMachines = %v, want %v", got, want)
 	}
-	if scaler.draining["vm-returned"] {
+	if scaler.markedForDraining["vm-returned"] {
 		t.Error("a machine that has been deprovisioned is still marked for draining")
 	}
 }
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -155,9 +155,9 @@
 	return slices.ContainsFunc(b.writes, func(w kv.Write) bool { return w.Key == key })
 }
 
-// drop discards the batch after the controller has lost the role that decided it. The batch can
+// discard discards the batch after the controller has lost the role that decided it. The batch can
 // no longer be carried out, as its conditions require the role.
-func (b *batch) drop() {
+func (b *batch) discard() {
 	b.generation++
 	b.active = false
 	b.inFlight = false
--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -24,7 +24,7 @@
 			adopted++
 		}
 	}
-	slices.SortFunc(n.leader.autoscaler.recentBoots, func(a, b boot) int { return cmp.Compare(a.provisionedAt, b.provisionedAt) })
+	slices.SortFunc(n.leader.autoscaler.recentBoots, func(a, b bootRecord) int { return cmp.Compare(a.provisionedAt, b.provisionedAt) })
 	n.log(LogInfo, "adopted decision log of previous leader", "term", term, "facts", len(facts), "adopted", adopted)
 }
 
@@ -40,7 +40,7 @@
 		n.adoptHistoryFact(fact)
 		return true
 	}
-	machine := n.knownMachine(fact.Name)
+	machine := n.findMachine(fact.Name)
 	if machine != nil && machine.returned {
 		return false
 	}
@@ -67,7 +67,7 @@
 			Spot:        fact.Spot,
 			Count:       fact.Count,
 		}
-		scaler.provisions = append(scaler.provisions, &provisioning{
+		scaler.pendingProvisions = append(scaler.pendingProvisions, &pendingProvision{
 			pool:      pool,
 			decidedAt: factTimeOf(fact),
 			sendAt:    n.now,
@@ -83,7 +83,7 @@
 
 // adoptJobFact adopts a fact about a job that has not ended.
 func (n *Node) adoptJobFact(fact *wire.Fact) bool {
-	job := n.jobNamed(fact.Name)
+	job := n.findJob(fact.Name)
 	if job == nil || job.Record == nil || job.Record.State != wire.JobLive {
 		return false
 	}
@@ -99,7 +99,7 @@
 	case wire.FactQueuePosition:
 		job.queuePosition = queuePosition{waitingSince: waitTimeOf(fact), droppedAttempts: fact.Count}
 	case wire.FactPreemptedAt:
-		job.preemptAt = factTimeOf(fact)
+		job.nextPreemptionAt = factTimeOf(fact)
 	}
 	return true
 }
@@ -109,10 +109,10 @@
 func (n *Node) adoptHistoryFact(fact *wire.Fact) {
 	if fact.Kind == wire.FactBootTime {
 		scaler := &n.leader.autoscaler
-		scaler.recentBoots = append(scaler.recentBoots, boot{fact.Name, factTimeOf(fact), fact.Ratio})
+		scaler.recentBoots = append(scaler.recentBoots, bootRecord{fact.Name, factTimeOf(fact), fact.Ratio})
 		return
 	}
-	n.machineNamed(fact.Name).returned = true
+	n.getOrAddMachine(fact.Name).returned = true
 	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, factTimeOf(fact)})
 }
 
@@ -134,7 +134,7 @@
 		if machine != nil && len(machine.placements) > 0 {
 			return false
 		}
-		scaler.draining[fact.Name] = true
+		scaler.markedForDraining[fact.Name] = true
 	case wire.FactUnreported:
 		if hasReported {
 			return false
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -65,8 +65,8 @@
 			Count: position.droppedAttempts,
 		})
 	}
-	if j.preemptAt > now {
-		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.preemptAt)})
+	if j.nextPreemptionAt > now {
+		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.nextPreemptionAt)})
 	}
 	return facts
 }
@@ -79,7 +79,7 @@
 		fact.Seen = booting.listed
 		facts = append(facts, fact)
 	}
-	for _, provisioning := range a.provisions {
+	for _, provisioning := range a.pendingProvisions {
 		fact := poolFact(wire.FactProvisioning, provisioning.request.Name, provisioning.pool, provisioning.decidedAt, names)
 		fact.Count = provisioning.request.Count
 		facts = append(facts, fact)
@@ -98,14 +98,14 @@
 		}
 	}
 	for pool, at := range a.shortageAt {
-		if now-at < shortageTime {
+		if now-at < shortagePeriod {
 			facts = append(facts, poolFact(wire.FactCapacityShortage, poolName(pool, names), pool, at, names))
 		}
 	}
 	for name, at := range a.idleSince {
 		facts = append(facts, wire.Fact{Kind: wire.FactIdle, Name: name, At: factTime(at)})
 	}
-	for name := range a.draining {
+	for name := range a.markedForDraining {
 		facts = append(facts, wire.Fact{Kind: wire.FactDraining, Name: name})
 	}
 	for name, at := range a.unreportedSince {
--- a/internal/core/dependency_check.go
+++ b/internal/core/dependency_check.go
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, id := range request.spec.Dependencies {
-		if job := n.jobNamed(id); job != nil && job.Record != nil {
+		if job := n.findJob(id); job != nil && job.Record != nil {
 			continue
 		}
 		if _, read := request.dependencies.read[id]; read {
@@ -96,7 +96,7 @@
 	var rest []string
 	for _, id := range request.spec.Dependencies {
 		dependency, known := request.dependencies.read[id]
-		if job := n.jobNamed(id); job != nil && job.Record != nil {
+		if job := n.findJob(id); job != nil && job.Record != nil {
 			dependency, known = dependencyState{job.State(), isDaemon(job.Record)}, true
 		}
 		switch {
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -61,7 +61,7 @@
 			other := newSmallValueNode()
 			showLiveJobs(other, count)
 			other.Step(other.now+1, recordsChangedBy(2000, order))
-			job := other.jobNamed("wk-000100")
+			job := other.findJob("wk-000100")
 			if job.Links == nil || job.Links.Open != count || other.replica.StagedDependencyLists() > 0 {
 				t.Fatalf("the links are %+v, %d lists are staged, want %d open dependencies", job.Links, other.replica.StagedDependencyLists(), count)
 			}
@@ -190,7 +190,7 @@
 		{Key: wire.DependencyListKey("wk-000100", "x", 1), Revision: 10, Value: &wire.DependencyList{JobIDs: []string{"wk-000001"}}},
 		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: record},
 	}})
-	if !n.jobNamed("wk-000100").IsWaiting() {
+	if !n.findJob("wk-000100").IsWaiting() {
 		t.Error("a job may start though its dependencies are not all known")
 	}
 }
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -317,7 +317,7 @@
 	m := newFailoverHarness(t)
 	term := m.showLeader("n0", "x", true, 0)
 	m.advance(10*second, term)
-	machine := m.n.machineNamed("vm-1")
+	machine := m.n.getOrAddMachine("vm-1")
 	machine.draining = true
 	m.n.draining = []int{machine.index}
 	m.showLeader("n2", "z", true, 1)
@@ -351,8 +351,8 @@
 	for _, fromPredecessor := range []bool{true, false} {
 		m := newFailoverHarness(t)
 		m.n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
-		m.n.machineNamed("vm-4").view.reportedByOwner = true
-		m.n.machineNamed("vm-5").returned = true
+		m.n.getOrAddMachine("vm-4").view.reportedByOwner = true
+		m.n.getOrAddMachine("vm-5").returned = true
 		term := m.showLeader("n0", "x", true, 0)
 		m.advance(2*second, term)
 		m.step(DecisionLogReceived{RequestID: 1, Message: logMessage(t, term, 1, m.now,
@@ -370,16 +370,16 @@
 		m.showLeader("n1", "y", true, 2)
 		scaler := &m.n.leader.autoscaler
 		if !fromPredecessor {
-			if len(scaler.booting)+len(scaler.provisions)+len(scaler.draining) > 0 {
+			if len(scaler.booting)+len(scaler.pendingProvisions)+len(scaler.markedForDraining) > 0 {
 				t.Errorf("adopted facts of an earlier leader: %+v", scaler)
 			}
 			continue
 		}
-		if len(scaler.booting) != 1 || scaler.booting["vm-3"] == nil || m.now-scaler.booting["vm-3"].provisionedAt != second || len(scaler.draining) != 1 || !scaler.draining["vm-6"] {
-			t.Errorf("booting %v, draining %v", scaler.booting, scaler.draining)
+		if len(scaler.booting) != 1 || scaler.booting["vm-3"] == nil || m.now-scaler.booting["vm-3"].provisionedAt != second || len(scaler.markedForDraining) != 1 || !scaler.markedForDraining["vm-6"] {
+			t.Errorf("booting %v, draining %v", scaler.booting, scaler.markedForDraining)
 		}
-		if len(scaler.provisions) != 1 || scaler.provisions[0].sent || scaler.provisions[0].request != (wire.ProvisionRequest{Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3}) {
-			t.Errorf("provisioning requests %+v", scaler.provisions)
+		if len(scaler.pendingProvisions) != 1 || scaler.pendingProvisions[0].sent || scaler.pendingProvisions[0].request != (wire.ProvisionRequest{Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3}) {
+			t.Errorf("provisioning requests %+v", scaler.pendingProvisions)
 		}
 	}
 }
@@ -389,14 +389,14 @@
 func TestDroppedGangKeepsQueuePosition(t *testing.T) {
 	j := &job{waitingSince: 5 * second}
 	for i := range maxDroppedAttempts + 1 {
-		j.rememberPosition()
-		j.restorePosition()
+		j.saveQueuePosition()
+		j.restoreQueuePosition()
 		if want := i < maxDroppedAttempts; (j.waitingSince == 5*second) != want {
 			t.Errorf("after %d dropped attempts it has waited since %v", i+1, j.waitingSince)
 		}
 	}
 	j.queuePosition = queuePosition{}
-	if j.restorePosition(); j.waitingSince != 0 {
+	if j.restoreQueuePosition(); j.waitingSince != 0 {
 		t.Errorf("a gang that was placed has waited since %v", j.waitingSince)
 	}
 }
--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -34,7 +34,7 @@
 			}
 			writer.removeGang(attempt)
 		case gang.Finish:
-			if job := n.jobNamed(attempt.JobID); job != nil {
+			if job := n.findJob(attempt.JobID); job != nil {
 				job.queuePosition = queuePosition{}
 			}
 			writer.removeGang(attempt)
@@ -45,7 +45,7 @@
 // revokeGang revokes the tasks of a dropped attempt that have no machine. It returns false if the
 // transaction has no capacity left for that.
 func (n *Node) revokeGang(writer *writer, attempt *gang.Attempt) bool {
-	job := n.jobNamed(attempt.JobID)
+	job := n.findJob(attempt.JobID)
 	if job == nil || job.Record == nil || !hasUnplacedTask(job.Record, attempt.Record.Attempt) {
 		return true
 	}
@@ -56,7 +56,7 @@
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Attempt == attempt.Record.Attempt && task.Machine == ""
 	})
-	job.restorePosition()
+	job.restoreQueuePosition()
 	return true
 }
 
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -10,7 +10,7 @@
 
 // gangTransitionInput returns the state on which the next action for an attempt depends.
 func (s *site) gangTransitionInput(attempt *gang.Attempt) gang.TransitionInput {
-	job := s.jobNamed(attempt.JobID)
+	job := s.findJob(attempt.JobID)
 	known := job != nil && job.Record != nil
 	return gang.TransitionInput{
 		Age: s.now - attempt.SeenAt, HeartbeatInterval: s.cfg.HeartbeatInterval,
@@ -46,7 +46,7 @@
 // subtractHolds subtracts the capacity that is held for gangs from the slots.
 func (n *Node) subtractHolds(slots *slotSet) {
 	for _, attempt := range n.gangs.Sorted() {
-		job := n.jobNamed(attempt.JobID)
+		job := n.findJob(attempt.JobID)
 		if job == nil || job.Record == nil || job.Record.Spec == nil {
 			continue
 		}
--- a/internal/core/gang_start.go
+++ b/internal/core/gang_start.go
@@ -16,7 +16,7 @@
 	if spec.Shape != wire.ShapeGang || spec.TaskCount < 2 {
 		return false
 	}
-	machine := s.machineNamed(active.Machine)
+	machine := s.getOrAddMachine(active.Machine)
 	// When even a slow fetch ends within gang_wait_s, no start is delayed: the gang then runs as
 	// soon as the last machine is ready, instead of at the next heartbeat of a machine whose
 	// start was delayed.
@@ -36,7 +36,7 @@
 			continue
 		}
 		shard := s.shards[other.Shard]
-		if !s.machineNamed(other.Machine).images.Has(job.Image) && shard.Record != nil && s.mayActAsOwner(shard) {
+		if !s.getOrAddMachine(other.Machine).images.Has(job.Image) && shard.Record != nil && s.mayActAsOwner(shard) {
 			return true
 		}
 	}
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -73,7 +73,7 @@
 	if index < 0 {
 		return
 	}
-	machine := n.machineNamed(info.Name)
+	machine := n.getOrAddMachine(info.Name)
 	shard := n.shards[index]
 	if n.owns(shard) {
 		return // this controller's own view takes precedence
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -67,7 +67,7 @@
 		// fit, so that the record stores them as one run.
 		if !job.LargeArray || chosen == nil || chosen.shard != task.Shard || !chosen.fits(spec) {
 			chosen = slots.best(job, func(candidate *slot) bool { return candidate.shard == task.Shard }, nil)
-			if chosen != nil && !capacity.mayAdd(job) {
+			if chosen != nil && !capacity.mayAddRun(job) {
 				chosen = nil
 			}
 		}
@@ -122,9 +122,9 @@
 // the size of the site: clearing all times at a limit kept every grant from timing out while
 // more grants were waiting than the limit.
 func (n *Node) removeStaleGrantTimes() {
-	for key := range n.grantSeenAt {
+	for key := range n.grantWaitingSince {
 		if !n.jobs[key.job].awaitsPlacement(key) {
-			delete(n.grantSeenAt, key)
+			delete(n.grantWaitingSince, key)
 		}
 	}
 }
@@ -137,4 +137,4 @@
 }
 
 // grantTimedOut reports whether a grant has waited for capacity for longer than grantTimeout.
-func (n *Node) grantTimedOut(key taskKey) bool { return n.grantSeenAt.timedOut(key, n.now) }
+func (n *Node) grantTimedOut(key taskKey) bool { return n.grantWaitingSince.timedOut(key, n.now) }
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -58,10 +58,10 @@
 // writeImageCache writes the record of the images on this controller's machines if their number
 // has changed. After a restart of all controllers, placement would otherwise ignore cached images.
 func (n *Node) writeImageCache() {
-	if n.now < n.imageCacheAt || !n.storeOK {
+	if n.now < n.nextImageCacheWriteAt || !n.storeOK {
 		return
 	}
-	n.imageCacheAt = n.now + imageCacheInterval
+	n.nextImageCacheWriteAt = n.now + imageCacheInterval
 	builder := imageCacheBuilder{record: &wire.ImageCache{Machines: map[string][]int{}}, remainingBytes: n.cfg.MaxValueBytes * 3 / 4}
 	for _, shard := range n.shards {
 		if !n.mayActAsOwner(shard) {
@@ -76,10 +76,10 @@
 			}
 		}
 	}
-	if builder.imageCount == n.imageCacheSize {
+	if builder.imageCount == n.recordedImageCount {
 		return
 	}
-	n.imageCacheSize = builder.imageCount
+	n.recordedImageCount = builder.imageCount
 	for i := range builder.names.Len() {
 		builder.record.Names = append(builder.record.Names, builder.names.Name(i))
 	}
@@ -92,7 +92,7 @@
 		if n.names.Machines.Find(name) < 0 && n.replica.Loaded() {
 			continue // no other record or message contains the name, so the machine is gone
 		}
-		machine := n.machineNamed(name)
+		machine := n.getOrAddMachine(name)
 		for _, image := range record.Machines[name] {
 			if image >= 0 && image < len(record.Names) {
 				machine.images.Add(n.names.Images.Of(record.Names[image]))
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -12,19 +12,19 @@
 type job struct {
 	*replica.Job
 	pending               []int // tasks that are neither done nor active; valid if pendingKnown is set
-	pendingKnown          bool
+	pendingValid          bool
 	lastConsecutiveErrors int  // as of the previous change of the record
 	suspect               bool // it failed on several machines without success: probably the job's own fault
 	retryAt               Time // no tasks are granted before this time
 	closedAt              Time // earliest time at which the job can have been recorded as done or cancelled
 
 	// State of the scheduler, used while this controller is the leader.
-	waitingSince    Time // when the job started to wait for capacity; 0: it does not wait
-	queuePosition   queuePosition
-	gangZone        int  // index of the zone in which capacity is being freed for the gang; -1: none
-	preemptAt       Time // no further tasks are preempted for the job before this time
-	grantedAt       Time // when a task of the job was last granted
-	withinGuarantee bool // the job is within its team's guarantee
+	waitingSince     Time // when the job started to wait for capacity; 0: it does not wait
+	queuePosition    queuePosition
+	gangZone         int  // index of the zone in which capacity is being freed for the gang; -1: none
+	nextPreemptionAt Time // no further tasks are preempted for the job before this time
+	grantedAt        Time // when a task of the job was last granted
+	withinGuarantee  bool // the job is within its team's guarantee
 }
 
 // countJobChange updates the statistics of user writes, completions and run times with a change of
@@ -32,7 +32,7 @@
 func (n *Node) countJobChange(job *job, record *wire.Job) {
 	previous := job.Record
 	if n.replica.Loaded() && record != nil && (previous == nil || previous.State == wire.JobLive && record.State == wire.JobCancelled) {
-		n.budget.seenUserWrites++
+		n.budget.observedUserWrites++
 	}
 	if previous == nil {
 		return
@@ -45,10 +45,10 @@
 	}
 }
 
-// noteClosed sets closedAt of a job that is recorded as done or cancelled. The replica may lag
+// setClosedAt sets closedAt of a job that is recorded as done or cancelled. The replica may lag
 // behind the state service. As the change was not in the replica when the last ownership proof took
 // effect, it was committed after that proof was sent.
-func (s *site) noteClosed(job *job) {
+func (s *site) setClosedAt(job *job) {
 	if job.Record.State == wire.JobLive || job.closedAt != 0 {
 		return
 	}
@@ -67,10 +67,10 @@
 	maxBackoffDoublings = 5
 )
 
-// noteErrors updates the backoff of a job after a change of its record. A job that has failed on
+// updateErrorBackoff updates the backoff of a job after a change of its record. A job that has failed on
 // several machines and has no task done is marked as a suspect: the failures are then attributed to
 // the job rather than to the machines.
-func (s *site) noteErrors(job *job) {
+func (s *site) updateErrorBackoff(job *job) {
 	record := job.Record
 	if record.ConsecutiveErrors > job.lastConsecutiveErrors && record.ConsecutiveErrors >= errorsBeforeBackoff {
 		doublings := min(record.ConsecutiveErrors-errorsBeforeBackoff, maxBackoffDoublings)
@@ -94,7 +94,7 @@
 		if task.Machine == "" {
 			continue
 		}
-		machine := n.machineNamed(task.Machine)
+		machine := n.getOrAddMachine(task.Machine)
 		n.setShard(machine, task.Shard)
 		at := len(machine.placements)
 		for at > 0 && machine.placements[at-1].job > job.Index {
@@ -107,7 +107,7 @@
 			activeIndex: i,
 			taskKey:     taskKey{job.Index, task.Task, task.Attempt},
 		})
-		machine.usedKnown = false
+		machine.usageValid = false
 		n.addUnstartedMachine(machine, taskKey{job.Index, task.Task, task.Attempt})
 	}
 }
@@ -118,35 +118,35 @@
 	for i := range job.Record.ActiveTasks {
 		if task := &job.Record.ActiveTasks[i]; task.Machine != last && task.Machine != "" {
 			last = task.Machine
-			machine := s.machineNamed(task.Machine)
+			machine := s.getOrAddMachine(task.Machine)
 			machine.placements = slices.DeleteFunc(machine.placements, func(p placement) bool { return p.job == job.Index })
-			machine.usedKnown = false
+			machine.usageValid = false
 		}
 	}
 }
 
-// waitingTasks returns up to limit tasks of a job that wait to be granted.
-func (s *site) waitingTasks(job *job, limit int) []int {
-	if !job.pendingKnown {
-		job.pending, job.pendingKnown = replica.PendingTasks(job.Record, s.maxActiveTasks(job)), true
+// pendingTasks returns up to limit tasks of a job that wait to be granted.
+func (s *site) pendingTasks(job *job, limit int) []int {
+	if !job.pendingValid {
+		job.pending, job.pendingValid = replica.PendingTasks(job.Record, s.maxActiveTasks(job)), true
 	}
 	return job.pending[:max(0, min(limit, len(job.pending)))]
 }
 
-// usageChanged invalidates the cached resource use of the machines on which a job's tasks are placed.
-func (s *site) usageChanged(job *job) {
+// invalidateUsage invalidates the cached resource use of the machines on which a job's tasks are placed.
+func (s *site) invalidateUsage(job *job) {
 	if job.Record == nil {
 		return
 	}
 	for i := range job.Record.ActiveTasks {
 		if task := &job.Record.ActiveTasks[i]; task.Machine != "" {
-			s.machineNamed(task.Machine).usedKnown = false
+			s.getOrAddMachine(task.Machine).usageValid = false
 		}
 	}
 }
 
-// jobNamed returns the job with an id, or nil if the id is not known.
-func (s *site) jobNamed(id string) *job {
+// findJob returns the job with an id, or nil if the id is not known.
+func (s *site) findJob(id string) *job {
 	if index := s.names.Jobs.Find(id); index >= 0 {
 		return s.jobs[index]
 	}
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -43,8 +43,8 @@
 	}
 	n.replica.PutJob("wk-1", placed, 2)
 	n.removeStaleGrantTimes()
-	if len(n.grantSeenAt) != 0 {
-		t.Errorf("%d times of placed grants are still stored", len(n.grantSeenAt))
+	if len(n.grantWaitingSince) != 0 {
+		t.Errorf("%d times of placed grants are still stored", len(n.grantWaitingSince))
 	}
 }
 
@@ -57,7 +57,7 @@
 		MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
 	n.now = 100 * second
 	for i := range machines {
-		machine := n.machineNamed(fmt.Sprintf("vm-%06d", i))
+		machine := n.getOrAddMachine(fmt.Sprintf("vm-%06d", i))
 		machine.redirectedAt, machine.misdirectedListed, machine.view.missedHeartbeats = n.now, true, 2
 		n.misdirectedMachines = append(n.misdirectedMachines, machine.index)
 	}
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -21,7 +21,7 @@
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	n.putLeader(&wire.Leader{Controller: "n0", Incarnation: "x"}, 5)
 	d.put(&wire.Job{TaskCount: 1, NextAttempt: 1, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, TaskCount: 1, Image: "i"}})
-	job := n.jobNamed("wk-000001")
+	job := n.findJob("wk-000001")
 	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []kv.Write{{Key: wire.JobKey(job.ID), Value: job.Record}}}
 	if !n.leader.batch.changes(job) || !n.isLeader() {
 		t.Fatal("the leader's commit is not pending")
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -17,7 +17,7 @@
 	images      indexset.Set
 
 	used           resourceUse // sum over the placements; valid while usedKnown is set
-	usedKnown      bool
+	usageValid     bool
 	lowestPriority int // of the tasks that may be preempted; noPriority if none may
 
 	workerState
@@ -114,11 +114,11 @@
 // usageOf returns the resources used by the tasks that the records place on a machine. A task
 // counts until it is proven to have ended.
 func (s *site) usageOf(machine *machine) *resourceUse {
-	if machine.usedKnown {
+	if machine.usageValid {
 		return &machine.used
 	}
 	machine.used = resourceUse{}
-	machine.usedKnown = true
+	machine.usageValid = true
 	machine.lowestPriority = noPriority
 	for i := range machine.placements {
 		p := &machine.placements[i]
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if !actsAsOwner {
-		n.batch.drop()
+		n.batch.discard()
 		return
 	}
 	if !n.batch.ready(n) {
--- a/internal/core/placement_score.go
+++ b/internal/core/placement_score.go
@@ -65,7 +65,7 @@
 	if spec.Shape == wire.ShapeDaemon && !slot.daemon {
 		score += firstDaemonCost
 	}
-	score += errorCost * float64(slot.errors)
+	score += errorCost * float64(slot.failedJobCount)
 	if slot.machine != nil && len(job.Record.FailedMachines) > 0 &&
 		slices.Contains(job.Record.FailedMachines, slot.machine.name) {
 		score += failedJobCost
--- a/internal/core/queue_position.go
+++ b/internal/core/queue_position.go
@@ -13,18 +13,18 @@
 // that it does not withhold capacity from other jobs indefinitely.
 const maxDroppedAttempts = 3
 
-// rememberPosition stores the queue position of a gang that is being granted, and ends its wait.
-func (j *job) rememberPosition() {
+// saveQueuePosition stores the queue position of a gang that is being granted, and ends its wait.
+func (j *job) saveQueuePosition() {
 	if j.waitingSince != 0 {
 		j.queuePosition.waitingSince = j.waitingSince
 	}
 	j.waitingSince = 0
 }
 
-// restorePosition restores the queue position of a gang whose attempt was dropped. Otherwise the
+// restoreQueuePosition restores the queue position of a gang whose attempt was dropped. Otherwise the
 // gang that has waited longest would be overtaken by the next one, which would be granted the same
 // machines half a second later.
-func (j *job) restorePosition() {
+func (j *job) restoreQueuePosition() {
 	if j.waitingSince == 0 && j.queuePosition.waitingSince != 0 && j.queuePosition.droppedAttempts < maxDroppedAttempts {
 		j.queuePosition.droppedAttempts++
 		j.waitingSince = j.queuePosition.waitingSince
--- a/internal/core/replica_observer.go
+++ b/internal/core/replica_observer.go
@@ -35,15 +35,15 @@
 	if job.Record != nil {
 		n.unindexPlacements(job)
 	}
-	job.pendingKnown, job.pending = false, nil
+	job.pendingValid, job.pending = false, nil
 }
 
 // JobChanged adds the job's tasks to the placement index, and records whether the job has
 // ended or has failed repeatedly.
 func (o *replicaObserver) JobChanged(changed *replica.Job) {
 	n, job := o.node, o.node.jobs[changed.Index]
-	n.noteClosed(job)
-	n.noteErrors(job)
+	n.setClosedAt(job)
+	n.updateErrorBackoff(job)
 	n.indexPlacements(job)
 }
 
@@ -56,12 +56,12 @@
 
 // JobArrived counts the job among the arrivals of its class.
 func (o *replicaObserver) JobArrived(arrived *replica.Job) {
-	o.node.noteArrival(o.node.jobs[arrived.Index])
+	o.node.countArrival(o.node.jobs[arrived.Index])
 }
 
 // PriorityRaised has the usage of the job's machines recalculated.
 func (o *replicaObserver) PriorityRaised(raised *replica.Job) {
-	o.node.usageChanged(o.node.jobs[raised.Index])
+	o.node.invalidateUsage(o.node.jobs[raised.Index])
 }
 
 // DependencyListMissing logs that the dependency list of a job's record is missing.
@@ -75,7 +75,7 @@
 	n := o.node
 	n.log(LogInfo, "record format agreed", "format", format)
 	for _, index := range n.replica.Live() {
-		n.jobs[index].pendingKnown = false
+		n.jobs[index].pendingValid = false
 	}
 }
 
--- a/internal/core/scheduler_gang.go
+++ b/internal/core/scheduler_gang.go
@@ -28,10 +28,10 @@
 			p.charge(job, len(queued.tasks))
 		}
 		for _, slot := range chosen {
-			slot.noteFetch(job)
+			slot.addFetch(job)
 			slot.allocate(spec)
 		}
-		job.rememberPosition()
+		job.saveQueuePosition()
 		return
 	}
 	p.recordWaitingSince(job)
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -65,7 +65,7 @@
 		}
 	}
 	if preempted {
-		queued.job.preemptAt = p.node.now + exitHeartbeats*p.node.cfg.HeartbeatInterval
+		queued.job.nextPreemptionAt = p.node.now + exitHeartbeats*p.node.cfg.HeartbeatInterval
 	}
 	for range best.provision {
 		added := p.provisionFor(queued.job, func(slot *slot) bool { return best.zone < 0 || slot.zone == best.zone })
@@ -147,7 +147,7 @@
 	pass := r.pass
 	for _, class := range pass.available.classOrder {
 		if (r.zone < 0 || class.zone == r.zone) && r.queued.job.Allows(class.machineType, class.zone, class.spot) {
-			for _, slot := range *pass.available.open[class] {
+			for _, slot := range *pass.available.byClass[class] {
 				pass.node.workCount++
 				r.addSlot(slot, 0)
 			}
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -18,23 +18,23 @@
 // schedulingPass is the state of one scheduling pass. The leader runs a pass over the whole site;
 // an owner runs one to admit work in its own shards.
 type schedulingPass struct {
-	node               *Node
-	writer             *writer
-	admission          *admission          // set in an owner's pass; nil in the leader's
-	available          *slotSet            // machines that are up
-	expected           *slotSet            // machines that are booting, requested or planned to be provisioned
-	used               []usage             // by team, including what this pass has charged
-	charged            []quota.Amount      // by team, charged by this pass
-	atLimit            []bool              // by team: a job waits only because of the limit
-	provisions         map[machinePool]int // machines that this pass plans to provision
-	poolSizes          map[machinePool]int // machines that are up, expected or planned
-	longestWaitingGang *queuedJob          // served before all queues; nil: none
-	reservations       []wire.Reservation  // machines reserved for longestWaitingGang
-	unmetDemands       []unmetDemand       // demands for which no slot was free in this pass
-	hasBackfill        bool                // a backfill job waits
-	unwrittenGrants    int                 // grants for which no write was left, at most maxUnwrittenGrants
-	preemptions        int                 // how often this pass has stopped tasks for a job
-	unplacedTasks      int                 // tasks for which no capacity was free
+	node                *Node
+	writer              *writer
+	admission           *admission          // set in an owner's pass; nil in the leader's
+	available           *slotSet            // machines that are up
+	expected            *slotSet            // machines that are booting, requested or planned to be provisioned
+	used                []usage             // by team, including what this pass has charged
+	charged             []quota.Amount      // by team, charged by this pass
+	atLimit             []bool              // by team: a job waits only because of the limit
+	machinesToProvision map[machinePool]int // machines that this pass plans to provision
+	poolSizes           map[machinePool]int // machines that are up, expected or planned
+	longestWaitingGang  *queuedJob          // served before all queues; nil: none
+	reservations        []wire.Reservation  // machines reserved for longestWaitingGang
+	unmetDemands        []unmetDemand       // demands for which no slot was free in this pass
+	hasBackfill         bool                // a backfill job waits
+	unwrittenGrants     int                 // grants for which no write was left, at most maxUnwrittenGrants
+	preemptions         int                 // how often this pass has stopped tasks for a job
+	unplacedTasks       int                 // tasks for which no capacity was free
 }
 
 const (
@@ -91,7 +91,7 @@
 	return &schedulingPass{
 		node: n, writer: writer, available: newSlotSet(n), expected: newSlotSet(n),
 		used: make([]usage, teams), charged: make([]quota.Amount, teams), atLimit: make([]bool, teams),
-		provisions: map[machinePool]int{}, poolSizes: map[machinePool]int{},
+		machinesToProvision: map[machinePool]int{}, poolSizes: map[machinePool]int{},
 	}
 }
 
@@ -133,7 +133,7 @@
 	} else if view.missedHeartbeats > 1 || machine.viewTerm != shard.Term && n.now-shard.ChangedAt > 4*n.cfg.HeartbeatInterval {
 		return nil
 	}
-	if n.leader.autoscaler.draining[machine.name] {
+	if n.leader.autoscaler.markedForDraining[machine.name] {
 		return nil
 	}
 	return n.slotOf(machine)
@@ -263,5 +263,5 @@
 		"machines", len(p.available.all), "spot", spot,
 		"idle", len(idle), "idle_spot", idleSpot,
 		"partly_free", partlyFree, "expected", len(p.expected.all),
-		"provisioning_requests", len(n.leader.autoscaler.provisions), "unplaced_tasks", p.unplacedTasks)
+		"provisioning_requests", len(n.leader.autoscaler.pendingProvisions), "unplaced_tasks", p.unplacedTasks)
 }
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -42,7 +42,7 @@
 	n := p.node
 	return n.cfg.Preempt && p.preemptions < maxPreemptions &&
 		n.now-queued.job.waitingSince >= preemptionDelay &&
-		n.now >= queued.job.preemptAt &&
+		n.now >= queued.job.nextPreemptionAt &&
 		(queued.job.Priority >= preemptingPriority || queued.withinGuarantee)
 }
 
@@ -141,10 +141,10 @@
 		}
 	}
 	if best == nil || !p.stopVictims(queued, best) {
-		queued.job.preemptAt = p.node.now + preemptionRetryDelay
+		queued.job.nextPreemptionAt = p.node.now + preemptionRetryDelay
 		return nil
 	}
-	queued.job.preemptAt = p.node.now + exitHeartbeats*p.node.cfg.HeartbeatInterval + Time(best[0].job.Record.Spec.CheckpointTimeS*float64(second))
+	queued.job.nextPreemptionAt = p.node.now + exitHeartbeats*p.node.cfg.HeartbeatInterval + Time(best[0].job.Record.Spec.CheckpointTimeS*float64(second))
 	return target
 }
 
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -116,10 +116,10 @@
 		remainingRuns:   len(job.Record.ActiveTasks) + job.Record.TaskCount,
 	}
 	if job.Record.Spec.Shape == wire.ShapeGang {
-		queued.tasks = n.waitingTasks(job, job.Record.TaskCount)
+		queued.tasks = n.pendingTasks(job, job.Record.TaskCount)
 		return queued
 	}
-	queued.tasks = n.waitingTasks(job, n.maxActiveTasks(job)-len(job.Record.ActiveTasks))
+	queued.tasks = n.pendingTasks(job, n.maxActiveTasks(job)-len(job.Record.ActiveTasks))
 	if job.LargeArray {
 		queued.remainingRuns = n.remainingRuns(job)
 	}
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -12,14 +12,14 @@
 func (p *schedulingPass) reserveForArrivals() {
 	n := p.node
 	for _, class := range n.arrivals.classes {
-		job := n.sampleOf(class)
+		job := n.recentJobOf(class)
 		if job == nil {
 			continue
 		}
 		lead := n.provisionTime(job)
-		if class.backfillGuard {
+		if class.fromBackfillOnly {
 			if p.hasBackfill {
-				p.reserveAgainstBackfill(job, n.arrivals.reserve(class, n.now, n.preemptionTime()))
+				p.reserveAgainstBackfill(job, n.arrivals.tasksToReserve(class, n.now, n.preemptionTime()))
 			}
 			continue
 		}
@@ -28,7 +28,7 @@
 		if lead == 0 || lead+n.imageFetchTime(job) < class.startWithin || n.fitsBesideGPUWork(job) {
 			continue
 		}
-		for range n.arrivals.reserve(class, n.now, lead) {
+		for range n.arrivals.tasksToReserve(class, n.now, lead) {
 			slot := p.findOrProvision(job, nil)
 			if slot == nil {
 				break
--- a/internal/core/scheduler_stages.go
+++ b/internal/core/scheduler_stages.go
@@ -29,7 +29,7 @@
 		if dependency.Record.State == wire.JobDone {
 			continue
 		}
-		granted := len(dependency.Record.ActiveTasks) > 0 && len(n.waitingTasks(dependency, 1)) == 0
+		granted := len(dependency.Record.ActiveTasks) > 0 && len(n.pendingTasks(dependency, 1)) == 0
 		if dependency.Record.Spec == nil || !granted ||
 			max(dependency.grantedAt, dependency.ReadySince())+n.runTime(dependency.Record.Spec) > at {
 			return false
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -20,7 +20,7 @@
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
 	record := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
 	n.Step(n.now+1, RecordsChanged{Revision: revision, Events: []kv.Event{{Key: wire.JobKey(id), Revision: revision, Value: record}}})
-	n.jobNamed(id).grantedAt = n.now
+	n.findJob(id).grantedAt = n.now
 }
 
 // countPlannedMachines returns the number of machines that a pass which only plans stages wants to
@@ -33,7 +33,7 @@
 		t.Fatalf("planning stages granted tasks of %d jobs, want none", len(pass.writer.order))
 	}
 	machines := 0
-	for _, count := range pass.provisions {
+	for _, count := range pass.machinesToProvision {
 		machines += count
 	}
 	return machines
@@ -61,9 +61,9 @@
 			addGrantedJob(n, 2000, "wk-000001", test.expectedS)
 			showJob(n, 2001, "wk-000002", wire.JobLive, nil)
 			showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
-			n.jobNamed("wk-000003").Record.TaskCount = 3
+			n.findJob("wk-000003").Record.TaskCount = 3
 			if test.cancelled {
-				n.jobNamed("wk-000003").Links.AncestorCancelled = true
+				n.findJob("wk-000003").Links.AncestorCancelled = true
 			}
 			n.now += test.after
 			if got := countPlannedMachines(t, n); got != test.want {
@@ -93,14 +93,14 @@
 	showJob(n, 2, "wk-000001", wire.JobLive, nil)
 	showJob(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
 	const estimateMS, reportMS, dueMS = 10_000, 4_000, 1_100_000
-	if got, want := n.jobNamed("wk-000001").Links.DeadlineMS, int64(dueMS-3*estimateMS-reportMS); got != want {
+	if got, want := n.findJob("wk-000001").Links.DeadlineMS, int64(dueMS-3*estimateMS-reportMS); got != want {
 		t.Errorf("deadline of the first stage = %d, want %d", got, want)
 	}
-	if got, want := n.latestStart(n.jobNamed("wk-000002")), int64(dueMS-3*estimateMS); got != want {
+	if got, want := n.latestStart(n.findJob("wk-000002")), int64(dueMS-3*estimateMS); got != want {
 		t.Errorf("latest start of the last stage = %d, want %d", got, want)
 	}
 	showJob(n, 4, "wk-000003", wire.JobLive, nil)
-	if got := n.latestStart(n.jobNamed("wk-000003")); got != math.MaxInt64 {
+	if got := n.latestStart(n.findJob("wk-000003")); got != math.MaxInt64 {
 		t.Errorf("latest start of a job outside a chain = %d, want none", got)
 	}
 }
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -189,7 +189,7 @@
 	} else {
 		p.charge(job, tasks)
 	}
-	target.noteFetch(job)
+	target.addFetch(job)
 	queued.planTasks(target, tasks)
 	job.waitingSince = 0
 	return true
@@ -250,7 +250,7 @@
 	}
 	for _, class := range p.expected.classOrder {
 		if class.spot && float64(class.gpus) >= spec.GPUs &&
-			len(*p.expected.open[class]) > 0 &&
+			len(*p.expected.byClass[class]) > 0 &&
 			job.Allows(class.machineType, class.zone, true) {
 			return true
 		}
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -86,7 +86,7 @@
 // compareInClass compares a few slots of a class. Slots that are full or now belong to another
 // class are removed from the list of the class when they are examined.
 func (s *slotSearch) compareInClass(class slotClass) {
-	spec, list := s.job.Record.Spec, s.set.open[class]
+	spec, list := s.job.Record.Spec, s.set.byClass[class]
 	compared, examined := 0, 0
 	for i := 0; i < len(*list); {
 		candidate := (*list)[i]
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -19,20 +19,20 @@
 	// Capacity that will be released by tasks with a pending stop request.
 	releasingCores, releasingGPUs, releasingMemoryGB float64
 
-	daemon      bool // the machine runs a daemon, so it is not drained anyway
-	reserved    bool // for a gang that still waits for more machines
-	reservedFor int  // index of the only job that may use the slot, plus one; 0: any job
-	images      indexset.Set
-	fetchGB     float64 // size of the images being fetched, which share the rate
-	errors      int     // jobs that failed on the machine since its last success
+	daemon         bool // the machine runs a daemon, so it is not drained anyway
+	reserved       bool // for a gang that still waits for more machines
+	reservedFor    int  // index of the only job that may use the slot, plus one; 0: any job
+	images         indexset.Set
+	fetchGB        float64 // size of the images being fetched, which share the rate
+	failedJobCount int     // jobs that failed on the machine since its last success
 
 	set      *slotSet    // the set that the slot has been added to, or nil
 	class    slotClass   // under which the set lists it
 	listedIn []slotClass // all classes whose lists contain it, including outdated ones
 }
 
-// noteFetch adds the image of a job to the fetches of the machine unless it has the image.
-func (s *slot) noteFetch(job *job) {
+// addFetch adds the image of a job to the fetches of the machine unless it has the image.
+func (s *slot) addFetch(job *job) {
 	if !s.images.Has(job.Image) {
 		s.fetchGB += job.Record.Spec.ImageGB
 	}
@@ -115,7 +115,7 @@
 	return &slot{machine: machine, shard: machine.shard, zone: machine.zone, machineType: machine.machineType, spot: machine.spot, typeInfo: machineType,
 		cores: machineType.Cores - used.cores, gpus: machineType.GPUs - used.gpus, memoryGB: machineType.MemoryGB - used.memoryGB,
 		releasingCores: used.releasingCores, releasingGPUs: used.releasingGPUs, releasingMemoryGB: used.releasingMemoryGB, daemon: used.daemon,
-		images: machine.images, errors: machine.view.failedJobCount, fetchGB: s.pendingFetchGB(machine)}
+		images: machine.images, failedJobCount: machine.view.failedJobCount, fetchGB: s.pendingFetchGB(machine)}
 }
 
 // slotClass groups slots that are nearly equivalent for the choice of a machine.
@@ -128,7 +128,7 @@
 // classify returns the class that a slot belongs to at present.
 func (s *slot) classify() slotClass {
 	return slotClass{shard: s.shard, zone: s.zone, machineType: s.machineType, gpus: int(s.gpus + epsilon), noFreeGPU: s.gpus <= epsilon, spot: s.spot,
-		idle: s.isIdle(), daemon: s.daemon, hasErrors: s.errors > 0}
+		idle: s.isIdle(), daemon: s.daemon, hasErrors: s.failedJobCount > 0}
 }
 
 // slotSet holds slots, indexed by class and by image, so that the cost of choosing a slot grows
@@ -137,7 +137,7 @@
 	node       *Node
 	all        []*slot
 	releasing  []*slot // those with capacity that tasks are about to release
-	open       map[slotClass]*slotList
+	byClass    map[slotClass]*slotList
 	classOrder []slotClass // classes in the order in which they were first added
 	byImage    map[imageListKey][]*slot
 }
@@ -155,7 +155,7 @@
 
 // newSlotSet returns an empty set.
 func newSlotSet(n *Node) *slotSet {
-	return &slotSet{node: n, open: map[slotClass]*slotList{}, byImage: map[imageListKey][]*slot{}}
+	return &slotSet{node: n, byClass: map[slotClass]*slotList{}, byImage: map[imageListKey][]*slot{}}
 }
 
 // add adds a slot, which must be in no other set.
@@ -175,10 +175,10 @@
 		return
 	}
 	slot.listedIn = append(slot.listedIn, slot.class)
-	list := s.open[slot.class]
+	list := s.byClass[slot.class]
 	if list == nil {
 		list = new(slotList)
-		s.open[slot.class] = list
+		s.byClass[slot.class] = list
 		s.classOrder = append(s.classOrder, slot.class)
 	}
 	*list = append(*list, slot)
@@ -226,7 +226,7 @@
 				tasksPerSlot = class.gpus / int(spec.GPUs)
 			}
 		}
-		tasks += tasksPerSlot * len(*s.open[class])
+		tasks += tasksPerSlot * len(*s.byClass[class])
 	}
 	return tasks
 }
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -118,7 +118,7 @@
 
 // answerFromReplica answers a status query with the replica's copy of the job's record.
 func (n *Node) answerFromReplica(request *pendingRequest) {
-	if job := n.jobNamed(request.JobID); job != nil && job.Record != nil {
+	if job := n.findJob(request.JobID); job != nil && job.Record != nil {
 		n.answer(request, http.StatusOK, n.statusOf(request, job.Record))
 	} else {
 		n.answer(request, http.StatusNotFound, wire.Error{Error: noSuchJob})
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -141,7 +141,7 @@
 			delete(n.outcomes, key) // already written, or queued in an earlier term
 			continue
 		}
-		if !pass.records.mayRemove(key, outcome.machine) {
+		if !pass.records.mayWriteOutcome(key, outcome.machine) {
 			continue
 		}
 		record := writer.job(n.jobs[key.job])
@@ -172,8 +172,8 @@
 	p.writer.exitedTasks[key] = true
 	p.writer.shards[task.Shard] = true
 	job := n.jobs[key.job]
-	removeExitedTask(record, key, p.records.recordable(job, record, key, outcome))
-	if p.records.mayAdd(job) {
+	removeExitedTask(record, key, p.records.recordableOutcome(job, record, key, outcome))
+	if p.records.mayAddRun(job) {
 		n.rescheduleLostTask(p.writer, record, task, outcome, p.slots)
 	}
 }
@@ -189,7 +189,7 @@
 // chosen for it again. A machine whose worker has begun a new epoch is the best choice for the same
 // task, as it has the image, but must first confirm the owner's token.
 func (s *site) awaitsTokenConfirmation(outcome taskOutcome) bool {
-	machine := s.machineNamed(outcome.machine)
+	machine := s.getOrAddMachine(outcome.machine)
 	return outcome.cause == causeLost && machine.shard >= 0 &&
 		s.now-outcome.at < tokenConfirmationWait &&
 		machine.term == s.shards[machine.shard].Term &&
@@ -204,7 +204,7 @@
 		outcome.cause != causeLost && outcome.cause != wire.CauseStopped {
 		return
 	}
-	job := n.jobNamed(record.Spec.ID)
+	job := n.findJob(record.Spec.ID)
 	best := available.slots(n).best(job, func(candidate *slot) bool { return candidate.shard == lost.Shard }, nil)
 	if best == nil || best.machine.name == lost.Machine && best.machine.epoch <= lost.Epoch {
 		return
--- a/internal/core/topology.go
+++ b/internal/core/topology.go
@@ -21,8 +21,8 @@
 	machines []*machine // by index of their name
 }
 
-// machineNamed returns the machine with a name, and adds it if the name is not known.
-func (t *topology) machineNamed(name string) *machine {
+// getOrAddMachine returns the machine with a name, and adds it if the name is not known.
+func (t *topology) getOrAddMachine(name string) *machine {
 	index := t.names.Machines.Of(name)
 	if index == len(t.machines) {
 		t.machines = append(t.machines, &machine{index: index, name: name, shard: -1, machineType: -1, zone: -1})
@@ -30,8 +30,8 @@
 	return t.machines[index]
 }
 
-// knownMachine returns the machine with a name, or nil if the name is not known.
-func (t *topology) knownMachine(name string) *machine {
+// findMachine returns the machine with a name, or nil if the name is not known.
+func (t *topology) findMachine(name string) *machine {
 	if index := t.names.Machines.Find(name); index >= 0 {
 		return t.machines[index]
 	}
@@ -80,6 +80,6 @@
 // hasReported reports whether the machine has sent a heartbeat to its owner, as far as this
 // controller knows.
 func (t *topology) hasReported(name string) bool {
-	machine := t.knownMachine(name)
+	machine := t.findMachine(name)
 	return machine != nil && machine.view.reportedByOwner
 }
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -73,7 +73,7 @@
 		return
 	}
 	// A final state never changes, so the replica's copy suffices even if the replica lags.
-	job := n.jobNamed(request.JobID)
+	job := n.findJob(request.JobID)
 	known := job != nil && job.Record != nil
 	switch {
 	case known && job.State() != wire.JobLive:
@@ -136,7 +136,7 @@
 func (n *Node) statusOf(request *pendingRequest, record *wire.Job) any {
 	// The replica may show that an ancestor of the job has been cancelled. That cancels the
 	// job for good, even if it is not in the job's own record yet.
-	job := n.jobNamed(request.JobID)
+	job := n.findJob(request.JobID)
 	if record.State == wire.JobLive && job != nil && job.Record != nil && job.State() == wire.JobCancelled {
 		return wire.JobStatus{JobID: request.JobID, Status: wire.StatusCancelled}
 	}
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -16,7 +16,7 @@
 		return
 	}
 	shard := n.shards[index]
-	machine := n.machineNamed(heartbeat.Machine)
+	machine := n.getOrAddMachine(heartbeat.Machine)
 	if machine.returned {
 		// The cloud has confirmed that the machine is gone, so this is a late copy.
 		n.refuseHeartbeat(in.RequestID, "returned")
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -18,12 +18,12 @@
 	measuredAt     Time    // when the averages were last updated
 	writesPerS     float64 // writes of all controllers, as a moving average
 
-	seenUserWrites int     // submissions and cancellations since measuredAt
-	userWritesPerS float64 // submissions and cancellations, as a moving average
-	reducedUntil   Time    // until then the announced lower rate applies
-	reducedFor     Time    // duration of the last reduction
-	pendingRecords int     // records that wait to be written by this controller
-	pendingGrants  int     // records that the leader's last pass changed, and grants left unwritten
+	observedUserWrites int     // submissions and cancellations since measuredAt
+	userWritesPerS     float64 // submissions and cancellations, as a moving average
+	reducedUntil       Time    // until then the announced lower rate applies
+	reducedFor         Time    // duration of the last reduction
+	pendingRecords     int     // records that wait to be written by this controller
+	pendingGrants      int     // records that the leader's last pass changed, and grants left unwritten
 }
 
 const (
@@ -128,9 +128,9 @@
 	}
 	weight := min(1, elapsed/averageSeconds)
 	b.writesPerS += (b.observedWrites/elapsed - b.writesPerS) * weight
-	b.userWritesPerS += (float64(b.seenUserWrites)/elapsed - b.userWritesPerS) * weight
+	b.userWritesPerS += (float64(b.observedUserWrites)/elapsed - b.userWritesPerS) * weight
 	b.observedWrites = 0
-	b.seenUserWrites = 0
+	b.observedUserWrites = 0
 	b.measuredAt = now
 }
 
