--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -21,9 +21,9 @@
 	newestJob   *job // the job that arrived last
 	arrivals    []jobEvent
 	completions []jobEvent // jobs that have released their machines
-	// fromBackfillOnly is set for a class that has no start objective and belongs to a team with
+	// onlyAgainstBackfill is set for a class that has no start objective and belongs to a team with
 	// a guarantee: its reserved capacity is withheld from backfill only.
-	fromBackfillOnly bool
+	onlyAgainstBackfill bool
 }
 
 // jobEvent is the arrival or the completion of a job.
@@ -75,7 +75,7 @@
 	name := job.Record.Spec.Class
 	class := f.class(name)
 	if class == nil && guaranteed && len(f.classes) < maxClasses {
-		class = &classArrivals{class: name, fromBackfillOnly: true}
+		class = &classArrivals{class: name, onlyAgainstBackfill: true}
 		f.classes = append(f.classes, class)
 	}
 	if class == nil {
@@ -96,7 +96,7 @@
 	class.completions = append(class.completions, jobEvent{now, tasks})
 }
 
-// tasksToReserve returns the number of tasks of a class to tasksToReserve capacity for; see
+// tasksToReserve returns the number of tasks of a class to reserve capacity for; see
 // classArrivals.tasksToReserve.
 func (f *arrivalForecast) tasksToReserve(class *classArrivals, now, leadTime Time) int {
 	return class.tasksToReserve(now, f.countingSince, leadTime)
@@ -164,8 +164,9 @@
 	return mean, variance
 }
 
-// recentJobOf returns a recent job of the class that still has its specification, or nil. Records of
-// finished jobs have none. If the job that arrived last has finished, another live one is chosen.
+// recentJobOf returns a recent job of the class that still has its specification, or nil. Records
+// of finished jobs have none. If the job that arrived last has finished, another live one is
+// chosen.
 func (s *site) recentJobOf(class *classArrivals) *job {
 	usable := func(job *job) bool {
 		return job != nil && job.Record != nil && job.Record.Spec != nil && job.Team >= 0
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -127,7 +127,7 @@
 }
 
 // hasShortage reports whether a pool has provided fewer machines than requested within the last
-// shortageTime.
+// shortagePeriod.
 func (a *autoscaler) hasShortage(now Time, pool machinePool) bool {
 	at, short := a.shortageAt[pool]
 	return short && now-at < shortagePeriod
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -23,8 +23,8 @@
 // waitTimeOf returns the time since when a job has waited; it is the inverse of waitFactTime.
 func waitTimeOf(fact *wire.Fact) Time { return cmp.Or(factTimeOf(fact), -1) }
 
-// DecisionLogFacts returns the facts that only the leader has, with times of this controller's steady
-// clock; nil if this controller does not lead.
+// DecisionLogFacts returns the facts that only the leader has, with times of this controller's
+// steady clock; nil if this controller does not lead.
 func (n *Node) DecisionLogFacts() []wire.Fact {
 	if !n.isLeader() {
 		return nil
--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// ownGangAnswers returns this controller's answers, as an owner, for the gangs that are being tried.
+// ownGangAnswers returns this controller's answers, as an owner, for the gangs that are being
+// tried.
 func (n *Node) ownGangAnswers() []wire.GangHold { return n.gangs.OwnAnswers(n.mayActInShard) }
 
 // advanceGangs carries out the leader's next action for every gang that spans shards.
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -11,7 +11,7 @@
 // and may be lost without harm.
 type job struct {
 	*replica.Job
-	pending               []int // tasks that are neither done nor active; valid if pendingKnown is set
+	pending               []int // tasks that are neither done nor active; valid if pendingValid is set
 	pendingValid          bool
 	lastConsecutiveErrors int  // as of the previous change of the record
 	suspect               bool // it failed on several machines without success: probably the job's own fault
@@ -67,9 +67,9 @@
 	maxBackoffDoublings = 5
 )
 
-// updateErrorBackoff updates the backoff of a job after a change of its record. A job that has failed on
-// several machines and has no task done is marked as a suspect: the failures are then attributed to
-// the job rather than to the machines.
+// updateErrorBackoff updates the backoff of a job after a change of its record. A job that has
+// failed on several machines and has no task done is marked as a suspect: the failures are then
+// attributed to the job rather than to the machines.
 func (s *site) updateErrorBackoff(job *job) {
 	record := job.Record
 	if record.ConsecutiveErrors > job.lastConsecutiveErrors && record.ConsecutiveErrors >= errorsBeforeBackoff {
@@ -133,7 +133,8 @@
 	return job.pending[:max(0, min(limit, len(job.pending)))]
 }
 
-// invalidateUsage invalidates the cached resource use of the machines on which a job's tasks are placed.
+// invalidateUsage invalidates the cached resource use of the machines on which a job's tasks are
+// placed.
 func (s *site) invalidateUsage(job *job) {
 	if job.Record == nil {
 		return
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -157,8 +157,8 @@
 	return true
 }
 
-// mayWriteOutcome reports whether the outcome of a task may be written, which removes the task from its
-// run: there must be capacity for a split of the run, or all tasks of the run must have ended.
+// mayWriteOutcome reports whether the outcome of a task may be written, which removes the task from
+// its run: there must be capacity for a split of the run, or all tasks of the run must have ended.
 func (c *recordCapacity) mayWriteOutcome(key taskKey, machineName string) bool {
 	job := c.node.jobs[key.job]
 	if !job.LargeArray || job.Record.State != wire.JobLive {
@@ -181,10 +181,10 @@
 	return true
 }
 
-// recordableOutcome returns the outcome to record for a task. The done tasks of a large array usually form
-// a few ranges, as the lowest are granted first. If there are too many ranges, a done task that
-// would add another is recorded as lost: it is started again, and its machine immediately reports
-// it as done. Otherwise the record could become too large to be ever written again.
+// recordableOutcome returns the outcome to record for a task. The done tasks of a large array
+// usually form a few ranges, as the lowest are granted first. If there are too many ranges, a done
+// task that would add another is recorded as lost: it is started again, and its machine immediately
+// reports it as done. Otherwise the record could become too large to be ever written again.
 func (c *recordCapacity) recordableOutcome(job *job, record *wire.Job, key taskKey, outcome taskOutcome) taskOutcome {
 	if job.LargeArray && outcome.cause == wire.CauseDone &&
 		len(record.DoneTasks) > c.node.listCapacity(job)/(2*replica.TaskRangeBytes) &&
@@ -194,7 +194,8 @@
 	return outcome
 }
 
-// mayAddRun reports whether one more run may be added to a job's record, and reserves the bytes for it.
+// mayAddRun reports whether one more run may be added to a job's record, and reserves the bytes for
+// it.
 func (c *recordCapacity) mayAddRun(job *job) bool {
 	return !job.LargeArray || c.allocate(job, c.node.taskRunBytes())
 }
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -63,17 +63,17 @@
 	}
 }
 
-// leaderView returns this controller's opinion of the leader, for the peers; nil if the leader
+// leaderView returns this controller's report on the leader, for the peers; nil if the leader
 // may not be replaced early or is this controller.
 func (n *Node) leaderView() *wire.LeaderView {
 	if n.leadership.Record() == nil || !n.leadership.Record().Fenced || n.leadership.Record().Controller == n.cfg.Self {
 		return nil
 	}
-	o := n.failover.follower.SuspicionReport(n.now)
-	return &wire.LeaderView{Term: o.Term, SilenceMS: o.Silence.Milliseconds(), Broken: o.Broken, Suspected: o.Suspected}
+	report := n.failover.follower.SuspicionReport(n.now)
+	return &wire.LeaderView{Term: report.Term, SilenceMS: report.Silence.Milliseconds(), Broken: report.Broken, Suspected: report.Suspected}
 }
 
-// receiveLeaderView stores a peer's opinion of the leader.
+// receiveLeaderView stores a peer's report on the leader.
 func (n *Node) receiveLeaderView(from string, v *wire.LeaderView) {
 	if v != nil {
 		n.failover.follower.ReceiveSuspicionReport(n.now, from, failover.SuspicionReport{
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -86,7 +86,7 @@
 }
 
 // abandonUnseenClaim abandons a claim that was accepted but that the replica still does not show
-// after a timeout, and deletes its record; see leadership.UnseenClaim.
+// after a timeout, and deletes its record; see leadership.AbandonUnseenClaim.
 func (n *Node) abandonUnseenClaim() {
 	if term, unseen := n.leadership.AbandonUnseenClaim(n.now, n.replica.Revision()); unseen {
 		n.log(LogInfo, "resigning leadership", "reason", "watch does not show the claim", "term", term)
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -16,7 +16,7 @@
 	placements  []placement // tasks that the records place on it, sorted by job
 	images      indexset.Set
 
-	used           resourceUse // sum over the placements; valid while usedKnown is set
+	used           resourceUse // sum over the placements; valid while usageValid is set
 	usageValid     bool
 	lowestPriority int // of the tasks that may be preempted; noPriority if none may
 
@@ -82,7 +82,7 @@
 	unconfirmed      bool // its worker has not yet sent the token of the owner's term
 	missedHeartbeats int  // 1: no heartbeat for two intervals, 2: for three
 	failedJobCount   int  // jobs of which a task failed on it since a task last succeeded
-	imageCount       int  // their number, so that a new image changes the view
+	imageCount       int  // so that a new image changes the view
 }
 
 // placement is a task that a job record places on a machine.
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -4,8 +4,8 @@
 // while no heartbeat changes one.
 const ownViewsInterval = second
 
-// updateAndSendOwnViews updates the views of this controller's machines if an update is due. If one has
-// changed, the next gossip is sent as soon as possible.
+// updateAndSendOwnViews updates the views of this controller's machines if an update is due. If one
+// has changed, the next gossip is sent as soon as possible.
 func (n *Node) updateAndSendOwnViews() {
 	if n.now < n.ownViewsAt {
 		return
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -69,7 +69,7 @@
 // mailboxMessage returns a copy of a message with view changes, shortened to the size limit of a
 // value where possible.
 func (n *Node) mailboxMessage(message wire.Gossip, base uint64) *wire.Gossip {
-	// An opinion of the leader is evidence only if a peer sends it directly. Controllers that are
+	// A report on the leader is evidence only if a peer sends it directly. Controllers that are
 	// partitioned from each other but reach the state service would otherwise replace each
 	// other as the leader in turns.
 	message.Leader = nil
--- a/internal/core/queue_position.go
+++ b/internal/core/queue_position.go
@@ -21,9 +21,9 @@
 	j.waitingSince = 0
 }
 
-// restoreQueuePosition restores the queue position of a gang whose attempt was dropped. Otherwise the
-// gang that has waited longest would be overtaken by the next one, which would be granted the same
-// machines half a second later.
+// restoreQueuePosition restores the queue position of a gang whose attempt was dropped. Otherwise
+// the gang that has waited longest would be overtaken by the next one, which would be granted the
+// same machines half a second later.
 func (j *job) restoreQueuePosition() {
 	if j.waitingSince == 0 && j.queuePosition.waitingSince != 0 && j.queuePosition.droppedAttempts < maxDroppedAttempts {
 		j.queuePosition.droppedAttempts++
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		lead := n.provisionTime(job)
-		if class.fromBackfillOnly {
+		if class.onlyAgainstBackfill {
 			if p.hasBackfill {
 				p.reserveAgainstBackfill(job, n.arrivals.tasksToReserve(class, n.now, n.preemptionTime()))
 			}
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// initialDistributionTimes returns the times of the last distribution by team for a new leader, to which
-// none is known.
+// initialDistributionTimes returns the times of the last distribution by team for a new leader, to
+// which none is known.
 func initialDistributionTimes(teams int) []Time {
 	times := make([]Time, teams)
 	for team := range times {
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -14,8 +14,8 @@
 	n.leader.autoscaler = newAutoscaler()
 }
 
-// addGrantedJob adds the record of a job whose only task has a machine, as if this leader had just
-// addGrantedJob it.
+// addGrantedJob adds the record of a job whose only task has a machine, as if this leader had
+// just granted it.
 func addGrantedJob(n *Node, revision uint64, id string, expectedS float64) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 8, ExpectedS: expectedS}
 	record := &wire.Job{Spec: spec, TaskCount: 1, AcceptedAtMS: 1_000_000, NextAttempt: 2, ActiveTasks: wire.ActiveTasks{{Attempt: 1, Machine: "vm-000001", Epoch: 1}}}
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -6,8 +6,8 @@
 	"micaport/internal/wire"
 )
 
-// receiveWorkerHeartbeat processes a worker's heartbeat. The reply is sent immediately or after a delay
-// (worker_reply.go), or redirects the worker to the machine's owner (worker_redirect.go).
+// receiveWorkerHeartbeat processes a worker's heartbeat. The reply is sent immediately or after a
+// delay (worker_reply.go), or redirects the worker to the machine's owner (worker_redirect.go).
 func (n *Node) receiveWorkerHeartbeat(in WorkerReported) {
 	heartbeat := in.Heartbeat
 	index := n.ownership.ShardOf(n.names.Zones.Find(heartbeat.Zone), heartbeat.Machine)
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// SuspicionReport is a controller's view of the leader, which it sends to its peers.
+// SuspicionReport is a controller's report on whether it suspects the leader, which it sends to its
+// peers.
 type SuspicionReport struct {
 	Term      uint64        // term of the leader
 	Silence   time.Duration // since the controller received the leader's last heartbeat
@@ -10,17 +11,17 @@
 	Suspected bool          // the controller suspects that the leader has failed
 }
 
-// peerReport is the latest opinion received from a peer.
+// peerReport is the latest report received from a peer.
 type peerReport struct {
 	SuspicionReport
 	receivedAt time.Duration
 }
 
-// suspicionReportLifetime is how long a peer's opinion is valid: two intervals of the messages that
+// suspicionReportLifetime is how long a peer's report is valid: two intervals of the messages that
 // controllers send each other every second.
 const suspicionReportLifetime = 2 * time.Second
 
-// SuspicionReport returns this controller's opinion, to be sent to its peers.
+// SuspicionReport returns this controller's report, to be sent to its peers.
 func (f *Follower) SuspicionReport(now time.Duration) SuspicionReport {
 	return SuspicionReport{
 		Term: f.claim.Term, Silence: f.detector.silence(now), Broken: f.detector.broken(),
@@ -28,9 +29,9 @@
 	}
 }
 
-// ReceiveSuspicionReport stores the opinion of a peer.
-func (f *Follower) ReceiveSuspicionReport(now time.Duration, peer string, opinion SuspicionReport) {
-	f.peerReports[peer] = peerReport{opinion, now}
+// ReceiveSuspicionReport stores the report of a peer.
+func (f *Follower) ReceiveSuspicionReport(now time.Duration, peer string, report SuspicionReport) {
+	f.peerReports[peer] = peerReport{report, now}
 }
 
 // Evidence is the evidence for and against a failure of the leader.
@@ -43,25 +44,25 @@
 }
 
 // Quorum reports whether more than half of all controllers suspect the leader. Controllers without
-// a recent opinion count as not suspecting it, so that in a network partition at most one side can
+// a recent report count as not suspecting it, so that in a network partition at most one side can
 // replace the leader of the other.
 func (e Evidence) Quorum() bool { return 2*e.Suspecting > e.Members }
 
-// Evidence combines the observations of this controller with the opinions of its peers. It ignores
-// opinions that have expired, that the leader itself has sent, or that concern another term.
+// Evidence combines the observations of this controller with the reports of its peers. It ignores
+// reports that have expired, that the leader itself has sent, or that concern another term.
 func (f *Follower) Evidence(now time.Duration) Evidence {
 	evidence := Evidence{Silence: f.detector.silence(now), Broken: f.detector.broken(), Members: len(f.config.Members)}
 	if f.detector.suspects(now) {
 		evidence.Suspecting++
 	}
 	for _, name := range f.config.Members {
-		opinion, known := f.peerReports[name]
+		report, known := f.peerReports[name]
 		if !known || name == f.config.Self || name == f.claim.Controller ||
-			now-opinion.receivedAt > suspicionReportLifetime ||
-			opinion.Term != f.claim.Term {
+			now-report.receivedAt > suspicionReportLifetime ||
+			report.Term != f.claim.Term {
 			continue
 		}
-		if opinion.Suspected {
+		if report.Suspected {
 			evidence.Suspecting++
 		} else {
 			evidence.Hearing++
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -64,7 +64,7 @@
 	f.standby = standby
 }
 
-// Disconnected records that the connection to a peer has broken, and discards the peer's opinion.
+// Disconnected records that the connection to a peer has broken, and discards the peer's report.
 func (f *Follower) Disconnected(now time.Duration, peer string) {
 	if peer == f.claim.Controller {
 		f.detector.disconnected(now)
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -23,7 +23,7 @@
 	return f
 }
 
-// suspect delivers opinions of peers that suspect the leader of a term.
+// suspect delivers reports of peers that suspect the leader of a term.
 func suspect(f *Follower, now time.Duration, term uint64, peers ...string) {
 	for _, peer := range peers {
 		f.ReceiveSuspicionReport(now, peer, SuspicionReport{Term: term, Suspected: true})
@@ -42,29 +42,29 @@
 	}
 }
 
-// A leader is replaced early only if a quorum of all controllers suspects it. Expired opinions and
+// A leader is replaced early only if a quorum of all controllers suspects it. Expired reports and
 // those about another term are ignored.
 func TestAdviceNeedsQuorum(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
 	trusts := func(f *Follower, peer string) { f.ReceiveSuspicionReport(now, peer, SuspicionReport{Term: 7}) }
 	for _, c := range []struct {
-		name     string
-		opinions func(*Follower)
-		want     Advice
+		name    string
+		reports func(*Follower)
+		want    Advice
 	}{
-		{"no opinions", func(*Follower) {}, Prepare},
+		{"no reports", func(*Follower) {}, Prepare},
 		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); trusts(f, "d") }, Prepare},
 		{"two peers suspect", func(f *Follower) { suspect(f, now, 7, "c", "d") }, Replace},
 		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); trusts(f, "e") }, Replace},
-		{"the opinions have expired", func(f *Follower) { suspect(f, now-suspicionReportLifetime-1, 7, "c", "d") }, Prepare},
-		{"the opinions are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
+		{"the reports have expired", func(f *Follower) { suspect(f, now-suspicionReportLifetime-1, 7, "c", "d") }, Prepare},
+		{"the reports are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
 		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.Disconnected(now, "c") }, Prepare},
 		{"the leader suspects itself", func(f *Follower) { suspect(f, now, 7, "a", "c") }, Prepare},
 		{"this process has stalled", func(f *Follower) { f.Resumed(now); suspect(f, now, 7, "c", "d") }, Follow},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFollower("b")
-			c.opinions(f)
+			c.reports(f)
 			if got := f.Advise(now); got != c.want {
 				t.Errorf("advice %v, want %v", got, c.want)
 			}
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -43,8 +43,8 @@
 	return &Publisher{facts: map[factKey]wire.Fact{}, changed: map[factKey]bool{}}
 }
 
-// SetStandby sets the standby, "" for none, and the leader's term. A change of either causes all facts
-// to be sent again.
+// SetStandby sets the standby, "" for none, and the leader's term. A change of either causes all
+// facts to be sent again.
 func (p *Publisher) SetStandby(standby string, term uint64) {
 	if p.standby == standby && p.term == term {
 		return
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -21,11 +21,11 @@
 // NewReplica returns an empty replica.
 func NewReplica() *Replica { return &Replica{facts: map[factKey]wire.Fact{}} }
 
-// Receive processes a message of the decision log and returns its acknowledgement; leader is the claim
-// that the records show. It accepts a message that starts the log or follows the last one, and
-// acknowledges a repeated one again. A message of another leader, incarnation or term, and one that
-// is damaged or out of order, is discarded and refused. The publisher of the current log ignores a
-// refusal that concerns another term.
+// Receive processes a message of the decision log and returns its acknowledgement; leader is the
+// claim that the records show. It accepts a message that starts the log or follows the last one,
+// and acknowledges a repeated one again. A message of another leader, incarnation or term, and one
+// that is damaged or out of order, is discarded and refused. The publisher of the current log
+// ignores a refusal that concerns another term.
 func (r *Replica) Receive(now time.Duration, leader Claim, message *wire.DecisionLog) wire.DecisionLogAck {
 	ack := wire.DecisionLogAck{Term: message.Term, Sequence: message.Sequence}
 	if message.From != leader.Controller || message.Life != leader.Incarnation || message.Term != leader.Term {
@@ -73,8 +73,8 @@
 	return r.controller == message.From && r.incarnation == message.Life && r.term == message.Term && message.Term > 0
 }
 
-// FactsOfTerm returns the facts of the leader of a term, with their times converted to the monotonic clock
-// of this process; nil if the replica holds those of another term.
+// FactsOfTerm returns the facts of the leader of a term, with their times converted to the
+// monotonic clock of this process; nil if the replica holds those of another term.
 func (r *Replica) FactsOfTerm(term uint64) []wire.Fact {
 	if term == 0 || r.term != term {
 		return nil
--- a/internal/failover/takeover.go
+++ b/internal/failover/takeover.go
@@ -51,8 +51,8 @@
 // End marks the takeover as completed, or as failed because another controller leads.
 func (t *Takeover) End() { t.active = false }
 
-// SinceLastHeartbeat returns the time from the last heartbeat of the replaced leader until a stage was reached;
-// 0 if it has not been reached.
+// SinceLastHeartbeat returns the time from the last heartbeat of the replaced leader until a stage
+// was reached; 0 if it has not been reached.
 func (t *Takeover) SinceLastHeartbeat(stage Stage) time.Duration {
 	if t.reachedAt[stage] == 0 {
 		return 0
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -202,10 +202,10 @@
 	return l.Lease.Age(now) <= l.Lease.TTL && l.Lease.ID == l.claimLeaseID
 }
 
-// AbandonUnseenClaim abandons a claim that was accepted at least unseenClaimTimeout ago and that the
-// replica, which has reached a revision, does not show yet because the watch hangs. It returns
-// the term of the claim and whether there was one. Renewals of the lease would keep such a
-// claim alive and leave the site without a leader that decides.
+// AbandonUnseenClaim abandons a claim that was accepted at least unseenClaimTimeout ago and that
+// the replica, which has reached a revision, does not show yet because the watch hangs. It returns
+// the term of the claim and whether there was one. Renewals of the lease would keep such a claim
+// alive and leave the site without a leader that decides.
 func (l *Leadership) AbandonUnseenClaim(now Time, revision uint64) (term uint64, unseen bool) {
 	if l.acceptedTerm <= revision || now-l.acceptedAt < unseenClaimTimeout || !l.cfg.EarlyFailover {
 		return 0, false
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// canHold returns quota.ErrBeyondTheSite if the guarantees of all accounts together exceed
+// canHold returns quota.ErrExceedsCapacity if the guarantees of all accounts together exceed
 // what the site can have. It can tell only if the operators bound the number of machines and
 // the leader has recorded the machine types.
 func (s *Site) canHold(accounts map[string]*wire.Account, stored map[string]kv.Event) error {
