--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -16,7 +16,7 @@
 // classArrivals holds the recent arrivals and completions of the jobs of a class, from which the
 // capacity that the class will need is forecast.
 type classArrivals struct {
-	class       string
+	name        string
 	startWithin Time // the start objective
 	newestJob   *job // the job that arrived last
 	arrivals    []jobEvent
@@ -52,17 +52,17 @@
 
 // addObjective adds a start objective. If a class has several, the shortest applies.
 func (f *arrivalForecast) addObjective(objective StartObjective) {
-	if class := f.class(objective.Class); class != nil {
+	if class := f.findClass(objective.Class); class != nil {
 		class.startWithin = min(class.startWithin, objective.Within)
 		return
 	}
-	f.classes = append(f.classes, &classArrivals{class: objective.Class, startWithin: objective.Within})
+	f.classes = append(f.classes, &classArrivals{name: objective.Class, startWithin: objective.Within})
 }
 
-// class returns the statistics of a class, or nil if it has none.
-func (f *arrivalForecast) class(name string) *classArrivals {
+// findClass returns the statistics of a class, or nil if it has none.
+func (f *arrivalForecast) findClass(name string) *classArrivals {
 	for _, class := range f.classes {
-		if class.class == name {
+		if class.name == name {
 			return class
 		}
 	}
@@ -73,9 +73,9 @@
 // created for a class without them if the job's team has a guarantee.
 func (f *arrivalForecast) countArrival(now Time, job *job, tasks int, guaranteed bool) {
 	name := job.Record.Spec.Class
-	class := f.class(name)
+	class := f.findClass(name)
 	if class == nil && guaranteed && len(f.classes) < maxClasses {
-		class = &classArrivals{class: name, onlyAgainstBackfill: true}
+		class = &classArrivals{name: name, onlyAgainstBackfill: true}
 		f.classes = append(f.classes, class)
 	}
 	if class == nil {
@@ -88,7 +88,7 @@
 
 // countCompletion counts a job that has released its machines, if its class has statistics.
 func (f *arrivalForecast) countCompletion(now Time, name string, tasks int) {
-	class := f.class(name)
+	class := f.findClass(name)
 	if class == nil {
 		return
 	}
@@ -174,7 +174,7 @@
 	if !usable(class.newestJob) {
 		class.newestJob = nil
 		for _, index := range s.replica.Live() {
-			if job := s.jobs[index]; usable(job) && job.Record.Spec.Class == class.class {
+			if job := s.jobs[index]; usable(job) && job.Record.Spec.Class == class.name {
 				class.newestJob = job
 			}
 		}
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -61,7 +61,7 @@
 	// The call expires, because after a stall of this process another controller may lead and
 	// the machines may be in use.
 	call.ValidFor = n.cloudCallTime()
-	if n.fenced() {
+	if n.isFencedLeader() {
 		call.Term = n.leadership.Term()
 	}
 	n.emit(call)
@@ -151,8 +151,8 @@
 
 // provisionCall is a provisioning call in progress.
 type provisionCall struct {
-	provisioning *pendingProvision
-	tenure       int
+	pending *pendingProvision
+	tenure  int
 }
 
 func (r provisionCall) cloudAnswered(n *Node, answer CloudAnswered) {
@@ -160,19 +160,19 @@
 		return
 	}
 	if answer.Outcome == kv.OK {
-		request := &r.provisioning.request
+		request := &r.pending.request
 		n.log(LogInfo, "machines provisioned",
 			"machine_type", request.MachineType, "zone", request.Zone,
 			"spot", request.Spot, "requested", request.Count,
 			"received", len(answer.Names))
 	}
-	n.leader.autoscaler.provisionAnswered(n.now, r.provisioning, answer)
+	n.leader.autoscaler.applyProvisionAnswer(n.now, r.pending, answer)
 	n.leader.passNeeded = true
 }
 
-// provisionAnswered applies the answer to a provisioning request. The request is removed, or
+// applyProvisionAnswer applies the answer to a provisioning request. The request is removed, or
 // scheduled to be repeated if its outcome is unknown.
-func (a *autoscaler) provisionAnswered(now Time, request *pendingProvision, answer CloudAnswered) {
+func (a *autoscaler) applyProvisionAnswer(now Time, request *pendingProvision, answer CloudAnswered) {
 	closed := true
 	switch answer.Outcome {
 	case kv.OK:
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -66,7 +66,7 @@
 			request := &pendingProvision{pool: pool, request: wire.ProvisionRequest{Name: "r-1-1", Count: 2}, sent: true, decidedAt: test.decidedAt}
 			scaler := newAutoscaler()
 			scaler.pendingProvisions = []*pendingProvision{request}
-			scaler.provisionAnswered(now, request, test.answer)
+			scaler.applyProvisionAnswer(now, request, test.answer)
 			if open := len(scaler.pendingProvisions) == 1; open != test.open {
 				t.Errorf("open = %v, want %v", open, test.open)
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -24,9 +24,9 @@
 type Node struct {
 	site
 
-	out     []Effect // effects of the current step
-	nextID  uint64
-	pending map[uint64]continuation // continuations of requests in flight, by request ID
+	effects       []Effect // effects of the current step
+	nextID        uint64
+	continuations map[uint64]continuation // continuations of requests in flight, by request ID
 
 	leadership *leadership.Leadership
 	gangs      *gang.Attempts
@@ -46,17 +46,17 @@
 
 	cloudUnreachableSince Time   // when the cloud stopped answering; 0 while it answers
 	resumedAt             Time   // when the process last detected that it had been stalled; 0 if never
-	workCount             uint64 // machines examined since the start
+	examinedMachines      uint64 // machines examined since the start
 }
 
 // New returns the state machine of a controller that has just started.
 func New(cfg Config) *Node {
 	n := &Node{
-		site:        site{cfg: cfg, topology: topology{names: &replica.Names{}}},
-		pending:     map[uint64]continuation{},
-		gangs:       gang.NewAttempts(),
-		gossipState: newGossipState(),
-		ownerState:  newOwnerState(),
+		site:          site{cfg: cfg, topology: topology{names: &replica.Names{}}},
+		continuations: map[uint64]continuation{},
+		gangs:         gang.NewAttempts(),
+		gossipState:   newGossipState(),
+		ownerState:    newOwnerState(),
 	}
 	if n.cfg.Format == 0 {
 		n.cfg.Format = wire.Format
@@ -82,7 +82,7 @@
 
 // Step applies one input, runs the timers that are due and returns the resulting effects.
 func (n *Node) Step(now Time, in Input) []Effect {
-	n.out = nil
+	n.effects = nil
 	if gap := now - n.now; n.now > 0 && gap > stallThreshold {
 		n.now = now
 		n.resumeAfterStall(gap)
@@ -94,9 +94,9 @@
 	case WorkerReported:
 		n.receiveWorkerHeartbeat(x)
 	case UserRequest:
-		n.userRequest(x)
+		n.receiveUserRequest(x)
 	case ForwardAnswered:
-		n.forwardAnswered(x)
+		n.receiveForwardAnswer(x)
 	case Committed:
 		n.deliverResult(x.ID, x)
 	case CommandsAnswered:
@@ -108,7 +108,7 @@
 	case CloudAnswered:
 		n.deliverResult(x.ID, x)
 	case RecordsChanged:
-		n.recordsChanged(x)
+		n.applyRecordChanges(x)
 	case GossipReceived:
 		n.receiveGossip(x.Message)
 	case HeartbeatReceived:
@@ -118,12 +118,12 @@
 	case DecisionLogReceived:
 		n.receiveDecisionLog(x)
 	case DecisionLogAcknowledged:
-		n.failover.logPublisher.Acknowledged(n.now, x.Ack)
+		n.failover.logPublisher.ReceiveAck(n.now, x.Ack)
 	case StatusRequest:
 		n.emit(Reply{RequestID: x.RequestID, Status: http.StatusOK, Body: n.leadershipStatus()})
 	}
 	n.runTimers()
-	return n.out
+	return n.effects
 }
 
 // runTimers runs all periodic and delayed work that is due. It is cheap when none is.
@@ -151,16 +151,16 @@
 }
 
 // emit adds an effect to the current step.
-func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
+func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
 // log emits a log record with a constant message and attributes as key-value pairs.
 func (n *Node) log(level LogLevel, text string, args ...any) {
 	n.emit(Log{Level: level, Text: text, Args: args})
 }
 
-// Work returns the number of machines examined since the start. Tests use it to measure how
-// the cost grows with the number of machines.
-func (n *Node) Work() uint64 { return n.workCount }
+// ExaminedMachines returns the number of machines examined since the start. Tests use it to measure
+// how the cost grows with the number of machines.
+func (n *Node) ExaminedMachines() uint64 { return n.examinedMachines }
 
 // Ready reports whether the controller accepts user requests. It stays true during an outage
 // of the state service, because a removal from the load balancer would outlast the outage.
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -20,7 +20,7 @@
 // takeover. All of it is a hint: facts that the records or the owners contradict are ignored.
 func (n *Node) publishDecisionLog() {
 	s := &n.failover
-	if !n.fenced() {
+	if !n.isFencedLeader() {
 		return
 	}
 	s.logPublisher.SetStandby(s.standby, n.leadership.Term())
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -17,7 +17,7 @@
 	earlyClaimSeenAt Time            // when a claim was last seen that may have replaced a live leader; 0: never
 	firstPassDone    bool            // this leader has made a scheduling pass in its present term
 	standby          string          // the standby that this leader has elected; "": none
-	heartbeatAt      Time            // when the leader's next heartbeats are due
+	nextHeartbeatAt  Time            // when the leader's next heartbeats are due
 	takeovers        *wire.Takeovers // the record, as the replica shows it
 
 	logPublisher  *failover.Publisher // the leader's side of the decision log
@@ -36,8 +36,8 @@
 	n.failover.logPublisher, n.failover.logReplica = failover.NewPublisher(), failover.NewReplica()
 }
 
-// fenced reports whether this process leads under a claim that may be replaced early.
-func (n *Node) fenced() bool { return n.isLeader() && n.leadership.Record().Fenced }
+// isFencedLeader reports whether this process leads under a claim that may be replaced early.
+func (n *Node) isFencedLeader() bool { return n.isLeader() && n.leadership.Record().Fenced }
 
 // observeLeader applies a change of the leader record to the failover state.
 func (n *Node) observeLeader() {
@@ -53,13 +53,13 @@
 
 // observe applies a new claim of the leadership; leads is set if it is a claim of this process.
 func (f *failoverState) observe(now Time, claim failover.Claim, leads bool, leaseTTL Time) {
-	f.follower.Observe(now, claim)
+	f.follower.ObserveClaim(now, claim)
 	if claim.Streak > 0 {
 		f.earlyClaimSeenAt = now
 	}
 	f.firstPassDone = false
 	f.standby = ""
-	f.heartbeatAt = now
+	f.nextHeartbeatAt = now
 	if !leads {
 		f.takeover.End()
 		return
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -292,7 +292,7 @@
 	}
 	tenure := m.n.leader.tenure
 	m.showLeader("n1", "y", true, 0)
-	if len(m.n.leader.autoscaler.booting) != 1 || m.n.leader.tenure != tenure || !m.n.fenced() {
+	if len(m.n.leader.autoscaler.booting) != 1 || m.n.leader.tenure != tenure || !m.n.isFencedLeader() {
 		t.Error("the leader has lost its state")
 	}
 }
@@ -319,7 +319,7 @@
 	m.advance(10*second, term)
 	machine := m.n.getOrAddMachine("vm-1")
 	machine.draining = true
-	m.n.draining = []int{machine.index}
+	m.n.drainingMachines = []int{machine.index}
 	m.showLeader("n2", "z", true, 1)
 	deliverGossip := func() {
 		m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true}})
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -7,14 +7,14 @@
 // writeSupportedFormat writes the record of the newest format that this controller reads,
 // unless the replica shows it.
 func (n *Node) writeSupportedFormat() {
-	if n.formatWriteAt == 0 {
-		n.formatWriteAt = n.now + formatWriteDelay
+	if n.nextFormatWriteAt == 0 {
+		n.nextFormatWriteAt = n.now + formatWriteDelay
 	}
-	if n.now < n.formatWriteAt || !n.storeOK {
+	if n.now < n.nextFormatWriteAt || !n.storeOK {
 		return
 	}
 	if w := n.replica.SupportedFormatWrites(); w != nil {
-		n.formatWriteAt = n.now + formatWriteDelay
+		n.nextFormatWriteAt = n.now + formatWriteDelay
 		n.transact(ClassUser, nil, w, ignoreResult{})
 	}
 }
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -22,13 +22,13 @@
 // it has received; see viewLog.
 func (n *Node) sendGossip(now bool) {
 	if now {
-		n.gossipAt = min(n.gossipAt, n.gossipSentAt+minGossipInterval)
+		n.nextGossipAt = min(n.nextGossipAt, n.gossipSentAt+minGossipInterval)
 		return
 	}
-	if n.now < n.gossipAt {
+	if n.now < n.nextGossipAt {
 		return
 	}
-	n.gossipAt, n.gossipSentAt = n.now+gossipInterval, n.now
+	n.nextGossipAt, n.gossipSentAt = n.now+gossipInterval, n.now
 	n.updateOwnViews()
 	message := n.gossipMessage()
 	// Peers that have received the same version get the same message.
@@ -49,7 +49,7 @@
 // gossipMessage returns a message without views of machines; withViewChanges adds these.
 func (n *Node) gossipMessage() wire.Gossip {
 	message := wire.Gossip{
-		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isolated(),
+		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isIsolated(),
 		Holds: n.ownGangAnswers(), Strays: n.missedMachineNames(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
 		Leader: n.leaderView(),
 	}
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -14,7 +14,7 @@
 	}
 	last := n.peers[message.From]
 	if !message.StoreOK && (last == nil || last.message.StoreOK) {
-		n.refusedSince[message.From] = n.now
+		n.storeRefusedSince[message.From] = n.now
 	}
 	if !slices.IsSorted(message.Strays) { // controllers of earlier versions don't sort them
 		message.Strays = slices.Sorted(slices.Values(message.Strays))
@@ -60,7 +60,7 @@
 // receiveMachines stores a peer's views of its machines.
 func (n *Node) receiveMachines(message *wire.Gossip) {
 	for i := range message.Hosts {
-		n.workCount++
+		n.examinedMachines++
 		n.receiveMachine(message, &message.Hosts[i])
 	}
 	n.leader.passNeeded = n.leader.passNeeded || len(message.Hosts) > 0
--- a/internal/core/gossip_state.go
+++ b/internal/core/gossip_state.go
@@ -5,22 +5,22 @@
 // gossipState is the state of the gossip between controllers: the peers' last messages and the
 // change log of this controller's own views.
 type gossipState struct {
-	peers        map[string]*peer // by name; without controllers that have sent no message
-	refusedSince map[string]Time  // by name: since when the state service has refused a peer, by its own report
-	gossipAt     Time             // when the next message is due
-	gossipSentAt Time
-	mailboxAt    Time // earliest time of the next write to the mailbox
+	peers              map[string]*peer // by name; without controllers that have sent no message
+	storeRefusedSince  map[string]Time  // by name: since when the state service has refused a peer, by its own report
+	nextGossipAt       Time             // when the next message is due
+	gossipSentAt       Time
+	nextMailboxWriteAt Time // earliest time of the next write to the mailbox
 
 	views               viewLog
-	ownViewsAt          Time  // when the views of this controller's machines are next updated
+	nextViewUpdateAt    Time  // when the views of this controller's machines are next updated
 	misdirectedMachines []int // machines of other owners that have recently sent heartbeats here
 
-	reserved reservations
-	draining []int // this controller's machines that are draining at the leader's request
+	reserved         reservations
+	drainingMachines []int // this controller's machines that are draining at the leader's request
 }
 
 func newGossipState() gossipState {
-	return gossipState{peers: map[string]*peer{}, refusedSince: map[string]Time{}, reserved: reservations{jobs: map[int]int{}}}
+	return gossipState{peers: map[string]*peer{}, storeRefusedSince: map[string]Time{}, reserved: reservations{jobs: map[int]int{}}}
 }
 
 // peer is the state of another controller, as of its last message.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -16,8 +16,8 @@
 	passNeeded bool  // the scheduler's input has changed since the last pass
 	nextPassAt Time  // earliest time of the next pass
 
-	grantHints     map[taskKey]*machine // the machine that the scheduler chose for a granted task
-	hintsCleanupAt Time
+	grantHints        map[taskKey]*machine // the machine that the scheduler chose for a granted task
+	nextHintCleanupAt Time
 
 	sharesDistributedAt []Time             // by team: when the shares of its limit were last distributed
 	sharesReclaimed     []bool             // by team: the last distribution reclaimed idle shares
@@ -99,7 +99,7 @@
 	}
 	n.runCloudCalls()
 	if n.passDue() && n.leader.batch.ready(n) {
-		n.decide()
+		n.runLeaderPass()
 	}
 }
 
@@ -109,12 +109,12 @@
 	if n.now < leader.nextPassAt || !leader.passNeeded && n.now < leader.nextPassAt+idlePassInterval {
 		return false
 	}
-	return n.offeredTypes != nil && n.now-n.leadership.Since() >= firstPassDelay
+	return n.offeredTypes != nil && n.now-n.leadership.LeaderChangedAt() >= firstPassDelay
 }
 
-// decide makes a scheduling pass: it decides about gangs and waiting jobs and commits the changed
-// records as one batch.
-func (n *Node) decide() {
+// runLeaderPass makes a scheduling pass: it decides about gangs and waiting jobs and commits the
+// changed records as one batch.
+func (n *Node) runLeaderPass() {
 	leader := &n.leader
 	leader.nextPassAt = n.now + passInterval + Time(len(n.replica.Live()))*passIntervalPerJob + Time(n.machineCount())*passIntervalPerMachine
 	leader.passNeeded, leader.pendingPlacements = false, nil
@@ -138,8 +138,8 @@
 
 // cleanUpHints removes the grant hints that are no longer needed, every few seconds.
 func (n *Node) cleanUpHints() {
-	if n.now >= n.leader.hintsCleanupAt {
-		n.leader.hintsCleanupAt = n.now + 5*second
+	if n.now >= n.leader.nextHintCleanupAt {
+		n.leader.nextHintCleanupAt = n.now + 5*second
 		n.removeStaleGrantHints()
 	}
 }
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -11,10 +11,10 @@
 // name the standby, which is to take over first.
 func (n *Node) sendHeartbeats() {
 	s := &n.failover
-	if !n.fenced() || n.now < s.heartbeatAt {
+	if !n.isFencedLeader() || n.now < s.nextHeartbeatAt {
 		return
 	}
-	s.heartbeatAt = n.now + failover.HeartbeatInterval
+	s.nextHeartbeatAt = n.now + failover.HeartbeatInterval
 	if elected := failover.Elect(s.standby, n.candidates()); elected != s.standby {
 		s.standby = elected
 		n.log(LogInfo, "standby elected", "controller", elected)
@@ -51,13 +51,13 @@
 // receiveLeaderHeartbeat applies a heartbeat that a leader has sent.
 func (n *Node) receiveLeaderHeartbeat(m *wire.LeaderHeartbeat) {
 	if m != nil {
-		n.failover.follower.Heartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
+		n.failover.follower.ReceiveHeartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
 	}
 }
 
 // peerDisconnected records that the connection to a peer has broken.
 func (n *Node) peerDisconnected(label string) {
-	n.failover.follower.Disconnected(n.now, label)
+	n.failover.follower.MarkDisconnected(n.now, label)
 	if p := n.peers[label]; p != nil {
 		p.disconnected = true
 	}
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -60,7 +60,7 @@
 			n.drainIfEmpty(n.machines[index])
 		}
 	}
-	n.draining = slices.DeleteFunc(n.draining, func(index int) bool {
+	n.drainingMachines = slices.DeleteFunc(n.drainingMachines, func(index int) bool {
 		machine := n.machines[index]
 		// A leader that was replaced early may still deprovision the machines that it had asked
 		// to drain, until the cloud fence has ended.
@@ -79,6 +79,6 @@
 		return
 	}
 	machine.draining = true
-	n.draining = append(n.draining, machine.index)
+	n.drainingMachines = append(n.drainingMachines, machine.index)
 	n.sendGossip(true)
 }
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -22,7 +22,7 @@
 // early calls it only for a limited time after it sent a proof that succeeded; see failover.Fence.
 func (n *Node) proveClaim() {
 	term := n.leadership.Term()
-	if !n.fenced() || !n.failover.fence.Due(n.now) {
+	if !n.isFencedLeader() || !n.failover.fence.Due(n.now) {
 		return
 	}
 	n.transact(ClassLease, []kv.Condition{n.leaderCondition()}, nil, leaderProof{term: term, sentAt: n.now})
@@ -52,7 +52,7 @@
 	before := s.fence.RemainingCallTime(n.now)
 	s.fence.Settle(n.replica.Revision())
 	// The call time is 0 until the cloud fence has ended.
-	if callTime := s.fence.RemainingCallTime(n.now); n.fenced() && callTime > before {
+	if callTime := s.fence.RemainingCallTime(n.now); n.isFencedLeader() && callTime > before {
 		n.emit(AllowCloudCalls{Term: n.leadership.Term(), Until: n.now + callTime})
 	}
 }
@@ -60,7 +60,7 @@
 // cloudCallTime returns for how much longer the leader may send calls to the cloud that provision
 // or deprovision machines.
 func (n *Node) cloudCallTime() Time {
-	if !n.fenced() {
+	if !n.isFencedLeader() {
 		return n.cfg.LeaderLease
 	}
 	return n.failover.fence.RemainingCallTime(n.now)
@@ -71,7 +71,7 @@
 // current. Before its first pass there must also be no commit of this controller as an owner
 // whose outcome is unknown.
 func (n *Node) mayDecide() bool {
-	if !n.fenced() {
+	if !n.isFencedLeader() {
 		return true
 	}
 	s := &n.failover
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -51,7 +51,7 @@
 	replace := func() bool {
 		return n.failover.follower.Advise(n.now) == failover.Replace && n.leadership.Lease.Age(n.now) <= failover.MaxLeaseAge
 	}
-	switch n.leadership.NextClaim(n.now, n.isolated, replace) {
+	switch n.leadership.NextClaim(n.now, n.isIsolated, replace) {
 	case leadership.ClaimVacant:
 		n.sendClaim(n.newClaim(0), 0)
 	case leadership.ClaimOwn:
@@ -73,7 +73,7 @@
 // sendClaim commits a claim of the leadership, together with further writes. The commit is
 // conditional on the revision of the present claim, which is 0 if there is none.
 func (n *Node) sendClaim(claim *wire.Leader, standing uint64, more ...kv.Write) {
-	n.leadership.ClaimSent(n.now)
+	n.leadership.RecordClaimSent(n.now)
 	writes := []kv.Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leadership.Lease.ID}}
 	n.transact(ClassLease, []kv.Condition{{Key: wire.LeaderKey, Revision: standing}}, append(writes, more...), leaderClaim{})
 }
@@ -82,7 +82,7 @@
 type leaderClaim struct{}
 
 func (leaderClaim) committed(n *Node, result Committed) {
-	n.leadership.ClaimAnswered(n.now, result.Outcome, result.Revision)
+	n.leadership.RecordClaimAnswer(n.now, result.Outcome, result.Revision)
 }
 
 // abandonUnseenClaim abandons a claim that was accepted but that the replica still does not show
@@ -103,10 +103,10 @@
 	peerMessageTimeout = 6 * second
 )
 
-// isolated reports whether this controller has lost its connection to the cloud, or to all other
+// isIsolated reports whether this controller has lost its connection to the cloud, or to all other
 // controllers. A call that the cloud refuses counts as answered: every controller would be
 // refused.
-func (n *Node) isolated() bool {
+func (n *Node) isIsolated() bool {
 	if n.cloudUnreachableSince > 0 && n.now-n.cloudUnreachableSince > cloudUnreachableTimeout {
 		return true
 	}
@@ -139,7 +139,7 @@
 // resign gives up the leadership if this controller is isolated and another one is not. It reports
 // whether it did.
 func (n *Node) resign() bool {
-	if !n.leadership.Resign(n.now, n.isolated(), n.hasSuccessor) {
+	if !n.leadership.Resign(n.now, n.isIsolated(), n.hasSuccessor) {
 		return false
 	}
 	n.log(LogInfo, "resigning leadership", "reason", "isolated", "term", n.leadership.Term())
--- a/internal/core/leadership_status.go
+++ b/internal/core/leadership_status.go
@@ -21,10 +21,10 @@
 		status.LogResyncs = s.logPublisher.Resyncs()
 		return status
 	}
-	if term, _ := s.logReplica.Sequence(); term == n.leadership.Term() {
-		status.LogHeld = s.logReplica.Facts()
+	if term, _ := s.logReplica.LastAccepted(); term == n.leadership.Term() {
+		status.LogHeld = s.logReplica.FactCount()
 	}
-	status.LogDropped = s.logReplica.Dropped()
+	status.LogDropped = s.logReplica.RefusedMessages()
 	evidence := s.follower.Evidence(n.now)
 	status.SilenceMS = evidence.Silence.Milliseconds()
 	status.Suspected = s.follower.SuspectedAt() > 0
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -6,7 +6,7 @@
 // ones in place of those that have ended.
 func (n *Node) renewLeases() {
 	if n.ownership.Lease.Due(n.now) {
-		n.renew(&n.ownership.Lease)
+		n.sendLeaseRequest(&n.ownership.Lease)
 	}
 	leader := &n.leadership.Lease
 	if !leader.Due(n.now) {
@@ -20,11 +20,11 @@
 		}
 		return
 	}
-	n.renew(leader)
+	n.sendLeaseRequest(leader)
 }
 
-// renew sends a request that extends a lease, or that creates one.
-func (n *Node) renew(l *lease.Lease) {
+// sendLeaseRequest sends a request that extends a lease, or that creates one.
+func (n *Node) sendLeaseRequest(l *lease.Lease) {
 	renewal := l.StartRenewal(n.now)
 	id := n.continueWith(leaseRenewal{renewal})
 	n.emit(RenewLease{ID: id, LeaseID: renewal.ID(), TTL: l.TTL})
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -7,10 +7,10 @@
 // updateAndSendOwnViews updates the views of this controller's machines if an update is due. If one
 // has changed, the next gossip is sent as soon as possible.
 func (n *Node) updateAndSendOwnViews() {
-	if n.now < n.ownViewsAt {
+	if n.now < n.nextViewUpdateAt {
 		return
 	}
-	n.ownViewsAt = n.now + ownViewsInterval
+	n.nextViewUpdateAt = n.now + ownViewsInterval
 	before := n.views.version
 	n.updateOwnViews()
 	n.sendGossip(n.views.version != before)
@@ -24,7 +24,7 @@
 		}
 		othersReport := n.mostMachinesReport(shard)
 		for _, machine := range shard.machines {
-			n.workCount++
+			n.examinedMachines++
 			if machine.term != shard.Term {
 				continue
 			}
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -26,14 +26,14 @@
 // leader still gets the views of the machines in the other zone. Correctness does not depend on
 // it: a lost, late or old message only leads to worse scheduling decisions.
 func (n *Node) writeMailbox(message wire.Gossip) {
-	if n.now < n.mailboxAt || !n.storeOK || n.now < mailboxStartDelay {
+	if n.now < n.nextMailboxWriteAt || !n.storeOK || n.now < mailboxStartDelay {
 		return
 	}
 	base, silent := n.mailboxBase()
 	if !silent {
 		return
 	}
-	n.mailboxAt = n.now + n.cfg.HeartbeatInterval
+	n.nextMailboxWriteAt = n.now + n.cfg.HeartbeatInterval
 	value := n.mailboxMessage(message, base)
 	if !n.valueFits(value) {
 		return
@@ -41,7 +41,7 @@
 	if value.Ver < n.views.version {
 		// More changes remain than fit this message. When hundreds of machines boot at once, the
 		// leader would otherwise schedule without most of them until the regular interval ends.
-		n.mailboxAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
+		n.nextMailboxWriteAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
 	}
 	n.transact(ClassBackground, nil, []kv.Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: value}}, ignoreResult{})
 }
--- a/internal/core/owned_capacity.go
+++ b/internal/core/owned_capacity.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		for _, machine := range shard.machines {
-			n.workCount++
+			n.examinedMachines++
 			if !n.acceptsTasks(machine) {
 				continue
 			}
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -16,10 +16,10 @@
 // (task_outcomes.go) and chooses machines for granted tasks (grant_placement.go), in one
 // transaction at a time.
 func (n *Node) runOwner() {
-	if n.now < n.ownerPassAt {
+	if n.now < n.nextOwnerPassAt {
 		return
 	}
-	n.ownerPassAt = n.now + ownerInterval + Time(len(n.replica.Live()))*ownerIntervalPerJob
+	n.nextOwnerPassAt = n.now + ownerInterval + Time(len(n.replica.Live()))*ownerIntervalPerJob
 	actsAsOwner := false
 	for _, shard := range n.shards {
 		if n.mayActAsOwner(shard) {
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -104,8 +104,8 @@
 	d.rev++
 	j := lowJob(wire.JobLive)
 	j.Spec.Priority = "high"
-	n.out = nil
-	n.recordsChanged(RecordsChanged{Revision: d.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: j}}})
+	n.effects = nil
+	n.applyRecordChanges(RecordsChanged{Revision: d.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: j}}})
 	for range 100 {
 		d.now += 50 * time.Millisecond
 		for _, e := range n.Step(d.now, Tick{}) {
--- a/internal/core/placement_score.go
+++ b/internal/core/placement_score.go
@@ -20,10 +20,11 @@
 	// firstDaemonCost places a daemon on a machine that already runs one: daemons run for a
 	// long time, and two on one machine leave another machine free.
 	firstDaemonCost = 5
-	// errorCost applies to each job that has failed on the machine since its last success.
-	errorCost = 100
-	// failedJobCost makes a machine on which the job has failed the last choice.
-	failedJobCost = 500
+	// otherFailureCost applies to each job that has failed on the machine since the machine's last
+	// success.
+	otherFailureCost = 100
+	// ownFailureCost makes a machine on which the job has failed the last choice.
+	ownFailureCost = 500
 
 	// defaultFetchGBs is the rate of image fetches, in GB/s, for machine types without one.
 	defaultFetchGBs = 0.1
@@ -65,10 +66,10 @@
 	if spec.Shape == wire.ShapeDaemon && !slot.daemon {
 		score += firstDaemonCost
 	}
-	score += errorCost * float64(slot.failedJobCount)
+	score += otherFailureCost * float64(slot.failedJobCount)
 	if slot.machine != nil && len(job.Record.FailedMachines) > 0 &&
 		slices.Contains(job.Record.FailedMachines, slot.machine.name) {
-		score += failedJobCost
+		score += ownFailureCost
 	}
 	return score
 }
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -7,8 +7,8 @@
 	"micaport/internal/wire"
 )
 
-// recordsChanged applies events of the watch to the replica and the state derived from it.
-func (n *Node) recordsChanged(c RecordsChanged) {
+// applyRecordChanges applies events of the watch to the replica and the state derived from it.
+func (n *Node) applyRecordChanges(c RecordsChanged) {
 	if c.Reset {
 		n.deleteUnlisted(c)
 	}
@@ -22,7 +22,7 @@
 	n.leader.passNeeded = true
 	n.ownership.Settle(n.now, n.replica.Revision())
 	n.settleProofs()
-	n.replies.checkAt = 0
+	n.replies.nextCheckAt = 0
 	n.batch.settle(n)
 	n.leader.batch.settle(n)
 }
--- a/internal/core/request_forwarding.go
+++ b/internal/core/request_forwarding.go
@@ -14,7 +14,7 @@
 	if n.storeOK || request.Forwarded || request.forwardedToPeer {
 		return false
 	}
-	if n.peersMayMisread(request.spec) {
+	if n.peersMayMisinterpret(request.spec) {
 		n.answerUnavailable(request, notUpgraded)
 		return true
 	}
@@ -33,10 +33,10 @@
 	return false
 }
 
-// peersMayMisread reports whether a peer of an earlier version could misinterpret a
+// peersMayMisinterpret reports whether a peer of an earlier version could misinterpret a
 // submission. A peer that reads format 1 ignores dependencies, and a peer that reads format 2
 // answers 422 if the dependencies do not fit the job's record.
-func (n *Node) peersMayMisread(spec *wire.JobSpec) bool {
+func (n *Node) peersMayMisinterpret(spec *wire.JobSpec) bool {
 	switch {
 	case spec == nil || len(spec.Dependencies) == 0 || n.replica.WritesDependencyLists():
 		return false
@@ -46,8 +46,8 @@
 	return !n.jobRecordFits(n.newJobRecord(spec))
 }
 
-// forwardAnswered passes a peer's answer on to the user.
-func (n *Node) forwardAnswered(f ForwardAnswered) {
+// receiveForwardAnswer passes a peer's answer on to the user.
+func (n *Node) receiveForwardAnswer(f ForwardAnswered) {
 	request := n.userRequests.requests[f.RequestID]
 	if request == nil {
 		return
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -22,15 +22,15 @@
 // continueWith registers the continuation of a request and returns the request's ID.
 func (n *Node) continueWith(next continuation) (id uint64) {
 	n.nextID++
-	n.pending[n.nextID] = next
+	n.continuations[n.nextID] = next
 	return n.nextID
 }
 
 // deliverResult passes the result of a request to its continuation. It ignores results of
 // unknown requests.
 func (n *Node) deliverResult(id uint64, result Result) {
-	if next, known := n.pending[id]; known {
-		delete(n.pending, id)
+	if next, known := n.continuations[id]; known {
+		delete(n.continuations, id)
 		next.resume(n, result)
 	}
 }
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -93,7 +93,7 @@
 
 // admitWork admits waiting jobs in the shards of this controller, within their shares.
 func (n *Node) admitWork(writer *writer, free *lazySlots) {
-	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.admissionAt || n.offeredTypes == nil ||
+	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.nextAdmissionAt || n.offeredTypes == nil ||
 		n.leadership.HoldsClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
 		return
 	}
@@ -101,7 +101,7 @@
 	if !leaderless && n.cfg.Admission != AdmitGuaranteed {
 		return
 	}
-	n.admissionAt = n.now + admissionInterval + Time(len(n.replica.Live()))*admissionIntervalPerJob
+	n.nextAdmissionAt = n.now + admissionInterval + Time(len(n.replica.Live()))*admissionIntervalPerJob
 	queues := n.queues()
 	waiting := false
 	for _, queue := range queues {
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -148,7 +148,7 @@
 	for _, class := range pass.available.classOrder {
 		if (r.zone < 0 || class.zone == r.zone) && r.queued.job.Allows(class.machineType, class.zone, class.spot) {
 			for _, slot := range *pass.available.byClass[class] {
-				pass.node.workCount++
+				pass.node.examinedMachines++
 				r.addSlot(slot, 0)
 			}
 		}
@@ -173,7 +173,7 @@
 			!slot.accepts(queued.job) {
 			continue
 		}
-		pass.node.workCount++
+		pass.node.examinedMachines++
 		if mayPreempt && slot.machine.lowestPriority <= queued.job.Priority {
 			if victims, fits := pass.victimsOn(queued, slot, false); fits {
 				cost := float64(preemptionCost)
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -99,7 +99,7 @@
 func (p *schedulingPass) addMachines() {
 	for _, shard := range p.node.shards {
 		for _, machine := range shard.machines {
-			p.node.workCount++
+			p.node.examinedMachines++
 			if slot := p.node.grantableSlot(machine); slot != nil {
 				p.available.add(slot)
 				p.poolSizes[slot.pool()]++
@@ -240,7 +240,7 @@
 		return false
 	}
 	// Shares are not reclaimed for a job that exceeds the whole limit.
-	p.atLimit[job.Team] = p.atLimit[job.Team] || p.node.replica.Ledger().Fits(job.Team, job.Demand(tasks))
+	p.atLimit[job.Team] = p.atLimit[job.Team] || p.node.replica.Ledger().FitsLimit(job.Team, job.Demand(tasks))
 	return false
 }
 
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -125,7 +125,7 @@
 		if slot.machine.lowestPriority > queued.job.Priority || slot.reserved || !slot.accepts(queued.job) || !allowed(slot) {
 			continue
 		}
-		p.node.workCount++
+		p.node.examinedMachines++
 		victims, fits := p.victimsOn(queued, slot, false)
 		if !fits {
 			continue
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		if machine.view.reportedByOwner && machine.view.missedHeartbeats < 2 {
-			e.MachinesKnown++
+			e.MachinesReporting++
 		}
 		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < bounceRetention {
 			e.MachinesBounced++
@@ -134,7 +134,7 @@
 	if peer == nil || peer.message.StoreOK {
 		return 0
 	}
-	return n.now - max(n.refusedSince[name], n.storeOKSince)
+	return n.now - max(n.storeRefusedSince[name], n.storeOKSince)
 }
 
 // shardClaim is a claim of a shard that was sent. The replica shows whether it succeeded.
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -40,10 +40,10 @@
 // so that they cost no time or memory. It also discards the times of grants that
 // have been placed or revoked.
 func (n *Node) removeGoneMachines() {
-	if n.now < n.cleanupAt {
+	if n.now < n.nextCleanupAt {
 		return
 	}
-	n.cleanupAt = n.now + cleanupInterval
+	n.nextCleanupAt = n.now + cleanupInterval
 	n.removeStaleGrantTimes()
 	for _, shard := range n.shards {
 		for i := len(shard.machines) - 1; i >= 0; i-- {
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -56,7 +56,7 @@
 	remaining := list[:0]
 	compared := 0
 	for i, candidate := range list {
-		s.set.node.workCount++
+		s.set.node.examinedMachines++
 		if compared >= maxComparedWithImage {
 			remaining = append(remaining, list[i:]...)
 			break
@@ -90,7 +90,7 @@
 	compared, examined := 0, 0
 	for i := 0; i < len(*list); {
 		candidate := (*list)[i]
-		s.set.node.workCount++
+		s.set.node.examinedMachines++
 		if candidate.class != class || candidate.isFull(true) {
 			candidate.listedIn = slices.DeleteFunc(candidate.listedIn, func(listed slotClass) bool { return listed == class })
 			last := len(*list) - 1
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -120,15 +120,15 @@
 
 // slotClass groups slots that are nearly equivalent for the choice of a machine.
 type slotClass struct {
-	shard, zone, machineType, gpus int  // gpus: free GPUs, whole ones only
-	spot, idle, daemon, hasErrors  bool // hasErrors: a job has failed on the machine since its last success
-	noFreeGPU                      bool // no GPU is free, not even a fraction of one
+	shard, zone, machineType, gpus    int  // gpus: free GPUs, whole ones only
+	spot, idle, daemon, hasFailedJobs bool // hasFailedJobs: a job has failed on the machine since its last success
+	noFreeGPU                         bool // no GPU is free, not even a fraction of one
 }
 
 // classify returns the class that a slot belongs to at present.
 func (s *slot) classify() slotClass {
 	return slotClass{shard: s.shard, zone: s.zone, machineType: s.machineType, gpus: int(s.gpus + epsilon), noFreeGPU: s.gpus <= epsilon, spot: s.spot,
-		idle: s.isIdle(), daemon: s.daemon, hasErrors: s.failedJobCount > 0}
+		idle: s.isIdle(), daemon: s.daemon, hasFailedJobs: s.failedJobCount > 0}
 }
 
 // slotSet holds slots, indexed by class and by image, so that the cost of choosing a slot grows
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -16,7 +16,7 @@
 func (n *Node) resumeAfterStall(gap Time) {
 	n.log(LogInfo, "process stalled", "duration", gap)
 	n.resumedAt = n.now
-	n.ownership.Resumed(n.now)
+	n.ownership.ResetAfterStall(n.now)
 	for _, shard := range n.shards {
 		shard.clearRedirects()
 	}
@@ -25,8 +25,8 @@
 	}
 	n.storeAnsweredAt += gap
 	n.cloudUnreachableSince = 0
-	n.leadership.Resumed()
-	n.failover.follower.Resumed(n.now)
-	n.failover.fence.Resumed(n.now)
+	n.leadership.ResetAfterStall()
+	n.failover.follower.ResetAfterStall(n.now)
+	n.failover.fence.ResetAfterStall(n.now)
 	n.leader.autoscaler.idleSince = map[string]Time{}
 }
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -25,10 +25,10 @@
 // one query of the state service's current revision, a transaction without writes. They are
 // answered once the replica has reached that revision.
 type statusQueries struct {
-	waiting  []*pendingRequest // for the next revision query
-	querying bool              // a revision query is in flight
-	queryAt  Time              // earliest time of the next revision query
-	batches  []statusBatch     // for which the revision is known
+	waiting     []*pendingRequest // for the next revision query
+	querying    bool              // a revision query is in flight
+	nextQueryAt Time              // earliest time of the next revision query
+	batches     []statusBatch     // for which the revision is known
 }
 
 // statusBatch is a set of status queries that the replica may answer once it has reached the
@@ -64,13 +64,13 @@
 // user received before these queries, so a job's status never appears to go back.
 func (n *Node) queryRevision() {
 	status := &n.userRequests.status
-	if status.querying || len(status.waiting) == 0 || n.now < status.queryAt {
+	if status.querying || len(status.waiting) == 0 || n.now < status.nextQueryAt {
 		return
 	}
 	query := revisionQuery{status.waiting}
 	status.waiting = nil
 	status.querying = true
-	status.queryAt = n.now + n.statusInterval()
+	status.nextQueryAt = n.now + n.statusInterval()
 	// Both results of the condition carry the revision, so any condition will do.
 	n.transact(ClassUser, []kv.Condition{n.leaderCondition()}, nil, query)
 }
--- a/internal/core/store_state.go
+++ b/internal/core/store_state.go
@@ -12,9 +12,9 @@
 	storeOKSince    Time // when storeOK last changed to true
 	storeAnsweredAt Time // when it last answered a request
 
-	// formatWriteAt is when the record of the format that this controller reads is written,
+	// nextFormatWriteAt is when the record of the format that this controller reads is written,
 	// unless the replica shows it.
-	formatWriteAt Time
+	nextFormatWriteAt Time
 }
 
 // storeSilenceTimeout is how long after its last answer the state service counts as no longer
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -84,7 +84,7 @@
 	if n.failedJobCount(machine) >= jobsBeforeQuarantine || job.Record.DoneTasks.Count() > 0 {
 		machine.unhealthy = true
 	}
-	n.ownViewsAt = 0 // the leader must receive this before it grants more tasks to the machine
+	n.nextViewUpdateAt = 0 // the leader must receive this before it grants more tasks to the machine
 }
 
 // failedJobCount counts the jobs of which a task failed on a machine since a task last succeeded
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -51,9 +51,9 @@
 
 // pendingRequests holds the user requests that have not been answered.
 type pendingRequests struct {
-	requests map[uint64]*pendingRequest // by request ID
-	expireAt Time                       // time of the next check for overdue requests
-	status   statusQueries
+	requests          map[uint64]*pendingRequest // by request ID
+	nextExpiryCheckAt Time                       // time of the next check for overdue requests
+	status            statusQueries
 }
 
 // pendingRequest is a user request that has not been answered.
@@ -66,8 +66,8 @@
 	dependencies    *dependencyCheck // of a submission with dependencies
 }
 
-// userRequest starts processing a user's request.
-func (n *Node) userRequest(r UserRequest) {
+// receiveUserRequest starts processing a user's request.
+func (n *Node) receiveUserRequest(r UserRequest) {
 	request := n.userRequests.add(r, n.now)
 	if !n.parseRequest(request) {
 		return
@@ -186,10 +186,10 @@
 
 // expireRequests answers the requests whose deadline has passed.
 func (n *Node) expireRequests() {
-	if n.now < n.userRequests.expireAt {
+	if n.now < n.userRequests.nextExpiryCheckAt {
 		return
 	}
-	n.userRequests.expireAt = n.now + expiryInterval
+	n.userRequests.nextExpiryCheckAt = n.now + expiryInterval
 	for _, request := range n.userRequests.overdue(n.now) {
 		n.answerUnavailable(request, "state service is slow")
 	}
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -49,7 +49,7 @@
 	var names wire.Interner
 	for _, change := range n.views.changesAfter(base) {
 		machine := n.machines[change.machine]
-		n.workCount++
+		n.examinedMachines++
 		if machine.viewVersion != change.version || machine.shard < 0 ||
 			!n.mayActAsOwner(n.shards[machine.shard]) ||
 			!machine.view.reportedByOwner {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -46,7 +46,7 @@
 	n.updateTokenConfirmed(shard, machine, heartbeat)
 	consecutive := machine.epoch == heartbeat.Epoch && heartbeat.Sequence == machine.sequence+1
 	n.recordHeartbeat(machine, heartbeat)
-	n.ownerPassAt = 0
+	n.nextOwnerPassAt = 0
 	ignoredBefore := machine.ignoredReplies
 	commands := n.reconcile(shard, machine, heartbeat)
 	if machine.leaseExpiring {
@@ -88,7 +88,7 @@
 	// The first heartbeat of a machine that no owner has seen before: the worker can't have
 	// received a token yet.
 	machine.newlyBooted = firstReports && heartbeat.Token == 0 && !machine.view.reportedByOwner && len(machine.placements) == 0
-	n.ownViewsAt = 0
+	n.nextViewUpdateAt = 0
 }
 
 // resetForNewEpoch discards what was sent to a machine in the previous epoch when its worker has
@@ -115,7 +115,7 @@
 func (n *Node) updateTokenConfirmed(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
-		n.ownViewsAt = 0
+		n.nextViewUpdateAt = 0
 	} else if machine.heartbeats > 0 && !machine.tokenConfirmed && n.replyLikelyLost(machine) {
 		machine.ignoredReplies++
 	}
@@ -145,7 +145,7 @@
 	if unresponsive && !machine.unresponsive {
 		n.log(LogInfo, "machine unresponsive", "machine", machine.name)
 	}
-	machine.unresponsive, n.ownViewsAt = unresponsive, 0
+	machine.unresponsive, n.nextViewUpdateAt = unresponsive, 0
 }
 
 // replyLikelyLost reports whether the worker may have waited for the last reply until its
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -32,8 +32,8 @@
 
 // delayedReplies holds the heartbeats whose replies are delayed.
 type delayedReplies struct {
-	waiting []delayedReply
-	checkAt Time // when they are next checked
+	waiting     []delayedReply
+	nextCheckAt Time // when they are next checked
 }
 
 // answerWorker answers a worker's heartbeat with the token and commands.
@@ -102,10 +102,10 @@
 // sendDelayedReplies sends the delayed replies that are due.
 func (n *Node) sendDelayedReplies() {
 	replies := &n.replies
-	if len(replies.waiting) == 0 || n.now < replies.checkAt {
+	if len(replies.waiting) == 0 || n.now < replies.nextCheckAt {
 		return
 	}
-	replies.checkAt = n.now + delayedRepliesInterval
+	replies.nextCheckAt = n.now + delayedRepliesInterval
 	replies.waiting = slices.DeleteFunc(replies.waiting, n.sendDelayedReply)
 }
 
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -9,14 +9,14 @@
 // This lets decisions be written immediately, before others change the records that the
 // decisions are based on.
 type writeBudget struct {
-	available      float64 // writes that may be sent now
-	availableAt    Time    // when available was last updated
-	rate           float64 // this controller's share of the writes, per second
-	rateUpdatedAt  Time    // when the rate is recalculated next
-	backlogSeconds float64 // time to write the pending records of all controllers
-	observedWrites float64 // writes that the watch has shown since measuredAt
-	measuredAt     Time    // when the averages were last updated
-	writesPerS     float64 // writes of all controllers, as a moving average
+	available        float64 // writes that may be sent now
+	availableAt      Time    // when available was last updated
+	rate             float64 // this controller's share of the writes, per second
+	nextRateUpdateAt Time    // when the rate is recalculated next
+	backlogSeconds   float64 // time to write the pending records of all controllers
+	observedWrites   float64 // writes that the watch has shown since measuredAt
+	measuredAt       Time    // when the averages were last updated
+	writesPerS       float64 // writes of all controllers, as a moving average
 
 	observedUserWrites int     // submissions and cancellations since measuredAt
 	userWritesPerS     float64 // submissions and cancellations, as a moving average
@@ -149,8 +149,8 @@
 	if serviceRate <= 0 {
 		return n.cfg.MaxTransactionOps
 	}
-	if n.now >= n.budget.rateUpdatedAt {
-		n.budget.rateUpdatedAt = n.now + rateInterval
+	if n.now >= n.budget.nextRateUpdateAt {
+		n.budget.nextRateUpdateAt = n.now + rateInterval
 		n.budget.pendingRecords = n.countPendingRecords()
 		ownDemand := 1 + float64(n.budget.pendingRecords)
 		n.budget.updateRate(serviceRate, ownDemand, ownDemand+n.peersDemand(), len(n.cfg.Members))
--- a/internal/failover/decision_log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -41,7 +41,7 @@
 		if m == nil {
 			return -1
 		}
-		p.Acknowledged(now, r.Receive(now+time.Hour, leaderClaim, m))
+		p.ReceiveAck(now, r.Receive(now+time.Hour, leaderClaim, m))
 		var sent []wire.Fact
 		if err := wire.Decode(m.Facts, &sent); err != nil {
 			t.Fatal(err)
@@ -114,10 +114,10 @@
 			t.Errorf("a message has %d bytes of facts, want at most %d", len(m.Facts), 64<<10)
 		}
 		messages++
-		p.Acknowledged(now, r.Receive(now, leaderClaim, m))
+		p.ReceiveAck(now, r.Receive(now, leaderClaim, m))
 	}
-	if r.Facts() != len(facts) || messages != 4 || p.Resyncs() == 0 {
-		t.Errorf("%d facts in %d messages after %d resyncs", r.Facts(), messages, p.Resyncs())
+	if r.FactCount() != len(facts) || messages != 4 || p.Resyncs() == 0 {
+		t.Errorf("%d facts in %d messages after %d resyncs", r.FactCount(), messages, p.Resyncs())
 	}
 }
 
@@ -131,8 +131,8 @@
 		m := &wire.DecisionLog{From: "a", Life: "a1", Term: 7, Sequence: 1, Reset: true, Facts: raw, Checksum: crc32.ChecksumIEEE(raw)}
 		ack := r.Receive(time.Second, leaderClaim, m)
 		runtime.ReadMemStats(&after)
-		if allocated := after.TotalAlloc - before.TotalAlloc; !ack.Resync || r.Dropped() != 1 || allocated > 1<<20 {
-			t.Errorf("%x: acknowledgement %+v, %d refused, %d bytes allocated", raw, ack, r.Dropped(), allocated)
+		if allocated := after.TotalAlloc - before.TotalAlloc; !ack.Resync || r.RefusedMessages() != 1 || allocated > 1<<20 {
+			t.Errorf("%x: acknowledgement %+v, %d refused, %d bytes allocated", raw, ack, r.RefusedMessages(), allocated)
 		}
 	}
 }
@@ -143,15 +143,15 @@
 	p.SetStandby("b", 8)
 	p.Publish([]wire.Fact{fact("x", 1)})
 	_, m := p.Next(time.Second, "a", "a1")
-	p.Acknowledged(time.Second, r.Receive(time.Second, leaderClaim, m))
+	p.ReceiveAck(time.Second, r.Receive(time.Second, leaderClaim, m))
 	if _, m := p.Next(time.Second+resyncDelay-1, "a", "a1"); m != nil {
 		t.Error("the next message is not delayed")
 	}
 	if _, m := p.Next(time.Second+resyncDelay, "a", "a1"); m == nil || !m.Reset {
 		t.Errorf("the next message is %+v, want one with a reset", m)
 	}
-	if r.Dropped() != 1 {
-		t.Errorf("%d messages were refused, want 1", r.Dropped())
+	if r.RefusedMessages() != 1 {
+		t.Errorf("%d messages were refused, want 1", r.RefusedMessages())
 	}
 }
 
@@ -188,7 +188,7 @@
 				case 1: // received, but its acknowledgement is lost
 					r.Receive(now, leaderClaim, m)
 				default:
-					p.Acknowledged(now, r.Receive(now, leaderClaim, m))
+					p.ReceiveAck(now, r.Receive(now, leaderClaim, m))
 				}
 			}
 			if len(sent) > 0 && rapid.IntRange(0, 2).Draw(t, "fault") == 0 {
@@ -207,14 +207,14 @@
 					}
 					m.Checksum = crc32.ChecksumIEEE(m.Facts)
 				}
-				p.Acknowledged(now, r.Receive(now, leaderClaim, &m))
+				p.ReceiveAck(now, r.Receive(now, leaderClaim, &m))
 			}
 		}
 		for range 40 {
 			now += time.Second
 			publish()
 			if _, m := p.Next(now, "a", "a1"); m != nil {
-				p.Acknowledged(now, r.Receive(now, leaderClaim, m))
+				p.ReceiveAck(now, r.Receive(now, leaderClaim, m))
 			}
 		}
 		if got := factsHeld(r, 7); !maps.Equal(got, leaderFacts) {
--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -39,9 +39,9 @@
 	*d = detector{maxTimeout: d.maxTimeout, heartbeatAt: now}
 }
 
-// heartbeat records a heartbeat of the leader. It removes the recorded gaps that are not longer
-// than the one that ends now, because that one expires later.
-func (d *detector) heartbeat(now time.Duration) {
+// recordHeartbeat records a heartbeat of the leader. It removes the recorded gaps that are not
+// longer than the one that ends now, because that one expires later.
+func (d *detector) recordHeartbeat(now time.Duration) {
 	length := now - d.heartbeatAt
 	d.heartbeatAt, d.disconnectedAt = now, 0
 	for len(d.gaps) > 0 && d.gaps[len(d.gaps)-1].length <= length {
@@ -52,11 +52,11 @@
 	}
 }
 
-// disconnected records that the connection to the leader has broken.
-func (d *detector) disconnected(now time.Duration) { d.disconnectedAt = now }
+// markDisconnected records that the connection to the leader has broken.
+func (d *detector) markDisconnected(now time.Duration) { d.disconnectedAt = now }
 
-// broken reports whether the connection has broken since the last heartbeat.
-func (d *detector) broken() bool { return d.disconnectedAt > 0 }
+// connectionBroken reports whether the connection has broken since the last heartbeat.
+func (d *detector) connectionBroken() bool { return d.disconnectedAt > 0 }
 
 // silence returns the time since the last heartbeat.
 func (d *detector) silence(now time.Duration) time.Duration { return now - d.heartbeatAt }
@@ -71,7 +71,7 @@
 		longest = d.gaps[0].length
 	}
 	timeout := max(silenceTimeout, 2*longest)
-	if d.broken() {
+	if d.connectionBroken() {
 		timeout = max(disconnectedTimeout, longest)
 	}
 	if d.maxTimeout > 0 {
--- a/internal/failover/detector_test.go
+++ b/internal/failover/detector_test.go
@@ -23,7 +23,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFollower("b")
 			if c.broken {
-				f.Disconnected(lastHeartbeat+1, "a")
+				f.MarkDisconnected(lastHeartbeat+1, "a")
 			}
 			if got := f.detector.suspects(lastHeartbeat + c.silence); got != c.want {
 				t.Errorf("suspected after %v: %v, want %v", c.silence, got, c.want)
@@ -40,7 +40,7 @@
 		{500 * time.Millisecond, silenceTimeout}, {2 * time.Second, 3 * time.Second}, {3 * time.Second, 3 * time.Second},
 		{7 * time.Second, leaseTTL}, {8 * time.Second, leaseTTL}, {68 * time.Second, leaseTTL}, {129 * time.Second, leaseTTL},
 	} {
-		d.heartbeat(c.at)
+		d.recordHeartbeat(c.at)
 		if got := d.timeout(c.at); got != c.timeout {
 			t.Errorf("timeout after the heartbeat at %v: %v, want %v", c.at, got, c.timeout)
 		}
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -24,7 +24,7 @@
 // SuspicionReport returns this controller's report, to be sent to its peers.
 func (f *Follower) SuspicionReport(now time.Duration) SuspicionReport {
 	return SuspicionReport{
-		Term: f.claim.Term, Silence: f.detector.silence(now), Broken: f.detector.broken(),
+		Term: f.claim.Term, Silence: f.detector.silence(now), Broken: f.detector.connectionBroken(),
 		Suspected: f.mayReplaceEarly() && f.detector.suspects(now),
 	}
 }
@@ -51,7 +51,7 @@
 // Evidence combines the observations of this controller with the reports of its peers. It ignores
 // reports that have expired, that the leader itself has sent, or that concern another term.
 func (f *Follower) Evidence(now time.Duration) Evidence {
-	evidence := Evidence{Silence: f.detector.silence(now), Broken: f.detector.broken(), Members: len(f.config.Members)}
+	evidence := Evidence{Silence: f.detector.silence(now), Broken: f.detector.connectionBroken(), Members: len(f.config.Members)}
 	if f.detector.suspects(now) {
 		evidence.Suspecting++
 	}
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -49,7 +49,7 @@
 	allowedFrom time.Duration // until then a replaced leader may still call the cloud
 	provenAt    time.Duration // when the latest settled proof was sent
 	proven      bool          // at least one proof has settled
-	nextAt      time.Duration // when the next proof is due
+	nextProofAt time.Duration // when the next proof is due
 	pending     []proof       // proofs that have succeeded but not settled
 }
 
@@ -62,23 +62,23 @@
 // Begin starts the fence of a leader that has just seen its claim. Until allowedFrom a replaced
 // leader may still call the cloud.
 func (f *Fence) Begin(now, leaseTTL, allowedFrom time.Duration) {
-	*f = Fence{validity: ProofValidity(leaseTTL), nextAt: now, allowedFrom: allowedFrom}
+	*f = Fence{validity: ProofValidity(leaseTTL), nextProofAt: now, allowedFrom: allowedFrom}
 }
 
-// Resumed invalidates all proofs after a pause of the process, during which the leader may have
-// been replaced.
-func (f *Fence) Resumed(now time.Duration) {
+// ResetAfterStall invalidates all proofs after a pause of the process, during which the leader may
+// have been replaced.
+func (f *Fence) ResetAfterStall(now time.Duration) {
 	f.proven = false
 	f.pending = nil
-	f.nextAt = now
+	f.nextProofAt = now
 }
 
 // Due reports whether a proof is due, and if so schedules the next one.
 func (f *Fence) Due(now time.Duration) bool {
-	if now < f.nextAt {
+	if now < f.nextProofAt {
 		return false
 	}
-	f.nextAt = now + ProofInterval
+	f.nextProofAt = now + ProofInterval
 	return true
 }
 
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -95,7 +95,7 @@
 	if got, want := f.RemainingCallTime(2*time.Second), ProofValidity(leaseTTL)-time.Second; !f.CaughtUp() || got != want {
 		t.Errorf("caught up %v, remaining call time %v, want %v", f.CaughtUp(), got, want)
 	}
-	f.Resumed(3 * time.Second)
+	f.ResetAfterStall(3 * time.Second)
 	if f.CaughtUp() || f.RemainingCallTime(3*time.Second) > 0 || !f.Due(3*time.Second) {
 		t.Error("a proof is still valid after a pause")
 	}
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -42,9 +42,9 @@
 	return &Follower{config: config, detector: detector{maxTimeout: config.LeaseTTL}, peerReports: map[string]peerReport{}}
 }
 
-// Observe records the claim of the current leader. A new leader is treated as if it had sent a
+// ObserveClaim records the claim of the current leader. A new leader is treated as if it had sent a
 // heartbeat now.
-func (f *Follower) Observe(now time.Duration, claim Claim) {
+func (f *Follower) ObserveClaim(now time.Duration, claim Claim) {
 	if claim.Term == f.claim.Term && claim.Controller == f.claim.Controller {
 		return
 	}
@@ -54,27 +54,28 @@
 	f.suspectedAt, f.confirmedAt = 0, 0
 }
 
-// Heartbeat records a heartbeat of the leader. Heartbeats of another controller, incarnation or
-// term are outdated and ignored.
-func (f *Follower) Heartbeat(now time.Duration, controller, incarnation string, term uint64, standby string) {
+// ReceiveHeartbeat records a heartbeat of the leader. Heartbeats of another controller, incarnation
+// or term are outdated and ignored.
+func (f *Follower) ReceiveHeartbeat(now time.Duration, controller, incarnation string, term uint64, standby string) {
 	if controller != f.claim.Controller || incarnation != f.claim.Incarnation || term != f.claim.Term {
 		return
 	}
-	f.detector.heartbeat(now)
+	f.detector.recordHeartbeat(now)
 	f.standby = standby
 }
 
-// Disconnected records that the connection to a peer has broken, and discards the peer's report.
-func (f *Follower) Disconnected(now time.Duration, peer string) {
+// MarkDisconnected records that the connection to a peer has broken, and discards the peer's
+// report.
+func (f *Follower) MarkDisconnected(now time.Duration, peer string) {
 	if peer == f.claim.Controller {
-		f.detector.disconnected(now)
+		f.detector.markDisconnected(now)
 	}
 	delete(f.peerReports, peer)
 }
 
-// Resumed discards the state that a pause of this process has made stale: no message was received
-// during the pause, so the leader and all peers seem silent.
-func (f *Follower) Resumed(now time.Duration) {
+// ResetAfterStall discards the state that a pause of this process has made stale: no message was
+// received during the pause, so the leader and all peers seem silent.
+func (f *Follower) ResetAfterStall(now time.Duration) {
 	f.detector.reset(now)
 	f.suspectedAt, f.confirmedAt = 0, 0
 	clear(f.peerReports)
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -16,9 +16,9 @@
 // leader "a" has led since 0 under term 7, and its heartbeats name "b" as the standby.
 func newFollower(self string) *Follower {
 	f := NewFollower(Config{Self: self, Members: members, Early: true, LeaseTTL: leaseTTL})
-	f.Observe(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
+	f.ObserveClaim(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
 	for at := time.Duration(0); at <= lastHeartbeat; at += HeartbeatInterval {
-		f.Heartbeat(at, "a", "a1", 7, "b")
+		f.ReceiveHeartbeat(at, "a", "a1", 7, "b")
 	}
 	return f
 }
@@ -34,9 +34,9 @@
 func TestLateHeartbeats(t *testing.T) {
 	f := newFollower("b")
 	now := lastHeartbeat + 2*time.Second
-	f.Heartbeat(now, "a", "a1", 6, "c")
-	f.Heartbeat(now, "a", "a0", 7, "c")
-	f.Heartbeat(now, "c", "a1", 7, "c")
+	f.ReceiveHeartbeat(now, "a", "a1", 6, "c")
+	f.ReceiveHeartbeat(now, "a", "a0", 7, "c")
+	f.ReceiveHeartbeat(now, "c", "a1", 7, "c")
 	if f.Silence(now) != 2*time.Second || f.Standby() != "b" {
 		t.Errorf("silence %v, standby %q, want 2s and b", f.Silence(now), f.Standby())
 	}
@@ -58,9 +58,9 @@
 		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); trusts(f, "e") }, Replace},
 		{"the reports have expired", func(f *Follower) { suspect(f, now-suspicionReportLifetime-1, 7, "c", "d") }, Prepare},
 		{"the reports are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
-		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.Disconnected(now, "c") }, Prepare},
+		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.MarkDisconnected(now, "c") }, Prepare},
 		{"the leader suspects itself", func(f *Follower) { suspect(f, now, 7, "a", "c") }, Prepare},
-		{"this process has stalled", func(f *Follower) { f.Resumed(now); suspect(f, now, 7, "c", "d") }, Follow},
+		{"this process has stalled", func(f *Follower) { f.ResetAfterStall(now); suspect(f, now, 7, "c", "d") }, Follow},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFollower("b")
@@ -86,7 +86,7 @@
 	})
 	t.Run("the claim is not fenced", func(t *testing.T) {
 		f := newFollower("b")
-		f.Observe(lastHeartbeat, Claim{Controller: "a", Incarnation: "a1", Term: 8})
+		f.ObserveClaim(lastHeartbeat, Claim{Controller: "a", Incarnation: "a1", Term: 8})
 		suspect(f, now, 8, "c", "d")
 		if got := f.Advise(now); got != Follow {
 			t.Errorf("advice %v, want %v", got, Follow)
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -131,8 +131,8 @@
 	return changes
 }
 
-// Acknowledged processes the standby's acknowledgement. It ignores those of earlier messages.
-func (p *Publisher) Acknowledged(now time.Duration, ack wire.DecisionLogAck) {
+// ReceiveAck processes the standby's acknowledgement. It ignores those of earlier messages.
+func (p *Publisher) ReceiveAck(now time.Duration, ack wire.DecisionLogAck) {
 	if !p.inFlight || ack.Term != p.term || ack.Sequence != p.sequence {
 		return
 	}
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -15,7 +15,7 @@
 	offset                  time.Duration // from the leader's monotonic clock to that of this process
 	facts                   map[factKey]wire.Fact
 
-	dropped int // messages that were refused
+	refusedMessages int // messages that were refused
 }
 
 // NewReplica returns an empty replica.
@@ -63,7 +63,7 @@
 
 // refuse counts a refused message and returns the acknowledgement that requests a resync.
 func (r *Replica) refuse(ack wire.DecisionLogAck) wire.DecisionLogAck {
-	r.dropped++
+	r.refusedMessages++
 	ack.Resync = true
 	return ack
 }
@@ -89,11 +89,11 @@
 	return facts
 }
 
-// Sequence returns the term of the log and the number of the last message accepted.
-func (r *Replica) Sequence() (term, sequence uint64) { return r.term, r.sequence }
+// LastAccepted returns the term of the log and the number of the last message accepted.
+func (r *Replica) LastAccepted() (term, sequence uint64) { return r.term, r.sequence }
 
-// Facts returns the number of facts that the replica holds.
-func (r *Replica) Facts() int { return len(r.facts) }
+// FactCount returns the number of facts that the replica holds.
+func (r *Replica) FactCount() int { return len(r.facts) }
 
-// Dropped returns the number of messages that were refused.
-func (r *Replica) Dropped() int { return r.dropped }
+// RefusedMessages returns the number of messages that were refused.
+func (r *Replica) RefusedMessages() int { return r.refusedMessages }
--- a/internal/failover/tenure_test.go
+++ b/internal/failover/tenure_test.go
@@ -13,7 +13,7 @@
 	for streak, tenure := range []time.Duration{2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second, maxMinTenure, maxMinTenure} {
 		t.Run(fmt.Sprintf("streak %d", streak), func(t *testing.T) {
 			term := uint64(10 + streak)
-			f.Observe(now, Claim{Controller: "a", Incarnation: "a1", Term: term, Fenced: true, Streak: streak})
+			f.ObserveClaim(now, Claim{Controller: "a", Incarnation: "a1", Term: term, Fenced: true, Streak: streak})
 			if got := f.MinTenure(); got != tenure {
 				t.Errorf("minimum tenure %v, want %v", got, tenure)
 			}
@@ -25,7 +25,7 @@
 			}
 			failedAt := now + tenure/2
 			for at := now; at <= failedAt; at += HeartbeatInterval {
-				f.Heartbeat(at, "a", "a1", term, "b")
+				f.ReceiveHeartbeat(at, "a", "a1", term, "b")
 			}
 			for _, at := range []time.Duration{now + tenure - 1, max(now+tenure, failedAt+silenceTimeout+HeartbeatInterval)} {
 				suspect(f, at, term, "c", "d")
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -81,8 +81,8 @@
 // Term returns the revision of the current claim, or of the end of the last one.
 func (l *Leadership) Term() uint64 { return l.term }
 
-// Since returns when the replica last showed a change of the leader.
-func (l *Leadership) Since() Time { return l.leaderChangedAt }
+// LeaderChangedAt returns when the replica last showed a change of the leader.
+func (l *Leadership) LeaderChangedAt() Time { return l.leaderChangedAt }
 
 // HoldsClaim reports whether the replica shows a claim of this process, abandoned or not.
 func (l *Leadership) HoldsClaim() bool {
@@ -174,14 +174,14 @@
 	return delay
 }
 
-// ClaimSent records that a claim is sent now.
-func (l *Leadership) ClaimSent(now Time) {
+// RecordClaimSent records that a claim is sent now.
+func (l *Leadership) RecordClaimSent(now Time) {
 	l.nextClaimAt = now + claimInterval
 	l.claimLeaseID = l.Lease.ID
 }
 
-// ClaimAnswered processes the answer to a claim.
-func (l *Leadership) ClaimAnswered(now Time, outcome kv.Outcome, revision uint64) {
+// RecordClaimAnswer processes the answer to a claim.
+func (l *Leadership) RecordClaimAnswer(now Time, outcome kv.Outcome, revision uint64) {
 	switch outcome {
 	case kv.LeaseExpired:
 		l.Lease.MarkExpired(now)
@@ -245,5 +245,5 @@
 // RevertResignation reverts a resignation that the state service has certainly not carried out.
 func (l *Leadership) RevertResignation() { l.abandonedTerm = 0 }
 
-// Resumed discards the state that a stall of the process has made stale.
-func (l *Leadership) Resumed() { l.isolatedSince = 0 }
+// ResetAfterStall discards the state that a stall of the process has made stale.
+func (l *Leadership) ResetAfterStall() { l.isolatedSince = 0 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -119,8 +119,8 @@
 // An accepted claim that the replica does not show is abandoned once, after a timeout.
 func TestUnseenClaim(t *testing.T) {
 	l := newLeadership()
-	l.ClaimSent(0)
-	l.ClaimAnswered(time.Second, kv.OK, 9)
+	l.RecordClaimSent(0)
+	l.RecordClaimAnswer(time.Second, kv.OK, 9)
 	for _, c := range []struct {
 		at       Time
 		revision uint64
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -4,8 +4,8 @@
 
 // Evidence is the evidence for and against taking a shard over from its owner.
 type Evidence struct {
-	// MachinesKnown is the number of machines whose heartbeats the owner has recently received.
-	MachinesKnown int
+	// MachinesReporting is the number of machines whose heartbeats the owner has recently received.
+	MachinesReporting int
 	// MachinesBounced is the number of machines that contacted this controller again after
 	// they had been redirected to the owner, because they can't reach it. A single one among
 	// many may have lost its own connection, which is no evidence against the owner.
@@ -59,7 +59,7 @@
 
 // hasEnoughBounces reports whether so many machines have bounced that the owner must be at fault.
 func (e *Evidence) hasEnoughBounces() bool {
-	needed := max(1, min(e.MachinesKnown, max(minBouncedRequired, min(e.MachinesKnown/bouncedDivisor, maxBouncedRequired))))
+	needed := max(1, min(e.MachinesReporting, max(minBouncedRequired, min(e.MachinesReporting/bouncedDivisor, maxBouncedRequired))))
 	return e.MachinesBounced >= needed
 }
 
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -67,7 +67,7 @@
 	s := table.Shards()[0]
 	table.Put(time.Second, s, claimOf(self, incarnation), 5)
 	proofs := table.NextProofs(2 * time.Second)
-	table.Resumed(3 * time.Second)
+	table.ResetAfterStall(3 * time.Second)
 	table.AddProof(proofs[0], 6)
 	table.Settle(3*time.Second, 6)
 	if table.MayAct(3*time.Second, s) {
@@ -96,7 +96,7 @@
 // Whether this controller may claim a shard, and the reason, depend on its owner, the wait and the
 // evidence.
 func TestMayClaim(t *testing.T) {
-	healthy := Evidence{StoreOK: true, StoreAnswered: true, MachinesKnown: 40}
+	healthy := Evidence{StoreOK: true, StoreAnswered: true, MachinesReporting: 40}
 	with := func(change func(*Evidence)) Evidence {
 		e := healthy
 		change(&e)
@@ -124,7 +124,7 @@
 		{"its owner is silent, in another zone", otherZone, other, ownerSilentWait + 1, with(func(e *Evidence) { e.OwnerSilent, e.MachinesBounced = true, 1 }), NotClaimable},
 		{"an eighth of its machines bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesBounced = 5 }), Unreachable},
 		{"fewer of its machines bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesBounced = 4 }), NotClaimable},
-		{"its only machine bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesKnown, e.MachinesBounced = 1, 1 }), Unreachable},
+		{"its only machine bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesReporting, e.MachinesBounced = 1, 1 }), Unreachable},
 		{"the state service refuses its owner", otherHome, other, 0, with(func(e *Evidence) { e.OwnerRefusedFor = minRefusedTime + 1 }), OwnerRefused},
 		{"the state service refuses its owner and this controller", otherHome, other, 0, with(func(e *Evidence) { e.OwnerRefusedFor, e.StoreOK = minRefusedTime+1, false }), NotClaimable},
 	} {
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// Resumed invalidates all proofs after a stall of the process, during which shards may have
+// ResetAfterStall invalidates all proofs after a stall of the process, during which shards may have
 // been taken over.
-func (t *Table) Resumed(now Time) {
+func (t *Table) ResetAfterStall(now Time) {
 	t.resumedAt = now
 	t.pending = nil
 	t.nextProofAt = 0
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -139,8 +139,8 @@
 	return !t.record.Unreadable && validateQuota(t.record.Limit, t.record.Guarantee) == nil
 }
 
-// Fits reports whether an amount is within a team's limit if nothing else runs.
-func (l *Ledger) Fits(team int, amount Amount) bool { return amount.within(l.Quota(team).Limit) }
+// FitsLimit reports whether an amount is within a team's limit if nothing else runs.
+func (l *Ledger) FitsLimit(team int, amount Amount) bool { return amount.within(l.Quota(team).Limit) }
 
 // MayAdmit reports whether the owner of a shard may add an amount to the charge to the shard's
 // share. revision is the revision of its replica; see MayGrant.
--- a/internal/simulation/meter.go
+++ b/internal/simulation/meter.go
@@ -15,7 +15,7 @@
 func (s *Simulation) coreWork() uint64 {
 	sum := uint64(0)
 	for _, ctrl := range s.controllers {
-		sum += ctrl.core.Work()
+		sum += ctrl.core.ExaminedMachines()
 	}
 	return sum
 }
