--- a/internal/core/ancestor_search_test.go
+++ b/internal/core/ancestor_search_test.go
@@ -23,7 +23,7 @@
 		if record := stored[id]; record.Spec != nil {
 			dependencies = record.Spec.Dependencies
 		}
-		showJob(n, 2+i, id, wire.JobLive, nil, dependencies...)
+		applyJobRecord(n, 2+i, id, wire.JobLive, nil, dependencies...)
 	}
 	for _, test := range []struct{ name, id, status string }{
 		{"with a cancelled ancestor", "wk-000003", wire.StatusCancelled},
--- a/internal/core/arrival_forecast_test.go
+++ b/internal/core/arrival_forecast_test.go
@@ -8,9 +8,10 @@
 	"micaport/internal/wire"
 )
 
-// TestReserve checks that the reserve follows the arrivals less the completions. It guards against
-// reserving machines for a class without arrivals because many of its jobs have recently completed.
-func TestReserve(t *testing.T) {
+// TestTasksToReserve checks that the reserve follows the arrivals less the completions. It guards
+// against reserving machines for a class without arrivals because many of its jobs have recently
+// completed.
+func TestTasksToReserve(t *testing.T) {
 	jobs := func(count, tasks int) []jobEvent {
 		list := make([]jobEvent, count)
 		for i := range list {
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -41,9 +41,9 @@
 		}
 		p.addExpectedMachine(booting.pool)
 	}
-	for _, provisioning := range scaler.pendingProvisions {
-		for range provisioning.request.Count {
-			p.addExpectedMachine(provisioning.pool)
+	for _, pending := range scaler.pendingProvisions {
+		for range pending.request.Count {
+			p.addExpectedMachine(pending.pool)
 		}
 	}
 }
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -82,12 +82,12 @@
 		scaler.listInProgress = true
 		n.callCloud(CallCloud{ListMachines: true}, listMachinesCall{tenure: n.leader.tenure})
 	}
-	for _, provisioning := range scaler.pendingProvisions {
-		if provisioning.sent || n.now < provisioning.sendAt || n.cloudCallTime() == 0 {
+	for _, pending := range scaler.pendingProvisions {
+		if pending.sent || n.now < pending.sendAt || n.cloudCallTime() == 0 {
 			continue
 		}
-		provisioning.sent = true
-		n.callCloud(CallCloud{Provision: &provisioning.request}, provisionCall{provisioning, n.leader.tenure})
+		pending.sent = true
+		n.callCloud(CallCloud{Provision: &pending.request}, provisionCall{pending, n.leader.tenure})
 	}
 }
 
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestProvisionAnswered checks that a request is closed by an answer with a known outcome, and
+// TestApplyProvisionAnswer checks that a request is closed by an answer with a known outcome, and
 // repeated under the same name for a limited time while its outcome is unknown.
-func TestProvisionAnswered(t *testing.T) {
+func TestApplyProvisionAnswer(t *testing.T) {
 	const now = 100 * second
 	pool := machinePool{spot: true}
 	for name, test := range map[string]struct {
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -79,9 +79,9 @@
 		fact.Seen = booting.listed
 		facts = append(facts, fact)
 	}
-	for _, provisioning := range a.pendingProvisions {
-		fact := poolFact(wire.FactProvisioning, provisioning.request.Name, provisioning.pool, provisioning.decidedAt, names)
-		fact.Count = provisioning.request.Count
+	for _, pending := range a.pendingProvisions {
+		fact := poolFact(wire.FactProvisioning, pending.request.Name, pending.pool, pending.decidedAt, names)
+		fact.Count = pending.request.Count
 		facts = append(facts, fact)
 	}
 	for _, boot := range a.recentBoots {
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -23,13 +23,13 @@
 			n.replica.DropFirstUnrecorded()
 			continue
 		}
-		record := writer.job(job)
+		record := writer.recordToChange(job)
 		if record == nil {
 			return
 		}
 		record.State = wire.JobCancelled
 		n.replica.RequeueFirstUnrecorded() // it is checked again until the replica shows the change
-		if len(writer.order) >= n.replica.UnrecordedCancellations() {
+		if len(writer.changedJobs) >= n.replica.UnrecordedCancellations() {
 			return
 		}
 	}
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -14,15 +14,15 @@
 	const jobCount = 10_000
 	n := newTestNode()
 	name := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
-	showJob(n, 2, name(0), wire.JobLive, nil)
+	applyJobRecord(n, 2, name(0), wire.JobLive, nil)
 	for i := 1; i < jobCount; i++ {
-		showJob(n, 2+i, name(i), wire.JobLive, nil, name(i-1))
+		applyJobRecord(n, 2+i, name(i), wire.JobLive, nil, name(i-1))
 	}
 	for i := 1; i < jobCount; i++ {
-		showJob(n, 2+jobCount+i, name(jobCount+i), wire.JobLive, nil, name(0))
+		applyJobRecord(n, 2+jobCount+i, name(jobCount+i), wire.JobLive, nil, name(0))
 	}
 	n.putLeader(nil, 4*jobCount)
-	showJob(n, 5*jobCount, name(0), wire.JobCancelled, nil)
+	applyJobRecord(n, 5*jobCount, name(0), wire.JobCancelled, nil)
 	if n.replica.UnrecordedCancellations() != 2*jobCount-2 {
 		t.Errorf("%d jobs have unrecorded cancellations, want each of %d once", n.replica.UnrecordedCancellations(), 2*jobCount-2)
 	}
@@ -38,10 +38,10 @@
 // of the jobs in between. A job with unfinished dependencies is in no queue.
 func TestAncestorsInheritPriorityAndDeadline(t *testing.T) {
 	n := newTestNode()
-	showJob(n, 2, "wk-000001", wire.JobLive, nil)
-	showJob(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
-	showJob(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001")
-	showJob(n, 5, "wk-000004", wire.JobLive, func(spec *wire.JobSpec) { spec.Priority, spec.DeadlineS = "high", 100 }, "wk-000002", "wk-000003")
+	applyJobRecord(n, 2, "wk-000001", wire.JobLive, nil)
+	applyJobRecord(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
+	applyJobRecord(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001")
+	applyJobRecord(n, 5, "wk-000004", wire.JobLive, func(spec *wire.JobSpec) { spec.Priority, spec.DeadlineS = "high", 100 }, "wk-000002", "wk-000003")
 	due := int64(1_000_000 + 100_000)
 	for i, want := range []int64{due - 2*14_000, due - 14_000, due - 14_000, due} {
 		if job := n.jobs[i]; job.Links.DeadlineMS != want || job.Priority != 2 {
@@ -59,7 +59,7 @@
 	if got := queued(); len(got) != 1 || got[0] != "wk-000001" {
 		t.Errorf("queued while wk-000001 is live: %v, want wk-000001 only", got)
 	}
-	showJob(n, 9, "wk-000001", wire.JobDone, nil)
+	applyJobRecord(n, 9, "wk-000001", wire.JobDone, nil)
 	if got := queued(); len(got) != 2 {
 		t.Errorf("queued after wk-000001 is done: %v, want two jobs", got)
 	}
@@ -69,14 +69,14 @@
 // cancelled before its dependencies ended. Later jobs may still depend on them.
 func TestFinishedJobsReleaseLinks(t *testing.T) {
 	n := newTestNode()
-	showJob(n, 2, "wk-000001", wire.JobLive, nil)
-	showJob(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
-	showJob(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001", "wk-000002")
-	showJob(n, 5, "wk-000002", wire.JobCancelled, nil)
-	showJob(n, 6, "wk-000001", wire.JobDone, nil)
-	showJob(n, 7, "wk-000003", wire.JobCancelled, nil)
-	showJob(n, 8, "wk-000004", wire.JobLive, nil, "wk-000001")
-	showJob(n, 9, "wk-000005", wire.JobLive, nil, "wk-000002")
+	applyJobRecord(n, 2, "wk-000001", wire.JobLive, nil)
+	applyJobRecord(n, 3, "wk-000002", wire.JobLive, nil, "wk-000001")
+	applyJobRecord(n, 4, "wk-000003", wire.JobLive, nil, "wk-000001", "wk-000002")
+	applyJobRecord(n, 5, "wk-000002", wire.JobCancelled, nil)
+	applyJobRecord(n, 6, "wk-000001", wire.JobDone, nil)
+	applyJobRecord(n, 7, "wk-000003", wire.JobCancelled, nil)
+	applyJobRecord(n, 8, "wk-000004", wire.JobLive, nil, "wk-000001")
+	applyJobRecord(n, 9, "wk-000005", wire.JobLive, nil, "wk-000002")
 	for i := range 3 {
 		if n.jobs[i].Links != nil {
 			t.Errorf("finished job %s still has the links %+v", n.jobs[i].ID, n.jobs[i].Links)
--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -41,11 +41,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			n := newTestNode()
-			showJob(n, 2, "wk-000001", wire.JobLive, nil)
-			showJob(n, 3, "wk-000002", wire.JobDone, nil)
-			showJob(n, 4, "wk-000003", wire.JobCancelled, nil)
-			showJob(n, 5, "wk-000004", wire.JobLive, nil, "wk-000003")
-			showJob(n, 6, "wk-000005", wire.JobLive, func(spec *wire.JobSpec) { spec.Shape = wire.ShapeDaemon })
+			applyJobRecord(n, 2, "wk-000001", wire.JobLive, nil)
+			applyJobRecord(n, 3, "wk-000002", wire.JobDone, nil)
+			applyJobRecord(n, 4, "wk-000003", wire.JobCancelled, nil)
+			applyJobRecord(n, 5, "wk-000004", wire.JobLive, nil, "wk-000003")
+			applyJobRecord(n, 6, "wk-000005", wire.JobLive, func(spec *wire.JobSpec) { spec.Shape = wire.ShapeDaemon })
 			reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", test.dependencies...)}, stored)
 			if reply == nil || reply.Status != test.status {
 				t.Fatalf("answered with %+v, want status %d", reply, test.status)
@@ -67,7 +67,7 @@
 // dependencies is answered 503 and no record in the new format is written.
 func TestDependenciesUnavailableBeforeUpgrade(t *testing.T) {
 	n := newTestNode(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
-	showJob(n, 2, "wk-000001", wire.JobLive, nil)
+	applyJobRecord(n, 2, "wk-000001", wire.JobLive, nil)
 	submit := func(id uint64) UserRequest {
 		return UserRequest{RequestID: id, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", "wk-000001")}
 	}
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -15,11 +15,11 @@
 	return newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
 }
 
-// showLiveJobs adds a number of live jobs to a controller's replica and returns their IDs.
-func showLiveJobs(n *Node, count int) (ids []string) {
+// applyLiveJobRecords adds a number of live jobs to a controller's replica and returns their IDs.
+func applyLiveJobRecords(n *Node, count int) (ids []string) {
 	for i := range count {
 		id := fmt.Sprintf("wk-%06d", 1000+i)
-		showJob(n, 10+i, id, wire.JobLive, nil)
+		applyJobRecord(n, 10+i, id, wire.JobLive, nil)
 		ids = append(ids, id)
 	}
 	return ids
@@ -40,7 +40,7 @@
 func TestLongDependencyList(t *testing.T) {
 	const count = 900
 	n := newSmallValueNode()
-	ids := showLiveJobs(n, count)
+	ids := applyLiveJobRecords(n, count)
 	reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}, nil)
 	if reply == nil || reply.Status != http.StatusCreated {
 		t.Fatalf("answered with %+v, want status %d", reply, http.StatusCreated)
@@ -59,19 +59,19 @@
 	for name, order := range map[string][]kv.Write{"watch": wrote, "listing": listing} {
 		t.Run(name, func(t *testing.T) {
 			other := newSmallValueNode()
-			showLiveJobs(other, count)
+			applyLiveJobRecords(other, count)
 			other.Step(other.now+1, recordsChangedBy(2000, order))
 			job := other.findJob("wk-000100")
 			if job.Links == nil || job.Links.Open != count || other.replica.StagedDependencyLists() > 0 {
 				t.Fatalf("the links are %+v, %d lists are staged, want %d open dependencies", job.Links, other.replica.StagedDependencyLists(), count)
 			}
 			for i, id := range ids[:count-1] {
-				showJob(other, 3000+i, id, wire.JobDone, nil)
+				applyJobRecord(other, 3000+i, id, wire.JobDone, nil)
 			}
 			if !job.IsWaiting() {
 				t.Error("the job no longer waits though one dependency is not done")
 			}
-			showJob(other, 5000, ids[count-1], wire.JobCancelled, nil)
+			applyJobRecord(other, 5000, ids[count-1], wire.JobCancelled, nil)
 			if job.State() != wire.JobCancelled {
 				t.Error("the job is not cancelled though a dependency is")
 			}
@@ -83,7 +83,7 @@
 // user submits it again, only the missing keys are written.
 func TestPartialDependencyListIsCompleted(t *testing.T) {
 	n := newSmallValueNode()
-	ids := showLiveJobs(n, 900)
+	ids := applyLiveJobRecords(n, 900)
 	submit := func(requestID uint64, allowed int) (reply *Reply, wrote []kv.Write) {
 		t.Helper()
 		inputs := []Input{UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}}
@@ -145,7 +145,7 @@
 	}
 	announceFormat(5, "n0", wire.Format)
 	announceFormat(6, "n1", wire.FormatDependencies)
-	ids := showLiveJobs(n, 300)
+	ids := applyLiveJobRecords(n, 300)
 	reply, wrote := runRequest(n, submit(1, "wk-000100", ids), nil)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 {
 		t.Errorf("long list: answered with %+v, %d writes, want status %d and none", reply, len(wrote), http.StatusServiceUnavailable)
@@ -185,7 +185,7 @@
 	n := newSmallValueNode()
 	spec := &wire.JobSpec{ID: "wk-000100", Team: "t", Shape: wire.ShapeArray, TaskCount: 1}
 	record := &wire.Job{Spec: spec, TaskCount: 1, NextAttempt: 1, DependencyList: "x", DependencyListKeys: 2}
-	showJob(n, 9, "wk-000001", wire.JobDone, nil)
+	applyJobRecord(n, 9, "wk-000001", wire.JobDone, nil)
 	n.Step(n.now+1, RecordsChanged{Revision: 11, Events: []kv.Event{
 		{Key: wire.DependencyListKey("wk-000100", "x", 1), Revision: 10, Value: &wire.DependencyList{JobIDs: []string{"wk-000001"}}},
 		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: record},
--- a/internal/core/direct_start_test.go
+++ b/internal/core/direct_start_test.go
@@ -16,7 +16,7 @@
 	d, term := newOwnerHarness(t)
 	job := &wire.Job{TaskCount: 1, NextAttempt: 2, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeDaemon, Priority: "standard", TaskCount: 1, Image: "i"},
 		ActiveTasks: []wire.ActiveTask{{Attempt: 1, Machine: "vm-1", Epoch: 1}}}
-	d.put(job)
+	d.putJob(job)
 	start := d.directStarts()
 	if start == nil || start.Address != "10.0.0.9:1" || start.Batch.Token != term || start.Batch.Epoch != 1 || len(start.Batch.Commands) != 1 {
 		t.Fatalf("direct start %+v, want one to 10.0.0.9:1 with the owner's token and epoch 1", start)
@@ -47,10 +47,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			d, job, start := newDirectStartHarness(t)
 			d.step(CommandsAnswered{ID: start.ID, Outcome: test.outcome})
-			d.put(cancelledCopy(job))
-			d.report(9, start.Batch.Token)
+			d.putJob(cancelledCopy(job))
+			d.sendHeartbeat(9, start.Batch.Token)
 			d.wait(3 * second)
-			if gone := len(d.n.jobs[0].Record.ActiveTasks) == 0; gone != test.gone {
+			if gone := len(d.node.jobs[0].Record.ActiveTasks) == 0; gone != test.gone {
 				t.Errorf("task removed from the record: %v, want %v", gone, test.gone)
 			}
 		})
@@ -73,15 +73,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			d, job, start := newDirectStartHarness(t)
 			d.step(CommandsAnswered{ID: start.ID, Outcome: test.outcome})
-			d.put(cancelledCopy(job))
+			d.putJob(cancelledCopy(job))
 			for seq := uint64(9); seq < 13; seq++ {
-				d.report(seq, start.Batch.Token)
+				d.sendHeartbeat(seq, start.Batch.Token)
 				d.wait(4 * second)
 			}
-			d.report(13, start.Batch.Token)
+			d.sendHeartbeat(13, start.Batch.Token)
 			d.wait(4 * second)
 			if reply := d.reply(); reply == nil || reply.Status != test.status {
-				t.Errorf("answered with %+v, want status %d", d.out, test.status)
+				t.Errorf("answered with %+v, want status %d", d.effects, test.status)
 			}
 		})
 	}
@@ -93,15 +93,15 @@
 func TestDirectStartWithCancellationSeenLate(t *testing.T) {
 	d, job, start := newDirectStartHarness(t)
 	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.Unknown})
-	d.lag = true
+	d.watchHangs = true
 	d.wait(11 * second)
-	d.lag = false
-	d.put(cancelledCopy(job))
+	d.watchHangs = false
+	d.putJob(cancelledCopy(job))
 	d.wait(4 * second)
-	d.report(9, start.Batch.Token)
+	d.sendHeartbeat(9, start.Batch.Token)
 	d.wait(4 * second)
 	if reply := d.reply(); reply == nil || reply.Status != http.StatusServiceUnavailable {
-		t.Errorf("answered with %+v, want status %d", d.out, http.StatusServiceUnavailable)
+		t.Errorf("answered with %+v, want status %d", d.effects, http.StatusServiceUnavailable)
 	}
 }
 
@@ -111,12 +111,12 @@
 	d, _, start := newDirectStartHarness(t)
 	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.OK})
 	exited := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.CauseError}
-	d.report(9, start.Batch.Token, exited)
+	d.sendHeartbeat(9, start.Batch.Token, exited)
 	d.wait(second)
-	if len(d.n.jobs[0].Record.ActiveTasks) != 0 {
+	if len(d.node.jobs[0].Record.ActiveTasks) != 0 {
 		t.Fatal("the outcome of the task was not written")
 	}
-	d.report(10, start.Batch.Token, exited)
+	d.sendHeartbeat(10, start.Batch.Token, exited)
 	for _, command := range d.commands(t) {
 		if command.Op == wire.CommandClear {
 			t.Errorf("the worker was sent %+v", command)
@@ -127,23 +127,23 @@
 // A machine whose state was discarded after a long silence may report again in the same term,
 // after a network partition or a hang during which the cloud did not answer either. The
 // controller once crashed then, as it recorded a start in a map that had been discarded.
-func TestForgottenMachineReportsAgain(t *testing.T) {
+func TestRemovedMachineReportsAgain(t *testing.T) {
 	d, job, start := newDirectStartHarness(t)
 	d.step(CommandsAnswered{ID: start.ID, Outcome: kv.Conflict})
 	withoutTasks := replica.CloneRecord(job)
 	withoutTasks.ActiveTasks = nil
-	d.put(withoutTasks)
-	d.wait(4 * d.n.cfg.WorkerLease)
-	if len(d.n.shards[0].machines) != 0 {
+	d.putJob(withoutTasks)
+	d.wait(4 * d.node.cfg.WorkerLease)
+	if len(d.node.shards[0].machines) != 0 {
 		t.Fatal("the machine was not removed from its shard")
 	}
 	term := start.Batch.Token
-	d.report(50, term)
-	d.report(51, term)
+	d.sendHeartbeat(50, term)
+	d.sendHeartbeat(51, term)
 	placedAgain := replica.CloneRecord(job)
 	placedAgain.ActiveTasks = []wire.ActiveTask{{Attempt: 2, Machine: "vm-1", Epoch: 1}}
-	d.put(placedAgain)
-	d.report(52, term)
+	d.putJob(placedAgain)
+	d.sendHeartbeat(52, term)
 	started := d.directStarts() != nil
 	for _, command := range d.commands(t) {
 		started = started || command.Op == wire.CommandStart && command.Attempt == 2
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -16,9 +16,9 @@
 // failoverHarness is one of three controllers, with a state service whose answers the test sends.
 type failoverHarness struct {
 	t          *testing.T
-	n          *Node
+	node       *Node
 	now        Time
-	rev        uint64
+	revision   uint64
 	commits    []Commit // not yet answered
 	cloudCalls []CallCloud
 }
@@ -27,19 +27,19 @@
 // controllers support the newest format.
 func newFailoverHarness(t *testing.T) *failoverHarness {
 	t.Helper()
-	m := &failoverHarness{t: t, rev: 10, n: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "a"}}, Zones: []string{"a"},
+	m := &failoverHarness{t: t, revision: 10, node: New(Config{Self: "n1", Incarnation: "y", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second, EarlyFailover: true,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 7 }})}
 	var events []kv.Event
 	for _, label := range []string{"n0", "n1", "n2"} {
 		events = append(events, kv.Event{Key: wire.FormatPrefix + label, Revision: 3, Value: &wire.SupportedFormat{Format: wire.Format}})
 	}
-	m.step(RecordsChanged{Reset: true, Revision: m.rev, Events: events})
+	m.step(RecordsChanged{Reset: true, Revision: m.revision, Events: events})
 	return m
 }
 
 func (m *failoverHarness) step(in Input) {
-	for _, e := range m.n.Step(m.now, in) {
+	for _, e := range m.node.Step(m.now, in) {
 		switch x := e.(type) {
 		case RenewLease:
 			m.step(LeaseAnswered{ID: x.ID, Outcome: kv.OK, LeaseID: max(x.LeaseID, 7)})
@@ -62,11 +62,11 @@
 	}
 }
 
-// showLeader applies a leader record that names a controller, and returns its term.
-func (m *failoverHarness) showLeader(node, life string, fenced bool, streak int) uint64 {
-	m.rev++
-	m.step(RecordsChanged{Revision: m.rev, Events: []kv.Event{{Key: wire.LeaderKey, Revision: m.rev, Value: &wire.Leader{Controller: node, Incarnation: life, Fenced: fenced, Streak: streak}}}})
-	return m.rev
+// applyLeaderRecord applies a leader record that names a controller, and returns its term.
+func (m *failoverHarness) applyLeaderRecord(node, life string, fenced bool, streak int) uint64 {
+	m.revision++
+	m.step(RecordsChanged{Revision: m.revision, Events: []kv.Event{{Key: wire.LeaderKey, Revision: m.revision, Value: &wire.Leader{Controller: node, Incarnation: life, Fenced: fenced, Streak: streak}}}})
+	return m.revision
 }
 
 // deliverSuspicion delivers a message in which n2 suspects the leader of a term.
@@ -92,7 +92,7 @@
 func newHarnessWithSilentLeader(t *testing.T) (m *failoverHarness, term uint64) {
 	t.Helper()
 	m = newFailoverHarness(t)
-	term = m.showLeader("n0", "x", true, 0)
+	term = m.applyLeaderRecord("n0", "x", true, 0)
 	m.advance(10*second, term)
 	m.advance(2500*time.Millisecond, 0)
 	return m, term
@@ -124,14 +124,14 @@
 // could reach the cloud after the lease of the claim has ended.
 func TestEarlyClaimNeedsFreshLease(t *testing.T) {
 	m := newFailoverHarness(t)
-	term := m.showLeader("n0", "x", true, 0)
+	term := m.applyLeaderRecord("n0", "x", true, 0)
 	m.advance(10*second, term)
-	m.n.leadership.Lease.StartRenewal(m.n.now) // a renewal without an answer
+	m.node.leadership.Lease.StartRenewal(m.node.now) // a renewal without an answer
 	m.advance(2500*time.Millisecond, 0)
 	m.deliverSuspicion(term)
 	m.advance(300*time.Millisecond, 0)
 	if claims := m.takeLeaderCommits(); len(claims) > 0 {
-		t.Errorf("claimed under a lease renewed %v ago", m.n.leadership.Lease.Age(m.now))
+		t.Errorf("claimed under a lease renewed %v ago", m.node.leadership.Lease.Age(m.now))
 	}
 }
 
@@ -145,25 +145,25 @@
 	if len(m.takeLeaderCommits()) == 0 {
 		t.Fatal("not claimed")
 	}
-	m.n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
-	m.showLeader("n1", "y", true, 1)
+	m.node.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
+	m.applyLeaderRecord("n1", "y", true, 1)
 	proofs := m.takeLeaderCommits()
-	if len(proofs) != 1 || len(proofs[0].Writes) != 0 || !m.n.isLeader() {
-		t.Fatalf("leads %v, proofs %+v", m.n.isLeader(), proofs)
+	if len(proofs) != 1 || len(proofs[0].Writes) != 0 || !m.node.isLeader() {
+		t.Fatalf("leads %v, proofs %+v", m.node.isLeader(), proofs)
 	}
 	return m, proofs[0]
 }
 
-// submitJob adds the record of an accepted job that needs a new machine.
-func (m *failoverHarness) submitJob() {
-	m.rev++
+// addWaitingJob adds the record of an accepted job that needs a new machine.
+func (m *failoverHarness) addWaitingJob() {
+	m.revision++
 	job := lowJob(wire.JobLive)
 	job.Spec.Priority = "high"
-	m.step(RecordsChanged{Revision: m.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: m.rev, Value: job}}})
+	m.step(RecordsChanged{Revision: m.revision, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: m.revision, Value: job}}})
 }
 
-// machineCalls returns the number of calls to the cloud that provision or deprovision.
-func (m *failoverHarness) machineCalls() int {
+// countMachineCalls returns the number of calls to the cloud that provision or deprovision.
+func (m *failoverHarness) countMachineCalls() int {
 	return len(slices.DeleteFunc(slices.Clone(m.cloudCalls), func(c CallCloud) bool { return c.Provision == nil && c.Deprovision == nil }))
 }
 
@@ -171,27 +171,27 @@
 // until the last proof of the replaced leader has expired.
 func TestNewLeaderWaitsForProofAndCloudFence(t *testing.T) {
 	m, proof := newHarnessAfterTakeover(t)
-	m.submitJob()
+	m.addWaitingJob()
 	m.advance(second, 0)
-	if m.n.failover.firstPassDone {
+	if m.node.failover.firstPassDone {
 		t.Error("a scheduling pass was made without a proof")
 	}
-	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
+	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.revision})
 	m.advance(second, 0)
-	if !m.n.failover.firstPassDone {
+	if !m.node.failover.firstPassDone {
 		t.Error("no scheduling pass was made after the proof")
 	}
-	for m.now < m.n.failover.earlyClaimSeenAt+failover.CloudFenceTime(5*second) {
-		if m.machineCalls() > 0 {
-			t.Fatalf("the cloud was called %v after the claim", m.now-m.n.failover.earlyClaimSeenAt)
+	for m.now < m.node.failover.earlyClaimSeenAt+failover.CloudFenceTime(5*second) {
+		if m.countMachineCalls() > 0 {
+			t.Fatalf("the cloud was called %v after the claim", m.now-m.node.failover.earlyClaimSeenAt)
 		}
 		m.advance(50*time.Millisecond, 0)
 		for _, c := range m.takeLeaderCommits() {
-			m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.rev})
+			m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.revision})
 		}
 	}
 	m.advance(2*second, 0)
-	if m.machineCalls() == 0 {
+	if m.countMachineCalls() == 0 {
 		t.Error("the cloud was not called")
 	}
 	for _, c := range m.cloudCalls {
@@ -205,8 +205,8 @@
 // new claim.
 func TestProofDetectsReplacement(t *testing.T) {
 	m, proof := newHarnessAfterTakeover(t)
-	m.step(Committed{ID: proof.ID, Outcome: kv.Conflict, Revision: m.rev + 5, Failed: []string{wire.LeaderKey}})
-	if m.n.isLeader() {
+	m.step(Committed{ID: proof.ID, Outcome: kv.Conflict, Revision: m.revision + 5, Failed: []string{wire.LeaderKey}})
+	if m.node.isLeader() {
 		t.Error("the replaced leader still leads")
 	}
 }
@@ -215,23 +215,23 @@
 // and may still be applied.
 func TestNewLeaderSettlesItsOwnCommits(t *testing.T) {
 	m, proof := newHarnessAfterTakeover(t)
-	m.n.batch.active, m.n.batch.outcomeUnknown = true, true
-	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
-	if m.n.mayDecide() {
+	m.node.batch.active, m.node.batch.outcomeUnknown = true, true
+	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.revision})
+	if m.node.mayDecide() {
 		t.Error("the leader may decide while a commit is unsettled")
 	}
-	m.n.batch.active = false
-	if !m.n.mayDecide() {
+	m.node.batch.active = false
+	if !m.node.mayDecide() {
 		t.Error("the leader may not decide after the commit is settled")
 	}
 }
 
 // After a pause of its process a leader makes no decision until a proof that was sent after the
 // pause has settled.
-func TestStallVoidsLeaderProofs(t *testing.T) {
+func TestStallInvalidatesLeaderProofs(t *testing.T) {
 	m, proof := newHarnessAfterTakeover(t)
-	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.rev})
-	if !m.n.mayDecide() {
+	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.revision})
+	if !m.node.mayDecide() {
 		t.Fatal("the leader may not decide after its proof")
 	}
 	m.advance(1200*time.Millisecond, 0)
@@ -239,9 +239,9 @@
 	m.now += 3 * second
 	m.step(Tick{})
 	for _, c := range lateProofs { // sent before the pause, answered after it
-		m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.rev})
+		m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.revision})
 	}
-	if m.n.mayDecide() || m.n.cloudCallTime() > 0 {
+	if m.node.mayDecide() || m.node.cloudCallTime() > 0 {
 		t.Error("a proof from before the pause is still valid")
 	}
 }
@@ -250,12 +250,12 @@
 // missed during the pause, even if a peer suspects it.
 func TestNoSuspicionAfterStall(t *testing.T) {
 	m := newFailoverHarness(t)
-	term := m.showLeader("n0", "x", true, 0)
+	term := m.applyLeaderRecord("n0", "x", true, 0)
 	m.advance(10*second, term)
 	m.now += 4 * second
 	m.deliverSuspicion(term)
 	m.advance(200*time.Millisecond, 0)
-	if claims := m.takeLeaderCommits(); len(claims) > 0 || m.n.failover.follower.SuspectedAt() > 0 {
+	if claims := m.takeLeaderCommits(); len(claims) > 0 || m.node.failover.follower.SuspectedAt() > 0 {
 		t.Errorf("the leader is suspected, claims %+v", claims)
 	}
 }
@@ -267,10 +267,10 @@
 	m.deliverSuspicion(term)
 	m.advance(100*time.Millisecond, 0)
 	claims := m.takeLeaderCommits()
-	m.step(Committed{ID: claims[0].ID, Outcome: kv.OK, Revision: m.rev + 9})
+	m.step(Committed{ID: claims[0].ID, Outcome: kv.OK, Revision: m.revision + 9})
 	m.advance(3*second, 0)
 	for _, c := range m.takeLeaderCommits() {
-		if slices.Equal(c.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: m.rev + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
+		if slices.Equal(c.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: m.revision + 9}}) && len(c.Writes) == 1 && c.Writes[0].Value == nil {
 			return
 		}
 	}
@@ -282,17 +282,17 @@
 func TestFencingKeepsLeaderState(t *testing.T) {
 	m := newFailoverHarness(t)
 	m.advance(2*second, 0) // it creates a lease and claims the leadership
-	term := m.showLeader("n1", "y", false, 0)
-	m.n.leader.autoscaler.booting["vm-1"] = &bootingMachine{}
+	term := m.applyLeaderRecord("n1", "y", false, 0)
+	m.node.leader.autoscaler.booting["vm-1"] = &bootingMachine{}
 	m.advance(500*time.Millisecond, 0)
 	claims := m.takeLeaderCommits()
 	last := claims[len(claims)-1]
 	if !slices.Equal(last.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
 		t.Fatalf("claims %+v", claims)
 	}
-	tenure := m.n.leader.tenure
-	m.showLeader("n1", "y", true, 0)
-	if len(m.n.leader.autoscaler.booting) != 1 || m.n.leader.tenure != tenure || !m.n.isFencedLeader() {
+	tenure := m.node.leader.tenure
+	m.applyLeaderRecord("n1", "y", true, 0)
+	if len(m.node.leader.autoscaler.booting) != 1 || m.node.leader.tenure != tenure || !m.node.isFencedLeader() {
 		t.Error("the leader has lost its state")
 	}
 }
@@ -301,10 +301,10 @@
 // the cloud fence starts at that time.
 func TestRecordedTakeoverStartsCloudFence(t *testing.T) {
 	m := newFailoverHarness(t)
-	if m.n.failover.cloudFenceEndsAt(5*second) != 0 {
+	if m.node.failover.cloudFenceEndsAt(5*second) != 0 {
 		t.Fatal("there is a cloud fence without a takeover")
 	}
-	restarted := New(m.n.cfg)
+	restarted := New(m.node.cfg)
 	restarted.Step(second, RecordsChanged{Reset: true, Revision: 5, Events: []kv.Event{{Key: wire.TakeoversKey, Revision: 4, Value: &wire.Takeovers{}}}})
 	if want := second + failover.CloudFenceTime(5*second); restarted.failover.cloudFenceEndsAt(5*second) != want {
 		t.Errorf("the cloud fence ends at %v, want %v", restarted.failover.cloudFenceEndsAt(5*second), want)
@@ -315,12 +315,12 @@
 // places nothing on them until the replaced leader can no longer call the cloud.
 func TestOwnerKeepsDrainingForReplacedLeader(t *testing.T) {
 	m := newFailoverHarness(t)
-	term := m.showLeader("n0", "x", true, 0)
+	term := m.applyLeaderRecord("n0", "x", true, 0)
 	m.advance(10*second, term)
-	machine := m.n.getOrAddMachine("vm-1")
+	machine := m.node.getOrAddMachine("vm-1")
 	machine.draining = true
-	m.n.drainingMachines = []int{machine.index}
-	m.showLeader("n2", "z", true, 1)
+	m.node.drainingMachines = []int{machine.index}
+	m.applyLeaderRecord("n2", "z", true, 1)
 	deliverGossip := func() {
 		m.step(GossipReceived{Message: &wire.Gossip{From: "n2", Life: "z", UpS: m.now.Seconds(), StoreOK: true}})
 	}
@@ -350,10 +350,10 @@
 func TestDecisionLogIsAdopted(t *testing.T) {
 	for _, fromPredecessor := range []bool{true, false} {
 		m := newFailoverHarness(t)
-		m.n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
-		m.n.getOrAddMachine("vm-4").view.reportedByOwner = true
-		m.n.getOrAddMachine("vm-5").returned = true
-		term := m.showLeader("n0", "x", true, 0)
+		m.node.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
+		m.node.getOrAddMachine("vm-4").view.reportedByOwner = true
+		m.node.getOrAddMachine("vm-5").returned = true
+		term := m.applyLeaderRecord("n0", "x", true, 0)
 		m.advance(2*second, term)
 		m.step(DecisionLogReceived{RequestID: 1, Message: logMessage(t, term, 1, m.now,
 			wire.Fact{Kind: wire.FactBooting, Name: "vm-3", MachineType: "g", Zone: "a", At: m.now.Milliseconds() - 1000},
@@ -365,10 +365,10 @@
 			wire.Fact{Kind: wire.FactWaitingSince, Name: "wk-999999", At: 1},
 			wire.Fact{Kind: 99, Name: "of a later version"})})
 		if !fromPredecessor {
-			m.showLeader("n2", "z", true, 1)
+			m.applyLeaderRecord("n2", "z", true, 1)
 		}
-		m.showLeader("n1", "y", true, 2)
-		scaler := &m.n.leader.autoscaler
+		m.applyLeaderRecord("n1", "y", true, 2)
+		scaler := &m.node.leader.autoscaler
 		if !fromPredecessor {
 			if len(scaler.booting)+len(scaler.pendingProvisions)+len(scaler.markedForDraining) > 0 {
 				t.Errorf("adopted facts of an earlier leader: %+v", scaler)
@@ -405,12 +405,12 @@
 // reached.
 func TestStandbyStatus(t *testing.T) {
 	m := newFailoverHarness(t)
-	term := m.showLeader("n0", "x", true, 2)
+	term := m.applyLeaderRecord("n0", "x", true, 2)
 	m.advance(2*second, term)
 	m.advance(400*time.Millisecond, 0)
-	out := m.n.Step(m.now, StatusRequest{RequestID: 5})
+	out := m.node.Step(m.now, StatusRequest{RequestID: 5})
 	got := out[0].(Reply).Body.(wire.LeadershipStatus)
-	want := wire.LeadershipStatus{Controller: "n1", Leader: "n0", Term: term, Fenced: true, Streak: 2, Standby: "n1", Revision: m.rev, SilenceMS: 400,
+	want := wire.LeadershipStatus{Controller: "n1", Leader: "n0", Term: term, Fenced: true, Streak: 2, Standby: "n1", Revision: m.revision, SilenceMS: 400,
 		Early: true, Agreed: wire.Format, Served: true, PauseMS: 10000}
 	if got != want {
 		t.Errorf("status %+v, want %+v", got, want)
--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -50,7 +50,7 @@
 	if job == nil || job.Record == nil || !hasUnplacedTask(job.Record, attempt.Record.Attempt) {
 		return true
 	}
-	record := writer.job(job)
+	record := writer.recordToChange(job)
 	if record == nil {
 		return false
 	}
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -91,7 +91,7 @@
 	if !inOneShard {
 		// The replica does not show the attempt's record yet, or it has been removed already.
 		if n.grantTimedOut(key) {
-			if record := writer.job(job); record != nil {
+			if record := writer.recordToChange(job); record != nil {
 				n.revokeUnplaced(writer, record)
 				abandonGang(record, attemptNumber)
 			}
@@ -102,11 +102,11 @@
 	if chosen == nil && !n.grantTimedOut(key) {
 		return
 	}
-	record := writer.job(job)
+	record := writer.recordToChange(job)
 	if record == nil {
 		return
 	}
-	writer.shards[ownTasks[0].Shard] = true
+	writer.ownedShards[ownTasks[0].Shard] = true
 	if chosen == nil {
 		n.revokeUnplaced(writer, record)
 		return
@@ -186,12 +186,12 @@
 	if machines == nil && !n.grantTimedOut(taskKey{job.Index, ownTasks[0].Task, attempt.Record.Attempt}) {
 		return
 	}
-	record := writer.job(job)
+	record := writer.recordToChange(job)
 	if record == nil {
 		return
 	}
 	for _, task := range ownTasks {
-		writer.shards[task.Shard] = true
+		writer.ownedShards[task.Shard] = true
 	}
 	if machines == nil {
 		n.revokeUnplaced(writer, record)
--- a/internal/core/gang_stop.go
+++ b/internal/core/gang_stop.go
@@ -31,7 +31,7 @@
 			delete(n.gangsToStop, index)
 			continue
 		}
-		record := writer.job(job)
+		record := writer.recordToChange(job)
 		if record == nil {
 			return
 		}
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -47,7 +47,7 @@
 func (n *Node) placeJob(writer *writer, job *job, slots *slotSet) {
 	spec := job.Record.Spec
 	if job.Record.State != wire.JobLive {
-		if record := writer.job(job); record != nil {
+		if record := writer.recordToChange(job); record != nil {
 			n.revokeUnplaced(writer, record)
 		}
 		return
@@ -74,11 +74,11 @@
 		if chosen == nil && !n.grantTimedOut(taskKey{job.Index, task.Task, task.Attempt}) {
 			continue
 		}
-		record := writer.job(job)
+		record := writer.recordToChange(job)
 		if record == nil {
 			return
 		}
-		writer.shards[task.Shard] = true
+		writer.ownedShards[task.Shard] = true
 		if chosen == nil {
 			revokeGrant(record, task)
 			continue
@@ -111,7 +111,7 @@
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		own := n.isOwnGrant(task)
 		if own {
-			writer.shards[task.Shard] = true
+			writer.ownedShards[task.Shard] = true
 		}
 		return own
 	})
--- a/internal/core/job_queries.go
+++ b/internal/core/job_queries.go
@@ -18,9 +18,9 @@
 func (q jobQuery) jobRead(n *Node, read JobRead) {
 	switch read.Outcome {
 	case kv.OK:
-		q.found(n, read)
+		q.processFound(n, read)
 	case kv.NotFound:
-		q.notFound(n)
+		q.processNotFound(n)
 	default:
 		if n.mayRetry(q.request, read.Outcome) {
 			n.readJob(q.request)
@@ -28,8 +28,8 @@
 	}
 }
 
-// found processes a request whose job exists.
-func (q jobQuery) found(n *Node, read JobRead) {
+// processFound processes a request whose job exists.
+func (q jobQuery) processFound(n *Node, read JobRead) {
 	live := read.Job.State == wire.JobLive
 	switch {
 	case live && q.request.Kind == wire.RequestCancel:
@@ -41,8 +41,8 @@
 	}
 }
 
-// notFound processes a request whose job was never accepted.
-func (q jobQuery) notFound(n *Node) {
+// processNotFound processes a request whose job was never accepted.
+func (q jobQuery) processNotFound(n *Node) {
 	request := q.request
 	switch {
 	case request.Kind != wire.RequestSubmit:
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -128,9 +128,9 @@
 	unwritten := n.runSchedulingPass(writer)
 	n.logQuotaExcess()
 	n.recordCancellations(writer)
-	n.budget.pendingGrants = len(writer.order) + unwritten
+	n.budget.pendingGrants = len(writer.changedJobs) + unwritten
 	n.log(LogDebug, "scheduling pass",
-		"machines", n.machineCount(), "changed_jobs", len(writer.order),
+		"machines", n.machineCount(), "changed_jobs", len(writer.changedJobs),
 		"unwritten_grants", unwritten)
 	writer.send(&leader.batch)
 	n.recordFirstPass()
@@ -175,7 +175,7 @@
 		if job.Unplaced == 0 || !n.hasStaleGrant(job) {
 			continue
 		}
-		record := writer.job(job)
+		record := writer.recordToChange(job)
 		if record == nil {
 			return
 		}
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -14,13 +14,13 @@
 // as the leader may still change; a commit that was never discarded kept it from placing
 // what the next leader granted to its shards.
 func TestResignedLeaderDiscardsBatch(t *testing.T) {
-	d := &controllerHarness{rev: 1, n: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
+	d := &controllerHarness{revision: 1, node: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }})}
-	n := d.n
+	n := d.node
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	n.putLeader(&wire.Leader{Controller: "n0", Incarnation: "x"}, 5)
-	d.put(&wire.Job{TaskCount: 1, NextAttempt: 1, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, TaskCount: 1, Image: "i"}})
+	d.putJob(&wire.Job{TaskCount: 1, NextAttempt: 1, Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, TaskCount: 1, Image: "i"}})
 	job := n.findJob("wk-000001")
 	n.leader.batch = batch{role: "leader", active: true, outcomeUnknown: true, writes: []kv.Write{{Key: wire.JobKey(job.ID), Value: job.Record}}}
 	if !n.leader.batch.changes(job) || !n.isLeader() {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -72,10 +72,10 @@
 
 // sendClaim commits a claim of the leadership, together with further writes. The commit is
 // conditional on the revision of the present claim, which is 0 if there is none.
-func (n *Node) sendClaim(claim *wire.Leader, standing uint64, more ...kv.Write) {
+func (n *Node) sendClaim(claim *wire.Leader, currentRevision uint64, otherWrites ...kv.Write) {
 	n.leadership.RecordClaimSent(n.now)
 	writes := []kv.Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leadership.Lease.ID}}
-	n.transact(ClassLease, []kv.Condition{{Key: wire.LeaderKey, Revision: standing}}, append(writes, more...), leaderClaim{})
+	n.transact(ClassLease, []kv.Condition{{Key: wire.LeaderKey, Revision: currentRevision}}, append(writes, otherWrites...), leaderClaim{})
 }
 
 // leaderClaim is the continuation of a claim of the leadership that has been sent.
--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -31,9 +31,9 @@
 	return n
 }
 
-// showJob applies the record of a job to a controller's replica. If mod is not nil, it changes
-// the job's specification first.
-func showJob(n *Node, revision int, id string, state wire.JobState, mod func(*wire.JobSpec), dependencies ...string) {
+// applyJobRecord applies the record of a job to a controller's replica. If mod is not nil, it
+// changes the job's specification first.
+func applyJobRecord(n *Node, revision int, id string, state wire.JobState, mod func(*wire.JobSpec), dependencies ...string) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: dependencies}
 	if mod != nil {
 		mod(spec)
@@ -91,16 +91,16 @@
 // controllerHarness runs a single controller with a state service that carries out all requests
 // immediately.
 type controllerHarness struct {
-	n   *Node
-	now Time
-	rev uint64
-	out []Effect // effects that are not requests to the state service
-	lag bool     // the watch hangs: commits return a revision that the replica has not reached
+	node       *Node
+	now        Time
+	revision   uint64
+	effects    []Effect // effects that are not requests to the state service
+	watchHangs bool     // the watch hangs: commits return a revision that the replica has not reached
 }
 
 // step applies an input, carries out requests to the state service and collects other effects.
 func (d *controllerHarness) step(in Input) {
-	for _, e := range d.n.Step(d.now, in) {
+	for _, e := range d.node.Step(d.now, in) {
 		switch effect := e.(type) {
 		case RenewLease:
 			d.step(LeaseAnswered{ID: effect.ID, Outcome: kv.OK, LeaseID: max(effect.LeaseID, 7)})
@@ -108,7 +108,7 @@
 			d.commit(effect)
 		case Log:
 		default:
-			d.out = append(d.out, e)
+			d.effects = append(d.effects, e)
 		}
 	}
 }
@@ -116,18 +116,18 @@
 // commit carries out a transaction and sends its events to the controller, unless the watch
 // hangs.
 func (d *controllerHarness) commit(commit Commit) {
-	if d.lag {
-		d.step(Committed{ID: commit.ID, Outcome: kv.OK, Revision: d.rev + 1})
+	if d.watchHangs {
+		d.step(Committed{ID: commit.ID, Outcome: kv.OK, Revision: d.revision + 1})
 		return
 	}
 	if len(commit.Writes) > 0 {
-		d.rev++
+		d.revision++
 	}
-	changes := RecordsChanged{Revision: d.rev}
+	changes := RecordsChanged{Revision: d.revision}
 	for _, write := range commit.Writes {
-		changes.Events = append(changes.Events, kv.Event{Key: write.Key, Revision: d.rev, Value: write.Value})
+		changes.Events = append(changes.Events, kv.Event{Key: write.Key, Revision: d.revision, Value: write.Value})
 	}
-	d.step(Committed{ID: commit.ID, Outcome: kv.OK, Revision: d.rev})
+	d.step(Committed{ID: commit.ID, Outcome: kv.OK, Revision: d.revision})
 	d.step(changes)
 }
 
@@ -139,21 +139,21 @@
 	}
 }
 
-// put applies a record of the job wk-000001 to the controller's replica.
-func (d *controllerHarness) put(job *wire.Job) {
-	d.rev++
-	d.step(RecordsChanged{Revision: d.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: job}}})
+// putJob applies a record of the job wk-000001 to the controller's replica.
+func (d *controllerHarness) putJob(job *wire.Job) {
+	d.revision++
+	d.step(RecordsChanged{Revision: d.revision, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.revision, Value: job}}})
 }
 
-// report sends a heartbeat of the machine vm-1 and discards earlier effects.
-func (d *controllerHarness) report(seq, token uint64, tasks ...wire.TaskStatus) {
-	d.out = nil
+// sendHeartbeat sends a heartbeat of the machine vm-1 and discards earlier effects.
+func (d *controllerHarness) sendHeartbeat(seq, token uint64, tasks ...wire.TaskStatus) {
+	d.effects = nil
 	d.step(WorkerReported{RequestID: seq, Heartbeat: &wire.WorkerHeartbeat{Machine: "vm-1", Addr: "10.0.0.9:1", MachineType: "g", Zone: "a", Epoch: 1, Sequence: seq, Token: token, Tasks: tasks}})
 }
 
 // reply returns the first Reply since the last heartbeat, or nil.
 func (d *controllerHarness) reply() *Reply {
-	for _, e := range d.out {
+	for _, e := range d.effects {
 		if reply, ok := e.(Reply); ok {
 			return &reply
 		}
@@ -176,7 +176,7 @@
 // directStarts returns the first commands since the last heartbeat that were sent to the
 // worker's own address, or nil.
 func (d *controllerHarness) directStarts() *SendCommands {
-	for _, e := range d.out {
+	for _, e := range d.effects {
 		if commands, ok := e.(SendCommands); ok {
 			return &commands
 		}
--- a/internal/core/overflow.go
+++ b/internal/core/overflow.go
@@ -17,7 +17,7 @@
 		}
 		n.leader.recordsWithinLimits = false
 		writer.writeOverflowFirst = true
-		if writer.job(job) == nil {
+		if writer.recordToChange(job) == nil {
 			return
 		}
 	}
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -18,14 +18,14 @@
 		cfg.MaxTransactionOps, cfg.MaxValueBytes, cfg.CurrentValueBytes, cfg.MaxBatchWrites = 4, 2048, 16<<10, 8
 	})
 	d.wait(6 * second)
-	n := d.n
+	n := d.node
 	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 	big := lowJob(wire.JobLive)
 	big.TaskCount, big.Spec.TaskCount = 400, 400
 	for i := range 400 {
 		big.ActiveTasks = append(big.ActiveTasks, wire.ActiveTask{Task: i, Attempt: uint64(i + 1), Machine: fmt.Sprintf("vm-%06d", i), Epoch: 1})
 	}
-	d.put(big)
+	d.putJob(big)
 	n.leader.recordsWithinLimits = false
 	namedKeys := 0
 	for range 400 {
@@ -42,7 +42,7 @@
 				t.Fatalf("%d writes in a transaction, at most %d are allowed", len(c.Writes), n.cfg.MaxTransactionOps)
 			}
 			ch := RecordsChanged{}
-			d.rev++
+			d.revision++
 			for _, w := range c.Writes {
 				if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.MaxValueBytes {
 					t.Fatalf("%s takes %d bytes, at most %d are allowed; error %v", w.Key, size, n.cfg.MaxValueBytes, err)
@@ -53,10 +53,10 @@
 				if !slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.JobKey("wk-000001") }) {
 					t.Fatalf("%s is written under the conditions %+v, want one on the job's record", w.Key, c.Conditions)
 				}
-				ch.Events = append(ch.Events, kv.Event{Key: w.Key, Revision: d.rev, Value: w.Value})
+				ch.Events = append(ch.Events, kv.Event{Key: w.Key, Revision: d.revision, Value: w.Value})
 			}
-			ch.Revision = d.rev
-			n.Step(d.now, Committed{ID: c.ID, Outcome: kv.OK, Revision: d.rev})
+			ch.Revision = d.revision
+			n.Step(d.now, Committed{ID: c.ID, Outcome: kv.OK, Revision: d.revision})
 			n.Step(d.now, ch)
 		}
 	}
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -25,12 +25,12 @@
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, MaxBatchWrites: 8, WallClockMS: func() int64 { return 0 }}
 	change(&cfg)
-	d = &controllerHarness{rev: 1, n: New(cfg)}
+	d = &controllerHarness{revision: 1, node: New(cfg)}
 	d.step(RecordsChanged{Reset: true, Revision: 1})
 	d.wait(2 * second)
-	term = d.n.shards[0].Term
-	d.report(1, 0)
-	d.report(2, term)
+	term = d.node.shards[0].Term
+	d.sendHeartbeat(1, 0)
+	d.sendHeartbeat(2, term)
 	d.wait(4 * second)
 	return d, term
 }
@@ -48,14 +48,14 @@
 		gone         bool
 	}{{true, true}, {false, false}} {
 		d, term := newOwnerHarness(t)
-		d.put(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
+		d.putJob(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 		token := term
 		if !c.currentToken {
 			token = term - 1
 		}
-		d.report(9, token)
+		d.sendHeartbeat(9, token)
 		d.wait(3 * second)
-		if gone := len(d.n.jobs[0].Record.ActiveTasks) == 0; gone != c.gone {
+		if gone := len(d.node.jobs[0].Record.ActiveTasks) == 0; gone != c.gone {
 			t.Errorf("current token in the heartbeat: %v; task removed from the record: %v", c.currentToken, gone)
 		}
 	}
@@ -64,27 +64,27 @@
 // A heartbeat that is not newer than the last one is a copy; a task that it lacks may be running.
 func TestCopyOfHeartbeatRemovesNoTask(t *testing.T) {
 	d, term := newOwnerHarness(t)
-	d.report(9, term)
+	d.sendHeartbeat(9, term)
 	d.wait(4 * second)
-	d.put(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
-	d.report(9, term)
+	d.putJob(lowJob(wire.JobCancelled, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
+	d.sendHeartbeat(9, term)
 	d.wait(second)
-	if len(d.n.jobs[0].Record.ActiveTasks) == 0 {
+	if len(d.node.jobs[0].Record.ActiveTasks) == 0 {
 		t.Error("a copy of a heartbeat removed a task from its record")
 	}
-	if !slices.ContainsFunc(d.out, func(e Effect) bool { r, is := e.(Reply); return is && r.Status == 503 }) {
-		t.Errorf("answered with %+v", d.out)
+	if !slices.ContainsFunc(d.effects, func(e Effect) bool { r, is := e.(Reply); return is && r.Status == 503 }) {
+		t.Errorf("answered with %+v", d.effects)
 	}
 }
 
 // Outcomes that were queued in one term are discarded in the next.
 func TestOutcomesAreDiscardedInNewTerm(t *testing.T) {
 	d, _ := newOwnerHarness(t)
-	d.put(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
+	d.putJob(lowJob(wire.JobLive, wire.ActiveTask{Attempt: 1, Machine: "vm-1", Epoch: 1}))
 	key := taskKey{0, 0, 1}
-	d.n.outcomes[key] = taskOutcome{"vm-1", causeLost, d.now, d.n.shards[0].Term}
-	d.n.applyShardClaim(d.n.shards[0], &wire.Shard{Owner: "n0", Incarnation: "x"}, d.rev+5)
-	if len(d.n.outcomes) != 0 {
+	d.node.outcomes[key] = taskOutcome{"vm-1", causeLost, d.now, d.node.shards[0].Term}
+	d.node.applyShardClaim(d.node.shards[0], &wire.Shard{Owner: "n0", Incarnation: "x"}, d.revision+5)
+	if len(d.node.outcomes) != 0 {
 		t.Error("an outcome was kept in a later term")
 	}
 }
@@ -95,17 +95,17 @@
 func TestGrantIsConditionalOnLeaderKey(t *testing.T) {
 	d, _ := newOwnerHarness(t)
 	d.wait(6 * second)
-	n := d.n
+	n := d.node
 	if !n.isLeader() {
 		t.Fatal("the controller is not the leader")
 	}
 	n.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
-	d.report(20, n.shards[0].Term)
-	d.rev++
+	d.sendHeartbeat(20, n.shards[0].Term)
+	d.revision++
 	j := lowJob(wire.JobLive)
 	j.Spec.Priority = "high"
 	n.effects = nil
-	n.applyRecordChanges(RecordsChanged{Revision: d.rev, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.rev, Value: j}}})
+	n.applyRecordChanges(RecordsChanged{Revision: d.revision, Events: []kv.Event{{Key: wire.JobKey("wk-000001"), Revision: d.revision, Value: j}}})
 	for range 100 {
 		d.now += 50 * time.Millisecond
 		for _, e := range n.Step(d.now, Tick{}) {
@@ -113,7 +113,7 @@
 			if !is || len(c.Writes) == 0 || c.Writes[0].Key != wire.JobKey("wk-000001") {
 				continue
 			}
-			if !slices.Contains(c.Conditions, kv.Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}) || !slices.Contains(c.Conditions, kv.Condition{Key: wire.JobKey("wk-000001"), Revision: d.rev}) {
+			if !slices.Contains(c.Conditions, kv.Condition{Key: wire.LeaderKey, Revision: n.leadership.Term()}) || !slices.Contains(c.Conditions, kv.Condition{Key: wire.JobKey("wk-000001"), Revision: d.revision}) {
 				t.Errorf("grant has conditions %+v, want the leader's key and the job's record", c.Conditions)
 			}
 			return
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -21,7 +21,7 @@
 // Finished jobs stay in the replica forever, as a user may query their status at any time. A
 // hundred thousand of them must leave most of the 125 MB of a controller free, which fails if
 // each keeps its whole record.
-func TestFinishedJobsStaySmall(t *testing.T) {
+func TestFinishedJobsTakeLittleMemory(t *testing.T) {
 	const (
 		jobs           = 100_000
 		maxBytesPerJob = 450
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -135,9 +135,9 @@
 		return
 	}
 	r.added[slot] = true
-	for trial := *slot; trial.fitsAfterRelease(spec) && !r.hasEnoughSources(); {
-		trial.set = nil
-		trial.allocate(spec)
+	for remaining := *slot; remaining.fitsAfterRelease(spec) && !r.hasEnoughSources(); {
+		remaining.set = nil
+		remaining.allocate(spec)
 		r.sources = append(r.sources, capacitySource{slot: slot, cost: cost})
 	}
 }
--- a/internal/core/scheduler_grant.go
+++ b/internal/core/scheduler_grant.go
@@ -9,13 +9,13 @@
 // reports false if no write is left.
 func (p *schedulingPass) grant(job *job, tasks []int, slots []*slot) bool {
 	n := p.node
-	record := p.writer.job(job)
+	record := p.writer.recordToChange(job)
 	if record == nil {
 		p.countUnwrittenGrant()
 		return false
 	}
 	previousAttempt := record.NextAttempt
-	attempt := p.writer.attempt(job, record)
+	attempt := p.writer.attemptNumber(job, record)
 	shards := map[int]bool{}
 	assignMachines := true
 	for _, slot := range slots {
@@ -29,7 +29,7 @@
 	}
 	if severalShards && !p.addGang(job, attempt, shards) {
 		record.ActiveTasks, record.NextAttempt = record.ActiveTasks[:len(record.ActiveTasks)-len(tasks)], previousAttempt
-		delete(p.writer.attempts, job.Index)
+		delete(p.writer.attemptNumbers, job.Index)
 		p.countUnwrittenGrant()
 		return false
 	}
@@ -54,7 +54,7 @@
 	task := wire.ActiveTask{Task: key.task, Attempt: key.attempt, Shard: slot.shard, Admitted: p.admission != nil}
 	if assignMachine {
 		task.Machine, task.Epoch = slot.machine.name, slot.machine.epoch
-		p.writer.shards[slot.shard] = true
+		p.writer.ownedShards[slot.shard] = true
 		if p.admission == nil {
 			n.leader.pendingPlacements = append(n.leader.pendingPlacements, pendingPlacement{slot.machine, record.Spec})
 		}
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -99,17 +99,17 @@
 		return nil, false
 	}
 	spec := queued.job.Record.Spec
-	trial := *slot
-	trial.set = nil
+	afterStops := *slot // without the tasks chosen so far
+	afterStops.set = nil
 	var chosen []victim
 	for _, candidate := range p.candidatesOn(queued, slot.machine, includeUnpreemptable) {
-		if trial.fitsAfterRelease(spec) {
+		if afterStops.fitsAfterRelease(spec) {
 			break
 		}
 		chosen = append(chosen, candidate)
-		trial.release(candidate.job.Record.Spec, 1)
+		afterStops.release(candidate.job.Record.Spec, 1)
 	}
-	return chosen, len(chosen) > 0 && trial.fitsAfterRelease(spec)
+	return chosen, len(chosen) > 0 && afterStops.fitsAfterRelease(spec)
 }
 
 // preempt stops tasks so that one task of a queued job fits; see mayPreemptJob. It returns the
@@ -152,7 +152,7 @@
 // write is left.
 func (p *schedulingPass) stopVictims(queued *queuedJob, victims []victim) bool {
 	for _, victim := range victims {
-		record := p.writer.job(victim.job)
+		record := p.writer.recordToChange(victim.job)
 		if record == nil {
 			return false
 		}
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -29,8 +29,8 @@
 	t.Helper()
 	pass := n.newSchedulingPass(newWriter(n))
 	pass.planNextStages()
-	if len(pass.writer.order) > 0 {
-		t.Fatalf("planning stages granted tasks of %d jobs, want none", len(pass.writer.order))
+	if len(pass.writer.changedJobs) > 0 {
+		t.Fatalf("planning stages granted tasks of %d jobs, want none", len(pass.writer.changedJobs))
 	}
 	machines := 0
 	for _, count := range pass.machinesToProvision {
@@ -59,8 +59,8 @@
 			n := newTestNode()
 			makeLeader(n)
 			addGrantedJob(n, 2000, "wk-000001", test.expectedS)
-			showJob(n, 2001, "wk-000002", wire.JobLive, nil)
-			showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
+			applyJobRecord(n, 2001, "wk-000002", wire.JobLive, nil)
+			applyJobRecord(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001")
 			n.findJob("wk-000003").Record.TaskCount = 3
 			if test.cancelled {
 				n.findJob("wk-000003").Links.AncestorCancelled = true
@@ -75,8 +75,8 @@
 		n := newTestNode()
 		makeLeader(n)
 		addGrantedJob(n, 2000, "wk-000001", 10)
-		showJob(n, 2001, "wk-000002", wire.JobLive, nil)
-		showJob(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
+		applyJobRecord(n, 2001, "wk-000002", wire.JobLive, nil)
+		applyJobRecord(n, 2002, "wk-000003", wire.JobLive, wide, "wk-000001", "wk-000002")
 		if got := countPlannedMachines(t, n); got != 0 {
 			t.Errorf("planned machines = %d, want none", got)
 		}
@@ -90,8 +90,8 @@
 	for range minRunSamples {
 		n.runTimeEstimator.observe("c", 30*second, 10)
 	}
-	showJob(n, 2, "wk-000001", wire.JobLive, nil)
-	showJob(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
+	applyJobRecord(n, 2, "wk-000001", wire.JobLive, nil)
+	applyJobRecord(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
 	const estimateMS, reportMS, dueMS = 10_000, 4_000, 1_100_000
 	if got, want := n.findJob("wk-000001").Links.DeadlineMS, int64(dueMS-3*estimateMS-reportMS); got != want {
 		t.Errorf("deadline of the first stage = %d, want %d", got, want)
@@ -99,7 +99,7 @@
 	if got, want := n.latestStart(n.findJob("wk-000002")), int64(dueMS-3*estimateMS); got != want {
 		t.Errorf("latest start of the last stage = %d, want %d", got, want)
 	}
-	showJob(n, 4, "wk-000003", wire.JobLive, nil)
+	applyJobRecord(n, 4, "wk-000003", wire.JobLive, nil)
 	if got := n.latestStart(n.findJob("wk-000003")); got != math.MaxInt64 {
 		t.Errorf("latest start of a job outside a chain = %d, want none", got)
 	}
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -27,8 +27,8 @@
 	maxUnmetDemands = 16
 )
 
-// record returns the job's record including the changes made in this pass.
-func (p *schedulingPass) record(job *job) *wire.Job {
+// currentRecord returns the job's record including the changes made in this pass.
+func (p *schedulingPass) currentRecord(job *job) *wire.Job {
 	if record := p.writer.records[job.Index]; record != nil {
 		return record
 	}
@@ -92,7 +92,7 @@
 
 // countTasks counts a job's active tasks by zone and by shard.
 func (p *schedulingPass) countTasks(queued *queuedJob) {
-	queued.zoneTasks = p.node.zoneTasks(p.record(queued.job))
+	queued.zoneTasks = p.node.zoneTasks(p.currentRecord(queued.job))
 	queued.shardTasks = make([]int, len(p.node.shards))
 	for i := range queued.job.Record.ActiveTasks {
 		queued.shardTasks[queued.job.Record.ActiveTasks[i].Shard]++
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -144,7 +144,7 @@
 		if !pass.records.mayWriteOutcome(key, outcome.machine) {
 			continue
 		}
-		record := writer.job(n.jobs[key.job])
+		record := writer.recordToChange(n.jobs[key.job])
 		if record == nil {
 			return
 		}
@@ -170,7 +170,7 @@
 	// An outcome must be applied only once; otherwise an error would count twice and a lost
 	// task would be placed twice.
 	p.writer.exitedTasks[key] = true
-	p.writer.shards[task.Shard] = true
+	p.writer.ownedShards[task.Shard] = true
 	job := n.jobs[key.job]
 	removeExitedTask(record, key, p.records.recordableOutcome(job, record, key, outcome))
 	if p.records.mayAddRun(job) {
@@ -211,7 +211,7 @@
 	}
 	best.allocate(record.Spec)
 	record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{
-		Task: lost.Task, Attempt: writer.attempt(job, record), Shard: lost.Shard, Admitted: lost.Admitted,
+		Task: lost.Task, Attempt: writer.attemptNumber(job, record), Shard: lost.Shard, Admitted: lost.Admitted,
 		Machine: best.machine.name, Epoch: best.machine.epoch,
 	})
 	n.log(LogDebug, "task replaced", "job", job.ID, "task", lost.Task, "machine", best.machine.name)
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -10,16 +10,16 @@
 // revision of its record. The whole transaction is conditional on the terms of the shards as
 // whose owner this controller acts in it.
 type writer struct {
-	node         *Node
-	records      map[int]*wire.Job // changed copies, by index of their job
-	order        []int             // indices of these jobs, in the order of the changes
-	shards       map[int]bool      // as whose owner this controller acts, by index
-	linkedWrites []kv.Write        // of other keys, which may only be written together with the rest
-	conditions   []kv.Condition    // in addition to those on the changed records
-	bytes        int               // estimated size of the transaction
-	maxWrites    int               // number of writes that job may use
-	exitedTasks  map[taskKey]bool  // tasks whose end is in the changed records
-	attempts     map[int]uint64    // attempt number of the tasks granted or placed here, by index of their job
+	node           *Node
+	records        map[int]*wire.Job // changed copies, by index of their job
+	changedJobs    []int             // indices of these jobs, in the order of the changes
+	ownedShards    map[int]bool      // as whose owner this controller acts, by index
+	linkedWrites   []kv.Write        // of other keys, which may only be written together with the rest
+	conditions     []kv.Condition    // in addition to those on the changed records
+	bytes          int               // estimated size of the transaction
+	maxWrites      int               // number of writes that recordToChange may use
+	exitedTasks    map[taskKey]bool  // tasks whose end is in the changed records
+	attemptNumbers map[int]uint64    // of the tasks granted or placed here, by index of their job
 	// writeOverflowFirst allows writing overflow keys in earlier transactions than the
 	// record that names them.
 	writeOverflowFirst bool
@@ -28,7 +28,7 @@
 // newWriter returns a writer for a transaction within the current limits.
 func newWriter(n *Node) *writer {
 	return &writer{
-		node: n, records: map[int]*wire.Job{}, shards: map[int]bool{}, exitedTasks: map[taskKey]bool{}, attempts: map[int]uint64{},
+		node: n, records: map[int]*wire.Job{}, ownedShards: map[int]bool{}, exitedTasks: map[taskKey]bool{}, attemptNumbers: map[int]uint64{},
 		maxWrites: min(n.cfg.MaxTransactionOps-1, n.cfg.MaxBatchWrites, n.availableWrites()),
 	}
 }
@@ -41,37 +41,37 @@
 	minRecordBytes = 900
 )
 
-// job returns a copy of a job's record to change, or nil if the transaction is full. Repeated
-// calls for a job return the same copy.
-func (w *writer) job(job *job) *wire.Job {
+// recordToChange returns a copy of a job's record to change, or nil if the transaction is full.
+// Repeated calls for a job return the same copy.
+func (w *writer) recordToChange(job *job) *wire.Job {
 	if record := w.records[job.Index]; record != nil {
 		return record
 	}
 	size := max(minRecordBytes, job.BaseBytes) + replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks)
-	if len(w.order)+len(w.linkedWrites) >= w.maxWrites || w.bytes+size > maxTransactionBytes {
+	if len(w.changedJobs)+len(w.linkedWrites) >= w.maxWrites || w.bytes+size > maxTransactionBytes {
 		return nil
 	}
 	w.bytes += size
 	w.records[job.Index] = replica.CloneRecord(job.Record)
-	w.order = append(w.order, job.Index)
+	w.changedJobs = append(w.changedJobs, job.Index)
 	return w.records[job.Index]
 }
 
-// attempt returns the attempt number of all tasks of a job that this transaction starts. They
-// share one number, as a task starts at most once in a transaction and the next transaction
-// uses the next number. Tasks with the same number are recorded in one run.
-func (w *writer) attempt(job *job, record *wire.Job) uint64 {
-	if _, taken := w.attempts[job.Index]; !taken {
-		w.attempts[job.Index] = record.NextAttempt
+// attemptNumber returns the number of the attempt to which all tasks of a job belong that this
+// transaction starts. They share one number, as a task starts at most once in a transaction and the
+// next transaction uses the next number. Tasks with the same number are recorded in one run.
+func (w *writer) attemptNumber(job *job, record *wire.Job) uint64 {
+	if _, taken := w.attemptNumbers[job.Index]; !taken {
+		w.attemptNumbers[job.Index] = record.NextAttempt
 		record.NextAttempt++
 	}
-	return w.attempts[job.Index]
+	return w.attemptNumbers[job.Index]
 }
 
 // addWrite adds a write of another key with a condition. It returns false if the transaction is
 // full.
 func (w *writer) addWrite(write kv.Write, condition kv.Condition) bool {
-	if len(w.order)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
+	if len(w.changedJobs)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
 		return false
 	}
 	w.linkedWrites = append(w.linkedWrites, write)
@@ -82,17 +82,17 @@
 // send commits the changes, if any, as a batch. Records that don't fit the transaction together
 // with their overflow keys are left out; the decisions about them are made again later.
 func (w *writer) send(b *batch) {
-	if len(w.order)+len(w.linkedWrites) == 0 {
+	if len(w.changedJobs)+len(w.linkedWrites) == 0 {
 		return
 	}
 	conditions := w.conditions
 	for i, shard := range w.node.shards {
-		if w.shards[i] {
+		if w.ownedShards[i] {
 			conditions = append(conditions, kv.Condition{Key: wire.ShardKey(shard.Name), Revision: shard.Term})
 		}
 	}
 	writes := w.linkedWrites
-	for _, index := range w.order {
+	for _, index := range w.changedJobs {
 		job := w.node.jobs[index]
 		changed := w.writesOf(job, len(writes) == 0)
 		if len(writes)+len(changed) > w.node.cfg.MaxTransactionOps {
--- a/internal/failover/decision_log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -91,7 +91,7 @@
 
 // While the standby does not answer, the number of pending changes is limited by the number of
 // facts. The facts of a large site are sent in several messages.
-func TestLogIsBounded(t *testing.T) {
+func TestLogMessagesAreBounded(t *testing.T) {
 	p, r := NewPublisher(), NewReplica()
 	p.SetStandby("b", 7)
 	facts := make([]wire.Fact, 4000)
@@ -123,7 +123,7 @@
 
 // A message that claims to have more facts than it has is refused, and no memory is allocated for
 // them.
-func TestLogRefusesFalseLengths(t *testing.T) {
+func TestLogRefusesInvalidLengths(t *testing.T) {
 	for _, raw := range [][]byte{{0xdd, 0xff, 0xff, 0xff, 0xff}, {0xdd, 0, 0xff, 0xff, 0xff}, {0xdc, 0xff, 0xff}, {0x91, 0xdd, 0xff, 0xff, 0xff, 0xff}, {0x80}, nil} {
 		r := NewReplica()
 		var before, after runtime.MemStats
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -31,7 +31,7 @@
 }
 
 // Heartbeats of another term, incarnation or controller are ignored.
-func TestLateHeartbeats(t *testing.T) {
+func TestOutdatedHeartbeatsAreIgnored(t *testing.T) {
 	f := newFollower("b")
 	now := lastHeartbeat + 2*time.Second
 	f.ReceiveHeartbeat(now, "a", "a1", 6, "c")
@@ -46,16 +46,16 @@
 // those about another term are ignored.
 func TestAdviceNeedsQuorum(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
-	trusts := func(f *Follower, peer string) { f.ReceiveSuspicionReport(now, peer, SuspicionReport{Term: 7}) }
+	doesNotSuspect := func(f *Follower, peer string) { f.ReceiveSuspicionReport(now, peer, SuspicionReport{Term: 7}) }
 	for _, c := range []struct {
 		name    string
 		reports func(*Follower)
 		want    Advice
 	}{
 		{"no reports", func(*Follower) {}, Prepare},
-		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); trusts(f, "d") }, Prepare},
+		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); doesNotSuspect(f, "d") }, Prepare},
 		{"two peers suspect", func(f *Follower) { suspect(f, now, 7, "c", "d") }, Replace},
-		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); trusts(f, "e") }, Replace},
+		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); doesNotSuspect(f, "e") }, Replace},
 		{"the reports have expired", func(f *Follower) { suspect(f, now-suspicionReportLifetime-1, 7, "c", "d") }, Prepare},
 		{"the reports are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
 		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.MarkDisconnected(now, "c") }, Prepare},
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -31,10 +31,10 @@
 	atDeadline.Age = leaderDeadline * interval
 	afterDeadline.Age = leaderDeadline*interval + 1
 	for _, c := range []struct {
-		name      string
-		attempt   *Attempt
-		situation TransitionInput
-		want      Action
+		name    string
+		attempt *Attempt
+		input   TransitionInput
+		want    Action
 	}{
 		{"no owner has answered", attemptIn(wire.GangTrying), waiting, Wait},
 		{"one of two agrees", attemptIn(wire.GangTrying, 0), waiting, Wait},
@@ -50,7 +50,7 @@
 		{"confirmed and placed", attemptIn(wire.GangConfirmed), placed, Finish},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.attempt.LeaderAction(c.situation); got != c.want {
+			if got := c.attempt.LeaderAction(c.input); got != c.want {
 				t.Errorf("got %d, want %d", got, c.want)
 			}
 		})
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -27,7 +27,7 @@
 func never() bool  { return false }
 
 // Each change of the record, in order, has the expected effect on this process.
-func TestChanges(t *testing.T) {
+func TestPutReturnsChange(t *testing.T) {
 	l := newLeadership()
 	for i, step := range []struct {
 		record   *wire.Leader
@@ -117,7 +117,7 @@
 }
 
 // An accepted claim that the replica does not show is abandoned once, after a timeout.
-func TestUnseenClaim(t *testing.T) {
+func TestAbandonUnseenClaim(t *testing.T) {
 	l := newLeadership()
 	l.RecordClaimSent(0)
 	l.RecordClaimAnswer(time.Second, kv.OK, 9)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each answer to a request updates the lease and the time of the next request.
-func TestAnswers(t *testing.T) {
+func TestRenewalComplete(t *testing.T) {
 	const (
 		ttl      = 8 * time.Second
 		interval = time.Second
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -30,7 +30,7 @@
 
 // A proof takes effect once the replica has reached its revision, for the term that it covers
 // and until the validity has expired after it was sent.
-func TestProofs(t *testing.T) {
+func TestProofTakesEffectOnceSettled(t *testing.T) {
 	table := newTable()
 	s := table.Shards()[0]
 	if change := table.Put(time.Second, s, claimOf(self, incarnation), 5); change != Claimed {
@@ -62,7 +62,7 @@
 }
 
 // A proof that was sent before a stall of the process has no effect.
-func TestStallVoidsProofs(t *testing.T) {
+func TestStallInvalidatesProofs(t *testing.T) {
 	table := newTable()
 	s := table.Shards()[0]
 	table.Put(time.Second, s, claimOf(self, incarnation), 5)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -48,12 +48,12 @@
 
 // actor is a controller in one role, with its replica of the records.
 type actor struct {
-	term       uint64
-	ledger     *Ledger
-	seenEvents int
-	revision   uint64 // revision that the replica has reached
-	waitsFor   uint64 // revision that the replica must reach before the next decision; 0: none
-	busy       bool   // the outcome of a commit is unknown
+	term            uint64
+	ledger          *Ledger
+	seenEvents      int
+	revision        uint64 // revision that the replica has reached
+	awaitedRevision uint64 // revision that the replica must reach before the next decision; 0: none
+	commitPending   bool   // the outcome of a commit is unknown
 }
 
 // model is a site with one team: a state service, a leader, and the owner of each shard. The
@@ -104,15 +104,15 @@
 		}
 		a.revision = max(a.revision, e.revision)
 	}
-	if a.revision >= a.waitsFor {
-		a.waitsFor = 0
+	if a.revision >= a.awaitedRevision {
+		a.awaitedRevision = 0
 	}
 }
 
 // mayDecide reports whether an actor may make a decision: its last commit has been answered, and
 // its replica has reached the revision of the answer.
 func (m *model) mayDecide(a *actor) bool {
-	return m.missing == oneCommitAtATime || !a.busy && a.waitsFor == 0
+	return m.missing == oneCommitAtATime || !a.commitPending && a.awaitedRevision == 0
 }
 
 // step executes one step of the model.
@@ -122,7 +122,7 @@
 	switch m.choose("action", 12) {
 	case 0, 1, 2, 3:
 		if m.mayDecide(a) {
-			m.decide(i, a, NewAmount(0, float64(1+m.choose("GPUs", 4))))
+			m.sendCommit(i, a, NewAmount(0, float64(1+m.choose("GPUs", 4))))
 		}
 	case 4, 5:
 		m.catchUp(a, min(len(m.events), a.seenEvents+1+m.choose("events", 4)))
@@ -144,8 +144,8 @@
 	}
 }
 
-// decide sends a commit of an actor that admits or grants an amount, or distributes shares.
-func (m *model) decide(i int, a *actor, amount Amount) {
+// sendCommit sends a commit of an actor that admits or grants an amount, or distributes shares.
+func (m *model) sendCommit(i int, a *actor, amount Amount) {
 	c := commit{actor: i, term: a.term, accountRevision: a.ledger.Revision(0), charge: amount}
 	switch {
 	case i != leader:
@@ -172,7 +172,7 @@
 	case !a.ledger.MayGrant(0, amount, a.revision):
 		return
 	}
-	a.busy = true
+	a.commitPending = true
 	m.inFlight = append(m.inFlight, c)
 }
 
@@ -215,9 +215,9 @@
 		m.inFlight = append(m.inFlight, commit{actor: c.actor, term: c.term, accountRevision: ^uint64(0)})
 		return
 	}
-	a.busy, a.waitsFor = false, m.revision
-	if a.revision >= a.waitsFor {
-		a.waitsFor = 0
+	a.commitPending, a.awaitedRevision = false, m.revision
+	if a.revision >= a.awaitedRevision {
+		a.awaitedRevision = 0
 	}
 }
 
