--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -104,7 +104,7 @@
 	return drained[:min(len(drained), maxMachinesPerDeprovision)]
 }
 
-// drainList returns the names of the machines that their owners should drain, in order.
-func (l *leaderState) drainList(*Node) []string {
+// machinesToDrain returns the names of the machines that their owners should drain, in order.
+func (l *leaderState) machinesToDrain(*Node) []string {
 	return slices.Sorted(maps.Keys(l.autoscaler.markedForDraining))
 }
--- a/internal/core/dependency_check.go
+++ b/internal/core/dependency_check.go
@@ -12,9 +12,9 @@
 type dependencyCheck struct {
 	jobIDs       []string // as submitted
 	readsPending int      // reads in flight
-	// read holds the dependencies that the replica did not show, and that are therefore read
-	// from the state service, by job ID.
-	read        map[string]dependencyState
+	// readStates holds, by job ID, the dependencies that the replica did not show and that are
+	// therefore read from the state service.
+	readStates  map[string]dependencyState
 	writtenKeys map[int]bool // numbers of the dependency list's keys that have been written
 }
 
@@ -34,7 +34,7 @@
 	if request.dependencies == nil {
 		request.dependencies = &dependencyCheck{
 			jobIDs:      request.spec.Dependencies,
-			read:        map[string]dependencyState{},
+			readStates:  map[string]dependencyState{},
 			writtenKeys: map[int]bool{},
 		}
 	}
@@ -42,7 +42,7 @@
 		if job := n.findJob(id); job != nil && job.Record != nil {
 			continue
 		}
-		if _, read := request.dependencies.read[id]; read {
+		if _, read := request.dependencies.readStates[id]; read {
 			continue
 		}
 		n.readDependency(request, id)
@@ -59,7 +59,7 @@
 // readDependency reads a dependency's record from the state service.
 func (n *Node) readDependency(request *pendingRequest, jobID string) {
 	request.dependencies.readsPending++
-	request.dependencies.read[jobID] = dependencyState{state: wire.JobLive}
+	request.dependencies.readStates[jobID] = dependencyState{state: wire.JobLive}
 	n.fetchJob(jobID, dependencyRead{request, jobID})
 }
 
@@ -68,11 +68,11 @@
 	check.readsPending--
 	switch read.Outcome {
 	case kv.OK:
-		check.read[r.jobID] = dependencyState{read.Job.State, isDaemon(read.Job)}
+		check.readStates[r.jobID] = dependencyState{read.Job.State, isDaemon(read.Job)}
 	case kv.NotFound:
-		check.read[r.jobID] = dependencyState{state: jobNeverAccepted}
+		check.readStates[r.jobID] = dependencyState{state: jobNeverAccepted}
 	default:
-		delete(check.read, r.jobID)
+		delete(check.readStates, r.jobID)
 		if n.mayRetry(r.request, read.Outcome) {
 			n.readDependency(r.request, r.jobID)
 		}
@@ -95,7 +95,7 @@
 func (n *Node) resolveDependencies(request *pendingRequest) (cancelled bool, err error) {
 	var rest []string
 	for _, id := range request.spec.Dependencies {
-		dependency, known := request.dependencies.read[id]
+		dependency, known := request.dependencies.readStates[id]
 		if job := n.findJob(id); job != nil && job.Record != nil {
 			dependency, known = dependencyState{job.State(), isDaemon(job.Record)}, true
 		}
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -48,11 +48,12 @@
 		claim.Fenced = record.Fenced
 		claim.Streak = record.Streak
 	}
-	n.failover.observe(n.now, claim, n.isLeader(), n.cfg.LeaderLease)
+	n.failover.observeClaim(n.now, claim, n.isLeader(), n.cfg.LeaderLease)
 }
 
-// observe applies a new claim of the leadership; leads is set if it is a claim of this process.
-func (f *failoverState) observe(now Time, claim failover.Claim, leads bool, leaseTTL Time) {
+// observeClaim applies a new claim of the leadership; leads is set if it is a claim of this
+// process.
+func (f *failoverState) observeClaim(now Time, claim failover.Claim, leads bool, leaseTTL Time) {
 	f.follower.ObserveClaim(now, claim)
 	if claim.Streak > 0 {
 		f.earlyClaimSeenAt = now
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -37,7 +37,7 @@
 type workerState struct {
 	term              uint64             // the term to which this state belongs
 	epoch, sequence   uint64             // of the last heartbeat
-	heartbeats        int                // number received in this term
+	heartbeatCount    int                // number received in this term
 	heartbeatAt       Time               // when the last heartbeat of this term was received
 	tokenConfirmed    bool               // the last heartbeat carried the token of this term
 	newlyBooted       bool               // it sends its first heartbeats and can't have received a token
--- a/internal/core/run_time_estimator.go
+++ b/internal/core/run_time_estimator.go
@@ -23,8 +23,8 @@
 	ratios map[string][]float64 // by class: run times divided by their estimates, oldest first
 }
 
-// observe adds the run time of a job that is done, unless the job has no estimate.
-func (e *runTimeEstimator) observe(class string, runTime Time, expectedS float64) {
+// addSample adds the run time of a job that is done, unless the job has no estimate.
+func (e *runTimeEstimator) addSample(class string, runTime Time, expectedS float64) {
 	if expectedS <= 0 {
 		return
 	}
@@ -66,5 +66,5 @@
 	if previous.Spec == nil || job.grantedAt == 0 || !n.isLeader() {
 		return
 	}
-	n.runTimeEstimator.observe(previous.Spec.Class, n.now-job.grantedAt, previous.Spec.ExpectedS)
+	n.runTimeEstimator.addSample(previous.Spec.Class, n.now-job.grantedAt, previous.Spec.ExpectedS)
 }
--- a/internal/core/run_time_estimator_test.go
+++ b/internal/core/run_time_estimator_test.go
@@ -13,15 +13,15 @@
 		}
 	}
 	for range minRunSamples - 1 {
-		estimator.observe("c", 20*second, 10)
+		estimator.addSample("c", 20*second, 10)
 	}
 	expect("after too few jobs", "c", 1)
-	estimator.observe("c", 500*second, 10) // an outlier does not shift the median
+	estimator.addSample("c", 500*second, 10) // an outlier does not shift the median
 	expect("after enough jobs", "c", 2)
 	for range maxRunSamples {
-		estimator.observe("c", second, 10)
-		estimator.observe("d", 900*second, 10)
-		estimator.observe("daemon", second, 0)
+		estimator.addSample("c", second, 10)
+		estimator.addSample("d", 900*second, 10)
+		estimator.addSample("daemon", second, 0)
 	}
 	for class, want := range map[string]float64{"c": minCorrection, "d": maxCorrection, "daemon": 1, "other": 1} {
 		expect("after many jobs", class, want)
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -60,7 +60,7 @@
 	if p.admission != nil {
 		return p.mayAdmit(job, tasks, slot.shard)
 	}
-	return p.hasQuota(job, tasks)
+	return p.checkLimit(job, tasks)
 }
 
 // mayAdmit reports whether this controller owns a shard and may admit tasks of a job in it.
--- a/internal/core/scheduler_gang.go
+++ b/internal/core/scheduler_gang.go
@@ -14,7 +14,7 @@
 		p.admitGang(queued)
 		return
 	}
-	if !p.hasQuota(job, len(queued.tasks)) {
+	if !p.checkLimit(job, len(queued.tasks)) {
 		// Smaller jobs of the team could use everything that becomes free within the limit,
 		// for ever. After the delay the gang's demand is therefore charged ahead of them.
 		p.recordWaitingSince(job)
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -33,10 +33,10 @@
 
 // gangReservation is a plan for obtaining the capacity for a gang.
 type gangReservation struct {
-	zone      int // -1: any
-	sources   []capacitySource
-	provision int // number of machines to be provisioned
-	cost      float64
+	zone                int // -1: any
+	sources             []capacitySource
+	machinesToProvision int // number of machines to be provisioned
+	cost                float64
 }
 
 // reserveForGang reserves capacity for a gang that does not fit yet, in the zone where the cost
@@ -67,7 +67,7 @@
 	if preempted {
 		queued.job.nextPreemptionAt = p.node.now + exitHeartbeats*p.node.cfg.HeartbeatInterval
 	}
-	for range best.provision {
+	for range best.machinesToProvision {
 		added := p.provisionFor(queued.job, func(slot *slot) bool { return best.zone < 0 || slot.zone == best.zone })
 		if added == nil {
 			return
@@ -105,9 +105,9 @@
 func (p *schedulingPass) searchReservation(queued *queuedJob, zone int, mayPreempt bool) *gangReservation {
 	search := &reservationSearch{pass: p, queued: queued, zone: zone, added: map[*slot]bool{}}
 	canProvision := p.canProvision(queued.job, zone)
-	search.addFree()
+	search.addFreeSlots()
 	if mayPreempt || !canProvision {
-		search.addOccupied(mayPreempt, !canProvision)
+		search.addOccupiedSlots(mayPreempt, !canProvision)
 	}
 	slices.SortStableFunc(search.sources, func(a, b capacitySource) int { return int(a.cost) - int(b.cost) })
 	if canProvision {
@@ -115,7 +115,7 @@
 			search.sources = search.sources[:at]
 		}
 	}
-	return search.choose(canProvision)
+	return search.choosePlan(canProvision)
 }
 
 // hasEnoughSources reports whether there are as many sources as a reservation chooses from.
@@ -142,8 +142,8 @@
 	}
 }
 
-// addFree adds slots whose capacity is free, about to be released, or expected.
-func (r *reservationSearch) addFree() {
+// addFreeSlots adds slots whose capacity is free, about to be released, or expected.
+func (r *reservationSearch) addFreeSlots() {
 	pass := r.pass
 	for _, class := range pass.available.classOrder {
 		if (r.zone < 0 || class.zone == r.zone) && r.queued.job.Allows(class.machineType, class.zone, class.spot) {
@@ -164,8 +164,8 @@
 	}
 }
 
-// addOccupied adds slots on which tasks may be preempted or, with mayDrain set, will end.
-func (r *reservationSearch) addOccupied(mayPreempt, mayDrain bool) {
+// addOccupiedSlots adds slots on which tasks may be preempted or, with mayDrain set, will end.
+func (r *reservationSearch) addOccupiedSlots(mayPreempt, mayDrain bool) {
 	pass, queued := r.pass, r.queued
 	for _, slot := range pass.available.all {
 		if r.isOutsideZone(slot) || slot.reserved || r.added[slot] ||
@@ -192,18 +192,18 @@
 	}
 }
 
-// choose returns a plan that uses the cheapest sources and provisions machines for the remaining
-// tasks.
-func (r *reservationSearch) choose(canProvision bool) *gangReservation {
+// choosePlan returns a plan that uses the cheapest sources and provisions machines for the
+// remaining tasks.
+func (r *reservationSearch) choosePlan(canProvision bool) *gangReservation {
 	tasks := len(r.queued.tasks)
 	reservation := &gangReservation{zone: r.zone, sources: r.sources[:min(len(r.sources), tasks)]}
 	for _, source := range reservation.sources {
 		reservation.cost += source.cost
 	}
-	reservation.provision = tasks - len(reservation.sources)
-	reservation.cost += float64(reservation.provision) * provisionCost
-	if reservation.provision > 0 && !canProvision {
-		reservation.cost += noCapacityCost * float64(reservation.provision)
+	reservation.machinesToProvision = tasks - len(reservation.sources)
+	reservation.cost += float64(reservation.machinesToProvision) * provisionCost
+	if reservation.machinesToProvision > 0 && !canProvision {
+		reservation.cost += noCapacityCost * float64(reservation.machinesToProvision)
 	}
 	if r.zone >= 0 && r.zone == r.queued.job.gangZone {
 		reservation.cost -= sameZoneBonus
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -230,9 +230,9 @@
 		p.node.replica.Ledger().MayGrant(job.Team, p.charged[job.Team].Plus(job.Demand(tasks)), p.node.replica.Revision())
 }
 
-// hasQuota reports whether the limit of a job's team allows waiting tasks, and marks the team in
+// checkLimit reports whether the limit of a job's team allows waiting tasks, and marks the team in
 // atLimit if they wait only because of the limit.
-func (p *schedulingPass) hasQuota(job *job, tasks int) bool {
+func (p *schedulingPass) checkLimit(job *job, tasks int) bool {
 	if p.withinLimit(job, tasks) {
 		return true
 	}
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -88,7 +88,7 @@
 func TestLatestStartFollowsCorrectedRunTimes(t *testing.T) {
 	n := newTestNode()
 	for range minRunSamples {
-		n.runTimeEstimator.observe("c", 30*second, 10)
+		n.runTimeEstimator.addSample("c", 30*second, 10)
 	}
 	applyJobRecord(n, 2, "wk-000001", wire.JobLive, nil)
 	applyJobRecord(n, 3, "wk-000002", wire.JobLive, func(spec *wire.JobSpec) { spec.DeadlineS = 100 }, "wk-000001")
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -71,7 +71,7 @@
 // one, or as many tasks of a large array as fit a machine. It reports whether more tasks of the
 // job may be served.
 func (p *schedulingPass) serveTask(queued *queuedJob) bool {
-	if queued.remainingRuns <= 0 || p.admission == nil && !p.hasQuota(queued.job, 1) {
+	if queued.remainingRuns <= 0 || p.admission == nil && !p.checkLimit(queued.job, 1) {
 		return false
 	}
 	if queued.zoneTasks == nil {
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -34,9 +34,9 @@
 // statusBatch is a set of status queries that the replica may answer once it has reached the
 // revision that the state service returned after they had been received.
 type statusBatch struct {
-	revision uint64
-	since    Time // when the revision was returned
-	requests []*pendingRequest
+	revision        uint64
+	revisionKnownAt Time // when the revision was returned
+	requests        []*pendingRequest
 }
 
 // revisionQuery handles the result of a query of the state service's revision.
@@ -81,7 +81,7 @@
 	status.querying = false
 	switch result.Outcome {
 	case kv.OK, kv.Conflict:
-		status.batches = append(status.batches, statusBatch{revision: result.Revision, since: n.now, requests: q.requests})
+		status.batches = append(status.batches, statusBatch{revision: result.Revision, revisionKnownAt: n.now, requests: q.requests})
 		n.answerStatusQueries()
 	default:
 		for _, request := range q.requests {
@@ -103,7 +103,7 @@
 			for _, request := range batch.requests {
 				n.answerFromReplica(request)
 			}
-		case n.now-batch.since > replicaLagTimeout:
+		case n.now-batch.revisionKnownAt > replicaLagTimeout:
 			for _, request := range batch.requests {
 				if n.userRequests.isOpen(request) {
 					n.readJob(request)
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -124,7 +124,7 @@
 	if len(n.outcomes) == 0 {
 		return
 	}
-	keys := n.outcomes.sorted()
+	keys := n.outcomes.sortedKeys()
 	pass := outcomePass{writer: writer, slots: available, records: newRecordCapacity(n, writer), firstOutcomeAt: map[int]Time{}}
 	for _, key := range keys {
 		if at, seen := pass.firstOutcomeAt[key.job]; !seen || n.outcomes[key].at < at {
@@ -178,8 +178,8 @@
 	}
 }
 
-// sorted returns the sorted keys of the tasks with outcomes.
-func (o taskOutcomes) sorted() []taskKey {
+// sortedKeys returns the sorted keys of the tasks with outcomes.
+func (o taskOutcomes) sortedKeys() []taskKey {
 	return slices.SortedFunc(maps.Keys(o), func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 	})
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -13,7 +13,7 @@
 
 // A user's request is processed in these steps, each of which may answer it:
 //
-//  1. userRequest parses the request and answers it from the replica if the job has ended.
+//  1. receiveUserRequest parses the request and answers it from the replica if the job has ended.
 //  2. forwardToPeer forwards it to a peer if the state service does not serve this controller
 //     (request_forwarding.go).
 //  3. Depending on its kind, it is processed as a submission (submission.go,
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -79,7 +79,7 @@
 	}
 	machine.term = shard.Term
 	machine.answeredAt = 0
-	machine.heartbeats = 0
+	machine.heartbeatCount = 0
 	machine.tokenConfirmed = false
 	machine.ignoredReplies = 0
 	machine.unresponsive = false
@@ -100,7 +100,7 @@
 	// The lease expired although a heartbeat was answered recently, so the replies don't reach
 	// the worker. Only heartbeats with the current token prove that: those that a network
 	// partition has delayed arrive together with the first of the next epoch.
-	if machine.tokenConfirmed && machine.heartbeats > 1 &&
+	if machine.tokenConfirmed && machine.heartbeatCount > 1 &&
 		machine.answeredAt > 0 &&
 		n.now-machine.answeredAt < n.cfg.WorkerLease*3/4 {
 		machine.ignoredReplies = maxIgnoredReplies
@@ -116,7 +116,7 @@
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
 		n.nextViewUpdateAt = 0
-	} else if machine.heartbeats > 0 && !machine.tokenConfirmed && n.replyLikelyLost(machine) {
+	} else if machine.heartbeatCount > 0 && !machine.tokenConfirmed && n.replyLikelyLost(machine) {
 		machine.ignoredReplies++
 	}
 }
@@ -128,7 +128,7 @@
 	machine.sequence = heartbeat.Sequence
 	machine.heartbeatAt = n.now
 	machine.bouncedAt, machine.redirectedAt = 0, 0
-	machine.heartbeats++
+	machine.heartbeatCount++
 	machine.reclaimAt = 0
 	if heartbeat.ReclaimS != nil {
 		machine.reclaimAt = n.now + Time(*heartbeat.ReclaimS*float64(second))
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -24,10 +24,10 @@
 // delayedReply is a heartbeat whose reply is delayed because commands are likely to follow.
 type delayedReply struct {
 	WorkerReported
-	shard   *shard
-	machine *machine
-	term    uint64 // of the shard when the heartbeat arrived
-	until   Time   // latest time of the reply
+	shard    *shard
+	machine  *machine
+	term     uint64 // of the shard when the heartbeat arrived
+	deadline Time   // latest time of the reply
 }
 
 // delayedReplies holds the heartbeats whose replies are delayed.
@@ -57,7 +57,7 @@
 	switch {
 	case idle && !n.acceptsTasks(machine):
 		return 0
-	case idle && machine.tokenConfirmed && machine.heartbeats > 1:
+	case idle && machine.tokenConfirmed && machine.heartbeatCount > 1:
 		return idleReplyDelay
 	case idle || n.hasPendingOutcomes(machine):
 		return replyDelay
@@ -94,7 +94,7 @@
 		shard:          shard,
 		machine:        machine,
 		term:           shard.Term,
-		until:          n.now + delay,
+		deadline:       n.now + delay,
 	})
 	machine.delayedReplyCount++
 }
@@ -120,7 +120,7 @@
 		n.redirect(reply.RequestID, shard, machine, false)
 		return true
 	}
-	if n.now < reply.until && (n.hasPendingOutcomes(machine) || !n.hasUnreportedTask(machine)) && !machine.draining {
+	if n.now < reply.deadline && (n.hasPendingOutcomes(machine) || !n.hasUnreportedTask(machine)) && !machine.draining {
 		return false
 	}
 	machine.delayedReplyCount--
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -119,8 +119,9 @@
 	return max(0, min(1, max(b.backlogSeconds/fullScarcitySeconds, (utilization-freeUtilization)*scarcityByUtilization)))
 }
 
-// observe counts writes of all controllers that the watch has shown, and updates the averages.
-func (b *writeBudget) observe(now Time, writes int) {
+// addObservedWrites counts writes of all controllers that the watch has shown, and updates the
+// averages.
+func (b *writeBudget) addObservedWrites(now Time, writes int) {
 	b.observedWrites += float64(writes)
 	elapsed := (now - b.measuredAt).Seconds()
 	if elapsed < measureSeconds {
@@ -141,7 +142,7 @@
 func (n *Node) writeScarcity() float64 { return n.budget.scarcity(n.writeRPS()) }
 
 // countWrites counts writes that the watch has shown.
-func (n *Node) countWrites(writes int) { n.budget.observe(n.now, writes) }
+func (n *Node) countWrites(writes int) { n.budget.addObservedWrites(n.now, writes) }
 
 // availableWrites returns the number of background writes that may be sent now.
 func (n *Node) availableWrites() int {
