--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -95,7 +95,7 @@
 	now        Time
 	revision   uint64
 	effects    []Effect // effects that are not requests to the state service
-	watchHangs bool     // the watch hangs: commits return a revision that the replica has not reached
+	watchHangs bool     // commits return a revision that the replica has not reached
 }
 
 // step applies an input, carries out requests to the state service and collects other effects.
