--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -16,14 +16,14 @@
 // classArrivals holds the recent arrivals and completions of the jobs of a class, from which the
 // capacity that the class will need is forecast.
 type classArrivals struct {
-	class       string
+	name        string
 	startWithin Time // the start objective
 	newestJob   *job // the job that arrived last
 	arrivals    []jobEvent
 	completions []jobEvent // jobs that have released their machines
-	// backfillGuard is set for a class that has no start objective and belongs to a team with
+	// onlyAgainstBackfill is set for a class that has no start objective and belongs to a team with
 	// a guarantee: its reserved capacity is withheld from backfill only.
-	backfillGuard bool
+	onlyAgainstBackfill bool
 }
 
 // jobEvent is the arrival or the completion of a job.
@@ -52,17 +52,17 @@
 
 // addObjective adds a start objective. If a class has several, the shortest applies.
 func (f *arrivalForecast) addObjective(objective StartObjective) {
-	if class := f.class(objective.Class); class != nil {
+	if class := f.findClass(objective.Class); class != nil {
 		class.startWithin = min(class.startWithin, objective.Within)
 		return
 	}
-	f.classes = append(f.classes, &classArrivals{class: objective.Class, startWithin: objective.Within})
+	f.classes = append(f.classes, &classArrivals{name: objective.Class, startWithin: objective.Within})
 }
 
-// class returns the statistics of a class, or nil if it has none.
-func (f *arrivalForecast) class(name string) *classArrivals {
+// findClass returns the statistics of a class, or nil if it has none.
+func (f *arrivalForecast) findClass(name string) *classArrivals {
 	for _, class := range f.classes {
-		if class.class == name {
+		if class.name == name {
 			return class
 		}
 	}
@@ -73,9 +73,9 @@
 // created for a class without them if the job's team has a guarantee.
 func (f *arrivalForecast) countArrival(now Time, job *job, tasks int, guaranteed bool) {
 	name := job.Record.Spec.Class
-	class := f.class(name)
+	class := f.findClass(name)
 	if class == nil && guaranteed && len(f.classes) < maxClasses {
-		class = &classArrivals{class: name, backfillGuard: true}
+		class = &classArrivals{name: name, onlyAgainstBackfill: true}
 		f.classes = append(f.classes, class)
 	}
 	if class == nil {
@@ -88,7 +88,7 @@
 
 // countCompletion counts a job that has released its machines, if its class has statistics.
 func (f *arrivalForecast) countCompletion(now Time, name string, tasks int) {
-	class := f.class(name)
+	class := f.findClass(name)
 	if class == nil {
 		return
 	}
@@ -96,9 +96,9 @@
 	class.completions = append(class.completions, jobEvent{now, tasks})
 }
 
-// reserve returns the number of tasks of a class to reserve capacity for; see
+// tasksToReserve returns the number of tasks of a class to reserve capacity for; see
 // classArrivals.tasksToReserve.
-func (f *arrivalForecast) reserve(class *classArrivals, now, leadTime Time) int {
+func (f *arrivalForecast) tasksToReserve(class *classArrivals, now, leadTime Time) int {
 	return class.tasksToReserve(now, f.countingSince, leadTime)
 }
 
@@ -117,8 +117,8 @@
 	return slices.ContainsFunc(t.shards, func(shard *shard) bool { return len(shard.machines) > 0 })
 }
 
-// noteArrival counts a new job if its class has a start objective or its team has a guarantee.
-func (n *Node) noteArrival(job *job) {
+// countArrival counts a new job if its class has a start objective or its team has a guarantee.
+func (n *Node) countArrival(job *job) {
 	if n.countsArrivals() {
 		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
 		n.arrivals.countArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxSingleTasks()), guaranteed)
@@ -164,16 +164,17 @@
 	return mean, variance
 }
 
-// sampleOf returns a recent job of the class that still has its specification, or nil. Records of
-// finished jobs have none. If the job that arrived last has finished, another live one is chosen.
-func (s *site) sampleOf(class *classArrivals) *job {
+// recentJobOf returns a recent job of the class that still has its specification, or nil. Records
+// of finished jobs have none. If the job that arrived last has finished, another live one is
+// chosen.
+func (s *site) recentJobOf(class *classArrivals) *job {
 	usable := func(job *job) bool {
 		return job != nil && job.Record != nil && job.Record.Spec != nil && job.Team >= 0
 	}
 	if !usable(class.newestJob) {
 		class.newestJob = nil
 		for _, index := range s.replica.Live() {
-			if job := s.jobs[index]; usable(job) && job.Record.Spec.Class == class.class {
+			if job := s.jobs[index]; usable(job) && job.Record.Spec.Class == class.name {
 				class.newestJob = job
 			}
 		}
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -61,7 +61,7 @@
 	// The call expires, because after a stall of this process another controller may lead and
 	// the machines may be in use.
 	call.ValidFor = n.cloudCallTime()
-	if n.fenced() {
+	if n.isFencedLeader() {
 		call.Term = n.leadership.Term()
 	}
 	n.emit(call)
@@ -82,12 +82,12 @@
 		scaler.listInProgress = true
 		n.callCloud(CallCloud{ListMachines: true}, listMachinesCall{tenure: n.leader.tenure})
 	}
-	for _, provisioning := range scaler.provisions {
-		if provisioning.sent || n.now < provisioning.sendAt || n.cloudCallTime() == 0 {
+	for _, pending := range scaler.pendingProvisions {
+		if pending.sent || n.now < pending.sendAt || n.cloudCallTime() == 0 {
 			continue
 		}
-		provisioning.sent = true
-		n.callCloud(CallCloud{Provision: &provisioning.request}, provisionCall{provisioning, n.leader.tenure})
+		pending.sent = true
+		n.callCloud(CallCloud{Provision: &pending.request}, provisionCall{pending, n.leader.tenure})
 	}
 }
 
@@ -151,8 +151,8 @@
 
 // provisionCall is a provisioning call in progress.
 type provisionCall struct {
-	provisioning *provisioning
-	tenure       int
+	pending *pendingProvision
+	tenure  int
 }
 
 func (r provisionCall) cloudAnswered(n *Node, answer CloudAnswered) {
@@ -160,19 +160,19 @@
 		return
 	}
 	if answer.Outcome == kv.OK {
-		request := &r.provisioning.request
+		request := &r.pending.request
 		n.log(LogInfo, "machines provisioned",
 			"machine_type", request.MachineType, "zone", request.Zone,
 			"spot", request.Spot, "requested", request.Count,
 			"received", len(answer.Names))
 	}
-	n.leader.autoscaler.provisionAnswered(n.now, r.provisioning, answer)
+	n.leader.autoscaler.applyProvisionAnswer(n.now, r.pending, answer)
 	n.leader.passNeeded = true
 }
 
-// provisionAnswered applies the answer to a provisioning request. The request is removed, or
+// applyProvisionAnswer applies the answer to a provisioning request. The request is removed, or
 // scheduled to be repeated if its outcome is unknown.
-func (a *autoscaler) provisionAnswered(now Time, request *provisioning, answer CloudAnswered) {
+func (a *autoscaler) applyProvisionAnswer(now Time, request *pendingProvision, answer CloudAnswered) {
 	closed := true
 	switch answer.Outcome {
 	case kv.OK:
@@ -193,7 +193,7 @@
 		closed = now-request.decidedAt > provisionRetryPeriod
 	}
 	if closed {
-		a.provisions = slices.DeleteFunc(a.provisions, func(other *provisioning) bool { return other == request })
+		a.pendingProvisions = slices.DeleteFunc(a.pendingProvisions, func(other *pendingProvision) bool { return other == request })
 	}
 }
 
@@ -217,7 +217,7 @@
 func (r deprovisionCall) cloudAnswered(n *Node, answer CloudAnswered) {
 	if answer.Outcome == kv.OK {
 		for _, name := range r.names {
-			n.machineNamed(name).returned = true
+			n.getOrAddMachine(name).returned = true
 		}
 	}
 	if n.leader.tenure != r.tenure {
@@ -239,7 +239,7 @@
 
 // removeMachine removes the state of a machine that has been deprovisioned.
 func (a *autoscaler) removeMachine(name string) {
-	delete(a.draining, name)
+	delete(a.markedForDraining, name)
 	delete(a.booting, name)
 	delete(a.unreportedSince, name)
 }
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -23,9 +23,9 @@
 // waitTimeOf returns the time since when a job has waited; it is the inverse of waitFactTime.
 func waitTimeOf(fact *wire.Fact) Time { return cmp.Or(factTimeOf(fact), -1) }
 
-// Decisions returns the facts that only the leader has, with times of this controller's steady
-// clock; nil if this controller does not lead.
-func (n *Node) Decisions() []wire.Fact {
+// DecisionLogFacts returns the facts that only the leader has, with times of this controller's
+// steady clock; nil if this controller does not lead.
+func (n *Node) DecisionLogFacts() []wire.Fact {
 	if !n.isLeader() {
 		return nil
 	}
@@ -65,8 +65,8 @@
 			Count: position.droppedAttempts,
 		})
 	}
-	if j.preemptAt > now {
-		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.preemptAt)})
+	if j.nextPreemptionAt > now {
+		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.nextPreemptionAt)})
 	}
 	return facts
 }
@@ -79,9 +79,9 @@
 		fact.Seen = booting.listed
 		facts = append(facts, fact)
 	}
-	for _, provisioning := range a.provisions {
-		fact := poolFact(wire.FactProvisioning, provisioning.request.Name, provisioning.pool, provisioning.decidedAt, names)
-		fact.Count = provisioning.request.Count
+	for _, pending := range a.pendingProvisions {
+		fact := poolFact(wire.FactProvisioning, pending.request.Name, pending.pool, pending.decidedAt, names)
+		fact.Count = pending.request.Count
 		facts = append(facts, fact)
 	}
 	for _, boot := range a.recentBoots {
@@ -98,14 +98,14 @@
 		}
 	}
 	for pool, at := range a.shortageAt {
-		if now-at < shortageTime {
+		if now-at < shortagePeriod {
 			facts = append(facts, poolFact(wire.FactCapacityShortage, poolName(pool, names), pool, at, names))
 		}
 	}
 	for name, at := range a.idleSince {
 		facts = append(facts, wire.Fact{Kind: wire.FactIdle, Name: name, At: factTime(at)})
 	}
-	for name := range a.draining {
+	for name := range a.markedForDraining {
 		facts = append(facts, wire.Fact{Kind: wire.FactDraining, Name: name})
 	}
 	for name, at := range a.unreportedSince {
--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -8,20 +8,21 @@
 	"micaport/internal/wire"
 )
 
-// receiveGangHolds applies owners' answers in gang transactions (see package gang). Only the leader
+// applyGangAnswers applies owners' answers in gang transactions (see package gang). Only the leader
 // acts on them.
-func (n *Node) receiveGangHolds(answers []wire.GangHold) {
+func (n *Node) applyGangAnswers(answers []wire.GangHold) {
 	if n.gangs.ApplyAnswers(answers) {
 		n.leader.passNeeded = true
 	}
 }
 
-// gangHolds returns this controller's answers, as an owner, for the gangs that are being tried.
-func (n *Node) gangHolds() []wire.GangHold { return n.gangs.OwnAnswers(n.mayActInShard) }
+// ownGangAnswers returns this controller's answers, as an owner, for the gangs that are being
+// tried.
+func (n *Node) ownGangAnswers() []wire.GangHold { return n.gangs.OwnAnswers(n.mayActInShard) }
 
 // advanceGangs carries out the leader's next action for every gang that spans shards.
 func (n *Node) advanceGangs(writer *writer) {
-	n.receiveGangHolds(n.gangHolds())
+	n.applyGangAnswers(n.ownGangAnswers())
 	for _, attempt := range n.gangs.Sorted() {
 		switch attempt.LeaderAction(n.gangTransitionInput(attempt)) {
 		case gang.Confirm:
@@ -34,7 +35,7 @@
 			}
 			writer.removeGang(attempt)
 		case gang.Finish:
-			if job := n.jobNamed(attempt.JobID); job != nil {
+			if job := n.findJob(attempt.JobID); job != nil {
 				job.queuePosition = queuePosition{}
 			}
 			writer.removeGang(attempt)
@@ -45,18 +46,18 @@
 // revokeGang revokes the tasks of a dropped attempt that have no machine. It returns false if the
 // transaction has no capacity left for that.
 func (n *Node) revokeGang(writer *writer, attempt *gang.Attempt) bool {
-	job := n.jobNamed(attempt.JobID)
+	job := n.findJob(attempt.JobID)
 	if job == nil || job.Record == nil || !hasUnplacedTask(job.Record, attempt.Record.Attempt) {
 		return true
 	}
-	record := writer.job(job)
+	record := writer.recordToChange(job)
 	if record == nil {
 		return false
 	}
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Attempt == attempt.Record.Attempt && task.Machine == ""
 	})
-	job.restorePosition()
+	job.restoreQueuePosition()
 	return true
 }
 
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -10,7 +10,7 @@
 
 // gangTransitionInput returns the state on which the next action for an attempt depends.
 func (s *site) gangTransitionInput(attempt *gang.Attempt) gang.TransitionInput {
-	job := s.jobNamed(attempt.JobID)
+	job := s.findJob(attempt.JobID)
 	known := job != nil && job.Record != nil
 	return gang.TransitionInput{
 		Age: s.now - attempt.SeenAt, HeartbeatInterval: s.cfg.HeartbeatInterval,
@@ -46,7 +46,7 @@
 // subtractHolds subtracts the capacity that is held for gangs from the slots.
 func (n *Node) subtractHolds(slots *slotSet) {
 	for _, attempt := range n.gangs.Sorted() {
-		job := n.jobNamed(attempt.JobID)
+		job := n.findJob(attempt.JobID)
 		if job == nil || job.Record == nil || job.Record.Spec == nil {
 			continue
 		}
@@ -91,7 +91,7 @@
 	if !inOneShard {
 		// The replica does not show the attempt's record yet, or it has been removed already.
 		if n.grantTimedOut(key) {
-			if record := writer.job(job); record != nil {
+			if record := writer.recordToChange(job); record != nil {
 				n.revokeUnplaced(writer, record)
 				abandonGang(record, attemptNumber)
 			}
@@ -102,11 +102,11 @@
 	if chosen == nil && !n.grantTimedOut(key) {
 		return
 	}
-	record := writer.job(job)
+	record := writer.recordToChange(job)
 	if record == nil {
 		return
 	}
-	writer.shards[ownTasks[0].Shard] = true
+	writer.ownedShards[ownTasks[0].Shard] = true
 	if chosen == nil {
 		n.revokeUnplaced(writer, record)
 		return
@@ -186,12 +186,12 @@
 	if machines == nil && !n.grantTimedOut(taskKey{job.Index, ownTasks[0].Task, attempt.Record.Attempt}) {
 		return
 	}
-	record := writer.job(job)
+	record := writer.recordToChange(job)
 	if record == nil {
 		return
 	}
 	for _, task := range ownTasks {
-		writer.shards[task.Shard] = true
+		writer.ownedShards[task.Shard] = true
 	}
 	if machines == nil {
 		n.revokeUnplaced(writer, record)
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -22,13 +22,13 @@
 // it has received; see viewLog.
 func (n *Node) sendGossip(now bool) {
 	if now {
-		n.gossipAt = min(n.gossipAt, n.gossipSentAt+minGossipInterval)
+		n.nextGossipAt = min(n.nextGossipAt, n.gossipSentAt+minGossipInterval)
 		return
 	}
-	if n.now < n.gossipAt {
+	if n.now < n.nextGossipAt {
 		return
 	}
-	n.gossipAt, n.gossipSentAt = n.now+gossipInterval, n.now
+	n.nextGossipAt, n.gossipSentAt = n.now+gossipInterval, n.now
 	n.updateOwnViews()
 	message := n.gossipMessage()
 	// Peers that have received the same version get the same message.
@@ -49,8 +49,8 @@
 // gossipMessage returns a message without views of machines; withViewChanges adds these.
 func (n *Node) gossipMessage() wire.Gossip {
 	message := wire.Gossip{
-		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isolated(),
-		Holds: n.gangHolds(), Strays: n.missedMachineNames(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
+		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isIsolated(),
+		Holds: n.ownGangAnswers(), Strays: n.missedMachineNames(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
 		Leader: n.leaderView(),
 	}
 	for _, shard := range n.shards {
@@ -71,7 +71,7 @@
 
 // addLeaderInstructions adds the leader's instructions to the owners of shards.
 func (n *Node) addLeaderInstructions(message *wire.Gossip) {
-	message.Retire = n.leader.drainList(n)
+	message.Retire = n.leader.machinesToDrain(n)
 	message.Returned = n.leader.recentlyReturned(n)
 	message.Kept = n.leader.reservations
 	message.Tries = n.gangs.Announced()
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -7,14 +7,14 @@
 	"micaport/internal/wire"
 )
 
-// gossipReceived applies a gossip message of a peer.
-func (n *Node) gossipReceived(message *wire.Gossip) {
+// receiveGossip applies a gossip message of a peer.
+func (n *Node) receiveGossip(message *wire.Gossip) {
 	if message == nil || !n.isPeer(message.From) {
 		return
 	}
 	last := n.peers[message.From]
 	if !message.StoreOK && (last == nil || last.message.StoreOK) {
-		n.refusedSince[message.From] = n.now
+		n.storeRefusedSince[message.From] = n.now
 	}
 	if !slices.IsSorted(message.Strays) { // controllers of earlier versions don't sort them
 		message.Strays = slices.Sorted(slices.Values(message.Strays))
@@ -34,7 +34,7 @@
 		p.viewVersion = message.Ver
 		n.receiveMachines(message)
 	}
-	n.receiveGangHolds(message.Holds)
+	n.applyGangAnswers(message.Holds)
 	n.receiveLeaderView(message.From, message.Leader)
 	n.receiveShards(message)
 	n.applyLeaderInstructions(message)
@@ -52,7 +52,7 @@
 func (n *Node) receiveShards(message *wire.Gossip) {
 	for i, index := range message.Parts {
 		if index >= 0 && index < len(n.shards) && i < len(message.Terms) && message.Terms[i] > n.shards[index].Term {
-			n.putShard(n.shards[index], &wire.Shard{Owner: message.From, Incarnation: message.Life}, message.Terms[i])
+			n.applyShardClaim(n.shards[index], &wire.Shard{Owner: message.From, Incarnation: message.Life}, message.Terms[i])
 		}
 	}
 }
@@ -60,7 +60,7 @@
 // receiveMachines stores a peer's views of its machines.
 func (n *Node) receiveMachines(message *wire.Gossip) {
 	for i := range message.Hosts {
-		n.workCount++
+		n.examinedMachines++
 		n.receiveMachine(message, &message.Hosts[i])
 	}
 	n.leader.passNeeded = n.leader.passNeeded || len(message.Hosts) > 0
@@ -73,7 +73,7 @@
 	if index < 0 {
 		return
 	}
-	machine := n.machineNamed(info.Name)
+	machine := n.getOrAddMachine(info.Name)
 	shard := n.shards[index]
 	if n.owns(shard) {
 		return // this controller's own view takes precedence
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -47,7 +47,7 @@
 func (n *Node) placeJob(writer *writer, job *job, slots *slotSet) {
 	spec := job.Record.Spec
 	if job.Record.State != wire.JobLive {
-		if record := writer.job(job); record != nil {
+		if record := writer.recordToChange(job); record != nil {
 			n.revokeUnplaced(writer, record)
 		}
 		return
@@ -67,18 +67,18 @@
 		// fit, so that the record stores them as one run.
 		if !job.LargeArray || chosen == nil || chosen.shard != task.Shard || !chosen.fits(spec) {
 			chosen = slots.best(job, func(candidate *slot) bool { return candidate.shard == task.Shard }, nil)
-			if chosen != nil && !capacity.mayAdd(job) {
+			if chosen != nil && !capacity.mayAddRun(job) {
 				chosen = nil
 			}
 		}
 		if chosen == nil && !n.grantTimedOut(taskKey{job.Index, task.Task, task.Attempt}) {
 			continue
 		}
-		record := writer.job(job)
+		record := writer.recordToChange(job)
 		if record == nil {
 			return
 		}
-		writer.shards[task.Shard] = true
+		writer.ownedShards[task.Shard] = true
 		if chosen == nil {
 			revokeGrant(record, task)
 			continue
@@ -111,20 +111,20 @@
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		own := n.isOwnGrant(task)
 		if own {
-			writer.shards[task.Shard] = true
+			writer.ownedShards[task.Shard] = true
 		}
 		return own
 	})
 }
 
-// forgetPlacedGrants deletes the times of grants that have been placed or revoked. It is called
+// removeStaleGrantTimes deletes the times of grants that have been placed or revoked. It is called
 // periodically, so the number of waiting grants bounds the memory. A fixed limit would restrict
 // the size of the site: clearing all times at a limit kept every grant from timing out while
 // more grants were waiting than the limit.
-func (n *Node) forgetPlacedGrants() {
-	for key := range n.grantSeenAt {
+func (n *Node) removeStaleGrantTimes() {
+	for key := range n.grantWaitingSince {
 		if !n.jobs[key.job].awaitsPlacement(key) {
-			delete(n.grantSeenAt, key)
+			delete(n.grantWaitingSince, key)
 		}
 	}
 }
@@ -137,4 +137,4 @@
 }
 
 // grantTimedOut reports whether a grant has waited for capacity for longer than grantTimeout.
-func (n *Node) grantTimedOut(key taskKey) bool { return n.grantSeenAt.timedOut(key, n.now) }
+func (n *Node) grantTimedOut(key taskKey) bool { return n.grantWaitingSince.timedOut(key, n.now) }
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("%d grants time out immediately", got)
 	}
 	n.now = grantTimeout + second
-	n.forgetPlacedGrants()
+	n.removeStaleGrantTimes()
 	if got := timedOut(); got != grants {
 		t.Errorf("%d of %d grants have timed out", got, grants)
 	}
@@ -42,9 +42,9 @@
 		placed.ActiveTasks[i].Machine = "vm-000001"
 	}
 	n.replica.PutJob("wk-1", placed, 2)
-	n.forgetPlacedGrants()
-	if len(n.grantSeenAt) != 0 {
-		t.Errorf("%d times of placed grants are still stored", len(n.grantSeenAt))
+	n.removeStaleGrantTimes()
+	if len(n.grantWaitingSince) != 0 {
+		t.Errorf("%d times of placed grants are still stored", len(n.grantWaitingSince))
 	}
 }
 
@@ -57,7 +57,7 @@
 		MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
 	n.now = 100 * second
 	for i := range machines {
-		machine := n.machineNamed(fmt.Sprintf("vm-%06d", i))
+		machine := n.getOrAddMachine(fmt.Sprintf("vm-%06d", i))
 		machine.redirectedAt, machine.misdirectedListed, machine.view.missedHeartbeats = n.now, true, 2
 		n.misdirectedMachines = append(n.misdirectedMachines, machine.index)
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -16,16 +16,16 @@
 	passNeeded bool  // the scheduler's input has changed since the last pass
 	nextPassAt Time  // earliest time of the next pass
 
-	grantHints     map[taskKey]*machine // the machine that the scheduler chose for a granted task
-	hintsCleanupAt Time
+	grantHints        map[taskKey]*machine // the machine that the scheduler chose for a granted task
+	nextHintCleanupAt Time
 
 	sharesDistributedAt []Time             // by team: when the shares of its limit were last distributed
 	sharesReclaimed     []bool             // by team: the last distribution reclaimed idle shares
-	excessAt            Time               // earliest time of the next report of teams above their limits
+	nextExcessReportAt  Time               // earliest time of the next report of teams above their limits
 	pendingPlacements   []pendingPlacement // tasks that the current batch places on own machines
 
-	autoscaler autoscaler
-	recordsFit bool // all records are within the announced size limits; see shrinkRecords
+	autoscaler          autoscaler
+	recordsWithinLimits bool // all records are within the announced size limits; see shrinkRecords
 	// Machines that the cloud has recently confirmed as deprovisioned, to be announced to the
 	// owners of shards.
 	returned     []returnedMachine
@@ -67,7 +67,7 @@
 	l.grantHints, l.pendingPlacements = map[taskKey]*machine{}, nil
 	l.autoscaler = newAutoscaler()
 	l.returned, l.reservations = nil, nil
-	l.sharesDistributedAt = neverDistributed(len(l.sharesDistributedAt))
+	l.sharesDistributedAt = initialDistributionTimes(len(l.sharesDistributedAt))
 	l.sharesReclaimed = make([]bool, len(l.sharesDistributedAt))
 	l.passNeeded = true
 }
@@ -91,7 +91,7 @@
 // runLeader makes the calls to the cloud and the scheduling pass that are due, if this process
 // leads.
 func (n *Node) runLeader() {
-	if !n.isLeader() || n.resign() || !n.leadership.LeaseHolds(n.now) {
+	if !n.isLeader() || n.resign() || !n.leadership.LeaseValid(n.now) {
 		return
 	}
 	if n.resumedAt > 0 && n.now-n.resumedAt < firstPassDelayAfterStall || !n.mayDecide() {
@@ -99,7 +99,7 @@
 	}
 	n.runCloudCalls()
 	if n.passDue() && n.leader.batch.ready(n) {
-		n.decide()
+		n.runLeaderPass()
 	}
 }
 
@@ -109,12 +109,12 @@
 	if n.now < leader.nextPassAt || !leader.passNeeded && n.now < leader.nextPassAt+idlePassInterval {
 		return false
 	}
-	return n.offeredTypes != nil && n.now-n.leadership.Since() >= firstPassDelay
+	return n.offeredTypes != nil && n.now-n.leadership.LeaderChangedAt() >= firstPassDelay
 }
 
-// decide makes a scheduling pass: it decides about gangs and waiting jobs and commits the changed
-// records as one batch.
-func (n *Node) decide() {
+// runLeaderPass makes a scheduling pass: it decides about gangs and waiting jobs and commits the
+// changed records as one batch.
+func (n *Node) runLeaderPass() {
 	leader := &n.leader
 	leader.nextPassAt = n.now + passInterval + Time(len(n.replica.Live()))*passIntervalPerJob + Time(n.machineCount())*passIntervalPerMachine
 	leader.passNeeded, leader.pendingPlacements = false, nil
@@ -126,11 +126,11 @@
 	n.revokeUnownedGrants(writer)
 	n.updateOwnViews()
 	unwritten := n.runSchedulingPass(writer)
-	n.reportExcess()
+	n.logQuotaExcess()
 	n.recordCancellations(writer)
-	n.budget.pendingGrants = len(writer.order) + unwritten
+	n.budget.pendingGrants = len(writer.changedJobs) + unwritten
 	n.log(LogDebug, "scheduling pass",
-		"machines", n.machineCount(), "changed_jobs", len(writer.order),
+		"machines", n.machineCount(), "changed_jobs", len(writer.changedJobs),
 		"unwritten_grants", unwritten)
 	writer.send(&leader.batch)
 	n.recordFirstPass()
@@ -138,9 +138,9 @@
 
 // cleanUpHints removes the grant hints that are no longer needed, every few seconds.
 func (n *Node) cleanUpHints() {
-	if n.now >= n.leader.hintsCleanupAt {
-		n.leader.hintsCleanupAt = n.now + 5*second
-		n.forgetHints()
+	if n.now >= n.leader.nextHintCleanupAt {
+		n.leader.nextHintCleanupAt = n.now + 5*second
+		n.removeStaleGrantHints()
 	}
 }
 
@@ -175,7 +175,7 @@
 		if job.Unplaced == 0 || !n.hasStaleGrant(job) {
 			continue
 		}
-		record := writer.job(job)
+		record := writer.recordToChange(job)
 		if record == nil {
 			return
 		}
@@ -210,9 +210,9 @@
 	return n.owns(shard) || owner != nil && n.now-owner.receivedAt < ownerResponseTimeout
 }
 
-// provisionName returns a new name for a provisioning request. Names are never reused, as no two
+// newProvisionName returns a new name for a provisioning request. Names are never reused, as no two
 // leaders have the same term.
-func (n *Node) provisionName() string {
+func (n *Node) newProvisionName() string {
 	n.leader.autoscaler.requestSequence++
 	return fmt.Sprintf("r-%d-%d", n.leadership.Term(), n.leader.autoscaler.requestSequence)
 }
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -11,10 +11,10 @@
 // name the standby, which is to take over first.
 func (n *Node) sendHeartbeats() {
 	s := &n.failover
-	if !n.fenced() || n.now < s.heartbeatAt {
+	if !n.isFencedLeader() || n.now < s.nextHeartbeatAt {
 		return
 	}
-	s.heartbeatAt = n.now + failover.HeartbeatInterval
+	s.nextHeartbeatAt = n.now + failover.HeartbeatInterval
 	if elected := failover.Elect(s.standby, n.candidates()); elected != s.standby {
 		s.standby = elected
 		n.log(LogInfo, "standby elected", "controller", elected)
@@ -48,35 +48,35 @@
 	return list
 }
 
-// leaderHeartbeat applies a heartbeat that a leader has sent.
-func (n *Node) leaderHeartbeat(m *wire.LeaderHeartbeat) {
+// receiveLeaderHeartbeat applies a heartbeat that a leader has sent.
+func (n *Node) receiveLeaderHeartbeat(m *wire.LeaderHeartbeat) {
 	if m != nil {
-		n.failover.follower.Heartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
+		n.failover.follower.ReceiveHeartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
 	}
 }
 
-// disconnected records that the connection to a peer has broken.
-func (n *Node) disconnected(label string) {
-	n.failover.follower.Disconnected(n.now, label)
+// peerDisconnected records that the connection to a peer has broken.
+func (n *Node) peerDisconnected(label string) {
+	n.failover.follower.MarkDisconnected(n.now, label)
 	if p := n.peers[label]; p != nil {
 		p.disconnected = true
 	}
 }
 
-// leaderView returns this controller's opinion of the leader, for the peers; nil if the leader
+// leaderView returns this controller's report on the leader, for the peers; nil if the leader
 // may not be replaced early or is this controller.
 func (n *Node) leaderView() *wire.LeaderView {
 	if n.leadership.Record() == nil || !n.leadership.Record().Fenced || n.leadership.Record().Controller == n.cfg.Self {
 		return nil
 	}
-	o := n.failover.follower.Opinion(n.now)
-	return &wire.LeaderView{Term: o.Term, SilenceMS: o.Silence.Milliseconds(), Broken: o.Broken, Suspected: o.Suspected}
+	report := n.failover.follower.SuspicionReport(n.now)
+	return &wire.LeaderView{Term: report.Term, SilenceMS: report.Silence.Milliseconds(), Broken: report.Broken, Suspected: report.Suspected}
 }
 
-// receiveLeaderView stores a peer's opinion of the leader.
+// receiveLeaderView stores a peer's report on the leader.
 func (n *Node) receiveLeaderView(from string, v *wire.LeaderView) {
 	if v != nil {
-		n.failover.follower.ReceiveOpinion(n.now, from, failover.Opinion{
+		n.failover.follower.ReceiveSuspicionReport(n.now, from, failover.SuspicionReport{
 			Term: v.Term, Silence: Time(v.SilenceMS) * time.Millisecond, Broken: v.Broken, Suspected: v.Suspected,
 		})
 	}
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -6,7 +6,7 @@
 // ones in place of those that have ended.
 func (n *Node) renewLeases() {
 	if n.ownership.Lease.Due(n.now) {
-		n.renew(&n.ownership.Lease)
+		n.sendLeaseRequest(&n.ownership.Lease)
 	}
 	leader := &n.leadership.Lease
 	if !leader.Due(n.now) {
@@ -16,16 +16,16 @@
 		// This controller needs no lease while another one leads, and requests are scarce. An
 		// old lease is discarded, as it may have ended by the time that one is needed.
 		if leader.Age(n.now) > leader.TTL/2 {
-			leader.Forget()
+			leader.Discard()
 		}
 		return
 	}
-	n.renew(leader)
+	n.sendLeaseRequest(leader)
 }
 
-// renew sends a request that extends a lease, or that creates one.
-func (n *Node) renew(l *lease.Lease) {
-	renewal := l.Renew(n.now)
+// sendLeaseRequest sends a request that extends a lease, or that creates one.
+func (n *Node) sendLeaseRequest(l *lease.Lease) {
+	renewal := l.StartRenewal(n.now)
 	id := n.continueWith(leaseRenewal{renewal})
 	n.emit(RenewLease{ID: id, LeaseID: renewal.ID(), TTL: l.TTL})
 }
@@ -35,6 +35,6 @@
 
 func (r leaseRenewal) resume(n *Node, result Result) {
 	answer := result.(LeaseAnswered)
-	n.noteStoreOutcome(answer.Outcome)
-	r.renewal.Answered(n.now, answer.Outcome, answer.LeaseID, n.ownership.ProofInterval())
+	n.recordStoreOutcome(answer.Outcome)
+	r.renewal.Complete(n.now, answer.Outcome, answer.LeaseID, n.ownership.ProofInterval())
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -16,8 +16,8 @@
 	placements  []placement // tasks that the records place on it, sorted by job
 	images      indexset.Set
 
-	used           resourceUse // sum over the placements; valid while usedKnown is set
-	usedKnown      bool
+	used           resourceUse // sum over the placements; valid while usageValid is set
+	usageValid     bool
 	lowestPriority int // of the tasks that may be preempted; noPriority if none may
 
 	workerState
@@ -37,7 +37,7 @@
 type workerState struct {
 	term              uint64             // the term to which this state belongs
 	epoch, sequence   uint64             // of the last heartbeat
-	heartbeats        int                // number received in this term
+	heartbeatCount    int                // number received in this term
 	heartbeatAt       Time               // when the last heartbeat of this term was received
 	tokenConfirmed    bool               // the last heartbeat carried the token of this term
 	newlyBooted       bool               // it sends its first heartbeats and can't have received a token
@@ -74,15 +74,15 @@
 
 // machineView is the state of a machine that its owner reports to the other controllers.
 type machineView struct {
-	known            bool
-	reclaimed        bool // the cloud is about to reclaim it
+	reportedByOwner  bool
+	reclaimPending   bool // the cloud is about to reclaim it
 	draining         bool
 	unhealthy        bool // tasks fail on it, probably through its own fault
 	unreachable      bool
 	unconfirmed      bool // its worker has not yet sent the token of the owner's term
 	missedHeartbeats int  // 1: no heartbeat for two intervals, 2: for three
-	errors           int  // jobs of which a task failed on it since a task last succeeded
-	images           int  // their number, so that a new image changes the view
+	failedJobCount   int  // jobs of which a task failed on it since a task last succeeded
+	imageCount       int  // so that a new image changes the view
 }
 
 // placement is a task that a job record places on a machine.
@@ -114,11 +114,11 @@
 // usageOf returns the resources used by the tasks that the records place on a machine. A task
 // counts until it is proven to have ended.
 func (s *site) usageOf(machine *machine) *resourceUse {
-	if machine.usedKnown {
+	if machine.usageValid {
 		return &machine.used
 	}
 	machine.used = resourceUse{}
-	machine.usedKnown = true
+	machine.usageValid = true
 	machine.lowestPriority = noPriority
 	for i := range machine.placements {
 		p := &machine.placements[i]
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -26,14 +26,14 @@
 // leader still gets the views of the machines in the other zone. Correctness does not depend on
 // it: a lost, late or old message only leads to worse scheduling decisions.
 func (n *Node) writeMailbox(message wire.Gossip) {
-	if n.now < n.mailboxAt || !n.storeOK || n.now < mailboxStartDelay {
+	if n.now < n.nextMailboxWriteAt || !n.storeOK || n.now < mailboxStartDelay {
 		return
 	}
 	base, silent := n.mailboxBase()
 	if !silent {
 		return
 	}
-	n.mailboxAt = n.now + n.cfg.HeartbeatInterval
+	n.nextMailboxWriteAt = n.now + n.cfg.HeartbeatInterval
 	value := n.mailboxMessage(message, base)
 	if !n.valueFits(value) {
 		return
@@ -41,7 +41,7 @@
 	if value.Ver < n.views.version {
 		// More changes remain than fit this message. When hundreds of machines boot at once, the
 		// leader would otherwise schedule without most of them until the regular interval ends.
-		n.mailboxAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
+		n.nextMailboxWriteAt = n.now + max(second, Time(float64(n.cfg.HeartbeatInterval)*n.writeScarcity()))
 	}
 	n.transact(ClassBackground, nil, []kv.Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: value}}, ignoreResult{})
 }
@@ -69,7 +69,7 @@
 // mailboxMessage returns a copy of a message with view changes, shortened to the size limit of a
 // value where possible.
 func (n *Node) mailboxMessage(message wire.Gossip, base uint64) *wire.Gossip {
-	// An opinion of the leader is evidence only if a peer sends it directly. Controllers that are
+	// A report on the leader is evidence only if a peer sends it directly. Controllers that are
 	// partitioned from each other but reach the state service would otherwise replace each
 	// other as the leader in turns.
 	message.Leader = nil
@@ -106,7 +106,7 @@
 			return
 		}
 	}
-	n.gossipReceived(message)
+	n.receiveGossip(message)
 	if p := n.peers[message.From]; p != nil && p.message == message {
 		p.viaMailbox = true
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -22,15 +22,15 @@
 // continueWith registers the continuation of a request and returns the request's ID.
 func (n *Node) continueWith(next continuation) (id uint64) {
 	n.nextID++
-	n.pending[n.nextID] = next
+	n.continuations[n.nextID] = next
 	return n.nextID
 }
 
 // deliverResult passes the result of a request to its continuation. It ignores results of
 // unknown requests.
 func (n *Node) deliverResult(id uint64, result Result) {
-	if next, known := n.pending[id]; known {
-		delete(n.pending, id)
+	if next, known := n.continuations[id]; known {
+		delete(n.continuations, id)
 		next.resume(n, result)
 	}
 }
@@ -43,7 +43,7 @@
 
 func (t transaction) resume(n *Node, result Result) {
 	committed := result.(Committed)
-	n.noteStoreOutcome(committed.Outcome)
+	n.recordStoreOutcome(committed.Outcome)
 	if committed.Limited && t.writes > 0 {
 		n.budget.recordRefusal(n.now)
 	}
@@ -67,7 +67,7 @@
 
 func (f jobFetch) resume(n *Node, result Result) {
 	read := result.(JobRead)
-	n.noteStoreOutcome(read.Outcome)
+	n.recordStoreOutcome(read.Outcome)
 	f.next.jobRead(n, read)
 }
 
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -27,8 +27,8 @@
 	maxUnmetDemands = 16
 )
 
-// record returns the job's record including the changes made in this pass.
-func (p *schedulingPass) record(job *job) *wire.Job {
+// currentRecord returns the job's record including the changes made in this pass.
+func (p *schedulingPass) currentRecord(job *job) *wire.Job {
 	if record := p.writer.records[job.Index]; record != nil {
 		return record
 	}
@@ -71,7 +71,7 @@
 // one, or as many tasks of a large array as fit a machine. It reports whether more tasks of the
 // job may be served.
 func (p *schedulingPass) serveTask(queued *queuedJob) bool {
-	if queued.remainingRuns <= 0 || p.admission == nil && !p.hasQuota(queued.job, 1) {
+	if queued.remainingRuns <= 0 || p.admission == nil && !p.checkLimit(queued.job, 1) {
 		return false
 	}
 	if queued.zoneTasks == nil {
@@ -92,7 +92,7 @@
 
 // countTasks counts a job's active tasks by zone and by shard.
 func (p *schedulingPass) countTasks(queued *queuedJob) {
-	queued.zoneTasks = p.node.zoneTasks(p.record(queued.job))
+	queued.zoneTasks = p.node.zoneTasks(p.currentRecord(queued.job))
 	queued.shardTasks = make([]int, len(p.node.shards))
 	for i := range queued.job.Record.ActiveTasks {
 		queued.shardTasks[queued.job.Record.ActiveTasks[i].Shard]++
@@ -189,7 +189,7 @@
 	} else {
 		p.charge(job, tasks)
 	}
-	target.noteFetch(job)
+	target.addFetch(job)
 	queued.planTasks(target, tasks)
 	job.waitingSince = 0
 	return true
@@ -250,7 +250,7 @@
 	}
 	for _, class := range p.expected.classOrder {
 		if class.spot && float64(class.gpus) >= spec.GPUs &&
-			len(*p.expected.open[class]) > 0 &&
+			len(*p.expected.byClass[class]) > 0 &&
 			job.Allows(class.machineType, class.zone, true) {
 			return true
 		}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -30,15 +30,15 @@
 // mayActAsOwner reports whether this controller may act as the owner of a shard now.
 func (s *site) mayActAsOwner(shard *shard) bool { return s.ownership.MayAct(s.now, shard.Shard) }
 
-// putShard applies a new claim of a shard, or the deletion of a claim, at a revision.
-func (n *Node) putShard(shard *shard, claim *wire.Shard, revision uint64) {
+// applyShardClaim applies a new claim of a shard, or the deletion of a claim, at a revision.
+func (n *Node) applyShardClaim(shard *shard, claim *wire.Shard, revision uint64) {
 	change := n.ownership.Put(n.now, shard.Shard, claim, revision)
 	if change == ownership.Stale {
 		return
 	}
 	// Redirects and bounces under the previous owner are no evidence against the new one. When
 	// they counted, two peers repeatedly took the shard from each other.
-	shard.forgetRedirects()
+	shard.clearRedirects()
 	n.discardOutcomes(shard)
 	switch change {
 	case ownership.Claimed:
@@ -59,8 +59,8 @@
 	}
 }
 
-// forgetRedirects discards the redirects and bounces of a shard's machines.
-func (s *shard) forgetRedirects() {
+// clearRedirects discards the redirects and bounces of a shard's machines.
+func (s *shard) clearRedirects() {
 	for _, machine := range s.machines {
 		machine.redirectedAt, machine.bouncedAt = 0, 0
 	}
@@ -113,8 +113,8 @@
 		if machine.returned || machine.view.unreachable {
 			continue
 		}
-		if machine.view.known && machine.view.missedHeartbeats < 2 {
-			e.MachinesKnown++
+		if machine.view.reportedByOwner && machine.view.missedHeartbeats < 2 {
+			e.MachinesReporting++
 		}
 		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < bounceRetention {
 			e.MachinesBounced++
@@ -134,7 +134,7 @@
 	if peer == nil || peer.message.StoreOK {
 		return 0
 	}
-	return n.now - max(n.refusedSince[name], n.storeOKSince)
+	return n.now - max(n.storeRefusedSince[name], n.storeOKSince)
 }
 
 // shardClaim is a claim of a shard that was sent. The replica shows whether it succeeded.
@@ -142,7 +142,7 @@
 
 func (shardClaim) committed(n *Node, result Committed) {
 	if result.Outcome == kv.LeaseExpired {
-		n.ownership.Lease.Ended(n.now)
+		n.ownership.Lease.MarkExpired(n.now)
 	}
 }
 
@@ -159,7 +159,7 @@
 
 func (p ownershipProof) committed(n *Node, result Committed) {
 	if result.Outcome == kv.OK {
-		n.ownership.Succeeded(p.proof, result.Revision)
+		n.ownership.AddProof(p.proof, result.Revision)
 		n.ownership.Settle(n.now, n.replica.Revision())
 	}
 }
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -56,7 +56,7 @@
 	remaining := list[:0]
 	compared := 0
 	for i, candidate := range list {
-		s.set.node.workCount++
+		s.set.node.examinedMachines++
 		if compared >= maxComparedWithImage {
 			remaining = append(remaining, list[i:]...)
 			break
@@ -86,11 +86,11 @@
 // compareInClass compares a few slots of a class. Slots that are full or now belong to another
 // class are removed from the list of the class when they are examined.
 func (s *slotSearch) compareInClass(class slotClass) {
-	spec, list := s.job.Record.Spec, s.set.open[class]
+	spec, list := s.job.Record.Spec, s.set.byClass[class]
 	compared, examined := 0, 0
 	for i := 0; i < len(*list); {
 		candidate := (*list)[i]
-		s.set.node.workCount++
+		s.set.node.examinedMachines++
 		if candidate.class != class || candidate.isFull(true) {
 			candidate.listedIn = slices.DeleteFunc(candidate.listedIn, func(listed slotClass) bool { return listed == class })
 			last := len(*list) - 1
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -25,18 +25,18 @@
 // one query of the state service's current revision, a transaction without writes. They are
 // answered once the replica has reached that revision.
 type statusQueries struct {
-	waiting  []*pendingRequest // for the next revision query
-	querying bool              // a revision query is in flight
-	queryAt  Time              // earliest time of the next revision query
-	batches  []statusBatch     // for which the revision is known
+	waiting     []*pendingRequest // for the next revision query
+	querying    bool              // a revision query is in flight
+	nextQueryAt Time              // earliest time of the next revision query
+	batches     []statusBatch     // for which the revision is known
 }
 
 // statusBatch is a set of status queries that the replica may answer once it has reached the
 // revision that the state service returned after they had been received.
 type statusBatch struct {
-	revision uint64
-	since    Time // when the revision was returned
-	requests []*pendingRequest
+	revision        uint64
+	revisionKnownAt Time // when the revision was returned
+	requests        []*pendingRequest
 }
 
 // revisionQuery handles the result of a query of the state service's revision.
@@ -64,13 +64,13 @@
 // user received before these queries, so a job's status never appears to go back.
 func (n *Node) queryRevision() {
 	status := &n.userRequests.status
-	if status.querying || len(status.waiting) == 0 || n.now < status.queryAt {
+	if status.querying || len(status.waiting) == 0 || n.now < status.nextQueryAt {
 		return
 	}
 	query := revisionQuery{status.waiting}
 	status.waiting = nil
 	status.querying = true
-	status.queryAt = n.now + n.statusInterval()
+	status.nextQueryAt = n.now + n.statusInterval()
 	// Both results of the condition carry the revision, so any condition will do.
 	n.transact(ClassUser, []kv.Condition{n.leaderCondition()}, nil, query)
 }
@@ -81,7 +81,7 @@
 	status.querying = false
 	switch result.Outcome {
 	case kv.OK, kv.Conflict:
-		status.batches = append(status.batches, statusBatch{revision: result.Revision, since: n.now, requests: q.requests})
+		status.batches = append(status.batches, statusBatch{revision: result.Revision, revisionKnownAt: n.now, requests: q.requests})
 		n.answerStatusQueries()
 	default:
 		for _, request := range q.requests {
@@ -103,7 +103,7 @@
 			for _, request := range batch.requests {
 				n.answerFromReplica(request)
 			}
-		case n.now-batch.since > replicaLagTimeout:
+		case n.now-batch.revisionKnownAt > replicaLagTimeout:
 			for _, request := range batch.requests {
 				if n.userRequests.isOpen(request) {
 					n.readJob(request)
@@ -118,7 +118,7 @@
 
 // answerFromReplica answers a status query with the replica's copy of the job's record.
 func (n *Node) answerFromReplica(request *pendingRequest) {
-	if job := n.jobNamed(request.JobID); job != nil && job.Record != nil {
+	if job := n.findJob(request.JobID); job != nil && job.Record != nil {
 		n.answer(request, http.StatusOK, n.statusOf(request, job.Record))
 	} else {
 		n.answer(request, http.StatusNotFound, wire.Error{Error: noSuchJob})
--- a/internal/core/store_state.go
+++ b/internal/core/store_state.go
@@ -12,18 +12,18 @@
 	storeOKSince    Time // when storeOK last changed to true
 	storeAnsweredAt Time // when it last answered a request
 
-	// formatWriteAt is when the record of the format that this controller reads is written,
+	// nextFormatWriteAt is when the record of the format that this controller reads is written,
 	// unless the replica shows it.
-	formatWriteAt Time
+	nextFormatWriteAt Time
 }
 
 // storeSilenceTimeout is how long after its last answer the state service counts as no longer
 // serving this controller.
 const storeSilenceTimeout = 3 * time.Second
 
-// noteStoreOutcome updates whether the state service serves this controller from the outcome of
+// recordStoreOutcome updates whether the state service serves this controller from the outcome of
 // a request.
-func (n *Node) noteStoreOutcome(outcome kv.Outcome) {
+func (n *Node) recordStoreOutcome(outcome kv.Outcome) {
 	switch outcome {
 	case kv.OK, kv.Conflict, kv.NotFound, kv.LeaseExpired, kv.TooLarge:
 		if !n.storeOK {
@@ -31,7 +31,7 @@
 			// redirected in vain. That is no evidence against the owners afterwards.
 			n.storeOKSince = n.now
 			for _, shard := range n.shards {
-				shard.forgetRedirects()
+				shard.clearRedirects()
 			}
 		}
 		n.storeOK, n.storeAnsweredAt = true, n.now
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -84,7 +84,7 @@
 	if n.failedJobCount(machine) >= jobsBeforeQuarantine || job.Record.DoneTasks.Count() > 0 {
 		machine.unhealthy = true
 	}
-	n.ownViewsAt = 0 // the leader must receive this before it grants more tasks to the machine
+	n.nextViewUpdateAt = 0 // the leader must receive this before it grants more tasks to the machine
 }
 
 // failedJobCount counts the jobs of which a task failed on a machine since a task last succeeded
@@ -124,7 +124,7 @@
 	if len(n.outcomes) == 0 {
 		return
 	}
-	keys := n.outcomes.sorted()
+	keys := n.outcomes.sortedKeys()
 	pass := outcomePass{writer: writer, slots: available, records: newRecordCapacity(n, writer), firstOutcomeAt: map[int]Time{}}
 	for _, key := range keys {
 		if at, seen := pass.firstOutcomeAt[key.job]; !seen || n.outcomes[key].at < at {
@@ -141,10 +141,10 @@
 			delete(n.outcomes, key) // already written, or queued in an earlier term
 			continue
 		}
-		if !pass.records.mayRemove(key, outcome.machine) {
+		if !pass.records.mayWriteOutcome(key, outcome.machine) {
 			continue
 		}
-		record := writer.job(n.jobs[key.job])
+		record := writer.recordToChange(n.jobs[key.job])
 		if record == nil {
 			return
 		}
@@ -170,16 +170,16 @@
 	// An outcome must be applied only once; otherwise an error would count twice and a lost
 	// task would be placed twice.
 	p.writer.exitedTasks[key] = true
-	p.writer.shards[task.Shard] = true
+	p.writer.ownedShards[task.Shard] = true
 	job := n.jobs[key.job]
-	removeExitedTask(record, key, p.records.recordable(job, record, key, outcome))
-	if p.records.mayAdd(job) {
+	removeExitedTask(record, key, p.records.recordableOutcome(job, record, key, outcome))
+	if p.records.mayAddRun(job) {
 		n.rescheduleLostTask(p.writer, record, task, outcome, p.slots)
 	}
 }
 
-// sorted returns the sorted keys of the tasks with outcomes.
-func (o taskOutcomes) sorted() []taskKey {
+// sortedKeys returns the sorted keys of the tasks with outcomes.
+func (o taskOutcomes) sortedKeys() []taskKey {
 	return slices.SortedFunc(maps.Keys(o), func(a, b taskKey) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 	})
@@ -189,7 +189,7 @@
 // chosen for it again. A machine whose worker has begun a new epoch is the best choice for the same
 // task, as it has the image, but must first confirm the owner's token.
 func (s *site) awaitsTokenConfirmation(outcome taskOutcome) bool {
-	machine := s.machineNamed(outcome.machine)
+	machine := s.getOrAddMachine(outcome.machine)
 	return outcome.cause == causeLost && machine.shard >= 0 &&
 		s.now-outcome.at < tokenConfirmationWait &&
 		machine.term == s.shards[machine.shard].Term &&
@@ -204,14 +204,14 @@
 		outcome.cause != causeLost && outcome.cause != wire.CauseStopped {
 		return
 	}
-	job := n.jobNamed(record.Spec.ID)
+	job := n.findJob(record.Spec.ID)
 	best := available.slots(n).best(job, func(candidate *slot) bool { return candidate.shard == lost.Shard }, nil)
 	if best == nil || best.machine.name == lost.Machine && best.machine.epoch <= lost.Epoch {
 		return
 	}
 	best.allocate(record.Spec)
 	record.ActiveTasks = append(record.ActiveTasks, wire.ActiveTask{
-		Task: lost.Task, Attempt: writer.attempt(job, record), Shard: lost.Shard, Admitted: lost.Admitted,
+		Task: lost.Task, Attempt: writer.attemptNumber(job, record), Shard: lost.Shard, Admitted: lost.Admitted,
 		Machine: best.machine.name, Epoch: best.machine.epoch,
 	})
 	n.log(LogDebug, "task replaced", "job", job.ID, "task", lost.Task, "machine", best.machine.name)
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -13,7 +13,7 @@
 
 // A user's request is processed in these steps, each of which may answer it:
 //
-//  1. userRequest parses the request and answers it from the replica if the job has ended.
+//  1. receiveUserRequest parses the request and answers it from the replica if the job has ended.
 //  2. forwardToPeer forwards it to a peer if the state service does not serve this controller
 //     (request_forwarding.go).
 //  3. Depending on its kind, it is processed as a submission (submission.go,
@@ -51,9 +51,9 @@
 
 // pendingRequests holds the user requests that have not been answered.
 type pendingRequests struct {
-	requests map[uint64]*pendingRequest // by request ID
-	expireAt Time                       // time of the next check for overdue requests
-	status   statusQueries
+	requests          map[uint64]*pendingRequest // by request ID
+	nextExpiryCheckAt Time                       // time of the next check for overdue requests
+	status            statusQueries
 }
 
 // pendingRequest is a user request that has not been answered.
@@ -66,14 +66,14 @@
 	dependencies    *dependencyCheck // of a submission with dependencies
 }
 
-// userRequest starts processing a user's request.
-func (n *Node) userRequest(r UserRequest) {
+// receiveUserRequest starts processing a user's request.
+func (n *Node) receiveUserRequest(r UserRequest) {
 	request := n.userRequests.add(r, n.now)
 	if !n.parseRequest(request) {
 		return
 	}
 	// A final state never changes, so the replica's copy suffices even if the replica lags.
-	job := n.jobNamed(request.JobID)
+	job := n.findJob(request.JobID)
 	known := job != nil && job.Record != nil
 	switch {
 	case known && job.State() != wire.JobLive:
@@ -136,7 +136,7 @@
 func (n *Node) statusOf(request *pendingRequest, record *wire.Job) any {
 	// The replica may show that an ancestor of the job has been cancelled. That cancels the
 	// job for good, even if it is not in the job's own record yet.
-	job := n.jobNamed(request.JobID)
+	job := n.findJob(request.JobID)
 	if record.State == wire.JobLive && job != nil && job.Record != nil && job.State() == wire.JobCancelled {
 		return wire.JobStatus{JobID: request.JobID, Status: wire.StatusCancelled}
 	}
@@ -186,10 +186,10 @@
 
 // expireRequests answers the requests whose deadline has passed.
 func (n *Node) expireRequests() {
-	if n.now < n.userRequests.expireAt {
+	if n.now < n.userRequests.nextExpiryCheckAt {
 		return
 	}
-	n.userRequests.expireAt = n.now + expiryInterval
+	n.userRequests.nextExpiryCheckAt = n.now + expiryInterval
 	for _, request := range n.userRequests.overdue(n.now) {
 		n.answerUnavailable(request, "state service is slow")
 	}
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -6,9 +6,9 @@
 	"micaport/internal/wire"
 )
 
-// workerHeartbeat processes a worker's heartbeat. The reply is sent immediately or after a delay
-// (worker_reply.go), or redirects the worker to the machine's owner (worker_redirect.go).
-func (n *Node) workerHeartbeat(in WorkerReported) {
+// receiveWorkerHeartbeat processes a worker's heartbeat. The reply is sent immediately or after a
+// delay (worker_reply.go), or redirects the worker to the machine's owner (worker_redirect.go).
+func (n *Node) receiveWorkerHeartbeat(in WorkerReported) {
 	heartbeat := in.Heartbeat
 	index := n.ownership.ShardOf(n.names.Zones.Find(heartbeat.Zone), heartbeat.Machine)
 	if index < 0 || heartbeat.Machine == "" {
@@ -16,7 +16,7 @@
 		return
 	}
 	shard := n.shards[index]
-	machine := n.machineNamed(heartbeat.Machine)
+	machine := n.getOrAddMachine(heartbeat.Machine)
 	if machine.returned {
 		// The cloud has confirmed that the machine is gone, so this is a late copy.
 		n.refuseHeartbeat(in.RequestID, "returned")
@@ -46,7 +46,7 @@
 	n.updateTokenConfirmed(shard, machine, heartbeat)
 	consecutive := machine.epoch == heartbeat.Epoch && heartbeat.Sequence == machine.sequence+1
 	n.recordHeartbeat(machine, heartbeat)
-	n.ownerPassAt = 0
+	n.nextOwnerPassAt = 0
 	ignoredBefore := machine.ignoredReplies
 	commands := n.reconcile(shard, machine, heartbeat)
 	if machine.leaseExpiring {
@@ -79,7 +79,7 @@
 	}
 	machine.term = shard.Term
 	machine.answeredAt = 0
-	machine.heartbeats = 0
+	machine.heartbeatCount = 0
 	machine.tokenConfirmed = false
 	machine.ignoredReplies = 0
 	machine.unresponsive = false
@@ -87,8 +87,8 @@
 	machine.startSentAt, machine.directStarts = map[taskKey]uint64{}, map[taskKey]directStart{}
 	// The first heartbeat of a machine that no owner has seen before: the worker can't have
 	// received a token yet.
-	machine.newlyBooted = firstReports && heartbeat.Token == 0 && !machine.view.known && len(machine.placements) == 0
-	n.ownViewsAt = 0
+	machine.newlyBooted = firstReports && heartbeat.Token == 0 && !machine.view.reportedByOwner && len(machine.placements) == 0
+	n.nextViewUpdateAt = 0
 }
 
 // resetForNewEpoch discards what was sent to a machine in the previous epoch when its worker has
@@ -100,7 +100,7 @@
 	// The lease expired although a heartbeat was answered recently, so the replies don't reach
 	// the worker. Only heartbeats with the current token prove that: those that a network
 	// partition has delayed arrive together with the first of the next epoch.
-	if machine.tokenConfirmed && machine.heartbeats > 1 &&
+	if machine.tokenConfirmed && machine.heartbeatCount > 1 &&
 		machine.answeredAt > 0 &&
 		n.now-machine.answeredAt < n.cfg.WorkerLease*3/4 {
 		machine.ignoredReplies = maxIgnoredReplies
@@ -115,8 +115,8 @@
 func (n *Node) updateTokenConfirmed(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
-		n.ownViewsAt = 0
-	} else if machine.heartbeats > 0 && !machine.tokenConfirmed && n.replyLikelyLost(machine) {
+		n.nextViewUpdateAt = 0
+	} else if machine.heartbeatCount > 0 && !machine.tokenConfirmed && n.replyLikelyLost(machine) {
 		machine.ignoredReplies++
 	}
 }
@@ -128,7 +128,7 @@
 	machine.sequence = heartbeat.Sequence
 	machine.heartbeatAt = n.now
 	machine.bouncedAt, machine.redirectedAt = 0, 0
-	machine.heartbeats++
+	machine.heartbeatCount++
 	machine.reclaimAt = 0
 	if heartbeat.ReclaimS != nil {
 		machine.reclaimAt = n.now + Time(*heartbeat.ReclaimS*float64(second))
@@ -145,7 +145,7 @@
 	if unresponsive && !machine.unresponsive {
 		n.log(LogInfo, "machine unresponsive", "machine", machine.name)
 	}
-	machine.unresponsive, n.ownViewsAt = unresponsive, 0
+	machine.unresponsive, n.nextViewUpdateAt = unresponsive, 0
 }
 
 // replyLikelyLost reports whether the worker may have waited for the last reply until its
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -24,16 +24,16 @@
 // delayedReply is a heartbeat whose reply is delayed because commands are likely to follow.
 type delayedReply struct {
 	WorkerReported
-	shard   *shard
-	machine *machine
-	term    uint64 // of the shard when the heartbeat arrived
-	until   Time   // latest time of the reply
+	shard    *shard
+	machine  *machine
+	term     uint64 // of the shard when the heartbeat arrived
+	deadline Time   // latest time of the reply
 }
 
 // delayedReplies holds the heartbeats whose replies are delayed.
 type delayedReplies struct {
-	waiting []delayedReply
-	checkAt Time // when they are next checked
+	waiting     []delayedReply
+	nextCheckAt Time // when they are next checked
 }
 
 // answerWorker answers a worker's heartbeat with the token and commands.
@@ -57,7 +57,7 @@
 	switch {
 	case idle && !n.acceptsTasks(machine):
 		return 0
-	case idle && machine.tokenConfirmed && machine.heartbeats > 1:
+	case idle && machine.tokenConfirmed && machine.heartbeatCount > 1:
 		return idleReplyDelay
 	case idle || n.hasPendingOutcomes(machine):
 		return replyDelay
@@ -94,7 +94,7 @@
 		shard:          shard,
 		machine:        machine,
 		term:           shard.Term,
-		until:          n.now + delay,
+		deadline:       n.now + delay,
 	})
 	machine.delayedReplyCount++
 }
@@ -102,10 +102,10 @@
 // sendDelayedReplies sends the delayed replies that are due.
 func (n *Node) sendDelayedReplies() {
 	replies := &n.replies
-	if len(replies.waiting) == 0 || n.now < replies.checkAt {
+	if len(replies.waiting) == 0 || n.now < replies.nextCheckAt {
 		return
 	}
-	replies.checkAt = n.now + delayedRepliesInterval
+	replies.nextCheckAt = n.now + delayedRepliesInterval
 	replies.waiting = slices.DeleteFunc(replies.waiting, n.sendDelayedReply)
 }
 
@@ -120,7 +120,7 @@
 		n.redirect(reply.RequestID, shard, machine, false)
 		return true
 	}
-	if n.now < reply.until && (n.hasPendingOutcomes(machine) || !n.hasUnreportedTask(machine)) && !machine.draining {
+	if n.now < reply.deadline && (n.hasPendingOutcomes(machine) || !n.hasUnreportedTask(machine)) && !machine.draining {
 		return false
 	}
 	machine.delayedReplyCount--
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -9,21 +9,21 @@
 // This lets decisions be written immediately, before others change the records that the
 // decisions are based on.
 type writeBudget struct {
-	available      float64 // writes that may be sent now
-	availableAt    Time    // when available was last updated
-	rate           float64 // this controller's share of the writes, per second
-	rateUpdatedAt  Time    // when the rate is recalculated next
-	backlogSeconds float64 // time to write the pending records of all controllers
-	observedWrites float64 // writes that the watch has shown since measuredAt
-	measuredAt     Time    // when the averages were last updated
-	writesPerS     float64 // writes of all controllers, as a moving average
-
-	seenUserWrites int     // submissions and cancellations since measuredAt
-	userWritesPerS float64 // submissions and cancellations, as a moving average
-	reducedUntil   Time    // until then the announced lower rate applies
-	reducedFor     Time    // duration of the last reduction
-	pendingRecords int     // records that wait to be written by this controller
-	pendingGrants  int     // records that the leader's last pass changed, and grants left unwritten
+	available        float64 // writes that may be sent now
+	availableAt      Time    // when available was last updated
+	rate             float64 // this controller's share of the writes, per second
+	nextRateUpdateAt Time    // when the rate is recalculated next
+	backlogSeconds   float64 // time to write the pending records of all controllers
+	observedWrites   float64 // writes that the watch has shown since measuredAt
+	measuredAt       Time    // when the averages were last updated
+	writesPerS       float64 // writes of all controllers, as a moving average
+
+	observedUserWrites int     // submissions and cancellations since measuredAt
+	userWritesPerS     float64 // submissions and cancellations, as a moving average
+	reducedUntil       Time    // until then the announced lower rate applies
+	reducedFor         Time    // duration of the last reduction
+	pendingRecords     int     // records that wait to be written by this controller
+	pendingGrants      int     // records that the leader's last pass changed, and grants left unwritten
 }
 
 const (
@@ -119,8 +119,9 @@
 	return max(0, min(1, max(b.backlogSeconds/fullScarcitySeconds, (utilization-freeUtilization)*scarcityByUtilization)))
 }
 
-// observe counts writes of all controllers that the watch has shown, and updates the averages.
-func (b *writeBudget) observe(now Time, writes int) {
+// addObservedWrites counts writes of all controllers that the watch has shown, and updates the
+// averages.
+func (b *writeBudget) addObservedWrites(now Time, writes int) {
 	b.observedWrites += float64(writes)
 	elapsed := (now - b.measuredAt).Seconds()
 	if elapsed < measureSeconds {
@@ -128,9 +129,9 @@
 	}
 	weight := min(1, elapsed/averageSeconds)
 	b.writesPerS += (b.observedWrites/elapsed - b.writesPerS) * weight
-	b.userWritesPerS += (float64(b.seenUserWrites)/elapsed - b.userWritesPerS) * weight
+	b.userWritesPerS += (float64(b.observedUserWrites)/elapsed - b.userWritesPerS) * weight
 	b.observedWrites = 0
-	b.seenUserWrites = 0
+	b.observedUserWrites = 0
 	b.measuredAt = now
 }
 
@@ -141,7 +142,7 @@
 func (n *Node) writeScarcity() float64 { return n.budget.scarcity(n.writeRPS()) }
 
 // countWrites counts writes that the watch has shown.
-func (n *Node) countWrites(writes int) { n.budget.observe(n.now, writes) }
+func (n *Node) countWrites(writes int) { n.budget.addObservedWrites(n.now, writes) }
 
 // availableWrites returns the number of background writes that may be sent now.
 func (n *Node) availableWrites() int {
@@ -149,8 +150,8 @@
 	if serviceRate <= 0 {
 		return n.cfg.MaxTransactionOps
 	}
-	if n.now >= n.budget.rateUpdatedAt {
-		n.budget.rateUpdatedAt = n.now + rateInterval
+	if n.now >= n.budget.nextRateUpdateAt {
+		n.budget.nextRateUpdateAt = n.now + rateInterval
 		n.budget.pendingRecords = n.countPendingRecords()
 		ownDemand := 1 + float64(n.budget.pendingRecords)
 		n.budget.updateRate(serviceRate, ownDemand, ownDemand+n.peersDemand(), len(n.cfg.Members))
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -16,55 +16,55 @@
 // leader "a" has led since 0 under term 7, and its heartbeats name "b" as the standby.
 func newFollower(self string) *Follower {
 	f := NewFollower(Config{Self: self, Members: members, Early: true, LeaseTTL: leaseTTL})
-	f.Observe(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
+	f.ObserveClaim(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
 	for at := time.Duration(0); at <= lastHeartbeat; at += HeartbeatInterval {
-		f.Heartbeat(at, "a", "a1", 7, "b")
+		f.ReceiveHeartbeat(at, "a", "a1", 7, "b")
 	}
 	return f
 }
 
-// suspect delivers opinions of peers that suspect the leader of a term.
+// suspect delivers reports of peers that suspect the leader of a term.
 func suspect(f *Follower, now time.Duration, term uint64, peers ...string) {
 	for _, peer := range peers {
-		f.ReceiveOpinion(now, peer, Opinion{Term: term, Suspected: true})
+		f.ReceiveSuspicionReport(now, peer, SuspicionReport{Term: term, Suspected: true})
 	}
 }
 
 // Heartbeats of another term, incarnation or controller are ignored.
-func TestLateHeartbeats(t *testing.T) {
+func TestOutdatedHeartbeatsAreIgnored(t *testing.T) {
 	f := newFollower("b")
 	now := lastHeartbeat + 2*time.Second
-	f.Heartbeat(now, "a", "a1", 6, "c")
-	f.Heartbeat(now, "a", "a0", 7, "c")
-	f.Heartbeat(now, "c", "a1", 7, "c")
+	f.ReceiveHeartbeat(now, "a", "a1", 6, "c")
+	f.ReceiveHeartbeat(now, "a", "a0", 7, "c")
+	f.ReceiveHeartbeat(now, "c", "a1", 7, "c")
 	if f.Silence(now) != 2*time.Second || f.Standby() != "b" {
 		t.Errorf("silence %v, standby %q, want 2s and b", f.Silence(now), f.Standby())
 	}
 }
 
-// A leader is replaced early only if a quorum of all controllers suspects it. Expired opinions and
+// A leader is replaced early only if a quorum of all controllers suspects it. Expired reports and
 // those about another term are ignored.
 func TestAdviceNeedsQuorum(t *testing.T) {
 	now := lastHeartbeat + 2*time.Second
-	trusts := func(f *Follower, peer string) { f.ReceiveOpinion(now, peer, Opinion{Term: 7}) }
+	doesNotSuspect := func(f *Follower, peer string) { f.ReceiveSuspicionReport(now, peer, SuspicionReport{Term: 7}) }
 	for _, c := range []struct {
-		name     string
-		opinions func(*Follower)
-		want     Advice
+		name    string
+		reports func(*Follower)
+		want    Advice
 	}{
-		{"no opinions", func(*Follower) {}, Prepare},
-		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); trusts(f, "d") }, Prepare},
+		{"no reports", func(*Follower) {}, Prepare},
+		{"one of two peers suspects", func(f *Follower) { suspect(f, now, 7, "c"); doesNotSuspect(f, "d") }, Prepare},
 		{"two peers suspect", func(f *Follower) { suspect(f, now, 7, "c", "d") }, Replace},
-		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); trusts(f, "e") }, Replace},
-		{"the opinions have expired", func(f *Follower) { suspect(f, now-opinionLifetime-1, 7, "c", "d") }, Prepare},
-		{"the opinions are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
-		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.Disconnected(now, "c") }, Prepare},
+		{"two peers suspect, one does not", func(f *Follower) { suspect(f, now, 7, "c", "d"); doesNotSuspect(f, "e") }, Replace},
+		{"the reports have expired", func(f *Follower) { suspect(f, now-suspicionReportLifetime-1, 7, "c", "d") }, Prepare},
+		{"the reports are about another term", func(f *Follower) { suspect(f, now, 6, "c", "d") }, Prepare},
+		{"a suspecting peer has disconnected", func(f *Follower) { suspect(f, now, 7, "c", "d"); f.MarkDisconnected(now, "c") }, Prepare},
 		{"the leader suspects itself", func(f *Follower) { suspect(f, now, 7, "a", "c") }, Prepare},
-		{"this process has stalled", func(f *Follower) { f.Resumed(now); suspect(f, now, 7, "c", "d") }, Follow},
+		{"this process has stalled", func(f *Follower) { f.ResetAfterStall(now); suspect(f, now, 7, "c", "d") }, Follow},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFollower("b")
-			c.opinions(f)
+			c.reports(f)
 			if got := f.Advise(now); got != c.want {
 				t.Errorf("advice %v, want %v", got, c.want)
 			}
@@ -86,7 +86,7 @@
 	})
 	t.Run("the claim is not fenced", func(t *testing.T) {
 		f := newFollower("b")
-		f.Observe(lastHeartbeat, Claim{Controller: "a", Incarnation: "a1", Term: 8})
+		f.ObserveClaim(lastHeartbeat, Claim{Controller: "a", Incarnation: "a1", Term: 8})
 		suspect(f, now, 8, "c", "d")
 		if got := f.Advise(now); got != Follow {
 			t.Errorf("advice %v, want %v", got, Follow)
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -43,9 +43,9 @@
 	return &Publisher{facts: map[factKey]wire.Fact{}, changed: map[factKey]bool{}}
 }
 
-// Direct sets the standby, "" for none, and the leader's term. A change of either causes all facts
-// to be sent again.
-func (p *Publisher) Direct(standby string, term uint64) {
+// SetStandby sets the standby, "" for none, and the leader's term. A change of either causes all
+// facts to be sent again.
+func (p *Publisher) SetStandby(standby string, term uint64) {
 	if p.standby == standby && p.term == term {
 		return
 	}
@@ -131,8 +131,8 @@
 	return changes
 }
 
-// Acknowledged processes the standby's acknowledgement. It ignores those of earlier messages.
-func (p *Publisher) Acknowledged(now time.Duration, ack wire.DecisionLogAck) {
+// ReceiveAck processes the standby's acknowledgement. It ignores those of earlier messages.
+func (p *Publisher) ReceiveAck(now time.Duration, ack wire.DecisionLogAck) {
 	if !p.inFlight || ack.Term != p.term || ack.Sequence != p.sequence {
 		return
 	}
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -15,18 +15,18 @@
 	offset                  time.Duration // from the leader's monotonic clock to that of this process
 	facts                   map[factKey]wire.Fact
 
-	dropped int // messages that were refused
+	refusedMessages int // messages that were refused
 }
 
 // NewReplica returns an empty replica.
 func NewReplica() *Replica { return &Replica{facts: map[factKey]wire.Fact{}} }
 
-// Take processes a message of the decision log and returns its acknowledgement; leader is the claim
-// that the records show. It accepts a message that starts the log or follows the last one, and
-// acknowledges a repeated one again. A message of another leader, incarnation or term, and one that
-// is damaged or out of order, is discarded and refused. The publisher of the current log ignores a
-// refusal that concerns another term.
-func (r *Replica) Take(now time.Duration, leader Claim, message *wire.DecisionLog) wire.DecisionLogAck {
+// Receive processes a message of the decision log and returns its acknowledgement; leader is the
+// claim that the records show. It accepts a message that starts the log or follows the last one,
+// and acknowledges a repeated one again. A message of another leader, incarnation or term, and one
+// that is damaged or out of order, is discarded and refused. The publisher of the current log
+// ignores a refusal that concerns another term.
+func (r *Replica) Receive(now time.Duration, leader Claim, message *wire.DecisionLog) wire.DecisionLogAck {
 	ack := wire.DecisionLogAck{Term: message.Term, Sequence: message.Sequence}
 	if message.From != leader.Controller || message.Life != leader.Incarnation || message.Term != leader.Term {
 		return r.refuse(ack)
@@ -63,7 +63,7 @@
 
 // refuse counts a refused message and returns the acknowledgement that requests a resync.
 func (r *Replica) refuse(ack wire.DecisionLogAck) wire.DecisionLogAck {
-	r.dropped++
+	r.refusedMessages++
 	ack.Resync = true
 	return ack
 }
@@ -73,9 +73,9 @@
 	return r.controller == message.From && r.incarnation == message.Life && r.term == message.Term && message.Term > 0
 }
 
-// Of returns the facts of the leader of a term, with their times converted to the monotonic clock
-// of this process; nil if the replica holds those of another term.
-func (r *Replica) Of(term uint64) []wire.Fact {
+// FactsOfTerm returns the facts of the leader of a term, with their times converted to the
+// monotonic clock of this process; nil if the replica holds those of another term.
+func (r *Replica) FactsOfTerm(term uint64) []wire.Fact {
 	if term == 0 || r.term != term {
 		return nil
 	}
@@ -89,11 +89,11 @@
 	return facts
 }
 
-// Sequence returns the term of the log and the number of the last message accepted.
-func (r *Replica) Sequence() (term, sequence uint64) { return r.term, r.sequence }
+// LastAccepted returns the term of the log and the number of the last message accepted.
+func (r *Replica) LastAccepted() (term, sequence uint64) { return r.term, r.sequence }
 
-// Facts returns the number of facts that the replica holds.
-func (r *Replica) Facts() int { return len(r.facts) }
+// FactCount returns the number of facts that the replica holds.
+func (r *Replica) FactCount() int { return len(r.facts) }
 
-// Dropped returns the number of messages that were refused.
-func (r *Replica) Dropped() int { return r.dropped }
+// RefusedMessages returns the number of messages that were refused.
+func (r *Replica) RefusedMessages() int { return r.refusedMessages }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -81,8 +81,8 @@
 // Term returns the revision of the current claim, or of the end of the last one.
 func (l *Leadership) Term() uint64 { return l.term }
 
-// Since returns when the replica last showed a change of the leader.
-func (l *Leadership) Since() Time { return l.leaderChangedAt }
+// LeaderChangedAt returns when the replica last showed a change of the leader.
+func (l *Leadership) LeaderChangedAt() Time { return l.leaderChangedAt }
 
 // HoldsClaim reports whether the replica shows a claim of this process, abandoned or not.
 func (l *Leadership) HoldsClaim() bool {
@@ -174,17 +174,17 @@
 	return delay
 }
 
-// ClaimSent records that a claim is sent now.
-func (l *Leadership) ClaimSent(now Time) {
+// RecordClaimSent records that a claim is sent now.
+func (l *Leadership) RecordClaimSent(now Time) {
 	l.nextClaimAt = now + claimInterval
 	l.claimLeaseID = l.Lease.ID
 }
 
-// ClaimAnswered processes the answer to a claim.
-func (l *Leadership) ClaimAnswered(now Time, outcome kv.Outcome, revision uint64) {
+// RecordClaimAnswer processes the answer to a claim.
+func (l *Leadership) RecordClaimAnswer(now Time, outcome kv.Outcome, revision uint64) {
 	switch outcome {
 	case kv.LeaseExpired:
-		l.Lease.Ended(now)
+		l.Lease.MarkExpired(now)
 	case kv.OK:
 		l.acceptedTerm, l.acceptedAt = revision, now
 	}
@@ -195,18 +195,18 @@
 	return now >= l.nextClaimAt && l.Lease.ID == l.claimLeaseID && l.Lease.Age(now) <= l.Lease.TTL/2
 }
 
-// LeaseHolds reports whether the lease of the claim cannot have expired yet. A leader that the
+// LeaseValid reports whether the lease of the claim cannot have expired yet. A leader that the
 // state service refuses to serve may have lost the leadership without seeing it. A new lease
 // does not extend a claim that was made under an expired one.
-func (l *Leadership) LeaseHolds(now Time) bool {
+func (l *Leadership) LeaseValid(now Time) bool {
 	return l.Lease.Age(now) <= l.Lease.TTL && l.Lease.ID == l.claimLeaseID
 }
 
-// UnseenClaim abandons a claim that was accepted at least unseenClaimTimeout ago and that the
-// replica, which has reached a revision, does not show yet because the watch hangs. It returns
-// the term of the claim and whether there was one. Renewals of the lease would keep such a
-// claim alive and leave the site without a leader that decides.
-func (l *Leadership) UnseenClaim(now Time, revision uint64) (term uint64, unseen bool) {
+// AbandonUnseenClaim abandons a claim that was accepted at least unseenClaimTimeout ago and that
+// the replica, which has reached a revision, does not show yet because the watch hangs. It returns
+// the term of the claim and whether there was one. Renewals of the lease would keep such a claim
+// alive and leave the site without a leader that decides.
+func (l *Leadership) AbandonUnseenClaim(now Time, revision uint64) (term uint64, unseen bool) {
 	if l.acceptedTerm <= revision || now-l.acceptedAt < unseenClaimTimeout || !l.cfg.EarlyFailover {
 		return 0, false
 	}
@@ -215,9 +215,9 @@
 	return term, true
 }
 
-// Replaced records that a claim of this process has been replaced, before the replica shows
+// MarkReplaced records that a claim of this process has been replaced, before the replica shows
 // it.
-func (l *Leadership) Replaced(term uint64) { l.abandonedTerm = term }
+func (l *Leadership) MarkReplaced(term uint64) { l.abandonedTerm = term }
 
 // Resign reports whether to resign now, and if so abandons the claim. An isolated leader that
 // the state service still serves resigns if successor reports that a controller which is not
@@ -242,8 +242,8 @@
 	return true
 }
 
-// ResignRefused reverts a resignation that the state service has certainly not carried out.
-func (l *Leadership) ResignRefused() { l.abandonedTerm = 0 }
+// RevertResignation reverts a resignation that the state service has certainly not carried out.
+func (l *Leadership) RevertResignation() { l.abandonedTerm = 0 }
 
-// Resumed discards the state that a stall of the process has made stale.
-func (l *Leadership) Resumed() { l.isolatedSince = 0 }
+// ResetAfterStall discards the state that a stall of the process has made stale.
+func (l *Leadership) ResetAfterStall() { l.isolatedSince = 0 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -15,7 +15,7 @@
 
 func newLeadership() *Leadership {
 	l := New(Config{Self: self, Incarnation: incarnation, Rank: 1, LeaseTTL: 5 * time.Second, HeartbeatInterval: 3 * time.Second, EarlyFailover: true})
-	l.Lease.Renew(0).Answered(0, kv.OK, 7, time.Second)
+	l.Lease.StartRenewal(0).Complete(0, kv.OK, 7, time.Second)
 	return l
 }
 
@@ -27,7 +27,7 @@
 func never() bool  { return false }
 
 // Each change of the record, in order, has the expected effect on this process.
-func TestChanges(t *testing.T) {
+func TestPutReturnsChange(t *testing.T) {
 	l := newLeadership()
 	for i, step := range []struct {
 		record   *wire.Leader
@@ -107,7 +107,7 @@
 	if !l.Resign(later, true, always) || l.IsLeader() {
 		t.Error("did not resign")
 	}
-	l.ResignRefused()
+	l.RevertResignation()
 	if !l.IsLeader() {
 		t.Error("does not lead although the resignation was refused")
 	}
@@ -117,10 +117,10 @@
 }
 
 // An accepted claim that the replica does not show is abandoned once, after a timeout.
-func TestUnseenClaim(t *testing.T) {
+func TestAbandonUnseenClaim(t *testing.T) {
 	l := newLeadership()
-	l.ClaimSent(0)
-	l.ClaimAnswered(time.Second, kv.OK, 9)
+	l.RecordClaimSent(0)
+	l.RecordClaimAnswer(time.Second, kv.OK, 9)
 	for _, c := range []struct {
 		at       Time
 		revision uint64
@@ -131,7 +131,7 @@
 		{time.Second + unseenClaimTimeout, 8, true},
 		{time.Second + 2*unseenClaimTimeout, 8, false}, // abandoned only once
 	} {
-		if _, unseen := l.UnseenClaim(c.at, c.revision); unseen != c.want {
+		if _, unseen := l.AbandonUnseenClaim(c.at, c.revision); unseen != c.want {
 			t.Errorf("at %v, revision %d: unseen %v, want %v", c.at, c.revision, unseen, c.want)
 		}
 	}
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -4,8 +4,8 @@
 
 // Evidence is the evidence for and against taking a shard over from its owner.
 type Evidence struct {
-	// MachinesKnown is the number of machines whose heartbeats the owner has recently received.
-	MachinesKnown int
+	// MachinesReporting is the number of machines whose heartbeats the owner has recently received.
+	MachinesReporting int
 	// MachinesBounced is the number of machines that contacted this controller again after
 	// they had been redirected to the owner, because they can't reach it. A single one among
 	// many may have lost its own connection, which is no evidence against the owner.
@@ -57,9 +57,9 @@
 	maxBouncedRequired = 12
 )
 
-// enoughBounced reports whether so many machines have bounced that the owner must be at fault.
-func (e *Evidence) enoughBounced() bool {
-	needed := max(1, min(e.MachinesKnown, max(minBouncedRequired, min(e.MachinesKnown/bouncedDivisor, maxBouncedRequired))))
+// hasEnoughBounces reports whether so many machines have bounced that the owner must be at fault.
+func (e *Evidence) hasEnoughBounces() bool {
+	needed := max(1, min(e.MachinesReporting, max(minBouncedRequired, min(e.MachinesReporting/bouncedDivisor, maxBouncedRequired))))
 	return e.MachinesBounced >= needed
 }
 
@@ -94,7 +94,7 @@
 		extra = otherZoneExtraWait
 	}
 	switch {
-	case e.enoughBounced() && now-e.BouncingSince > minBouncingTime+extra && waited > unreachableWait:
+	case e.hasEnoughBounces() && now-e.BouncingSince > minBouncingTime+extra && waited > unreachableWait:
 		return Unreachable
 	case e.OwnerSilent && e.MachinesBounced >= 1 && waited > ownerSilentWait+extra:
 		return OwnerSilent
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -20,7 +20,7 @@
 	zones := map[string]int{"a": 0, "b": 1}
 	t := New(Config{Self: self, Incarnation: incarnation, Zone: 0, Members: members, Validity: validity, MaxConditions: 2},
 		ShardIDs([]string{"a", "b"}, members), len(zones), func(zone string) int { return zones[zone] })
-	t.Lease.Renew(0).Answered(0, kv.OK, 7, time.Second)
+	t.Lease.StartRenewal(0).Complete(0, kv.OK, 7, time.Second)
 	return t
 }
 
@@ -30,7 +30,7 @@
 
 // A proof takes effect once the replica has reached its revision, for the term that it covers
 // and until the validity has expired after it was sent.
-func TestProofs(t *testing.T) {
+func TestProofTakesEffectOnceSettled(t *testing.T) {
 	table := newTable()
 	s := table.Shards()[0]
 	if change := table.Put(time.Second, s, claimOf(self, incarnation), 5); change != Claimed {
@@ -44,8 +44,8 @@
 	if again := table.NextProofs(now); again != nil {
 		t.Errorf("proofs are due again immediately: %+v", again)
 	}
-	table.Lease.Renew(now).Answered(now, kv.OK, 7, time.Second)
-	table.Succeeded(proofs[0], 9)
+	table.Lease.StartRenewal(now).Complete(now, kv.OK, 7, time.Second)
+	table.AddProof(proofs[0], 9)
 	table.Settle(now, 8)
 	if table.MayAct(now, s) {
 		t.Error("acts on a proof whose revision the replica has not reached")
@@ -62,13 +62,13 @@
 }
 
 // A proof that was sent before a stall of the process has no effect.
-func TestStallVoidsProofs(t *testing.T) {
+func TestStallInvalidatesProofs(t *testing.T) {
 	table := newTable()
 	s := table.Shards()[0]
 	table.Put(time.Second, s, claimOf(self, incarnation), 5)
 	proofs := table.NextProofs(2 * time.Second)
-	table.Resumed(3 * time.Second)
-	table.Succeeded(proofs[0], 6)
+	table.ResetAfterStall(3 * time.Second)
+	table.AddProof(proofs[0], 6)
 	table.Settle(3*time.Second, 6)
 	if table.MayAct(3*time.Second, s) {
 		t.Error("acts on a proof that was sent before the stall")
@@ -96,7 +96,7 @@
 // Whether this controller may claim a shard, and the reason, depend on its owner, the wait and the
 // evidence.
 func TestMayClaim(t *testing.T) {
-	healthy := Evidence{StoreOK: true, StoreAnswered: true, MachinesKnown: 40}
+	healthy := Evidence{StoreOK: true, StoreAnswered: true, MachinesReporting: 40}
 	with := func(change func(*Evidence)) Evidence {
 		e := healthy
 		change(&e)
@@ -124,7 +124,7 @@
 		{"its owner is silent, in another zone", otherZone, other, ownerSilentWait + 1, with(func(e *Evidence) { e.OwnerSilent, e.MachinesBounced = true, 1 }), NotClaimable},
 		{"an eighth of its machines bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesBounced = 5 }), Unreachable},
 		{"fewer of its machines bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesBounced = 4 }), NotClaimable},
-		{"its only machine bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesKnown, e.MachinesBounced = 1, 1 }), Unreachable},
+		{"its only machine bounced", otherHome, other, unreachableWait + 1, with(func(e *Evidence) { e.MachinesReporting, e.MachinesBounced = 1, 1 }), Unreachable},
 		{"the state service refuses its owner", otherHome, other, 0, with(func(e *Evidence) { e.OwnerRefusedFor = minRefusedTime + 1 }), OwnerRefused},
 		{"the state service refuses its owner and this controller", otherHome, other, 0, with(func(e *Evidence) { e.OwnerRefusedFor, e.StoreOK = minRefusedTime+1, false }), NotClaimable},
 	} {
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// checkCapacity returns quota.ErrBeyondTheSite if the sum of all guarantees exceeds the capacity
+// checkCapacity returns quota.ErrExceedsCapacity if the sum of all guarantees exceeds the capacity
 // of the maximum number of machines. It returns nil if the operators do not limit the number of
 // machines or the leader has not recorded the machine types yet.
 func (s *Site) checkCapacity(accounts map[string]*wire.Account, stored map[string]kv.Event) error {
@@ -79,7 +79,7 @@
 		guaranteed = addResources(guaranteed, accounts[team].Guarantee)
 	}
 	if guaranteed.Cores > capacity.Cores || guaranteed.GPUs > capacity.GPUs {
-		return fmt.Errorf("%w: %v of %v cores, %v of %v GPUs", quota.ErrBeyondTheSite, guaranteed.Cores, capacity.Cores, guaranteed.GPUs, capacity.GPUs)
+		return fmt.Errorf("%w: %v of %v cores, %v of %v GPUs", quota.ErrExceedsCapacity, guaranteed.Cores, capacity.Cores, guaranteed.GPUs, capacity.GPUs)
 	}
 	return nil
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -209,5 +209,5 @@
 
 // Demand returns the amount that is charged for a number of the job's tasks.
 func (j *Job) Demand(tasks int) quota.Amount {
-	return quota.Of(j.Record.Spec.Cores, j.Record.Spec.GPUs).Times(tasks)
+	return quota.NewAmount(j.Record.Spec.Cores, j.Record.Spec.GPUs).Times(tasks)
 }
