--- a/internal/core/ancestor_search.go
+++ b/internal/core/ancestor_search.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// addDependencies adds the jobs that a job depends on to the search. If they are not known, it
-// answers the request and returns false.
+// addDependencies adds the jobs that a job depends on to the search. If not all of them are known,
+// it answers the request with status 503 and returns false.
 func (s *ancestorSearch) addDependencies(n *Node, jobID string, record *wire.Job) bool {
 	ids, complete := n.replica.Dependencies(jobID, record)
 	if !complete {
@@ -45,8 +45,8 @@
 	return true
 }
 
-// visitNext continues the search with the unvisited jobs. It answers the request if an ancestor
-// is cancelled or none is left.
+// visitNext continues the search with the unvisited jobs. It answers the request if an ancestor is
+// cancelled or all have been visited.
 func (s *ancestorSearch) visitNext(n *Node) {
 	for len(s.unvisited) > 0 {
 		id := s.unvisited[len(s.unvisited)-1]
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -10,8 +10,8 @@
 )
 
 // batch is a transaction on several records that is retried until its outcome is certain. No
-// other batch of the same role starts until then, and until the replica has applied it. So a
-// delayed earlier attempt can never take effect on top of a later batch.
+// other batch of the same role starts before the outcome is certain and the replica shows it.
+// So a delayed attempt can never take effect after a later batch.
 type batch struct {
 	role            string // role of the controller that decides the batch, for the log
 	active          bool   // no other batch may start
@@ -19,7 +19,7 @@
 	outcomeUnknown  bool   // an earlier attempt may still be carried out
 	conditions      []kv.Condition
 	writes          []kv.Write
-	linkedWrites    []kv.Write // those of writes that may only be made together with the others
+	linkedWrites    []kv.Write // the part of writes that may only be made together with all the others
 	awaitedRevision uint64     // revision at which the replica shows the outcome; 0: not known yet
 	retryAt         Time       // earliest time of the next attempt or the next batch
 	generation      uint64     // number of the batch; results of earlier ones are ignored
@@ -63,7 +63,7 @@
 		return
 	}
 	b.inFlight = false
-	n.log(LogDebug, "batch committed", "role", b.role, "writes", len(b.writes), "outcome", int(result.Outcome))
+	n.log(LogDebug, "batch attempt ended", "role", b.role, "writes", len(b.writes), "outcome", int(result.Outcome))
 	switch result.Outcome {
 	case kv.OK:
 		b.awaitedRevision = max(result.Revision, 1)
@@ -104,8 +104,8 @@
 	}
 }
 
-// ready reports whether a new batch may be started. If the active one has to be retried, it
-// sends that one.
+// ready reports whether a new batch may be started. If a retry of the active batch is due, it
+// sends the active batch again.
 func (b *batch) ready(n *Node) bool {
 	if !b.active {
 		return n.now >= b.retryAt && n.availableWrites() >= 1
@@ -146,7 +146,7 @@
 }
 
 // changes reports whether the active batch changes a job's record. A decision that another role
-// of this controller bases on the current copy of the record would conflict with it.
+// of this controller bases on the current copy of the record would conflict with the batch.
 func (b *batch) changes(job *job) bool {
 	if !b.active {
 		return false
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -46,7 +46,7 @@
 
 	cloudUnreachableSince Time   // when the cloud stopped answering; 0 while it answers
 	resumedAt             Time   // when the process last detected that it had been stalled; 0 if never
-	examinedMachines      uint64 // machines examined since the start
+	examinedMachines      uint64 // see ExaminedMachines
 }
 
 // New returns the state machine of a controller that has just started.
@@ -126,7 +126,8 @@
 	return n.effects
 }
 
-// runTimers runs all periodic and delayed work that is due. It is cheap when none is.
+// runTimers runs all periodic and delayed work that is due. It is cheap when nothing is due. Until
+// the first listing of the records has been applied, it only renews leases.
 func (n *Node) runTimers() {
 	n.renewLeases()
 	if !n.replica.Loaded() {
@@ -158,8 +159,8 @@
 	n.emit(Log{Level: level, Text: text, Args: args})
 }
 
-// ExaminedMachines returns the number of machines examined since the start. Tests use it to measure
-// how the cost grows with the number of machines.
+// ExaminedMachines returns how many machines the loops over machines have visited since the start,
+// with repeated visits. Tests use it to measure how the cost grows with the number of machines.
 func (n *Node) ExaminedMachines() uint64 { return n.examinedMachines }
 
 // Ready reports whether the controller accepts user requests. It stays true during an outage
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -6,13 +6,14 @@
 	"micaport/internal/wire"
 )
 
-// readyPassDelay is the time from the completion of a job's last dependency to the scheduling
-// pass that it triggers. It lets the pass cover other events that arrive together with it.
+// readyPassDelay is the maximum time from the completion of a job's last dependency to the next
+// scheduling pass. Because of the delay, the pass also covers other events that arrive shortly
+// after the completion.
 const readyPassDelay = 20 * time.Millisecond
 
-// recordCancellations marks the records of jobs as cancelled that a cancelled ancestor cancels,
-// as far as the transaction has writes left. Answers to users don't depend on these records,
-// but they allow controllers to remove the jobs from memory.
+// recordCancellations marks the records of jobs with a cancelled ancestor as cancelled, until the
+// transaction is full. Answers to users don't depend on this change of the records, but after it
+// controllers need less memory for the jobs.
 func (n *Node) recordCancellations(writer *writer) {
 	for n.replica.UnrecordedCancellations() > 0 {
 		job := n.jobs[n.replica.FirstUnrecorded().Index]
@@ -28,7 +29,8 @@
 			return
 		}
 		record.State = wire.JobCancelled
-		n.replica.RequeueFirstUnrecorded() // it is checked again until the replica shows the change
+		n.replica.RequeueFirstUnrecorded() // the job is checked again until the replica shows the change
+		// The loop must end although the jobs stay in the queue.
 		if len(writer.changedJobs) >= n.replica.UnrecordedCancellations() {
 			return
 		}
--- a/internal/core/dependency_check.go
+++ b/internal/core/dependency_check.go
@@ -10,10 +10,10 @@
 // dependencyCheck collects the states of a submission's dependencies, to find out whether each
 // was ever accepted and whether it is done or cancelled.
 type dependencyCheck struct {
-	jobIDs       []string // as submitted
-	readsPending int      // reads in flight
-	// readStates holds, by job ID, the dependencies that the replica did not show and that are
-	// therefore read from the state service.
+	jobIDs        []string // as submitted
+	readsInFlight int
+	// readStates holds the states, by job ID, of the dependencies that the replica did not show
+	// and that are therefore read from the state service.
 	readStates  map[string]dependencyState
 	writtenKeys map[int]bool // numbers of the dependency list's keys that have been written
 }
@@ -47,7 +47,7 @@
 		}
 		n.readDependency(request, id)
 	}
-	return request.dependencies.readsPending == 0
+	return request.dependencies.readsInFlight == 0
 }
 
 // dependencyRead handles the result of reading a dependency's record.
@@ -58,14 +58,14 @@
 
 // readDependency reads a dependency's record from the state service.
 func (n *Node) readDependency(request *pendingRequest, jobID string) {
-	request.dependencies.readsPending++
+	request.dependencies.readsInFlight++
 	request.dependencies.readStates[jobID] = dependencyState{state: wire.JobLive}
 	n.fetchJob(jobID, dependencyRead{request, jobID})
 }
 
 func (r dependencyRead) jobRead(n *Node, read JobRead) {
 	check := r.request.dependencies
-	check.readsPending--
+	check.readsInFlight--
 	switch read.Outcome {
 	case kv.OK:
 		check.readStates[r.jobID] = dependencyState{read.Job.State, isDaemon(read.Job)}
@@ -78,7 +78,7 @@
 		}
 		return
 	}
-	if n.userRequests.isOpen(r.request) && check.readsPending == 0 {
+	if n.userRequests.isOpen(r.request) && check.readsInFlight == 0 {
 		n.createJob(r.request)
 	}
 }
@@ -105,7 +105,8 @@
 		case dependency.daemon && dependency.state == wire.JobLive:
 			return false, fmt.Errorf("waits on %s, which is a service", id)
 		case dependency.state != wire.JobDone:
-			// Cancelled ones are kept too: a retry of the submission checks the list again.
+			// A cancelled dependency stays in the list too: createJob may be called again
+			// for this request and then checks the list again.
 			cancelled = cancelled || dependency.state == wire.JobCancelled
 			rest = append(rest, id)
 		}
--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -9,14 +9,14 @@
 // dependencyListWrite handles the result of writing keys of a dependency list.
 type dependencyListWrite struct {
 	request *pendingRequest
-	numbers []int // of the keys that are written
+	numbers []int // numbers of the keys that are written
 }
 
 // writeDependencyList stores the dependencies of a submission, which do not fit the job's
-// record, in separate keys before the record is written. It writes those keys that the state
-// service lacks, as many as fit one transaction. Once all are written, it replaces the
-// dependencies in the record by a reference to the list and returns true. Until then it
-// returns false, and createJob is called again after each write.
+// record, in separate keys before the record is written. It writes as many of the missing keys
+// as fit one transaction and returns false; createJob is called again after each transaction.
+// Once no key is missing, it replaces the dependencies in the record by a reference to the
+// list and returns true.
 func (n *Node) writeDependencyList(request *pendingRequest, record *wire.Job) bool {
 	check := request.dependencies
 	list := replica.DependencyListName(check.jobIDs)
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -10,7 +10,7 @@
 
 // Request classes, highest priority first.
 const (
-	ClassLease      RequestClass = iota // lease renewals and claims
+	ClassLease      RequestClass = iota // lease renewals, and claims and their proofs
 	ClassUser                           // submissions, cancellations and status queries
 	ClassBackground                     // everything else
 )
@@ -61,7 +61,7 @@
 		LeaseID uint64
 		TTL     Time
 	}
-	// CallCloud is a call to the cloud's API. Exactly one of ListTypes, ListMachines, Provision
+	// CallCloud calls the cloud's API; CloudAnswered is the result. Exactly one of ListTypes, ListMachines, Provision
 	// and Deprovision is set.
 	CallCloud struct {
 		ID           uint64
@@ -70,9 +70,9 @@
 		Provision    *wire.ProvisionRequest
 		Deprovision  []string
 		ValidFor     Time // how long a provisioning or deprovisioning call may be delayed before it is sent
-		// Term, if not 0, is the leadership term in which the call was decided. The call may
-		// be sent until the time that the last AllowCloudCalls of this term gives, even if it
-		// is queued.
+		// Term, if not 0, is the leadership term in which the call was decided. The call is
+		// then sent only if the last AllowCloudCalls has the same term and its time has not
+		// passed, and ValidFor does not apply.
 		Term uint64
 	}
 	// AllowCloudCalls permits provisioning and deprovisioning calls of one term only, until a
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -1,7 +1,8 @@
 package core
 
-// formatWriteDelay is the time before a controller writes its record of the format that it
-// reads in a transaction of its own. A shard claim sent before then includes the record.
+// formatWriteDelay is how long a controller waits after its start, and after each attempt, before
+// it writes the record of its format in a separate transaction. Shard claims include the record
+// too; if one has succeeded before, the separate transaction is unnecessary.
 const formatWriteDelay = 2 * second
 
 // writeSupportedFormat writes the record of the newest format that this controller reads,
@@ -13,8 +14,8 @@
 	if n.now < n.nextFormatWriteAt || !n.storeOK {
 		return
 	}
-	if w := n.replica.SupportedFormatWrites(); w != nil {
+	if writes := n.replica.SupportedFormatWrites(); writes != nil {
 		n.nextFormatWriteAt = n.now + formatWriteDelay
-		n.transact(ClassUser, nil, w, ignoreResult{})
+		n.transact(ClassUser, nil, writes, ignoreResult{})
 	}
 }
--- a/internal/core/inputs.go
+++ b/internal/core/inputs.go
@@ -66,7 +66,7 @@
 		Outcome  kv.Outcome
 		Revision uint64
 		Failed   []string // after kv.Conflict: the keys whose conditions did not hold
-		Limited  bool     // the service refused writes because of its rate limit
+		Limited  bool     // at least one attempt was refused because of the service's rate limit
 	}
 	// CommandsAnswered is the result of a SendCommands: kv.OK when the worker has executed
 	// the commands, kv.Conflict when it has rejected them for good, because it has another
@@ -88,8 +88,8 @@
 		Outcome kv.Outcome
 		LeaseID uint64
 	}
-	// RecordsChanged carries events of the watch, in order, up to Revision. With Reset they
-	// are a full listing: records that are not in it do not exist.
+	// RecordsChanged carries events of the watch, in order, up to Revision. If Reset is set,
+	// the events are a full listing: records that are not in it do not exist.
 	RecordsChanged struct {
 		Reset    bool
 		Revision uint64
@@ -101,7 +101,7 @@
 		Outcome      kv.Outcome
 		MachineTypes []wire.MachineType
 		Machines     []wire.CloudMachine
-		Names        []string
+		Names        []string // of the provisioned machines
 	}
 	// GossipReceived is a gossip message from a peer.
 	GossipReceived struct{ Message *wire.Gossip }
--- a/internal/core/job_queries.go
+++ b/internal/core/job_queries.go
@@ -59,7 +59,7 @@
 // jobCancellation handles the result of writing a cancelled job's record.
 type jobCancellation struct {
 	request *pendingRequest
-	done    int // tasks of the job that are done
+	done    int // number of the job's tasks that are done
 }
 
 // cancelJob marks a job's record as cancelled. After this transaction no shard owner can place
@@ -68,7 +68,8 @@
 	record := replica.CloneRecord(read.Job)
 	record.State = wire.JobCancelled
 	replica.CompactRecord(record)
-	// The contents of the overflow keys have not been read, so they are left unchanged.
+	// All tasks that were read are in the job's own key, which has the number 1. The overflow
+	// keys were not read and stay unchanged.
 	for i := range record.ActiveTasks {
 		record.ActiveTasks[i].StoredIn = 1
 	}
--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -16,7 +16,7 @@
 	return newTestNodeWith(func(*Config) {}, members...)
 }
 
-// newTestNodeWith returns such a controller with a changed configuration.
+// newTestNodeWith is like newTestNode, with a changed configuration.
 func newTestNodeWith(change func(*Config), members ...ownership.Member) *Node {
 	if members == nil {
 		members = []ownership.Member{{Name: "n0", Zone: "a"}}
@@ -31,12 +31,12 @@
 	return n
 }
 
-// applyJobRecord applies the record of a job to a controller's replica. If mod is not nil, it
-// changes the job's specification first.
-func applyJobRecord(n *Node, revision int, id string, state wire.JobState, mod func(*wire.JobSpec), dependencies ...string) {
+// applyJobRecord applies the record of a job to a controller's replica. If
+// changeSpec is not nil, it changes the job's specification first.
+func applyJobRecord(n *Node, revision int, id string, state wire.JobState, changeSpec func(*wire.JobSpec), dependencies ...string) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: dependencies}
-	if mod != nil {
-		mod(spec)
+	if changeSpec != nil {
+		changeSpec(spec)
 	}
 	record := &wire.Job{Spec: spec, TaskCount: 1, State: state, AcceptedAtMS: 1_000_000, NextAttempt: 1}
 	if state != wire.JobLive {
--- a/internal/core/overflow.go
+++ b/internal/core/overflow.go
@@ -3,7 +3,8 @@
 import "micaport/internal/replica"
 
 // shrinkRecords rewrites records of the earlier version that exceed the announced lower limits,
-// before these take effect and such records can't be written any more.
+// which moves active tasks to overflow keys. Once the lower limits have taken effect, such large
+// records can't be written any more.
 func (n *Node) shrinkRecords(writer *writer) {
 	if !n.replica.WritesDependencies() || n.leader.recordsWithinLimits {
 		return
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -41,7 +41,7 @@
 			if len(c.Writes) > n.cfg.MaxTransactionOps {
 				t.Fatalf("%d writes in a transaction, at most %d are allowed", len(c.Writes), n.cfg.MaxTransactionOps)
 			}
-			ch := RecordsChanged{}
+			changes := RecordsChanged{}
 			d.revision++
 			for _, w := range c.Writes {
 				if size, err := wire.JSONSize(w.Value); err != nil || size > n.cfg.MaxValueBytes {
@@ -53,11 +53,11 @@
 				if !slices.ContainsFunc(c.Conditions, func(c kv.Condition) bool { return c.Key == wire.JobKey("wk-000001") }) {
 					t.Fatalf("%s is written under the conditions %+v, want one on the job's record", w.Key, c.Conditions)
 				}
-				ch.Events = append(ch.Events, kv.Event{Key: w.Key, Revision: d.revision, Value: w.Value})
+				changes.Events = append(changes.Events, kv.Event{Key: w.Key, Revision: d.revision, Value: w.Value})
 			}
-			ch.Revision = d.revision
+			changes.Revision = d.revision
 			n.Step(d.now, Committed{ID: c.ID, Outcome: kv.OK, Revision: d.revision})
-			n.Step(d.now, ch)
+			n.Step(d.now, changes)
 		}
 	}
 	if namedKeys < 5 || len(n.jobs[0].Record.ActiveTasks) != 400 {
@@ -65,9 +65,9 @@
 	}
 }
 
-// A cancellation reads and writes only the job's record. The tasks in its overflow keys must
-// stay there, and the record must keep the specification, which determines what they are
-// charged.
+// A cancellation reads and writes only the job's record. The tasks in its overflow keys must stay
+// there, and the specification must stay in the record, as it determines the charges of these
+// tasks.
 func TestCancellationKeepsOverflowKeys(t *testing.T) {
 	n := newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 })
 	for _, ownTasks := range []int{0, 2} {
--- a/internal/core/record_size_test.go
+++ b/internal/core/record_size_test.go
@@ -19,8 +19,8 @@
 }
 
 // Finished jobs stay in the replica forever, as a user may query their status at any time. A
-// hundred thousand of them must leave most of the 125 MB of a controller free, which fails if
-// each keeps its whole record.
+// hundred thousand of them must leave most of the 125 MB of a controller free. They would not if
+// each had its whole record in memory.
 func TestFinishedJobsTakeLittleMemory(t *testing.T) {
 	const (
 		jobs           = 100_000
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -22,7 +22,7 @@
 	n.leader.passNeeded = true
 	n.ownership.Settle(n.now, n.replica.Revision())
 	n.settleProofs()
-	n.replies.nextCheckAt = 0
+	n.replies.nextCheckAt = 0 // check the delayed replies at once
 	n.batch.settle(n)
 	n.leader.batch.settle(n)
 }
@@ -50,7 +50,7 @@
 // only the last event of each job's record is applied, because the overflow keys already have
 // their final contents.
 func (n *Node) applyEvents(events []kv.Event) {
-	var last map[string]int
+	var lastEvent map[string]int // index of the last event of each key, if an overflow key changes
 	for i, e := range events {
 		if list, ok := e.Value.(*wire.DependencyList); ok {
 			n.replica.PutDependencyList(e.Key, list) // in a full listing the lists follow the record
@@ -60,22 +60,22 @@
 		}
 		overflow, _ := e.Value.(*wire.Overflow)
 		n.replica.PutOverflow(e.Key, overflow)
-		if last == nil {
-			last = map[string]int{}
+		if lastEvent == nil {
+			lastEvent = map[string]int{}
 			for k, e := range events {
-				last[e.Key] = k
+				lastEvent[e.Key] = k
 			}
 		}
-		last[e.Key] = i
+		lastEvent[e.Key] = i
 	}
 	for i, e := range events {
-		if last == nil || last[e.Key] == i || !strings.HasPrefix(e.Key, wire.JobPrefix) {
+		if lastEvent == nil || lastEvent[e.Key] == i || !strings.HasPrefix(e.Key, wire.JobPrefix) {
 			n.applyEvent(e)
 		}
 	}
 }
 
-// applyEvent applies one event.
+// applyEvent applies the change of one record to the part of the state that the record belongs to.
 func (n *Node) applyEvent(e kv.Event) {
 	switch v := e.Value.(type) {
 	case *wire.SupportedFormat:
@@ -95,7 +95,7 @@
 	case *wire.Gang:
 		n.gangs.Put(n.now, e.Key, v, e.Revision)
 	case *wire.Gossip:
-		if n.replica.Loaded() { // messages in the first listing may be old
+		if n.replica.Loaded() { // a message in the first listing may be old, but would count as received now
 			n.readMailbox(v)
 		}
 	case *wire.ImageCache:
@@ -125,11 +125,11 @@
 
 // putMachineTypes applies the stored machine types, unless the machine types on offer are
 // already known.
-func (n *Node) putMachineTypes(types *wire.MachineTypeCache, rev uint64) {
-	if rev < n.typesRevision {
+func (n *Node) putMachineTypes(types *wire.MachineTypeCache, revision uint64) {
+	if revision < n.typesRevision {
 		return
 	}
-	n.typesRevision = rev
+	n.typesRevision = revision
 	if n.offeredTypes == nil {
 		n.setMachineTypes(types.Types)
 	}
--- a/internal/core/replica_observer.go
+++ b/internal/core/replica_observer.go
@@ -27,8 +27,8 @@
 	o.node.jobs = append(o.node.jobs, &job{Job: added, gangZone: -1})
 }
 
-// JobChanging removes the job's tasks from the placement index and counts the change in the
-// statistics.
+// JobChanging removes the job's tasks from the placement index, counts the change in the statistics
+// and discards the cached pending tasks.
 func (o *replicaObserver) JobChanging(changing *replica.Job, next *wire.Job) {
 	n, job := o.node, o.node.jobs[changing.Index]
 	n.countJobChange(job, next)
@@ -47,7 +47,7 @@
 	n.indexPlacements(job)
 }
 
-// JobReady makes the leader's next scheduling pass due after at most readyPassDelay.
+// JobReady schedules the leader's next pass for at most readyPassDelay from now.
 func (o *replicaObserver) JobReady(*replica.Job) {
 	leader := &o.node.leader
 	leader.passNeeded = true
@@ -59,7 +59,7 @@
 	o.node.countArrival(o.node.jobs[arrived.Index])
 }
 
-// PriorityRaised has the usage of the job's machines recalculated.
+// PriorityRaised invalidates the cached resource use of the machines that the job's tasks are on.
 func (o *replicaObserver) PriorityRaised(raised *replica.Job) {
 	o.node.invalidateUsage(o.node.jobs[raised.Index])
 }
--- a/internal/core/request_forwarding.go
+++ b/internal/core/request_forwarding.go
@@ -7,9 +7,9 @@
 // peerAliveTime is how long after its last message a peer counts as reachable.
 const peerAliveTime = 3 * second
 
-// forwardToPeer forwards a request to a peer that the state service serves, if it does not
-// serve this controller. It reports whether the request has been forwarded or answered. A
-// request is forwarded at most once.
+// forwardToPeer forwards a request, at most once, to a peer that the state service serves, if
+// the state service does not serve this controller. If peers may misinterpret the request, it
+// answers with status 503 instead. It reports whether it has forwarded or answered the request.
 func (n *Node) forwardToPeer(request *pendingRequest) bool {
 	if n.storeOK || request.Forwarded || request.forwardedToPeer {
 		return false
@@ -46,7 +46,7 @@
 	return !n.jobRecordFits(n.newJobRecord(spec))
 }
 
-// receiveForwardAnswer passes a peer's answer on to the user.
+// receiveForwardAnswer sends a peer's answer to the user, or status 503 if the peer did not answer.
 func (n *Node) receiveForwardAnswer(f ForwardAnswered) {
 	request := n.userRequests.requests[f.RequestID]
 	if request == nil {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -3,8 +3,8 @@
 import "micaport/internal/kv"
 
 // continuation handles the result of a request to the state service, the cloud or a worker.
-// Continuations are values of named types rather than closures, so that a dump of Node.pending
-// shows which requests are in flight.
+// Continuations are values of named types rather than closures, so that a dump of
+// Node.continuations shows which requests are in flight.
 type continuation interface {
 	resume(n *Node, result Result)
 }
@@ -37,25 +37,26 @@
 
 // transaction is the continuation of a Commit.
 type transaction struct {
-	conditions, writes int // their numbers
-	next               commitHandler
+	conditionCount, writeCount int
+	next                       commitHandler
 }
 
 func (t transaction) resume(n *Node, result Result) {
 	committed := result.(Committed)
 	n.recordStoreOutcome(committed.Outcome)
-	if committed.Limited && t.writes > 0 {
+	if committed.Limited && t.writeCount > 0 {
 		n.budget.recordRefusal(n.now)
 	}
 	if committed.Outcome == kv.TooLarge {
-		n.log(LogError, "transaction exceeds the limits of the state service", "writes", t.writes, "conditions", t.conditions)
+		n.log(LogError, "transaction exceeds the limits of the state service", "writes", t.writeCount, "conditions", t.conditionCount)
 	}
 	t.next.committed(n, committed)
 }
 
-// transact sends a transaction that writes only if all conditions hold.
+// transact sends a transaction that writes only if all conditions hold. The writes of background
+// transactions are subtracted from the write budget.
 func (n *Node) transact(class RequestClass, conditions []kv.Condition, writes []kv.Write, next commitHandler) {
-	id := n.continueWith(transaction{conditions: len(conditions), writes: len(writes), next: next})
+	id := n.continueWith(transaction{conditionCount: len(conditions), writeCount: len(writes), next: next})
 	if class == ClassBackground {
 		n.budget.available -= float64(len(writes))
 	}
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -43,7 +43,7 @@
 type revisionQuery struct{ requests []*pendingRequest }
 
 // statusInterval returns the minimum time between two revision queries. Status queries share
-// them because reading each job's record would take more CPU time than a controller has, once
+// revision queries because reading each job's record would take more CPU time than a controller has, once
 // there are hundreds of users.
 func (n *Node) statusInterval() Time {
 	interval := minStatusInterval
@@ -71,7 +71,8 @@
 	status.waiting = nil
 	status.querying = true
 	status.nextQueryAt = n.now + n.statusInterval()
-	// Both results of the condition carry the revision, so any condition will do.
+	// The service returns its revision whether the condition holds or not, so any condition
+	// will do.
 	n.transact(ClassUser, []kv.Condition{n.leaderCondition()}, nil, query)
 }
 
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -11,7 +11,7 @@
 )
 
 // createJob checks that a submitted job can ever run, and writes its record. It is called again
-// whenever the state service has completed a step that it needs first: reading the records of
+// whenever the state service has completed a step that createJob needs first: reading the records of
 // the job's dependencies, or writing a dependency list that does not fit the job's record.
 func (n *Node) createJob(request *pendingRequest) {
 	spec := request.spec
@@ -54,8 +54,8 @@
 	n.transact(ClassUser, []kv.Condition{{Key: key, Revision: 0}}, []kv.Write{{Key: key, Value: record}}, jobSubmission{request, status})
 }
 
-// rejectSubmission rejects a submission for good, unless the job turns out to exist: the
-// answer is then the job's status.
+// rejectSubmission rejects a submission that can never be accepted. It reads the job's record
+// first: if the job exists, the answer is the job's status instead.
 func (n *Node) rejectSubmission(request *pendingRequest, err error) {
 	request.rejection = err
 	n.readJob(request)
@@ -98,6 +98,7 @@
 	if n.jobRecordFits(record) {
 		return true
 	}
+	// withReference is at least as large as the record with the actual reference will be.
 	spec := *record.Spec
 	spec.Dependencies = nil
 	withReference := *record
@@ -115,11 +116,11 @@
 	return n.writeDependencyList(request, record)
 }
 
-// jobRecordFits reports whether a record fits a value together with a few lists of active
-// tasks.
+// jobRecordFits reports whether a new job's record fits a value, with space for a few runs of active
+// tasks and ranges of done tasks.
 func (s *site) jobRecordFits(record *wire.Job) bool {
-	const taskLists = 2
-	return replica.BaseBytes(record)+taskLists*(s.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
+	const reservedRuns = 2
+	return replica.BaseBytes(record)+reservedRuns*(s.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
 }
 
 // Reasons why a job can never run.
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -78,7 +78,7 @@
 	switch {
 	case known && job.State() != wire.JobLive:
 		n.answer(request, http.StatusOK, n.statusOf(request, job.Record))
-	case n.forwardToPeer(request):
+	case n.forwardToPeer(request): // it has forwarded or answered the request
 	case request.Kind == wire.RequestSubmit && request.rejection == nil && !known:
 		n.createJob(request)
 	case request.Kind == wire.RequestStatus && n.replica.Loaded():
@@ -134,8 +134,8 @@
 // statusOf returns the body of an answer with the status of a request's job, given the job's
 // record.
 func (n *Node) statusOf(request *pendingRequest, record *wire.Job) any {
-	// The replica may show that an ancestor of the job has been cancelled. That cancels the
-	// job for good, even if it is not in the job's own record yet.
+	// The replica may show that an ancestor of the job has been cancelled. The job is then
+	// cancelled for good, even if its own record is still live.
 	job := n.findJob(request.JobID)
 	if record.State == wire.JobLive && job != nil && job.Record != nil && job.State() == wire.JobCancelled {
 		return wire.JobStatus{JobID: request.JobID, Status: wire.StatusCancelled}
@@ -166,8 +166,9 @@
 	n.answer(request, http.StatusServiceUnavailable, wire.Error{Error: reason})
 }
 
-// mayRetry reports whether a request may be sent to the state service again after a call that
-// failed with the given outcome. If not, the request has been answered or forwarded.
+// mayRetry reports whether a call to the state service that failed with the given outcome may be
+// repeated for a request. If not, it answers the request or forwards it to a peer, unless the
+// request has already been answered.
 func (n *Node) mayRetry(request *pendingRequest, outcome kv.Outcome) bool {
 	switch {
 	case !n.userRequests.isOpen(request):
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -6,11 +6,11 @@
 // only few writes per second for all controllers together. A tenth is reserved for claims,
 // submissions and cancellations, which can't wait. The rest is shared in proportion to demand:
 // each controller reports the number of records it has to write and uses the resulting share.
-// This lets decisions be written immediately, before others change the records that the
-// decisions are based on.
+// A controller with much to write can then write its decisions immediately, before others change
+// the records that the decisions are based on.
 type writeBudget struct {
 	available        float64 // writes that may be sent now
-	availableAt      Time    // when available was last updated
+	refilledAt       Time    // when available was last updated
 	rate             float64 // this controller's share of the writes, per second
 	nextRateUpdateAt Time    // when the rate is recalculated next
 	backlogSeconds   float64 // time to write the pending records of all controllers
@@ -49,25 +49,27 @@
 	idleBackgroundShare = 0.95
 	userWriteWeight     = 1.25
 
-	// Scarcity is 1 if the pending records take fullScarcitySeconds to write. By utilization, it
-	// rises by scarcityByUtilization per unit above freeUtilization; see scarcity.
-	fullScarcitySeconds   = 2
-	freeUtilization       = 0.25
-	scarcityByUtilization = 3
+	// Scarcity is the greater of two values: one that reaches 1 if the pending records take
+	// fullScarcitySeconds to write, and one that is 0 up to freeUtilization and increases above
+	// it by scarcityPerUtilization times the utilization.
+	fullScarcitySeconds    = 2
+	freeUtilization        = 0.25
+	scarcityPerUtilization = 3
 
 	// measureSeconds is how long writes are counted before the averages are updated.
 	// averageSeconds is the time constant of the averages.
 	measureSeconds = 2
 	averageSeconds = 8
 
-	// resultsPerRecord is how many non-urgent task results count as one record to be
-	// written, because they are written together with others.
-	resultsPerRecord = 4
+	// outcomesPerRecord is how many task outcomes count as one record to be written, in
+	// addition to the records of urgent outcomes, because outcomes that are not urgent are
+	// written together with others.
+	outcomesPerRecord = 4
 )
 
 // recordRefusal applies the announced lower rate for a while after the service has refused
-// writes because of its rate limit, as the lower rate may already be in effect. Each further
-// refusal doubles the duration.
+// writes because of its rate limit, as the lower rate may already be in effect. Refusals
+// during this time have no effect; each later one doubles the duration.
 func (b *writeBudget) recordRefusal(now Time) {
 	if now < b.reducedUntil {
 		return
@@ -95,8 +97,8 @@
 func (b *writeBudget) refill(now Time, serviceRate float64, cfg *Config) {
 	// All controllers together may accumulate writeBurstSeconds of the service's rate.
 	maximum := max(float64(cfg.MaxBatchWrites), writeBurstSeconds*serviceRate/float64(len(cfg.Members))) + 1
-	b.available = min(b.available+b.rate*(now-b.availableAt).Seconds(), maximum)
-	b.availableAt = now
+	b.available = min(b.available+b.rate*(now-b.refilledAt).Seconds(), maximum)
+	b.refilledAt = now
 }
 
 // updateRate calculates this controller's share of the writes from the demand of this controller
@@ -116,7 +118,7 @@
 		return 0
 	}
 	utilization := b.writesPerS / serviceRate
-	return max(0, min(1, max(b.backlogSeconds/fullScarcitySeconds, (utilization-freeUtilization)*scarcityByUtilization)))
+	return max(0, min(1, max(b.backlogSeconds/fullScarcitySeconds, (utilization-freeUtilization)*scarcityPerUtilization)))
 }
 
 // addObservedWrites counts writes of all controllers that the watch has shown, and updates the
@@ -144,7 +146,8 @@
 // countWrites counts writes that the watch has shown.
 func (n *Node) countWrites(writes int) { n.budget.addObservedWrites(n.now, writes) }
 
-// availableWrites returns the number of background writes that may be sent now.
+// availableWrites returns the number of background writes that may be sent now. It first updates
+// this controller's share if that is due, and adds the writes allowed since the last call.
 func (n *Node) availableWrites() int {
 	serviceRate := n.writeRPS()
 	if serviceRate <= 0 {
@@ -198,7 +201,7 @@
 			}
 		}
 	}
-	records := len(pending) + len(n.outcomes)/resultsPerRecord
+	records := len(pending) + len(n.outcomes)/outcomesPerRecord
 	if n.isLeader() {
 		records += n.budget.pendingGrants
 	}
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -17,9 +17,9 @@
 	linkedWrites   []kv.Write        // of other keys, which may only be written together with the rest
 	conditions     []kv.Condition    // in addition to those on the changed records
 	bytes          int               // estimated size of the transaction
-	maxWrites      int               // number of writes that recordToChange may use
-	exitedTasks    map[taskKey]bool  // tasks whose end is in the changed records
-	attemptNumbers map[int]uint64    // of the tasks granted or placed here, by index of their job
+	maxWrites      int               // limit of writes for recordToChange; addWrite has a higher one
+	exitedTasks    map[taskKey]bool  // tasks whose end the changed records show
+	attemptNumbers map[int]uint64    // of the tasks that the transaction starts, by index of their job
 	// writeOverflowFirst allows writing overflow keys in earlier transactions than the
 	// record that names them.
 	writeOverflowFirst bool
@@ -57,9 +57,10 @@
 	return w.records[job.Index]
 }
 
-// attemptNumber returns the number of the attempt to which all tasks of a job belong that this
-// transaction starts. They share one number, as a task starts at most once in a transaction and the
-// next transaction uses the next number. Tasks with the same number are recorded in one run.
+// attemptNumber returns the attempt number of the tasks of a job that this transaction starts. The
+// first call for a job also increments the record's next number. All these tasks can share one
+// number, as a task starts at most once in a transaction and the next transaction uses the next
+// number. Tasks with the same number are recorded in one run.
 func (w *writer) attemptNumber(job *job, record *wire.Job) uint64 {
 	if _, taken := w.attemptNumbers[job.Index]; !taken {
 		w.attemptNumbers[job.Index] = record.NextAttempt
