--- a/internal/server/core_config.go
+++ b/internal/server/core_config.go
@@ -23,7 +23,7 @@
 	// The core batches at most the writes that this controller's share of the write rate
 	// allows in batchSeconds, but always up to minBatchWrites, which every valid
 	// configuration permits. The state service admits a transaction only when its rate limit
-	// allows all writes at once, so a large transaction would wait behind every small one.
+	// allows all writes at once, so a large transaction would be delayed by many small ones.
 	minBatchWrites = 2
 	batchSeconds   = 1.5
 	bytesPerKB     = 1024
--- a/internal/server/effects.go
+++ b/internal/server/effects.go
@@ -52,18 +52,19 @@
 	core.LogError: slog.LevelError,
 }
 
-// forward forwards a user's request to a peer. The answer is posted in a new goroutine: it may
-// be delivered in this goroutine, which would block forever if the queue of inputs were full.
+// forward forwards a user's request to a peer. The answer is posted in a new goroutine: the
+// callback may be called by the goroutine that empties the queue of inputs, which would block
+// forever in post if the queue were full.
 func (c *Controller) forward(request core.Forward) {
-	answered := func(answer wire.UserAnswer) {
+	postAnswer := func(answer wire.UserAnswer) {
 		go c.post(core.ForwardAnswered{RequestID: request.RequestID, Answer: answer})
 	}
 	link := c.links[request.To]
 	if link == nil {
-		answered(wire.UserAnswer{}) // status 0 means no answer
+		postAnswer(wire.UserAnswer{}) // status 0 means no answer
 		return
 	}
-	link.Forward(request.Call, answered)
+	link.Forward(request.Call, postAnswer)
 }
 
 // reply delivers a reply to the request that waits for it. It does not block: the channel has
--- a/internal/server/queues.go
+++ b/internal/server/queues.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// dispatcher returns an api.Dispatch that adds requests to a queue, and refuses them when the
-// queue is full.
+// dispatcher returns an api.Dispatch that adds requests to a queue and waits for their replies. It
+// refuses requests when the queue is full.
 func (c *Controller) dispatcher(queue chan<- pendingRequest) api.Dispatch {
 	return func(newInput func(requestID uint64) core.Input) (core.Reply, bool) {
 		pending := pendingRequest{requestID: c.lastRequestID.Add(1), reply: make(chan core.Reply, 1)}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -33,7 +33,7 @@
 	startedAt time.Time  // origin of the core's clock
 	core      *core.Node // used by run only
 
-	inputs         chan core.Input     // from the state service, the cloud, workers' answers and peers
+	inputs         chan core.Input     // from the state service, the cloud and peers, and workers' answers to commands
 	userRequests   chan pendingRequest // requests of users and operators, including those forwarded by peers
 	workerRequests chan pendingRequest // heartbeats of workers
 	stopped        <-chan struct{}     // closed when the controller stops
--- a/internal/store/admin_client.go
+++ b/internal/store/admin_client.go
@@ -14,7 +14,7 @@
 type AdminClient struct{ client *Client }
 
 // adminRPS limits the background requests and the watches of an AdminClient to a rate that is
-// low beside that of the controllers.
+// low compared with that of the controllers.
 const adminRPS = 4
 
 // NewAdminClient returns a client of the state service at an address (host:port).
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -37,8 +37,8 @@
 	// the responses of watches.
 	maxResponseBytes = 64 << 20
 
-	// minWatchInterval is the least time between two watches. Changes occur in bursts, and
-	// the wait lets one response return several of them.
+	// minWatchInterval is the minimum time between a response to a watch and the next watch.
+	// Changes occur in bursts, and after the interval one response returns several of them.
 	minWatchInterval = 40 * time.Millisecond
 	// The watches of all controllers together are limited to one in watchRequestDivisor of
 	// the requests that the service allows.
@@ -53,9 +53,9 @@
 	watchHTTP     *http.Client
 	background    *rate.Limiter // for requests of core.ClassBackground
 	inFlight      chan struct{} // a slot for each request in progress
-	watchInterval time.Duration // between two watches
+	watchInterval time.Duration // between a response to a watch and the next watch
 	post          func(core.Input)
-	running       sync.WaitGroup // requests
+	running       sync.WaitGroup // goroutines of requests
 }
 
 // New returns a client of the state service at an address (host:port). Its watches and its
@@ -63,8 +63,8 @@
 // allows for all controllers; members is the number of controllers. The results of requests
 // are passed to post.
 func New(address string, members int, rps float64, post func(core.Input)) *Client {
-	// The core limits its own writes. This limit keeps one controller from using up the
-	// requests of all with background requests, which can wait.
+	// The core limits its own writes. This limit, twice an equal share, prevents one controller
+	// from using up the requests of all controllers with background requests, which can wait.
 	backgroundRate := rate.Limit(rps * min(1, 2/float64(members)))
 	watchInterval := time.Duration(float64(watchRequestDivisor*members) / rps * float64(time.Second))
 	return &Client{
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -125,13 +125,13 @@
 func (c *Client) RenewLease(ctx context.Context, request core.RenewLease) {
 	c.running.Go(func() {
 		path, body := fmt.Sprintf("/grants/%d/extend", request.LeaseID), any(nil)
-		created := request.LeaseID == 0
-		if created {
+		create := request.LeaseID == 0
+		if create {
 			path, body = "/grants", map[string]int64{"life_ms": request.TTL.Milliseconds()}
 		}
 		var answer response
 		outcome := c.call(ctx, core.ClassLease, http.MethodPost, path, body, &answer)
-		if outcome == kv.OK && created && answer.Lease == 0 {
+		if outcome == kv.OK && create && answer.Lease == 0 {
 			outcome = kv.Unknown
 		}
 		c.post(core.LeaseAnswered{ID: request.ID, Outcome: outcome, LeaseID: answer.Lease})
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -15,14 +15,14 @@
 	"micaport/internal/wire"
 )
 
-// Waits before a listing or a watch that failed is retried. The jitter keeps the controllers
+// Waits before a listing or a watch that failed is retried. The jitter prevents the controllers
 // from retrying at the same time.
 const (
-	listBackoff       = 200 * time.Millisecond
-	listJitterMS      = 200
-	watchErrorBackoff = 100 * time.Millisecond
-	watchBackoff      = 150 * time.Millisecond
-	watchJitterMS     = 200
+	listBackoff         = 200 * time.Millisecond
+	listJitterMS        = 200
+	watchErrorBackoff   = 100 * time.Millisecond // after an error without a status
+	watchStatusBackoff  = 150 * time.Millisecond // after an unexpected status
+	watchStatusJitterMS = 200
 )
 
 // watchResponse is the response of a watch.
@@ -65,7 +65,7 @@
 		case status == http.StatusGone:
 			listed = false
 		default:
-			sleep(ctx, withJitter(watchBackoff, watchJitterMS))
+			sleep(ctx, withJitter(watchStatusBackoff, watchStatusJitterMS))
 		}
 	}
 }
