--- a/internal/core/ancestor_search.go
+++ b/internal/core/ancestor_search.go
@@ -54,7 +54,7 @@
 		job := n.findJob(id)
 		if job == nil || job.Record == nil || job.State() == wire.JobLive {
 			s.reading = id
-			n.fetchJob(id, s)
+			n.readJobRecord(id, s)
 			return
 		}
 		if job.State() == wire.JobCancelled {
--- a/internal/core/ancestor_search_test.go
+++ b/internal/core/ancestor_search_test.go
@@ -30,7 +30,7 @@
 		{"with a live ancestor", "wk-000006", wire.StatusPending},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			reply, wrote := runRequest(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submission(t, test.id)}, stored)
+			reply, wrote := runRequest(n, UserRequest{RequestID: 5, Kind: wire.RequestSubmit, Body: submissionBody(t, test.id)}, stored)
 			if reply == nil || reply.Status != http.StatusOK || reply.Body.(wire.JobStatus).Status != test.status || len(wrote) > 0 {
 				t.Errorf("answered with %+v, wrote %+v, want %s", reply, wrote, test.status)
 			}
--- a/internal/core/dependency_check.go
+++ b/internal/core/dependency_check.go
@@ -60,7 +60,7 @@
 func (n *Node) readDependency(request *pendingRequest, jobID string) {
 	request.dependencies.readsInFlight++
 	request.dependencies.readStates[jobID] = dependencyState{state: wire.JobLive}
-	n.fetchJob(jobID, dependencyRead{request, jobID})
+	n.readJobRecord(jobID, dependencyRead{request, jobID})
 }
 
 func (r dependencyRead) jobRead(n *Node, read JobRead) {
@@ -78,7 +78,7 @@
 		}
 		return
 	}
-	if n.userRequests.isOpen(r.request) && check.readsInFlight == 0 {
+	if n.userRequests.isUnanswered(r.request) && check.readsInFlight == 0 {
 		n.createJob(r.request)
 	}
 }
--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -46,7 +46,7 @@
 			applyJobRecord(n, 4, "wk-000003", wire.JobCancelled, nil)
 			applyJobRecord(n, 5, "wk-000004", wire.JobLive, nil, "wk-000003")
 			applyJobRecord(n, 6, "wk-000005", wire.JobLive, func(spec *wire.JobSpec) { spec.Shape = wire.ShapeDaemon })
-			reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", test.dependencies...)}, stored)
+			reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submissionBody(t, "wk-000100", test.dependencies...)}, stored)
 			if reply == nil || reply.Status != test.status {
 				t.Fatalf("answered with %+v, want status %d", reply, test.status)
 			}
@@ -69,7 +69,7 @@
 	n := newTestNode(ownership.Member{Name: "n0", Zone: "a"}, ownership.Member{Name: "n1", Zone: "a"})
 	applyJobRecord(n, 2, "wk-000001", wire.JobLive, nil)
 	submit := func(id uint64) UserRequest {
-		return UserRequest{RequestID: id, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", "wk-000001")}
+		return UserRequest{RequestID: id, Kind: wire.RequestSubmit, Body: submissionBody(t, "wk-000100", "wk-000001")}
 	}
 	reply, wrote := runRequest(n, submit(1), nil)
 	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 || n.replica.OverflowKeys() > 0 {
--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -8,8 +8,8 @@
 
 // dependencyListWrite handles the result of writing keys of a dependency list.
 type dependencyListWrite struct {
-	request *pendingRequest
-	numbers []int // numbers of the keys that are written
+	request    *pendingRequest
+	keyNumbers []int // of the keys that are written
 }
 
 // writeDependencyList stores the dependencies of a submission, which do not fit the job's
@@ -47,7 +47,7 @@
 
 func (w dependencyListWrite) committed(n *Node, result Committed) {
 	if result.Outcome == kv.OK {
-		for _, number := range w.numbers {
+		for _, number := range w.keyNumbers {
 			w.request.dependencies.writtenKeys[number] = true
 		}
 	} else if !n.mayRetry(w.request, result.Outcome) {
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -41,7 +41,7 @@
 	const count = 900
 	n := newSmallValueNode()
 	ids := applyLiveJobRecords(n, count)
-	reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}, nil)
+	reply, wrote := runRequest(n, UserRequest{RequestID: 1, Kind: wire.RequestSubmit, Body: submissionBody(t, "wk-000100", ids...)}, nil)
 	if reply == nil || reply.Status != http.StatusCreated {
 		t.Fatalf("answered with %+v, want status %d", reply, http.StatusCreated)
 	}
@@ -86,7 +86,7 @@
 	ids := applyLiveJobRecords(n, 900)
 	submit := func(requestID uint64, allowed int) (reply *Reply, wrote []kv.Write) {
 		t.Helper()
-		inputs := []Input{UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submission(t, "wk-000100", ids...)}}
+		inputs := []Input{UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submissionBody(t, "wk-000100", ids...)}}
 		for len(inputs) > 0 {
 			in := inputs[0]
 			inputs = inputs[1:]
@@ -141,7 +141,7 @@
 	}
 	submit := func(requestID uint64, id string, dependencies []string) UserRequest {
 		t.Helper()
-		return UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submission(t, id, dependencies...)}
+		return UserRequest{RequestID: requestID, Kind: wire.RequestSubmit, Body: submissionBody(t, id, dependencies...)}
 	}
 	announceFormat(5, "n0", wire.Format)
 	announceFormat(6, "n1", wire.FormatDependencies)
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -61,8 +61,8 @@
 		LeaseID uint64
 		TTL     Time
 	}
-	// CallCloud calls the cloud's API; CloudAnswered is the result. Exactly one of ListTypes, ListMachines, Provision
-	// and Deprovision is set.
+	// CallCloud calls the cloud's API; CloudAnswered is the result. Exactly one of ListTypes,
+	// ListMachines, Provision and Deprovision is set.
 	CallCloud struct {
 		ID           uint64
 		ListTypes    bool
--- a/internal/core/job_queries.go
+++ b/internal/core/job_queries.go
@@ -8,14 +8,16 @@
 	"micaport/internal/wire"
 )
 
-// jobQuery handles the result of reading the record of a request's job.
-type jobQuery struct{ request *pendingRequest }
+// requestedJobRead handles the result of reading the record of a request's job.
+type requestedJobRead struct{ request *pendingRequest }
 
-// readJob reads the record of a request's job from the state service. Depending on the kind of
-// request, the record then answers it, or is changed by a cancellation.
-func (n *Node) readJob(request *pendingRequest) { n.fetchJob(request.JobID, jobQuery{request}) }
+// readRequestedJob reads the record of a request's job from the state service and then continues with
+// the request: it answers the request from the record, or changes the record for a cancellation.
+func (n *Node) readRequestedJob(request *pendingRequest) {
+	n.readJobRecord(request.JobID, requestedJobRead{request})
+}
 
-func (q jobQuery) jobRead(n *Node, read JobRead) {
+func (q requestedJobRead) jobRead(n *Node, read JobRead) {
 	switch read.Outcome {
 	case kv.OK:
 		q.processFound(n, read)
@@ -23,13 +25,13 @@
 		q.processNotFound(n)
 	default:
 		if n.mayRetry(q.request, read.Outcome) {
-			n.readJob(q.request)
+			n.readRequestedJob(q.request)
 		}
 	}
 }
 
 // processFound processes a request whose job exists.
-func (q jobQuery) processFound(n *Node, read JobRead) {
+func (q requestedJobRead) processFound(n *Node, read JobRead) {
 	live := read.Job.State == wire.JobLive
 	switch {
 	case live && q.request.Kind == wire.RequestCancel:
@@ -42,7 +44,7 @@
 }
 
 // processNotFound processes a request whose job was never accepted.
-func (q jobQuery) processNotFound(n *Node) {
+func (q requestedJobRead) processNotFound(n *Node) {
 	request := q.request
 	switch {
 	case request.Kind != wire.RequestSubmit:
@@ -85,6 +87,6 @@
 		return
 	}
 	if n.mayRetry(c.request, outcome) {
-		n.readJob(c.request)
+		n.readRequestedJob(c.request)
 	}
 }
--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -45,8 +45,8 @@
 	n.Step(n.now+1, RecordsChanged{Revision: uint64(revision), Events: []kv.Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
 }
 
-// submission returns the body of a submission.
-func submission(t *testing.T, id string, dependencies ...string) []byte {
+// submissionBody returns the body of a submission.
+func submissionBody(t *testing.T, id string, dependencies ...string) []byte {
 	t.Helper()
 	fields := map[string]any{"ref": id, "job_class": "c", "studio": "t", "shape": "array", "urgency": "low", "frames": 1, "cores": 1.0, "cards": 0.0,
 		"memory_gb": 1.0, "toolkit": "i", "size_gb": 1.0, "same_place": false, "spread": false, "loaner": true, "expected_s": 10.0,
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -35,13 +35,13 @@
 	}
 }
 
-// transaction is the continuation of a Commit.
-type transaction struct {
+// commitContinuation is the continuation of a Commit.
+type commitContinuation struct {
 	conditionCount, writeCount int
 	next                       commitHandler
 }
 
-func (t transaction) resume(n *Node, result Result) {
+func (t commitContinuation) resume(n *Node, result Result) {
 	committed := result.(Committed)
 	n.recordStoreOutcome(committed.Outcome)
 	if committed.Limited && t.writeCount > 0 {
@@ -56,25 +56,25 @@
 // transact sends a transaction that writes only if all conditions hold. The writes of background
 // transactions are subtracted from the write budget.
 func (n *Node) transact(class RequestClass, conditions []kv.Condition, writes []kv.Write, next commitHandler) {
-	id := n.continueWith(transaction{conditionCount: len(conditions), writeCount: len(writes), next: next})
+	id := n.continueWith(commitContinuation{conditionCount: len(conditions), writeCount: len(writes), next: next})
 	if class == ClassBackground {
 		n.budget.available -= float64(len(writes))
 	}
 	n.emit(Commit{ID: id, Conditions: conditions, Writes: writes, Class: class})
 }
 
-// jobFetch is the continuation of a ReadJob.
-type jobFetch struct{ next jobReadHandler }
+// jobReadContinuation is the continuation of a ReadJob.
+type jobReadContinuation struct{ next jobReadHandler }
 
-func (f jobFetch) resume(n *Node, result Result) {
+func (f jobReadContinuation) resume(n *Node, result Result) {
 	read := result.(JobRead)
 	n.recordStoreOutcome(read.Outcome)
 	f.next.jobRead(n, read)
 }
 
-// fetchJob reads a job's record from the state service.
-func (n *Node) fetchJob(id string, next jobReadHandler) {
-	n.emit(ReadJob{ID: n.continueWith(jobFetch{next}), JobID: id})
+// readJobRecord reads a job's record from the state service.
+func (n *Node) readJobRecord(id string, next jobReadHandler) {
+	n.emit(ReadJob{ID: n.continueWith(jobReadContinuation{next}), JobID: id})
 }
 
 // ignoreResult handles the result of a transaction by ignoring it.
--- a/internal/core/status_queries.go
+++ b/internal/core/status_queries.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// minStatusInterval and maxStatusInterval bound the time between two queries of the
-	// state service's revision.
-	minStatusInterval = 60 * time.Millisecond
-	maxStatusInterval = 500 * time.Millisecond
+	// minRevisionQueryInterval and maxRevisionQueryInterval bound the time between two queries
+	// of the state service's revision.
+	minRevisionQueryInterval = 60 * time.Millisecond
+	maxRevisionQueryInterval = 500 * time.Millisecond
 	// requestsPerRevisionQuery limits the revision queries of all controllers together: one in
 	// this many of the requests that the state service allows.
 	requestsPerRevisionQuery = 6
@@ -42,15 +42,15 @@
 // revisionQuery handles the result of a query of the state service's revision.
 type revisionQuery struct{ requests []*pendingRequest }
 
-// statusInterval returns the minimum time between two revision queries. Status queries share
-// revision queries because reading each job's record would take more CPU time than a controller has, once
-// there are hundreds of users.
-func (n *Node) statusInterval() Time {
-	interval := minStatusInterval
+// revisionQueryInterval returns the minimum time between two revision queries. Status queries share
+// revision queries because reading each job's record would take more CPU time than a controller
+// has, once there are hundreds of users.
+func (n *Node) revisionQueryInterval() Time {
+	interval := minRevisionQueryInterval
 	if n.cfg.StateRPS > 0 {
 		interval = max(interval, Time(float64(requestsPerRevisionQuery*len(n.cfg.Members))/n.cfg.StateRPS*float64(second)))
 	}
-	return min(interval, maxStatusInterval)
+	return min(interval, maxRevisionQueryInterval)
 }
 
 // queueStatusQuery queues a status query to be answered from the replica.
@@ -70,7 +70,7 @@
 	query := revisionQuery{status.waiting}
 	status.waiting = nil
 	status.querying = true
-	status.nextQueryAt = n.now + n.statusInterval()
+	status.nextQueryAt = n.now + n.revisionQueryInterval()
 	// The service returns its revision whether the condition holds or not, so any condition
 	// will do.
 	n.transact(ClassUser, []kv.Condition{n.leaderCondition()}, nil, query)
@@ -106,8 +106,8 @@
 			}
 		case n.now-batch.revisionKnownAt > replicaLagTimeout:
 			for _, request := range batch.requests {
-				if n.userRequests.isOpen(request) {
-					n.readJob(request)
+				if n.userRequests.isUnanswered(request) {
+					n.readRequestedJob(request)
 				}
 			}
 		default:
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -58,7 +58,7 @@
 // first: if the job exists, the answer is the job's status instead.
 func (n *Node) rejectSubmission(request *pendingRequest, err error) {
 	request.rejection = err
-	n.readJob(request)
+	n.readRequestedJob(request)
 }
 
 // jobSubmission handles the result of writing a new job's record.
@@ -78,7 +78,7 @@
 			"expected_s", spec.ExpectedS)
 		n.answer(s.request, http.StatusCreated, wire.JobStatus{JobID: spec.ID, Status: s.status})
 	case kv.Conflict:
-		n.readJob(s.request)
+		n.readRequestedJob(s.request)
 	default:
 		if n.mayRetry(s.request, result.Outcome) {
 			n.createJob(s.request)
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -84,7 +84,7 @@
 	case request.Kind == wire.RequestStatus && n.replica.Loaded():
 		n.queueStatusQuery(request)
 	default:
-		n.readJob(request)
+		n.readRequestedJob(request)
 	}
 }
 
@@ -102,10 +102,10 @@
 	return request
 }
 
-// isOpen reports whether a request has not been answered yet.
-func (u *pendingRequests) isOpen(request *pendingRequest) bool {
-	_, open := u.requests[request.RequestID]
-	return open
+// isUnanswered reports whether a request has not been answered yet.
+func (u *pendingRequests) isUnanswered(request *pendingRequest) bool {
+	_, unanswered := u.requests[request.RequestID]
+	return unanswered
 }
 
 // parseRequest parses and validates a request. It answers a request that is not valid and
@@ -145,7 +145,7 @@
 
 // answer answers a request unless it has already been answered.
 func (n *Node) answer(request *pendingRequest, status int, body any) {
-	if !n.userRequests.isOpen(request) {
+	if !n.userRequests.isUnanswered(request) {
 		return
 	}
 	delete(n.userRequests.requests, request.RequestID)
@@ -171,7 +171,7 @@
 // request has already been answered.
 func (n *Node) mayRetry(request *pendingRequest, outcome kv.Outcome) bool {
 	switch {
-	case !n.userRequests.isOpen(request):
+	case !n.userRequests.isUnanswered(request):
 		return false
 	case outcome == kv.Refused:
 		if !n.forwardToPeer(request) {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -40,8 +40,8 @@
 	return settings
 }
 
-// start runs a controller and returns a channel that receives the result of Run.
-func start(ctx context.Context, settings *config.Settings) <-chan error {
+// startController runs a controller and returns a channel that receives the result of Run.
+func startController(ctx context.Context, settings *config.Settings) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, settings, config.DefaultOperator(), slog.New(slog.DiscardHandler)) }()
 	return ended
@@ -53,7 +53,7 @@
 	settings := newTestSettings(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	ended := start(ctx, settings)
+	ended := startController(ctx, settings)
 	deadline := time.Now().Add(10 * time.Second)
 	for {
 		response, err := http.Get("http://" + settings.Bind + "/ready")
@@ -86,7 +86,7 @@
 }
 
 // When an address is already in use, Run fails with an error that names the setting.
-func TestRunNamesTheAddressThatIsTaken(t *testing.T) {
+func TestErrorNamesSettingOfAddressInUse(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		address func(*config.Settings) string
@@ -99,7 +99,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := <-start(t.Context(), settings); err == nil || !strings.HasPrefix(err.Error(), test.name+": ") {
+		if err := <-startController(t.Context(), settings); err == nil || !strings.HasPrefix(err.Error(), test.name+": ") {
 			t.Errorf("address of %s in use: got %v", test.name, err)
 		}
 		listener.Close()
