--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -30,7 +30,8 @@
 		}
 		record.State = wire.JobCancelled
 		n.replica.RequeueFirstUnrecorded() // the job is checked again until the replica shows the change
-		// The loop must end although the jobs stay in the queue.
+		// The requeued jobs stay in the queue, so the loop must end when the transaction changes
+		// all of them. If the transaction also changes other jobs, the loop ends earlier.
 		if len(writer.changedJobs) >= n.replica.UnrecordedCancellations() {
 			return
 		}
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -10,7 +10,8 @@
 	"micaport/internal/wire"
 )
 
-// newSmallValueNode returns a controller whose values have room for few dependencies only.
+// newSmallValueNode returns a controller with a low size limit of values, which permits only few
+// dependencies in a record.
 func newSmallValueNode(members ...ownership.Member) *Node {
 	return newTestNodeWith(func(cfg *Config) { cfg.MaxValueBytes, cfg.MaxTransactionOps = 2048, 4 }, members...)
 }
--- a/internal/core/inputs.go
+++ b/internal/core/inputs.go
@@ -69,7 +69,7 @@
 		Limited  bool     // at least one attempt was refused because of the service's rate limit
 	}
 	// CommandsAnswered is the result of a SendCommands: kv.OK when the worker has executed
-	// the commands, kv.Conflict when it has rejected them for good, because it has another
+	// the commands, kv.Conflict when it has rejected them permanently, because it has another
 	// epoch or token, and kv.Refused when they were not sent.
 	CommandsAnswered struct {
 		ID      uint64
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -3,7 +3,7 @@
 import "time"
 
 // writeBudget limits the background writes of this controller to the state service, which allows
-// only few writes per second for all controllers together. A tenth is reserved for claims,
+// only few writes per second for all controllers together. At least a tenth is reserved for claims,
 // submissions and cancellations, which can't wait. The rest is shared in proportion to demand:
 // each controller reports the number of records it has to write and uses the resulting share.
 // A controller with much to write can then write its decisions immediately, before others change
@@ -50,8 +50,8 @@
 	userWriteWeight     = 1.25
 
 	// Scarcity is the greater of two values: one that reaches 1 if the pending records take
-	// fullScarcitySeconds to write, and one that is 0 up to freeUtilization and increases above
-	// it by scarcityPerUtilization times the utilization.
+	// fullScarcitySeconds to write, and one that is 0 up to a utilization of freeUtilization
+	// and then increases by scarcityPerUtilization per unit of utilization.
 	fullScarcitySeconds    = 2
 	freeUtilization        = 0.25
 	scarcityPerUtilization = 3
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -13,11 +13,11 @@
 	node           *Node
 	records        map[int]*wire.Job // changed copies, by index of their job
 	changedJobs    []int             // indices of these jobs, in the order of the changes
-	ownedShards    map[int]bool      // as whose owner this controller acts, by index
+	ownedShards    map[int]bool      // shards as whose owner this controller acts in the transaction, by index
 	linkedWrites   []kv.Write        // of other keys, which may only be written together with the rest
 	conditions     []kv.Condition    // in addition to those on the changed records
 	bytes          int               // estimated size of the transaction
-	maxWrites      int               // limit of writes for recordToChange; addWrite has a higher one
+	maxWrites      int               // recordToChange adds records up to this number of writes
 	exitedTasks    map[taskKey]bool  // tasks whose end the changed records show
 	attemptNumbers map[int]uint64    // of the tasks that the transaction starts, by index of their job
 	// writeOverflowFirst allows writing overflow keys in earlier transactions than the
@@ -69,8 +69,8 @@
 	return w.attemptNumbers[job.Index]
 }
 
-// addWrite adds a write of another key with a condition. It returns false if the transaction is
-// full.
+// addWrite adds a write of another key with a condition. It returns false if the transaction has the
+// maximum number of writes.
 func (w *writer) addWrite(write kv.Write, condition kv.Condition) bool {
 	if len(w.changedJobs)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
 		return false
