--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -8,15 +8,15 @@
 
 // dependencyListWrite handles the result of writing keys of a dependency list.
 type dependencyListWrite struct {
-	request *pendingRequest
-	numbers []int // of the keys that are written
+	request    *pendingRequest
+	keyNumbers []int // of the keys that are written
 }
 
 // writeDependencyList stores the dependencies of a submission, which do not fit the job's
-// record, in separate keys before the record is written. It writes those keys that the state
-// service lacks, as many as fit one transaction. Once all are written, it replaces the
-// dependencies in the record by a reference to the list and returns true. Until then it
-// returns false, and createJob is called again after each write.
+// record, in separate keys before the record is written. It writes as many of the missing keys
+// as fit one transaction and returns false; createJob is called again after each transaction.
+// Once no key is missing, it replaces the dependencies in the record by a reference to the
+// list and returns true.
 func (n *Node) writeDependencyList(request *pendingRequest, record *wire.Job) bool {
 	check := request.dependencies
 	list := replica.DependencyListName(check.jobIDs)
@@ -47,7 +47,7 @@
 
 func (w dependencyListWrite) committed(n *Node, result Committed) {
 	if result.Outcome == kv.OK {
-		for _, number := range w.numbers {
+		for _, number := range w.keyNumbers {
 			w.request.dependencies.writtenKeys[number] = true
 		}
 	} else if !n.mayRetry(w.request, result.Outcome) {
--- a/internal/core/node_harness_test.go
+++ b/internal/core/node_harness_test.go
@@ -16,7 +16,7 @@
 	return newTestNodeWith(func(*Config) {}, members...)
 }
 
-// newTestNodeWith returns such a controller with a changed configuration.
+// newTestNodeWith is like newTestNode, with a changed configuration.
 func newTestNodeWith(change func(*Config), members ...ownership.Member) *Node {
 	if members == nil {
 		members = []ownership.Member{{Name: "n0", Zone: "a"}}
@@ -31,12 +31,12 @@
 	return n
 }
 
-// applyJobRecord applies the record of a job to a controller's replica. If mod is not nil, it
-// changes the job's specification first.
-func applyJobRecord(n *Node, revision int, id string, state wire.JobState, mod func(*wire.JobSpec), dependencies ...string) {
+// applyJobRecord applies the record of a job to a controller's replica. If
+// changeSpec is not nil, it changes the job's specification first.
+func applyJobRecord(n *Node, revision int, id string, state wire.JobState, changeSpec func(*wire.JobSpec), dependencies ...string) {
 	spec := &wire.JobSpec{ID: id, Class: "c", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", ExpectedS: 10, Dependencies: dependencies}
-	if mod != nil {
-		mod(spec)
+	if changeSpec != nil {
+		changeSpec(spec)
 	}
 	record := &wire.Job{Spec: spec, TaskCount: 1, State: state, AcceptedAtMS: 1_000_000, NextAttempt: 1}
 	if state != wire.JobLive {
@@ -45,8 +45,8 @@
 	n.Step(n.now+1, RecordsChanged{Revision: uint64(revision), Events: []kv.Event{{Key: wire.JobKey(id), Revision: uint64(revision), Value: record}}})
 }
 
-// submission returns the body of a submission.
-func submission(t *testing.T, id string, dependencies ...string) []byte {
+// submissionBody returns the body of a submission.
+func submissionBody(t *testing.T, id string, dependencies ...string) []byte {
 	t.Helper()
 	fields := map[string]any{"ref": id, "job_class": "c", "studio": "t", "shape": "array", "urgency": "low", "frames": 1, "cores": 1.0, "cards": 0.0,
 		"memory_gb": 1.0, "toolkit": "i", "size_gb": 1.0, "same_place": false, "spread": false, "loaner": true, "expected_s": 10.0,
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -78,13 +78,13 @@
 	switch {
 	case known && job.State() != wire.JobLive:
 		n.answer(request, http.StatusOK, n.statusOf(request, job.Record))
-	case n.forwardToPeer(request):
+	case n.forwardToPeer(request): // it has forwarded or answered the request
 	case request.Kind == wire.RequestSubmit && request.rejection == nil && !known:
 		n.createJob(request)
 	case request.Kind == wire.RequestStatus && n.replica.Loaded():
 		n.queueStatusQuery(request)
 	default:
-		n.readJob(request)
+		n.readRequestedJob(request)
 	}
 }
 
@@ -102,10 +102,10 @@
 	return request
 }
 
-// isOpen reports whether a request has not been answered yet.
-func (u *pendingRequests) isOpen(request *pendingRequest) bool {
-	_, open := u.requests[request.RequestID]
-	return open
+// isUnanswered reports whether a request has not been answered yet.
+func (u *pendingRequests) isUnanswered(request *pendingRequest) bool {
+	_, unanswered := u.requests[request.RequestID]
+	return unanswered
 }
 
 // parseRequest parses and validates a request. It answers a request that is not valid and
@@ -134,8 +134,8 @@
 // statusOf returns the body of an answer with the status of a request's job, given the job's
 // record.
 func (n *Node) statusOf(request *pendingRequest, record *wire.Job) any {
-	// The replica may show that an ancestor of the job has been cancelled. That cancels the
-	// job for good, even if it is not in the job's own record yet.
+	// The replica may show that an ancestor of the job has been cancelled. The job is then
+	// cancelled for good, even if its own record is still live.
 	job := n.findJob(request.JobID)
 	if record.State == wire.JobLive && job != nil && job.Record != nil && job.State() == wire.JobCancelled {
 		return wire.JobStatus{JobID: request.JobID, Status: wire.StatusCancelled}
@@ -145,7 +145,7 @@
 
 // answer answers a request unless it has already been answered.
 func (n *Node) answer(request *pendingRequest, status int, body any) {
-	if !n.userRequests.isOpen(request) {
+	if !n.userRequests.isUnanswered(request) {
 		return
 	}
 	delete(n.userRequests.requests, request.RequestID)
@@ -166,11 +166,12 @@
 	n.answer(request, http.StatusServiceUnavailable, wire.Error{Error: reason})
 }
 
-// mayRetry reports whether a request may be sent to the state service again after a call that
-// failed with the given outcome. If not, the request has been answered or forwarded.
+// mayRetry reports whether a call to the state service that failed with the given outcome may be
+// repeated for a request. If not, it answers the request or forwards it to a peer, unless the
+// request has already been answered.
 func (n *Node) mayRetry(request *pendingRequest, outcome kv.Outcome) bool {
 	switch {
-	case !n.userRequests.isOpen(request):
+	case !n.userRequests.isUnanswered(request):
 		return false
 	case outcome == kv.Refused:
 		if !n.forwardToPeer(request) {
