--- a/internal/failover/decision_log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -20,8 +20,8 @@
 	return wire.Fact{Kind: wire.FactIdle, Name: name, At: at}
 }
 
-// factsHeld returns the facts that a replica holds of a term: their times by the leader's clock, by
-// name.
+// factsHeld returns the times of the facts that a replica has stored for a term, by the leader's
+// clock. The key is the name of the fact.
 func factsHeld(r *Replica, term uint64) map[string]int64 {
 	facts := map[string]int64{}
 	for _, f := range r.FactsOfTerm(term) {
--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -14,7 +14,7 @@
 	// disconnectedTimeout is the minimum silence after which a leader is suspected once the
 	// connection to it is broken. A live leader reconnects for its next heartbeat.
 	disconnectedTimeout = 2 * HeartbeatInterval
-	// gapRetention is how long a gap between two heartbeats affects the timeout.
+	// gapRetention is how long a gap between two heartbeats affects the timeout after it has ended.
 	gapRetention = time.Minute
 )
 
@@ -25,8 +25,8 @@
 }
 
 // detector is the failure detector for the current leader. Its timeout adapts to a leader that has
-// been slow recently: it is at least twice the longest gap, or once that gap if the connection is
-// broken, up to a maximum. The zero value has received no heartbeat.
+// been slow recently: it is at least twice the longest recent gap, or the gap itself if the
+// connection is broken, up to a maximum. The zero value has received no heartbeat.
 type detector struct {
 	maxTimeout     time.Duration // the longest timeout; 0: unlimited
 	heartbeatAt    time.Duration // when the last heartbeat was received
@@ -61,7 +61,8 @@
 // silence returns the time since the last heartbeat.
 func (d *detector) silence(now time.Duration) time.Duration { return now - d.heartbeatAt }
 
-// timeout returns the silence after which the leader is suspected.
+// timeout returns the silence after which the leader is suspected. It removes the gaps that are
+// older than gapRetention.
 func (d *detector) timeout(now time.Duration) time.Duration {
 	for len(d.gaps) > 0 && now-d.gaps[0].endedAt > gapRetention {
 		d.gaps = d.gaps[1:]
--- a/internal/failover/election.go
+++ b/internal/failover/election.go
@@ -39,8 +39,8 @@
 	return elected
 }
 
-// claimStagger is the delay between the claims of two successive candidates. Meanwhile the claim of
-// the first one is applied and becomes visible to the other.
+// claimStagger is the delay between the claims of two successive candidates. It is long enough for
+// the claim of the first candidate to be applied and to become visible to the second.
 const claimStagger = 400 * time.Millisecond
 
 // claimDelay returns how long this controller waits with its claim once a quorum suspects the
@@ -49,14 +49,14 @@
 	if f.standby == f.config.Self {
 		return 0
 	}
-	before := 0
+	claimants := 0 // candidates that claim before this one
 	if f.standby != "" {
-		before++
+		claimants++
 	}
 	for _, name := range f.config.Members {
 		if name < f.config.Self && name != f.claim.Controller && name != f.standby {
-			before++
+			claimants++
 		}
 	}
-	return time.Duration(before) * claimStagger
+	return time.Duration(claimants) * claimStagger
 }
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -39,7 +39,7 @@
 	Silence    time.Duration // since this controller received the leader's last heartbeat
 	Broken     bool          // this controller's connection to the leader is broken
 	Suspecting int           // number of controllers that suspect the leader, this one included
-	Hearing    int           // number of peers that do not suspect the leader
+	Hearing    int           // number of peers whose recent reports do not suspect the leader
 	Members    int           // number of all controllers
 }
 
@@ -56,8 +56,8 @@
 		evidence.Suspecting++
 	}
 	for _, name := range f.config.Members {
-		report, known := f.peerReports[name]
-		if !known || name == f.config.Self || name == f.claim.Controller ||
+		report, reported := f.peerReports[name]
+		if !reported || name == f.config.Self || name == f.claim.Controller ||
 			now-report.receivedAt > suspicionReportLifetime ||
 			report.Term != f.claim.Term {
 			continue
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -12,12 +12,12 @@
 	CallTransit = time.Second
 	// ProofInterval is the time between two proofs of a leader.
 	ProofInterval = time.Second
-	// driftDivisor is the inverse of the relative drift between two monotonic clocks, each of
-	// which may be off by 0.05%.
+	// driftDivisor is the inverse of the maximum relative drift between two monotonic clocks, each
+	// of which may be off by 0.05%.
 	driftDivisor = 1000
 )
 
-// drift returns how far two monotonic clocks may drift apart within a time.
+// drift returns how far two monotonic clocks may drift apart within a duration.
 func drift(d time.Duration) time.Duration { return d / driftDivisor }
 
 // ProofValidity returns how long a leader may call the cloud after it sent a proof.
@@ -25,8 +25,8 @@
 	return leaseTTL - MaxLeaseAge - CallTransit - drift(leaseTTL)
 }
 
-// CloudFenceTime returns how long a leader must not call the cloud after its controller has seen a
-// claim, its own or an earlier one, that replaced a leader early.
+// CloudFenceTime returns how long a leader must not call the cloud after its controller has seen
+// the last claim that replaced a leader early, be it this leader's claim or an earlier one.
 func CloudFenceTime(leaseTTL time.Duration) time.Duration {
 	return ProofValidity(leaseTTL) + CallTransit + drift(leaseTTL)
 }
@@ -46,7 +46,7 @@
 // successor therefore need not know of the replaced leader.
 type Fence struct {
 	validity    time.Duration // of a proof
-	allowedFrom time.Duration // until then a replaced leader may still call the cloud
+	allowedFrom time.Duration // earliest time of a call; until then a replaced leader may still call the cloud
 	provenAt    time.Duration // when the latest settled proof was sent
 	proven      bool          // at least one proof has settled
 	nextProofAt time.Duration // when the next proof is due
@@ -59,13 +59,13 @@
 	revision uint64
 }
 
-// Begin starts the fence of a leader that has just seen its claim. Until allowedFrom a replaced
-// leader may still call the cloud.
+// Begin starts the fence of a leader that has just seen its claim. The leader may not call the
+// cloud before allowedFrom, because until then a replaced leader may still call it.
 func (f *Fence) Begin(now, leaseTTL, allowedFrom time.Duration) {
 	*f = Fence{validity: ProofValidity(leaseTTL), nextProofAt: now, allowedFrom: allowedFrom}
 }
 
-// ResetAfterStall invalidates all proofs after a pause of the process, during which the leader may
+// ResetAfterStall invalidates all proofs after a stall of the process, during which the leader may
 // have been replaced.
 func (f *Fence) ResetAfterStall(now time.Duration) {
 	f.proven = false
@@ -73,7 +73,8 @@
 	f.nextProofAt = now
 }
 
-// Due reports whether a proof is due, and if so schedules the next one.
+// Due reports whether a proof is due now. If so, it schedules the next one, and the caller must
+// send this one.
 func (f *Fence) Due(now time.Duration) bool {
 	if now < f.nextProofAt {
 		return false
@@ -102,8 +103,9 @@
 	f.pending = pending
 }
 
-// CaughtUp reports whether a proof has settled since the claim was seen and since the last pause of
-// the process, which shows that the replica is current.
+// CaughtUp reports whether a proof that succeeded since the claim was seen, and since the last
+// stall of the process, has settled. This shows that the replica contains all records up to the
+// revision of the proof.
 func (f *Fence) CaughtUp() bool { return f.proven }
 
 // RemainingCallTime returns for how much longer the leader may call the cloud; 0 if it may not.
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -33,7 +33,7 @@
 		}
 		var calls []cloudCall
 		claimedAt := 10 * time.Second
-		early := false // this leader replaces one whose lease has not expired
+		early := false // the leader of the present iteration has replaced one whose lease had not expired
 		for leader := range 4 {
 			rate := 1 + float64(rapid.IntRange(-500, 500).Draw(t, "drift"))/1e6
 			clock := func(at time.Duration) time.Duration { return time.Duration(float64(at) * rate) }
@@ -82,7 +82,7 @@
 	})
 }
 
-// A proof takes effect once the replica has reached its revision, and is invalidated by a pause.
+// A proof takes effect once the replica has reached its revision, and is invalidated by a stall.
 func TestProofsSettle(t *testing.T) {
 	var f Fence
 	f.Begin(time.Second, leaseTTL, 0)
@@ -97,6 +97,6 @@
 	}
 	f.ResetAfterStall(3 * time.Second)
 	if f.CaughtUp() || f.RemainingCallTime(3*time.Second) > 0 || !f.Due(3*time.Second) {
-		t.Error("a proof is still valid after a pause")
+		t.Error("a proof is still valid after a stall")
 	}
 }
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -42,8 +42,8 @@
 	return &Follower{config: config, detector: detector{maxTimeout: config.LeaseTTL}, peerReports: map[string]peerReport{}}
 }
 
-// ObserveClaim records the claim of the current leader. A new leader is treated as if it had sent a
-// heartbeat now.
+// ObserveClaim sets the current claim of the leadership. If the claim has changed, its leader is
+// treated as if it had sent a heartbeat now.
 func (f *Follower) ObserveClaim(now time.Duration, claim Claim) {
 	if claim.Term == f.claim.Term && claim.Controller == f.claim.Controller {
 		return
@@ -73,8 +73,8 @@
 	delete(f.peerReports, peer)
 }
 
-// ResetAfterStall discards the state that a pause of this process has made stale: no message was
-// received during the pause, so the leader and all peers seem silent.
+// ResetAfterStall discards the state that a stall of this process has made outdated: no message was
+// received during the stall, so the leader and all peers seem silent.
 func (f *Follower) ResetAfterStall(now time.Duration) {
 	f.detector.reset(now)
 	f.suspectedAt, f.confirmedAt = 0, 0
@@ -92,7 +92,7 @@
 // Kinds of advice.
 const (
 	Follow  Advice = iota // none: the leader is not suspected, or may not be replaced early
-	Prepare               // keep a lease for the claim, notify the peers at once, and wait
+	Prepare               // renew the lease for a claim, notify the peers at once, and wait
 	Replace               // claim the leadership now
 )
 
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -15,8 +15,8 @@
 	resyncDelay = 500 * time.Millisecond
 )
 
-// Publisher is the leader's end of the decision log, which replicates state that only the leader
-// has to its standby. The log is a hint that saves a new leader time: the records are
+// Publisher is the leader's end of the decision log, which replicates to the standby the state that
+// is not in the records. The log is a hint that saves a new leader time: the records are
 // authoritative, and facts that contradict them are discarded.
 //
 // One message is in flight at a time. Meanwhile changes are merged by fact, so there is at most one
@@ -82,8 +82,9 @@
 	}
 }
 
-// Next returns the message to be sent now and its recipient; nil if there is none. Self and
-// incarnation are the name and the incarnation of this controller.
+// Next returns the message to be sent now and its recipient, and marks it as in flight. The message
+// is nil if none is to be sent. Self and incarnation are the name and the incarnation of this
+// controller.
 func (p *Publisher) Next(now time.Duration, self, incarnation string) (to string, message *wire.DecisionLog) {
 	if p.standby == "" {
 		return "", nil
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -24,8 +24,8 @@
 // Receive processes a message of the decision log and returns its acknowledgement; leader is the
 // claim that the records show. It accepts a message that starts the log or follows the last one,
 // and acknowledges a repeated one again. A message of another leader, incarnation or term, and one
-// that is damaged or out of order, is discarded and refused. The publisher of the current log
-// ignores a refusal that concerns another term.
+// that is damaged or out of order, is discarded and refused. The refusal contains the term of the
+// message, so that a publisher with another term ignores it.
 func (r *Replica) Receive(now time.Duration, leader Claim, message *wire.DecisionLog) wire.DecisionLogAck {
 	ack := wire.DecisionLogAck{Term: message.Term, Sequence: message.Sequence}
 	if message.From != leader.Controller || message.Life != leader.Incarnation || message.Term != leader.Term {
@@ -68,13 +68,13 @@
 	return ack
 }
 
-// holdsLogOf reports whether a message belongs to the log whose facts the replica holds.
+// holdsLogOf reports whether a message belongs to the log whose facts the replica has stored.
 func (r *Replica) holdsLogOf(message *wire.DecisionLog) bool {
 	return r.controller == message.From && r.incarnation == message.Life && r.term == message.Term && message.Term > 0
 }
 
 // FactsOfTerm returns the facts of the leader of a term, with their times converted to the
-// monotonic clock of this process; nil if the replica holds those of another term.
+// monotonic clock of this process; nil if the replica has stored those of another term.
 func (r *Replica) FactsOfTerm(term uint64) []wire.Fact {
 	if term == 0 || r.term != term {
 		return nil
@@ -92,7 +92,7 @@
 // LastAccepted returns the term of the log and the number of the last message accepted.
 func (r *Replica) LastAccepted() (term, sequence uint64) { return r.term, r.sequence }
 
-// FactCount returns the number of facts that the replica holds.
+// FactCount returns the number of facts that the replica has stored.
 func (r *Replica) FactCount() int { return len(r.facts) }
 
 // RefusedMessages returns the number of messages that were refused.
--- a/internal/failover/takeover.go
+++ b/internal/failover/takeover.go
@@ -26,7 +26,8 @@
 	reachedAt       [stageCount]time.Duration
 }
 
-// Begin starts a takeover, at the time at which the claim is sent.
+// Begin starts a takeover when its claim is sent; the stages Suspected and Claimed have then been
+// reached.
 func (t *Takeover) Begin(now time.Duration, from string, suspectedAt time.Duration, evidence Evidence) {
 	*t = Takeover{From: from, Evidence: evidence, active: true, lastHeartbeatAt: now - evidence.Silence}
 	t.reachedAt[Suspected], t.reachedAt[Claimed] = suspectedAt, now
