--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -44,8 +44,8 @@
 	// resigns, and resignInterval the minimum time between two resignations.
 	minTermBeforeResigning = 5 * time.Second
 	resignInterval         = 10 * time.Second
-	// isolationReportTime is how long peers that are isolated too may need to report it, in
-	// addition to the heartbeat interval of the workers.
+	// isolationReportTime is how long peers that are isolated too may need to report their
+	// isolation, in addition to the heartbeat interval of the workers.
 	isolationReportTime = 2 * time.Second
 )
 
@@ -61,12 +61,12 @@
 
 	lastClaimTerm uint64 // of the last claim, even if it has ended since
 	claimLeaseID  uint64 // lease of this controller's last claim
-	nextClaimAt   Time
+	nextClaimAt   Time   // earliest time of the next claim
 	acceptedTerm  uint64 // of the last claim of this controller that was accepted; 0: none, or abandoned since
 	acceptedAt    Time
-	abandonedTerm uint64 // of a claim of this process that it resigned, or that was replaced
+	abandonedTerm uint64 // of a claim of this process from which it has resigned or that was replaced, even if the replica still shows it
 
-	nextResignAt  Time
+	nextResignAt  Time // earliest time of the next resignation
 	isolatedSince Time // 0: this controller is not isolated, or does not lead
 }
 
@@ -190,7 +190,8 @@
 	}
 }
 
-// MayClaimAgain reports whether a leader may replace its own claim by a new one now.
+// MayClaimAgain reports whether a leader may replace its own claim by a new one now. The new claim
+// is made under the same lease, of which at least half of the TTL must be left.
 func (l *Leadership) MayClaimAgain(now Time) bool {
 	return now >= l.nextClaimAt && l.Lease.ID == l.claimLeaseID && l.Lease.Age(now) <= l.Lease.TTL/2
 }
@@ -204,8 +205,8 @@
 
 // AbandonUnseenClaim abandons a claim that was accepted at least unseenClaimTimeout ago and that
 // the replica, which has reached a revision, does not show yet because the watch hangs. It returns
-// the term of the claim and whether there was one. Renewals of the lease would keep such a claim
-// alive and leave the site without a leader that decides.
+// the term of the claim and whether there was one; without EarlyFailover it does nothing. Renewals
+// of the lease would keep such a claim alive and leave the site without a leader that decides.
 func (l *Leadership) AbandonUnseenClaim(now Time, revision uint64) (term uint64, unseen bool) {
 	if l.acceptedTerm <= revision || now-l.acceptedAt < unseenClaimTimeout || !l.cfg.EarlyFailover {
 		return 0, false
@@ -219,11 +220,11 @@
 // it.
 func (l *Leadership) MarkReplaced(term uint64) { l.abandonedTerm = term }
 
-// Resign reports whether to resign now, and if so abandons the claim. An isolated leader that
-// the state service still serves resigns if successor reports that a controller which is not
-// isolated could take over; when all controllers are isolated, no other leader would do better.
-// After a resignation this process does not lead, even if its watch hangs and never shows the
-// end of the claim.
+// Resign abandons the claim if this leader is to resign now, and reports whether it did. An
+// isolated leader that the state service still serves resigns if successor reports that a
+// controller which is not isolated could take over. If all controllers are isolated, another leader
+// would be no better. After a resignation this process does not lead, even if its watch hangs and
+// never shows the end of the claim.
 func (l *Leadership) Resign(now Time, isolated bool, successor func() bool) bool {
 	if !isolated {
 		l.isolatedSince = 0
@@ -245,5 +246,5 @@
 // RevertResignation reverts a resignation that the state service has certainly not carried out.
 func (l *Leadership) RevertResignation() { l.abandonedTerm = 0 }
 
-// ResetAfterStall discards the state that a stall of the process has made stale.
+// ResetAfterStall discards the state that a stall of the process has made outdated.
 func (l *Leadership) ResetAfterStall() { l.isolatedSince = 0 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -8,11 +8,12 @@
 	"micaport/internal/kv"
 )
 
-// retryInterval is the time between the answer to a failed request for a lease and the next one.
+// retryInterval is the time between the answer to a failed request for a lease and the next
+// request.
 const retryInterval = 500 * time.Millisecond
 
-// Lease is a lease on the state service, which expires and has the keys attached to it removed
-// when it is not renewed within its TTL. The zero value with a TTL is a lease yet to be created.
+// Lease is a lease on the state service. If it is not renewed within its TTL, it expires and the
+// keys that are attached to it are removed. The zero value with a TTL is a lease yet to be created.
 type Lease struct {
 	ID     uint64        // 0: there is none
 	TTL    time.Duration // time to live
@@ -41,8 +42,8 @@
 	return Renewal{lease: l, id: l.ID, sentAt: now}
 }
 
-// Complete processes the answer to the request. The lease is renewed again after the interval,
-// or after a quarter of its TTL if that is shorter.
+// Complete processes the answer to the request. After a successful request the next one is due when
+// the interval, or a quarter of the TTL if that is shorter, has passed since it was sent.
 func (r Renewal) Complete(now time.Duration, outcome kv.Outcome, id uint64, interval time.Duration) {
 	l := r.lease
 	l.renewing = false
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -11,14 +11,14 @@
 	// many may have lost its own connection, which is no evidence against the owner.
 	MachinesBounced int
 	BouncingSince   Time // since when the first of these machines has done so
-	// OwnerSilent reports whether the owner has sent no message for a while.
+	// OwnerSilent is set if the owner has sent no message for a while.
 	OwnerSilent bool
 	// OwnerRefusedFor is how long the state service has refused to serve the owner while it
 	// served this controller; 0: it does not refuse the owner.
 	OwnerRefusedFor Time
-	// StoreOK reports whether the state service serves this controller.
+	// StoreOK is set if the state service serves this controller.
 	StoreOK bool
-	// StoreAnswered reports whether the state service has recently answered.
+	// StoreAnswered is set if the state service has recently answered.
 	StoreAnswered bool
 }
 
@@ -57,7 +57,7 @@
 	maxBouncedRequired = 12
 )
 
-// hasEnoughBounces reports whether so many machines have bounced that the owner must be at fault.
+// hasEnoughBounces reports whether enough machines have bounced to consider the owner at fault.
 func (e *Evidence) hasEnoughBounces() bool {
 	needed := max(1, min(e.MachinesReporting, max(minBouncedRequired, min(e.MachinesReporting/bouncedDivisor, maxBouncedRequired))))
 	return e.MachinesBounced >= needed
@@ -101,7 +101,7 @@
 	case !e.OwnerSilent && e.StoreOK && e.StoreAnswered && e.OwnerRefusedFor > minRefusedTime+extra:
 		return OwnerRefused
 	case s.HomeController == t.cfg.Self && waited > homeRecoveredWait && e.StoreOK && !e.OwnerSilent:
-		// The home controller is in the same zone as the workers.
+		// The home controller is preferred as the owner, because it is in the workers' zone.
 		return HomeRecovered
 	}
 	return NotClaimable
--- a/internal/ownership/proof.go
+++ b/internal/ownership/proof.go
@@ -16,7 +16,7 @@
 	// requestsPerInterval of them in an interval.
 	proofRequestShare   = 1.0 / 10
 	requestsPerInterval = 2
-	// minProofsPerValidity is the minimum number of proofs sent within a validity.
+	// minProofsPerValidity is the minimum number of proofs sent within the validity of one.
 	minProofsPerValidity = 8
 )
 
@@ -43,10 +43,11 @@
 type Proof struct {
 	Conditions []kv.Condition
 	sentAt     Time
-	terms      map[int]uint64
+	terms      map[int]uint64 // terms of the shards that it covers, by index
 }
 
-// NextProofs returns the proofs that are due, as few as the limit of conditions allows.
+// NextProofs returns the proofs to be sent now and schedules the next ones; nil if none are due.
+// Together the proofs cover all claims of this process, each up to MaxConditions of them.
 func (t *Table) NextProofs(now Time) []Proof {
 	if now < t.nextProofAt {
 		return nil
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -91,9 +91,9 @@
 	s.proven, s.validFrom = false, 0
 	switch {
 	case t.Owns(s):
-		// An owner whose claim was removed with its lease had stopped before, and an
-		// earlier incarnation is dead. But an owner from which the shard was recently
-		// taken over may still reply to workers.
+		// An owner whose claim was removed with its lease had stopped acting before that, and an
+		// earlier incarnation no longer runs. But an owner from which the shard was recently taken
+		// over may still reply to workers.
 		s.OwnedSince = max(now, s.previousOwnerUntil)
 		t.nextProofAt = 0
 		return Claimed
@@ -122,8 +122,8 @@
 	}
 }
 
-// Rank returns the position of this controller among all by name. It staggers their claims, so
-// that no two claim at the same time.
+// Rank returns the position of this controller among all by name. Claims are delayed according to
+// the rank, so that no two controllers claim at the same time.
 func (t *Table) Rank() int {
 	rank := 0
 	for _, member := range t.cfg.Members {
@@ -152,8 +152,9 @@
 	claimCheckInterval = 200 * time.Millisecond
 )
 
-// NextClaim returns the claim of a shard that this process does not own, if a check is due and
-// permitted reports that the shard may be claimed.
+// NextClaim returns the claim to be sent now for a shard that this process does not own; due is
+// false if there is none. Permitted reports whether the shard may be claimed, and is called only if
+// a check is due.
 func (t *Table) NextClaim(now Time, s *Shard, permitted func() bool) (condition kv.Condition, write kv.Write, due bool) {
 	if t.Owns(s) || now < s.ClaimableSince+claimInterval || now < s.claimCheckedAt+claimCheckInterval {
 		return condition, write, false
@@ -162,7 +163,7 @@
 	if !permitted() {
 		return condition, write, false
 	}
-	s.ClaimableSince = max(s.ClaimableSince, now) // wait before the next attempt
+	s.ClaimableSince = max(s.ClaimableSince, now) // the waits before the next claim start again
 	condition, write = t.claim(s)
 	return condition, write, true
 }
