--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -8,7 +8,7 @@
 )
 
 // adoptDecisions initializes the state of a new leader from the decision log that this controller
-// received as the standby of the previous leader, whose term is passed.
+// received as the standby of the previous leader; term is the term of that leader.
 func (n *Node) adoptDecisions(term uint64) {
 	facts := n.failover.logReplica.FactsOfTerm(term)
 	if len(facts) == 0 {
@@ -16,7 +16,7 @@
 	}
 	slices.SortFunc(facts, func(a, b wire.Fact) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 	for _, index := range n.replica.Live() {
-		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // set during an earlier term of this controller
+		n.jobs[index].waitingSince, n.jobs[index].queuePosition = 0, queuePosition{} // may be left from an earlier term of this controller
 	}
 	adopted := 0
 	for i := range facts {
@@ -116,8 +116,9 @@
 	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, factTimeOf(fact)})
 }
 
-// adoptMachineFact adopts a fact about a machine, which is nil if this controller has not seen it,
-// unless it is contradicted. It reports whether it did.
+// adoptMachineFact adopts a fact about a machine unless the records or the machine's owner
+// contradict the fact, and reports whether it did. The machine is nil if it is unknown to this
+// controller.
 func (n *Node) adoptMachineFact(fact *wire.Fact, machine *machine) bool {
 	scaler := &n.leader.autoscaler
 	hasReported := machine != nil && machine.view.reportedByOwner
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -8,13 +8,13 @@
 	"micaport/internal/wire"
 )
 
-// factTime converts a time to the At field of a fact: milliseconds of the leader's steady clock,
-// which the standby's replica of the log converts to its own clock. It is never 0, which means no
-// time.
+// factTime converts a time to the At field of a fact: milliseconds of the leader's monotonic clock,
+// which the standby's replica of the log converts to its own clock. The result is never 0, which
+// means that a fact has no time.
 func factTime(t Time) int64 { return max(1, t.Milliseconds()) }
 
-// waitFactTime converts the time since when a job has waited to the At field of a fact. It may be
-// before the start of this process, and thus negative, but is never 0.
+// waitFactTime converts the time since when a job has waited to the At field of a fact. The time
+// may be before the start of this process, and thus negative, but the result is never 0.
 func waitFactTime(t Time) int64 { return cmp.Or(t.Milliseconds(), -1) }
 
 // factTimeOf returns the time of a fact; it is the inverse of factTime.
@@ -23,8 +23,8 @@
 // waitTimeOf returns the time since when a job has waited; it is the inverse of waitFactTime.
 func waitTimeOf(fact *wire.Fact) Time { return cmp.Or(factTimeOf(fact), -1) }
 
-// DecisionLogFacts returns the facts that only the leader has, with times of this controller's
-// steady clock; nil if this controller does not lead.
+// DecisionLogFacts returns the leader's state that is not in the records, as facts with times of
+// this controller's monotonic clock; nil if this controller does not lead.
 func (n *Node) DecisionLogFacts() []wire.Fact {
 	if !n.isLeader() {
 		return nil
--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// receiveDecisionLog applies a message of the leader's decision log and acknowledges it.
+// receiveDecisionLog applies a message of the leader's decision log and acknowledges it. A request
+// without a message is refused.
 func (n *Node) receiveDecisionLog(received DecisionLogReceived) {
 	ack := wire.DecisionLogAck{Resync: true}
 	if received.Message != nil {
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -15,10 +15,10 @@
 	fence            failover.Fence
 	takeover         failover.Takeover
 	earlyClaimSeenAt Time            // when a claim was last seen that may have replaced a live leader; 0: never
-	firstPassDone    bool            // this leader has made a scheduling pass in its present term
+	firstPassDone    bool            // this leader has made a scheduling pass in its current term
 	standby          string          // the standby that this leader has elected; "": none
 	nextHeartbeatAt  Time            // when the leader's next heartbeats are due
-	takeovers        *wire.Takeovers // the record, as the replica shows it
+	takeovers        *wire.Takeovers // the takeover record, as the replica shows it
 
 	logPublisher  *failover.Publisher // the leader's side of the decision log
 	logReplica    *failover.Replica   // the standby's side of the decision log
@@ -51,8 +51,8 @@
 	n.failover.observeClaim(n.now, claim, n.isLeader(), n.cfg.LeaderLease)
 }
 
-// observeClaim applies a new claim of the leadership; leads is set if it is a claim of this
-// process.
+// observeClaim applies a new claim of the leadership or the end of one; leads is set if this
+// process leads under the claim.
 func (f *failoverState) observeClaim(now Time, claim failover.Claim, leads bool, leaseTTL Time) {
 	f.follower.ObserveClaim(now, claim)
 	if claim.Streak > 0 {
@@ -69,8 +69,8 @@
 	f.takeover.Reach(failover.Seen, now)
 }
 
-// cloudFenceEndsAt returns the time from which on no leader that was replaced early can call the
-// cloud any more; 0 if no leader has been replaced early.
+// cloudFenceEndsAt returns the time after which no leader that was replaced early can still call
+// the cloud; 0 if no leader has been replaced early.
 func (f *failoverState) cloudFenceEndsAt(leaseTTL Time) Time {
 	if f.earlyClaimSeenAt == 0 {
 		return 0
@@ -91,30 +91,31 @@
 	}
 	n.abandonUnseenClaim()
 	s := &n.failover
-	suspected := s.follower.SuspectedAt() > 0
+	suspectedBefore := s.follower.SuspectedAt() > 0
 	advice := s.follower.Advise(n.now)
 	if advice == failover.Follow {
 		return
 	}
-	if !suspected {
+	if !suspectedBefore {
 		n.log(LogInfo, "leader suspected", "leader", n.leadership.Record().Controller, "silence", s.follower.Silence(n.now))
-		n.sendGossip(true) // send the suspicion to the peers without delay
+		n.sendGossip(true) // the next message contains the suspicion
 	}
 	if n.leadership.Lease.Age(n.now) > failover.MaxLeaseAge/2 {
 		n.leadership.Lease.RenewNow(n.now)
 	}
 }
 
-// needsLeaderLease reports whether this controller needs a leader lease while another one leads:
-// it does as the standby, and while it suspects the leader.
+// needsLeaderLease reports whether this controller needs a leader's lease while another one leads.
+// If early failover is enabled, the standby needs one, and so does each controller that suspects
+// the leader.
 func (n *Node) needsLeaderLease() bool {
 	f := n.failover.follower
 	return n.cfg.EarlyFailover && (f.IsStandby() || f.SuspectedAt() > 0)
 }
 
-// claimEarly replaces a leader whose lease has not ended. The claim is conditional on the revision
-// of the leader key, so that only one of several candidates succeeds. It changes that revision,
-// so that every later commit of the replaced leader fails.
+// claimEarly replaces a leader whose lease has not expired. The claim is conditional on the
+// revision of the leader key, so that only one of several candidates succeeds. A successful claim
+// changes that revision, so that every later commit of the replaced leader fails.
 func (n *Node) claimEarly() {
 	s := &n.failover
 	replaced, evidence := n.leadership.Record().Controller, s.follower.Evidence(n.now)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -63,9 +63,9 @@
 }
 
 // applyLeaderRecord applies a leader record that names a controller, and returns its term.
-func (m *failoverHarness) applyLeaderRecord(node, life string, fenced bool, streak int) uint64 {
+func (m *failoverHarness) applyLeaderRecord(controller, incarnation string, fenced bool, streak int) uint64 {
 	m.revision++
-	m.step(RecordsChanged{Revision: m.revision, Events: []kv.Event{{Key: wire.LeaderKey, Revision: m.revision, Value: &wire.Leader{Controller: node, Incarnation: life, Fenced: fenced, Streak: streak}}}})
+	m.step(RecordsChanged{Revision: m.revision, Events: []kv.Event{{Key: wire.LeaderKey, Revision: m.revision, Value: &wire.Leader{Controller: controller, Incarnation: incarnation, Fenced: fenced, Streak: streak}}}})
 	return m.revision
 }
 
@@ -121,7 +121,7 @@
 }
 
 // An early claim needs a recently renewed lease: otherwise the last call of the replaced leader
-// could reach the cloud after the lease of the claim has ended.
+// could reach the cloud after the lease of the claim has expired.
 func TestEarlyClaimNeedsFreshLease(t *testing.T) {
 	m := newFailoverHarness(t)
 	term := m.applyLeaderRecord("n0", "x", true, 0)
@@ -226,8 +226,8 @@
 	}
 }
 
-// After a pause of its process a leader makes no decision until a proof that was sent after the
-// pause has settled.
+// After a stall of its process a leader makes no decision until a proof that was sent after the
+// stall has settled.
 func TestStallInvalidatesLeaderProofs(t *testing.T) {
 	m, proof := newHarnessAfterTakeover(t)
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.revision})
@@ -238,16 +238,16 @@
 	lateProofs := m.takeLeaderCommits()
 	m.now += 3 * second
 	m.step(Tick{})
-	for _, c := range lateProofs { // sent before the pause, answered after it
+	for _, c := range lateProofs { // sent before the stall, answered after it
 		m.step(Committed{ID: c.ID, Outcome: kv.OK, Revision: m.revision})
 	}
 	if m.node.mayDecide() || m.node.cloudCallTime() > 0 {
-		t.Error("a proof from before the pause is still valid")
+		t.Error("a proof from before the stall is still valid")
 	}
 }
 
-// After a pause of its own process a controller does not suspect the leader for heartbeats that it
-// missed during the pause, even if a peer suspects it.
+// After a stall of its own process a controller does not suspect the leader for heartbeats that it
+// missed during the stall, even if a peer suspects it.
 func TestNoSuspicionAfterStall(t *testing.T) {
 	m := newFailoverHarness(t)
 	term := m.applyLeaderRecord("n0", "x", true, 0)
@@ -260,8 +260,8 @@
 	}
 }
 
-// A claim that the watch does not show is abandoned: if its lease were renewed, the site would stay
-// without a leader that makes decisions.
+// A claim that the watch does not show is abandoned: as long as its lease was renewed, the site
+// would have no leader that makes decisions.
 func TestUnseenClaimIsAbandoned(t *testing.T) {
 	m, term := newHarnessWithSilentLeader(t)
 	m.deliverSuspicion(term)
@@ -326,7 +326,7 @@
 	}
 	m.advance(failover.CloudFenceTime(5*second)-100*time.Millisecond, 0)
 	if deliverGossip(); !machine.draining {
-		t.Error("the owner may place on a machine that the replaced leader may return")
+		t.Error("the owner may place tasks on a machine that the replaced leader may deprovision")
 	}
 	m.advance(200*time.Millisecond, 0)
 	if deliverGossip(); machine.draining {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -8,8 +8,8 @@
 	"micaport/internal/wire"
 )
 
-// leaderState is the state that only a leader keeps. It is not persisted: a new leader rebuilds
-// it from the records and from heartbeats, and takes hints from the decision log.
+// leaderState is the state that only a leader keeps. It is not persisted: a new leader rebuilds it
+// from the records and from heartbeats, and uses the decision log as a hint.
 type leaderState struct {
 	tenure     int   // number of times that this process has gained or lost the leadership
 	batch      batch // of the last scheduling pass
@@ -49,8 +49,8 @@
 const returnedAnnounceTime = 20 * second
 
 // recentlyReturned returns the names of the machines that were deprovisioned within
-// returnedAnnounceTime. An owner that receives none of these messages detects the machines by
-// their missing heartbeats.
+// returnedAnnounceTime, and removes the others from the list. An owner that misses an announcement
+// detects by missing heartbeats that the machine is gone.
 func (l *leaderState) recentlyReturned(n *Node) []string {
 	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > returnedAnnounceTime })
 	var out []string
@@ -89,7 +89,7 @@
 )
 
 // runLeader makes the calls to the cloud and the scheduling pass that are due, if this process
-// leads.
+// leads. An isolated leader may resign instead.
 func (n *Node) runLeader() {
 	if !n.isLeader() || n.resign() || !n.leadership.LeaseValid(n.now) {
 		return
@@ -144,7 +144,7 @@
 	}
 }
 
-// machineCount returns the number of machines in all shards, without those that are gone for good.
+// machineCount returns the number of machines in all shards.
 func (s *site) machineCount() int {
 	c := 0
 	for _, shard := range s.shards {
@@ -177,13 +177,14 @@
 		}
 		record := writer.recordToChange(job)
 		if record == nil {
-			return
+			return // the transaction is full
 		}
 		record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Machine == "" })
 	}
 }
 
 // hasStaleGrant reports whether a grant to a job has waited for its owner longer than the timeout.
+// Grants of a gang's attempt that is still in progress do not count.
 func (n *Node) hasStaleGrant(job *job) bool {
 	for _, task := range job.Record.ActiveTasks {
 		if task.Machine != "" {
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -7,8 +7,9 @@
 	"micaport/internal/wire"
 )
 
-// sendHeartbeats sends the heartbeats of a leader that may be replaced early to all peers. They
-// name the standby, which is to take over first.
+// sendHeartbeats elects the standby and sends heartbeats that name it to all peers, if they are due
+// and this process is a leader that may be replaced early. The standby is the first to claim the
+// leadership after a failure.
 func (n *Node) sendHeartbeats() {
 	s := &n.failover
 	if !n.isFencedLeader() || n.now < s.nextHeartbeatAt {
@@ -48,7 +49,8 @@
 	return list
 }
 
-// receiveLeaderHeartbeat applies a heartbeat that a leader has sent.
+// receiveLeaderHeartbeat records a leader's heartbeat for the failure detector. An input without a
+// message is ignored.
 func (n *Node) receiveLeaderHeartbeat(m *wire.LeaderHeartbeat) {
 	if m != nil {
 		n.failover.follower.ReceiveHeartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
@@ -56,9 +58,9 @@
 }
 
 // peerDisconnected records that the connection to a peer has broken.
-func (n *Node) peerDisconnected(label string) {
-	n.failover.follower.MarkDisconnected(n.now, label)
-	if p := n.peers[label]; p != nil {
+func (n *Node) peerDisconnected(name string) {
+	n.failover.follower.MarkDisconnected(n.now, name)
+	if p := n.peers[name]; p != nil {
 		p.disconnected = true
 	}
 }
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -37,8 +37,8 @@
 }
 
 // receiveReservations stores which machines the leader reserves for gangs. Owners choose the
-// machines of tasks, so they need the reservations: without them they would place new tasks on a
-// reserved machine as soon as a task on it has ended.
+// machines of tasks. Without the reservations they would place new tasks on a reserved machine as
+// soon as a task on it has ended.
 func (n *Node) receiveReservations(reservations []wire.Reservation) {
 	clear(n.reserved.jobs)
 	n.reserved.receivedAt = n.now
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -5,9 +5,10 @@
 	"micaport/internal/kv"
 )
 
-// fenceClaim replaces this leader's claim by a fenced one as soon as all controllers support the
-// record format that has the field. It first waits until the batch that was decided under the
-// old claim is settled, as the new claim changes the revision that commits are conditional on.
+// fenceClaim replaces this leader's claim by a fenced one, which permits early takeovers, as soon
+// as all controllers support the record format with this field. It first waits until the batch that
+// was decided under the old claim is settled, as the new claim changes the revision that commits
+// are conditional on.
 func (n *Node) fenceClaim() {
 	if !n.cfg.EarlyFailover || !n.replica.WritesEarlyFailover() ||
 		n.leadership.Record().Fenced || n.leader.batch.active ||
@@ -36,7 +37,7 @@
 
 func (p leaderProof) committed(n *Node, result Committed) {
 	switch {
-	case n.leadership.Term() != p.term:
+	case n.leadership.Term() != p.term: // the proof is of an earlier claim
 	case result.Outcome == kv.Conflict:
 		n.leadership.MarkReplaced(p.term) // the replica does not show the new claim yet
 	case result.Outcome == kv.OK && p.sentAt >= n.resumedAt:
@@ -45,8 +46,8 @@
 	}
 }
 
-// settleProofs makes those proofs valid whose revision the replica has reached, and extends the
-// time in which calls that are queued may be sent to the cloud.
+// settleProofs makes those proofs take effect whose revision the replica has reached, and extends
+// the time in which queued calls may be sent to the cloud.
 func (n *Node) settleProofs() {
 	s := &n.failover
 	before := s.fence.RemainingCallTime(n.now)
@@ -68,8 +69,8 @@
 
 // mayDecide reports whether the leader may make scheduling decisions. A leader that may be replaced
 // early needs a settled proof, which shows that it has not been replaced and that its replica is
-// current. Before its first pass there must also be no commit of this controller as an owner
-// whose outcome is unknown.
+// current. Before its first pass there must also be no commit of this controller as an owner whose
+// outcome is unknown. A takeover reaches the stage CaughtUp when these conditions are first met.
 func (n *Node) mayDecide() bool {
 	if !n.isFencedLeader() {
 		return true
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -10,9 +10,9 @@
 )
 
 // A leader that resigns while the outcome of a commit is unknown must discard that commit once
-// another controller leads. A controller doesn't change records as an owner that its own commit
-// as the leader may still change; a commit that was never discarded kept it from placing
-// what the next leader granted to its shards.
+// another controller leads. As long as its own commit as the leader may still change a record, a
+// controller doesn't change the record as an owner. A commit that was never discarded kept it from
+// placing the tasks that the next leader granted to its shards.
 func TestResignedLeaderDiscardsBatch(t *testing.T) {
 	d := &controllerHarness{revision: 1, node: New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"},
 		Teams: []replica.Team{{Name: "t"}}, HeartbeatInterval: 8 * second, WorkerLease: 34 * second, OwnerValidity: 28 * second, LeaderLease: 5 * second,
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -45,13 +45,14 @@
 	}
 }
 
-// claimLeader claims the leadership if it is vacant, if this controller's own claim is one of an
-// earlier incarnation or one that it has abandoned, or early if a quorum suspects the leader.
+// claimLeader claims the leadership if it is vacant, if the current claim is one of this
+// controller's earlier incarnations or one that it has abandoned, or early if a quorum suspects the
+// leader.
 func (n *Node) claimLeader() {
-	replace := func() bool {
+	mayReplace := func() bool {
 		return n.failover.follower.Advise(n.now) == failover.Replace && n.leadership.Lease.Age(n.now) <= failover.MaxLeaseAge
 	}
-	switch n.leadership.NextClaim(n.now, n.isIsolated, replace) {
+	switch n.leadership.NextClaim(n.now, n.isIsolated, mayReplace) {
 	case leadership.ClaimVacant:
 		n.sendClaim(n.newClaim(0), 0)
 	case leadership.ClaimOwn:
@@ -71,7 +72,7 @@
 }
 
 // sendClaim commits a claim of the leadership, together with further writes. The commit is
-// conditional on the revision of the present claim, which is 0 if there is none.
+// conditional on the revision of the current claim, which is 0 if there is none.
 func (n *Node) sendClaim(claim *wire.Leader, currentRevision uint64, otherWrites ...kv.Write) {
 	n.leadership.RecordClaimSent(n.now)
 	writes := []kv.Write{{Key: wire.LeaderKey, Value: claim, LeaseID: n.leadership.Lease.ID}}
@@ -118,7 +119,7 @@
 			return false
 		}
 	}
-	return n.now > peerMessageTimeout
+	return n.now > peerMessageTimeout // after a start the peers first need time to send a message
 }
 
 // successorMessageTimeout is the age of a controller's last message up to which it could take over
@@ -136,8 +137,8 @@
 	return false
 }
 
-// resign gives up the leadership if this controller is isolated and another one is not. It reports
-// whether it did.
+// resign resigns the leadership if this controller is isolated and another one could take over. It
+// reports whether it did.
 func (n *Node) resign() bool {
 	if !n.leadership.Resign(n.now, n.isIsolated(), n.hasSuccessor) {
 		return false
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -2,8 +2,8 @@
 
 import "micaport/internal/lease"
 
-// renewLeases renews the owner's lease and the leader's lease when they are due, and requests new
-// ones in place of those that have ended.
+// renewLeases sends the requests that are due for the owner's lease and the leader's lease. They
+// renew a lease, or create a new one in place of a lease that has expired.
 func (n *Node) renewLeases() {
 	if n.ownership.Lease.Due(n.now) {
 		n.sendLeaseRequest(&n.ownership.Lease)
@@ -13,8 +13,9 @@
 		return
 	}
 	if n.replica.Loaded() && n.leadership.AnotherLeads() && !n.needsLeaderLease() {
-		// This controller needs no lease while another one leads, and requests are scarce. An
-		// old lease is discarded, as it may have ended by the time that one is needed.
+		// This controller needs no leader's lease while another one leads, and the rate of requests
+		// is limited. An old lease is discarded, as it may have expired by the time that this
+		// controller needs a lease.
 		if leader.Age(n.now) > leader.TTL/2 {
 			leader.Discard()
 		}
--- a/internal/core/takeover_record.go
+++ b/internal/core/takeover_record.go
@@ -9,8 +9,8 @@
 	"micaport/internal/wire"
 )
 
-// maxRecordedTakeovers is the largest number of early takeovers that the record for operators lists;
-// there are fewer if they exceed the size limit of a value.
+// maxRecordedTakeovers is the maximum number of early takeovers that the record for operators
+// lists. It lists fewer if they would exceed the size limit of a value.
 const maxRecordedTakeovers = 8
 
 // putTakeovers applies a change of the takeover record. A takeover that is recorded when the process
@@ -37,7 +37,7 @@
 }
 
 // withStages returns the record with the stages of this controller's takeover, or nil if the last
-// takeover is another controller's.
+// recorded takeover is not one of this controller.
 func (f *failoverState) withStages(self string) *wire.Takeovers {
 	if f.takeovers == nil || len(f.takeovers.List) == 0 {
 		return nil
@@ -61,8 +61,9 @@
 	return stages
 }
 
-// recordFirstPass records that this leader has made a scheduling pass. The first one completes its
-// takeover.
+// recordFirstPass records that this leader has made a scheduling pass. If it took over early, the
+// first pass of its term completes the takeover, whose stages are then added to the takeover
+// record.
 func (n *Node) recordFirstPass() {
 	f := &n.failover
 	if f.firstPassDone {
