--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -14,14 +14,14 @@
 	minGossipInterval = 150 * time.Millisecond
 )
 
-// sendGossip sends a message to each peer if one is due. With now set it only makes the next
-// message due as soon as minGossipInterval allows.
+// sendGossip sends a message to each peer if one is due. With urgent set it sends nothing, but
+// makes the next message due as soon as minGossipInterval allows.
 //
 // Gossip messages carry the shards that this controller owns, its views of their machines, and the
 // leader's instructions. Each receiver gets the views that have changed since the version that
 // it has received; see viewLog.
-func (n *Node) sendGossip(now bool) {
-	if now {
+func (n *Node) sendGossip(urgent bool) {
+	if urgent {
 		n.nextGossipAt = min(n.nextGossipAt, n.gossipSentAt+minGossipInterval)
 		return
 	}
@@ -46,7 +46,8 @@
 	n.writeMailbox(message)
 }
 
-// gossipMessage returns a message without views of machines; withViewChanges adds these.
+// gossipMessage returns a message without views of machines, which withViewChanges adds. A leader
+// also applies the instructions in the message to itself, as the owner of its own shards.
 func (n *Node) gossipMessage() wire.Gossip {
 	message := wire.Gossip{
 		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isIsolated(),
@@ -77,8 +78,8 @@
 	message.Tries = n.gangs.Announced()
 }
 
-// versionSeenBy returns the version of this controller's machine views up to which a peer has
-// received them; 0 for a peer that names no version of this incarnation.
+// versionSeenBy returns the version up to which a peer has received this controller's machine
+// views, as its last message reports; 0 if that message reports no version of this incarnation.
 func (n *Node) versionSeenBy(name string) uint64 {
 	if p := n.peers[name]; p != nil {
 		if seen := p.message.Seen[n.cfg.Self]; seen.Life == n.cfg.Incarnation {
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -27,9 +27,9 @@
 		p.viewVersion = last.viewVersion
 	}
 	n.peers[message.From] = p
-	// If the views begin after a version that has not been received here, some are missing, and
-	// all are ignored. The next message to the peer names the last version received, so that
-	// the peer sends the views from there on.
+	// If the message starts after a version that this controller has not received, some views are
+	// missing, and all are ignored. The next message to the peer contains the last version
+	// received, so that the peer sends all views that have changed since.
 	if message.Since <= p.viewVersion && message.Ver >= p.viewVersion {
 		p.viewVersion = message.Ver
 		n.receiveMachines(message)
@@ -47,8 +47,8 @@
 }
 
 // receiveShards applies a peer's list of the shards that it owns. A newer term than the replica
-// shows means that the shard has a new owner and that this controller can't see its claim, as the
-// state service refuses it.
+// shows means that the shard has a new owner whose claim this controller can't see, because the
+// state service refuses to serve this controller.
 func (n *Node) receiveShards(message *wire.Gossip) {
 	for i, index := range message.Parts {
 		if index >= 0 && index < len(n.shards) && i < len(message.Terms) && message.Terms[i] > n.shards[index].Term {
--- a/internal/core/gossip_state.go
+++ b/internal/core/gossip_state.go
@@ -8,11 +8,11 @@
 	peers              map[string]*peer // by name; without controllers that have sent no message
 	storeRefusedSince  map[string]Time  // by name: since when the state service has refused a peer, by its own report
 	nextGossipAt       Time             // when the next message is due
-	gossipSentAt       Time
-	nextMailboxWriteAt Time // earliest time of the next write to the mailbox
+	gossipSentAt       Time             // when the last message was sent
+	nextMailboxWriteAt Time             // earliest time of the next write to the mailbox
 
 	views               viewLog
-	nextViewUpdateAt    Time  // when the views of this controller's machines are next updated
+	nextViewUpdateAt    Time  // when the next update of the views of this controller's machines is due; 0: at once
 	misdirectedMachines []int // machines of other owners that have recently sent heartbeats here
 
 	reserved         reservations
@@ -27,7 +27,7 @@
 type peer struct {
 	receivedAt   Time
 	message      *wire.Gossip
-	viewVersion  uint64 // up to which its machine views have been received
+	viewVersion  uint64 // version up to which its machine views have been received
 	viaMailbox   bool   // the message arrived by the mailbox
-	disconnected bool   // the connection to it has broken since
+	disconnected bool   // the connection to it has broken since the message arrived
 }
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -16,7 +16,8 @@
 	n.sendGossip(n.views.version != before)
 }
 
-// updateOwnViews updates the views of the machines that this controller owns.
+// updateOwnViews updates the views of the machines that this controller owns, and adds the changed
+// ones to the change log.
 func (n *Node) updateOwnViews() {
 	for _, shard := range n.shards {
 		if !n.mayActAsOwner(shard) {
@@ -26,7 +27,7 @@
 		for _, machine := range shard.machines {
 			n.examinedMachines++
 			if machine.term != shard.Term {
-				continue
+				continue // the worker's state belongs to another term
 			}
 			if view := n.ownView(shard, machine, othersReport); view != machine.view || machine.viewTerm != shard.Term {
 				n.setView(machine, view, shard.Term)
@@ -52,30 +53,32 @@
 	return 2*reporting > all
 }
 
-// ownView returns the present view of a machine that this controller owns. OthersReport is set if
-// most machines of the shard report.
+// ownView returns the current view of a machine that this controller owns. OthersReport is set if
+// most machines of the shard report. It also clears machine.unhealthy if no failed job counts
+// against the machine any more.
 func (n *Node) ownView(shard *shard, machine *machine, othersReport bool) machineView {
-	silent := n.now - machine.heartbeatAt
+	silence := n.now - machine.heartbeatAt
 	failedJobs := n.failedJobCount(machine)
-	machine.unhealthy = machine.unhealthy && failedJobs > 0 // the jobs may have turned out to be at fault
+	machine.unhealthy = machine.unhealthy && failedJobs > 0 // the jobs may have been found to be at fault
 	view := machineView{
 		reportedByOwner: true, reclaimPending: machine.reclaimAt > 0, draining: machine.draining, unhealthy: machine.unhealthy,
 		unconfirmed:    !machine.tokenConfirmed && !machine.newlyBooted,
 		failedJobCount: failedJobs, imageCount: n.imageCount(machine),
 	}
 	switch {
-	case silent > 3*n.cfg.HeartbeatInterval:
+	case silence > 3*n.cfg.HeartbeatInterval:
 		view.missedHeartbeats = 2
-	case silent > 2*n.cfg.HeartbeatInterval:
+	case silence > 2*n.cfg.HeartbeatInterval:
 		view.missedHeartbeats = 1
 	}
 	// Machines could not report before this controller became the valid owner, so earlier silence
 	// does not count. An unresponsive machine counts as lost: its tasks end with its lease.
-	view.unreachable = machine.unresponsive || n.isUnreachable(machine, min(silent, n.now-shard.ValidSince), othersReport)
+	view.unreachable = machine.unresponsive || n.isUnreachable(machine, min(silence, n.now-shard.ValidSince), othersReport)
 	return view
 }
 
-// setView stores the view of a machine that its owner has in a term.
+// setView stores the view of a machine that its owner has in a term, and records when the machine
+// becomes unconfirmed.
 func (s *site) setView(machine *machine, view machineView, term uint64) {
 	if view.unconfirmed && (!machine.view.unconfirmed || machine.viewTerm != term) {
 		machine.unconfirmedSince = s.now
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -20,17 +20,17 @@
 
 // writeMailbox writes a message to this controller's mailbox, a key of the state service that the
 // peers read, while a peer can't be reached directly. The message has as many view changes as fit
-// a value; further ones follow in the next.
+// into a value; the next message has further ones.
 //
-// Zones that are partitioned from each other may both reach the state service. By the mailbox the
-// leader still gets the views of the machines in the other zone. Correctness does not depend on
-// it: a lost, late or old message only leads to worse scheduling decisions.
+// Zones that are partitioned from each other may both reach the state service. Through the mailbox
+// the leader still receives the views of the machines in the other zone. Correctness does not
+// depend on it: a lost, late or old message only leads to worse scheduling decisions.
 func (n *Node) writeMailbox(message wire.Gossip) {
 	if n.now < n.nextMailboxWriteAt || !n.storeOK || n.now < mailboxStartDelay {
 		return
 	}
-	base, silent := n.mailboxBase()
-	if !silent {
+	base, unreachable := n.mailboxBase()
+	if !unreachable {
 		return
 	}
 	n.nextMailboxWriteAt = n.now + n.cfg.HeartbeatInterval
@@ -46,9 +46,9 @@
 	n.transact(ClassBackground, nil, []kv.Write{{Key: wire.MailboxPrefix + n.cfg.Self, Value: value}}, ignoreResult{})
 }
 
-// mailboxBase reports whether a peer can't be reached directly, and returns the version up to which
-// all such peers have received this controller's views.
-func (n *Node) mailboxBase() (base uint64, silent bool) {
+// mailboxBase reports whether any peer can't be reached directly, and returns the version up to
+// which all such peers have received this controller's views.
+func (n *Node) mailboxBase() (base uint64, unreachable bool) {
 	base = n.views.version
 	for _, member := range n.cfg.Members {
 		if member.Name == n.cfg.Self {
@@ -58,12 +58,14 @@
 		if p != nil && !p.viaMailbox && n.now-p.receivedAt <= peerAliveTime {
 			continue
 		}
-		silent = true
-		if p != nil { // a peer without any message may not exist; otherwise its first one names a version
+		unreachable = true
+		// A peer that has never sent a message may not run. Its first message will report the
+		// version that it has received.
+		if p != nil {
 			base = min(base, n.versionSeenBy(member.Name))
 		}
 	}
-	return base, silent
+	return base, unreachable
 }
 
 // mailboxMessage returns a copy of a message with view changes, shortened to the size limit of a
@@ -76,10 +78,10 @@
 	message.Returned = message.Returned[max(0, len(message.Returned)-maxMailboxNames):]
 	message.Retire = message.Retire[:min(len(message.Retire), maxMailboxNames)]
 	message.Strays = message.Strays[:min(len(message.Strays), maxMailboxNames)]
-	// The names and the other fields take well below a quarter of the value.
+	// The names and the other fields use well below a quarter of the size limit.
 	value := n.withViewChanges(message, base, max(1, n.cfg.MaxValueBytes*5/8/mailboxViewBytes))
 	for count := len(value.Hosts); count > 1 && !n.valueFits(value); {
-		// If the limit is small, the other fields take most of the value.
+		// If the size limit is small, the other fields use most of it.
 		count /= 2
 		message.Returned = message.Returned[:len(message.Returned)/2]
 		message.Retire = message.Retire[:len(message.Retire)/2]
@@ -97,7 +99,7 @@
 }
 
 // readMailbox applies the message in a peer's mailbox, unless the peer is reachable directly or the
-// message is not newer than its last one.
+// message is not newer than the last one received from it.
 func (n *Node) readMailbox(message *wire.Gossip) {
 	if p := n.peers[message.From]; p != nil {
 		direct := !p.viaMailbox && n.now-p.receivedAt < peerAliveTime
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -20,8 +20,8 @@
 	changes []viewChange // in order of version
 }
 
-// minChangeLogLength is the number of entries, besides two for each machine, that the change log
-// may have before the obsolete ones are removed.
+// minChangeLogLength is the number of entries that the change log may have, in addition to two for
+// each machine, before the obsolete ones are removed.
 const minChangeLogLength = 64
 
 // recordViewChange adds an entry to the change log for a machine of this controller.
@@ -41,9 +41,10 @@
 }
 
 // withViewChanges returns a copy of a message with the views of up to limit machines that changed
-// after the version base. It always includes the earliest changes, so that the receiver then has
-// all views up to the version that the message names. This makes lost and repeated messages
-// harmless.
+// after the version base. If more have changed, it includes the earliest changes, and the version
+// of the message is the last one before the first change left out. A receiver that has all views up
+// to base therefore has all views up to the version of the message, so that lost and repeated
+// messages do no harm.
 func (n *Node) withViewChanges(message wire.Gossip, base uint64, limit int) *wire.Gossip {
 	message.Since, message.Ver = base, n.views.version
 	var names wire.Interner
