--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -23,8 +23,8 @@
 	if !n.isFencedLeader() {
 		return
 	}
-	s.logPublisher.SetStandby(s.standby, n.leadership.Term())
-	if s.standby == "" || n.now < s.nextPublishAt {
+	s.logPublisher.SetStandby(s.electedStandby, n.leadership.Term())
+	if s.electedStandby == "" || n.now < s.nextPublishAt {
 		return
 	}
 	facts := n.leaderFacts()
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -16,7 +16,7 @@
 	takeover         failover.Takeover
 	earlyClaimSeenAt Time            // when a claim was last seen that may have replaced a live leader; 0: never
 	firstPassDone    bool            // this leader has made a scheduling pass in its current term
-	standby          string          // the standby that this leader has elected; "": none
+	electedStandby   string          // the standby that this leader has elected; "": none
 	nextHeartbeatAt  Time            // when the leader's next heartbeats are due
 	takeovers        *wire.Takeovers // the takeover record, as the replica shows it
 
@@ -39,8 +39,8 @@
 // isFencedLeader reports whether this process leads under a claim that may be replaced early.
 func (n *Node) isFencedLeader() bool { return n.isLeader() && n.leadership.Record().Fenced }
 
-// observeLeader applies a change of the leader record to the failover state.
-func (n *Node) observeLeader() {
+// setFailoverClaim applies a change of the leader record to the failover state.
+func (n *Node) setFailoverClaim() {
 	claim := failover.Claim{Term: n.leadership.Term()}
 	if record := n.leadership.Record(); record != nil {
 		claim.Controller = record.Controller
@@ -48,18 +48,18 @@
 		claim.Fenced = record.Fenced
 		claim.Streak = record.Streak
 	}
-	n.failover.observeClaim(n.now, claim, n.isLeader(), n.cfg.LeaderLease)
+	n.failover.setClaim(n.now, claim, n.isLeader(), n.cfg.LeaderLease)
 }
 
-// observeClaim applies a new claim of the leadership or the end of one; leads is set if this
-// process leads under the claim.
-func (f *failoverState) observeClaim(now Time, claim failover.Claim, leads bool, leaseTTL Time) {
-	f.follower.ObserveClaim(now, claim)
+// setClaim applies a new claim of the leadership or the end of one; leads is set if this process
+// leads under the claim.
+func (f *failoverState) setClaim(now Time, claim failover.Claim, leads bool, leaseTTL Time) {
+	f.follower.SetClaim(now, claim)
 	if claim.Streak > 0 {
 		f.earlyClaimSeenAt = now
 	}
 	f.firstPassDone = false
-	f.standby = ""
+	f.electedStandby = ""
 	f.nextHeartbeatAt = now
 	if !leads {
 		f.takeover.End()
@@ -91,7 +91,7 @@
 	}
 	n.abandonUnseenClaim()
 	s := &n.failover
-	suspectedBefore := s.follower.SuspectedAt() > 0
+	suspectedBefore := s.follower.SuspectedSince() > 0
 	advice := s.follower.Advise(n.now)
 	if advice == failover.Follow {
 		return
@@ -110,7 +110,7 @@
 // the leader.
 func (n *Node) needsLeaderLease() bool {
 	f := n.failover.follower
-	return n.cfg.EarlyFailover && (f.IsStandby() || f.SuspectedAt() > 0)
+	return n.cfg.EarlyFailover && (f.IsStandby() || f.SuspectedSince() > 0)
 }
 
 // claimEarly replaces a leader whose lease has not expired. The claim is conditional on the
@@ -119,12 +119,12 @@
 func (n *Node) claimEarly() {
 	s := &n.failover
 	replaced, evidence := n.leadership.Record().Controller, s.follower.Evidence(n.now)
-	s.takeover.Begin(n.now, replaced, s.follower.SuspectedAt(), evidence)
+	s.takeover.Begin(n.now, replaced, s.follower.SuspectedSince(), evidence)
 	n.log(LogInfo, "claiming leadership early", "leader", replaced, "silence", evidence.Silence, "broken", evidence.Broken,
 		"suspecting", evidence.Suspecting, "hearing", evidence.Hearing, "members", evidence.Members)
 	record := s.withTakeover(wire.Takeover{
 		From: replaced, To: n.cfg.Self, Replaced: n.leadership.Term(), At: n.cfg.WallClockMS(), SilenceMS: evidence.Silence.Milliseconds(), Broken: evidence.Broken,
 		Suspecting: evidence.Suspecting, Hearing: evidence.Hearing, Members: evidence.Members, StagesMS: s.stagesMS(),
 	}, n.valueFits)
-	n.sendClaim(n.newClaim(s.follower.Streak(n.now)), n.leadership.Term(), kv.Write{Key: wire.TakeoversKey, Value: record})
+	n.sendClaim(n.newClaim(s.follower.NextStreak(n.now)), n.leadership.Term(), kv.Write{Key: wire.TakeoversKey, Value: record})
 }
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -255,7 +255,7 @@
 	m.now += 4 * second
 	m.deliverSuspicion(term)
 	m.advance(200*time.Millisecond, 0)
-	if claims := m.takeLeaderCommits(); len(claims) > 0 || m.node.failover.follower.SuspectedAt() > 0 {
+	if claims := m.takeLeaderCommits(); len(claims) > 0 || m.node.failover.follower.SuspectedSince() > 0 {
 		t.Errorf("the leader is suspected, claims %+v", claims)
 	}
 }
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -16,8 +16,8 @@
 		return
 	}
 	s.nextHeartbeatAt = n.now + failover.HeartbeatInterval
-	if elected := failover.Elect(s.standby, n.candidates()); elected != s.standby {
-		s.standby = elected
+	if elected := failover.Elect(s.electedStandby, n.standbyCandidates()); elected != s.electedStandby {
+		s.electedStandby = elected
 		n.log(LogInfo, "standby elected", "controller", elected)
 	}
 	for _, m := range n.cfg.Members {
@@ -26,15 +26,15 @@
 				From:    n.cfg.Self,
 				Life:    n.cfg.Incarnation,
 				Term:    n.leadership.Term(),
-				Standby: s.standby,
+				Standby: s.electedStandby,
 			}})
 		}
 	}
 }
 
-// candidates returns the peers among which the standby is elected: those that can be reached
+// standbyCandidates returns the peers among which the standby is elected: those that can be reached
 // directly.
-func (n *Node) candidates() []failover.Candidate {
+func (n *Node) standbyCandidates() []failover.Candidate {
 	var list []failover.Candidate
 	for _, m := range n.cfg.Members {
 		if p := n.peers[m.Name]; p != nil && m.Name != n.cfg.Self && !p.viaMailbox && !p.disconnected {
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -23,7 +23,7 @@
 // early calls it only for a limited time after it sent a proof that succeeded; see failover.Fence.
 func (n *Node) proveClaim() {
 	term := n.leadership.Term()
-	if !n.isFencedLeader() || !n.failover.fence.Due(n.now) {
+	if !n.isFencedLeader() || !n.failover.fence.StartProofIfDue(n.now) {
 		return
 	}
 	n.transact(ClassLease, []kv.Condition{n.leaderCondition()}, nil, leaderProof{term: term, sentAt: n.now})
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -29,7 +29,7 @@
 	if change == leadership.Stale {
 		return
 	}
-	n.observeLeader()
+	n.setFailoverClaim()
 	switch change {
 	case leadership.Reclaimed:
 		n.log(LogInfo, "leadership reclaimed", "term", revision)
--- a/internal/core/leadership_status.go
+++ b/internal/core/leadership_status.go
@@ -16,7 +16,7 @@
 	status.Fenced = n.leadership.Record().Fenced
 	status.Streak = n.leadership.Record().Streak
 	if n.isLeader() {
-		status.Standby = s.standby
+		status.Standby = s.electedStandby
 		status.LogMessages, status.LogFacts = s.logPublisher.Lag()
 		status.LogResyncs = s.logPublisher.Resyncs()
 		return status
@@ -27,7 +27,7 @@
 	status.LogDropped = s.logReplica.RefusedMessages()
 	evidence := s.follower.Evidence(n.now)
 	status.SilenceMS = evidence.Silence.Milliseconds()
-	status.Suspected = s.follower.SuspectedAt() > 0
+	status.Suspected = s.follower.SuspectedSince() > 0
 	status.Suspecting = evidence.Suspecting
 	return status
 }
--- a/internal/failover/decision_log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -20,9 +20,9 @@
 	return wire.Fact{Kind: wire.FactIdle, Name: name, At: at}
 }
 
-// factsHeld returns the times of the facts that a replica has stored for a term, by the leader's
+// factTimes returns the times of the facts that a replica has stored for a term, by the leader's
 // clock. The key is the name of the fact.
-func factsHeld(r *Replica, term uint64) map[string]int64 {
+func factTimes(r *Replica, term uint64) map[string]int64 {
 	facts := map[string]int64{}
 	for _, f := range r.FactsOfTerm(term) {
 		facts[f.Name] = f.At - r.offset.Milliseconds()
@@ -62,7 +62,7 @@
 		for _, f := range c.facts {
 			want[f.Name] = f.At
 		}
-		if got := factsHeld(r, 7); !maps.Equal(got, want) {
+		if got := factTimes(r, 7); !maps.Equal(got, want) {
 			t.Errorf("step %d: the standby holds %v, want %v", i, got, want)
 		}
 	}
@@ -217,7 +217,7 @@
 				p.ReceiveAck(now, r.Receive(now, leaderClaim, m))
 			}
 		}
-		if got := factsHeld(r, 7); !maps.Equal(got, leaderFacts) {
+		if got := factTimes(r, 7); !maps.Equal(got, leaderFacts) {
 			t.Fatalf("the standby holds %v, the leader has %v", got, leaderFacts)
 		}
 	})
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -73,9 +73,9 @@
 	f.nextProofAt = now
 }
 
-// Due reports whether a proof is due now. If so, it schedules the next one, and the caller must
-// send this one.
-func (f *Fence) Due(now time.Duration) bool {
+// StartProofIfDue reports whether a proof is due now. If so, it schedules the next one, and the
+// caller must send this one.
+func (f *Fence) StartProofIfDue(now time.Duration) bool {
 	if now < f.nextProofAt {
 		return false
 	}
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -49,7 +49,7 @@
 			// The leader continues for a while after it has been replaced, because its
 			// watch hangs.
 			for at := seenAt; at < replacedAt+8*time.Second; at += between("step", 50*time.Millisecond, 700*time.Millisecond) {
-				if fence.Due(clock(at)) {
+				if fence.StartProofIfDue(clock(at)) {
 					appliedAt := at + between("proof", time.Millisecond, 1500*time.Millisecond)
 					if appliedAt < replacedAt {
 						fence.AddProof(clock(at), 1)
@@ -96,7 +96,7 @@
 		t.Errorf("caught up %v, remaining call time %v, want %v", f.CaughtUp(), got, want)
 	}
 	f.ResetAfterStall(3 * time.Second)
-	if f.CaughtUp() || f.RemainingCallTime(3*time.Second) > 0 || !f.Due(3*time.Second) {
+	if f.CaughtUp() || f.RemainingCallTime(3*time.Second) > 0 || !f.StartProofIfDue(3*time.Second) {
 		t.Error("a proof is still valid after a stall")
 	}
 }
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -27,14 +27,14 @@
 
 // Follower monitors the leader on behalf of a controller that is not the leader.
 type Follower struct {
-	config      Config
-	claim       Claim
-	claimSeenAt time.Duration
-	detector    detector
-	peerReports map[string]peerReport // by controller name
-	standby     string                // named by the leader; "": none
-	suspectedAt time.Duration         // since when this controller has suspected the leader; 0: it does not
-	confirmedAt time.Duration         // since when a quorum has suspected the leader; 0: it does not
+	config              Config
+	claim               Claim
+	claimSeenAt         time.Duration
+	detector            detector
+	peerReports         map[string]peerReport // by controller name
+	standby             string                // named by the leader; "": none
+	suspectedSince      time.Duration         // since when this controller has suspected the leader; 0: it does not
+	quorumSuspectsSince time.Duration         // since when a quorum has suspected the leader; 0: it does not
 }
 
 // NewFollower returns a follower without a leader.
@@ -42,16 +42,16 @@
 	return &Follower{config: config, detector: detector{maxTimeout: config.LeaseTTL}, peerReports: map[string]peerReport{}}
 }
 
-// ObserveClaim sets the current claim of the leadership. If the claim has changed, its leader is
+// SetClaim sets the current claim of the leadership. If the claim has changed, its leader is
 // treated as if it had sent a heartbeat now.
-func (f *Follower) ObserveClaim(now time.Duration, claim Claim) {
+func (f *Follower) SetClaim(now time.Duration, claim Claim) {
 	if claim.Term == f.claim.Term && claim.Controller == f.claim.Controller {
 		return
 	}
 	f.claim, f.claimSeenAt = claim, now
 	f.detector.reset(now)
 	f.standby = ""
-	f.suspectedAt, f.confirmedAt = 0, 0
+	f.suspectedSince, f.quorumSuspectsSince = 0, 0
 }
 
 // ReceiveHeartbeat records a heartbeat of the leader. Heartbeats of another controller, incarnation
@@ -77,7 +77,7 @@
 // received during the stall, so the leader and all peers seem silent.
 func (f *Follower) ResetAfterStall(now time.Duration) {
 	f.detector.reset(now)
-	f.suspectedAt, f.confirmedAt = 0, 0
+	f.suspectedSince, f.quorumSuspectsSince = 0, 0
 	clear(f.peerReports)
 }
 
@@ -100,28 +100,28 @@
 // have suspected the leader.
 func (f *Follower) Advise(now time.Duration) Advice {
 	if !f.mayReplaceEarly() || !f.detector.suspects(now) {
-		f.suspectedAt, f.confirmedAt = 0, 0
+		f.suspectedSince, f.quorumSuspectsSince = 0, 0
 		return Follow
 	}
-	if f.suspectedAt == 0 {
-		f.suspectedAt = now
+	if f.suspectedSince == 0 {
+		f.suspectedSince = now
 	}
 	if !f.Evidence(now).Quorum() {
-		f.confirmedAt = 0
+		f.quorumSuspectsSince = 0
 		return Prepare
 	}
-	if f.confirmedAt == 0 {
-		f.confirmedAt = now
+	if f.quorumSuspectsSince == 0 {
+		f.quorumSuspectsSince = now
 	}
-	if now-f.claimSeenAt < f.MinTenure() || now-f.confirmedAt < f.claimDelay() {
+	if now-f.claimSeenAt < f.MinTenure() || now-f.quorumSuspectsSince < f.claimDelay() {
 		return Prepare
 	}
 	return Replace
 }
 
-// SuspectedAt returns since when this controller has suspected the leader, as of the last call of
-// Advise; 0 if it does not.
-func (f *Follower) SuspectedAt() time.Duration { return f.suspectedAt }
+// SuspectedSince returns since when this controller has suspected the leader, as of the last call
+// of Advise; 0 if it does not.
+func (f *Follower) SuspectedSince() time.Duration { return f.suspectedSince }
 
 // Standby returns the standby that the leader has named; "" if there is none.
 func (f *Follower) Standby() string { return f.standby }
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -16,7 +16,7 @@
 // leader "a" has led since 0 under term 7, and its heartbeats name "b" as the standby.
 func newFollower(self string) *Follower {
 	f := NewFollower(Config{Self: self, Members: members, Early: true, LeaseTTL: leaseTTL})
-	f.ObserveClaim(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
+	f.SetClaim(0, Claim{Controller: "a", Incarnation: "a1", Term: 7, Fenced: true})
 	for at := time.Duration(0); at <= lastHeartbeat; at += HeartbeatInterval {
 		f.ReceiveHeartbeat(at, "a", "a1", 7, "b")
 	}
@@ -86,7 +86,7 @@
 	})
 	t.Run("the claim is not fenced", func(t *testing.T) {
 		f := newFollower("b")
-		f.ObserveClaim(lastHeartbeat, Claim{Controller: "a", Incarnation: "a1", Term: 8})
+		f.SetClaim(lastHeartbeat, Claim{Controller: "a", Incarnation: "a1", Term: 8})
 		suspect(f, now, 8, "c", "d")
 		if got := f.Advise(now); got != Follow {
 			t.Errorf("advice %v, want %v", got, Follow)
--- a/internal/failover/tenure.go
+++ b/internal/failover/tenure.go
@@ -28,9 +28,9 @@
 	return tenure
 }
 
-// Streak returns the streak of a claim that would replace the current leader early now: one more
-// than the streak of the current claim, or 1 if the current leader is stable.
-func (f *Follower) Streak(now time.Duration) int {
+// NextStreak returns the streak of a claim that would replace the current leader early now: one
+// more than the streak of the current claim, or 1 if the current leader is stable.
+func (f *Follower) NextStreak(now time.Duration) int {
 	if now-f.claimSeenAt >= stableTenureFactor*f.MinTenure() {
 		return 1
 	}
--- a/internal/failover/tenure_test.go
+++ b/internal/failover/tenure_test.go
@@ -13,14 +13,14 @@
 	for streak, tenure := range []time.Duration{2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second, maxMinTenure, maxMinTenure} {
 		t.Run(fmt.Sprintf("streak %d", streak), func(t *testing.T) {
 			term := uint64(10 + streak)
-			f.ObserveClaim(now, Claim{Controller: "a", Incarnation: "a1", Term: term, Fenced: true, Streak: streak})
+			f.SetClaim(now, Claim{Controller: "a", Incarnation: "a1", Term: term, Fenced: true, Streak: streak})
 			if got := f.MinTenure(); got != tenure {
 				t.Errorf("minimum tenure %v, want %v", got, tenure)
 			}
-			if got := f.Streak(now + stableTenureFactor*tenure - 1); got != streak+1 {
+			if got := f.NextStreak(now + stableTenureFactor*tenure - 1); got != streak+1 {
 				t.Errorf("next streak %d, want %d", got, streak+1)
 			}
-			if got := f.Streak(now + stableTenureFactor*tenure); got != 1 {
+			if got := f.NextStreak(now + stableTenureFactor*tenure); got != 1 {
 				t.Errorf("next streak after a stable leader %d, want 1", got)
 			}
 			failedAt := now + tenure/2
