--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -39,7 +39,7 @@
 		facts = append(facts, wire.Fact{Kind: wire.FactReserved, Name: reserved.Host, JobID: reserved.Ref})
 	}
 	for _, returned := range n.leader.returned {
-		if n.now-returned.at <= returnedAnnounceTime {
+		if n.now-returned.at <= deprovisionAnnounceTime {
 			facts = append(facts, wire.Fact{Kind: wire.FactReturned, Name: returned.name, At: factTime(returned.at)})
 		}
 	}
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -73,7 +73,7 @@
 // addLeaderInstructions adds the leader's instructions to the owners of shards.
 func (n *Node) addLeaderInstructions(message *wire.Gossip) {
 	message.Retire = n.leader.machinesToDrain(n)
-	message.Returned = n.leader.recentlyReturned(n)
+	message.Returned = n.leader.recentlyDeprovisioned(n)
 	message.Kept = n.leader.reservations
 	message.Tries = n.gangs.Announced()
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -45,14 +45,14 @@
 	at   Time
 }
 
-// returnedAnnounceTime is how long gossip announces that a machine was deprovisioned.
-const returnedAnnounceTime = 20 * second
-
-// recentlyReturned returns the names of the machines that were deprovisioned within
-// returnedAnnounceTime, and removes the others from the list. An owner that misses an announcement
-// detects by missing heartbeats that the machine is gone.
-func (l *leaderState) recentlyReturned(n *Node) []string {
-	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > returnedAnnounceTime })
+// deprovisionAnnounceTime is how long gossip announces that a machine was deprovisioned.
+const deprovisionAnnounceTime = 20 * second
+
+// recentlyDeprovisioned returns the names of the machines that were deprovisioned within
+// deprovisionAnnounceTime, and removes the others from the list. An owner that misses an
+// announcement detects by missing heartbeats that the machine is gone.
+func (l *leaderState) recentlyDeprovisioned(n *Node) []string {
+	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > deprovisionAnnounceTime })
 	var out []string
 	for _, r := range l.returned {
 		out = append(out, r.name)
@@ -91,7 +91,7 @@
 // runLeader makes the calls to the cloud and the scheduling pass that are due, if this process
 // leads. An isolated leader may resign instead.
 func (n *Node) runLeader() {
-	if !n.isLeader() || n.resign() || !n.leadership.LeaseValid(n.now) {
+	if !n.isLeader() || n.resignIfIsolated() || !n.leadership.LeaseValid(n.now) {
 		return
 	}
 	if n.resumedAt > 0 && n.now-n.resumedAt < firstPassDelayAfterStall || !n.mayDecide() {
@@ -123,7 +123,7 @@
 	n.cleanUpHints()
 	n.shrinkRecords(writer)
 	n.advanceGangs(writer)
-	n.revokeUnownedGrants(writer)
+	n.revokeStaleGrants(writer)
 	n.updateOwnViews()
 	unwritten := n.runSchedulingPass(writer)
 	n.logQuotaExcess()
@@ -166,10 +166,10 @@
 	ownerResponseTimeout = 5 * second
 )
 
-// revokeUnownedGrants revokes grants that no owner has placed within the timeout. Their tasks
-// cannot have started: an owner that places a task at the same time changes the record, so that
-// the revocation fails.
-func (n *Node) revokeUnownedGrants(writer *writer) {
+// revokeStaleGrants revokes grants that no owner has placed within the timeout. Their tasks cannot
+// have started: an owner that places a task at the same time changes the record, so that the
+// revocation fails.
+func (n *Node) revokeStaleGrants(writer *writer) {
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
 		if job.Unplaced == 0 || !n.hasStaleGrant(job) {
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -18,7 +18,7 @@
 		}
 	}
 	n.receiveReservations(message.Kept)
-	n.drainMachines(message.Retire)
+	n.updateDrainingMachines(message.Retire)
 }
 
 // reservations holds the machines that the leader reserves for gangs.
@@ -50,9 +50,9 @@
 	}
 }
 
-// drainMachines starts to drain those of this controller's machines that the leader wants to
-// deprovision and that are empty, and stops draining those that it no longer lists.
-func (n *Node) drainMachines(names []string) {
+// updateDrainingMachines starts to drain those of this controller's machines that the leader wants
+// to deprovision and that are empty, and stops draining those that it no longer lists.
+func (n *Node) updateDrainingMachines(names []string) {
 	asked := make(map[string]bool, len(names))
 	for _, name := range names {
 		asked[name] = true
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -137,10 +137,10 @@
 	return false
 }
 
-// resign resigns the leadership if this controller is isolated and another one could take over. It
-// reports whether it did.
-func (n *Node) resign() bool {
-	if !n.leadership.Resign(n.now, n.isIsolated(), n.hasSuccessor) {
+// resignIfIsolated resigns the leadership if this controller is isolated and another one could take
+// over. It reports whether it did.
+func (n *Node) resignIfIsolated() bool {
+	if !n.leadership.ResignIfIsolated(n.now, n.isIsolated(), n.hasSuccessor) {
 		return false
 	}
 	n.log(LogInfo, "resigning leadership", "reason", "isolated", "term", n.leadership.Term())
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -73,7 +73,7 @@
 	}
 	// Machines could not report before this controller became the valid owner, so earlier silence
 	// does not count. An unresponsive machine counts as lost: its tasks end with its lease.
-	view.unreachable = machine.unresponsive || n.isUnreachable(machine, min(silence, n.now-shard.ValidSince), othersReport)
+	view.unreachable = machine.unresponsive || n.isUnreachable(machine, min(silence, n.now-shard.MayActSince), othersReport)
 	return view
 }
 
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -40,10 +40,10 @@
 	// the claim is abandoned. No other claim is made for unseenClaimBackoff after that.
 	unseenClaimTimeout = 2 * time.Second
 	unseenClaimBackoff = 10 * time.Second
-	// minTermBeforeResigning is the minimum time for which a leader leads before it
-	// resigns, and resignInterval the minimum time between two resignations.
-	minTermBeforeResigning = 5 * time.Second
-	resignInterval         = 10 * time.Second
+	// minTenureBeforeResigning is the minimum time for which a leader leads before it resigns, and
+	// resignInterval the minimum time between two resignations.
+	minTenureBeforeResigning = 5 * time.Second
+	resignInterval           = 10 * time.Second
 	// isolationReportTime is how long peers that are isolated too may need to report their
 	// isolation, in addition to the heartbeat interval of the workers.
 	isolationReportTime = 2 * time.Second
@@ -220,12 +220,12 @@
 // it.
 func (l *Leadership) MarkReplaced(term uint64) { l.abandonedTerm = term }
 
-// Resign abandons the claim if this leader is to resign now, and reports whether it did. An
-// isolated leader that the state service still serves resigns if successor reports that a
+// ResignIfIsolated abandons the claim if this leader is to resign now, and reports whether it did.
+// An isolated leader that the state service still serves resigns if successor reports that a
 // controller which is not isolated could take over. If all controllers are isolated, another leader
 // would be no better. After a resignation this process does not lead, even if its watch hangs and
 // never shows the end of the claim.
-func (l *Leadership) Resign(now Time, isolated bool, successor func() bool) bool {
+func (l *Leadership) ResignIfIsolated(now Time, isolated bool, successor func() bool) bool {
 	if !isolated {
 		l.isolatedSince = 0
 		return false
@@ -233,7 +233,7 @@
 	if l.isolatedSince == 0 {
 		l.isolatedSince = now
 	}
-	if now < l.nextResignAt || now-l.leaderChangedAt < minTermBeforeResigning ||
+	if now < l.nextResignAt || now-l.leaderChangedAt < minTenureBeforeResigning ||
 		now-l.isolatedSince < l.cfg.HeartbeatInterval+isolationReportTime ||
 		!successor() {
 		return false
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -97,21 +97,21 @@
 	l := newLeadership()
 	l.Put(0, claimOf(self, incarnation), 5)
 	isolatedAt := 10 * time.Second
-	if l.Resign(isolatedAt, true, always) {
+	if l.ResignIfIsolated(isolatedAt, true, always) {
 		t.Error("resigned as soon as it was isolated")
 	}
 	later := isolatedAt + l.cfg.HeartbeatInterval + isolationReportTime
-	if l.Resign(later, true, never) {
+	if l.ResignIfIsolated(later, true, never) {
 		t.Error("resigned without a successor")
 	}
-	if !l.Resign(later, true, always) || l.IsLeader() {
+	if !l.ResignIfIsolated(later, true, always) || l.IsLeader() {
 		t.Error("did not resign")
 	}
 	l.RevertResignation()
 	if !l.IsLeader() {
 		t.Error("does not lead although the resignation was refused")
 	}
-	if l.Resign(later+time.Second, true, always) {
+	if l.ResignIfIsolated(later+time.Second, true, always) {
 		t.Error("resigned again before the resign interval has passed")
 	}
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -39,7 +39,7 @@
 			if l.ID != c.wantID {
 				t.Errorf("lease %d, want %d", l.ID, c.wantID)
 			}
-			if renewed := l.SentAt == sentAt; renewed != c.renewed {
+			if renewed := l.RenewalSentAt == sentAt; renewed != c.renewed {
 				t.Errorf("renewed: %v, want %v", renewed, c.renewed)
 			}
 			if l.Due(c.dueAt-1) || !l.Due(c.dueAt) {
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -36,7 +36,7 @@
 	HomeRecovered Reason = "this controller is its home and is well"
 )
 
-// Minimum times before a claim. The waits are counted from Shard.ClaimableSince, minBouncingTime
+// Minimum times before a claim. The waits are counted from Shard.claimWaitStart, minBouncingTime
 // and minRefusedTime from the beginning of the evidence.
 const (
 	unownedSameZoneWait  = 2 * time.Second
@@ -79,7 +79,7 @@
 // MayClaim returns the reason for which a shard that this process does not own may be claimed
 // now, or NotClaimable. It calls gather only if the result depends on the evidence.
 func (t *Table) MayClaim(now Time, s *Shard, gather func() Evidence) Reason {
-	waited := now - s.ClaimableSince
+	waited := now - s.claimWaitStart
 	switch {
 	case s.Record == nil && t.mayClaimUnowned(waited, s):
 		return Unowned
--- a/internal/ownership/proof.go
+++ b/internal/ownership/proof.go
@@ -100,9 +100,9 @@
 // the claim was last renewed if that was earlier.
 func (t *Table) extendValidity(now Time, s *Shard, sentAt Time) {
 	if !t.MayAct(now, s) {
-		s.ValidSince = now
+		s.MayActSince = now
 	}
-	s.validFrom = max(s.validFrom, min(sentAt, t.Lease.SentAt))
+	s.validityStart = max(s.validityStart, min(sentAt, t.Lease.RenewalSentAt))
 	s.proven = true
 }
 
--- a/internal/ownership/shards.go
+++ b/internal/ownership/shards.go
@@ -65,17 +65,17 @@
 	Term           uint64      // revision of the current claim or of its end: the fencing token for workers
 	ChangedAt      Time        // when the replica last showed a new claim or its end
 
-	ClaimableSince Time // start of the waits before a claim: when the replica last showed a new claim or its end, or this controller last sent a claim
+	claimWaitStart Time // start of the waits before a claim: when the replica last showed a new claim or its end, or this controller last sent a claim
 	claimCheckedAt Time // when it was last checked whether to claim the shard
 
-	proven     bool // a proof of the current term has settled
-	validFrom  Time // start of the validity, which each settled proof moves; see extendValidity
-	ValidSince Time // since when this controller may act as the owner without interruption
+	proven        bool // a proof of the current term has settled
+	validityStart Time // start of the validity, which each settled proof moves; see extendValidity
+	MayActSince   Time // since when this controller may act as the owner without interruption
 	// OwnedSince is a time after which no earlier owner can have replied to a worker. It may be in
 	// the future.
 	OwnedSince Time
-	// previousOwnerUntil is the time until which earlier owners may act.
-	previousOwnerUntil Time
+	// earlierOwnersMayActUntil is the time until which earlier owners may act.
+	earlierOwnersMayActUntil Time
 }
 
 // zoneRange is the range of the consecutive shards of a zone.
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -57,7 +57,7 @@
 
 // MayAct reports whether this controller may act as the owner of a shard now.
 func (t *Table) MayAct(now Time, s *Shard) bool {
-	return t.Owns(s) && s.proven && now < s.validFrom+t.cfg.Validity
+	return t.Owns(s) && s.proven && now < s.validityStart+t.cfg.Validity
 }
 
 // Change is the effect that a new record of a shard has on this process.
@@ -79,22 +79,22 @@
 	before, owned := s.Record, t.Owns(s)
 	s.Record = record
 	s.Term = revision
-	s.ClaimableSince = now
+	s.claimWaitStart = now
 	s.ChangedAt = now
 	if before != nil && record != nil && before.Owner != record.Owner {
 		// The shard was taken over from a live owner, which may act until its validity has
 		// expired, whoever claims the shard next. Later claims don't reset this time: an
 		// owner that took the shard over, lost it and claims it again must still respect
 		// it.
-		s.previousOwnerUntil = now + t.cfg.Validity
+		s.earlierOwnersMayActUntil = now + t.cfg.Validity
 	}
-	s.proven, s.validFrom = false, 0
+	s.proven, s.validityStart = false, 0
 	switch {
 	case t.Owns(s):
 		// An owner whose claim was removed with its lease had stopped acting before that, and an
 		// earlier incarnation no longer runs. But an owner from which the shard was recently taken
 		// over may still reply to workers.
-		s.OwnedSince = max(now, s.previousOwnerUntil)
+		s.OwnedSince = max(now, s.earlierOwnersMayActUntil)
 		t.nextProofAt = 0
 		return Claimed
 	case owned:
@@ -107,7 +107,7 @@
 // called after a full listing, which does not show the earlier claims.
 func (t *Table) AssumeRecentOwners(now Time) {
 	for _, s := range t.shards {
-		s.previousOwnerUntil = now + t.cfg.Validity
+		s.earlierOwnersMayActUntil = now + t.cfg.Validity
 	}
 }
 
@@ -156,14 +156,14 @@
 // false if there is none. Permitted reports whether the shard may be claimed, and is called only if
 // a check is due.
 func (t *Table) NextClaim(now Time, s *Shard, permitted func() bool) (condition kv.Condition, write kv.Write, due bool) {
-	if t.Owns(s) || now < s.ClaimableSince+claimInterval || now < s.claimCheckedAt+claimCheckInterval {
+	if t.Owns(s) || now < s.claimWaitStart+claimInterval || now < s.claimCheckedAt+claimCheckInterval {
 		return condition, write, false
 	}
 	s.claimCheckedAt = now
 	if !permitted() {
 		return condition, write, false
 	}
-	s.ClaimableSince = max(s.ClaimableSince, now) // the waits before the next claim start again
+	s.claimWaitStart = max(s.claimWaitStart, now) // the waits before the next claim start again
 	condition, write = t.claim(s)
 	return condition, write, true
 }
