--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -4,8 +4,9 @@
 // while no heartbeat changes one.
 const ownViewsInterval = second
 
-// updateAndSendOwnViews updates the views of this controller's machines if an update is due. If one
-// has changed, the next gossip is sent as soon as possible.
+// updateAndSendOwnViews updates the views of this controller's machines if an update is due. If a
+// view has changed, the next gossip becomes due as soon as possible; otherwise a gossip that is due
+// is sent.
 func (n *Node) updateAndSendOwnViews() {
 	if n.now < n.nextViewUpdateAt {
 		return
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -43,7 +43,7 @@
 // The left side is the latest time at which a call of the replaced leader can arrive, counted from
 // the last renewal of the new leader's lease before its claim. By the inequality this time has
 // passed when that lease expires. If the new leader fails before it has done anything, its
-// successor therefore need not know of the replaced leader.
+// successor therefore need not consider the replaced leader.
 type Fence struct {
 	validity    time.Duration // of a proof
 	allowedFrom time.Duration // earliest time of a call; until then a replaced leader may still call the cloud
