--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -28,22 +28,22 @@
 // been slow recently: it is at least twice the longest recent gap, or the gap itself if the
 // connection is broken, up to a maximum. The zero value has received no heartbeat.
 type detector struct {
-	maxTimeout     time.Duration // the longest timeout; 0: unlimited
-	heartbeatAt    time.Duration // when the last heartbeat was received
-	disconnectedAt time.Duration // when the connection broke; 0: it is open
-	gaps           []gap         // within gapRetention, each shorter than the one before it
+	maxTimeout      time.Duration // the longest timeout; 0: unlimited
+	lastHeartbeatAt time.Duration // when the last heartbeat was received
+	disconnectedAt  time.Duration // when the connection broke; 0: it is open
+	gaps            []gap         // within gapRetention, each shorter than the one before it
 }
 
 // reset restarts the detector as if a heartbeat had been received now.
 func (d *detector) reset(now time.Duration) {
-	*d = detector{maxTimeout: d.maxTimeout, heartbeatAt: now}
+	*d = detector{maxTimeout: d.maxTimeout, lastHeartbeatAt: now}
 }
 
 // recordHeartbeat records a heartbeat of the leader. It removes the recorded gaps that are not
 // longer than the one that ends now, because that one expires later.
 func (d *detector) recordHeartbeat(now time.Duration) {
-	length := now - d.heartbeatAt
-	d.heartbeatAt, d.disconnectedAt = now, 0
+	length := now - d.lastHeartbeatAt
+	d.lastHeartbeatAt, d.disconnectedAt = now, 0
 	for len(d.gaps) > 0 && d.gaps[len(d.gaps)-1].length <= length {
 		d.gaps = d.gaps[:len(d.gaps)-1]
 	}
@@ -59,7 +59,7 @@
 func (d *detector) connectionBroken() bool { return d.disconnectedAt > 0 }
 
 // silence returns the time since the last heartbeat.
-func (d *detector) silence(now time.Duration) time.Duration { return now - d.heartbeatAt }
+func (d *detector) silence(now time.Duration) time.Duration { return now - d.lastHeartbeatAt }
 
 // timeout returns the silence after which the leader is suspected. It removes the gaps that are
 // older than gapRetention.
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -31,7 +31,7 @@
 	if message.From != leader.Controller || message.Life != leader.Incarnation || message.Term != leader.Term {
 		return r.refuse(ack)
 	}
-	sameLog := r.holdsLogOf(message)
+	sameLog := r.matchesStoredLog(message)
 	if sameLog && message.Sequence == r.sequence {
 		return ack
 	}
@@ -68,8 +68,8 @@
 	return ack
 }
 
-// holdsLogOf reports whether a message belongs to the log whose facts the replica has stored.
-func (r *Replica) holdsLogOf(message *wire.DecisionLog) bool {
+// matchesStoredLog reports whether a message belongs to the log whose facts the replica has stored.
+func (r *Replica) matchesStoredLog(message *wire.DecisionLog) bool {
 	return r.controller == message.From && r.incarnation == message.Life && r.term == message.Term && message.Term > 0
 }
 
