--- a/internal/core/decision_log.go
+++ b/internal/core/decision_log.go
@@ -23,8 +23,8 @@
 	if !n.isFencedLeader() {
 		return
 	}
-	s.logPublisher.SetStandby(s.standby, n.leadership.Term())
-	if s.standby == "" || n.now < s.nextPublishAt {
+	s.logPublisher.SetStandby(s.electedStandby, n.leadership.Term())
+	if s.electedStandby == "" || n.now < s.nextPublishAt {
 		return
 	}
 	facts := n.leaderFacts()
@@ -35,7 +35,8 @@
 	}
 }
 
-// receiveDecisionLog applies a message of the leader's decision log and acknowledges it.
+// receiveDecisionLog applies a message of the leader's decision log and acknowledges it. A request
+// without a message is refused.
 func (n *Node) receiveDecisionLog(received DecisionLogReceived) {
 	ack := wire.DecisionLogAck{Resync: true}
 	if received.Message != nil {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -8,8 +8,8 @@
 	"micaport/internal/wire"
 )
 
-// leaderState is the state that only a leader keeps. It is not persisted: a new leader rebuilds
-// it from the records and from heartbeats, and takes hints from the decision log.
+// leaderState is the state that only a leader keeps. It is not persisted: a new leader rebuilds it
+// from the records and from heartbeats, and uses the decision log as a hint.
 type leaderState struct {
 	tenure     int   // number of times that this process has gained or lost the leadership
 	batch      batch // of the last scheduling pass
@@ -45,14 +45,14 @@
 	at   Time
 }
 
-// returnedAnnounceTime is how long gossip announces that a machine was deprovisioned.
-const returnedAnnounceTime = 20 * second
+// deprovisionAnnounceTime is how long gossip announces that a machine was deprovisioned.
+const deprovisionAnnounceTime = 20 * second
 
-// recentlyReturned returns the names of the machines that were deprovisioned within
-// returnedAnnounceTime. An owner that receives none of these messages detects the machines by
-// their missing heartbeats.
-func (l *leaderState) recentlyReturned(n *Node) []string {
-	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > returnedAnnounceTime })
+// recentlyDeprovisioned returns the names of the machines that were deprovisioned within
+// deprovisionAnnounceTime, and removes the others from the list. An owner that misses an
+// announcement detects by missing heartbeats that the machine is gone.
+func (l *leaderState) recentlyDeprovisioned(n *Node) []string {
+	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > deprovisionAnnounceTime })
 	var out []string
 	for _, r := range l.returned {
 		out = append(out, r.name)
@@ -89,9 +89,9 @@
 )
 
 // runLeader makes the calls to the cloud and the scheduling pass that are due, if this process
-// leads.
+// leads. An isolated leader may resign instead.
 func (n *Node) runLeader() {
-	if !n.isLeader() || n.resign() || !n.leadership.LeaseValid(n.now) {
+	if !n.isLeader() || n.resignIfIsolated() || !n.leadership.LeaseValid(n.now) {
 		return
 	}
 	if n.resumedAt > 0 && n.now-n.resumedAt < firstPassDelayAfterStall || !n.mayDecide() {
@@ -123,7 +123,7 @@
 	n.cleanUpHints()
 	n.shrinkRecords(writer)
 	n.advanceGangs(writer)
-	n.revokeUnownedGrants(writer)
+	n.revokeStaleGrants(writer)
 	n.updateOwnViews()
 	unwritten := n.runSchedulingPass(writer)
 	n.logQuotaExcess()
@@ -144,7 +144,7 @@
 	}
 }
 
-// machineCount returns the number of machines in all shards, without those that are gone for good.
+// machineCount returns the number of machines in all shards.
 func (s *site) machineCount() int {
 	c := 0
 	for _, shard := range s.shards {
@@ -166,10 +166,10 @@
 	ownerResponseTimeout = 5 * second
 )
 
-// revokeUnownedGrants revokes grants that no owner has placed within the timeout. Their tasks
-// cannot have started: an owner that places a task at the same time changes the record, so that
-// the revocation fails.
-func (n *Node) revokeUnownedGrants(writer *writer) {
+// revokeStaleGrants revokes grants that no owner has placed within the timeout. Their tasks cannot
+// have started: an owner that places a task at the same time changes the record, so that the
+// revocation fails.
+func (n *Node) revokeStaleGrants(writer *writer) {
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
 		if job.Unplaced == 0 || !n.hasStaleGrant(job) {
@@ -177,13 +177,14 @@
 		}
 		record := writer.recordToChange(job)
 		if record == nil {
-			return
+			return // the transaction is full
 		}
 		record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Machine == "" })
 	}
 }
 
 // hasStaleGrant reports whether a grant to a job has waited for its owner longer than the timeout.
+// Grants of a gang's attempt that is still in progress do not count.
 func (n *Node) hasStaleGrant(job *job) bool {
 	for _, task := range job.Record.ActiveTasks {
 		if task.Machine != "" {
--- a/internal/core/leader_heartbeat.go
+++ b/internal/core/leader_heartbeat.go
@@ -7,16 +7,17 @@
 	"micaport/internal/wire"
 )
 
-// sendHeartbeats sends the heartbeats of a leader that may be replaced early to all peers. They
-// name the standby, which is to take over first.
+// sendHeartbeats elects the standby and sends heartbeats that name it to all peers, if they are due
+// and this process is a leader that may be replaced early. The standby is the first to claim the
+// leadership after a failure.
 func (n *Node) sendHeartbeats() {
 	s := &n.failover
 	if !n.isFencedLeader() || n.now < s.nextHeartbeatAt {
 		return
 	}
 	s.nextHeartbeatAt = n.now + failover.HeartbeatInterval
-	if elected := failover.Elect(s.standby, n.candidates()); elected != s.standby {
-		s.standby = elected
+	if elected := failover.Elect(s.electedStandby, n.standbyCandidates()); elected != s.electedStandby {
+		s.electedStandby = elected
 		n.log(LogInfo, "standby elected", "controller", elected)
 	}
 	for _, m := range n.cfg.Members {
@@ -25,15 +26,15 @@
 				From:    n.cfg.Self,
 				Life:    n.cfg.Incarnation,
 				Term:    n.leadership.Term(),
-				Standby: s.standby,
+				Standby: s.electedStandby,
 			}})
 		}
 	}
 }
 
-// candidates returns the peers among which the standby is elected: those that can be reached
+// standbyCandidates returns the peers among which the standby is elected: those that can be reached
 // directly.
-func (n *Node) candidates() []failover.Candidate {
+func (n *Node) standbyCandidates() []failover.Candidate {
 	var list []failover.Candidate
 	for _, m := range n.cfg.Members {
 		if p := n.peers[m.Name]; p != nil && m.Name != n.cfg.Self && !p.viaMailbox && !p.disconnected {
@@ -48,7 +49,8 @@
 	return list
 }
 
-// receiveLeaderHeartbeat applies a heartbeat that a leader has sent.
+// receiveLeaderHeartbeat records a leader's heartbeat for the failure detector. An input without a
+// message is ignored.
 func (n *Node) receiveLeaderHeartbeat(m *wire.LeaderHeartbeat) {
 	if m != nil {
 		n.failover.follower.ReceiveHeartbeat(n.now, m.From, m.Life, m.Term, m.Standby)
@@ -56,9 +58,9 @@
 }
 
 // peerDisconnected records that the connection to a peer has broken.
-func (n *Node) peerDisconnected(label string) {
-	n.failover.follower.MarkDisconnected(n.now, label)
-	if p := n.peers[label]; p != nil {
+func (n *Node) peerDisconnected(name string) {
+	n.failover.follower.MarkDisconnected(n.now, name)
+	if p := n.peers[name]; p != nil {
 		p.disconnected = true
 	}
 }
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -18,7 +18,7 @@
 		}
 	}
 	n.receiveReservations(message.Kept)
-	n.drainMachines(message.Retire)
+	n.updateDrainingMachines(message.Retire)
 }
 
 // reservations holds the machines that the leader reserves for gangs.
@@ -37,8 +37,8 @@
 }
 
 // receiveReservations stores which machines the leader reserves for gangs. Owners choose the
-// machines of tasks, so they need the reservations: without them they would place new tasks on a
-// reserved machine as soon as a task on it has ended.
+// machines of tasks. Without the reservations they would place new tasks on a reserved machine as
+// soon as a task on it has ended.
 func (n *Node) receiveReservations(reservations []wire.Reservation) {
 	clear(n.reserved.jobs)
 	n.reserved.receivedAt = n.now
@@ -50,9 +50,9 @@
 	}
 }
 
-// drainMachines starts to drain those of this controller's machines that the leader wants to
-// deprovision and that are empty, and stops draining those that it no longer lists.
-func (n *Node) drainMachines(names []string) {
+// updateDrainingMachines starts to drain those of this controller's machines that the leader wants
+// to deprovision and that are empty, and stops draining those that it no longer lists.
+func (n *Node) updateDrainingMachines(names []string) {
 	asked := make(map[string]bool, len(names))
 	for _, name := range names {
 		asked[name] = true
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -33,7 +33,7 @@
 		}
 		var calls []cloudCall
 		claimedAt := 10 * time.Second
-		early := false // this leader replaces one whose lease has not expired
+		early := false // the leader of the present iteration has replaced one whose lease had not expired
 		for leader := range 4 {
 			rate := 1 + float64(rapid.IntRange(-500, 500).Draw(t, "drift"))/1e6
 			clock := func(at time.Duration) time.Duration { return time.Duration(float64(at) * rate) }
@@ -49,7 +49,7 @@
 			// The leader continues for a while after it has been replaced, because its
 			// watch hangs.
 			for at := seenAt; at < replacedAt+8*time.Second; at += between("step", 50*time.Millisecond, 700*time.Millisecond) {
-				if fence.Due(clock(at)) {
+				if fence.StartProofIfDue(clock(at)) {
 					appliedAt := at + between("proof", time.Millisecond, 1500*time.Millisecond)
 					if appliedAt < replacedAt {
 						fence.AddProof(clock(at), 1)
@@ -82,7 +82,7 @@
 	})
 }
 
-// A proof takes effect once the replica has reached its revision, and is invalidated by a pause.
+// A proof takes effect once the replica has reached its revision, and is invalidated by a stall.
 func TestProofsSettle(t *testing.T) {
 	var f Fence
 	f.Begin(time.Second, leaseTTL, 0)
@@ -96,7 +96,7 @@
 		t.Errorf("caught up %v, remaining call time %v, want %v", f.CaughtUp(), got, want)
 	}
 	f.ResetAfterStall(3 * time.Second)
-	if f.CaughtUp() || f.RemainingCallTime(3*time.Second) > 0 || !f.Due(3*time.Second) {
-		t.Error("a proof is still valid after a pause")
+	if f.CaughtUp() || f.RemainingCallTime(3*time.Second) > 0 || !f.StartProofIfDue(3*time.Second) {
+		t.Error("a proof is still valid after a stall")
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -8,22 +8,23 @@
 	"micaport/internal/kv"
 )
 
-// retryInterval is the time between the answer to a failed request for a lease and the next one.
+// retryInterval is the time between the answer to a failed request for a lease and the next
+// request.
 const retryInterval = 500 * time.Millisecond
 
-// Lease is a lease on the state service, which expires and has the keys attached to it removed
-// when it is not renewed within its TTL. The zero value with a TTL is a lease yet to be created.
+// Lease is a lease on the state service. If it is not renewed within its TTL, it expires and the
+// keys that are attached to it are removed. The zero value with a TTL is a lease yet to be created.
 type Lease struct {
-	ID     uint64        // 0: there is none
-	TTL    time.Duration // time to live
-	SentAt time.Duration // when the last successful renewal was sent
+	ID            uint64        // 0: there is none
+	TTL           time.Duration // time to live
+	RenewalSentAt time.Duration // when the last successful renewal was sent
 
-	renewAt  time.Duration // when the next request is due
-	renewing bool          // a request is in flight
+	nextRequestAt time.Duration // when the next request is due
+	renewing      bool          // a request is in flight
 }
 
 // Due reports whether a request for the lease is to be sent now.
-func (l *Lease) Due(now time.Duration) bool { return !l.renewing && now >= l.renewAt }
+func (l *Lease) Due(now time.Duration) bool { return !l.renewing && now >= l.nextRequestAt }
 
 // Renewal is a request for a lease that is in flight.
 type Renewal struct {
@@ -41,35 +42,35 @@
 	return Renewal{lease: l, id: l.ID, sentAt: now}
 }
 
-// Complete processes the answer to the request. The lease is renewed again after the interval,
-// or after a quarter of its TTL if that is shorter.
+// Complete processes the answer to the request. After a successful request the next one is due when
+// the interval, or a quarter of the TTL if that is shorter, has passed since it was sent.
 func (r Renewal) Complete(now time.Duration, outcome kv.Outcome, id uint64, interval time.Duration) {
 	l := r.lease
 	l.renewing = false
-	l.renewAt = now + retryInterval
+	l.nextRequestAt = now + retryInterval
 	switch outcome {
 	case kv.OK:
 		if r.id == 0 {
 			l.ID = id
 		}
-		l.SentAt = r.sentAt
-		l.renewAt = r.sentAt + min(l.TTL/4, interval)
+		l.RenewalSentAt = r.sentAt
+		l.nextRequestAt = r.sentAt + min(l.TTL/4, interval)
 	case kv.NotFound:
 		l.MarkExpired(now)
 	}
 }
 
 // MarkExpired records that the lease has expired. A request for a new one is due at once.
-func (l *Lease) MarkExpired(now time.Duration) { l.ID, l.renewAt = 0, now }
+func (l *Lease) MarkExpired(now time.Duration) { l.ID, l.nextRequestAt = 0, now }
 
 // Discard discards a lease that may have expired, without requesting a new one.
 func (l *Lease) Discard() { l.ID = 0 }
 
 // RenewNow makes a request due now.
-func (l *Lease) RenewNow(now time.Duration) { l.renewAt = min(l.renewAt, now) }
+func (l *Lease) RenewNow(now time.Duration) { l.nextRequestAt = min(l.nextRequestAt, now) }
 
 // Age returns the time since the last successful renewal was sent.
-func (l *Lease) Age(now time.Duration) time.Duration { return now - l.SentAt }
+func (l *Lease) Age(now time.Duration) time.Duration { return now - l.RenewalSentAt }
 
 // Usable reports whether a claim may be made under the lease: it exists, and at least half of
 // its TTL is left.
