--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -5,9 +5,9 @@
 	"micaport/internal/wire"
 )
 
-// maxDirectStarts bounds the direct starts that are sent to a worker in one epoch. Each leaves
-// an exited task in the worker's heartbeats, a kilobyte for all. Jobs of low priority get none,
-// as they consist of large numbers of tiny tasks.
+// maxDirectStarts is the greatest number of direct starts that are sent to a worker in one epoch.
+// Each leaves an exited task in the worker's heartbeats, which adds a kilobyte for all of them. Jobs
+// of low priority have no direct starts, as they consist of large numbers of tiny tasks.
 const maxDirectStarts = 16
 
 // directStart is a start command that was sent to a worker's own address in its current epoch
@@ -16,15 +16,16 @@
 // not cleared. See "Starts at a worker's own address" in docs/design.md.
 type directStart struct {
 	sentAt       Time
-	acknowledged bool // the worker has confirmed it and keeps the attempt, so copies have no effect
+	acknowledged bool // the worker has confirmed it and remembers the attempt, so copies have no effect
 }
 
-// mayStartTooLate reports whether an unacknowledged start might still be executed after cancel_s
-// from the cancellation of its job, as a start can be executed as long as the worker's epoch
-// lasts. From half a validity after the cancellation on, the machine's heartbeats are therefore
-// no longer answered, so that the worker's lease expires and ends the epoch in time. The time
-// counts from before the cancellation was recorded, as the replica may show it late. A job that
-// is not cancelled doesn't need this: replies repeat the start until the worker has the attempt.
+// mayStartTooLate reports whether an unacknowledged start might still be executed when more than
+// cancel_s have passed since the cancellation of its job. A start can be executed as long as the
+// worker's epoch lasts. From half a validity after the cancellation on, the machine's heartbeats are
+// therefore no longer answered, so that the worker's lease expires and ends the epoch in time. The
+// half validity counts from a time before the cancellation was recorded, as the replica may show the
+// cancellation late. The start of a job that is not cancelled has no such deadline: replies repeat
+// it until the worker has the attempt.
 func (s *site) mayStartTooLate(job *job, start directStart) bool {
 	return !start.acknowledged && job.Record.State == wire.JobCancelled && s.now-job.closedAt > s.cfg.OwnerValidity/2
 }
@@ -69,8 +70,9 @@
 	}
 }
 
-// acceptsCommands reports whether a worker executes commands of its current owner, and has no
-// delayed reply.
+// acceptsCommands reports whether starts may be sent directly to a machine's worker: it probably
+// executes the commands of this controller as its owner, and no delayed reply will contain the
+// starts.
 func (s *site) acceptsCommands(machine *machine) bool {
 	shard := s.shards[machine.shard]
 	if !s.mayActAsOwner(shard) || machine.term != shard.Term ||
@@ -142,7 +144,8 @@
 	return !reported && !ended && !sent
 }
 
-// resume marks the starts as acknowledged, or deletes those that the worker will never execute.
+// resume marks the starts as acknowledged, or deletes them if the worker will never execute them.
+// After any other outcome they remain unacknowledged.
 func (b directStartBatch) resume(_ *Node, result Result) {
 	if b.machine.term != b.term || b.machine.epoch != b.epoch {
 		return
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -37,27 +37,27 @@
 type workerState struct {
 	term              uint64             // the term to which this state belongs
 	epoch, sequence   uint64             // of the last heartbeat
-	heartbeatCount    int                // number received in this term
+	heartbeatCount    int                // heartbeats received in this term
 	heartbeatAt       Time               // when the last heartbeat of this term was received
 	tokenConfirmed    bool               // the last heartbeat carried the token of this term
-	newlyBooted       bool               // it sends its first heartbeats and can't have received a token
+	newlyBooted       bool               // it has sent only its first heartbeats and can't have received a token
 	answeredAt        Time               // when a heartbeat was last answered with 200
 	ignoredReplies    int                // consecutive replies that had no effect
-	unresponsive      bool               // it counts as receiving neither replies nor commands
+	unresponsive      bool               // it is assumed to receive neither replies nor commands
 	reclaimAt         Time               // when the cloud reclaims it; 0: no notice was given
 	address           string             // of the worker, for commands
 	reportedTasks     map[taskKey]string // states in the last heartbeat of the active tasks that it lists
 	startSentAt       map[taskKey]uint64 // sequence number of the last heartbeat whose reply contained the start
 	directStarts      map[taskKey]directStart
-	unclearedTasks    int  // exited tasks in its last heartbeat that must not be cleared
+	unclearedTasks    int  // number of exited tasks in its last heartbeat that must not be cleared
 	delayedReplyCount int  // number of its heartbeats whose replies are delayed
 	unstartedListed   bool // it is in ownerState.unstartedMachines
 	leaseExpiring     bool // its heartbeats are not answered, so that its lease expires and its epoch ends
 
-	failedJobs      map[int]bool // jobs of which a task failed on it since a task last succeeded
-	unhealthy       bool
-	draining        bool
-	noCapacityUntil Time // no task is placed on it earlier, as it had no capacity for one
+	failedJobs      map[int]bool // by index: jobs of which a task failed on it since a task last succeeded
+	unhealthy       bool         // tasks fail on it, probably through its own fault
+	draining        bool         // no task is placed on it, at the leader's request
+	noCapacityUntil Time         // no task is placed on it earlier, as it had no capacity for one
 }
 
 // misdirectedHeartbeats holds what a controller records about heartbeats from a machine that it
@@ -78,11 +78,11 @@
 	reclaimPending   bool // the cloud is about to reclaim it
 	draining         bool
 	unhealthy        bool // tasks fail on it, probably through its own fault
-	unreachable      bool
+	unreachable      bool // it has failed, hangs or ignores replies; see ownView
 	unconfirmed      bool // its worker has not yet sent the token of the owner's term
 	missedHeartbeats int  // 1: no heartbeat for two intervals, 2: for three
-	failedJobCount   int  // jobs of which a task failed on it since a task last succeeded
-	imageCount       int  // so that a new image changes the view
+	failedJobCount   int  // see site.failedJobCount
+	imageCount       int  // part of the view so that a new image changes it
 }
 
 // placement is a task that a job record places on a machine.
@@ -111,8 +111,9 @@
 // noPriority is higher than any priority.
 const noPriority = 99
 
-// usageOf returns the resources used by the tasks that the records place on a machine. A task
-// counts until it is proven to have ended.
+// usageOf returns the resources used by the tasks that the records place on a machine, and updates
+// lowestPriority. A task counts until its record no longer contains it, that is until it is proven
+// to have ended.
 func (s *site) usageOf(machine *machine) *resourceUse {
 	if machine.usageValid {
 		return &machine.used
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -11,10 +11,10 @@
 	ownerIntervalPerJob = 20 * time.Microsecond
 )
 
-// runOwner makes a pass over the shards that this controller owns, if one is due. It marks the
+// runOwner makes a pass over the shards that this controller owns, if one is due. It queues the
 // tasks of silent machines as lost (silent_machines.go), writes the outcomes of tasks
-// (task_outcomes.go) and chooses machines for granted tasks (grant_placement.go), in one
-// transaction at a time.
+// (task_outcomes.go), stops gangs (gang_stop.go), chooses machines for granted tasks
+// (grant_placement.go) and admits jobs without the leader, in one transaction at a time.
 func (n *Node) runOwner() {
 	if n.now < n.nextOwnerPassAt {
 		return
--- a/internal/core/owner_state.go
+++ b/internal/core/owner_state.go
@@ -5,16 +5,16 @@
 	batch             batch
 	nextOwnerPassAt   Time // when the next pass is due
 	outcomes          taskOutcomes
-	gangsToStop       map[int]bool // jobs that must save and exit because one of their machines is about to be reclaimed
+	gangsToStop       map[int]bool // by index: jobs that must save and exit because one of their machines is about to be reclaimed
 	grantWaitingSince grantTimes
 
 	replies           delayedReplies
-	unstartedMachines []int // machines of this controller with a placed task that they have not reported
+	unstartedMachines []int // indices of this controller's machines with a placed task that they have not reported
 
-	nextAdmissionAt       Time // when work is next admitted without the leader
-	nextCleanupAt         Time // when machines that are gone are next removed
-	nextImageCacheWriteAt Time // when the image cache record is next written
-	recordedImageCount    int  // number of images over all machines in the record as last written
+	nextAdmissionAt       Time // when the next admission of work without the leader is due
+	nextCleanupAt         Time // when the next removal of machines that are gone is due
+	nextImageCacheWriteAt Time // when the next write of the image cache record is due
+	recordedImageCount    int  // sum of the machines' image counts in that record as last written
 }
 
 func newOwnerState() ownerState {
--- a/internal/core/ownership_guards_test.go
+++ b/internal/core/ownership_guards_test.go
@@ -35,6 +35,7 @@
 	return d, term
 }
 
+// lowJob returns a job of low priority in a state, with the given active tasks.
 func lowJob(state wire.JobState, active ...wire.ActiveTask) *wire.Job {
 	return &wire.Job{TaskCount: 1, NextAttempt: 2, State: state, ActiveTasks: active,
 		Spec: &wire.JobSpec{ID: "wk-000001", Team: "t", Shape: wire.ShapeArray, Priority: "low", TaskCount: 1, Image: "i", Cores: 1}}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -24,7 +24,7 @@
 	reported       map[taskKey]bool
 	previousStates map[taskKey]string // task states in the previous heartbeat
 	commands       []wire.Command
-	startIgnored   bool // a start was sent, and the heartbeat lacks its task
+	startIgnored   bool // the heartbeat lacks a task whose start was sent before
 }
 
 // reconcile compares a heartbeat with the records and returns the commands that make the
@@ -113,9 +113,10 @@
 //	was placed in an earlier epoch of the worker      it is lost
 //	must stop, and no start of it can arrive          it is lost
 //	must stop, and a direct start may still arrive    see enforceDirectStartDeadline
+//	must stop, and another start may still arrive     none
 //	repeated starts had no effect                     it is lost
 //	belongs to a gang that waits for an image         none
-//	has not been started                              command start
+//	any other                                         command start, also if it was sent before
 //
 // A task must stop when its job has ended, when its record requests it, or when the machine is
 // about to be reclaimed.
@@ -125,12 +126,11 @@
 	if _, known := n.outcomes[key]; known {
 		return
 	}
-	sentAt, sent := machine.startSentAt[key] // the sequence number of the heartbeat answered with the start
+	startSequence, sent := machine.startSentAt[key]
 	direct, startedDirectly := machine.directStarts[key]
-	// Absent: the task does not run on the machine, and no start that was sent before can still
-	// start it there. A start that was sent to the worker's own address may still be in
-	// transit, whatever the heartbeats show.
-	absent := r.tokenCurrent && r.heartbeat.Sequence > sentAt && !startedDirectly
+	// An absent task does not run on the machine, and no start that was sent before can still
+	// start it there. A direct start may still be in transit, whatever the heartbeats show.
+	absent := r.tokenCurrent && r.heartbeat.Sequence > startSequence && !startedDirectly
 	r.startIgnored = r.startIgnored || sent && absent
 	switch {
 	case r.heartbeat.Epoch > placed.epoch:
@@ -144,6 +144,7 @@
 	case absent && sent && machine.ignoredReplies >= maxIgnoredReplies-1:
 		// The worker keeps reporting but does not execute the start. The heartbeat is newer
 		// than the reply with the start and lacks the task, and the start is not sent again.
+		// The limit is one lower because ignoredReplies does not count this heartbeat yet.
 		n.queueOutcome(machine, key, causeLost)
 	case n.delaysGangStart(job, n.activeTask(key, machine.name)):
 	default:
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -6,10 +6,10 @@
 	"micaport/internal/wire"
 )
 
-// shard is a shard with the machines in it.
+// shard is the state of a shard's ownership, with the machines in the shard.
 type shard struct {
 	*ownership.Shard
-	machines []*machine // those that may still exist
+	machines []*machine // without machines that are gone; see removeGoneMachines
 }
 
 // initOwnership creates the shards, none of which has an owner yet.
@@ -48,9 +48,10 @@
 	}
 }
 
-// discardOutcomes deletes the outcomes of a shard's tasks that were not written in the term in
-// which they were queued. Another owner may have served the machines since then, and applying the
-// outcomes in a later term would start tasks a second time that are still running.
+// discardOutcomes deletes the queued outcomes of a shard's tasks, and those of tasks that are no
+// longer active, when the shard's term changes. Another owner may have served the machines since
+// the outcomes were queued, and applying them in a later term would start tasks a second time that
+// are still running.
 func (n *Node) discardOutcomes(shard *shard) {
 	for key, outcome := range n.outcomes {
 		if task := n.activeTask(key, outcome.machine); task == nil || task.Shard == shard.Index {
@@ -66,7 +67,7 @@
 	}
 }
 
-// claimShards claims shards without an owner, and those whose owner can't serve their workers.
+// claimShards claims shards without an owner, and shards whose owner can't serve the workers.
 func (n *Node) claimShards() {
 	if !n.ownership.Lease.Usable(n.now) {
 		return
@@ -127,8 +128,8 @@
 }
 
 // peerRefusalDuration returns how long the state service has refused a peer while it has served
-// this controller. The time counts from the later of both, as an outage does not end for all
-// controllers at the same time.
+// this controller. The duration counts from the later of the two changes, the start of the refusals
+// and the start of service here, as an outage does not end for all controllers at the same time.
 func (n *Node) peerRefusalDuration(name string) Time {
 	peer := n.peers[name]
 	if peer == nil || peer.message.StoreOK {
@@ -137,7 +138,7 @@
 	return n.now - max(n.storeRefusedSince[name], n.storeOKSince)
 }
 
-// shardClaim is a claim of a shard that was sent. The replica shows whether it succeeded.
+// shardClaim handles the result of a claim. Whether the claim succeeded is taken from the replica.
 type shardClaim struct{}
 
 func (shardClaim) committed(n *Node, result Committed) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// ownershipProof is a proof of claims that was sent.
+// ownershipProof handles the result of a proof of claims.
 type ownershipProof struct{ proof ownership.Proof }
 
 func (p ownershipProof) committed(n *Node, result Committed) {
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -4,23 +4,24 @@
 	"slices"
 )
 
-// leaseMargin is added to a worker's lease, together with a thousandth of it, before the
-// worker's tasks count as lost: its clock may run slower than this controller's.
+// leaseMargin and a thousandth of the worker's lease are added to the lease before the worker's
+// tasks count as lost: the worker's clock may run slower than this controller's.
 const leaseMargin = second
 
-// expireSilentMachines records as lost the tasks of machines that have been returned or whose
-// worker's lease must have expired, because the machine failed, hangs or is cut off.
+// expireSilentMachines queues the tasks of two kinds of machines as lost: machines that have been
+// returned to the cloud, and machines whose worker's lease must have expired because they failed,
+// hang or can't reach a controller.
 func (n *Node) expireSilentMachines(shard *shard) {
 	limit := n.cfg.WorkerLease + n.cfg.WorkerLease/1000 + leaseMargin
 	for _, machine := range shard.machines {
 		if len(machine.placements) == 0 {
 			continue
 		}
-		last := shard.OwnedSince
+		lastReplyAt := shard.OwnedSince // an earlier owner may have replied until then
 		if machine.term == shard.Term {
-			last = max(last, machine.answeredAt)
+			lastReplyAt = max(lastReplyAt, machine.answeredAt)
 		}
-		if !machine.returned && n.now-last <= limit {
+		if !machine.returned && n.now-lastReplyAt <= limit {
 			continue
 		}
 		for i := range machine.placements {
@@ -37,8 +38,8 @@
 const cleanupInterval = 5 * second
 
 // removeGoneMachines removes machines that are gone from their shards and discards their state,
-// so that they cost no time or memory. It also discards the times of grants that
-// have been placed or revoked.
+// so that they use no time or memory. It also discards the times of grants that have been placed
+// or revoked.
 func (n *Node) removeGoneMachines() {
 	if n.now < n.nextCleanupAt {
 		return
@@ -55,8 +56,9 @@
 	}
 }
 
-// isGone reports whether a machine has been returned, or has been silent for far longer
-// than its lease.
+// isGone reports whether a machine has been returned to the cloud, or has been silent for three
+// leases: it has sent no heartbeat to this controller as its owner, or it is unreachable according to
+// another owner and the claim of the shard has not changed for that time.
 func (s *site) isGone(shard *shard, machine *machine) bool {
 	timeout := 3 * s.cfg.WorkerLease
 	switch {
@@ -68,7 +70,8 @@
 	return machine.view.unreachable && !s.owns(shard) && s.now-shard.ChangedAt > timeout
 }
 
-// clearState discards the state of a machine; it is built up again if the machine reports again.
+// clearState discards most of a machine's state. If the machine sends another heartbeat, the state is
+// initialized as in a new term.
 func (m *machine) clearState() {
 	m.view = machineView{}
 	m.reportedTasks = nil
@@ -79,15 +82,15 @@
 	m.term = 0
 }
 
-// isUnreachable reports whether a silent machine has failed or hangs, rather than being cut
-// off from this controller only or silent for a short time. That is so if it has not reported to
-// any peer, and either other machines of the shard still report or it has had enough time to
-// try a peer.
-func (n *Node) isUnreachable(machine *machine, silent Time, othersReport bool) bool {
-	if silent < 3*n.cfg.HeartbeatInterval+second {
+// isUnreachable reports whether a machine has failed or hangs, after a silence of the given length.
+// A machine that reports to a peer is not unreachable; only its connection to this controller has
+// failed. A machine that reports to no peer is unreachable if othersReport is set, which means that
+// most machines of its shard report, or if it has had enough time to try a reachable peer.
+func (n *Node) isUnreachable(machine *machine, silence Time, othersReport bool) bool {
+	if silence < 3*n.cfg.HeartbeatInterval+second {
 		return false
 	}
-	if silent > n.cfg.WorkerLease+5*second {
+	if silence > n.cfg.WorkerLease+5*second {
 		return true // no reply can have renewed its lease, wherever it reported
 	}
 	peerReachable := false
@@ -101,8 +104,8 @@
 			return false
 		}
 	}
-	// A worker that can't reach its owner has reported to a peer by now, and the peer has
-	// announced that: it takes a heartbeat, its timeout of 4 s, a retry delay, and the
-	// peer's next message.
-	return othersReport || peerReachable && silent > 2*n.cfg.HeartbeatInterval+7*second
+	// After this time a worker that can't reach its owner has reported to a peer, and the peer
+	// has sent this controller the machine's name: that takes a heartbeat, its timeout of 4 s, a
+	// retry delay, and the peer's next message.
+	return othersReport || peerReachable && silence > 2*n.cfg.HeartbeatInterval+7*second
 }
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -9,11 +9,11 @@
 	"micaport/internal/wire"
 )
 
-// taskOutcome is the way in which a task has ended, kept until it is written to the job's record.
+// taskOutcome describes how a task has ended, until that is written to the job's record.
 type taskOutcome struct {
 	machine string
 	cause   string // an exit cause of package wire, or causeLost
-	at      Time
+	at      Time   // when it was queued
 	term    uint64 // of the shard when the outcome was queued
 }
 
@@ -28,17 +28,18 @@
 const outcomeDelay = 500 * time.Millisecond
 
 // tokenConfirmationWait is how long a task that was lost at the end of its machine's epoch waits
-// for the worker to confirm the owner's token. A worker reports again half a second after it
-// received one.
+// for the worker to confirm the owner's token. A worker sends a heartbeat half a second after it has
+// received a new token.
 const tokenConfirmationWait = 1200 * time.Millisecond
 
 const (
 	// errorsBeforeSuspicion is the number of consecutive errors of a job from which on its
-	// failures are no longer attributed to machines.
+	// further failures are attributed to the job and no longer to machines.
 	errorsBeforeSuspicion = 3
-	// jobsBeforeQuarantine is the number of jobs whose failures on a machine quarantine it.
+	// jobsBeforeQuarantine is the number of jobs whose failures on a machine mark it as unhealthy.
 	jobsBeforeQuarantine = 2
-	// maxFailedMachines is the number of machines on which a job failed that its record keeps.
+	// maxFailedMachines is the number of machines in the record's list of those on which the job
+	// failed last.
 	maxFailedMachines = 4
 )
 
@@ -70,8 +71,8 @@
 		"cause", status.ExitCause)
 }
 
-// recordTaskFailure records that a task of a job has failed on a machine, and quarantines the
-// machine when the fault is probably its own.
+// recordTaskFailure records that a task of a job has failed on a machine, and marks the machine as
+// unhealthy when the fault is probably the machine's.
 func (n *Node) recordTaskFailure(machine *machine, job *job) {
 	if machine.failedJobs == nil {
 		machine.failedJobs = map[int]bool{}
@@ -79,17 +80,18 @@
 	if job.Record.ConsecutiveErrors < errorsBeforeSuspicion {
 		machine.failedJobs[job.Index] = true
 	}
-	// The machine is probably at fault if two jobs fail on it, or one of which other tasks
-	// succeed.
+	// The machine is probably at fault if several jobs have failed on it, or if other tasks of
+	// this job have succeeded.
 	if n.failedJobCount(machine) >= jobsBeforeQuarantine || job.Record.DoneTasks.Count() > 0 {
 		machine.unhealthy = true
 	}
-	n.nextViewUpdateAt = 0 // the leader must receive this before it grants more tasks to the machine
+	n.nextViewUpdateAt = 0 // at once: the leader needs the view before it grants more tasks to the machine
 }
 
 // failedJobCount counts the jobs of which a task failed on a machine since a task last succeeded
 // there. A job that has failed on three machines and never succeeded is not counted: a few such
-// jobs once quarantined one healthy machine after another until their users cancelled them.
+// jobs once caused one healthy machine after another to be quarantined until their users cancelled
+// them.
 func (s *site) failedJobCount(machine *machine) int {
 	count := 0
 	for index := range machine.failedJobs {
@@ -98,10 +100,11 @@
 	return count
 }
 
-// isUrgentOutcome reports whether the outcome of a task is written before new placements: a daemon
-// or gang has to be started again, a task was not successful, or it completes a job whose user
-// waits for the end. Other successful tasks of an array are written after the placements, as one
-// write can then often record several of them.
+// isUrgentOutcome reports whether the outcome of a task is written before new placements. That is so
+// for a task of a daemon or gang, which may have to be started again, for a task that was not
+// successful, and for the last active task of an array, which may complete the job for which a user
+// waits. Other successful tasks of an array are written after the placements, as one write can then
+// often record several of them.
 func (s *site) isUrgentOutcome(key taskKey, outcome taskOutcome) bool {
 	job := s.jobs[key.job]
 	if job.Record == nil || job.Record.State != wire.JobLive {
@@ -165,7 +168,8 @@
 	return !n.awaitsTokenConfirmation(outcome) && n.now-p.firstOutcomeAt[key.job] >= n.outcomeDelayFor(job)
 }
 
-// writeOutcome removes a task that has ended from its record, and places a lost one again.
+// writeOutcome removes a task that has ended from its job's record, and places it again if it was
+// lost or stopped.
 func (p *outcomePass) writeOutcome(n *Node, record *wire.Job, key taskKey, outcome taskOutcome, task wire.ActiveTask) {
 	// An outcome must be applied only once; otherwise an error would count twice and a lost
 	// task would be placed twice.
@@ -206,6 +210,7 @@
 	}
 	job := n.findJob(record.Spec.ID)
 	best := available.slots(n).best(job, func(candidate *slot) bool { return candidate.shard == lost.Shard }, nil)
+	// The same machine is chosen again only in a later epoch of its worker.
 	if best == nil || best.machine.name == lost.Machine && best.machine.epoch <= lost.Epoch {
 		return
 	}
@@ -218,7 +223,8 @@
 }
 
 // removeExitedTask removes a task that has ended from its job's record and applies the outcome to
-// the record: the done tasks, the count of errors, and the rest of a gang.
+// the record: it updates the done tasks or the errors, and stops the rest of a gang of which one
+// task was not successful.
 func removeExitedTask(record *wire.Job, key taskKey, outcome taskOutcome) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Task == key.task && task.Attempt == key.attempt && task.Machine == outcome.machine
--- a/internal/core/task_stop.go
+++ b/internal/core/task_stop.go
@@ -9,7 +9,7 @@
 	// checkpoint.
 	preemptGraceS = 5
 	// reclaimGraceS, in seconds, is added to the time that a task needs to save a checkpoint
-	// before its machine is reclaimed, and is the margin between the end of the task and the
+	// before its machine is reclaimed. It is also the margin between the end of the task and the
 	// reclaim.
 	reclaimGraceS = 1
 	// reclaimKillHeartbeats is the number of heartbeat intervals before the reclaim of its
@@ -17,8 +17,9 @@
 	reclaimKillHeartbeats = 2.5
 )
 
-// stopGrace reports whether a task on a machine must be killed now, and how many seconds it gets
-// to save a checkpoint.
+// stopGrace reports whether a command to kill a task on a machine must be sent now, and how many
+// seconds the task then has to save a checkpoint. For a task of a gang whose machine is about to be
+// reclaimed, it adds the gang to gangsToStop instead.
 func (n *Node) stopGrace(machine *machine, job *job, active *wire.ActiveTask, status *wire.TaskStatus) (graceS float64, stop bool) {
 	spec := job.Record.Spec
 	switch {
@@ -36,7 +37,7 @@
 	leftS := (machine.reclaimAt - n.now).Seconds()
 	switch {
 	case spec.Shape == wire.ShapeGang && spec.TaskCount > 1:
-		// All tasks of the gang must stop, so the stop is written to the record.
+		// All tasks of the gang must stop, so stopReclaimedGangs writes the stop to the record.
 		n.gangsToStop[job.Index] = true
 		return 0, false
 	case spec.Shape == wire.ShapeDaemon || spec.CheckpointIntervalS == 0:
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -26,6 +26,7 @@
 	machine.machineType = n.names.MachineTypes.Of(heartbeat.MachineType)
 	machine.spot = heartbeat.Spot
 	machine.address = heartbeat.Addr
+	// A token above the term was issued under a claim that this replica does not show yet.
 	if !n.replica.Loaded() || !n.mayActAsOwner(shard) || heartbeat.Token > shard.Term {
 		n.redirect(in.RequestID, shard, machine, machine.isMisdirectedCopy(heartbeat))
 		return
@@ -46,7 +47,7 @@
 	n.updateTokenConfirmed(shard, machine, heartbeat)
 	consecutive := machine.epoch == heartbeat.Epoch && heartbeat.Sequence == machine.sequence+1
 	n.recordHeartbeat(machine, heartbeat)
-	n.nextOwnerPassAt = 0
+	n.nextOwnerPassAt = 0 // at once
 	ignoredBefore := machine.ignoredReplies
 	commands := n.reconcile(shard, machine, heartbeat)
 	if machine.leaseExpiring {
@@ -54,7 +55,7 @@
 		return
 	}
 	if consecutive && machine.ignoredReplies == ignoredBefore && len(n.cfg.Members) > 1 && machine.tokenConfirmed {
-		machine.ignoredReplies = 0 // it did not try a peer in between, so it received the last reply
+		machine.ignoredReplies = 0 // the worker did not try a peer in between, so it received the last reply
 	}
 	n.updateResponsiveness(shard, machine, ignoredBefore)
 	if delay := n.replyDelayFor(machine, heartbeat, commands); delay > 0 {
@@ -70,11 +71,11 @@
 }
 
 // resetForNewTerm resets the state of a machine at its first heartbeat in the shard's current term.
-// Later heartbeats of the term only end newlyBooted.
+// Later heartbeats of the term only clear newlyBooted, unless they are among the worker's first.
 func (n *Node) resetForNewTerm(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
-	firstReports := heartbeat.Epoch == 1 && heartbeat.Sequence <= 2
+	amongFirst := heartbeat.Epoch == 1 && heartbeat.Sequence <= 2
 	if machine.term == shard.Term {
-		machine.newlyBooted = machine.newlyBooted && firstReports
+		machine.newlyBooted = machine.newlyBooted && amongFirst
 		return
 	}
 	machine.term = shard.Term
@@ -85,9 +86,8 @@
 	machine.unresponsive = false
 	machine.leaseExpiring = false
 	machine.startSentAt, machine.directStarts = map[taskKey]uint64{}, map[taskKey]directStart{}
-	// The first heartbeat of a machine that no owner has seen before: the worker can't have
-	// received a token yet.
-	machine.newlyBooted = firstReports && heartbeat.Token == 0 && !machine.view.reportedByOwner && len(machine.placements) == 0
+	// No owner has reported the machine before, so the worker can't have received a token yet.
+	machine.newlyBooted = amongFirst && heartbeat.Token == 0 && !machine.view.reportedByOwner && len(machine.placements) == 0
 	n.nextViewUpdateAt = 0
 }
 
@@ -98,8 +98,9 @@
 		return
 	}
 	// The lease expired although a heartbeat was answered recently, so the replies don't reach
-	// the worker. Only heartbeats with the current token prove that: those that a network
-	// partition has delayed arrive together with the first of the next epoch.
+	// the worker. Without the current token in the last heartbeat this conclusion is not valid:
+	// heartbeats that a network partition has delayed arrive together with the first of the
+	// next epoch.
 	if machine.tokenConfirmed && machine.heartbeatCount > 1 &&
 		machine.answeredAt > 0 &&
 		n.now-machine.answeredAt < n.cfg.WorkerLease*3/4 {
@@ -110,8 +111,8 @@
 	machine.leaseExpiring = false
 }
 
-// updateTokenConfirmed records whether a worker has the current token, and counts replies after
-// which it still has not.
+// updateTokenConfirmed records whether a worker has the current token. If it still lacks the token
+// after a reply, the reply counts as ignored.
 func (n *Node) updateTokenConfirmed(shard *shard, machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
@@ -121,8 +122,8 @@
 	}
 }
 
-// recordHeartbeat records when a machine has sent a heartbeat, its sequence number, and a notice
-// that the cloud will reclaim the machine.
+// recordHeartbeat records the time, epoch and sequence number of a machine's heartbeat and a notice
+// that the cloud will reclaim the machine. It discards the machine's redirects and bounces.
 func (n *Node) recordHeartbeat(machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	machine.epoch = heartbeat.Epoch
 	machine.sequence = heartbeat.Sequence
@@ -135,8 +136,8 @@
 	}
 }
 
-// updateResponsiveness records whether replies reach a machine's worker, and has the
-// machine's view sent to the peers at once when that or the number of ignored replies has changed.
+// updateResponsiveness records whether a machine is unresponsive. If this has changed, or the number
+// of ignored replies differs from ignoredBefore, the machine's view is updated at once.
 func (n *Node) updateResponsiveness(shard *shard, machine *machine, ignoredBefore int) {
 	unresponsive := machine.ignoredReplies >= maxIgnoredReplies && !n.manyUnresponsive(shard)
 	if unresponsive == machine.unresponsive && machine.ignoredReplies == ignoredBefore {
@@ -148,9 +149,10 @@
 	machine.unresponsive, n.nextViewUpdateAt = unresponsive, 0
 }
 
-// replyLikelyLost reports whether the worker may have waited for the last reply until its
-// timeout of 4 s. A heartbeat that arrives sooner was sent before the reply, as were all those
-// that a network partition has delayed.
+// replyLikelyLost reports whether the heartbeat that has just arrived was probably sent after the
+// last reply should have reached the worker, which waits 4 s for it. A reply that had no effect on
+// the heartbeat was then lost or ignored. A heartbeat that arrives within 3 s of the reply was sent
+// before it, as were all those that a network partition has delayed.
 func (s *site) replyLikelyLost(machine *machine) bool {
 	return machine.answeredAt > 0 && s.now-machine.answeredAt > 3*second
 }
@@ -159,8 +161,9 @@
 // counts as unresponsive. One or two are lost occasionally.
 const maxIgnoredReplies = 3
 
-// manyUnresponsive reports whether more than a quarter of a shard's machines seem unresponsive.
-// Then the fault is probably this controller's: workers also ignore replies that arrive too late.
+// manyUnresponsive reports whether more than a quarter of a shard's machines, and at least two, have
+// ignored all but one of the replies that make a machine unresponsive. Then the fault is probably
+// this controller's: workers also ignore replies that arrive too late.
 func (s *site) manyUnresponsive(shard *shard) bool {
 	all, unresponsive := 0, 0
 	for _, machine := range shard.machines {
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -11,8 +11,9 @@
 const (
 	// redirectRetention is how long a machine counts as misdirected after its last redirect.
 	redirectRetention = 12 * second
-	// A worker that sends a heartbeat here again within these times of a redirect has failed to
-	// reach its owner. Sooner, it can't have tried the owner yet; later, it has another reason.
+	// A worker that sends the next heartbeat here has failed to reach its owner if the time since
+	// the redirect is between these limits. Earlier, it can't have tried the owner yet; later, it
+	// has another reason.
 	minBounceTime = 700 * time.Millisecond
 	maxBounceTime = 15 * second
 	// bounceSeriesGap is the time between two bounces beyond which the later one begins a new
@@ -21,14 +22,14 @@
 )
 
 // redirect answers a heartbeat of a machine that this controller does not own with the name of
-// the owner. A late heartbeat is a copy of an earlier one and does not count as a sign that the
-// worker can't reach its owner.
-func (n *Node) redirect(requestID uint64, shard *shard, machine *machine, late bool) {
+// the owner, or refuses it if no other owner is known, and lists the machine as misdirected. A copy
+// of an earlier heartbeat does not count as a sign that the worker can't reach its owner.
+func (n *Node) redirect(requestID uint64, shard *shard, machine *machine, isCopy bool) {
 	if !n.replica.Loaded() || shard.Record == nil || shard.Record.Owner == n.cfg.Self {
 		n.refuseHeartbeat(requestID, "no owner")
 		return
 	}
-	if !late {
+	if !isCopy {
 		n.recordRedirect(shard, machine)
 	}
 	if !machine.misdirectedListed {
@@ -38,9 +39,10 @@
 	n.emit(Reply{RequestID: requestID, Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Owner: shard.Record.Owner}})
 }
 
-// recordRedirect records that a worker is redirected to its owner, and a bounce if the worker
-// apparently can't reach the owner: it was redirected shortly before, or the owner reports
-// that heartbeats are missing. Bounces count as evidence for taking over the shard.
+// recordRedirect records that a worker is redirected to its owner. It also records a bounce if the
+// worker apparently can't reach the owner: the worker was redirected shortly before, or the owner
+// reports that heartbeats are missing, and the owner does not report that it receives them. Bounces
+// are evidence for taking over the shard.
 func (n *Node) recordRedirect(shard *shard, machine *machine) {
 	sinceRedirect := n.now - machine.redirectedAt
 	redirectedBefore := machine.redirectedAt > 0 && sinceRedirect > minBounceTime && sinceRedirect < maxBounceTime
@@ -53,8 +55,8 @@
 	machine.redirectedAt = n.now
 }
 
-// isMisdirectedCopy reports whether a heartbeat that arrived at a controller that is not the
-// owner is a copy of an earlier one.
+// isMisdirectedCopy reports whether a misdirected heartbeat is a copy of an earlier one, and
+// otherwise records it as the newest.
 func (m *machine) isMisdirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
 	if m.misdirectedEpoch > heartbeat.Epoch ||
 		m.misdirectedEpoch == heartbeat.Epoch && m.misdirectedSequence >= heartbeat.Sequence {
@@ -89,10 +91,13 @@
 }
 
 // missedMachineNames returns the sorted names of machines of other owners that were redirected
-// recently and whose owners report missing heartbeats. Peers need all of these names, as a
-// machine that is left out counts as lost and is returned to the cloud although it reports to
-// this controller. They need no others: after an owner's failure its machines, thousands at a
-// large site, all report to its peers at once.
+// recently and whose owners report missing heartbeats. It removes machines that were not redirected
+// recently from misdirectedMachines.
+//
+// Peers need all of these names, as a machine that is left out counts as lost and is returned to
+// the cloud although it reports to this controller. They don't need the names of other machines, of
+// which there can be thousands at a large site: after an owner's failure all its machines report to
+// its peers at once.
 func (n *Node) missedMachineNames() []string {
 	var names []string
 	n.misdirectedMachines = slices.DeleteFunc(n.misdirectedMachines, func(index int) bool {
--- a/internal/core/worker_reply.go
+++ b/internal/core/worker_reply.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// replyDelay is how long a reply may wait until the changes of records that follow from
-	// the heartbeat have been written. The next heartbeat is seconds away, and a machine whose
-	// commands miss this reply is idle until then.
+	// replyDelay is how long a reply waits at most until the changes of records that follow from
+	// the heartbeat have been written. Commands that are not in this reply reach the machine
+	// only after its next heartbeat, seconds later, and it is idle until then.
 	replyDelay = 600 * time.Millisecond
-	// idleReplyDelay is how long the reply to a machine without tasks waits for a task to
-	// start. The worker waits for a reply for 4 s and has nothing else to report, and a start
-	// that is decided in this time reaches it at once instead of with its next heartbeat.
+	// idleReplyDelay is how long the reply to a machine without tasks waits at most for a task
+	// to start. The worker waits 4 s for a reply and has nothing else to report. A start that is
+	// decided during the delay reaches it at once instead of after its next heartbeat.
 	idleReplyDelay = 2500 * time.Millisecond
 	// delayedRepliesInterval is the time between two checks of the delayed replies.
 	delayedRepliesInterval = 40 * time.Millisecond
@@ -33,7 +33,7 @@
 // delayedReplies holds the heartbeats whose replies are delayed.
 type delayedReplies struct {
 	waiting     []delayedReply
-	nextCheckAt Time // when they are next checked
+	nextCheckAt Time // when the next check of them is due
 }
 
 // answerWorker answers a worker's heartbeat with the token and commands.
@@ -42,8 +42,8 @@
 	n.emit(Reply{RequestID: requestID, Status: http.StatusOK, Body: wire.HeartbeatReply{Token: shard.Term, Commands: commands}})
 }
 
-// replyDelayFor returns how long a reply waits for further commands; 0 is not at all. It waits
-// when tasks have just ended, when the machine is new, and when it is idle.
+// replyDelayFor returns how long a reply waits for further commands at most; 0 if it is sent at
+// once. It waits when tasks have just ended, and when the machine is idle and accepts tasks.
 func (n *Node) replyDelayFor(machine *machine, heartbeat *wire.WorkerHeartbeat, commands []wire.Command) Time {
 	if !machine.tokenConfirmed && !machine.newlyBooted {
 		return 0 // the worker must receive the token first
@@ -109,8 +109,9 @@
 	replies.waiting = slices.DeleteFunc(replies.waiting, n.sendDelayedReply)
 }
 
-// sendDelayedReply answers a heartbeat unless its reply is still to be delayed, and reports
-// whether it did.
+// sendDelayedReply answers a heartbeat unless its reply must be delayed further, and reports
+// whether it did. A heartbeat that is no longer the machine's last, or whose shard has a new term
+// or another owner, is redirected or refused.
 func (n *Node) sendDelayedReply(reply delayedReply) bool {
 	shard, machine := reply.shard, reply.machine
 	if shard.Term != reply.term || !n.mayActAsOwner(shard) ||
@@ -120,6 +121,8 @@
 		n.redirect(reply.RequestID, shard, machine, false)
 		return true
 	}
+	// The reply waits while an outcome is not written or no new task has been placed. No task is
+	// placed on a draining machine.
 	if n.now < reply.deadline && (n.hasPendingOutcomes(machine) || !n.hasUnreportedTask(machine)) && !machine.draining {
 		return false
 	}
@@ -127,7 +130,7 @@
 	if commands := n.reconcile(shard, machine, reply.Heartbeat); !machine.leaseExpiring {
 		n.answerWorker(reply.RequestID, shard, machine, commands)
 	} else {
-		n.redirect(reply.RequestID, shard, machine, true)
+		n.redirect(reply.RequestID, shard, machine, true) // refuses the heartbeat, as this controller is the owner
 	}
 	return true
 }
