--- a/internal/core/autoscaler_boot_times.go
+++ b/internal/core/autoscaler_boot_times.go
@@ -6,21 +6,22 @@
 	"micaport/internal/wire"
 )
 
-// A machine normally boots within one and a half times its type's boot time. One that takes
-// longer may need several times as long, or never start: the scheduler stops planning with it,
-// and it is deprovisioned a little later, because it costs money and takes up capacity.
+// A machine normally boots within one and a half times its type's boot time. A machine that takes
+// longer may need several times as long, or never start. The scheduler stops planning with it, and
+// it is deprovisioned a little later, because it costs money and occupies capacity.
 //
-// At times all machines boot slowly. Deprovisioning the oldest ones then gains nothing, and can
-// leave a site without any machine until the cloud is fast again. Both limits therefore grow
-// with the boot times of the machines that came up last, and a machine is abandoned early only
-// if another one that was provisioned with it or after it is already up.
+// At times all machines boot slowly. Deprovisioning the oldest machines then gains nothing, and can
+// leave a site without any machine until the cloud is fast again. Both limits therefore grow with
+// the boot times of the machines that came up last. They are also longer until another machine that
+// was provisioned with this one or after it is up: the late limit is doubled, and maxBootFactor
+// replaces abandonBootFactor.
 //
 // The factors are multiples of the boot time of the machine's type.
 const (
 	normalBootFactor  = 1.5 // the longest normal boot
 	lateBootFactor    = 1.6 // after this the scheduler no longer plans with the machine
 	abandonBootFactor = 2.0 // after this the machine is deprovisioned
-	maxBootFactor     = 8.0 // after this it is deprovisioned even if no later machine is up
+	maxBootFactor     = 8.0 // after this it is deprovisioned even if no later machine is up; also bounds bootSlowdown
 
 	lateBootMarginSeconds    = 3 // seconds added to the late limit
 	abandonBootMarginSeconds = 5 // seconds added to the limit for deprovisioning
@@ -37,8 +38,8 @@
 	ratio         float64 // measured boot time, as a multiple of the type's boot time
 }
 
-// recordBoot records the boot of an expected machine that has come up. It ignores other
-// machines.
+// recordBoot records the boot time of a booting machine that has come up, and removes it from the
+// booting machines. It ignores other machines.
 func (a *autoscaler) recordBoot(site *site, name string) {
 	booting := a.booting[name]
 	if booting == nil {
--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -7,16 +7,16 @@
 	// running is deprovisioned if its worker has not reported within this time.
 	unreportedGrace = 10 * second
 	// unlistedGrace is added to three times the lag of the machine list: a provisioned machine
-	// that the list has not shown within this time is no longer expected.
+	// that the list has not contained within this time is no longer expected.
 	unlistedGrace = 10 * second
 )
 
 // reconcileMachineList compares the cloud's machine list, which lags, with the machines that
-// are expected or have reported. It marks machines that have failed or do not come up for
-// deprovisioning, and stops expecting those that are missing from the list.
+// are expected or have reported. It marks machines for draining that have failed or do not come up,
+// and removes those that are missing from the list from the booting machines.
 func (a *autoscaler) reconcileMachineList(site *site, list []wire.CloudMachine) {
 	listed := make(map[string]bool, len(list))
-	var unneeded []string
+	var faulty []string
 	for i := range list {
 		entry := &list[i]
 		listed[entry.Name] = true
@@ -24,7 +24,7 @@
 			continue
 		}
 		if a.reconcileMachine(site, entry) {
-			unneeded = append(unneeded, entry.Name)
+			faulty = append(faulty, entry.Name)
 		}
 	}
 	for name, booting := range a.booting {
@@ -32,14 +32,15 @@
 			delete(a.booting, name)
 		}
 	}
-	for _, name := range unneeded {
+	for _, name := range faulty {
 		a.markedForDraining[name] = true
 	}
 }
 
 // reconcileMachine updates the state of a machine from its entry in the machine list and
-// reports whether the machine should be deprovisioned.
-func (a *autoscaler) reconcileMachine(site *site, entry *wire.CloudMachine) (unneeded bool) {
+// reports whether the machine has failed or has not come up in time, so that it should be
+// deprovisioned.
+func (a *autoscaler) reconcileMachine(site *site, entry *wire.CloudMachine) (faulty bool) {
 	switch {
 	case entry.Status == wire.MachineFailed:
 		return true
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// shortagePeriod is how long after a shortage the scheduler does not rely on a pool; see
+	// shortagePeriod is how long the scheduler does not rely on a pool after a shortage; see
 	// canProvision.
 	shortagePeriod = 60 * second
 	// maxMachinesPerProvision is the largest number of machines that the cloud provisions in
@@ -20,7 +20,8 @@
 )
 
 // addExpectedMachines adds the machines that are booting or requested to the capacity that the
-// pass plans with. It leaves out machines whose boot is overdue.
+// pass plans with. It leaves out machines whose boot is late, and those that have reported, whose
+// boots it records.
 func (p *schedulingPass) addExpectedMachines() {
 	scaler, site := &p.node.leader.autoscaler, &p.node.site
 	names := make([]string, 0, len(scaler.booting))
@@ -133,10 +134,10 @@
 	return short && now-at < shortagePeriod
 }
 
-// canProvision reports whether the scheduler can rely on getting machines for a job in a zone,
-// or in any zone if it is -1. A pool with a recent shortage is asked again after each retry
-// delay, but it does not count here: otherwise each retry would cancel the capacity that is
-// reserved on machines in use.
+// canProvision reports whether the scheduler can rely on provisioning machines for a job in a zone,
+// or in any zone if zone is -1. Machines are requested from a pool with a recent shortage again after
+// each retry delay, but the pool does not count here: otherwise each retry would cancel the capacity
+// that is reserved on machines in use.
 func (p *schedulingPass) canProvision(job *job, zone int) bool {
 	scaler, now := &p.node.leader.autoscaler, p.node.now
 	for _, pool := range p.pools(job) {
@@ -149,8 +150,8 @@
 	return false
 }
 
-// provisionFor plans to provision a machine for a task of a job, from the cheapest pool whose
-// machines accept allows, and returns the machine's capacity. It returns nil if no pool
+// provisionFor plans to provision a machine for a task of a job, from the cheapest pool for whose
+// machines accept returns true, and returns the machine's capacity. It returns nil if no pool
 // qualifies, the site has its maximum number of machines, or the job is suspect.
 func (p *schedulingPass) provisionFor(job *job, accept func(*slot) bool) *slot {
 	n := p.node
@@ -169,9 +170,9 @@
 	return nil
 }
 
-// poolsByMachineCount returns the pools that the pass provisions machines from, those with the
-// most machines first: the cloud limits the rate of calls, and each call provisions at most
-// maxMachinesPerProvision machines.
+// poolsByMachineCount returns the pools from which the pass provisions machines, those with the
+// most machines to provision first: the cloud limits the rate of calls, and each call provisions at
+// most maxMachinesPerProvision machines.
 func (p *schedulingPass) poolsByMachineCount() []machinePool {
 	pools := make([]machinePool, 0, len(p.machinesToProvision))
 	for pool := range p.machinesToProvision {
@@ -187,16 +188,16 @@
 	return pools
 }
 
-// requestMachines creates requests for the machines that the pass wants to provision. The
-// number of open requests is limited: the next pass plans the remaining machines again and
-// combines them into larger requests.
+// requestMachines creates requests for the machines that the pass plans to provision. The number of
+// pending requests is limited: the next pass plans the remaining machines again and combines them
+// into larger requests.
 func (p *schedulingPass) requestMachines() {
 	n, scaler := p.node, &p.node.leader.autoscaler
 	if n.cloudCallTime() == 0 {
 		return // no call may be sent now; the next passes plan the machines again
 	}
 	pools := p.poolsByMachineCount()
-	for open := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.pendingProvisions); open > 0 && len(pools) > 0; open-- {
+	for allowed := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.pendingProvisions); allowed > 0 && len(pools) > 0; allowed-- {
 		pool := pools[0]
 		if len(p.available.all) == 0 {
 			// No machine is up. Boot times vary by more than a factor of two, so the first
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -10,8 +10,8 @@
 const (
 	// typesInterval is the time between two fetches of the machine types, which change rarely.
 	typesInterval = 30 * second
-	// typesRetryInterval is the time between two fetches until the cloud has listed the machine
-	// types once.
+	// typesRetryInterval is the time between two fetches of the machine types until one has
+	// succeeded.
 	typesRetryInterval = 2 * second
 	// minListInterval is the shortest time between two fetches of the machine list.
 	minListInterval = 4 * second
@@ -21,7 +21,7 @@
 	// list to one in this many, so that enough calls remain for provisioning and
 	// deprovisioning.
 	callsPerListPage = 5
-	// minCloudRPS replaces a request rate of the cloud that is lower or not set.
+	// minCloudRPS is used in place of the cloud's request rate if that is lower or not set.
 	minCloudRPS = 0.1
 
 	// noCapacityDelay is the time until the next request to a pool that lacked capacity.
@@ -30,7 +30,8 @@
 	refusedDelay = 2 * second
 	// provisionRetryDelay is the time until a request with an unknown outcome is repeated.
 	provisionRetryDelay = second
-	// provisionRetryPeriod is how long after its decision such a request is repeated at most.
+	// provisionRetryPeriod is how long after the decision a request with an unknown outcome is
+	// repeated at most.
 	provisionRetryPeriod = 60 * second
 	// deprovisionRetryDelay is the time until the next deprovisioning call after a failed one.
 	deprovisionRetryDelay = 2 * second
@@ -44,7 +45,7 @@
 // cloudCall is a call to the cloud in progress.
 type cloudCall struct{ next cloudReceiver }
 
-// resume records since when the cloud has been unreachable and passes the answer on.
+// resume records since when the cloud has been unreachable and passes the answer to the receiver.
 func (r cloudCall) resume(n *Node, result Result) {
 	answer := result.(CloudAnswered)
 	if answer.Outcome != kv.Unknown {
@@ -58,8 +59,8 @@
 // callCloud sends a call to the cloud; next receives its answer.
 func (n *Node) callCloud(call CallCloud, next cloudReceiver) {
 	call.ID = n.continueWith(cloudCall{next})
-	// The call expires, because after a stall of this process another controller may lead and
-	// the machines may be in use.
+	// The call expires, because after a stall of this process another controller may be the
+	// leader and the machines may be in use.
 	call.ValidFor = n.cloudCallTime()
 	if n.isFencedLeader() {
 		call.Term = n.leadership.Term()
@@ -100,7 +101,8 @@
 	}
 }
 
-// setMachineTypes replaces the machine types that the cloud offers.
+// setMachineTypes replaces the list of machine types that the cloud offers. machineTypes still
+// contains types that are no longer in the list.
 func (n *Node) setMachineTypes(types []wire.MachineType) {
 	n.offeredTypes = types
 	for i := range types {
@@ -113,9 +115,9 @@
 	n.leader.passNeeded = true
 }
 
-// updateMachineTypes replaces the machine types by those that the cloud has listed. If the names
-// have changed or no types are stored yet, it also stores them, for controllers that cannot
-// reach the cloud.
+// updateMachineTypes sets the machine types that the cloud has listed. If their names have changed
+// or no types are stored in the state service yet, it also stores them there, for controllers that
+// cannot reach the cloud.
 func (n *Node) updateMachineTypes(types []wire.MachineType) {
 	changed := len(types) != len(n.offeredTypes)
 	for i := range types {
@@ -171,7 +173,7 @@
 }
 
 // applyProvisionAnswer applies the answer to a provisioning request. The request is removed, or
-// scheduled to be repeated if its outcome is unknown.
+// scheduled to be repeated for a limited time if its outcome is unknown.
 func (a *autoscaler) applyProvisionAnswer(now Time, request *pendingProvision, answer CloudAnswered) {
 	closed := true
 	switch answer.Outcome {
--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// drainUnhealthy marks machines for draining that are unreachable, or unhealthy and empty. It
-// unmarks machines on which their owners have placed work in the meantime.
+// drainUnhealthy marks machines for draining that are unreachable, or unhealthy and without tasks.
+// It unmarks other machines that have tasks and are not being drained yet.
 func (a *autoscaler) drainUnhealthy(site *site) {
 	for _, shard := range site.shards {
 		for _, machine := range shard.machines {
@@ -83,9 +83,9 @@
 	}
 }
 
-// drainedMachines returns machines that may be deprovisioned now, at most
+// drainedMachines returns machines marked for draining that may be deprovisioned now, at most
 // maxMachinesPerDeprovision: their owners have drained them, or no controller receives reports
-// from them.
+// from them. It unmarks machines that have been returned.
 func (a *autoscaler) drainedMachines(site *site) []string {
 	var drained []string
 	for name := range a.markedForDraining {
@@ -104,7 +104,7 @@
 	return drained[:min(len(drained), maxMachinesPerDeprovision)]
 }
 
-// machinesToDrain returns the names of the machines that their owners should drain, in order.
+// machinesToDrain returns the sorted names of the machines that their owners should drain.
 func (l *leaderState) machinesToDrain(*Node) []string {
 	return slices.Sorted(maps.Keys(l.autoscaler.markedForDraining))
 }
