--- a/internal/core/gang_leader.go
+++ b/internal/core/gang_leader.go
@@ -9,7 +9,7 @@
 )
 
 // applyGangAnswers applies owners' answers in gang transactions (see package gang). Only the leader
-// acts on them.
+// acts on the answers.
 func (n *Node) applyGangAnswers(answers []wire.GangHold) {
 	if n.gangs.ApplyAnswers(answers) {
 		n.leader.passNeeded = true
@@ -20,7 +20,8 @@
 // tried.
 func (n *Node) ownGangAnswers() []wire.GangHold { return n.gangs.OwnAnswers(n.mayActInShard) }
 
-// advanceGangs carries out the leader's next action for every gang that spans shards.
+// advanceGangs carries out the leader's next action for every attempt to start a gang in several
+// shards.
 func (n *Node) advanceGangs(writer *writer) {
 	n.applyGangAnswers(n.ownGangAnswers())
 	for _, attempt := range n.gangs.Sorted() {
@@ -36,7 +37,7 @@
 			writer.removeGang(attempt)
 		case gang.Finish:
 			if job := n.findJob(attempt.JobID); job != nil {
-				job.queuePosition = queuePosition{}
+				job.queuePosition = queuePosition{} // it need not be restored any more
 			}
 			writer.removeGang(attempt)
 		}
@@ -44,7 +45,7 @@
 }
 
 // revokeGang revokes the tasks of a dropped attempt that have no machine. It returns false if the
-// transaction has no capacity left for that.
+// transaction is full.
 func (n *Node) revokeGang(writer *writer, attempt *gang.Attempt) bool {
 	job := n.findJob(attempt.JobID)
 	if job == nil || job.Record == nil || !hasUnplacedTask(job.Record, attempt.Record.Attempt) {
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -30,8 +30,9 @@
 	})
 }
 
-// expireGangHolds carries out the owner's next action for every gang transaction: it drops
-// attempts whose deadline has passed, and releases the capacity held for dropped ones.
+// expireGangHolds carries out the owner's next action for every attempt to start a gang in several
+// shards: it drops attempts whose deadline has passed, and releases the capacity held for dropped
+// ones.
 func (n *Node) expireGangHolds(writer *writer) {
 	for _, attempt := range n.gangs.Sorted() {
 		switch attempt.OwnerAction(n.gangTransitionInput(attempt)) {
@@ -86,9 +87,11 @@
 		n.advanceOwnedGang(writer, job, attempt, ownTasks, slots)
 		return
 	}
-	inOneShard := !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Shard != ownTasks[0].Shard || task.Machine != "" })
+	unplacedInOneShard := !slices.ContainsFunc(job.Record.ActiveTasks, func(task wire.ActiveTask) bool {
+		return task.Shard != ownTasks[0].Shard || task.Machine != ""
+	})
 	key := taskKey{job.Index, ownTasks[0].Task, attemptNumber}
-	if !inOneShard {
+	if !unplacedInOneShard {
 		// The replica does not show the attempt's record yet, or it has been removed already.
 		if n.grantTimedOut(key) {
 			if record := writer.recordToChange(job); record != nil {
--- a/internal/core/gang_start.go
+++ b/internal/core/gang_start.go
@@ -27,7 +27,7 @@
 	return machine.images.Has(job.Image) && s.othersFetchImage(job, active.Attempt)
 }
 
-// othersFetchImage reports whether a machine that this controller owns has a task of a gang's
+// othersFetchImage reports whether a machine in a shard of this controller has a task of a gang's
 // attempt and does not have the image yet.
 func (s *site) othersFetchImage(job *job, attempt uint64) bool {
 	for i := range job.Record.ActiveTasks {
--- a/internal/core/gang_stop.go
+++ b/internal/core/gang_stop.go
@@ -8,8 +8,8 @@
 )
 
 // abandonGang stops the remaining tasks of a gang's attempt, as none can run without the others.
-// Tasks that were already asked to save and exit may finish that; those without a machine are
-// removed at once.
+// Tasks that already have a request to save and exit keep it. Tasks without a machine are removed at
+// once.
 func abandonGang(record *wire.Job, attempt uint64) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Attempt == attempt && task.Machine == ""
@@ -21,8 +21,8 @@
 	}
 }
 
-// stopReclaimedGangs asks all tasks of a gang to save and exit when one of its machines is about
-// to be reclaimed.
+// stopReclaimedGangs requests, in the jobs' records, that all tasks of the gangs in gangsToStop save
+// and exit. It removes gangs from gangsToStop that are stopping or have ended.
 func (n *Node) stopReclaimedGangs(writer *writer) {
 	for _, index := range slices.Sorted(maps.Keys(n.gangsToStop)) {
 		job := n.jobs[index]
@@ -39,7 +39,8 @@
 	}
 }
 
-// preemptAll asks every placed task of a job to save and exit, and removes the others.
+// preemptAll requests in a job's record that every placed task saves and exits, and removes the
+// other active tasks.
 func preemptAll(record *wire.Job) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Machine == "" })
 	for i := range record.ActiveTasks {
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -21,7 +21,7 @@
 	"micaport/internal/wire"
 )
 
-// Time is the steady clock of the process, counted from its start.
+// Time is a time of the process's monotonic clock, counted from the start of the process.
 type Time = time.Duration
 
 // Attempt is an attempt to start a gang: its record, and the holds and answers of the owners.
@@ -37,7 +37,7 @@
 	HeldMachines map[int]int
 	// AgreedShards is, on the leader, the set of shards whose owners hold capacity.
 	AgreedShards map[int]bool
-	// Denied is set when an owner, which may be this controller, has no capacity.
+	// Denied is set when an owner, which may be this controller, has too little capacity.
 	Denied bool
 }
 
