--- a/internal/gang/transitions.go
+++ b/internal/gang/transitions.go
@@ -9,7 +9,7 @@
 	leaderDeadline = 4
 )
 
-// TransitionInput is the state that decides about the transition of an attempt, besides the attempt
+// TransitionInput is the state on which the next action for an attempt depends, besides the attempt
 // itself.
 type TransitionInput struct {
 	Age               Time // since the replica first showed the record
@@ -48,32 +48,42 @@
 // leaderTransitions is the leader's transition table. Each write is conditional on the revision of
 // the record, so of a concurrent confirmation and drop one fails.
 var leaderTransitions = []transition{
-	{wire.GangTrying, func(a *Attempt, s TransitionInput) bool { return a.allAgreed() && s.HasUnplacedTasks && s.JobLive }, Confirm},
+	{wire.GangTrying, func(a *Attempt, input TransitionInput) bool {
+		return a.allAgreed() && input.HasUnplacedTasks && input.JobLive
+	}, Confirm},
 	{wire.GangTrying, func(a *Attempt, _ TransitionInput) bool { return a.Denied }, Drop},
-	{wire.GangTrying, func(_ *Attempt, s TransitionInput) bool { return !s.HasUnplacedTasks }, Drop},
-	{wire.GangTrying, func(_ *Attempt, s TransitionInput) bool { return s.Age > leaderDeadline*s.HeartbeatInterval }, Drop},
+	{wire.GangTrying, func(_ *Attempt, input TransitionInput) bool { return !input.HasUnplacedTasks }, Drop},
+	{wire.GangTrying, func(_ *Attempt, input TransitionInput) bool {
+		return input.Age > leaderDeadline*input.HeartbeatInterval
+	}, Drop},
 	{wire.GangDropped, always, Remove},
-	{wire.GangConfirmed, func(_ *Attempt, s TransitionInput) bool { return !s.HasUnplacedTasks }, Finish},
+	{wire.GangConfirmed, func(_ *Attempt, input TransitionInput) bool { return !input.HasUnplacedTasks }, Finish},
 }
 
-// ownerTransitions is an owner's transition table. It lacks the holding of capacity for an attempt
-// that is being tried and the placing of a confirmed one's tasks, which depend on free capacity.
+// ownerTransitions is an owner's transition table. Holding capacity for an attempt that is being
+// tried and placing the tasks of a confirmed one are not in the table, as they depend on free
+// capacity.
 var ownerTransitions = []transition{
-	{wire.GangTrying, func(_ *Attempt, s TransitionInput) bool {
-		return s.Age > ownerDeadline*s.HeartbeatInterval && s.MayActAsOwner
+	{wire.GangTrying, func(_ *Attempt, input TransitionInput) bool {
+		return input.Age > ownerDeadline*input.HeartbeatInterval && input.MayActAsOwner
 	}, Drop},
 	{wire.GangDropped, always, Release},
 }
 
 // LeaderAction returns the leader's next action on an attempt.
-func (a *Attempt) LeaderAction(s TransitionInput) Action { return a.next(leaderTransitions, s) }
+func (a *Attempt) LeaderAction(input TransitionInput) Action {
+	return a.firstAction(leaderTransitions, input)
+}
 
 // OwnerAction returns an owner's next action on an attempt.
-func (a *Attempt) OwnerAction(s TransitionInput) Action { return a.next(ownerTransitions, s) }
+func (a *Attempt) OwnerAction(input TransitionInput) Action {
+	return a.firstAction(ownerTransitions, input)
+}
 
-func (a *Attempt) next(table []transition, s TransitionInput) Action {
+// firstAction returns the action of the first row that applies, or Wait if none does.
+func (a *Attempt) firstAction(table []transition, input TransitionInput) Action {
 	for _, row := range table {
-		if row.state == a.Record.State && row.guard(a, s) {
+		if row.state == a.Record.State && row.guard(a, input) {
 			return row.action
 		}
 	}
