--- a/internal/core/autoscaler_boot_times.go
+++ b/internal/core/autoscaler_boot_times.go
@@ -38,9 +38,9 @@
 	ratio         float64 // measured boot time, as a multiple of the type's boot time
 }
 
-// recordBoot records the boot time of a booting machine that has come up, and removes it from the
+// completeBoot records the boot time of a booting machine that has come up, and removes it from the
 // booting machines. It ignores other machines.
-func (a *autoscaler) recordBoot(site *site, name string) {
+func (a *autoscaler) completeBoot(site *site, name string) {
 	booting := a.booting[name]
 	if booting == nil {
 		return
--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -23,7 +23,7 @@
 		if machine := site.findMachine(entry.Name); machine != nil && machine.returned {
 			continue
 		}
-		if a.reconcileMachine(site, entry) {
+		if a.reconcileListedMachine(site, entry) {
 			faulty = append(faulty, entry.Name)
 		}
 	}
@@ -37,15 +37,15 @@
 	}
 }
 
-// reconcileMachine updates the state of a machine from its entry in the machine list and
+// reconcileListedMachine updates the state of a machine from its entry in the machine list and
 // reports whether the machine has failed or has not come up in time, so that it should be
 // deprovisioned.
-func (a *autoscaler) reconcileMachine(site *site, entry *wire.CloudMachine) (faulty bool) {
+func (a *autoscaler) reconcileListedMachine(site *site, entry *wire.CloudMachine) (faulty bool) {
 	switch {
 	case entry.Status == wire.MachineFailed:
 		return true
 	case site.hasReported(entry.Name):
-		a.recordBoot(site, entry.Name)
+		a.completeBoot(site, entry.Name)
 		delete(a.unreportedSince, entry.Name)
 		return false
 	case entry.Status == wire.MachineBooting:
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -32,7 +32,7 @@
 	for _, name := range names {
 		booting := scaler.booting[name]
 		if site.hasReported(name) {
-			scaler.recordBoot(site, name)
+			scaler.completeBoot(site, name)
 			continue
 		}
 		if machineType := site.typeAt(booting.pool.machineType); machineType != nil {
@@ -170,10 +170,10 @@
 	return nil
 }
 
-// poolsByMachineCount returns the pools from which the pass provisions machines, those with the
+// poolsToProvision returns the pools from which the pass provisions machines, those with the
 // most machines to provision first: the cloud limits the rate of calls, and each call provisions at
 // most maxMachinesPerProvision machines.
-func (p *schedulingPass) poolsByMachineCount() []machinePool {
+func (p *schedulingPass) poolsToProvision() []machinePool {
 	pools := make([]machinePool, 0, len(p.machinesToProvision))
 	for pool := range p.machinesToProvision {
 		pools = append(pools, pool)
@@ -196,7 +196,7 @@
 	if n.cloudCallTime() == 0 {
 		return // no call may be sent now; the next passes plan the machines again
 	}
-	pools := p.poolsByMachineCount()
+	pools := p.poolsToProvision()
 	for allowed := max(2, int(2*n.cfg.CloudRPS)) - len(scaler.pendingProvisions); allowed > 0 && len(pools) > 0; allowed-- {
 		pool := pools[0]
 		if len(p.available.all) == 0 {
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -174,28 +174,28 @@
 
 // applyProvisionAnswer applies the answer to a provisioning request. The request is removed, or
 // scheduled to be repeated for a limited time if its outcome is unknown.
-func (a *autoscaler) applyProvisionAnswer(now Time, request *pendingProvision, answer CloudAnswered) {
+func (a *autoscaler) applyProvisionAnswer(now Time, pending *pendingProvision, answer CloudAnswered) {
 	closed := true
 	switch answer.Outcome {
 	case kv.OK:
 		for _, name := range answer.Names {
-			a.booting[name] = &bootingMachine{pool: request.pool, provisionedAt: now}
+			a.booting[name] = &bootingMachine{pool: pending.pool, provisionedAt: now}
 		}
-		if len(answer.Names) < request.request.Count {
-			a.recordShortage(now, request.pool)
+		if len(answer.Names) < pending.request.Count {
+			a.recordShortage(now, pending.pool)
 		}
 	case kv.NoCapacity:
-		a.recordShortage(now, request.pool)
+		a.recordShortage(now, pending.pool)
 	case kv.Refused:
-		a.retryAt[request.pool] = now + refusedDelay
+		a.retryAt[pending.pool] = now + refusedDelay
 	default:
 		// The machines may have been provisioned. If so, the cloud answers a request with the
 		// same name as it did before, and provisions no more machines.
-		request.sent, request.sendAt = false, now+provisionRetryDelay
-		closed = now-request.decidedAt > provisionRetryPeriod
+		pending.sent, pending.sendAt = false, now+provisionRetryDelay
+		closed = now-pending.decidedAt > provisionRetryPeriod
 	}
 	if closed {
-		a.pendingProvisions = slices.DeleteFunc(a.pendingProvisions, func(other *pendingProvision) bool { return other == request })
+		a.pendingProvisions = slices.DeleteFunc(a.pendingProvisions, func(other *pendingProvision) bool { return other == pending })
 	}
 }
 
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -35,9 +35,9 @@
 // machine that has not reported the task two leases after its start counts as unresponsive.
 func (n *Node) enforceDirectStartDeadline(machine *machine, job *job, start directStart) {
 	if n.mayStartTooLate(job, start) {
-		machine.ignoredReplies, machine.leaseExpiring = maxIgnoredReplies, true
+		machine.ignoredReplies, machine.leaseExpiring = ignoredRepliesThreshold, true
 	} else if n.now-start.sentAt > 2*n.cfg.WorkerLease {
-		machine.ignoredReplies = maxIgnoredReplies // it was sent a start and never reported the task
+		machine.ignoredReplies = ignoredRepliesThreshold // it was sent a start and never reported the task
 	}
 }
 
@@ -64,16 +64,16 @@
 	for _, index := range unstarted {
 		machine := n.machines[index]
 		machine.unstartedListed = false
-		if machine.shard >= 0 && n.acceptsCommands(machine) {
+		if machine.shard >= 0 && n.mayStartDirectly(machine) {
 			n.sendDirectStartsTo(machine)
 		}
 	}
 }
 
-// acceptsCommands reports whether starts may be sent directly to a machine's worker: it probably
+// mayStartDirectly reports whether starts may be sent directly to a machine's worker: it probably
 // executes the commands of this controller as its owner, and no delayed reply will contain the
 // starts.
-func (s *site) acceptsCommands(machine *machine) bool {
+func (s *site) mayStartDirectly(machine *machine) bool {
 	shard := s.shards[machine.shard]
 	if !s.mayActAsOwner(shard) || machine.term != shard.Term ||
 		machine.returned || machine.reclaimAt != 0 ||
@@ -135,7 +135,7 @@
 	key := placed.taskKey
 	if placed.epoch != machine.epoch || placed.stop != wire.StopNone ||
 		n.jobs[placed.job].Record.State != wire.JobLive ||
-		machine.startSentAt[key] > 0 {
+		machine.startReplySequence[key] > 0 {
 		return false
 	}
 	_, reported := machine.reportedTasks[key]
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -35,24 +35,24 @@
 // workerState holds what a machine's owner has received from its worker, and sent to it, in
 // the current term of the shard.
 type workerState struct {
-	term              uint64             // the term to which this state belongs
-	epoch, sequence   uint64             // of the last heartbeat
-	heartbeatCount    int                // heartbeats received in this term
-	heartbeatAt       Time               // when the last heartbeat of this term was received
-	tokenConfirmed    bool               // the last heartbeat carried the token of this term
-	newlyBooted       bool               // it has sent only its first heartbeats and can't have received a token
-	answeredAt        Time               // when a heartbeat was last answered with 200
-	ignoredReplies    int                // consecutive replies that had no effect
-	unresponsive      bool               // it is assumed to receive neither replies nor commands
-	reclaimAt         Time               // when the cloud reclaims it; 0: no notice was given
-	address           string             // of the worker, for commands
-	reportedTasks     map[taskKey]string // states in the last heartbeat of the active tasks that it lists
-	startSentAt       map[taskKey]uint64 // sequence number of the last heartbeat whose reply contained the start
-	directStarts      map[taskKey]directStart
-	unclearedTasks    int  // number of exited tasks in its last heartbeat that must not be cleared
-	delayedReplyCount int  // number of its heartbeats whose replies are delayed
-	unstartedListed   bool // it is in ownerState.unstartedMachines
-	leaseExpiring     bool // its heartbeats are not answered, so that its lease expires and its epoch ends
+	term               uint64             // the term to which this state belongs
+	epoch, sequence    uint64             // of the last heartbeat
+	heartbeatCount     int                // heartbeats received in this term
+	heartbeatAt        Time               // when the last heartbeat of this term was received
+	tokenConfirmed     bool               // the last heartbeat carried the token of this term
+	newlyBooted        bool               // it has sent only its first heartbeats and can't have received a token
+	answeredAt         Time               // when a heartbeat was last answered with 200
+	ignoredReplies     int                // consecutive replies that had no effect
+	unresponsive       bool               // it is assumed to receive neither replies nor commands
+	reclaimAt          Time               // when the cloud reclaims it; 0: no notice was given
+	address            string             // of the worker, for commands
+	reportedTasks      map[taskKey]string // states in the last heartbeat of the active tasks that it lists
+	startReplySequence map[taskKey]uint64 // sequence number of the last heartbeat whose reply contained the start
+	directStarts       map[taskKey]directStart
+	unclearedTasks     int  // number of exited tasks in its last heartbeat that must not be cleared
+	delayedReplyCount  int  // number of its heartbeats whose replies are delayed
+	unstartedListed    bool // it is in ownerState.unstartedMachines
+	leaseExpiring      bool // its heartbeats are not answered, so that its lease expires and its epoch ends
 
 	failedJobs      map[int]bool // by index: jobs of which a task failed on it since a task last succeeded
 	unhealthy       bool         // tasks fail on it, probably through its own fault
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -24,7 +24,7 @@
 	for _, shard := range n.shards {
 		if n.mayActAsOwner(shard) {
 			actsAsOwner = true
-			n.expireSilentMachines(shard)
+			n.queueLostTasks(shard)
 		}
 	}
 	if !actsAsOwner {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -43,7 +43,7 @@
 			r.reconcileMissingTask(placed)
 		}
 	}
-	if r.startIgnored && n.replyLikelyLost(machine) {
+	if r.startIgnored && n.hadTimeForReply(machine) {
 		machine.ignoredReplies++
 	}
 	return r.commands
@@ -126,7 +126,7 @@
 	if _, known := n.outcomes[key]; known {
 		return
 	}
-	startSequence, sent := machine.startSentAt[key]
+	startSequence, sent := machine.startReplySequence[key]
 	direct, startedDirectly := machine.directStarts[key]
 	// An absent task does not run on the machine, and no start that was sent before can still
 	// start it there. A direct start may still be in transit, whatever the heartbeats show.
@@ -141,7 +141,7 @@
 		} else if startedDirectly {
 			n.enforceDirectStartDeadline(machine, job, direct)
 		}
-	case absent && sent && machine.ignoredReplies >= maxIgnoredReplies-1:
+	case absent && sent && machine.ignoredReplies >= ignoredRepliesThreshold-1:
 		// The worker keeps reporting but does not execute the start. The heartbeat is newer
 		// than the reply with the start and lacks the task, and the start is not sent again.
 		// The limit is one lower because ignoredReplies does not count this heartbeat yet.
@@ -149,7 +149,7 @@
 	case n.delaysGangStart(job, n.activeTask(key, machine.name)):
 	default:
 		r.addCommand(wire.CommandStart, wire.TaskName(job.ID, key.task), key.attempt, 0)
-		machine.startSentAt[key] = r.heartbeat.Sequence
+		machine.startReplySequence[key] = r.heartbeat.Sequence
 	}
 }
 
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -8,10 +8,10 @@
 // tasks count as lost: the worker's clock may run slower than this controller's.
 const leaseMargin = second
 
-// expireSilentMachines queues the tasks of two kinds of machines as lost: machines that have been
+// queueLostTasks queues the tasks of two kinds of machines as lost: machines that have been
 // returned to the cloud, and machines whose worker's lease must have expired because they failed,
 // hang or can't reach a controller.
-func (n *Node) expireSilentMachines(shard *shard) {
+func (n *Node) queueLostTasks(shard *shard) {
 	limit := n.cfg.WorkerLease + n.cfg.WorkerLease/1000 + leaseMargin
 	for _, machine := range shard.machines {
 		if len(machine.placements) == 0 {
@@ -75,7 +75,7 @@
 func (m *machine) clearState() {
 	m.view = machineView{}
 	m.reportedTasks = nil
-	m.startSentAt = nil
+	m.startReplySequence = nil
 	m.directStarts = nil
 	m.failedJobs = nil
 	m.images = nil
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -11,10 +11,10 @@
 
 // taskOutcome describes how a task has ended, until that is written to the job's record.
 type taskOutcome struct {
-	machine string
-	cause   string // an exit cause of package wire, or causeLost
-	at      Time   // when it was queued
-	term    uint64 // of the shard when the outcome was queued
+	machine  string
+	cause    string // an exit cause of package wire, or causeLost
+	queuedAt Time
+	term     uint64 // of the shard when the outcome was queued
 }
 
 // taskOutcomes holds the outcomes of tasks that are queued to be written to their jobs' records.
@@ -33,11 +33,11 @@
 const tokenConfirmationWait = 1200 * time.Millisecond
 
 const (
-	// errorsBeforeSuspicion is the number of consecutive errors of a job from which on its
+	// errorsBeforeJobAtFault is the number of consecutive errors of a job from which on its
 	// further failures are attributed to the job and no longer to machines.
-	errorsBeforeSuspicion = 3
-	// jobsBeforeQuarantine is the number of jobs whose failures on a machine mark it as unhealthy.
-	jobsBeforeQuarantine = 2
+	errorsBeforeJobAtFault = 3
+	// failedJobsThreshold is the number of jobs whose failures on a machine mark it as unhealthy.
+	failedJobsThreshold = 2
 	// maxFailedMachines is the number of machines in the record's list of those on which the job
 	// failed last.
 	maxFailedMachines = 4
@@ -77,12 +77,12 @@
 	if machine.failedJobs == nil {
 		machine.failedJobs = map[int]bool{}
 	}
-	if job.Record.ConsecutiveErrors < errorsBeforeSuspicion {
+	if job.Record.ConsecutiveErrors < errorsBeforeJobAtFault {
 		machine.failedJobs[job.Index] = true
 	}
 	// The machine is probably at fault if several jobs have failed on it, or if other tasks of
 	// this job have succeeded.
-	if n.failedJobCount(machine) >= jobsBeforeQuarantine || job.Record.DoneTasks.Count() > 0 {
+	if n.failedJobCount(machine) >= failedJobsThreshold || job.Record.DoneTasks.Count() > 0 {
 		machine.unhealthy = true
 	}
 	n.nextViewUpdateAt = 0 // at once: the leader needs the view before it grants more tasks to the machine
@@ -130,8 +130,8 @@
 	keys := n.outcomes.sortedKeys()
 	pass := outcomePass{writer: writer, slots: available, records: newRecordCapacity(n, writer), firstOutcomeAt: map[int]Time{}}
 	for _, key := range keys {
-		if at, seen := pass.firstOutcomeAt[key.job]; !seen || n.outcomes[key].at < at {
-			pass.firstOutcomeAt[key.job] = n.outcomes[key].at
+		if at, seen := pass.firstOutcomeAt[key.job]; !seen || n.outcomes[key].queuedAt < at {
+			pass.firstOutcomeAt[key.job] = n.outcomes[key].queuedAt
 		}
 	}
 	for _, key := range keys {
@@ -195,7 +195,7 @@
 func (s *site) awaitsTokenConfirmation(outcome taskOutcome) bool {
 	machine := s.getOrAddMachine(outcome.machine)
 	return outcome.cause == causeLost && machine.shard >= 0 &&
-		s.now-outcome.at < tokenConfirmationWait &&
+		s.now-outcome.queuedAt < tokenConfirmationWait &&
 		machine.term == s.shards[machine.shard].Term &&
 		!machine.tokenConfirmed && s.now-machine.heartbeatAt < tokenConfirmationWait
 }
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -28,7 +28,8 @@
 	machine.address = heartbeat.Addr
 	// A token above the term was issued under a claim that this replica does not show yet.
 	if !n.replica.Loaded() || !n.mayActAsOwner(shard) || heartbeat.Token > shard.Term {
-		n.redirect(in.RequestID, shard, machine, machine.isMisdirectedCopy(heartbeat))
+		isCopy := machine.recordMisdirected(heartbeat)
+		n.redirect(in.RequestID, shard, machine, isCopy)
 		return
 	}
 	if machine.epoch > heartbeat.Epoch || machine.epoch == heartbeat.Epoch && machine.sequence >= heartbeat.Sequence {
@@ -85,7 +86,7 @@
 	machine.ignoredReplies = 0
 	machine.unresponsive = false
 	machine.leaseExpiring = false
-	machine.startSentAt, machine.directStarts = map[taskKey]uint64{}, map[taskKey]directStart{}
+	machine.startReplySequence, machine.directStarts = map[taskKey]uint64{}, map[taskKey]directStart{}
 	// No owner has reported the machine before, so the worker can't have received a token yet.
 	machine.newlyBooted = amongFirst && heartbeat.Token == 0 && !machine.view.reportedByOwner && len(machine.placements) == 0
 	n.nextViewUpdateAt = 0
@@ -104,9 +105,9 @@
 	if machine.tokenConfirmed && machine.heartbeatCount > 1 &&
 		machine.answeredAt > 0 &&
 		n.now-machine.answeredAt < n.cfg.WorkerLease*3/4 {
-		machine.ignoredReplies = maxIgnoredReplies
+		machine.ignoredReplies = ignoredRepliesThreshold
 	}
-	clear(machine.startSentAt)
+	clear(machine.startReplySequence)
 	clear(machine.directStarts)
 	machine.leaseExpiring = false
 }
@@ -117,7 +118,7 @@
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
 		n.nextViewUpdateAt = 0
-	} else if machine.heartbeatCount > 0 && !machine.tokenConfirmed && n.replyLikelyLost(machine) {
+	} else if machine.heartbeatCount > 0 && !machine.tokenConfirmed && n.hadTimeForReply(machine) {
 		machine.ignoredReplies++
 	}
 }
@@ -139,7 +140,7 @@
 // updateResponsiveness records whether a machine is unresponsive. If this has changed, or the number
 // of ignored replies differs from ignoredBefore, the machine's view is updated at once.
 func (n *Node) updateResponsiveness(shard *shard, machine *machine, ignoredBefore int) {
-	unresponsive := machine.ignoredReplies >= maxIgnoredReplies && !n.manyUnresponsive(shard)
+	unresponsive := machine.ignoredReplies >= ignoredRepliesThreshold && !n.manyUnresponsive(shard)
 	if unresponsive == machine.unresponsive && machine.ignoredReplies == ignoredBefore {
 		return
 	}
@@ -149,17 +150,17 @@
 	machine.unresponsive, n.nextViewUpdateAt = unresponsive, 0
 }
 
-// replyLikelyLost reports whether the heartbeat that has just arrived was probably sent after the
-// last reply should have reached the worker, which waits 4 s for it. A reply that had no effect on
-// the heartbeat was then lost or ignored. A heartbeat that arrives within 3 s of the reply was sent
-// before it, as were all those that a network partition has delayed.
-func (s *site) replyLikelyLost(machine *machine) bool {
+// hadTimeForReply reports whether the worker has probably waited for the last reply until it arrived,
+// or for 4 s, before it sent the heartbeat that has just arrived. If that heartbeat shows no effect
+// of the reply, the reply was lost or ignored. A heartbeat that arrives within 3 s of the reply was
+// sent before it, as were all those that a network partition has delayed.
+func (s *site) hadTimeForReply(machine *machine) bool {
 	return machine.answeredAt > 0 && s.now-machine.answeredAt > 3*second
 }
 
-// maxIgnoredReplies is the number of consecutive replies without effect at which a machine
+// ignoredRepliesThreshold is the number of consecutive replies without effect at which a machine
 // counts as unresponsive. One or two are lost occasionally.
-const maxIgnoredReplies = 3
+const ignoredRepliesThreshold = 3
 
 // manyUnresponsive reports whether more than a quarter of a shard's machines, and at least two, have
 // ignored all but one of the replies that make a machine unresponsive. Then the fault is probably
@@ -169,7 +170,7 @@
 	for _, machine := range shard.machines {
 		if machine.term == shard.Term && !machine.returned {
 			all++
-			if machine.ignoredReplies >= maxIgnoredReplies-1 {
+			if machine.ignoredReplies >= ignoredRepliesThreshold-1 {
 				unresponsive++
 			}
 		}
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -14,8 +14,8 @@
 	// A worker that sends the next heartbeat here has failed to reach its owner if the time since
 	// the redirect is between these limits. Earlier, it can't have tried the owner yet; later, it
 	// has another reason.
-	minBounceTime = 700 * time.Millisecond
-	maxBounceTime = 15 * second
+	minBounceDelay = 700 * time.Millisecond
+	maxBounceDelay = 15 * second
 	// bounceSeriesGap is the time between two bounces beyond which the later one begins a new
 	// series.
 	bounceSeriesGap = 12 * second
@@ -45,7 +45,7 @@
 // are evidence for taking over the shard.
 func (n *Node) recordRedirect(shard *shard, machine *machine) {
 	sinceRedirect := n.now - machine.redirectedAt
-	redirectedBefore := machine.redirectedAt > 0 && sinceRedirect > minBounceTime && sinceRedirect < maxBounceTime
+	redirectedBefore := machine.redirectedAt > 0 && sinceRedirect > minBounceDelay && sinceRedirect < maxBounceDelay
 	if n.storeOK && (redirectedBefore || n.ownerMissesHeartbeats(shard, machine)) && !n.ownerReceivesHeartbeats(shard, machine) {
 		if machine.bouncedAt == 0 || n.now-machine.bouncedAt > bounceSeriesGap {
 			machine.bouncingSince = n.now
@@ -55,9 +55,9 @@
 	machine.redirectedAt = n.now
 }
 
-// isMisdirectedCopy reports whether a misdirected heartbeat is a copy of an earlier one, and
-// otherwise records it as the newest.
-func (m *machine) isMisdirectedCopy(heartbeat *wire.WorkerHeartbeat) bool {
+// recordMisdirected records a misdirected heartbeat as the newest, or reports that it is a copy of an
+// earlier one.
+func (m *machine) recordMisdirected(heartbeat *wire.WorkerHeartbeat) (isCopy bool) {
 	if m.misdirectedEpoch > heartbeat.Epoch ||
 		m.misdirectedEpoch == heartbeat.Epoch && m.misdirectedSequence >= heartbeat.Sequence {
 		return true
