--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// cleanupInterval is the time between two searches for outdated machines and grants.
+// cleanupInterval is the time between two searches for machines that are gone and outdated grant
+// times.
 const cleanupInterval = 5 * second
 
 // removeGoneMachines removes machines that are gone from their shards and discards their state,
