--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -16,7 +16,7 @@
 // not cleared. See "Starts at a worker's own address" in docs/design.md.
 type directStart struct {
 	sentAt       Time
-	acknowledged bool // the worker has confirmed it and remembers the attempt, so copies have no effect
+	acknowledged bool // the worker has confirmed it and keeps the attempt, so copies have no effect
 }
 
 // mayStartTooLate reports whether an unacknowledged start might still be executed when more than
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -73,7 +73,7 @@
 }
 
 // placeGang places a gang whose tasks were all granted to one of this controller's shards. For a
-// gang in several shards it takes this owner's next step in the gang transaction.
+// gang in several shards it carries out this owner's next step in the gang transaction.
 func (n *Node) placeGang(writer *writer, job *job, slots *slotSet) {
 	var ownTasks []wire.ActiveTask
 	attemptNumber := uint64(0)
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -138,7 +138,7 @@
 	return n.now - max(n.storeRefusedSince[name], n.storeOKSince)
 }
 
-// shardClaim handles the result of a claim. Whether the claim succeeded is taken from the replica.
+// shardClaim handles the result of a claim. The replica shows whether the claim succeeded.
 type shardClaim struct{}
 
 func (shardClaim) committed(n *Node, result Committed) {
