--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -5,9 +5,9 @@
 	"micaport/internal/wire"
 )
 
-// maxDirectStarts bounds the direct starts that are sent to a worker in one epoch. Each leaves
-// an exited task in the worker's heartbeats, a kilobyte for all. Jobs of low priority get none,
-// as they consist of large numbers of tiny tasks.
+// maxDirectStarts is the greatest number of direct starts that are sent to a worker in one epoch.
+// Each leaves an exited task in the worker's heartbeats, which adds a kilobyte for all of them. Jobs
+// of low priority have no direct starts, as they consist of large numbers of tiny tasks.
 const maxDirectStarts = 16
 
 // directStart is a start command that was sent to a worker's own address in its current epoch
@@ -19,12 +19,13 @@
 	acknowledged bool // the worker has confirmed it and keeps the attempt, so copies have no effect
 }
 
-// mayStartTooLate reports whether an unacknowledged start might still be executed after cancel_s
-// from the cancellation of its job, as a start can be executed as long as the worker's epoch
-// lasts. From half a validity after the cancellation on, the machine's heartbeats are therefore
-// no longer answered, so that the worker's lease expires and ends the epoch in time. The time
-// counts from before the cancellation was recorded, as the replica may show it late. A job that
-// is not cancelled doesn't need this: replies repeat the start until the worker has the attempt.
+// mayStartTooLate reports whether an unacknowledged start might still be executed when more than
+// cancel_s have passed since the cancellation of its job. A start can be executed as long as the
+// worker's epoch lasts. From half a validity after the cancellation on, the machine's heartbeats are
+// therefore no longer answered, so that the worker's lease expires and ends the epoch in time. The
+// half validity counts from a time before the cancellation was recorded, as the replica may show the
+// cancellation late. The start of a job that is not cancelled has no such deadline: replies repeat
+// it until the worker has the attempt.
 func (s *site) mayStartTooLate(job *job, start directStart) bool {
 	return !start.acknowledged && job.Record.State == wire.JobCancelled && s.now-job.closedAt > s.cfg.OwnerValidity/2
 }
@@ -34,9 +35,9 @@
 // machine that has not reported the task two leases after its start counts as unresponsive.
 func (n *Node) enforceDirectStartDeadline(machine *machine, job *job, start directStart) {
 	if n.mayStartTooLate(job, start) {
-		machine.ignoredReplies, machine.leaseExpiring = maxIgnoredReplies, true
+		machine.ignoredReplies, machine.leaseExpiring = ignoredRepliesThreshold, true
 	} else if n.now-start.sentAt > 2*n.cfg.WorkerLease {
-		machine.ignoredReplies = maxIgnoredReplies // it was sent a start and never reported the task
+		machine.ignoredReplies = ignoredRepliesThreshold // it was sent a start and never reported the task
 	}
 }
 
@@ -63,15 +64,16 @@
 	for _, index := range unstarted {
 		machine := n.machines[index]
 		machine.unstartedListed = false
-		if machine.shard >= 0 && n.acceptsCommands(machine) {
+		if machine.shard >= 0 && n.mayStartDirectly(machine) {
 			n.sendDirectStartsTo(machine)
 		}
 	}
 }
 
-// acceptsCommands reports whether a worker executes commands of its current owner, and has no
-// delayed reply.
-func (s *site) acceptsCommands(machine *machine) bool {
+// mayStartDirectly reports whether starts may be sent directly to a machine's worker: it probably
+// executes the commands of this controller as its owner, and no delayed reply will contain the
+// starts.
+func (s *site) mayStartDirectly(machine *machine) bool {
 	shard := s.shards[machine.shard]
 	if !s.mayActAsOwner(shard) || machine.term != shard.Term ||
 		machine.returned || machine.reclaimAt != 0 ||
@@ -133,7 +135,7 @@
 	key := placed.taskKey
 	if placed.epoch != machine.epoch || placed.stop != wire.StopNone ||
 		n.jobs[placed.job].Record.State != wire.JobLive ||
-		machine.startSentAt[key] > 0 {
+		machine.startReplySequence[key] > 0 {
 		return false
 	}
 	_, reported := machine.reportedTasks[key]
@@ -142,7 +144,8 @@
 	return !reported && !ended && !sent
 }
 
-// resume marks the starts as acknowledged, or deletes those that the worker will never execute.
+// resume marks the starts as acknowledged, or deletes them if the worker will never execute them.
+// After any other outcome they remain unacknowledged.
 func (b directStartBatch) resume(_ *Node, result Result) {
 	if b.machine.term != b.term || b.machine.epoch != b.epoch {
 		return
