--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -121,7 +121,7 @@
 func (n *Node) countArrival(job *job) {
 	if n.countsArrivals() {
 		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
-		n.arrivals.countArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxSingleTasks()), guaranteed)
+		n.arrivals.countArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxTasksWithoutRuns()), guaranteed)
 	}
 }
 
--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -34,9 +34,9 @@
 	switch fact.Kind {
 	case wire.FactProvisioning, wire.FactBackoff, wire.FactCapacityShortage:
 		return n.adoptPoolFact(fact)
-	case wire.FactWaitingSince, wire.FactGangZone, wire.FactPreemptedAt, wire.FactQueuePosition:
+	case wire.FactWaitingSince, wire.FactGangZone, wire.FactPreemptionBackoff, wire.FactQueuePosition:
 		return n.adoptJobFact(fact)
-	case wire.FactBootTime, wire.FactReturned:
+	case wire.FactBootTime, wire.FactDeprovisioned:
 		n.adoptHistoryFact(fact)
 		return true
 	}
@@ -98,7 +98,7 @@
 		job.gangZone = zone
 	case wire.FactQueuePosition:
 		job.queuePosition = queuePosition{waitingSince: waitTimeOf(fact), droppedAttempts: fact.Count}
-	case wire.FactPreemptedAt:
+	case wire.FactPreemptionBackoff:
 		job.nextPreemptionAt = factTimeOf(fact)
 	}
 	return true
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -40,7 +40,7 @@
 	}
 	for _, returned := range n.leader.returned {
 		if n.now-returned.at <= returnedAnnounceTime {
-			facts = append(facts, wire.Fact{Kind: wire.FactReturned, Name: returned.name, At: factTime(returned.at)})
+			facts = append(facts, wire.Fact{Kind: wire.FactDeprovisioned, Name: returned.name, At: factTime(returned.at)})
 		}
 	}
 	for _, index := range n.replica.Live() {
@@ -66,7 +66,7 @@
 		})
 	}
 	if j.nextPreemptionAt > now {
-		facts = append(facts, wire.Fact{Kind: wire.FactPreemptedAt, Name: j.ID, At: factTime(j.nextPreemptionAt)})
+		facts = append(facts, wire.Fact{Kind: wire.FactPreemptionBackoff, Name: j.ID, At: factTime(j.nextPreemptionAt)})
 	}
 	return facts
 }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -15,12 +15,12 @@
 // but they allow controllers to remove the jobs from memory.
 func (n *Node) recordCancellations(writer *writer) {
 	for n.replica.UnrecordedCancellations() > 0 {
-		job := n.jobs[n.replica.FirstUnrecorded().Index]
+		job := n.jobs[n.replica.FirstUnrecordedCancellation().Index]
 		if job.Record == nil {
 			return
 		}
 		if job.Record.State != wire.JobLive {
-			n.replica.DropFirstUnrecorded()
+			n.replica.RemoveFirstUnrecordedCancellation()
 			continue
 		}
 		record := writer.recordToChange(job)
@@ -28,7 +28,7 @@
 			return
 		}
 		record.State = wire.JobCancelled
-		n.replica.RequeueFirstUnrecorded() // it is checked again until the replica shows the change
+		n.replica.RequeueFirstUnrecordedCancellation() // it is checked again until the replica shows the change
 		if len(writer.changedJobs) >= n.replica.UnrecordedCancellations() {
 			return
 		}
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -82,7 +82,7 @@
 			t.Errorf("finished job %s still has the links %+v", n.jobs[i].ID, n.jobs[i].Links)
 		}
 	}
-	if n.jobs[3].IsWaiting() || !n.jobs[4].IsWaiting() || n.jobs[4].State() != wire.JobCancelled {
+	if n.jobs[3].IsBlocked() || !n.jobs[4].IsBlocked() || n.jobs[4].State() != wire.JobCancelled {
 		t.Errorf("the later jobs have the links %+v and %+v, want the first free to run and the second cancelled", n.jobs[3].Links, n.jobs[4].Links)
 	}
 }
--- a/internal/core/dependency_list.go
+++ b/internal/core/dependency_list.go
@@ -27,7 +27,7 @@
 	for i, ids := range values {
 		number := i + 1
 		key := wire.DependencyListKey(request.JobID, list, number)
-		if n.replica.HasDependencyList(request.JobID, key) || check.writtenKeys[number] || len(writes) == maxWrites {
+		if n.replica.HasDependencyListKey(request.JobID, key) || check.writtenKeys[number] || len(writes) == maxWrites {
 			continue
 		}
 		writes = append(writes, kv.Write{Key: key, Value: &wire.DependencyList{JobIDs: ids}})
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -62,13 +62,13 @@
 			applyLiveJobRecords(other, count)
 			other.Step(other.now+1, recordsChangedBy(2000, order))
 			job := other.findJob("wk-000100")
-			if job.Links == nil || job.Links.Open != count || other.replica.StagedDependencyLists() > 0 {
+			if job.Links == nil || job.Links.NotDoneCount != count || other.replica.StagedDependencyLists() > 0 {
 				t.Fatalf("the links are %+v, %d lists are staged, want %d open dependencies", job.Links, other.replica.StagedDependencyLists(), count)
 			}
 			for i, id := range ids[:count-1] {
 				applyJobRecord(other, 3000+i, id, wire.JobDone, nil)
 			}
-			if !job.IsWaiting() {
+			if !job.IsBlocked() {
 				t.Error("the job no longer waits though one dependency is not done")
 			}
 			applyJobRecord(other, 5000, ids[count-1], wire.JobCancelled, nil)
@@ -190,7 +190,7 @@
 		{Key: wire.DependencyListKey("wk-000100", "x", 1), Revision: 10, Value: &wire.DependencyList{JobIDs: []string{"wk-000001"}}},
 		{Key: wire.JobKey("wk-000100"), Revision: 11, Value: record},
 	}})
-	if !n.findJob("wk-000100").IsWaiting() {
+	if !n.findJob("wk-000100").IsBlocked() {
 		t.Error("a job may start though its dependencies are not all known")
 	}
 }
--- a/internal/core/job_queries.go
+++ b/internal/core/job_queries.go
@@ -72,7 +72,7 @@
 	for i := range record.ActiveTasks {
 		record.ActiveTasks[i].StoredIn = 1
 	}
-	stored := replica.StoredRecord{Tasks: record.ActiveTasks, OverflowKeys: record.OverflowKeys, UnknownKeys: record.OverflowKeys}
+	stored := replica.StoredRecord{Tasks: record.ActiveTasks, OverflowKeys: record.OverflowKeys, UnreadOverflowKeys: record.OverflowKeys}
 	writes := n.replica.SplitRecord(request.JobID, stored, record)
 	n.transact(ClassUser, []kv.Condition{{Key: wire.JobKey(request.JobID), Revision: read.Revision}}, writes, jobCancellation{request, record.DoneTasks.Count()})
 }
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -34,13 +34,13 @@
 func (s *site) maxActiveTasks(job *job) int {
 	switch {
 	case job.LargeArray:
-		return max(s.replica.MaxSingleTasks(), s.cfg.MaxLargeArrayTasks)
+		return max(s.replica.MaxTasksWithoutRuns(), s.cfg.MaxLargeArrayTasks)
 	case job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeGang:
 		return job.Record.TaskCount // a gang starts as a whole
 	case job.Record.Spec != nil && job.Record.Spec.Shape == wire.ShapeDaemon:
-		return max(s.replica.MaxSingleTasks(), grantableCapacity(s.plannableListCapacity(job))/s.taskRunBytes())
+		return max(s.replica.MaxTasksWithoutRuns(), grantableCapacity(s.plannableListCapacity(job))/s.taskRunBytes())
 	}
-	return s.replica.MaxSingleTasks()
+	return s.replica.MaxTasksWithoutRuns()
 }
 
 // listCapacity returns how many bytes the task lists of a large array may take, over all its keys.
@@ -60,9 +60,9 @@
 // that was added last.
 func (s *site) taskRunBytes() int {
 	if len(s.machines) == 0 {
-		return wire.RunCost(defaultMachineName)
+		return wire.MaxRunBytes(defaultMachineName)
 	}
-	return wire.RunCost(s.machines[len(s.machines)-1].name) + 1
+	return wire.MaxRunBytes(s.machines[len(s.machines)-1].name) + 1
 }
 
 // outcomeDelayFor returns how long an outcome waits for others of the same job when writes are
@@ -164,7 +164,7 @@
 	if !job.LargeArray || job.Record.State != wire.JobLive {
 		return true
 	}
-	if c.allocate(job, wire.RunCost(machineName)+replica.TaskRangeBytes) {
+	if c.allocate(job, wire.MaxRunBytes(machineName)+replica.TaskRangeBytes) {
 		return true
 	}
 	at := c.node.activeTaskIndex(key, machineName)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -18,7 +18,7 @@
 	} else {
 		n.countWrites(len(c.Events))
 	}
-	n.replica.Reached(c.Revision, c.Reset)
+	n.replica.MarkApplied(c.Revision, c.Reset)
 	n.leader.passNeeded = true
 	n.ownership.Settle(n.now, n.replica.Revision())
 	n.settleProofs()
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -52,7 +52,7 @@
 	used := make([]usage, n.names.Teams.Len())
 	for _, index := range n.jobsByAge() {
 		job := n.jobs[index]
-		if job.Record.State != wire.JobLive || job.Record.Spec == nil || job.Team < 0 || job.IsWaiting() {
+		if job.Record.State != wire.JobLive || job.Record.Spec == nil || job.Team < 0 || job.IsBlocked() {
 			continue
 		}
 		used[job.Team].add(job.Record.Spec, float64(job.Record.TaskCount-job.Record.DoneTasks.Count()))
--- a/internal/core/scheduler_stages.go
+++ b/internal/core/scheduler_stages.go
@@ -10,7 +10,7 @@
 	n := p.node
 	for _, index := range n.replica.Live() {
 		job := n.jobs[index]
-		if job.Record.Spec != nil && job.Team >= 0 && job.IsWaiting() && n.isRunnableBy(job, n.now+n.provisionTime(job)) {
+		if job.Record.Spec != nil && job.Team >= 0 && job.IsBlocked() && n.isRunnableBy(job, n.now+n.provisionTime(job)) {
 			p.planStage(job)
 		}
 	}
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -54,7 +54,7 @@
 	} {
 		n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity})
 		shard := n.shards[0]
-		n.replica.Reached(0, true)
+		n.replica.MarkApplied(0, true)
 		rev := uint64(1)
 		for _, rec := range append(c.steps, claim("n0", "x")) {
 			n.applyShardClaim(shard, rec, rev)
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -119,7 +119,7 @@
 // tasks.
 func (s *site) jobRecordFits(record *wire.Job) bool {
 	const taskLists = 2
-	return replica.BaseBytes(record)+taskLists*(s.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
+	return replica.BaseBytes(record)+taskLists*(s.taskRunBytes()+wire.MaxGroupOverheadBytes+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
 }
 
 // Reasons why a job can never run.
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -247,7 +247,7 @@
 	record.ConsecutiveErrors, record.FailedMachines = 0, nil
 	switch record.Spec.Shape {
 	case wire.ShapeGang:
-		record.DoneTasks = wire.Range(0, record.TaskCount) // a gang completes as a whole
+		record.DoneTasks = wire.TaskSetOfRange(0, record.TaskCount) // a gang completes as a whole
 	case wire.ShapeArray:
 		record.DoneTasks = record.DoneTasks.With(task)
 	}
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -116,7 +116,7 @@
 	stored := replica.StoredRecord{Tasks: job.Record.ActiveTasks, OverflowKeys: job.Record.OverflowKeys}
 	writes := w.node.replica.SplitRecord(job.ID, stored, record)
 	if maxWrites := w.node.cfg.MaxTransactionOps; len(writes) > maxWrites && w.writeOverflowFirst && empty {
-		return replica.WritesAhead(writes, job.Record.OverflowKeys, maxWrites)
+		return replica.EarlyOverflowWrites(writes, job.Record.OverflowKeys, maxWrites)
 	}
 	return writes
 }
--- a/internal/replica/dependencies.go
+++ b/internal/replica/dependencies.go
@@ -9,17 +9,17 @@
 type DependencyLinks struct {
 	Dependencies      []int // jobs that were not done when this one was submitted
 	Dependents        []int // jobs that depend on this one
-	Open              int   // number of dependencies that are not done
+	NotDoneCount      int   // number of dependencies that are not done
 	AncestorCancelled bool  // a direct or indirect dependency is cancelled
 	ReadyAt           Time  // when all dependencies were first done in the replica; 0: not yet
 	ReadyMS           int64 // the same as wall-clock time, Unix ms
 	DeadlineMS        int64 // wall-clock time (Unix ms) by which it has to be done, for itself or its dependents; 0: none
 }
 
-// IsWaiting reports whether no task of the job may be granted, either because a dependency
+// IsBlocked reports whether no task of the job may be granted, either because a dependency
 // is not done yet or because an ancestor is cancelled.
-func (j *Job) IsWaiting() bool {
-	return j.Links != nil && (j.Links.Open > 0 || j.Links.AncestorCancelled)
+func (j *Job) IsBlocked() bool {
+	return j.Links != nil && (j.Links.NotDoneCount > 0 || j.Links.AncestorCancelled)
 }
 
 // RunnableSinceMS returns the wall-clock time (Unix ms) from which the job could run: when its
@@ -66,7 +66,7 @@
 		// The list is written before the record that names it, so this can't happen. If
 		// it does, the extra open dependency keeps the job from starting.
 		r.observer.DependencyListMissing(job)
-		links.Open++
+		links.NotDoneCount++
 	}
 	for _, id := range ids {
 		dependency := r.findOrAdd(id)
@@ -74,7 +74,7 @@
 		if dependency.Record != nil && dependency.Record.State == wire.JobDone {
 			continue
 		}
-		links.Open++
+		links.NotDoneCount++
 		if dependency.Record != nil && dependency.State() == wire.JobCancelled {
 			r.markCancelled(job)
 			continue
@@ -82,7 +82,7 @@
 		upstream := dependency.ensureLinks()
 		upstream.Dependents = append(upstream.Dependents, job.Index)
 	}
-	if links.Open == 0 {
+	if links.NotDoneCount == 0 {
 		r.markReady(job)
 	}
 }
@@ -111,7 +111,7 @@
 		}
 		if job.Record.State == wire.JobCancelled {
 			r.markCancelled(dependent)
-		} else if dependent.Links.Open--; dependent.Links.Open == 0 {
+		} else if dependent.Links.NotDoneCount--; dependent.Links.NotDoneCount == 0 {
 			r.markReady(dependent)
 		}
 	}
@@ -140,16 +140,18 @@
 // ancestor is, and whose own records may not show it yet.
 func (r *Replica) UnrecordedCancellations() int { return len(r.unrecordedCancellations) }
 
-// FirstUnrecorded returns the first job of the queue that UnrecordedCancellations counts.
-func (r *Replica) FirstUnrecorded() *Job { return r.jobs[r.unrecordedCancellations[0]] }
+// FirstUnrecordedCancellation returns the first job of the queue that UnrecordedCancellations counts.
+func (r *Replica) FirstUnrecordedCancellation() *Job { return r.jobs[r.unrecordedCancellations[0]] }
 
-// DropFirstUnrecorded removes the first job from the queue, because its record shows that it
+// RemoveFirstUnrecordedCancellation removes the first job from the queue, because its record shows that it
 // is no longer live.
-func (r *Replica) DropFirstUnrecorded() { r.unrecordedCancellations = r.unrecordedCancellations[1:] }
+func (r *Replica) RemoveFirstUnrecordedCancellation() {
+	r.unrecordedCancellations = r.unrecordedCancellations[1:]
+}
 
-// RequeueFirstUnrecorded moves the first job to the end of the queue. It is used while the
+// RequeueFirstUnrecordedCancellation moves the first job to the end of the queue. It is used while the
 // job's record is being written; the record is checked again later.
-func (r *Replica) RequeueFirstUnrecorded() {
+func (r *Replica) RequeueFirstUnrecordedCancellation() {
 	r.unrecordedCancellations = append(r.unrecordedCancellations[1:], r.unrecordedCancellations[0])
 }
 
--- a/internal/replica/dependency_list.go
+++ b/internal/replica/dependency_list.go
@@ -60,9 +60,9 @@
 	r.dependencyLists[id][key] = list.JobIDs
 }
 
-// HasDependencyList reports whether the replica holds a key of a dependency list. The keys are
+// HasDependencyListKey reports whether the replica holds a key of a dependency list. The keys are
 // discarded once the record of their job has been applied.
-func (r *Replica) HasDependencyList(id, key string) bool {
+func (r *Replica) HasDependencyListKey(id, key string) bool {
 	_, found := r.dependencyLists[id][key]
 	return found
 }
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -79,16 +79,16 @@
 // indexSpec derives the fields of a job from its specification, with names as indices, and
 // links the job to its dependencies.
 func (r *Replica) indexSpec(job *Job, spec *wire.JobSpec) {
-	job.Image = r.names.Images.Of(spec.Image)
+	job.Image = r.names.Images.Index(spec.Image)
 	job.Priority = max(job.Priority, priorityOf(spec.Priority))
 	job.Team = r.names.Teams.Find(spec.Team)
 	if spec.Zone != "" {
-		job.Zone = r.names.Zones.Of(spec.Zone)
+		job.Zone = r.names.Zones.Index(spec.Zone)
 	}
 	job.AllowSpot, job.AnyType = spec.AllowSpot, len(spec.MachineTypes) == 0 && !spec.NoMachineTypes
 	r.updateRecordSize(job)
 	for _, name := range spec.MachineTypes {
-		job.MachineTypes.Add(r.names.MachineTypes.Of(name))
+		job.MachineTypes.Add(r.names.MachineTypes.Index(name))
 	}
 	r.linkDependencies(job)
 }
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -43,10 +43,10 @@
 	return r.cfg.MaxValueBytes
 }
 
-// MaxSingleTasks returns the largest number of active tasks that a record can hold if each
+// MaxTasksWithoutRuns returns the largest number of active tasks that a record can hold if each
 // task is encoded separately. An array with more tasks is a large array, whose tasks are
 // recorded as runs.
-func (r *Replica) MaxSingleTasks() int {
+func (r *Replica) MaxTasksWithoutRuns() int {
 	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-singleTasksReserveBytes)/singleTaskBytes)
 }
 
@@ -80,5 +80,5 @@
 // job is a large array.
 func (r *Replica) updateRecordSize(job *Job) {
 	job.BaseBytes = BaseBytes(job.Record)
-	job.LargeArray = job.Record.Spec.Shape == wire.ShapeArray && job.Record.Spec.TaskCount > r.MaxSingleTasks()
+	job.LargeArray = job.Record.Spec.Shape == wire.ShapeArray && job.Record.Spec.TaskCount > r.MaxTasksWithoutRuns()
 }
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -61,9 +61,9 @@
 type StoredRecord struct {
 	Tasks        wire.ActiveTasks
 	OverflowKeys int
-	// UnknownKeys is the number of overflow keys, from the first one on, whose tasks are not
+	// UnreadOverflowKeys is the number of overflow keys, from the first one on, whose tasks are not
 	// in Tasks. They are left unchanged.
-	UnknownKeys int
+	UnreadOverflowKeys int
 }
 
 // recordSplit distributes the active tasks of a changed record over its keys.
@@ -84,11 +84,11 @@
 	if !r.WritesDependencies() || len(tasks) == 0 || stored.OverflowKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber) {
 		split.moveAllToJobKey()
 		jobRecord := *record
-		jobRecord.OverflowKeys = stored.UnknownKeys
+		jobRecord.OverflowKeys = stored.UnreadOverflowKeys
 		writes := []kv.Write{{Key: wire.JobKey(id), Value: &jobRecord}}
-		return append(writes, deleteOverflow(id, stored.UnknownKeys+1, stored.OverflowKeys)...)
+		return append(writes, deleteOverflow(id, stored.UnreadOverflowKeys+1, stored.OverflowKeys)...)
 	}
-	if stored.UnknownKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber)*3/4 {
+	if stored.UnreadOverflowKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber)*3/4 {
 		split.moveAllToJobKey() // all tasks fit into the job's own key again, with a margin
 	}
 	split.evictFromOverfullKeys()
@@ -147,7 +147,7 @@
 		if tasks[from].StoredIn != 0 {
 			continue
 		}
-		maxBytes := wire.RunCost(tasks[from].Machine) + wire.GroupCost
+		maxBytes := wire.MaxRunBytes(tasks[from].Machine) + wire.MaxGroupOverheadBytes
 		key := jobKeyNumber
 		for key < last && (s.hasUnknownTasks(key) || s.usedBytes[key]+maxBytes > s.capacity(key)) {
 			key++
@@ -159,21 +159,21 @@
 	}
 }
 
-// hasUnknownTasks reports whether a key is one of StoredRecord.UnknownKeys.
+// hasUnknownTasks reports whether a key is one of StoredRecord.UnreadOverflowKeys.
 func (s *recordSplit) hasUnknownTasks(key int) bool {
-	return key > jobKeyNumber && key <= s.stored.UnknownKeys+1
+	return key > jobKeyNumber && key <= s.stored.UnreadOverflowKeys+1
 }
 
 // writes returns the writes of the record and of the overflow keys that change.
 func (s *recordSplit) writes() []kv.Write {
 	jobRecord := *s.record
-	jobRecord.OverflowKeys = s.stored.UnknownKeys
+	jobRecord.OverflowKeys = s.stored.UnreadOverflowKeys
 	for _, task := range s.record.ActiveTasks {
 		jobRecord.OverflowKeys = max(jobRecord.OverflowKeys, task.StoredIn-1)
 	}
 	jobRecord.ActiveTasks = tasksInKey(s.record.ActiveTasks, jobKeyNumber)
 	writes := []kv.Write{{Key: wire.JobKey(s.id), Value: &jobRecord}}
-	for number := s.stored.UnknownKeys + 1; number <= jobRecord.OverflowKeys; number++ {
+	for number := s.stored.UnreadOverflowKeys + 1; number <= jobRecord.OverflowKeys; number++ {
 		if overflow := s.changedOverflow(number); overflow != nil {
 			writes = append(writes, kv.Write{Key: wire.OverflowKey(s.id, number), Value: overflow})
 		}
@@ -186,7 +186,7 @@
 	newTasks, storedTasks := tasksInKey(s.record.ActiveTasks, number+1), tasksInKey(s.stored.Tasks, number+1)
 	switch {
 	case number > s.stored.OverflowKeys && len(newTasks) > 0 && sameTasks(newTasks, s.replica.overflow[s.id][number]):
-		return nil // already written; see WritesAhead
+		return nil // already written; see EarlyOverflowWrites
 	case len(newTasks) == 0 && len(storedTasks) > 0:
 		return &wire.Overflow{} // the key stays, so that the numbers remain consecutive
 	case len(newTasks) > 0 && !slices.Equal(newTasks, storedTasks):
@@ -203,12 +203,12 @@
 	})
 }
 
-// WritesAhead returns at most maxWrites of the given writes, those of overflow keys that the
+// EarlyOverflowWrites returns at most maxWrites of the given writes, those of overflow keys that the
 // stored record does not refer to yet, where storedKeys is the number of keys that it does
 // refer to. Such keys can be written in earlier transactions, as they have no effect until
 // the record refers to them. So a record that is too large for one transaction can be split
 // over several keys without any of its tasks missing from the stored state in between.
-func WritesAhead(writes []kv.Write, storedKeys, maxWrites int) []kv.Write {
+func EarlyOverflowWrites(writes []kv.Write, storedKeys, maxWrites int) []kv.Write {
 	var ahead []kv.Write
 	for i := len(writes) - 1; i >= 0 && len(ahead) < maxWrites; i-- {
 		if _, isOverflow := writes[i].Value.(*wire.Overflow); isOverflow {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -120,9 +120,9 @@
 // Revision returns the revision of the state service up to which events have been applied.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Reached records that all events up to a revision have been applied; reset is set if they
+// MarkApplied records that all events up to a revision have been applied; reset is set if they
 // were a full listing.
-func (r *Replica) Reached(revision uint64, reset bool) {
+func (r *Replica) MarkApplied(revision uint64, reset bool) {
 	r.loaded = r.loaded || reset
 	r.revision = max(r.revision, revision)
 }
@@ -144,7 +144,7 @@
 
 // findOrAdd returns the job with an id, and adds a job without a record if the id is new.
 func (r *Replica) findOrAdd(id string) *Job {
-	index := r.names.Jobs.Of(id)
+	index := r.names.Jobs.Index(id)
 	if index == len(r.jobs) {
 		job := &Job{Index: index, ID: id, Image: -1, Team: -1, Zone: -1}
 		r.jobs = append(r.jobs, job)
@@ -185,7 +185,7 @@
 	AllowSpot    bool
 
 	BaseBytes  int  // bound of the size of its record without its task lists; see the function BaseBytes
-	LargeArray bool // it is an array with more tasks than MaxSingleTasks
+	LargeArray bool // it is an array with more tasks than MaxTasksWithoutRuns
 	Unplaced   int  // number of active tasks that are granted and have no machine yet
 	ChangedAt  Time // when the replica applied the record
 
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -97,7 +97,7 @@
 func (c *cloud) provisionOnce(request *wire.ProvisionRequest) []string {
 	if names, known := c.provisioned[request.Name]; known {
 		if c.requests[request.Name] != *request {
-			c.sim.rules.violated("provision_name_reused", "%s for %+v and %+v", request.Name, c.requests[request.Name], *request)
+			c.sim.rules.reportViolation("provision_name_reused", "%s for %+v and %+v", request.Name, c.requests[request.Name], *request)
 		}
 		return names
 	}
--- a/internal/simulation/controller_faults.go
+++ b/internal/simulation/controller_faults.go
@@ -13,7 +13,7 @@
 	if !c.running {
 		return false
 	}
-	c.sim.rules.faultsLast(d)
+	c.sim.rules.extendFaultPeriod(d)
 	c.sim.leadership.recordFailure(c)
 	return true
 }
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -54,8 +54,8 @@
 		"more_keys":   s.store.countOverflowKeys(),
 		"admitted":    s.quota.admissions, // tasks admitted by shard owners
 		"shares":      s.quota.countShares(),
-		"early":       s.leadership.countEarly(), // leaders replaced before their lease expired
-		"takeover_ms": int(s.leadership.slowestTakeover().Milliseconds()),
+		"early":       s.leadership.countEarlyTakeovers(), // leaders replaced before their lease expired
+		"takeover_ms": int(s.leadership.slowestEarlyTakeover().Milliseconds()),
 		"heartbeats":  s.leadership.heartbeats, // of leaders
 
 		// Costs since the last "meter" command.
@@ -127,7 +127,7 @@
 		return len(codes) > 0 && codes[len(codes)-1] == want, codes
 	},
 	"starts<=": func(user *simUser, want int) (bool, any) {
-		starts := user.sim.rules.starts[user.spec.ID]
+		starts := user.sim.rules.startsByJob[user.spec.ID]
 		return starts <= want, starts
 	},
 	// Seconds from the start of the scenario until the job started.
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -46,7 +46,7 @@
 				}
 				// The last heartbeat may be half a second old when the leader freezes, and the
 				// quorum must agree on the suspicion. Between 1.2 s and 2.4 s both results are valid.
-				if early := sim.leadership.countEarly(); ms <= 1200 && early > 0 || ms >= 2400 && early != 1 {
+				if early := sim.leadership.countEarlyTakeovers(); ms <= 1200 && early > 0 || ms >= 2400 && early != 1 {
 					t.Errorf("seed %d: got %d takeovers of a leader frozen for %d ms", seed, early, ms)
 				}
 			}
@@ -69,8 +69,8 @@
 			}
 		}
 		sim.Run(110 * time.Second)
-		if sim.leadership.failedClaims == 0 || sim.leadership.countEarly() != 1 || len(sim.rules.violations) > 0 {
-			t.Errorf("seed %d: got %d failed claims, %d takeovers and violations %v, want 1 at least, 1 and none", seed, sim.leadership.failedClaims, sim.leadership.countEarly(), sim.rules.violations)
+		if sim.leadership.failedClaims == 0 || sim.leadership.countEarlyTakeovers() != 1 || len(sim.rules.violations) > 0 {
+			t.Errorf("seed %d: got %d failed claims, %d takeovers and violations %v, want 1 at least, 1 and none", seed, sim.leadership.failedClaims, sim.leadership.countEarlyTakeovers(), sim.rules.violations)
 		}
 		if holder := sim.store.leader(); holder == nil || holder.Controller != first.label {
 			t.Errorf("seed %d: %+v leads, want %s", seed, holder, first.label)
@@ -154,7 +154,7 @@
 		sim.Run(104 * time.Second)
 		old, before := runUntilDecisionsSettle(sim)
 		old.crash(8 * time.Second)
-		for sim.leadership.countEarly() == 0 && sim.now < 150*time.Second {
+		for sim.leadership.countEarlyTakeovers() == 0 && sim.now < 150*time.Second {
 			sim.Run(sim.now + 10*time.Millisecond)
 		}
 		sim.Run(sim.now + 60*time.Millisecond) // its watch delivers its claim; it has made no scheduling pass yet
@@ -162,7 +162,7 @@
 		after := decisionFacts(sim.controllerNamed("leader"))
 		for key, f := range before {
 			got, found := after[key]
-			if !found && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptedAt) && f.At < sim.now.Milliseconds() {
+			if !found && (f.Kind == wire.FactBackoff || f.Kind == wire.FactPreemptionBackoff) && f.At < sim.now.Milliseconds() {
 				continue // has expired
 			}
 			if !found && sim.store.hasEnded(f.Name) {
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -44,8 +44,8 @@
 	return count
 }
 
-// hosting returns the worker that executes a task, or nil.
-func (f *workerFleet) hosting(taskName string) *simWorker {
+// findByTask returns the worker that executes a task, or nil.
+func (f *workerFleet) findByTask(taskName string) *simWorker {
 	var found *simWorker
 	f.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
 		if task.name() == taskName {
@@ -83,7 +83,7 @@
 // faultReclaim, the time until the machine is terminated.
 func (f *workerFleet) injectFault(fault workerFault, worker *simWorker, d time.Duration) {
 	sim := f.sim
-	sim.rules.faultsLast(d)
+	sim.rules.extendFaultPeriod(d)
 	switch fault {
 	case faultHang:
 		worker.hung = true
--- a/internal/simulation/heartbeat_replay.go
+++ b/internal/simulation/heartbeat_replay.go
@@ -12,23 +12,23 @@
 
 // heartbeatReplays delivers late copies of workers' heartbeats.
 type heartbeatReplays struct {
-	sim       *Simulation
-	delayed   timedValue              // share of heartbeats delivered again, 2 s to 2 s plus 1.5 worker leases later
-	retention timedValue              // share of heartbeats retained for the next leader
-	retained  []*wire.WorkerHeartbeat // for the next leader
-	stashed   *wire.WorkerHeartbeat   // delivered by the script's command "deliver"
+	sim           *Simulation
+	delayedShare  timedValue              // share of heartbeats delivered again, 2 s to 2 s plus 1.5 worker leases later
+	retainedShare timedValue              // share of heartbeats retained for the next leader
+	retained      []*wire.WorkerHeartbeat // for the next leader
+	stashed       *wire.WorkerHeartbeat   // delivered by the script's command "deliver"
 }
 
 // captureForReplay draws whether a heartbeat that is being delivered is delivered again
 // later, and whether it is retained for the next leader.
 func (r *heartbeatReplays) captureForReplay(heartbeat *wire.WorkerHeartbeat) {
 	sim := r.sim
-	if sim.draw(r.delayed) {
+	if sim.draw(r.delayedShare) {
 		ctrl := sim.randomController()
 		delay := 2*time.Second + time.Duration(sim.rng.Int64N(int64(sim.WorkerLease*3/2)))
 		sim.after(delay, func() { ctrl.deliverHeartbeat(heartbeat) })
 	}
-	if len(r.retained) < maxRetainedHeartbeats && sim.draw(r.retention) {
+	if len(r.retained) < maxRetainedHeartbeats && sim.draw(r.retainedShare) {
 		r.retained = append(r.retained, heartbeat)
 	}
 }
--- a/internal/simulation/irregular_requests.go
+++ b/internal/simulation/irregular_requests.go
@@ -81,7 +81,7 @@
 	sim.after(rejectedJobCheckDelay, func() {
 		u.requestAt(sim.randomController(), wire.RequestStatus, user.spec.ID, nil, statusTimeout, func(reply core.Reply) {
 			if reply.Status == http.StatusOK {
-				sim.rules.violated("invented", "%s has a status although it was rejected", user.spec.ID)
+				sim.rules.reportViolation("invented", "%s has a status although it was rejected", user.spec.ID)
 			}
 		})
 	})
@@ -93,7 +93,7 @@
 	switch status {
 	case want, 0, http.StatusServiceUnavailable:
 	default:
-		u.sim.rules.violated("accepted_wrongly", "%s: got %d, want %d", jobID, status, want)
+		u.sim.rules.reportViolation("accepted_wrongly", "%s: got %d, want %d", jobID, status, want)
 	}
 }
 
--- a/internal/simulation/leadership.go
+++ b/internal/simulation/leadership.go
@@ -19,24 +19,24 @@
 // committed by the holder of that key, and once a leader has called the cloud no earlier
 // leader calls it any more.
 type leadershipMonitor struct {
-	sim               *Simulation
-	rng               *rand.Rand // for messages between the leader and its peers; see heartbeatStream
-	tenures           []leaderTenure
-	lastCloudTenure   int           // index of the latest tenure in which the cloud was called; -1: none
-	failedAt          time.Duration // when the current leader crashed or froze; 0: it did not
-	crashNextClaimant time.Duration // downtime of the next controller that claims the leadership, which crashes then; 0: no crash
-	standby           string        // label of the standby, from the last heartbeat of a leader
-	heartbeats        int           // number of heartbeats sent by leaders
-	failedClaims      int           // number of claims that failed because of a conflict
-	disconnectDelay   time.Duration // time until peers detect a closed connection
+	sim                  *Simulation
+	rng                  *rand.Rand // for messages between the leader and its peers; see heartbeatStream
+	tenures              []leaderTenure
+	lastCloudTenure      int           // index of the latest tenure in which the cloud was called; -1: none
+	failedAt             time.Duration // when the current leader crashed or froze; 0: it did not
+	nextClaimantDowntime time.Duration // downtime of the next controller that claims the leadership, which crashes then; 0: no crash
+	standby              string        // label of the standby, from the last heartbeat of a leader
+	heartbeats           int           // number of heartbeats sent by leaders
+	failedClaims         int           // number of claims that failed because of a conflict
+	disconnectDelay      time.Duration // time until peers detect a closed connection
 }
 
 // leaderTenure is the period of one claim of the leadership.
 type leaderTenure struct {
-	controller string
-	early      bool          // it replaced another controller whose record had not expired
-	decidedAt  time.Duration // when the leader first committed a change of a job's record; 0: not yet
-	failedAt   time.Duration // when the previous leader crashed or froze; 0: it did not
+	controller      string
+	early           bool          // it replaced another controller whose record had not expired
+	firstDecisionAt time.Duration // when the leader first committed a change of a job's record; 0: not yet
+	failedAt        time.Duration // when the previous leader crashed or froze; 0: it did not
 }
 
 // newLeadershipMonitor returns a leadershipMonitor without tenures.
@@ -73,10 +73,10 @@
 	}
 	early := holder != nil && holder.Controller != claim.Controller
 	if early && (!holder.Fenced || claim.Streak == 0) {
-		sim.rules.violated("unfenced_takeover", "%s replaced the leader %+v before its lease expired", claim.Controller, holder)
+		sim.rules.reportViolation("unfenced_takeover", "%s replaced the leader %+v before its lease expired", claim.Controller, holder)
 	}
-	if downtime := m.crashNextClaimant; downtime > 0 {
-		m.crashNextClaimant = 0
+	if downtime := m.nextClaimantDowntime; downtime > 0 {
+		m.nextClaimantDowntime = 0
 		claimant := sim.controllers[sim.controllerIndexOf(claim.Controller)]
 		sim.after(0, func() { claimant.crash(downtime) })
 	}
@@ -100,20 +100,20 @@
 	}
 }
 
-// slowestTakeover returns the longest time from the failure of a leader that was replaced
+// slowestEarlyTakeover returns the longest time from the failure of a leader that was replaced
 // early until the first decision of its successor.
-func (m *leadershipMonitor) slowestTakeover() time.Duration {
+func (m *leadershipMonitor) slowestEarlyTakeover() time.Duration {
 	slowest := time.Duration(0)
 	for _, tenure := range m.tenures {
-		if tenure.early && tenure.failedAt > 0 && tenure.decidedAt > 0 {
-			slowest = max(slowest, tenure.decidedAt-tenure.failedAt)
+		if tenure.early && tenure.failedAt > 0 && tenure.firstDecisionAt > 0 {
+			slowest = max(slowest, tenure.firstDecisionAt-tenure.failedAt)
 		}
 	}
 	return slowest
 }
 
-// countEarly returns the number of takeovers that happened before the lease expired.
-func (m *leadershipMonitor) countEarly() int {
+// countEarlyTakeovers returns the number of takeovers that happened before the lease expired.
+func (m *leadershipMonitor) countEarlyTakeovers() int {
 	count := 0
 	for _, tenure := range m.tenures {
 		if tenure.early {
@@ -133,11 +133,11 @@
 		return
 	}
 	if tenure.controller != ctrl.label {
-		m.sim.rules.violated("foreign_decision", "%s committed a decision under the claim of %s", ctrl.label, tenure.controller)
+		m.sim.rules.reportViolation("foreign_decision", "%s committed a decision under the claim of %s", ctrl.label, tenure.controller)
 	}
 	changesJob := slices.ContainsFunc(writes, func(write recordWrite) bool { return strings.HasPrefix(write.key, wire.JobPrefix) })
-	if tenure.decidedAt == 0 && changesJob {
-		tenure.decidedAt = m.sim.now
+	if tenure.firstDecisionAt == 0 && changesJob {
+		tenure.firstDecisionAt = m.sim.now
 	}
 }
 
@@ -148,7 +148,7 @@
 		return
 	}
 	if m.isStale(ctrl) {
-		m.sim.rules.violated("stale_leader", "%s called the cloud while another controller leads", ctrl.label)
+		m.sim.rules.reportViolation("stale_leader", "%s called the cloud while another controller leads", ctrl.label)
 	}
 	latest := -1
 	for i, tenure := range m.tenures {
@@ -157,7 +157,7 @@
 		}
 	}
 	if latest < m.lastCloudTenure {
-		m.sim.rules.violated("two_leaders_at_cloud", "%s called the cloud after %s, a later leader", ctrl.label, m.tenures[m.lastCloudTenure].controller)
+		m.sim.rules.reportViolation("two_leaders_at_cloud", "%s called the cloud after %s, a later leader", ctrl.label, m.tenures[m.lastCloudTenure].controller)
 	}
 	m.lastCloudTenure = max(m.lastCloudTenure, latest)
 }
--- a/internal/simulation/loopback_failover_test.go
+++ b/internal/simulation/loopback_failover_test.go
@@ -44,11 +44,11 @@
 func (l *Loopback) failoverTimes() (times *hdrhistogram.Histogram, early int) {
 	times = hdrhistogram.New(1, 120_000, 3)
 	for _, tenure := range l.leadership.tenures {
-		if tenure.failedAt > 0 && tenure.decidedAt > 0 {
-			must(times.RecordValue(max(1, (tenure.decidedAt - tenure.failedAt).Milliseconds())))
+		if tenure.failedAt > 0 && tenure.firstDecisionAt > 0 {
+			must(times.RecordValue(max(1, (tenure.firstDecisionAt - tenure.failedAt).Milliseconds())))
 		}
 	}
-	return times, l.leadership.countEarly()
+	return times, l.leadership.countEarlyTakeovers()
 }
 
 // countViolations counts the violations of a rule.
--- a/internal/simulation/loopback_faults.go
+++ b/internal/simulation/loopback_faults.go
@@ -32,7 +32,7 @@
 // and its peers, into the given states for d. Forward and backward are the two directions of
 // each link.
 func (l *Loopback) Isolate(ctrl *controller, fromState bool, forward, backward linkState, d time.Duration) {
-	l.rules.faultsLast(d)
+	l.rules.extendFaultPeriod(d)
 	proc := l.processes[ctrl.index]
 	var links []*proxy
 	if fromState {
--- a/internal/simulation/loopback_process.go
+++ b/internal/simulation/loopback_process.go
@@ -151,7 +151,7 @@
 	command.Stderr = proc.logFile
 	proc.command = command
 	if err := command.Start(); err != nil {
-		l.rules.violated("start", "%s: %v", ctrl.label, err)
+		l.rules.reportViolation("start", "%s: %v", ctrl.label, err)
 		return
 	}
 	incarnation := ctrl.incarnation
@@ -159,7 +159,7 @@
 		err := command.Wait()
 		l.post(func() {
 			if ctrl.isRunning(incarnation) {
-				l.rules.violated("ended_by_itself", "%s: %v", ctrl.label, err)
+				l.rules.reportViolation("ended_by_itself", "%s: %v", ctrl.label, err)
 			}
 		})
 	}()
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -55,7 +55,7 @@
 // setDuplicating makes the network deliver heartbeats and commands twice for d.
 func (n *network) setDuplicating(d, longestDelay time.Duration) {
 	n.duplicateUntil, n.duplicateDelay = n.sim.now+d, longestDelay
-	n.sim.rules.faultsLast(d + longestDelay)
+	n.sim.rules.extendFaultPeriod(d + longestDelay)
 }
 
 // drawDuplicateDelay draws the delay of the second delivery of a message.
@@ -114,7 +114,7 @@
 // a worker's machine, a zone such as "zone:a", or "cloud". With hold, messages sent during
 // the cut are delivered after it.
 func (n *network) cut(a, b string, d time.Duration, hold bool) {
-	n.sim.rules.faultsLast(d)
+	n.sim.rules.extendFaultPeriod(d)
 	link := linkName(a, b)
 	n.cuts[link]++
 	n.held[link] = hold
--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -84,7 +84,7 @@
 	for name, charge := range a.teams {
 		current, previous := charge.total(), before[name]
 		if raisesAboveLimit(current.Cores, charge.limit.Cores, previous.Cores) || raisesAboveLimit(current.GPUs, charge.limit.GPUs, previous.GPUs) {
-			a.sim.rules.violated("quota", "revision %d charges %s %v, the limit is %v, charged before: %v", a.sim.store.revision, name, current, charge.limit, previous)
+			a.sim.rules.reportViolation("quota", "revision %d charges %s %v, the limit is %v, charged before: %v", a.sim.store.revision, name, current, charge.limit, previous)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	key := wire.AccountKey(current.team)
 	fenced := slices.ContainsFunc(conditions, func(c kv.Condition) bool { return c.Key == key })
 	if a.sim.store.records[key] != nil && !fenced {
-		a.sim.rules.violated("unfenced", "%s is charged to %s without a condition on its account", jobID, current.team)
+		a.sim.rules.reportViolation("unfenced", "%s is charged to %s without a condition on its account", jobID, current.team)
 	}
 }
 
--- a/internal/simulation/random_faults.go
+++ b/internal/simulation/random_faults.go
@@ -49,12 +49,12 @@
 	18: func(_ *Simulation, ctrl *controller, d time.Duration) { ctrl.freeze(d) },
 	19: randomWorkerFault(faultOutboundCut),
 	20: func(sim *Simulation, _ *controller, d time.Duration) {
-		sim.setFor(&sim.store.lateWrites, 0.3, d)
-		sim.rules.faultsLast(d + 12*time.Second)
+		sim.setTimedValue(&sim.store.lateWrites, 0.3, d)
+		sim.rules.extendFaultPeriod(d + 12*time.Second)
 	},
 	21: func(sim *Simulation, _ *controller, d time.Duration) {
-		sim.setFor(&sim.store.lostReplies, 0.3, d)
-		sim.rules.faultsLast(d)
+		sim.setTimedValue(&sim.store.lostReplies, 0.3, d)
+		sim.rules.extendFaultPeriod(d)
 	},
 	22: func(sim *Simulation, _ *controller, d time.Duration) {
 		sim.users.cancelRunning(3, d, generatedIDPrefix)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -21,18 +21,19 @@
 	sim             *Simulation
 	violations      []string
 	attemptMachines map[string]string // name of the machine of each task attempt, by attemptName
-	starts          map[string]int    // number of task starts, by job
+	startsByJob     map[string]int    // number of task starts, by job
 	lateStarts      int               // number of task starts after the cancellation of the job was confirmed to the user
 	faultsEndAt     time.Duration     // when the last of the faults recorded so far ends
 }
 
-// violated records that a rule was violated now.
-func (r *ruleChecker) violated(rule, format string, args ...any) {
+// reportViolation records that a rule was violated now.
+func (r *ruleChecker) reportViolation(rule, format string, args ...any) {
 	r.violations = append(r.violations, fmt.Sprintf("%.3fs %s: %s", r.sim.now.Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// faultsLast records that a fault which begins now lasts for d.
-func (r *ruleChecker) faultsLast(d time.Duration) {
+// extendFaultPeriod sets faultsEndAt to the end of a fault that begins now and lasts for d,
+// unless an earlier fault ends later.
+func (r *ruleChecker) extendFaultPeriod(d time.Duration) {
 	r.faultsEndAt = max(r.faultsEndAt, r.sim.now+d)
 }
 
@@ -40,33 +41,33 @@
 // violate.
 func (r *ruleChecker) taskStarted(worker *simWorker, task *simTask) {
 	user, machine := task.user, worker.machine
-	r.starts[task.jobID]++
+	r.startsByJob[task.jobID]++
 	if user.cancelledAt > 0 {
 		r.lateStarts++
 	}
 	name := attemptName(task.name(), task.attempt)
 	if before := r.attemptMachines[name]; before != "" && before != machine.Name {
-		r.violated("attempt_recurs", "%s started on %s and then on %s", name, before, machine.Name)
+		r.reportViolation("attempt_recurs", "%s started on %s and then on %s", name, before, machine.Name)
 	}
 	r.attemptMachines[name] = machine.Name
 	for _, jobID := range user.spec.Dependencies {
 		if dependency := r.sim.users.byJob[jobID]; dependency == nil || !dependency.allTasksDone() {
-			r.violated("too_early", "%s started before %s was done", task.name(), jobID)
+			r.reportViolation("too_early", "%s started before %s was done", task.name(), jobID)
 		}
 	}
 	zones := map[string]int{}
 	user.eachActiveTask(func(otherWorker *simWorker, other *simTask) {
 		if other != task && other.index == task.index {
-			r.violated("ran_twice", "%s: attempt %d on %s, attempt %d on %s", task.name(), task.attempt, machine.Name, other.attempt, otherWorker.machine.Name)
+			r.reportViolation("ran_twice", "%s: attempt %d on %s, attempt %d on %s", task.name(), task.attempt, machine.Name, other.attempt, otherWorker.machine.Name)
 		}
 		zones[otherWorker.machine.Zone]++
 	})
 	if cores, gpus := r.teamUsage(user.spec.Team); r.exceedsHighestLimit(user.spec.Team, cores, gpus) {
-		r.violated("quota", "%s uses %v GPUs and %v cores", user.spec.Team, gpus, cores)
+		r.reportViolation("quota", "%s uses %v GPUs and %v cores", user.spec.Team, gpus, cores)
 	}
 	r.checkPlacement(worker, task, zones)
 	if cancelled := r.sim.now - user.cancelledAt; user.cancelledAt > 0 && cancelled > r.sim.CancelDeadline {
-		r.violated("ran_cancelled", "%s started a task %v after its cancellation", task.jobID, cancelled)
+		r.reportViolation("ran_cancelled", "%s started a task %v after its cancellation", task.jobID, cancelled)
 	}
 }
 
@@ -76,13 +77,13 @@
 	spec, machine := &task.user.spec, worker.machine
 	switch {
 	case machine.Spot && !spec.AllowSpot:
-		r.violated("wrong_place", "%s on a spot machine", task.jobID)
+		r.reportViolation("wrong_place", "%s on a spot machine", task.jobID)
 	case spec.Zone != "" && spec.Zone != machine.Zone:
-		r.violated("wrong_place", "%s in zone %s", task.jobID, machine.Zone)
+		r.reportViolation("wrong_place", "%s in zone %s", task.jobID, machine.Zone)
 	case spec.SameZone && len(zones) > 1:
-		r.violated("wrong_place", "%s in zones %v", task.jobID, zones)
+		r.reportViolation("wrong_place", "%s in zones %v", task.jobID, zones)
 	case spec.Spread && zones[machine.Zone] > (spec.TaskCount+1)/2:
-		r.violated("wrong_place", "%s has %d of %d tasks in zone %s", task.jobID, zones[machine.Zone], spec.TaskCount, machine.Zone)
+		r.reportViolation("wrong_place", "%s has %d of %d tasks in zone %s", task.jobID, zones[machine.Zone], spec.TaskCount, machine.Zone)
 	}
 }
 
@@ -119,12 +120,12 @@
 		}
 	}
 	if unanswered > 0 && answered > unanswered {
-		r.violated("forgotten", "%d jobs get no answers while %d do", unanswered, answered)
+		r.reportViolation("forgotten", "%d jobs get no answers while %d do", unanswered, answered)
 	}
 	for _, user := range r.sim.users.ordered {
 		unansweredTime := now - max(user.lastAnsweredAt, r.faultsEndAt)
 		if user.accepted && user.cancelledAt == 0 && unansweredTime > unansweredAfterFaults {
-			r.violated("forgotten", "%s: no answer for %v, the last status was %d", user.spec.ID, unansweredTime, user.lastCode)
+			r.reportViolation("forgotten", "%s: no answer for %v, the last status was %d", user.spec.ID, unansweredTime, user.lastCode)
 		}
 	}
 }
@@ -134,7 +135,7 @@
 	r.sim.users.eachActiveTask(func(worker *simWorker, task *simTask) {
 		cancelled := r.sim.now - task.user.cancelledAt
 		if task.user.cancelledAt > 0 && cancelled > r.sim.CancelDeadline {
-			r.violated("ran_cancelled", "%s is active on %s %v after its cancellation (%s)", task.name(), worker.machine.Name, cancelled, task.state)
+			r.reportViolation("ran_cancelled", "%s is active on %s %v after its cancellation (%s)", task.name(), worker.machine.Name, cancelled, task.state)
 		}
 	})
 }
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -15,10 +15,10 @@
 // startCount counts the jobs of one kind and those of them that have started.
 type startCount struct{ started, total int }
 
-// underserved returns a fault for each kind of jobs of which fewer than half have started by
+// findUnderservedJobKinds returns a fault for each kind of jobs of which fewer than half have started by
 // the end of a scenario. The kinds are each class, each team, and the largest jobs of each
 // class, which must have started within largestJobStartLimit.
-func (r *ruleChecker) underserved() []string {
+func (r *ruleChecker) findUnderservedJobKinds() []string {
 	var eligible []*simUser
 	largest := map[string]int{}
 	for _, user := range r.sim.users.ordered {
@@ -88,7 +88,7 @@
 			user.idleCapacitySince = now
 		}
 		if now-max(user.idleCapacitySince, r.faultsEndAt) > maxIdleCapacityWait {
-			r.violated("left_waiting", "%s has waited despite free capacity since %v", user.spec.ID, user.idleCapacitySince)
+			r.reportViolation("left_waiting", "%s has waited despite free capacity since %v", user.spec.ID, user.idleCapacitySince)
 		}
 	}
 }
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -81,7 +81,7 @@
 	}
 	s.Run(last + time.Millisecond)
 	if len(s.rules.violations) == 0 {
-		faults = append(faults, s.rules.underserved()...)
+		faults = append(faults, s.rules.findUnderservedJobKinds()...)
 	}
 	return append(faults, s.rules.violations...)
 }
@@ -110,8 +110,8 @@
 // end.
 func timedValueCommand(field func(*Simulation) *timedValue, delayedEffects func(*Simulation) time.Duration) scriptCommand {
 	return infallible(func(sim *Simulation, args arguments) {
-		sim.setFor(field(sim), args.number(0), args.duration(1))
-		sim.rules.faultsLast(args.duration(1) + delayedEffects(sim))
+		sim.setTimedValue(field(sim), args.number(0), args.duration(1))
+		sim.rules.extendFaultPeriod(args.duration(1) + delayedEffects(sim))
 	})
 }
 
--- a/internal/simulation/script_commands.go
+++ b/internal/simulation/script_commands.go
@@ -21,7 +21,7 @@
 	}),
 	// crash-claimant SECONDS: the next controller that claims the leadership crashes immediately, for SECONDS.
 	"crash-claimant": infallible(func(sim *Simulation, args arguments) {
-		sim.leadership.crashNextClaimant = args.duration(0)
+		sim.leadership.nextClaimantDowntime = args.duration(0)
 	}),
 	// freeze CONTROLLER SECONDS: the controller's process is paused.
 	"freeze": infallible(func(sim *Simulation, args arguments) {
@@ -60,9 +60,9 @@
 	}),
 	// boots FACTOR SHARE SECONDS: boots take FACTOR times as long, and a share SHARE of them never completes.
 	"boots": infallible(func(sim *Simulation, args arguments) {
-		sim.setFor(&sim.cloud.slowBoot, args.number(0), args.duration(2))
+		sim.setTimedValue(&sim.cloud.slowBoot, args.number(0), args.duration(2))
 		sim.cloud.neverBootShare = args.number(1)
-		sim.rules.faultsLast(args.duration(2))
+		sim.rules.extendFaultPeriod(args.duration(2))
 	}),
 	// limits: the next_ limits of the settings apply to the state service from now on.
 	"limits": infallible(func(sim *Simulation, _ arguments) {
@@ -94,7 +94,7 @@
 	// lossy SHARE SHARE SECONDS: the first share of the requests is lost, the second is late.
 	"lossy": infallible(func(sim *Simulation, args arguments) {
 		sim.network.setLossy(args.number(0), args.number(1), args.duration(2))
-		sim.rules.faultsLast(args.duration(2))
+		sim.rules.extendFaultPeriod(args.duration(2))
 	}),
 	// slow-links FACTOR SECONDS: all messages take FACTOR times as long.
 	"slow-links": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.network.slowdown }, noDelayedEffects),
@@ -103,17 +103,17 @@
 		sim.network.setDuplicating(args.duration(0), args.duration(1))
 	}),
 	// late-reports SHARE SECONDS: a share of the heartbeats is delivered a second time, late.
-	"late-reports": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.replays.delayed },
+	"late-reports": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.replays.delayedShare },
 		func(sim *Simulation) time.Duration { return 2 * sim.WorkerLease }),
 	// reports-for-next-leader SHARE SECONDS: a share of the heartbeats is delivered again when the next leader begins.
-	"reports-for-next-leader": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.replays.retention }, noDelayedEffects),
+	"reports-for-next-leader": timedValueCommand(func(sim *Simulation) *timedValue { return &sim.replays.retainedShare }, noDelayedEffects),
 }
 
 // cutEndpoint returns the network endpoint for a name in a script: "host:TASK" for the
 // machine that has a task, the role of a controller, or an endpoint of network.cut.
 func (s *Simulation) cutEndpoint(name string) (string, error) {
 	if task, ok := strings.CutPrefix(name, "host:"); ok {
-		worker := s.fleet.hosting(task)
+		worker := s.fleet.findByTask(task)
 		if worker == nil {
 			return "", errNoSuchWorker
 		}
@@ -130,7 +130,7 @@
 var workerCommands = map[string]scriptCommand{
 	// stash TASK|any: the present heartbeat of the worker that has a task, or of any worker, is stored for deliver.
 	"stash": func(sim *Simulation, args arguments) error {
-		worker := sim.fleet.hosting(args.word(0))
+		worker := sim.fleet.findByTask(args.word(0))
 		if args.word(0) == "any" {
 			worker = sim.fleet.running()[0]
 		}
@@ -170,7 +170,7 @@
 	return func(sim *Simulation, args arguments) error {
 		var worker *simWorker
 		if running := sim.fleet.running(); args.word(0) != "any" {
-			worker = sim.fleet.hosting(args.word(0))
+			worker = sim.fleet.findByTask(args.word(0))
 		} else if len(running) > 0 {
 			worker = running[sim.rng.IntN(len(running))]
 		}
--- a/internal/simulation/script_users.go
+++ b/internal/simulation/script_users.go
@@ -78,7 +78,7 @@
 	}),
 	// cancel-at-end SHARE SECONDS: a share of the jobs is cancelled just after their last task has ended.
 	"cancel-at-end": infallible(func(sim *Simulation, args arguments) {
-		sim.setFor(&sim.users.cancelAtEnd, args.number(0), args.duration(1))
+		sim.setTimedValue(&sim.users.cancelAtEnd, args.number(0), args.duration(1))
 	}),
 	// close-looks SECONDS: users poll all controllers after each change of a job's status.
 	"close-looks": infallible(func(sim *Simulation, args arguments) {
--- a/internal/simulation/state_faults.go
+++ b/internal/simulation/state_faults.go
@@ -26,7 +26,7 @@
 // startOutage makes the service unavailable for d. Every lease is extended by its full TTL
 // when the outage ends.
 func (s *stateService) startOutage(d time.Duration) {
-	s.sim.rules.faultsLast(d)
+	s.sim.rules.extendFaultPeriod(d)
 	s.outage = true
 	s.sim.after(d, func() {
 		s.outage = false
@@ -49,7 +49,7 @@
 
 // addFault increments a controller's count of faults for d, since faults may overlap.
 func (s *stateService) addFault(faults map[string]int, ctrl *controller, d time.Duration) {
-	s.sim.rules.faultsLast(d)
+	s.sim.rules.extendFaultPeriod(d)
 	faults[ctrl.label]++
 	s.sim.after(d, func() { faults[ctrl.label]--; s.notifyWatches() })
 }
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -126,11 +126,11 @@
 func (s *stateService) checkLimits(ctrl *controller, conditions []kv.Condition, writes []recordWrite) {
 	sim := s.sim
 	if len(writes) > sim.MaxTransactionOps || len(conditions) > conditionsPerOp*sim.MaxTransactionOps {
-		sim.rules.violated("limits", "%s: transaction with %d writes and %d conditions", ctrl.label, len(writes), len(conditions))
+		sim.rules.reportViolation("limits", "%s: transaction with %d writes and %d conditions", ctrl.label, len(writes), len(conditions))
 	}
 	for _, write := range writes {
 		if size := encodedJSONSize(write.raw, sim.MaxValueBytes/4); size > sim.MaxValueBytes {
-			sim.rules.violated("limits", "%s: value of %s has %d bytes", ctrl.label, write.key, size)
+			sim.rules.reportViolation("limits", "%s: value of %s has %d bytes", ctrl.label, write.key, size)
 		}
 	}
 }
--- a/internal/simulation/timed_value.go
+++ b/internal/simulation/timed_value.go
@@ -8,8 +8,8 @@
 	until time.Duration
 }
 
-// setFor sets v to a value that applies for d.
-func (s *Simulation) setFor(v *timedValue, value float64, d time.Duration) {
+// setTimedValue sets v to a value that applies for d.
+func (s *Simulation) setTimedValue(v *timedValue, value float64, d time.Duration) {
 	*v = timedValue{value, s.now + d}
 }
 
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -75,7 +75,7 @@
 			u.checkStatus(askedAt, reply)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			if u.accepted {
-				u.sim.rules.violated("forgotten", "%s: repeated submission got %d", u.spec.ID, reply.Status)
+				u.sim.rules.reportViolation("forgotten", "%s: repeated submission got %d", u.spec.ID, reply.Status)
 			}
 		default:
 			if u.sim.now-firstAt < submitRetryPeriod {
@@ -98,7 +98,7 @@
 			u.lastAnsweredAt = u.sim.now
 			u.checkStatus(askedAt, reply)
 		case http.StatusNotFound:
-			u.sim.rules.violated("forgotten", "%s: got 404 after the job was accepted", u.spec.ID)
+			u.sim.rules.reportViolation("forgotten", "%s: got 404 after the job was accepted", u.spec.ID)
 		}
 	})
 }
@@ -112,7 +112,7 @@
 			u.lastAnsweredAt = u.sim.now
 			u.checkStatus(askedAt, reply)
 		case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.sim.rules.violated("forgotten", "%s: %s got %d after the job was accepted", u.spec.ID, kind, reply.Status)
+			u.sim.rules.reportViolation("forgotten", "%s: %s got %d after the job was accepted", u.spec.ID, kind, reply.Status)
 		}
 	})
 }
@@ -142,17 +142,17 @@
 		defer u.startPollBurst()
 	}
 	if isFinalStatus(last) && status != last {
-		u.sim.rules.violated("went_back", "%s: %s after %s", u.spec.ID, status, last)
+		u.sim.rules.reportViolation("went_back", "%s: %s after %s", u.spec.ID, status, last)
 	}
 	switch status {
 	case wire.StatusCancelled:
 		requested := func(dependency *simUser) bool { return dependency.cancelRequested }
 		if !u.cancelRequested && u.findDependency(requested) == nil {
-			u.sim.rules.violated("went_back", "%s: cancelled without a request", u.spec.ID)
+			u.sim.rules.reportViolation("went_back", "%s: cancelled without a request", u.spec.ID)
 		}
 	case wire.StatusDone:
 		if !u.allTasksDone() {
-			u.sim.rules.violated("not_done", "%s: reported as done before all of its tasks are", u.spec.ID)
+			u.sim.rules.reportViolation("not_done", "%s: reported as done before all of its tasks are", u.spec.ID)
 		}
 	default:
 		u.checkOrphaned(askedAt, status)
@@ -167,7 +167,7 @@
 		return dependency.cancelledAt > 0 && askedAt-dependency.cancelledAt > u.sim.CancelDeadline
 	})
 	if dependency != nil {
-		u.sim.rules.violated("orphaned", "%s: %s, though %s was cancelled %v ago", u.spec.ID, status, dependency.spec.ID, u.sim.now-dependency.cancelledAt)
+		u.sim.rules.reportViolation("orphaned", "%s: %s, though %s was cancelled %v ago", u.spec.ID, status, dependency.spec.ID, u.sim.now-dependency.cancelledAt)
 	}
 }
 
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -47,9 +47,9 @@
 	return long
 }
 
-// maybeCancelAtEnd makes some users cancel their job within 1.5 s after its last task has
+// scheduleCancelAtEnd makes some users cancel their job within 1.5 s after its last task has
 // ended. It is called whenever a task completes.
-func (u *userSet) maybeCancelAtEnd(user *simUser) {
+func (u *userSet) scheduleCancelAtEnd(user *simUser) {
 	sim := u.sim
 	if sim.now >= u.cancelAtEnd.until || user.cancelRequested || !user.allTasksDone() || !sim.draw(u.cancelAtEnd) {
 		return
--- a/internal/simulation/worker_task.go
+++ b/internal/simulation/worker_task.go
@@ -176,5 +176,5 @@
 		}
 	}
 	w.exitTask(task, wire.CauseDone)
-	w.sim.users.maybeCancelAtEnd(user)
+	w.sim.users.scheduleCancelAtEnd(user)
 }
--- a/internal/wire/active_task.go
+++ b/internal/wire/active_task.go
@@ -70,15 +70,15 @@
 
 // Bounds of encoded sizes in bytes, as JSONSize measures them.
 const (
-	// GroupCost bounds the size of a group without its runs.
-	GroupCost = 24
+	// MaxGroupOverheadBytes bounds the size of a group without its runs.
+	MaxGroupOverheadBytes = 24
 	// maxRunOverheadBytes bounds the size of a run without the name of its machine.
 	maxRunOverheadBytes = 22
 )
 
-// RunCost returns an upper bound of the encoded size of a run on a machine, in bytes as JSONSize
+// MaxRunBytes returns an upper bound of the encoded size of a run on a machine, in bytes as JSONSize
 // measures them.
-func RunCost(machine string) int { return maxRunOverheadBytes + len(machine) }
+func MaxRunBytes(machine string) int { return maxRunOverheadBytes + len(machine) }
 
 // MaxEncodedBytes returns an upper bound of the encoded size of the tasks, in bytes as JSONSize
 // measures them.
@@ -88,9 +88,9 @@
 	for at := 0; at < len(l); {
 		if group := l[at].group(); !seen[group] {
 			seen[group] = true
-			bytes += GroupCost
+			bytes += MaxGroupOverheadBytes
 		}
-		bytes += RunCost(l[at].Machine)
+		bytes += MaxRunBytes(l[at].Machine)
 		_, at = l.Run(at)
 	}
 	return bytes
--- a/internal/wire/decision_log.go
+++ b/internal/wire/decision_log.go
@@ -20,20 +20,20 @@
 // Kinds of facts. Their numbers are sent to controllers of other versions. Name is the name of a
 // machine unless stated otherwise.
 const (
-	FactBooting          FactKind = 1  // a machine that is provisioned and still boots; At: when it was provisioned
-	FactProvisioning     FactKind = 2  // a provisioning request in flight; Name: of the request; At: when it was decided
-	FactBootTime         FactKind = 3  // a machine that has booted; At: when it was provisioned; Ratio: its boot time divided by its type's nominal one
-	FactBackoff          FactKind = 4  // a pool from which no machines are requested before At; Name: of the pool
-	FactCapacityShortage FactKind = 5  // a pool that lacked capacity at At; Name: of the pool
-	FactIdle             FactKind = 6  // a machine that has been idle since At
-	FactDraining         FactKind = 7  // a machine that is drained for deprovisioning
-	FactUnreported       FactKind = 8  // a machine listed as running since At from which no controller has received a heartbeat
-	FactReserved         FactKind = 9  // a machine that is reserved for the job JobID
-	FactReturned         FactKind = 10 // a machine that was deprovisioned at At
-	FactWaitingSince     FactKind = 11 // a job that has waited for capacity since At; Name: job ID
-	FactGangZone         FactKind = 12 // the zone in which capacity is freed for a gang; Name: job ID
-	FactPreemptedAt      FactKind = 13 // a job for which nothing is preempted before At; Name: job ID
-	FactQueuePosition    FactKind = 14 // a gang with an attempt in progress that had waited since At; Name: job ID; Count: dropped attempts
+	FactBooting           FactKind = 1  // a machine that is provisioned and still boots; At: when it was provisioned
+	FactProvisioning      FactKind = 2  // a provisioning request in flight; Name: of the request; At: when it was decided
+	FactBootTime          FactKind = 3  // a machine that has booted; At: when it was provisioned; Ratio: its boot time divided by its type's nominal one
+	FactBackoff           FactKind = 4  // a pool from which no machines are requested before At; Name: of the pool
+	FactCapacityShortage  FactKind = 5  // a pool that lacked capacity at At; Name: of the pool
+	FactIdle              FactKind = 6  // a machine that has been idle since At
+	FactDraining          FactKind = 7  // a machine that is drained for deprovisioning
+	FactUnreported        FactKind = 8  // a machine listed as running since At from which no controller has received a heartbeat
+	FactReserved          FactKind = 9  // a machine that is reserved for the job JobID
+	FactDeprovisioned     FactKind = 10 // a machine that was deprovisioned at At
+	FactWaitingSince      FactKind = 11 // a job that has waited for capacity since At; Name: job ID
+	FactGangZone          FactKind = 12 // the zone in which capacity is freed for a gang; Name: job ID
+	FactPreemptionBackoff FactKind = 13 // a job for which nothing is preempted before At; Name: job ID
+	FactQueuePosition     FactKind = 14 // a gang with an attempt in progress that had waited since At; Name: job ID; Count: dropped attempts
 )
 
 // Fact is an item of the state that only the leader has, identified by its kind and name. The fields
--- a/internal/wire/interner.go
+++ b/internal/wire/interner.go
@@ -7,8 +7,8 @@
 	names []string
 }
 
-// Of returns the index of a name, assigning the next one if the name is new.
-func (n *Interner) Of(name string) int {
+// Index returns the index of a name, assigning the next one if the name is new.
+func (n *Interner) Index(name string) int {
 	if i, known := n.index[name]; known {
 		return i
 	}
--- a/internal/wire/task_set.go
+++ b/internal/wire/task_set.go
@@ -16,8 +16,8 @@
 // adjacent.
 type TaskSet []TaskRange
 
-// Range returns the set of the tasks from first to end, exclusive.
-func Range(first, end int) TaskSet { return TaskSet{{First: first, End: end}} }
+// TaskSetOfRange returns the set of the tasks from first to end, exclusive.
+func TaskSetOfRange(first, end int) TaskSet { return TaskSet{{First: first, End: end}} }
 
 // With returns the set with a task added. Like append, it may modify the receiver's elements.
 func (s TaskSet) With(task int) TaskSet {
