--- a/internal/replica/dependencies.go
+++ b/internal/replica/dependencies.go
@@ -11,13 +11,13 @@
 	Dependents        []int // jobs that depend on this one
 	NotDoneCount      int   // number of dependencies that are not done
 	AncestorCancelled bool  // a direct or indirect dependency is cancelled
-	ReadyAt           Time  // when all dependencies were first done in the replica; 0: not yet
-	ReadyMS           int64 // the same as wall-clock time, Unix ms
-	DeadlineMS        int64 // wall-clock time (Unix ms) by which it has to be done, for itself or its dependents; 0: none
+	ReadyAt           Time  // when the replica first showed that all dependencies are done; 0: not yet
+	ReadyMS           int64 // ReadyAt as wall-clock time, Unix ms
+	DeadlineMS        int64 // wall-clock time (Unix ms) by which the job has to be done, for its own deadline or those of its dependents; 0: none
 }
 
-// IsBlocked reports whether no task of the job may be granted, either because a dependency
-// is not done yet or because an ancestor is cancelled.
+// IsBlocked reports whether no task of the job may be granted, because a dependency is not done
+// yet or an ancestor is cancelled.
 func (j *Job) IsBlocked() bool {
 	return j.Links != nil && (j.Links.NotDoneCount > 0 || j.Links.AncestorCancelled)
 }
@@ -63,8 +63,9 @@
 	links := job.ensureLinks()
 	ids, complete := r.dependenciesInRecord(job.ID, job.Record)
 	if !complete {
-		// The list is written before the record that names it, so this can't happen. If
-		// it does, the extra open dependency keeps the job from starting.
+		// This is not expected, as a list is written before the record that refers to it. If
+		// it happens, this additional count, which is never decremented, keeps the job from
+		// starting.
 		r.observer.DependencyListMissing(job)
 		links.NotDoneCount++
 	}
@@ -97,8 +98,8 @@
 	}
 }
 
-// notifyDependents updates the direct dependents of a job that is done, or all descendants
-// of a job that is cancelled.
+// notifyDependents updates the direct dependents of a job that is done, or all descendants of a
+// job that is cancelled, and removes the links of the job. It does nothing if the job is live.
 func (r *Replica) notifyDependents(job *Job) {
 	links := job.Links
 	if links == nil || job.Record.State == wire.JobLive {
@@ -118,9 +119,9 @@
 	job.Links = nil // finished jobs are never deleted and numerous, so this saves memory
 }
 
-// markCancelled marks a job and all its descendants as having a cancelled ancestor. It visits
-// each of them once, with an explicit stack instead of recursion because chains of
-// dependencies may be deep.
+// markCancelled sets AncestorCancelled of a job and of all its descendants that are live, and adds
+// them to unrecordedCancellations. It visits each of them once, with an explicit stack instead of
+// recursion because chains of dependencies may be deep.
 func (r *Replica) markCancelled(job *Job) {
 	for stack := []*Job{job}; len(stack) > 0; {
 		job, stack = stack[len(stack)-1], stack[:len(stack)-1]
@@ -140,17 +141,18 @@
 // ancestor is, and whose own records may not show it yet.
 func (r *Replica) UnrecordedCancellations() int { return len(r.unrecordedCancellations) }
 
-// FirstUnrecordedCancellation returns the first job of the queue that UnrecordedCancellations counts.
+// FirstUnrecordedCancellation returns the first job of the queue that UnrecordedCancellations
+// counts.
 func (r *Replica) FirstUnrecordedCancellation() *Job { return r.jobs[r.unrecordedCancellations[0]] }
 
-// RemoveFirstUnrecordedCancellation removes the first job from the queue, because its record shows that it
-// is no longer live.
+// RemoveFirstUnrecordedCancellation removes the first job from the queue. It is used once the
+// job's record shows that it is no longer live.
 func (r *Replica) RemoveFirstUnrecordedCancellation() {
 	r.unrecordedCancellations = r.unrecordedCancellations[1:]
 }
 
-// RequeueFirstUnrecordedCancellation moves the first job to the end of the queue. It is used while the
-// job's record is being written; the record is checked again later.
+// RequeueFirstUnrecordedCancellation moves the first job to the end of the queue. It is used while
+// the job's record is being written; the record is checked again later.
 func (r *Replica) RequeueFirstUnrecordedCancellation() {
 	r.unrecordedCancellations = append(r.unrecordedCancellations[1:], r.unrecordedCancellations[0])
 }
@@ -163,13 +165,13 @@
 	for stack := []*Job{job}; len(stack) > 0; {
 		job, stack = stack[len(stack)-1], stack[:len(stack)-1]
 		if job.Record == nil || job.Record.Spec == nil {
-			continue // propagated further when its record is first applied
+			continue // linkDependencies continues when the record is first applied
 		}
 		links, spec := job.Links, job.Record.Spec
 		if ownDeadlineMS := job.Record.AcceptedAtMS + int64(spec.DeadlineS*1000); spec.DeadlineS > 0 && (links.DeadlineMS == 0 || ownDeadlineMS < links.DeadlineMS) {
 			links.DeadlineMS = ownDeadlineMS
 		}
-		var latestStartMS int64
+		var latestStartMS int64 // deadline of the dependencies; 0: none
 		if links.DeadlineMS != 0 {
 			latestStartMS = links.DeadlineMS - r.cfg.EstimateRunTime(spec).Milliseconds() - r.cfg.HeartbeatInterval.Milliseconds()
 		}
--- a/internal/replica/dependency_list.go
+++ b/internal/replica/dependency_list.go
@@ -9,7 +9,7 @@
 )
 
 // A job's record holds short lists of dependencies itself. A list that would make the record
-// too large is stored in separate keys. These are written first, in several transactions if
+// too large is stored in separate keys. They are written first, in several transactions if
 // necessary, and the record that refers to them is written last. A stored list never changes.
 // Its name is a hash of its contents, so that a repeated submission of the same job, to any
 // controller, writes the same keys.
@@ -32,23 +32,24 @@
 // SplitDependencyList splits a list into parts whose encoded values have at most valueBytes
 // bytes each.
 func SplitDependencyList(ids []string, valueBytes int) [][]string {
-	var chunks [][]string
-	size := valueBytes
+	var parts [][]string
+	size := valueBytes // so that the first id begins a part
 	for _, id := range ids {
 		idBytes := len(id) + idOverheadBytes
 		if size+idBytes > valueBytes {
-			chunks = append(chunks, nil)
+			parts = append(parts, nil)
 			size = dependencyListHeaderBytes
 		}
-		last := len(chunks) - 1
-		chunks[last] = append(chunks[last], id)
+		last := len(parts) - 1
+		parts[last] = append(parts[last], id)
 		size += idBytes
 	}
-	return chunks
+	return parts
 }
 
-// PutDependencyList applies one key of a dependency list. The key is ignored if the record of
-// its job has been applied, and otherwise kept until then.
+// PutDependencyList stages the part of a dependency list that is stored in one key, until the
+// record of its job is applied. It ignores the key if the record has been applied already, as the
+// job is linked to its dependencies then.
 func (r *Replica) PutDependencyList(key string, list *wire.DependencyList) {
 	id := wire.DependencyListJobID(key)
 	if job := r.Find(id); job != nil && job.Record != nil {
@@ -60,15 +61,14 @@
 	r.dependencyLists[id][key] = list.JobIDs
 }
 
-// HasDependencyListKey reports whether the replica holds a key of a dependency list. The keys are
-// discarded once the record of their job has been applied.
+// HasDependencyListKey reports whether a key of a job's dependency list is staged. The staged keys
+// are discarded once the record of the job has been applied.
 func (r *Replica) HasDependencyListKey(id, key string) bool {
 	_, found := r.dependencyLists[id][key]
 	return found
 }
 
-// StagedDependencyLists returns the number of jobs whose dependency lists are kept until the
-// job's record is applied.
+// StagedDependencyLists returns the number of jobs with staged dependency lists.
 func (r *Replica) StagedDependencyLists() int { return len(r.dependencyLists) }
 
 // dependenciesInRecord returns the ids of the jobs that a record depends on, from the record
@@ -79,11 +79,11 @@
 		return record.Spec.Dependencies, true
 	}
 	for number := 1; number <= record.DependencyListKeys; number++ {
-		chunk, found := r.dependencyLists[id][wire.DependencyListKey(id, record.DependencyList, number)]
+		part, found := r.dependencyLists[id][wire.DependencyListKey(id, record.DependencyList, number)]
 		if !found {
 			return ids, false
 		}
-		ids = append(ids, chunk...)
+		ids = append(ids, part...)
 	}
 	return ids, true
 }
@@ -91,7 +91,7 @@
 // Dependencies returns the ids of the jobs that a job depends on, and reports whether the
 // list is complete. The given record was read from the state service and may be newer than
 // the replica. If it refers to a separate dependency list, the ids are taken from the job's
-// links, or from the staged keys if the job has none.
+// links, or from the staged keys if the job has no links or its record has not been applied.
 func (r *Replica) Dependencies(id string, record *wire.Job) (ids []string, complete bool) {
 	job := r.Find(id)
 	if record.DependencyList == "" || job == nil || job.Record == nil || job.Links == nil {
--- a/internal/replica/format.go
+++ b/internal/replica/format.go
@@ -32,7 +32,7 @@
 		return
 	}
 	r.agreedFormat = agreed
-	for _, index := range r.live {
+	for _, index := range r.live { // Job.LargeArray depends on the agreed format
 		if job := r.jobs[index]; job.Record.Spec != nil {
 			r.updateRecordSize(job)
 		}
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -12,8 +12,9 @@
 	taskCount int
 }
 
-// PutJob applies the record of a job. The overflow keys and the dependency list that the
-// record refers to must have been applied before.
+// PutJob applies the record of a job. The overflow keys and the dependency list that the record
+// refers to must have been applied before. The replica keeps the record and adds the tasks in the
+// overflow keys to it.
 func (r *Replica) PutJob(id string, record *wire.Job, revision uint64) {
 	r.putJob(id, record, revision)
 	delete(r.dependencyLists, id)
@@ -41,7 +42,7 @@
 		r.setLive(job, false)
 		return
 	}
-	if record.Spec != nil && job.Image < 0 {
+	if record.Spec != nil && job.Image < 0 { // the first record with the specification
 		r.indexSpec(job, record.Spec)
 		if r.loaded && !record.HasDependencies() {
 			r.observer.JobArrived(job)
@@ -76,11 +77,11 @@
 	return r.finishedRecords[key]
 }
 
-// indexSpec derives the fields of a job from its specification, with names as indices, and
-// links the job to its dependencies.
+// indexSpec sets the fields of a job that follow from its specification, with indices in place of
+// names, and links the job to its dependencies.
 func (r *Replica) indexSpec(job *Job, spec *wire.JobSpec) {
 	job.Image = r.names.Images.Index(spec.Image)
-	job.Priority = max(job.Priority, priorityOf(spec.Priority))
+	job.Priority = max(job.Priority, priorityOf(spec.Priority)) // a dependent may have raised it already
 	job.Team = r.names.Teams.Find(spec.Team)
 	if spec.Zone != "" {
 		job.Zone = r.names.Zones.Index(spec.Zone)
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -10,16 +10,17 @@
 	OverflowHeaderBytes = 16
 
 	// maxTaskListBytes limits the total size of a job's task lists, and thereby the number of
-	// its overflow keys, since each of them costs a write per change. One value holds as
-	// much at sites whose arrays have up to a hundred tasks.
+	// its overflow keys, since each of them costs a write per change. At sites whose arrays
+	// have up to a hundred tasks, a single value holds as much.
 	maxTaskListBytes = 8 << 10
 	// recordGrowthBytes is reserved for the growth of a record over its lifetime: the names
 	// of dependency lists and of a few machines on which the job failed.
 	recordGrowthBytes = 120
 	// fallbackRecordBytes is the assumed size of a record that can't be encoded.
 	fallbackRecordBytes = 2000
-	// singleTaskBytes is a generous bound for one active task and its part of the set of
-	// done tasks. singleTasksReserveBytes is reserved for the rest of the record.
+	// singleTaskBytes is a generous bound for one active task that is encoded separately and
+	// its part of the set of done tasks. singleTasksReserveBytes is reserved for the rest of
+	// the record.
 	singleTaskBytes         = 60
 	singleTasksReserveBytes = 2000
 )
@@ -43,9 +44,9 @@
 	return r.cfg.MaxValueBytes
 }
 
-// MaxTasksWithoutRuns returns the largest number of active tasks that a record can hold if each
-// task is encoded separately. An array with more tasks is a large array, whose tasks are
-// recorded as runs.
+// MaxTasksWithoutRuns returns the largest number of active tasks that a record and its overflow
+// keys can hold if each task is encoded separately. An array with more tasks is a large array,
+// whose tasks are recorded as runs.
 func (r *Replica) MaxTasksWithoutRuns() int {
 	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-singleTasksReserveBytes)/singleTaskBytes)
 }
@@ -76,8 +77,7 @@
 	return size + recordGrowthBytes
 }
 
-// updateRecordSize computes the size of a job's record without its task lists, and whether the
-// job is a large array.
+// updateRecordSize sets BaseBytes and LargeArray of a job.
 func (r *Replica) updateRecordSize(job *Job) {
 	job.BaseBytes = BaseBytes(job.Record)
 	job.LargeArray = job.Record.Spec.Shape == wire.ShapeArray && job.Record.Spec.TaskCount > r.MaxTasksWithoutRuns()
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -7,9 +7,10 @@
 	"micaport/internal/wire"
 )
 
-// Active tasks that don't fit into the value of a job's record are stored in overflow keys.
-// These change only in transactions that also change the record, so the record's revision
-// covers all of them, and conditions, quotas and proofs work as with a single key.
+// Active tasks that don't fit into the value of a job's record are stored in overflow keys. A key
+// that the record refers to changes only in transactions that also change the record. Therefore
+// the record's revision covers all of the keys, and conditions, quotas and proofs work as with a
+// single key.
 
 // PutOverflow applies an overflow key; nil deletes it. Its tasks become part of the job when
 // the job's record is applied.
@@ -48,36 +49,37 @@
 
 // tasksInKey returns the tasks that are stored in one key.
 func tasksInKey(tasks wire.ActiveTasks, key int) wire.ActiveTasks {
-	var held wire.ActiveTasks
+	var inKey wire.ActiveTasks
 	for _, task := range tasks {
 		if task.StoredIn == key {
-			held = append(held, task)
+			inKey = append(inKey, task)
 		}
 	}
-	return held
+	return inKey
 }
 
 // StoredRecord describes how the active tasks of a job are stored in the state service.
 type StoredRecord struct {
 	Tasks        wire.ActiveTasks
 	OverflowKeys int
-	// UnreadOverflowKeys is the number of overflow keys, from the first one on, whose tasks are not
-	// in Tasks. They are left unchanged.
+	// UnreadOverflowKeys is the number of overflow keys, from the first one on, that have not been
+	// read. Tasks lacks their tasks, and SplitRecord leaves these keys unchanged.
 	UnreadOverflowKeys int
 }
 
-// recordSplit distributes the active tasks of a changed record over its keys.
+// recordSplit is the computation of SplitRecord.
 type recordSplit struct {
 	replica   *Replica
 	id        string
 	record    *wire.Job
 	baseBytes int // of the record without its task lists
 	stored    StoredRecord
-	usedBytes map[int]int // size of the tasks in each key, in bytes
+	usedBytes map[int]int // bound of the size of the tasks in each key, in bytes
 }
 
-// SplitRecord returns the writes that store a changed record, that of the job's own key
-// first. Tasks stay in the key in which they are stored if possible, so that few keys change.
+// SplitRecord distributes the active tasks of a changed record over its keys, sets StoredIn of
+// each of them, and returns the writes that store the record, that of the job's own key first.
+// Tasks stay in the key in which they are stored if possible, so that few keys change.
 func (r *Replica) SplitRecord(id string, stored StoredRecord, record *wire.Job) []kv.Write {
 	split := &recordSplit{replica: r, id: id, record: record, baseBytes: BaseBytes(record), stored: stored, usedBytes: map[int]int{}}
 	tasks := record.ActiveTasks
@@ -96,7 +98,7 @@
 	return split.writes()
 }
 
-// capacity returns the size of the tasks that a key can hold, in bytes.
+// capacity returns the largest size of the tasks in a key, in bytes.
 func (s *recordSplit) capacity(key int) int {
 	if key == jobKeyNumber {
 		return s.replica.ValueBytes() - s.baseBytes - TaskRangeBytes*len(s.record.DoneTasks)
@@ -112,26 +114,26 @@
 }
 
 // evictFromOverfullKeys removes the last runs of tasks from each key whose tasks exceed its
-// capacity.
+// capacity, until the others fit, and sets usedBytes. assignKeys assigns the removed tasks again.
 func (s *recordSplit) evictFromOverfullKeys() {
 	for key := jobKeyNumber; key <= s.stored.OverflowKeys+1; key++ {
-		held := tasksInKey(s.record.ActiveTasks, key)
-		for s.usedBytes[key] = held.MaxEncodedBytes(); s.usedBytes[key] > s.capacity(key) && len(held) > 0; s.usedBytes[key] = held.MaxEncodedBytes() {
-			from, _ := held.Run(len(held) - 1)
-			s.evict(key, held[from:])
-			held = held[:from]
+		inKey := tasksInKey(s.record.ActiveTasks, key)
+		for s.usedBytes[key] = inKey.MaxEncodedBytes(); s.usedBytes[key] > s.capacity(key) && len(inKey) > 0; s.usedBytes[key] = inKey.MaxEncodedBytes() {
+			from, _ := inKey.Run(len(inKey) - 1)
+			s.evict(key, inKey[from:])
+			inKey = inKey[:from]
 		}
 	}
 }
 
 // evict removes tasks from a key and leaves them without one.
-func (s *recordSplit) evict(key int, evicted wire.ActiveTasks) {
+func (s *recordSplit) evict(key int, removed wire.ActiveTasks) {
 	tasks := s.record.ActiveTasks
 	for i := range tasks {
 		same := func(task wire.ActiveTask) bool {
 			return task.Task == tasks[i].Task && task.Attempt == tasks[i].Attempt
 		}
-		if tasks[i].StoredIn == key && slices.ContainsFunc(evicted, same) {
+		if tasks[i].StoredIn == key && slices.ContainsFunc(removed, same) {
 			tasks[i].StoredIn = 0
 		}
 	}
@@ -140,7 +142,7 @@
 // assignKeys assigns each run of tasks without a key to the first key with enough capacity.
 func (s *recordSplit) assignKeys() {
 	tasks := s.record.ActiveTasks
-	last := s.stored.OverflowKeys + 1 + len(tasks) // more than needed: the leader plans with at most OverflowKeys
+	last := s.stored.OverflowKeys + 1 + len(tasks) // an upper bound; the leader plans with at most OverflowKeys overflow keys
 	for at := 0; at < len(tasks); {
 		from, to := tasks.Run(at)
 		at = to
@@ -159,7 +161,7 @@
 	}
 }
 
-// hasUnknownTasks reports whether a key is one of StoredRecord.UnreadOverflowKeys.
+// hasUnknownTasks reports whether a key is one of those that StoredRecord.UnreadOverflowKeys counts.
 func (s *recordSplit) hasUnknownTasks(key int) bool {
 	return key > jobKeyNumber && key <= s.stored.UnreadOverflowKeys+1
 }
@@ -203,21 +205,21 @@
 	})
 }
 
-// EarlyOverflowWrites returns at most maxWrites of the given writes, those of overflow keys that the
-// stored record does not refer to yet, where storedKeys is the number of keys that it does
-// refer to. Such keys can be written in earlier transactions, as they have no effect until
-// the record refers to them. So a record that is too large for one transaction can be split
-// over several keys without any of its tasks missing from the stored state in between.
+// EarlyOverflowWrites returns the last of the given writes, at most maxWrites, of overflow keys
+// that the stored record does not refer to yet; storedKeys is the number of keys that it refers
+// to. These keys can be written in earlier transactions, as they have no effect until the record
+// refers to them. A record that is too large for one transaction can thus be split over several
+// keys, and the stored state lacks none of its tasks in between.
 func EarlyOverflowWrites(writes []kv.Write, storedKeys, maxWrites int) []kv.Write {
-	var ahead []kv.Write
-	for i := len(writes) - 1; i >= 0 && len(ahead) < maxWrites; i-- {
+	var early []kv.Write
+	for i := len(writes) - 1; i >= 0 && len(early) < maxWrites; i-- {
 		if _, isOverflow := writes[i].Value.(*wire.Overflow); isOverflow {
 			if _, number := wire.SplitOverflowKey(writes[i].Key); number > storedKeys {
-				ahead = append(ahead, writes[i])
+				early = append(early, writes[i])
 			}
 		}
 	}
-	return ahead
+	return early
 }
 
 // deleteOverflow returns writes that delete the overflow keys with the numbers from first to
--- a/internal/replica/quotas.go
+++ b/internal/replica/quotas.go
@@ -18,7 +18,7 @@
 	r.quotas = slices.Clone(r.cfg.Teams)
 }
 
-// Ledger returns the ledger of the teams' accounts. Only the replica charges it.
+// Ledger returns the ledger of the teams' accounts. Only the replica updates it.
 func (r *Replica) Ledger() *quota.Ledger { return r.ledger }
 
 // Quota returns the guarantee and the limit of a team that are in force.
@@ -43,8 +43,8 @@
 	}
 }
 
-// charge adds the demand of a job's active tasks to the charges of its team with sign 1, and
-// subtracts it with sign -1.
+// charge adds the demand of a job's active tasks to the charges of its team if sign is 1, and
+// subtracts it if sign is -1.
 func (r *Replica) charge(job *Job, sign int) {
 	if job.Record == nil || job.Record.Spec == nil || job.Team < 0 {
 		return
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -37,9 +37,9 @@
 	CurrentValueBytes int // size limit of a value until the announced reduction; 0: no such limit
 	MaxTransactionOps int // largest number of writes in one transaction
 
-	HeartbeatInterval Time         // of workers
-	WallClockMS       func() int64 // Unix ms
-	EstimateRunTime   func(*wire.JobSpec) Time
+	HeartbeatInterval time.Duration // of workers
+	WallClockMS       func() int64  // Unix ms
+	EstimateRunTime   func(*wire.JobSpec) time.Duration
 }
 
 // Names maps names to consecutive indices, in the order in which the names first occur.
@@ -90,7 +90,7 @@
 	finishedRecords map[finishedRecordKey]*wire.Job
 
 	overflow        map[string]map[int]wire.ActiveTasks // by job id and number of the key
-	dependencyLists map[string]map[string][]string      // by job id and key, until the job's record is applied
+	dependencyLists map[string]map[string][]string      // by job id and key, staged until the job's record is applied
 
 	unrecordedCancellations []int // queue of jobs that are cancelled by an ancestor, whose records may not show it yet
 
@@ -120,10 +120,10 @@
 // Revision returns the revision of the state service up to which events have been applied.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// MarkApplied records that all events up to a revision have been applied; reset is set if they
-// were a full listing.
-func (r *Replica) MarkApplied(revision uint64, reset bool) {
-	r.loaded = r.loaded || reset
+// MarkApplied records that all events up to a revision have been applied. fullListing is set if
+// they were those of a full listing.
+func (r *Replica) MarkApplied(revision uint64, fullListing bool) {
+	r.loaded = r.loaded || fullListing
 	r.revision = max(r.revision, revision)
 }
 
