--- a/internal/quota/distribution.go
+++ b/internal/quota/distribution.go
@@ -5,9 +5,9 @@
 // Demand is the input to the distribution of a team's shares, besides the account.
 type Demand struct {
 	Owned   []bool // by shard: it has an owner that may admit work
-	Blocked bool   // the leader has work that only the limit keeps from starting
-	Granted Amount // what the leader grants in the same transaction
-	Enabled bool   // whether owners may have shares; if not, all shares are revoked
+	Blocked bool   // the leader has work that only the limit prevents from starting
+	Granted Amount // amount that the leader grants in the same transaction
+	Enabled bool   // shards may have shares; if not set, all shares are revoked
 }
 
 // Reason is the reason why a team's shares are redistributed.
@@ -23,15 +23,16 @@
 )
 
 const (
-	// distributedDivisor is the divisor of the free part of the limit that gives the part to
-	// distribute. With one half, the leader, which grants the work that fits into no share,
-	// keeps as much as all owners together.
+	// distributedDivisor is the number by which the free part of the limit is divided to get
+	// the part that is distributed to the shards. The leader, which grants the work that fits
+	// into no share, keeps the other half.
 	distributedDivisor = 2
-	// refillDivisor is the divisor of the headroom of a shard: its share is raised when less
-	// than half of the headroom is idle.
+	// refillDivisor is the number by which the headroom of a shard is divided to get the
+	// minimum of the idle part of its share: the share is raised when less than half of the
+	// headroom is idle.
 	refillDivisor = 2
-	// leaderDivisor is the divisor of the free part of the limit that gives the leader's
-	// minimum: the shares are lowered when they leave the leader less than a quarter.
+	// leaderDivisor is the number by which the free part of the limit is divided to get the
+	// leader's minimum: the shares are lowered when they leave the leader less than a quarter.
 	leaderDivisor = 4
 )
 
@@ -48,7 +49,7 @@
 		return nil, Unchanged
 	}
 	quota := l.Quota(team)
-	if account.record == nil || account.record.Version == 0 {
+	if account.record == nil || account.record.Version == 0 { // no operator has changed the quota
 		quota = account.settingsQuota
 	}
 	d := newDistribution(account, quota.Limit, demand)
@@ -95,6 +96,9 @@
 	shares     []shardShare
 }
 
+// newDistribution returns the computation of a team's shares, with no shard processed yet.
+// Unassigned is at most free, as it excludes the idle parts of the shares, which the owners may be
+// using already.
 func newDistribution(account *teamAccount, limit Amount, demand Demand) *distribution {
 	chargedToLeader := account.chargedToLeader.Plus(demand.Granted)
 	return &distribution{
@@ -136,7 +140,8 @@
 	return d.free.dividedBy(distributedDivisor * owners).roundedDown()
 }
 
-// distributeTo computes the new share of a shard and returns the idle part of its current share.
+// distributeTo adds the new share of a shard, unless the shard may have none, and returns the idle
+// part of its current share. It sets the reason if the change must be written.
 func (d *distribution) distributeTo(shard int, headroom Amount) (idle Amount) {
 	share, exists := d.account.share(shard)
 	share = share.limitedResources(d.limit)
@@ -155,6 +160,8 @@
 		}
 		return idle
 	}
+	// A share is lowered to the target at once, but raised only by the amount that is certainly
+	// not in use; see Distribute.
 	target := charged.Plus(headroom)
 	lowered := share.min(target)
 	raise := target.Minus(lowered).min(d.unassigned).roundedDown()
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -32,8 +32,8 @@
 }
 
 // SetRecord sets a team's record at a revision; nil means that the record does not exist. It does
-// nothing unless the revision is newer than that of the last call. It returns the error of
-// Validate, which RecordError returns later.
+// nothing unless the revision is newer than that of the last call. It returns the error that makes
+// the new record invalid, or nil; RecordError returns the same error later.
 func (l *Ledger) SetRecord(team int, record *wire.Account, revision uint64) error {
 	account := &l.accounts[team]
 	if revision <= account.revision {
@@ -122,10 +122,9 @@
 }
 
 // MayGrant reports whether the leader may add an amount to its charge. revision is the revision
-// of its replica. A replica that contains the account but not all earlier revisions could lack
-// work that was admitted within the earlier shares, so nothing may be granted until it has
-// reached the account's revision. Nothing may be granted under a record with an invalid quota
-// either.
+// of its replica. Until the replica has reached the revision of the account's record, it may lack
+// work that owners admitted within the shares of earlier records, so nothing may be granted.
+// Nothing may be granted under a record with an invalid quota either.
 func (l *Ledger) MayGrant(team int, amount Amount, revision uint64) bool {
 	account := &l.accounts[team]
 	if account.record != nil && (revision < account.revision || account.err != nil && !account.hasValidQuota()) {
--- a/internal/quota/validate.go
+++ b/internal/quota/validate.go
@@ -17,7 +17,7 @@
 
 func amountOf(r wire.Resources) Amount { return NewAmount(r.Cores, r.GPUs) }
 
-// Errors of an account. Their texts are printed to operators.
+// Errors in an account's record. Their texts are printed to operators.
 var (
 	ErrInvalidAmount         = errors.New("an amount is not a number or is too large")
 	ErrNegative              = errors.New("an amount is negative")
@@ -28,8 +28,8 @@
 	ErrUnreadable            = errors.New("the record can't be decoded")
 )
 
-// Validate checks an account of a site with a number of shards. The error wraps one of the errors
-// of an account.
+// Validate checks an account of a site with a number of shards. The error that it returns is, or
+// wraps, one of the errors above.
 func Validate(account *wire.Account, shards int) error {
 	if account.Unreadable {
 		return ErrUnreadable
--- a/internal/quotactl/accounts.go
+++ b/internal/quotactl/accounts.go
@@ -1,5 +1,5 @@
 // Package quotactl implements the operators' commands "limits show" and "limits apply", which
-// show the accounts of teams with their usage, and change their quotas and guarantees while the
+// show the accounts of teams with their usage, and change their limits and guarantees while the
 // controllers are serving.
 package quotactl
 
--- a/internal/quotactl/apply.go
+++ b/internal/quotactl/apply.go
@@ -13,9 +13,9 @@
 // ErrTooManyTeams is returned for changes of more teams than one transaction can write.
 var ErrTooManyTeams = errors.New("more teams are changed than the state service allows in one transaction")
 
-// Apply makes all changes in one transaction, or none. If check is true it only validates them.
+// Apply makes all changes in one transaction, or none. If checkOnly is set it only validates them.
 // The error joins all violations, or is the error of records if reading or writing fails.
-func Apply(ctx context.Context, records Records, site *Site, changes []quota.Change, check bool) error {
+func Apply(ctx context.Context, records Records, site *Site, changes []quota.Change, checkOnly bool) error {
 	if err := site.checkAllUpgraded(ctx, records); err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 	if len(planned.writes) > site.TxnOps {
 		planned.violations = append(planned.violations, ErrTooManyTeams)
 	}
-	if len(planned.violations) > 0 || check {
+	if len(planned.violations) > 0 || checkOnly {
 		return errors.Join(planned.violations...)
 	}
 	return records.Commit(ctx, planned.conditions, planned.writes)
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -48,15 +48,15 @@
 	if err != nil {
 		return err
 	}
-	var behind []string
+	var notUpgraded []string
 	for _, label := range s.Controllers {
 		supported, ok := formats[wire.FormatPrefix+label].Value.(*wire.SupportedFormat)
 		if !ok || supported.Format < wire.FormatTeamAccounts {
-			behind = append(behind, label)
+			notUpgraded = append(notUpgraded, label)
 		}
 	}
-	if len(behind) > 0 {
-		return fmt.Errorf("%w: %s", quota.ErrNotAllUpgraded, strings.Join(behind, ", "))
+	if len(notUpgraded) > 0 {
+		return fmt.Errorf("%w: %s", quota.ErrNotAllUpgraded, strings.Join(notUpgraded, ", "))
 	}
 	return nil
 }
