--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -7,10 +7,10 @@
 // encoding in record_format.go.
 //
 // Messages and records are encoded as MessagePack maps. The field tags give the names of the
-// fields in the protocol, which differ from those in Go; no other package maps them. Messages
-// that controllers send each other by net/rpc are encoded by encoding/gob, which transmits the
-// names of the Go fields: these names are part of the protocol between versions and can't be
-// changed.
+// fields in the protocol, which differ from those in Go; no other package translates between
+// them. Messages that controllers send each other by net/rpc are encoded by encoding/gob, which
+// transmits the names of the Go fields: these names are part of the protocol between versions and
+// can't be changed.
 //
 // Durations are in seconds where a name ends in S and in milliseconds where it ends in MS.
 // Memory and image sizes are in GB. Numbers of cores and GPUs may be fractions.
--- a/internal/wire/gossip.go
+++ b/internal/wire/gossip.go
@@ -35,7 +35,7 @@
 	Kept     []Reservation          // of the leader: machines reserved for jobs that wait for capacity
 	Retire   []string               // of the leader: machines to drain for deprovisioning
 	Returned []string               // of the leader: machines whose deprovisioning the cloud has confirmed
-	Strays   []string               // machines of other owners that sent their heartbeats to the sender
+	Strays   []string               // machines of other owners that sent heartbeats to the sender and whose owners miss them
 	Leader   *LeaderView            // nil from versions before format 5
 }
 
@@ -58,8 +58,8 @@
 	FlagReclaimed               // the cloud has announced that it will reclaim the machine
 	FlagDraining                // its owner places no more tasks on it; it may be deprovisioned
 	FlagUnhealthy               // jobs fail on it
-	FlagUnreachable             // sends no heartbeats while its neighbours do, or does not receive replies
-	FlagUnconfirmed             // has not yet confirmed its owner's term in a heartbeat
+	FlagUnreachable             // the machine sends no heartbeats while its neighbours do, or does not receive replies
+	FlagUnconfirmed             // the machine has not yet confirmed its owner's term in a heartbeat
 )
 
 // Flags packs booleans, in the order of the constants, into the flags of a machine.
--- a/internal/wire/job_record.go
+++ b/internal/wire/job_record.go
@@ -43,9 +43,9 @@
 	JobIDs []string `msgpack:"w"`
 }
 
-// Overflow is the record of active tasks that don't fit into a job's own record. It changes only
-// in transactions that also change the job's own record, so that the revision of that record
-// covers both.
+// Overflow is the record of active tasks that don't fit into a job's own record. Once the job's own
+// record refers to it, it changes only in transactions that also change that record, whose revision
+// therefore covers both.
 type Overflow struct {
 	ActiveTasks ActiveTasks `msgpack:"ac"`
 }
--- a/internal/wire/job_spec.go
+++ b/internal/wire/job_spec.go
@@ -201,7 +201,7 @@
 }
 
 // toFloat64 converts a value of any numeric type that the decoder returns, and reports whether the
-// value is a toFloat64.
+// value is a number.
 func toFloat64(v any) (float64, bool) {
 	switch value := reflect.ValueOf(v); {
 	case value.CanFloat():
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -99,7 +99,7 @@
 type Gang struct {
 	Attempt uint64    `msgpack:"t"`
 	State   GangState `msgpack:"st"`
-	Shards  []int     `msgpack:"p"`
+	Shards  []int     `msgpack:"p"` // indices of the shards in which tasks are placed
 }
 
 // ImageCache is the record of the images that the machines in a controller's shards have cached.
--- a/internal/wire/record_format.go
+++ b/internal/wire/record_format.go
@@ -5,7 +5,7 @@
 // docs/design.md. Format 1 is the format of the first version.
 const (
 	FormatDependencies    = 2 // dependencies between jobs; overflow keys for active tasks
-	FormatDependencyLists = 3 // overflow keys for long lists of dependencies
+	FormatDependencyLists = 3 // separate keys for long lists of dependencies
 	FormatTeamAccounts    = 4 // accounts of teams; tasks admitted by shard owners
 	FormatEarlyFailover   = 5 // leaders that may be replaced before their lease expires, leader heartbeats, takeover records
 
