--- a/internal/quota/distribution.go
+++ b/internal/quota/distribution.go
@@ -113,7 +113,7 @@
 	headroom := d.headroom()
 	idle := Amount{}
 	for shard := range d.account.chargedToShares {
-		idle = idle.Plus(d.distributeTo(shard, headroom))
+		idle = idle.Plus(d.addShare(shard, headroom))
 	}
 	// When usage has grown, the shares may contain most of the free part of the limit, and the
 	// leader would soon have nothing left to grant.
@@ -140,9 +140,9 @@
 	return d.free.dividedBy(distributedDivisor * owners).roundedDown()
 }
 
-// distributeTo adds the new share of a shard, unless the shard may have none, and returns the idle
+// addShare adds the new share of a shard, unless the shard may have none, and returns the idle
 // part of its current share. It sets the reason if the change must be written.
-func (d *distribution) distributeTo(shard int, headroom Amount) (idle Amount) {
+func (d *distribution) addShare(shard int, headroom Amount) (idle Amount) {
 	share, exists := d.account.share(shard)
 	share = share.limitedResources(d.limit)
 	charged := d.account.chargedToShares[shard].limitedResources(d.limit)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -86,12 +86,12 @@
 	m.terms[i] = m.revision
 	a := &actor{term: m.revision, ledger: NewLedger([]Quota{{Limit: NewAmount(0, modelLimit)}}, modelShards), revision: m.revision}
 	m.actors[i] = a
-	m.catchUp(a, len(m.events))
+	m.applyEvents(a, len(m.events))
 	a.revision = m.revision
 }
 
-// catchUp applies the events before an index to an actor's replica.
-func (m *model) catchUp(a *actor, upTo int) {
+// applyEvents applies the events before an index to an actor's replica.
+func (m *model) applyEvents(a *actor, upTo int) {
 	for ; a.seenEvents < upTo; a.seenEvents++ {
 		e := m.events[a.seenEvents]
 		switch {
@@ -125,7 +125,7 @@
 			m.sendCommit(i, a, NewAmount(0, float64(1+m.choose("GPUs", 4))))
 		}
 	case 4, 5:
-		m.catchUp(a, min(len(m.events), a.seenEvents+1+m.choose("events", 4)))
+		m.applyEvents(a, min(len(m.events), a.seenEvents+1+m.choose("events", 4)))
 	case 6, 7, 8:
 		if len(m.inFlight) > 0 {
 			at := m.choose("commit", len(m.inFlight))
--- a/internal/quotactl/apply.go
+++ b/internal/quotactl/apply.go
@@ -31,7 +31,7 @@
 	if err := site.checkCapacity(planned.accounts, machineTypes); err != nil {
 		planned.violations = append(planned.violations, err)
 	}
-	if len(planned.writes) > site.TxnOps {
+	if len(planned.writes) > site.MaxTransactionOps {
 		planned.violations = append(planned.violations, ErrTooManyTeams)
 	}
 	if len(planned.violations) > 0 || checkOnly {
--- a/internal/quotactl/quotactl_test.go
+++ b/internal/quotactl/quotactl_test.go
@@ -60,7 +60,7 @@
 	records.write(wire.MachineTypesKey, &wire.MachineTypeCache{Types: []wire.MachineType{{Name: "g2", Cores: 16, GPUs: 2}}})
 	return records, &Site{
 		Shards: ownership.ShardIDs([]string{"a", "b"}, []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "b"}}), Controllers: []string{"n0", "n1"},
-		Teams: []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 4, MaxGPUs: 8}}, TxnOps: 4, MaxMachines: 6,
+		Teams: []config.Team{{Name: "red", GuaranteedGPUs: 4, MaxGPUs: 8}, {Name: "blue", GuaranteedGPUs: 4, MaxGPUs: 8}}, MaxTransactionOps: 4, MaxMachines: 6,
 	}
 }
 
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -22,16 +22,16 @@
 
 // Site contains the settings of a deployment that the commands use.
 type Site struct {
-	Shards      []ownership.ShardID // in the order of their indices in records
-	Controllers []string            // labels
-	Teams       []config.Team
-	TxnOps      int // maximum number of writes in a transaction
-	MaxMachines int // limit that operators set; 0 means no limit
+	Shards            []ownership.ShardID // in the order of their indices in records
+	Controllers       []string            // labels
+	Teams             []config.Team
+	MaxTransactionOps int // maximum number of writes in a transaction
+	MaxMachines       int // limit that operators set; 0 means no limit
 }
 
 // NewSite returns the site that the settings define.
 func NewSite(settings *config.Settings, operator config.OperatorSettings) *Site {
-	site := &Site{Teams: settings.Deployment.Teams, TxnOps: settings.StateLimits().TxnOps, MaxMachines: operator.MaxMachines}
+	site := &Site{Teams: settings.Deployment.Teams, MaxTransactionOps: settings.StateLimits().TxnOps, MaxMachines: operator.MaxMachines}
 	var members []ownership.Member
 	for _, controller := range settings.Controllers() {
 		members = append(members, ownership.Member{Name: controller.Label, Zone: controller.Zone})
--- a/internal/replica/dependencies.go
+++ b/internal/replica/dependencies.go
@@ -77,7 +77,7 @@
 		}
 		links.NotDoneCount++
 		if dependency.Record != nil && dependency.State() == wire.JobCancelled {
-			r.markCancelled(job)
+			r.markAncestorCancelled(job)
 			continue
 		}
 		upstream := dependency.ensureLinks()
@@ -98,9 +98,9 @@
 	}
 }
 
-// notifyDependents updates the direct dependents of a job that is done, or all descendants of a
-// job that is cancelled, and removes the links of the job. It does nothing if the job is live.
-func (r *Replica) notifyDependents(job *Job) {
+// propagateFinalState updates the direct dependents of a job that is done, or all descendants of
+// a job that is cancelled, and removes the links of the job. It does nothing if the job is live.
+func (r *Replica) propagateFinalState(job *Job) {
 	links := job.Links
 	if links == nil || job.Record.State == wire.JobLive {
 		return
@@ -111,7 +111,7 @@
 			continue // the dependent is finished
 		}
 		if job.Record.State == wire.JobCancelled {
-			r.markCancelled(dependent)
+			r.markAncestorCancelled(dependent)
 		} else if dependent.Links.NotDoneCount--; dependent.Links.NotDoneCount == 0 {
 			r.markReady(dependent)
 		}
@@ -119,10 +119,10 @@
 	job.Links = nil // finished jobs are never deleted and numerous, so this saves memory
 }
 
-// markCancelled sets AncestorCancelled of a job and of all its descendants that are live, and adds
-// them to unrecordedCancellations. It visits each of them once, with an explicit stack instead of
-// recursion because chains of dependencies may be deep.
-func (r *Replica) markCancelled(job *Job) {
+// markAncestorCancelled sets AncestorCancelled of a job and of all its descendants that are live,
+// and adds them to unrecordedCancellations. It visits each of them once, with an explicit stack
+// instead of recursion because chains of dependencies may be deep.
+func (r *Replica) markAncestorCancelled(job *Job) {
 	for stack := []*Job{job}; len(stack) > 0; {
 		job, stack = stack[len(stack)-1], stack[:len(stack)-1]
 		links := job.Links
--- a/internal/replica/dependency_list.go
+++ b/internal/replica/dependency_list.go
@@ -55,21 +55,21 @@
 	if job := r.Find(id); job != nil && job.Record != nil {
 		return
 	}
-	if r.dependencyLists[id] == nil {
-		r.dependencyLists[id] = map[string][]string{}
+	if r.stagedDependencyLists[id] == nil {
+		r.stagedDependencyLists[id] = map[string][]string{}
 	}
-	r.dependencyLists[id][key] = list.JobIDs
+	r.stagedDependencyLists[id][key] = list.JobIDs
 }
 
 // HasDependencyListKey reports whether a key of a job's dependency list is staged. The staged keys
 // are discarded once the record of the job has been applied.
 func (r *Replica) HasDependencyListKey(id, key string) bool {
-	_, found := r.dependencyLists[id][key]
+	_, found := r.stagedDependencyLists[id][key]
 	return found
 }
 
 // StagedDependencyLists returns the number of jobs with staged dependency lists.
-func (r *Replica) StagedDependencyLists() int { return len(r.dependencyLists) }
+func (r *Replica) StagedDependencyLists() int { return len(r.stagedDependencyLists) }
 
 // dependenciesInRecord returns the ids of the jobs that a record depends on, from the record
 // itself or from the staged keys of its dependency list, and reports whether the list is
@@ -79,7 +79,7 @@
 		return record.Spec.Dependencies, true
 	}
 	for number := 1; number <= record.DependencyListKeys; number++ {
-		part, found := r.dependencyLists[id][wire.DependencyListKey(id, record.DependencyList, number)]
+		part, found := r.stagedDependencyLists[id][wire.DependencyListKey(id, record.DependencyList, number)]
 		if !found {
 			return ids, false
 		}
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -16,13 +16,13 @@
 // refers to must have been applied before. The replica keeps the record and adds the tasks in the
 // overflow keys to it.
 func (r *Replica) PutJob(id string, record *wire.Job, revision uint64) {
-	r.putJob(id, record, revision)
-	delete(r.dependencyLists, id)
+	r.applyRecord(id, record, revision)
+	delete(r.stagedDependencyLists, id)
 }
 
-// putJob applies the record of a job, or its absence if record is nil. It ignores revisions
+// applyRecord applies the record of a job, or its absence if record is nil. It ignores revisions
 // that are not newer than the applied one.
-func (r *Replica) putJob(id string, record *wire.Job, revision uint64) {
+func (r *Replica) applyRecord(id string, record *wire.Job, revision uint64) {
 	job := r.findOrAdd(id)
 	if revision <= job.Revision {
 		return
@@ -43,12 +43,12 @@
 		return
 	}
 	if record.Spec != nil && job.Image < 0 { // the first record with the specification
-		r.indexSpec(job, record.Spec)
+		r.applySpec(job, record.Spec)
 		if r.loaded && !record.HasDependencies() {
 			r.observer.JobArrived(job)
 		}
 	}
-	r.notifyDependents(job)
+	r.propagateFinalState(job)
 	r.observer.JobChanged(job)
 	r.charge(job, 1)
 	job.Unplaced = countUnplaced(record)
@@ -77,9 +77,9 @@
 	return r.finishedRecords[key]
 }
 
-// indexSpec sets the fields of a job that follow from its specification, with indices in place of
+// applySpec sets the fields of a job that follow from its specification, with indices in place of
 // names, and links the job to its dependencies.
-func (r *Replica) indexSpec(job *Job, spec *wire.JobSpec) {
+func (r *Replica) applySpec(job *Job, spec *wire.JobSpec) {
 	job.Image = r.names.Images.Index(spec.Image)
 	job.Priority = max(job.Priority, priorityOf(spec.Priority)) // a dependent may have raised it already
 	job.Team = r.names.Teams.Find(spec.Team)
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -18,11 +18,11 @@
 	recordGrowthBytes = 120
 	// fallbackRecordBytes is the assumed size of a record that can't be encoded.
 	fallbackRecordBytes = 2000
-	// singleTaskBytes is a generous bound for one active task that is encoded separately and
-	// its part of the set of done tasks. singleTasksReserveBytes is reserved for the rest of
-	// the record.
-	singleTaskBytes         = 60
-	singleTasksReserveBytes = 2000
+	// separateTaskBytes is a generous bound for one active task that is encoded separately and
+	// its part of the set of done tasks. recordReserveBytes is reserved for the rest of the
+	// record.
+	separateTaskBytes  = 60
+	recordReserveBytes = 2000
 )
 
 // OverflowKeys returns the number of overflow keys per job that the leader plans with. All of
@@ -48,7 +48,7 @@
 // keys can hold if each task is encoded separately. An array with more tasks is a large array,
 // whose tasks are recorded as runs.
 func (r *Replica) MaxTasksWithoutRuns() int {
-	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-singleTasksReserveBytes)/singleTaskBytes)
+	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-recordReserveBytes)/separateTaskBytes)
 }
 
 // TaskListBytes returns an upper bound of the size of the task lists in a record.
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -93,7 +93,7 @@
 	if stored.UnreadOverflowKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber)*3/4 {
 		split.moveAllToJobKey() // all tasks fit into the job's own key again, with a margin
 	}
-	split.evictFromOverfullKeys()
+	split.unassignExcessTasks()
 	split.assignKeys()
 	return split.writes()
 }
@@ -113,21 +113,21 @@
 	}
 }
 
-// evictFromOverfullKeys removes the last runs of tasks from each key whose tasks exceed its
+// unassignExcessTasks removes the last runs of tasks from each key whose tasks exceed its
 // capacity, until the others fit, and sets usedBytes. assignKeys assigns the removed tasks again.
-func (s *recordSplit) evictFromOverfullKeys() {
+func (s *recordSplit) unassignExcessTasks() {
 	for key := jobKeyNumber; key <= s.stored.OverflowKeys+1; key++ {
 		inKey := tasksInKey(s.record.ActiveTasks, key)
 		for s.usedBytes[key] = inKey.MaxEncodedBytes(); s.usedBytes[key] > s.capacity(key) && len(inKey) > 0; s.usedBytes[key] = inKey.MaxEncodedBytes() {
 			from, _ := inKey.Run(len(inKey) - 1)
-			s.evict(key, inKey[from:])
+			s.unassign(key, inKey[from:])
 			inKey = inKey[:from]
 		}
 	}
 }
 
-// evict removes tasks from a key and leaves them without one.
-func (s *recordSplit) evict(key int, removed wire.ActiveTasks) {
+// unassign removes tasks from a key and leaves them without one.
+func (s *recordSplit) unassign(key int, removed wire.ActiveTasks) {
 	tasks := s.record.ActiveTasks
 	for i := range tasks {
 		same := func(task wire.ActiveTask) bool {
@@ -151,7 +151,7 @@
 		}
 		maxBytes := wire.MaxRunBytes(tasks[from].Machine) + wire.MaxGroupOverheadBytes
 		key := jobKeyNumber
-		for key < last && (s.hasUnknownTasks(key) || s.usedBytes[key]+maxBytes > s.capacity(key)) {
+		for key < last && (s.isUnread(key) || s.usedBytes[key]+maxBytes > s.capacity(key)) {
 			key++
 		}
 		s.usedBytes[key] += maxBytes
@@ -161,8 +161,8 @@
 	}
 }
 
-// hasUnknownTasks reports whether a key is one of those that StoredRecord.UnreadOverflowKeys counts.
-func (s *recordSplit) hasUnknownTasks(key int) bool {
+// isUnread reports whether a key is one of those that StoredRecord.UnreadOverflowKeys counts.
+func (s *recordSplit) isUnread(key int) bool {
 	return key > jobKeyNumber && key <= s.stored.UnreadOverflowKeys+1
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -89,8 +89,8 @@
 	live            []int  // indices of jobs that are unfinished or still have active tasks, ascending
 	finishedRecords map[finishedRecordKey]*wire.Job
 
-	overflow        map[string]map[int]wire.ActiveTasks // by job id and number of the key
-	dependencyLists map[string]map[string][]string      // by job id and key, staged until the job's record is applied
+	overflow              map[string]map[int]wire.ActiveTasks // by job id and number of the key
+	stagedDependencyLists map[string]map[string][]string      // by job id and key, until the job's record is applied
 
 	unrecordedCancellations []int // queue of jobs that are cancelled by an ancestor, whose records may not show it yet
 
@@ -105,10 +105,10 @@
 func New(cfg Config, names *Names, observer Observer) *Replica {
 	r := &Replica{
 		cfg: cfg, names: names, observer: observer,
-		finishedRecords:  map[finishedRecordKey]*wire.Job{},
-		overflow:         map[string]map[int]wire.ActiveTasks{},
-		dependencyLists:  map[string]map[string][]string{},
-		supportedFormats: map[string]int{},
+		finishedRecords:       map[finishedRecordKey]*wire.Job{},
+		overflow:              map[string]map[int]wire.ActiveTasks{},
+		stagedDependencyLists: map[string]map[string][]string{},
+		supportedFormats:      map[string]int{},
 	}
 	r.initQuotas()
 	return r
@@ -158,7 +158,7 @@
 func (r *Replica) DeleteUnlisted(listed map[string]bool, revision uint64) {
 	for _, job := range r.jobs {
 		if job.Record != nil && !listed[wire.JobKey(job.ID)] {
-			r.putJob(job.ID, nil, revision)
+			r.applyRecord(job.ID, nil, revision)
 		}
 	}
 	for i := range r.cfg.Teams {
