--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -51,7 +51,7 @@
 		provisionedAt := site.now - Time(entry.AgeS*float64(second))
 		booting := a.booting[entry.Name]
 		if booting == nil {
-			booting = &bootingMachine{pool: machinePool{site.names.MachineTypes.Index(entry.MachineType), site.names.Zones.Index(entry.Zone), entry.Spot}, provisionedAt: provisionedAt}
+			booting = &bootingMachine{pool: machinePool{site.names.MachineTypes.Intern(entry.MachineType), site.names.Zones.Intern(entry.Zone), entry.Spot}, provisionedAt: provisionedAt}
 			a.booting[entry.Name] = booting
 		}
 		booting.listed = true
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -104,7 +104,7 @@
 func (n *Node) setMachineTypes(types []wire.MachineType) {
 	n.offeredTypes = types
 	for i := range types {
-		index := n.names.MachineTypes.Index(types[i].Name)
+		index := n.names.MachineTypes.Intern(types[i].Name)
 		for len(n.machineTypes) <= index {
 			n.machineTypes = append(n.machineTypes, nil)
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -62,10 +62,10 @@
 		n.cfg.Format = wire.Format
 	}
 	for _, zone := range slices.Sorted(slices.Values(cfg.Zones)) {
-		n.names.Zones.Index(zone)
+		n.names.Zones.Intern(zone)
 	}
 	for i := range cfg.Teams {
-		n.names.Teams.Index(cfg.Teams[i].Name)
+		n.names.Teams.Intern(cfg.Teams[i].Name)
 	}
 	n.initOwnership()
 	n.initLeadership()
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -86,7 +86,7 @@
 	}
 	n.setShard(machine, index)
 	if machineType := messageName(message, info.Rig); machineType != "" {
-		machine.machineType = n.names.MachineTypes.Index(machineType)
+		machine.machineType = n.names.MachineTypes.Intern(machineType)
 	}
 	machine.spot = info.Flags&wire.FlagSpot != 0
 	n.setView(machine, decodeView(info), term)
@@ -95,7 +95,7 @@
 		machine.bouncedAt = 0 // its heartbeats reach its owner again
 	}
 	for _, image := range info.Images {
-		machine.images.Add(n.names.Images.Index(messageName(message, image)))
+		machine.images.Add(n.names.Images.Intern(messageName(message, image)))
 	}
 }
 
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -48,7 +48,7 @@
 			b.remainingBytes -= len(name) + cachedNameBytes
 		}
 		if b.remainingBytes -= cachedIndexBytes; b.remainingBytes > 0 {
-			b.record.Machines[machine.name] = append(b.record.Machines[machine.name], b.names.Index(name))
+			b.record.Machines[machine.name] = append(b.record.Machines[machine.name], b.names.Intern(name))
 			b.imageCount++
 		}
 	})
@@ -95,7 +95,7 @@
 		machine := n.getOrAddMachine(name)
 		for _, image := range record.Machines[name] {
 			if image >= 0 && image < len(record.Names) {
-				machine.images.Add(n.names.Images.Index(record.Names[image]))
+				machine.images.Add(n.names.Images.Intern(record.Names[image]))
 			}
 		}
 	}
--- a/internal/core/topology.go
+++ b/internal/core/topology.go
@@ -23,7 +23,7 @@
 
 // getOrAddMachine returns the machine with a name, and adds it if the name is not known.
 func (t *topology) getOrAddMachine(name string) *machine {
-	index := t.names.Machines.Index(name)
+	index := t.names.Machines.Intern(name)
 	if index == len(t.machines) {
 		t.machines = append(t.machines, &machine{index: index, name: name, shard: -1, machineType: -1, zone: -1})
 	}
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -75,12 +75,12 @@
 // message refers to by index.
 func (s *site) encodeView(machine *machine, names *wire.Interner) wire.MachineInfo {
 	view := &machine.view
-	info := wire.MachineInfo{Name: machine.name, Zone: names.Index(s.names.Zones.Name(machine.zone)), Errors: view.failedJobCount,
+	info := wire.MachineInfo{Name: machine.name, Zone: names.Intern(s.names.Zones.Name(machine.zone)), Errors: view.failedJobCount,
 		Flags: wire.Flags(machine.spot, view.reclaimPending, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<missedHeartbeatsShift}
 	if machine.machineType >= 0 {
-		info.Rig = names.Index(s.names.MachineTypes.Name(machine.machineType))
+		info.Rig = names.Intern(s.names.MachineTypes.Name(machine.machineType))
 	}
-	machine.images.Each(func(image int) { info.Images = append(info.Images, names.Index(s.names.Images.Name(image))) })
+	machine.images.Each(func(image int) { info.Images = append(info.Images, names.Intern(s.names.Images.Name(image))) })
 	return info
 }
 
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -23,7 +23,7 @@
 		return
 	}
 	n.setShard(machine, index)
-	machine.machineType = n.names.MachineTypes.Index(heartbeat.MachineType)
+	machine.machineType = n.names.MachineTypes.Intern(heartbeat.MachineType)
 	machine.spot = heartbeat.Spot
 	machine.address = heartbeat.Addr
 	if !n.replica.Loaded() || !n.mayActAsOwner(shard) || heartbeat.Token > shard.Term {
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -80,16 +80,16 @@
 // applySpec sets the fields of a job that follow from its specification, with indices in place of
 // names, and links the job to its dependencies.
 func (r *Replica) applySpec(job *Job, spec *wire.JobSpec) {
-	job.Image = r.names.Images.Index(spec.Image)
+	job.Image = r.names.Images.Intern(spec.Image)
 	job.Priority = max(job.Priority, priorityOf(spec.Priority)) // a dependent may have raised it already
 	job.Team = r.names.Teams.Find(spec.Team)
 	if spec.Zone != "" {
-		job.Zone = r.names.Zones.Index(spec.Zone)
+		job.Zone = r.names.Zones.Intern(spec.Zone)
 	}
 	job.AllowSpot, job.AnyType = spec.AllowSpot, len(spec.MachineTypes) == 0 && !spec.NoMachineTypes
 	r.updateRecordSize(job)
 	for _, name := range spec.MachineTypes {
-		job.MachineTypes.Add(r.names.MachineTypes.Index(name))
+		job.MachineTypes.Add(r.names.MachineTypes.Intern(name))
 	}
 	r.linkDependencies(job)
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -144,7 +144,7 @@
 
 // findOrAdd returns the job with an id, and adds a job without a record if the id is new.
 func (r *Replica) findOrAdd(id string) *Job {
-	index := r.names.Jobs.Index(id)
+	index := r.names.Jobs.Intern(id)
 	if index == len(r.jobs) {
 		job := &Job{Index: index, ID: id, Image: -1, Team: -1, Zone: -1}
 		r.jobs = append(r.jobs, job)
--- a/internal/wire/interner.go
+++ b/internal/wire/interner.go
@@ -7,8 +7,8 @@
 	names []string
 }
 
-// Index returns the index of a name, assigning the next one if the name is new.
-func (n *Interner) Index(name string) int {
+// Intern returns the index of a name, assigning the next one if the name is new.
+func (n *Interner) Intern(name string) int {
 	if i, known := n.index[name]; known {
 		return i
 	}
