--- a/internal/quota/distribution.go
+++ b/internal/quota/distribution.go
@@ -4,7 +4,7 @@
 
 // Demand is the input to the distribution of a team's shares, besides the account.
 type Demand struct {
-	Owned   []bool // by shard: it has an owner that may admit work
+	Owned   []bool // by shard: it has an owner, other than the leader, that may admit work
 	Blocked bool   // the leader has work that only the limit prevents from starting
 	Granted Amount // amount that the leader grants in the same transaction
 	Enabled bool   // shards may have shares; if not set, all shares are revoked
