--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -15,9 +15,9 @@
 // startCount counts the jobs of one kind and those of them that have started.
 type startCount struct{ started, total int }
 
-// findUnderservedJobKinds returns a fault for each kind of jobs of which fewer than half have started by
-// the end of a scenario. The kinds are each class, each team, and the largest jobs of each
-// class, which must have started within largestJobStartLimit.
+// findUnderservedJobKinds returns a fault for each kind of jobs of which fewer than half have
+// started by the end of a scenario. The kinds are each class, each team, and the largest jobs of
+// each class, which must have started within largestJobStartLimit.
 func (r *ruleChecker) findUnderservedJobKinds() []string {
 	var eligible []*simUser
 	largest := map[string]int{}
