--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -52,7 +52,7 @@
 		provisionedAt := site.now - Time(entry.AgeS*float64(second))
 		booting := a.booting[entry.Name]
 		if booting == nil {
-			booting = &bootingMachine{pool: machinePool{site.names.MachineTypes.Of(entry.MachineType), site.names.Zones.Of(entry.Zone), entry.Spot}, provisionedAt: provisionedAt}
+			booting = &bootingMachine{pool: machinePool{site.names.MachineTypes.Intern(entry.MachineType), site.names.Zones.Intern(entry.Zone), entry.Spot}, provisionedAt: provisionedAt}
 			a.booting[entry.Name] = booting
 		}
 		booting.listed = true
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -63,7 +63,7 @@
 		return
 	}
 	b.inFlight = false
-	n.log(LogDebug, "batch attempt ended", "role", b.role, "writes", len(b.writes), "outcome", int(result.Outcome))
+	n.log(LogDebug, "batch committed", "role", b.role, "writes", len(b.writes), "outcome", int(result.Outcome))
 	switch result.Outcome {
 	case kv.OK:
 		b.awaitedRevision = max(result.Revision, 1)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -16,12 +16,12 @@
 // controllers need less memory for the jobs.
 func (n *Node) recordCancellations(writer *writer) {
 	for n.replica.UnrecordedCancellations() > 0 {
-		job := n.jobs[n.replica.FirstUnrecorded().Index]
+		job := n.jobs[n.replica.FirstUnrecordedCancellation().Index]
 		if job.Record == nil {
 			return
 		}
 		if job.Record.State != wire.JobLive {
-			n.replica.DropFirstUnrecorded()
+			n.replica.RemoveFirstUnrecordedCancellation()
 			continue
 		}
 		record := writer.recordToChange(job)
@@ -29,7 +29,7 @@
 			return
 		}
 		record.State = wire.JobCancelled
-		n.replica.RequeueFirstUnrecorded() // the job is checked again until the replica shows the change
+		n.replica.RequeueFirstUnrecordedCancellation() // the job is checked again until the replica shows the change
 		// The requeued jobs stay in the queue, so the loop must end when the transaction changes
 		// all of them. If the transaction also changes other jobs, the loop ends earlier.
 		if len(writer.changedJobs) >= n.replica.UnrecordedCancellations() {
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -120,7 +120,7 @@
 // tasks and ranges of done tasks.
 func (s *site) jobRecordFits(record *wire.Job) bool {
 	const reservedRuns = 2
-	return replica.BaseBytes(record)+reservedRuns*(s.taskRunBytes()+wire.GroupCost+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
+	return replica.BaseBytes(record)+reservedRuns*(s.taskRunBytes()+wire.MaxGroupOverheadBytes+replica.TaskRangeBytes) <= s.cfg.MaxValueBytes
 }
 
 // Reasons why a job can never run.
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -23,7 +23,7 @@
 		return
 	}
 	n.setShard(machine, index)
-	machine.machineType = n.names.MachineTypes.Of(heartbeat.MachineType)
+	machine.machineType = n.names.MachineTypes.Intern(heartbeat.MachineType)
 	machine.spot = heartbeat.Spot
 	machine.address = heartbeat.Addr
 	// A token above the term was issued under a claim that this replica does not show yet.
--- a/internal/quotactl/site.go
+++ b/internal/quotactl/site.go
@@ -22,16 +22,16 @@
 
 // Site contains the settings of a deployment that the commands use.
 type Site struct {
-	Shards      []ownership.ShardID // in the order of their indices in records
-	Controllers []string            // labels
-	Teams       []config.Team
-	TxnOps      int // maximum number of writes in a transaction
-	MaxMachines int // limit that operators set; 0 means no limit
+	Shards            []ownership.ShardID // in the order of their indices in records
+	Controllers       []string            // labels
+	Teams             []config.Team
+	MaxTransactionOps int // maximum number of writes in a transaction
+	MaxMachines       int // limit that operators set; 0 means no limit
 }
 
 // NewSite returns the site that the settings define.
 func NewSite(settings *config.Settings, operator config.OperatorSettings) *Site {
-	site := &Site{Teams: settings.Deployment.Teams, TxnOps: settings.StateLimits().TxnOps, MaxMachines: operator.MaxMachines}
+	site := &Site{Teams: settings.Deployment.Teams, MaxTransactionOps: settings.StateLimits().TxnOps, MaxMachines: operator.MaxMachines}
 	var members []ownership.Member
 	for _, controller := range settings.Controllers() {
 		members = append(members, ownership.Member{Name: controller.Label, Zone: controller.Zone})
@@ -48,15 +48,15 @@
 	if err != nil {
 		return err
 	}
-	var behind []string
+	var notUpgraded []string
 	for _, label := range s.Controllers {
 		supported, ok := formats[wire.FormatPrefix+label].Value.(*wire.SupportedFormat)
 		if !ok || supported.Format < wire.FormatTeamAccounts {
-			behind = append(behind, label)
+			notUpgraded = append(notUpgraded, label)
 		}
 	}
-	if len(behind) > 0 {
-		return fmt.Errorf("%w: %s", quota.ErrNotAllUpgraded, strings.Join(behind, ", "))
+	if len(notUpgraded) > 0 {
+		return fmt.Errorf("%w: %s", quota.ErrNotAllUpgraded, strings.Join(notUpgraded, ", "))
 	}
 	return nil
 }
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -12,16 +12,17 @@
 	taskCount int
 }
 
-// PutJob applies the record of a job. The overflow keys and the dependency list that the
-// record refers to must have been applied before.
+// PutJob applies the record of a job. The overflow keys and the dependency list that the record
+// refers to must have been applied before. The replica keeps the record and adds the tasks in the
+// overflow keys to it.
 func (r *Replica) PutJob(id string, record *wire.Job, revision uint64) {
-	r.putJob(id, record, revision)
-	delete(r.dependencyLists, id)
+	r.applyRecord(id, record, revision)
+	delete(r.stagedDependencyLists, id)
 }
 
-// putJob applies the record of a job, or its absence if record is nil. It ignores revisions
+// applyRecord applies the record of a job, or its absence if record is nil. It ignores revisions
 // that are not newer than the applied one.
-func (r *Replica) putJob(id string, record *wire.Job, revision uint64) {
+func (r *Replica) applyRecord(id string, record *wire.Job, revision uint64) {
 	job := r.findOrAdd(id)
 	if revision <= job.Revision {
 		return
@@ -41,13 +42,13 @@
 		r.setLive(job, false)
 		return
 	}
-	if record.Spec != nil && job.Image < 0 {
-		r.indexSpec(job, record.Spec)
+	if record.Spec != nil && job.Image < 0 { // the first record with the specification
+		r.applySpec(job, record.Spec)
 		if r.loaded && !record.HasDependencies() {
 			r.observer.JobArrived(job)
 		}
 	}
-	r.notifyDependents(job)
+	r.propagateFinalState(job)
 	r.observer.JobChanged(job)
 	r.charge(job, 1)
 	job.Unplaced = countUnplaced(record)
@@ -76,19 +77,19 @@
 	return r.finishedRecords[key]
 }
 
-// indexSpec derives the fields of a job from its specification, with names as indices, and
-// links the job to its dependencies.
-func (r *Replica) indexSpec(job *Job, spec *wire.JobSpec) {
-	job.Image = r.names.Images.Of(spec.Image)
-	job.Priority = max(job.Priority, priorityOf(spec.Priority))
+// applySpec sets the fields of a job that follow from its specification, with indices in place of
+// names, and links the job to its dependencies.
+func (r *Replica) applySpec(job *Job, spec *wire.JobSpec) {
+	job.Image = r.names.Images.Intern(spec.Image)
+	job.Priority = max(job.Priority, priorityOf(spec.Priority)) // a dependent may have raised it already
 	job.Team = r.names.Teams.Find(spec.Team)
 	if spec.Zone != "" {
-		job.Zone = r.names.Zones.Of(spec.Zone)
+		job.Zone = r.names.Zones.Intern(spec.Zone)
 	}
 	job.AllowSpot, job.AnyType = spec.AllowSpot, len(spec.MachineTypes) == 0 && !spec.NoMachineTypes
 	r.updateRecordSize(job)
 	for _, name := range spec.MachineTypes {
-		job.MachineTypes.Add(r.names.MachineTypes.Of(name))
+		job.MachineTypes.Add(r.names.MachineTypes.Intern(name))
 	}
 	r.linkDependencies(job)
 }
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -10,18 +10,19 @@
 	OverflowHeaderBytes = 16
 
 	// maxTaskListBytes limits the total size of a job's task lists, and thereby the number of
-	// its overflow keys, since each of them costs a write per change. One value holds as
-	// much at sites whose arrays have up to a hundred tasks.
+	// its overflow keys, since each of them costs a write per change. At sites whose arrays
+	// have up to a hundred tasks, a single value holds as much.
 	maxTaskListBytes = 8 << 10
 	// recordGrowthBytes is reserved for the growth of a record over its lifetime: the names
 	// of dependency lists and of a few machines on which the job failed.
 	recordGrowthBytes = 120
 	// fallbackRecordBytes is the assumed size of a record that can't be encoded.
 	fallbackRecordBytes = 2000
-	// singleTaskBytes is a generous bound for one active task and its part of the set of
-	// done tasks. singleTasksReserveBytes is reserved for the rest of the record.
-	singleTaskBytes         = 60
-	singleTasksReserveBytes = 2000
+	// separateTaskBytes is a generous bound for one active task that is encoded separately and
+	// its part of the set of done tasks. recordReserveBytes is reserved for the rest of the
+	// record.
+	separateTaskBytes  = 60
+	recordReserveBytes = 2000
 )
 
 // OverflowKeys returns the number of overflow keys per job that the leader plans with. All of
@@ -43,11 +44,11 @@
 	return r.cfg.MaxValueBytes
 }
 
-// MaxSingleTasks returns the largest number of active tasks that a record can hold if each
-// task is encoded separately. An array with more tasks is a large array, whose tasks are
-// recorded as runs.
-func (r *Replica) MaxSingleTasks() int {
-	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-singleTasksReserveBytes)/singleTaskBytes)
+// MaxTasksWithoutRuns returns the largest number of active tasks that a record and its overflow
+// keys can hold if each task is encoded separately. An array with more tasks is a large array,
+// whose tasks are recorded as runs.
+func (r *Replica) MaxTasksWithoutRuns() int {
+	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-recordReserveBytes)/separateTaskBytes)
 }
 
 // TaskListBytes returns an upper bound of the size of the task lists in a record.
@@ -76,9 +77,8 @@
 	return size + recordGrowthBytes
 }
 
-// updateRecordSize computes the size of a job's record without its task lists, and whether the
-// job is a large array.
+// updateRecordSize sets BaseBytes and LargeArray of a job.
 func (r *Replica) updateRecordSize(job *Job) {
 	job.BaseBytes = BaseBytes(job.Record)
-	job.LargeArray = job.Record.Spec.Shape == wire.ShapeArray && job.Record.Spec.TaskCount > r.MaxSingleTasks()
+	job.LargeArray = job.Record.Spec.Shape == wire.ShapeArray && job.Record.Spec.TaskCount > r.MaxTasksWithoutRuns()
 }
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -7,9 +7,10 @@
 	"micaport/internal/wire"
 )
 
-// Active tasks that don't fit into the value of a job's record are stored in overflow keys.
-// These change only in transactions that also change the record, so the record's revision
-// covers all of them, and conditions, quotas and proofs work as with a single key.
+// Active tasks that don't fit into the value of a job's record are stored in overflow keys. A key
+// that the record refers to changes only in transactions that also change the record. Therefore
+// the record's revision covers all of the keys, and conditions, quotas and proofs work as with a
+// single key.
 
 // PutOverflow applies an overflow key; nil deletes it. Its tasks become part of the job when
 // the job's record is applied.
@@ -48,55 +49,56 @@
 
 // tasksInKey returns the tasks that are stored in one key.
 func tasksInKey(tasks wire.ActiveTasks, key int) wire.ActiveTasks {
-	var held wire.ActiveTasks
+	var inKey wire.ActiveTasks
 	for _, task := range tasks {
 		if task.StoredIn == key {
-			held = append(held, task)
+			inKey = append(inKey, task)
 		}
 	}
-	return held
+	return inKey
 }
 
 // StoredRecord describes how the active tasks of a job are stored in the state service.
 type StoredRecord struct {
 	Tasks        wire.ActiveTasks
 	OverflowKeys int
-	// UnknownKeys is the number of overflow keys, from the first one on, whose tasks are not
-	// in Tasks. They are left unchanged.
-	UnknownKeys int
+	// UnreadOverflowKeys is the number of overflow keys, from the first one on, that have not been
+	// read. Tasks lacks their tasks, and SplitRecord leaves these keys unchanged.
+	UnreadOverflowKeys int
 }
 
-// recordSplit distributes the active tasks of a changed record over its keys.
+// recordSplit is the computation of SplitRecord.
 type recordSplit struct {
 	replica   *Replica
 	id        string
 	record    *wire.Job
 	baseBytes int // of the record without its task lists
 	stored    StoredRecord
-	usedBytes map[int]int // size of the tasks in each key, in bytes
+	usedBytes map[int]int // bound of the size of the tasks in each key, in bytes
 }
 
-// SplitRecord returns the writes that store a changed record, that of the job's own key
-// first. Tasks stay in the key in which they are stored if possible, so that few keys change.
+// SplitRecord distributes the active tasks of a changed record over its keys, sets StoredIn of
+// each of them, and returns the writes that store the record, that of the job's own key first.
+// Tasks stay in the key in which they are stored if possible, so that few keys change.
 func (r *Replica) SplitRecord(id string, stored StoredRecord, record *wire.Job) []kv.Write {
 	split := &recordSplit{replica: r, id: id, record: record, baseBytes: BaseBytes(record), stored: stored, usedBytes: map[int]int{}}
 	tasks := record.ActiveTasks
 	if !r.WritesDependencies() || len(tasks) == 0 || stored.OverflowKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber) {
 		split.moveAllToJobKey()
 		jobRecord := *record
-		jobRecord.OverflowKeys = stored.UnknownKeys
+		jobRecord.OverflowKeys = stored.UnreadOverflowKeys
 		writes := []kv.Write{{Key: wire.JobKey(id), Value: &jobRecord}}
-		return append(writes, deleteOverflow(id, stored.UnknownKeys+1, stored.OverflowKeys)...)
+		return append(writes, deleteOverflow(id, stored.UnreadOverflowKeys+1, stored.OverflowKeys)...)
 	}
-	if stored.UnknownKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber)*3/4 {
+	if stored.UnreadOverflowKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber)*3/4 {
 		split.moveAllToJobKey() // all tasks fit into the job's own key again, with a margin
 	}
-	split.evictFromOverfullKeys()
+	split.unassignExcessTasks()
 	split.assignKeys()
 	return split.writes()
 }
 
-// capacity returns the size of the tasks that a key can hold, in bytes.
+// capacity returns the largest size of the tasks in a key, in bytes.
 func (s *recordSplit) capacity(key int) int {
 	if key == jobKeyNumber {
 		return s.replica.ValueBytes() - s.baseBytes - TaskRangeBytes*len(s.record.DoneTasks)
@@ -111,27 +113,27 @@
 	}
 }
 
-// evictFromOverfullKeys removes the last runs of tasks from each key whose tasks exceed its
-// capacity.
-func (s *recordSplit) evictFromOverfullKeys() {
+// unassignExcessTasks removes the last runs of tasks from each key whose tasks exceed its
+// capacity, until the others fit, and sets usedBytes. assignKeys assigns the removed tasks again.
+func (s *recordSplit) unassignExcessTasks() {
 	for key := jobKeyNumber; key <= s.stored.OverflowKeys+1; key++ {
-		held := tasksInKey(s.record.ActiveTasks, key)
-		for s.usedBytes[key] = held.MaxEncodedBytes(); s.usedBytes[key] > s.capacity(key) && len(held) > 0; s.usedBytes[key] = held.MaxEncodedBytes() {
-			from, _ := held.Run(len(held) - 1)
-			s.evict(key, held[from:])
-			held = held[:from]
+		inKey := tasksInKey(s.record.ActiveTasks, key)
+		for s.usedBytes[key] = inKey.MaxEncodedBytes(); s.usedBytes[key] > s.capacity(key) && len(inKey) > 0; s.usedBytes[key] = inKey.MaxEncodedBytes() {
+			from, _ := inKey.Run(len(inKey) - 1)
+			s.unassign(key, inKey[from:])
+			inKey = inKey[:from]
 		}
 	}
 }
 
-// evict removes tasks from a key and leaves them without one.
-func (s *recordSplit) evict(key int, evicted wire.ActiveTasks) {
+// unassign removes tasks from a key and leaves them without one.
+func (s *recordSplit) unassign(key int, removed wire.ActiveTasks) {
 	tasks := s.record.ActiveTasks
 	for i := range tasks {
 		same := func(task wire.ActiveTask) bool {
 			return task.Task == tasks[i].Task && task.Attempt == tasks[i].Attempt
 		}
-		if tasks[i].StoredIn == key && slices.ContainsFunc(evicted, same) {
+		if tasks[i].StoredIn == key && slices.ContainsFunc(removed, same) {
 			tasks[i].StoredIn = 0
 		}
 	}
@@ -140,16 +142,16 @@
 // assignKeys assigns each run of tasks without a key to the first key with enough capacity.
 func (s *recordSplit) assignKeys() {
 	tasks := s.record.ActiveTasks
-	last := s.stored.OverflowKeys + 1 + len(tasks) // more than needed: the leader plans with at most OverflowKeys
+	last := s.stored.OverflowKeys + 1 + len(tasks) // an upper bound; the leader plans with at most OverflowKeys overflow keys
 	for at := 0; at < len(tasks); {
 		from, to := tasks.Run(at)
 		at = to
 		if tasks[from].StoredIn != 0 {
 			continue
 		}
-		maxBytes := wire.RunCost(tasks[from].Machine) + wire.GroupCost
+		maxBytes := wire.MaxRunBytes(tasks[from].Machine) + wire.MaxGroupOverheadBytes
 		key := jobKeyNumber
-		for key < last && (s.hasUnknownTasks(key) || s.usedBytes[key]+maxBytes > s.capacity(key)) {
+		for key < last && (s.isUnread(key) || s.usedBytes[key]+maxBytes > s.capacity(key)) {
 			key++
 		}
 		s.usedBytes[key] += maxBytes
@@ -159,21 +161,21 @@
 	}
 }
 
-// hasUnknownTasks reports whether a key is one of StoredRecord.UnknownKeys.
-func (s *recordSplit) hasUnknownTasks(key int) bool {
-	return key > jobKeyNumber && key <= s.stored.UnknownKeys+1
+// isUnread reports whether a key is one of those that StoredRecord.UnreadOverflowKeys counts.
+func (s *recordSplit) isUnread(key int) bool {
+	return key > jobKeyNumber && key <= s.stored.UnreadOverflowKeys+1
 }
 
 // writes returns the writes of the record and of the overflow keys that change.
 func (s *recordSplit) writes() []kv.Write {
 	jobRecord := *s.record
-	jobRecord.OverflowKeys = s.stored.UnknownKeys
+	jobRecord.OverflowKeys = s.stored.UnreadOverflowKeys
 	for _, task := range s.record.ActiveTasks {
 		jobRecord.OverflowKeys = max(jobRecord.OverflowKeys, task.StoredIn-1)
 	}
 	jobRecord.ActiveTasks = tasksInKey(s.record.ActiveTasks, jobKeyNumber)
 	writes := []kv.Write{{Key: wire.JobKey(s.id), Value: &jobRecord}}
-	for number := s.stored.UnknownKeys + 1; number <= jobRecord.OverflowKeys; number++ {
+	for number := s.stored.UnreadOverflowKeys + 1; number <= jobRecord.OverflowKeys; number++ {
 		if overflow := s.changedOverflow(number); overflow != nil {
 			writes = append(writes, kv.Write{Key: wire.OverflowKey(s.id, number), Value: overflow})
 		}
@@ -186,7 +188,7 @@
 	newTasks, storedTasks := tasksInKey(s.record.ActiveTasks, number+1), tasksInKey(s.stored.Tasks, number+1)
 	switch {
 	case number > s.stored.OverflowKeys && len(newTasks) > 0 && sameTasks(newTasks, s.replica.overflow[s.id][number]):
-		return nil // already written; see WritesAhead
+		return nil // already written; see EarlyOverflowWrites
 	case len(newTasks) == 0 && len(storedTasks) > 0:
 		return &wire.Overflow{} // the key stays, so that the numbers remain consecutive
 	case len(newTasks) > 0 && !slices.Equal(newTasks, storedTasks):
@@ -203,21 +205,21 @@
 	})
 }
 
-// WritesAhead returns at most maxWrites of the given writes, those of overflow keys that the
-// stored record does not refer to yet, where storedKeys is the number of keys that it does
-// refer to. Such keys can be written in earlier transactions, as they have no effect until
-// the record refers to them. So a record that is too large for one transaction can be split
-// over several keys without any of its tasks missing from the stored state in between.
-func WritesAhead(writes []kv.Write, storedKeys, maxWrites int) []kv.Write {
-	var ahead []kv.Write
-	for i := len(writes) - 1; i >= 0 && len(ahead) < maxWrites; i-- {
+// EarlyOverflowWrites returns the last of the given writes, at most maxWrites, of overflow keys
+// that the stored record does not refer to yet; storedKeys is the number of keys that it refers
+// to. These keys can be written in earlier transactions, as they have no effect until the record
+// refers to them. A record that is too large for one transaction can thus be split over several
+// keys, and the stored state lacks none of its tasks in between.
+func EarlyOverflowWrites(writes []kv.Write, storedKeys, maxWrites int) []kv.Write {
+	var early []kv.Write
+	for i := len(writes) - 1; i >= 0 && len(early) < maxWrites; i-- {
 		if _, isOverflow := writes[i].Value.(*wire.Overflow); isOverflow {
 			if _, number := wire.SplitOverflowKey(writes[i].Key); number > storedKeys {
-				ahead = append(ahead, writes[i])
+				early = append(early, writes[i])
 			}
 		}
 	}
-	return ahead
+	return early
 }
 
 // deleteOverflow returns writes that delete the overflow keys with the numbers from first to
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -37,9 +37,9 @@
 	CurrentValueBytes int // size limit of a value until the announced reduction; 0: no such limit
 	MaxTransactionOps int // largest number of writes in one transaction
 
-	HeartbeatInterval Time         // of workers
-	WallClockMS       func() int64 // Unix ms
-	EstimateRunTime   func(*wire.JobSpec) Time
+	HeartbeatInterval time.Duration // of workers
+	WallClockMS       func() int64  // Unix ms
+	EstimateRunTime   func(*wire.JobSpec) time.Duration
 }
 
 // Names maps names to consecutive indices, in the order in which the names first occur.
@@ -89,8 +89,8 @@
 	live            []int  // indices of jobs that are unfinished or still have active tasks, ascending
 	finishedRecords map[finishedRecordKey]*wire.Job
 
-	overflow        map[string]map[int]wire.ActiveTasks // by job id and number of the key
-	dependencyLists map[string]map[string][]string      // by job id and key, until the job's record is applied
+	overflow              map[string]map[int]wire.ActiveTasks // by job id and number of the key
+	stagedDependencyLists map[string]map[string][]string      // by job id and key, until the job's record is applied
 
 	unrecordedCancellations []int // queue of jobs that are cancelled by an ancestor, whose records may not show it yet
 
@@ -105,10 +105,10 @@
 func New(cfg Config, names *Names, observer Observer) *Replica {
 	r := &Replica{
 		cfg: cfg, names: names, observer: observer,
-		finishedRecords:  map[finishedRecordKey]*wire.Job{},
-		overflow:         map[string]map[int]wire.ActiveTasks{},
-		dependencyLists:  map[string]map[string][]string{},
-		supportedFormats: map[string]int{},
+		finishedRecords:       map[finishedRecordKey]*wire.Job{},
+		overflow:              map[string]map[int]wire.ActiveTasks{},
+		stagedDependencyLists: map[string]map[string][]string{},
+		supportedFormats:      map[string]int{},
 	}
 	r.initQuotas()
 	return r
@@ -120,10 +120,10 @@
 // Revision returns the revision of the state service up to which events have been applied.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Reached records that all events up to a revision have been applied; reset is set if they
-// were a full listing.
-func (r *Replica) Reached(revision uint64, reset bool) {
-	r.loaded = r.loaded || reset
+// MarkApplied records that all events up to a revision have been applied. fullListing is set if
+// they were those of a full listing.
+func (r *Replica) MarkApplied(revision uint64, fullListing bool) {
+	r.loaded = r.loaded || fullListing
 	r.revision = max(r.revision, revision)
 }
 
@@ -144,7 +144,7 @@
 
 // findOrAdd returns the job with an id, and adds a job without a record if the id is new.
 func (r *Replica) findOrAdd(id string) *Job {
-	index := r.names.Jobs.Of(id)
+	index := r.names.Jobs.Intern(id)
 	if index == len(r.jobs) {
 		job := &Job{Index: index, ID: id, Image: -1, Team: -1, Zone: -1}
 		r.jobs = append(r.jobs, job)
@@ -158,7 +158,7 @@
 func (r *Replica) DeleteUnlisted(listed map[string]bool, revision uint64) {
 	for _, job := range r.jobs {
 		if job.Record != nil && !listed[wire.JobKey(job.ID)] {
-			r.putJob(job.ID, nil, revision)
+			r.applyRecord(job.ID, nil, revision)
 		}
 	}
 	for i := range r.cfg.Teams {
@@ -185,7 +185,7 @@
 	AllowSpot    bool
 
 	BaseBytes  int  // bound of the size of its record without its task lists; see the function BaseBytes
-	LargeArray bool // it is an array with more tasks than MaxSingleTasks
+	LargeArray bool // it is an array with more tasks than MaxTasksWithoutRuns
 	Unplaced   int  // number of active tasks that are granted and have no machine yet
 	ChangedAt  Time // when the replica applied the record
 
