--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -36,17 +36,18 @@
 	// admissionIntervalPerJob is added to admissionInterval for each live job, as a pass examines
 	// all of them.
 	admissionIntervalPerJob = 50 * time.Microsecond
-	// homeShardTurn is how long a waiting job is assigned to one home shard before the next shard
-	// replaces it. If two owners admitted it at once, their writes of its record would conflict.
+	// homeShardTurn is how long a waiting job has the same home shard before another shard becomes
+	// its home shard. Of all owners only that of the home shard admits the job: the writes of two
+	// owners that admit it at once would conflict.
 	homeShardTurn = 2 * second
 )
 
-// admission records what an owner's pass has admitted.
+// admission holds the demand that an owner's pass has admitted.
 type admission struct {
 	admitted [][]quota.Amount // by team and shard
 }
 
-// newAdmission returns an admission without entries.
+// newAdmission returns the state of a pass that has admitted nothing yet.
 func newAdmission(teams, shards int) *admission {
 	admitted := make([][]quota.Amount, teams)
 	for team := range admitted {
@@ -55,7 +56,9 @@
 	return &admission{admitted: admitted}
 }
 
-// mayCharge reports whether the limit of a job's team allows tasks of the job on a slot.
+// mayCharge reports whether tasks of a job may be granted to a slot: in the leader's pass if the
+// limit of the job's team allows them, in an owner's pass if the team's share of the limit in the
+// slot's shard does.
 func (p *schedulingPass) mayCharge(job *job, tasks int, slot *slot) bool {
 	if p.admission != nil {
 		return p.mayAdmit(job, tasks, slot.shard)
@@ -72,9 +75,9 @@
 	return p.node.replica.Ledger().MayAdmit(job.Team, shardIndex, admitted, p.node.replica.Revision())
 }
 
-// addAccountCondition makes the commit conditional on the account of a job's team, so that it
-// fails if the limit or a share has changed meanwhile. In an owner's pass it also records the
-// tasks as admitted.
+// addAccountCondition makes the transaction conditional on the account of a job's team, so that the
+// transaction fails if the limit or a share has changed meanwhile. In an owner's pass it also
+// records the tasks as admitted.
 func (p *schedulingPass) addAccountCondition(job *job, slots []*slot) {
 	if p.admission != nil {
 		for _, slot := range slots {
@@ -91,7 +94,9 @@
 	}
 }
 
-// admitWork admits waiting jobs in the shards of this controller, within their shares.
+// admitWork admits waiting jobs in the shards of this controller, within the shares of their teams'
+// limits in these shards. It does nothing while this controller holds the leader's claim or has a
+// transaction of a leader's pass pending.
 func (n *Node) admitWork(writer *writer, free *lazySlots) {
 	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.nextAdmissionAt || n.offeredTypes == nil ||
 		n.leadership.HoldsClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
@@ -126,8 +131,10 @@
 	return q.withinGuarantee && q.job.Record.NextAttempt == 1 && len(q.job.Record.ActiveTasks) == 0
 }
 
-// leaderIsSilent reports whether no other controller is the leader, or the leader has not sent a
-// message within leaderTimeout or can't use the state service.
+// leaderIsSilent reports whether no other controller is recorded as the leader, or that leader has
+// not sent a message within leaderTimeout or can't use the state service. A record that names this
+// controller is that of an earlier process and counts as no leader: admitWork admits nothing while
+// this process holds the claim.
 func (n *Node) leaderIsSilent() bool {
 	leader := n.leadership.Record()
 	if leader == nil || leader.Controller == n.cfg.Self {
--- a/internal/core/scheduler_backfill.go
+++ b/internal/core/scheduler_backfill.go
@@ -8,8 +8,8 @@
 
 // isBackfill reports whether a job is backfill: a job of the lowest priority, of a team without a
 // guarantee, which runs on capacity that is paid for but unused. On-demand machines are neither
-// provisioned for backfill nor granted to it while idle. A job of which no task has been granted
-// is no longer backfill after backfillWaitTime.
+// provisioned for backfill nor granted to it while idle. A job of which no task was ever
+// granted no longer counts as backfill once it has waited for backfillWaitTime.
 func (p *schedulingPass) isBackfill(queued *queuedJob) bool {
 	job := queued.job
 	if job.Priority > 0 || hasGuarantee(p.node.replica.Quota(job.Team)) {
--- a/internal/core/scheduler_gang.go
+++ b/internal/core/scheduler_gang.go
@@ -15,8 +15,9 @@
 		return
 	}
 	if !p.checkLimit(job, len(queued.tasks)) {
-		// Smaller jobs of the team could use everything that becomes free within the limit,
-		// for ever. After the delay the gang's demand is therefore charged ahead of them.
+		// Smaller jobs of the team could always use what becomes free within the limit before it
+		// suffices for the gang. After the delay the gang's demand is therefore charged to the team
+		// before later jobs are served.
 		p.recordWaitingSince(job)
 		if job.Team >= 0 && p.node.now-job.waitingSince > gangReservationDelay {
 			p.charge(job, len(queued.tasks))
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -18,8 +18,8 @@
 	// victimCostDivisor divides the cost of preempting a task, which is lost work rather than
 	// waiting time.
 	victimCostDivisor = 4
-	// sourcesPerTask bounds the sources from which a reservation chooses, for each task of the
-	// gang.
+	// sourcesPerTask bounds the number of free, releasing and expected sources that a search
+	// collects for each task of the gang.
 	sourcesPerTask = 4
 )
 
@@ -110,7 +110,7 @@
 		search.addOccupiedSlots(mayPreempt, !canProvision)
 	}
 	slices.SortStableFunc(search.sources, func(a, b capacitySource) int { return int(a.cost) - int(b.cost) })
-	if canProvision {
+	if canProvision { // sources that cost more than a new machine are not used
 		if at := slices.IndexFunc(search.sources, func(source capacitySource) bool { return source.cost > provisionCost }); at >= 0 {
 			search.sources = search.sources[:at]
 		}
@@ -118,7 +118,7 @@
 	return search.choosePlan(canProvision)
 }
 
-// hasEnoughSources reports whether there are as many sources as a reservation chooses from.
+// hasEnoughSources reports whether the search has collected sourcesPerTask sources for each task.
 func (r *reservationSearch) hasEnoughSources() bool {
 	return len(r.sources) >= sourcesPerTask*len(r.queued.tasks)
 }
@@ -128,7 +128,8 @@
 	return r.zone >= 0 && slot.zone != r.zone
 }
 
-// addSlot adds a slot with free capacity as a source for each task that fits.
+// addSlot adds a slot to the sources once for each task that fits into its capacity, including the
+// capacity about to be released.
 func (r *reservationSearch) addSlot(slot *slot, cost float64) {
 	spec := r.queued.job.Record.Spec
 	if slot.reserved || r.added[slot] || r.isOutsideZone(slot) || !slot.accepts(r.queued.job) || !slot.fitsAfterRelease(spec) {
@@ -136,7 +137,7 @@
 	}
 	r.added[slot] = true
 	for remaining := *slot; remaining.fitsAfterRelease(spec) && !r.hasEnoughSources(); {
-		remaining.set = nil
+		remaining.set = nil // the copy is in no set
 		remaining.allocate(spec)
 		r.sources = append(r.sources, capacitySource{slot: slot, cost: cost})
 	}
@@ -164,7 +165,8 @@
 	}
 }
 
-// addOccupiedSlots adds slots on which tasks may be preempted or, with mayDrain set, will end.
+// addOccupiedSlots adds slots on which a task fits once other tasks have been preempted (with
+// mayPreempt set) or have ended by themselves (with mayDrain set).
 func (r *reservationSearch) addOccupiedSlots(mayPreempt, mayDrain bool) {
 	pass, queued := r.pass, r.queued
 	for _, slot := range pass.available.all {
--- a/internal/core/scheduler_grant.go
+++ b/internal/core/scheduler_grant.go
@@ -5,8 +5,8 @@
 	"micaport/internal/wire"
 )
 
-// grant adds tasks of a job, in the shards of their slots, to the job's record as one attempt. It
-// reports false if no write is left.
+// grant adds tasks of a job to the job's record as one attempt. Each task is assigned to the shard
+// of its slot. grant returns false if the transaction is full.
 func (p *schedulingPass) grant(job *job, tasks []int, slots []*slot) bool {
 	n := p.node
 	record := p.writer.recordToChange(job)
@@ -28,6 +28,7 @@
 		p.addGrant(job, record, taskKey{job.Index, task, attempt}, slots[i], assignMachines)
 	}
 	if severalShards && !p.addGang(job, attempt, shards) {
+		// Undo the grants, as the gang's record could not be added.
 		record.ActiveTasks, record.NextAttempt = record.ActiveTasks[:len(record.ActiveTasks)-len(tasks)], previousAttempt
 		delete(p.writer.attemptNumbers, job.Index)
 		p.countUnwrittenGrant()
@@ -42,13 +43,14 @@
 	return true
 }
 
-// countUnwrittenGrant counts a grant for which no write was left.
+// countUnwrittenGrant counts a grant that did not fit into the transaction.
 func (p *schedulingPass) countUnwrittenGrant() {
 	p.unwrittenGrants = min(p.unwrittenGrants+1, maxUnwrittenGrants)
 }
 
-// addGrant adds a task to a job's record. With assignMachine set the record names the machine;
-// otherwise the machine is kept as a hint of the capacity that the grant will use.
+// addGrant adds a task to a job's record. With assignMachine set the record names the machine of
+// the slot. Otherwise the owner of the shard chooses a machine, and the leader stores the slot's
+// machine as a hint of the capacity that the grant will use.
 func (p *schedulingPass) addGrant(job *job, record *wire.Job, key taskKey, slot *slot, assignMachine bool) {
 	n := p.node
 	task := wire.ActiveTask{Task: key.task, Attempt: key.attempt, Shard: slot.shard, Admitted: p.admission != nil}
@@ -64,8 +66,8 @@
 	record.ActiveTasks = append(record.ActiveTasks, task)
 }
 
-// addGang adds the record of a gang with tasks in several shards, whose owners place it together.
-// It reports false if no write is left.
+// addGang adds the record of a gang with tasks in several shards, whose owners place the gang
+// together. It returns false if the transaction is full.
 func (p *schedulingPass) addGang(job *job, attempt uint64, shards map[int]bool) bool {
 	gang := &wire.Gang{Attempt: attempt}
 	for index := range p.node.shards {
@@ -77,10 +79,10 @@
 	return p.writer.addWrite(kv.Write{Key: key, Value: gang}, kv.Condition{Key: key, Revision: 0})
 }
 
-// mayAssignMachine reports whether a grant may name the machine because this controller owns its
-// shard too: one write then replaces two, and the commit is also conditional on the term of the
-// shard. It may not while a batch of this controller as an owner is being committed, as the
-// placements in that batch are not visible here yet.
+// mayAssignMachine reports whether a grant may name the machine, which saves the owner's write.
+// This controller must own the machine's shard, and the transaction is then also conditional on the
+// term of the shard. While a batch of this controller as an owner is being committed, no machine
+// may be assigned, as the replica does not show the placements of that batch yet.
 func (n *Node) mayAssignMachine(slot *slot) bool {
 	return slot.machine != nil && n.mayActAsOwner(n.shards[slot.shard]) && !n.batch.active && n.acceptsTasks(slot.machine)
 }
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -22,7 +22,7 @@
 	writer              *writer
 	admission           *admission          // set in an owner's pass; nil in the leader's
 	available           *slotSet            // machines that are up
-	expected            *slotSet            // machines that are booting, requested or planned to be provisioned
+	expected            *slotSet            // machines that are booting or requested, or that this pass plans to provision
 	used                []usage             // by team, including what this pass has charged
 	charged             []quota.Amount      // by team, charged by this pass
 	atLimit             []bool              // by team: a job waits only because of the limit
@@ -30,9 +30,9 @@
 	poolSizes           map[machinePool]int // machines that are up, expected or planned
 	longestWaitingGang  *queuedJob          // served before all queues; nil: none
 	reservations        []wire.Reservation  // machines reserved for longestWaitingGang
-	unmetDemands        []unmetDemand       // demands for which no slot was free in this pass
-	hasBackfill         bool                // a backfill job waits
-	unwrittenGrants     int                 // grants for which no write was left, at most maxUnwrittenGrants
+	unmetDemands        []unmetDemand       // demands of tasks for which no slot was free in this pass
+	hasBackfill         bool                // whether a backfill job waits
+	unwrittenGrants     int                 // grants that did not fit into the transaction, at most maxUnwrittenGrants
 	preemptions         int                 // how often this pass has stopped tasks for a job
 	unplacedTasks       int                 // tasks for which no capacity was free
 }
@@ -44,7 +44,7 @@
 	// maxUnwrittenGrants bounds the number of unwritten grants that count.
 	maxUnwrittenGrants = 50
 	// grantHintRetention is how long the leader keeps the hint of a grant that its replica does not
-	// show: a commit may take a while.
+	// contain: the grant may not be committed yet.
 	grantHintRetention = 20 * second
 	// maxUnconfirmedTime bounds how long tasks are planned on a machine that has not confirmed its
 	// owner's term. A new machine confirms it with its second heartbeat. A machine that is only
@@ -57,11 +57,11 @@
 
 // runSchedulingPass grants waiting tasks to shards in queue order, and decides which machines to
 // provision and deprovision and which tasks to preempt. It returns the number of pending records:
-// the grants for which no write was left, with backfill counted at a lower weight.
+// the grants that did not fit into the transaction, with backfill counted at a lower weight.
 func (n *Node) runSchedulingPass(writer *writer) int {
 	pass := n.newSchedulingPass(writer)
 
-	// Collect the capacity, and charge what is in use already.
+	// Collect the capacity, and subtract what is in use already.
 	pass.addMachines()
 	pass.chargeTeams()
 	pass.chargeGrants()
@@ -85,7 +85,7 @@
 	return pendingRecords
 }
 
-// newSchedulingPass returns a pass without machines and usage.
+// newSchedulingPass returns a pass to which no machines and no usage have been added yet.
 func (n *Node) newSchedulingPass(writer *writer) *schedulingPass {
 	teams := n.names.Teams.Len()
 	return &schedulingPass{
@@ -108,11 +108,11 @@
 	}
 }
 
-// grantableSlot returns the free capacity of a machine to which tasks may be granted, or nil.
-// While messages from the machine's owner arrive, the machine is excluded if it misses heartbeats
-// or if its view is from an earlier term. An owner whose messages don't arrive may still be
-// reachable through the state service: then its last view is used, for three worker leases at
-// most.
+// grantableSlot returns the free capacity of a machine to which tasks may be granted, or nil. While
+// messages from the machine's owner arrive, the machine is excluded if it misses heartbeats, or if
+// its view is still from an earlier term four heartbeat intervals after a change of the shard's
+// record. An owner whose messages don't arrive may still be reachable through the state service:
+// then the last view that it reported is used, for three worker leases at most.
 func (n *Node) grantableSlot(machine *machine) *slot {
 	view := &machine.view
 	if machine.returned || !view.reportedByOwner || view.reclaimPending || view.unhealthy ||
@@ -223,15 +223,15 @@
 	n.sendGossip(true)
 }
 
-// withinLimit reports whether the limit of a job's team allows the leader to grant more of its
-// tasks.
+// withinLimit reports whether the limit of a job's team allows the leader to grant tasks of the job
+// in addition to what this pass has charged to the team.
 func (p *schedulingPass) withinLimit(job *job, tasks int) bool {
 	return job.Team >= 0 &&
 		p.node.replica.Ledger().MayGrant(job.Team, p.charged[job.Team].Plus(job.Demand(tasks)), p.node.replica.Revision())
 }
 
-// checkLimit reports whether the limit of a job's team allows waiting tasks, and marks the team in
-// atLimit if they wait only because of the limit.
+// checkLimit reports whether the limit of a job's team allows tasks of the job; see withinLimit. If
+// it does not, but would if the team used nothing, checkLimit marks the team in atLimit.
 func (p *schedulingPass) checkLimit(job *job, tasks int) bool {
 	if p.withinLimit(job, tasks) {
 		return true
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -36,8 +36,8 @@
 	cost float64
 }
 
-// mayPreempt reports whether tasks may be preempted for a job now. After tasks have been stopped
-// for it, no more are preempted until these should have exited.
+// mayPreempt reports whether tasks may be preempted for a job now. After a preemption for the job,
+// no further tasks are preempted for it until the stopped tasks should have exited.
 func (p *schedulingPass) mayPreempt(queued *queuedJob) bool {
 	n := p.node
 	return n.cfg.Preempt && p.preemptions < maxPreemptions &&
@@ -48,8 +48,8 @@
 
 // mayPreemptJob reports whether a queued job may preempt tasks of another job: one of lower
 // priority, or one of the same priority that is outside the guarantee of another team while the
-// queued job is within that of its own. It must agree with queuedJob.rank: if the other job came
-// first in the queue, it would get its capacity back and be preempted again.
+// queued job is within that of its own. The rule must agree with queuedJob.rank: if the preempted
+// job came first in the queue, it would be granted its capacity again and be preempted again.
 func (p *schedulingPass) mayPreemptJob(queued *queuedJob, job *job) bool {
 	if job.Priority < queued.job.Priority {
 		return true
@@ -69,9 +69,10 @@
 	return cost
 }
 
-// candidatesOn returns the tasks on a machine that may be preempted for a job, cheapest first.
-// With includeUnpreemptable set it returns all tasks that may end by themselves, which excludes
-// those of daemons.
+// candidatesOn returns the tasks on a machine that may be preempted for a queued job, cheapest
+// first. It excludes jobs whose records this pass has already changed. With includeUnpreemptable
+// set it returns the tasks of all other live jobs. Tasks of daemons and tasks with a stop request
+// are excluded in both cases.
 func (p *schedulingPass) candidatesOn(queued *queuedJob, machine *machine, includeUnpreemptable bool) []victim {
 	var candidates []victim
 	for i := range machine.placements {
@@ -99,8 +100,8 @@
 		return nil, false
 	}
 	spec := queued.job.Record.Spec
-	afterStops := *slot // without the tasks chosen so far
-	afterStops.set = nil
+	afterStops := *slot  // its capacity once the tasks chosen so far have ended
+	afterStops.set = nil // the copy is in no set
 	var chosen []victim
 	for _, candidate := range p.candidatesOn(queued, slot.machine, includeUnpreemptable) {
 		if afterStops.fitsAfterRelease(spec) {
@@ -148,8 +149,8 @@
 	return target
 }
 
-// stopVictims marks tasks to be stopped; a gang is stopped as a whole. It reports false if no
-// write is left.
+// stopVictims adds stop requests for tasks to the records of their jobs; a gang is stopped as a
+// whole. It returns false if the transaction is full.
 func (p *schedulingPass) stopVictims(queued *queuedJob, victims []victim) bool {
 	for _, victim := range victims {
 		record := p.writer.recordToChange(victim.job)
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -17,11 +17,12 @@
 	zoneTasks          []int // number of its active and planned tasks by zone
 	shardTasks         []int // number of its active and newly granted tasks by shard
 	withinGuarantee    bool  // the team's guarantee covers the job and the team's older jobs
-	remainingRuns      int   // runs of consecutive tasks that its record can still hold
+	remainingRuns      int   // runs that the record of a large array can still hold; other jobs: no limit
 	latestStartMS      int64 // see Node.latestStart
 	avoidsIdleOnDemand bool  // its next task avoids idle on-demand machines
 
-	// Failed searches for an earlier task of the job, which are not repeated for the others.
+	// Set if the search for such a slot has failed for a task of the job. The search is then not
+	// repeated for the job's other tasks.
 	noFreeSlot, noReleasingSlot, noExpectedSlot bool
 }
 
@@ -32,12 +33,12 @@
 }
 
 const (
-	// ownerPlacementTime is how long, when writes are scarce, a job's owners have for placing its
-	// grants before more tasks are granted to it: leader and owners can't write the record at the
-	// same time.
+	// ownerPlacementTime is how long the leader waits, when writes are scarce, for the owners of
+	// shards to place the grants of a job before it grants more tasks to the job: the leader and
+	// the owners can't write the job's record at the same time.
 	ownerPlacementTime = 700 * time.Millisecond
-	// gangReservationDelay is how long a gang waits in its queue. After that, capacity is
-	// reserved for it before any other job, for one gang at a time and the longest waiting first.
+	// gangReservationDelay is how long a gang waits in its queue before capacity is reserved for it
+	// ahead of all other jobs. This is done for one gang at a time, the longest waiting first.
 	// Otherwise a steady arrival of smaller and more urgent jobs would take every machine that
 	// becomes free, and two gangs could each hold capacity that the other needs.
 	gangReservationDelay = 75 * second
@@ -95,9 +96,10 @@
 	return hasGuarantee(team) && !exceeds(used.gpus, team.GuaranteedGPUs) && !exceeds(used.cores, team.GuaranteedCores)
 }
 
-// isDeferred reports whether no tasks of a job may be granted now: it failed recently, its record
-// is being written, it is left to the owner of its home shard, or its owners are about to place
-// earlier grants.
+// isDeferred reports whether no tasks of a job may be granted now: the job failed recently, its
+// record is being written, it is left to the owner of its home shard, or owners are about to place
+// its earlier grants. For a large array, whose record changes all the time, the wait for the owners
+// also ends ownerPlacementTime after its last grant.
 func (n *Node) isDeferred(job *job) bool {
 	if n.now < job.retryAt || n.batch.changes(job) || n.defersToOwner(job) {
 		return true
@@ -113,7 +115,7 @@
 		job:             job,
 		withinGuarantee: job.withinGuarantee,
 		latestStartMS:   n.latestStart(job),
-		remainingRuns:   len(job.Record.ActiveTasks) + job.Record.TaskCount,
+		remainingRuns:   len(job.Record.ActiveTasks) + job.Record.TaskCount, // more than the job can use
 	}
 	if job.Record.Spec.Shape == wire.ShapeGang {
 		queued.tasks = n.pendingTasks(job, job.Record.TaskCount)
@@ -143,8 +145,8 @@
 	return cmp.Or(b.rank()-a.rank(), cmp.Compare(a.latestStartMS, b.latestStartMS), boolToInt(b.job.LargeArray)-boolToInt(a.job.LargeArray))
 }
 
-// latestStart returns the Unix time in milliseconds by which a job of a chain has to start for
-// the chain to meet its deadline, or math.MaxInt64 if there is no deadline.
+// latestStart returns latestStartMS of a job, or math.MaxInt64 if it has none, so that jobs without
+// a latest start come last in the queue.
 func (n *Node) latestStart(job *job) int64 {
 	if ms := n.latestStartMS(job); ms != 0 {
 		return ms
@@ -175,9 +177,9 @@
 	return 1 + used.gpus + used.cores/coresPerGPU
 }
 
-// serveQueues serves the teams in turn until their queues are empty: the job with the highest
-// rank first, and among equal ranks the team that uses the smallest fraction of its guarantee. It
-// returns the number of grants of the whole pass for which no write was left.
+// serveQueues serves the teams in turn until their queues are empty: the job with the highest rank
+// first, and among equal ranks the team that uses the smallest fraction of its guarantee. It
+// returns the number of grants of the whole pass that did not fit into the transaction.
 func (p *schedulingPass) serveQueues(queues []*teamQueue) (unwritten int) {
 	p.serveLongestWaitingGang(queues)
 	for queue := p.nextQueue(queues); queue != nil; queue = p.nextQueue(queues) {
@@ -239,9 +241,10 @@
 	}
 }
 
-// recordWaitingSince records since when a job has waited. A job that was never granted has waited
-// since it was accepted or since its dependencies were done. If the time started anew with each
-// leader, a gang would never get its reservation while the leader changes every minute.
+// recordWaitingSince records since when a job has waited for capacity, unless this is recorded
+// already. A job that was never granted has waited since it was accepted or since its dependencies
+// were done. If the wait started again with each leader, no gang would wait long enough for a
+// reservation while the leader changes every minute.
 func (p *schedulingPass) recordWaitingSince(job *job) {
 	if job.waitingSince != 0 {
 		return
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -38,9 +38,10 @@
 	}
 }
 
-// findOrProvision returns the best available slot, or else the best expected slot, or else one on a
-// machine that the pass now plans to provision, or nil. The result of accept (nil: any slot) must
-// be the same for all slots of a class.
+// findOrProvision returns the best available slot for a task of a job, or else the best expected
+// slot. If neither exists, it plans to provision a machine and returns the slot of that machine, or
+// nil if none can be provisioned. The result of accept (nil: any slot) must be the same for all
+// slots of a class.
 func (p *schedulingPass) findOrProvision(job *job, accept func(*slot) bool) *slot {
 	if slot := p.available.best(job, accept, nil); slot != nil {
 		return slot
@@ -57,8 +58,8 @@
 // acceptAny accepts every slot.
 func acceptAny(*slot) bool { return true }
 
-// reserveAgainstBackfill reserves free capacity for tasks that will probably arrive before
-// backfill could be preempted for them.
+// reserveAgainstBackfill reserves free capacity for tasks of a job's class that will probably
+// arrive before backfill could be preempted for them.
 func (p *schedulingPass) reserveAgainstBackfill(job *job, tasks int) {
 	for range tasks {
 		slot := p.available.best(job, nil, nil)
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -15,8 +15,8 @@
 	// reclaimInterval replaces shareInterval while waiting jobs need shares to be reclaimed.
 	reclaimInterval = second
 	// redistributeInterval replaces shareInterval after shares have been reclaimed. A new leader
-	// finds a backlog and reclaims shares for it. If the owners were then without shares for
-	// long, they could admit nothing if that leader failed too.
+	// finds a backlog and reclaims shares for it. If that leader failed too before the shares were
+	// distributed again, the owners could admit nothing.
 	redistributeInterval = 3 * second
 	// excessReportInterval is the time between two reports of teams that use more than their
 	// limits.
@@ -27,8 +27,9 @@
 )
 
 // distributeShares writes the account of a team whose shares of its limit have to change, at most
-// one in a commit. It runs after all grants, so that it uses no write that they need. See package
-// quota for the distribution and docs/team-limits.md for the reasons.
+// one in a transaction. It runs after all grants, so that it uses no write that they need. If grants
+// did not fit into the transaction, only reclaimed shares are written. See package quota for
+// the distribution and docs/team-limits.md for the reasons.
 func (p *schedulingPass) distributeShares() {
 	n := p.node
 	if !n.replica.WritesTeamAccounts() {
@@ -56,8 +57,8 @@
 	}
 }
 
-// shareIntervalFor returns the minimum time between two writes of a team's account. It approaches
-// shareInterval as writes get scarcer.
+// shareIntervalFor returns the minimum time between two writes of a team's account. The scarcer the
+// writes, the closer it is to shareInterval.
 func (p *schedulingPass) shareIntervalFor(team int) Time {
 	interval := shareInterval
 	switch {
@@ -83,8 +84,8 @@
 	return demand
 }
 
-// logQuotaExcess logs teams that use more than their limits allow. This follows from a lowered
-// limit, for which no tasks are stopped.
+// logQuotaExcess logs teams that use more than their limits allow, as they may after their limit
+// was lowered: no tasks are stopped for a lower limit.
 func (n *Node) logQuotaExcess() {
 	if n.now < n.leader.nextExcessReportAt {
 		return
@@ -98,8 +99,8 @@
 	}
 }
 
-// initialDistributionTimes returns the times of the last distribution by team for a new leader, to
-// which none is known.
+// initialDistributionTimes returns, by team, the times of the last distribution that a new leader
+// assumes, as it does not know the actual ones.
 func initialDistributionTimes(teams int) []Time {
 	times := make([]Time, teams)
 	for team := range times {
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -52,8 +52,8 @@
 	}{
 		"ends soon":                   {expectedS: 10, want: 3},
 		"ends much later":             {expectedS: 300, want: 0},
-		"much later, but soon by now": {expectedS: 300, after: 295 * second, want: 3},
-		"will never run":              {expectedS: 10, cancelled: true, want: 0},
+		"soon, 295 s after the grant": {expectedS: 300, after: 295 * second, want: 3},
+		"an ancestor is cancelled":    {expectedS: 10, cancelled: true, want: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newTestNode()
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -11,12 +11,13 @@
 	// when writes are scarce: the owner of each shard has to write the job's record.
 	newShardPenalty = 8
 	// foreignShardPenalty is the cost, in seconds of waiting, of starting a job of the lowest
-	// priority in a shard that the leader does not own. In its own shards a grant names the
-	// machine too, which saves a write. It is also the cost of starting a large array in another
-	// shard than the one chosen by its index.
+	// priority in a shard that the leader does not own. In its own shards a grant names the machine
+	// too, which saves a write. The same penalty applies to starting a large array in another shard
+	// than the one chosen by the array's index.
 	foreignShardPenalty = 3
-	// largeArrayScarcity replaces the scarcity of writes for a large array: its owners and the
-	// leader would otherwise conflict with each other in writing its record.
+	// largeArrayScarcity replaces the scarcity of writes, which is at most 1, in the penalty for
+	// one more shard of a large array: the owners of all its shards and the leader write its
+	// record, and their writes conflict.
 	largeArrayScarcity = 2
 	// maxSpotWaitTime is how long tasks that may run on spot machines wait for one, somewhat longer
 	// than a machine takes to boot.
@@ -90,7 +91,8 @@
 	return p.planOnReleasing(queued, allowed) || p.planOnExpected(queued, allowed)
 }
 
-// countTasks counts a job's active tasks by zone and by shard.
+// countTasks sets the number of a job's active tasks by zone and by shard. The zones include the
+// changes made in this pass.
 func (p *schedulingPass) countTasks(queued *queuedJob) {
 	queued.zoneTasks = p.node.zoneTasks(p.currentRecord(queued.job))
 	queued.shardTasks = make([]int, len(p.node.shards))
@@ -145,7 +147,7 @@
 }
 
 // runLengthOn returns how many of a job's next tasks are planned on a slot together: one, or as
-// many as the slot and the team's limit allow for a large array.
+// many as the slot and mayCharge allow for a large array.
 func (p *schedulingPass) runLengthOn(queued *queuedJob, slot *slot) int {
 	if !queued.job.LargeArray {
 		return 1
@@ -157,9 +159,9 @@
 	return max(1, tasks)
 }
 
-// planTasks allocates a slot's capacity to the next tasks of a job and removes them from the
-// waiting tasks. Tasks that are planned on an expected machine count in their zone too; otherwise
-// all tasks would be planned in the same zone.
+// planTasks allocates a slot's capacity to the next tasks of a job and removes these tasks from the
+// queued ones. Tasks that are planned on an expected machine count in their zone too; otherwise all
+// tasks would be planned in the same zone.
 func (q *queuedJob) planTasks(slot *slot, tasks int) {
 	slot.release(q.job.Record.Spec, -tasks)
 	q.zoneTasks[slot.zone] += tasks
@@ -167,8 +169,8 @@
 	q.remainingRuns--
 }
 
-// grantOnAvailable grants the next tasks of a job to the best slot with free capacity, and reports
-// whether there is one.
+// grantOnAvailable grants the next tasks of a job to the best slot with free capacity. It returns
+// false if no such slot exists.
 func (p *schedulingPass) grantOnAvailable(queued *queuedJob, allowed func(*slot) bool) bool {
 	job := queued.job
 	if queued.noFreeSlot || p.isUnmet(job, queued.avoidsIdleOnDemand) {
@@ -181,7 +183,7 @@
 		}
 		return false
 	}
-	// If no write is left, the capacity is allocated nevertheless, so that jobs served later
+	// If the transaction is full, the capacity is allocated nevertheless, so that jobs served later
 	// don't use it and the machine is not drained as idle.
 	tasks := p.runLengthOn(queued, target)
 	if p.grant(job, queued.tasks[:tasks], slices.Repeat([]*slot{target}, tasks)) {
@@ -225,6 +227,7 @@
 		queued.noExpectedSlot = target == nil && queued.hasNoZoneConstraint()
 	}
 	if target == nil {
+		// Only spot machines are provisioned for backfill; see isBackfill.
 		target = p.provisionFor(job, func(slot *slot) bool { return allowed(slot) && (slot.spot || !p.isBackfill(queued)) })
 	}
 	if target == nil {
