--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -33,7 +33,7 @@
 }
 
 const (
-	// arrivalWindow is how far back arrivals and completions count.
+	// arrivalWindow is how long arrivals and completions are counted after they happened.
 	arrivalWindow = 150 * second
 	// minForecastWindow is the shortest time over which arrivals are averaged: over a shorter
 	// one, a few arrivals would give a high rate.
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// countArrival counts a new job and its number of tasks if its class has statistics. These are
-// created for a class without them if the job's team has a guarantee.
+// countArrival counts a new job and its number of tasks if its class has statistics. If the class
+// has none, but guaranteed is set, countArrival first creates them, for at most maxClasses classes.
 func (f *arrivalForecast) countArrival(now Time, job *job, tasks int, guaranteed bool) {
 	name := job.Record.Spec.Class
 	class := f.findClass(name)
@@ -96,15 +96,15 @@
 	class.completions = append(class.completions, jobEvent{now, tasks})
 }
 
-// tasksToReserve returns the number of tasks of a class to reserve capacity for; see
+// tasksToReserve returns for how many tasks of a class capacity is to be reserved; see
 // classArrivals.tasksToReserve.
 func (f *arrivalForecast) tasksToReserve(class *classArrivals, now, leadTime Time) int {
 	return class.tasksToReserve(now, f.countingSince, leadTime)
 }
 
-// countsArrivals reports whether arrivals and completions are counted, and starts the counting
-// once a machine is up. Jobs that arrive before are a backlog, which does not reflect the arrival
-// rate.
+// countsArrivals reports whether arrivals and completions are counted. It starts the counting once
+// the replica is loaded and a shard has a machine. Jobs that arrive earlier are a backlog, which
+// does not reflect the arrival rate.
 func (n *Node) countsArrivals() bool {
 	if n.arrivals.countingSince == 0 && n.replica.Loaded() && n.anyMachineUp() {
 		n.arrivals.countingSince = n.now
@@ -125,8 +125,8 @@
 	}
 }
 
-// countCompletion counts a job that is about to leave the live state, by its previous record, if
-// its class has statistics.
+// countCompletion counts a job that is about to leave the live state, if its class has statistics.
+// previous is the job's last record in that state.
 func (n *Node) countCompletion(previous *wire.Job) {
 	if n.countsArrivals() && previous.Spec != nil && previous.State == wire.JobLive {
 		n.arrivals.countCompletion(n.now, previous.Spec.Class, len(previous.ActiveTasks))
@@ -139,11 +139,11 @@
 	a.arrivals, a.completions = slices.DeleteFunc(a.arrivals, old), slices.DeleteFunc(a.completions, old)
 }
 
-// tasksToReserve returns the number of tasks of the class to reserve capacity for: the expected
+// tasksToReserve returns for how many tasks of the class capacity is to be reserved: the expected
 // arrivals during leadTime, the time until more capacity could be obtained, less the expected
 // completions, plus one standard deviation, since the times and sizes of jobs are random. It never
-// exceeds the expected arrivals plus their own standard deviation: if no more jobs arrive, the tasks
-// that end need no replacement. Counting started at since.
+// exceeds the expected arrivals plus their own standard deviation: if no more jobs arrive, the
+// tasks that end need no replacement. since is when the counting started.
 func (a *classArrivals) tasksToReserve(now, since, leadTime Time) int {
 	a.removeOld(now)
 	window := max(minForecastWindow, min(arrivalWindow, now-since))
@@ -165,8 +165,8 @@
 }
 
 // recentJobOf returns a recent job of the class that still has its specification, or nil. Records
-// of finished jobs have none. If the job that arrived last has finished, another live one is
-// chosen.
+// of finished jobs have no specification. If the job that arrived last has finished, another live
+// job of the class takes its place as newestJob.
 func (s *site) recentJobOf(class *classArrivals) *job {
 	usable := func(job *job) bool {
 		return job != nil && job.Record != nil && job.Record.Spec != nil && job.Team >= 0
--- a/internal/core/arrival_forecast_test.go
+++ b/internal/core/arrival_forecast_test.go
@@ -25,7 +25,7 @@
 	}{
 		"no arrivals or completions":             {},
 		"only completions":                       {completions: jobs(50, 4)},
-		"a third of the arrivals, and deviation": {arrivals: jobs(50, 4), low: 66, high: 88},
+		"a third of the arrivals plus deviation": {arrivals: jobs(50, 4), low: 66, high: 88},
 		"as many completions":                    {arrivals: jobs(50, 4), completions: jobs(50, 4), low: 15, high: 30},
 		"more completions":                       {arrivals: jobs(50, 4), completions: jobs(100, 4), low: 15, high: 35},
 		"no more than may arrive":                {arrivals: jobs(2, 1), completions: jobs(200, 8), low: 0, high: 2},
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -10,11 +10,12 @@
 // grantTimeout is how long an owner tries to place a grant before it revokes it.
 const grantTimeout = 2500 * time.Millisecond
 
-// grantTimes holds, for each waiting grant, when its owner first could not place it.
+// grantTimes holds, for each grant that this controller could not place yet, when it first failed
+// to.
 type grantTimes map[taskKey]Time
 
-// timedOut reports whether a grant has waited for capacity for longer than grantTimeout, counted
-// from the first call for that grant.
+// timedOut reports whether a grant has waited for capacity for longer than grantTimeout. The first
+// call for a grant records now as the start of its wait.
 func (g grantTimes) timedOut(key taskKey, now Time) bool {
 	since, seen := g[key]
 	if !seen {
@@ -88,7 +89,7 @@
 	}
 }
 
-// assignMachine records the machine chosen for a granted task.
+// assignMachine sets the machine of a granted task in the record.
 func assignMachine(record *wire.Job, task *wire.ActiveTask, machine *machine) {
 	for i := range record.ActiveTasks {
 		if other := &record.ActiveTasks[i]; other.Task == task.Task && other.Attempt == task.Attempt {
@@ -118,9 +119,9 @@
 }
 
 // removeStaleGrantTimes deletes the times of grants that have been placed or revoked. It is called
-// periodically, so the number of waiting grants bounds the memory. A fixed limit would restrict
-// the size of the site: clearing all times at a limit kept every grant from timing out while
-// more grants were waiting than the limit.
+// periodically, so the number of waiting grants bounds the memory. A fixed limit on the number of
+// times would restrict the size of the site: when all times were cleared at such a limit, no grant
+// timed out while more grants than the limit were waiting.
 func (n *Node) removeStaleGrantTimes() {
 	for key := range n.grantWaitingSince {
 		if !n.jobs[key.job].awaitsPlacement(key) {
@@ -129,12 +130,14 @@
 	}
 }
 
-// awaitsPlacement reports whether the record holds a grant that has no machine yet.
+// awaitsPlacement reports whether the job's record contains the grant with a key, still without a
+// machine.
 func (j *job) awaitsPlacement(key taskKey) bool {
 	return j.Record != nil && j.Unplaced > 0 && slices.ContainsFunc(j.Record.ActiveTasks, func(task wire.ActiveTask) bool {
 		return task.Task == key.task && task.Attempt == key.attempt && task.Machine == ""
 	})
 }
 
-// grantTimedOut reports whether a grant has waited for capacity for longer than grantTimeout.
+// grantTimedOut reports whether a grant has waited for capacity for longer than grantTimeout. The
+// first call for a grant starts its wait.
 func (n *Node) grantTimedOut(key taskKey) bool { return n.grantWaitingSince.timedOut(key, n.now) }
--- a/internal/core/owned_capacity.go
+++ b/internal/core/owned_capacity.go
@@ -12,8 +12,9 @@
 	return l.set
 }
 
-// ownedSlots returns the free capacity of the machines in this controller's shards, less what is
-// held for gangs and less the placements of its own scheduler that are not committed yet.
+// ownedSlots returns the free capacity of the machines in this controller's shards, less the
+// capacity that is held for gangs and less the placements that this controller has made as the
+// leader and that are not committed yet.
 func (n *Node) ownedSlots() *slotSet {
 	slots := newSlotSet(n)
 	for _, shard := range n.shards {
--- a/internal/core/queue_position.go
+++ b/internal/core/queue_position.go
@@ -1,9 +1,9 @@
 package core
 
-// queuePosition is the queue position that a gang had before it was granted. It is restored if the
-// attempt is dropped.
+// queuePosition is the queue position that a gang had before it was granted. The position is
+// restored if the gang's attempt is dropped.
 type queuePosition struct {
-	waitingSince    Time // start of the wait that the grant ended; 0: none is stored
+	waitingSince    Time // when the wait that the grant ended had started; 0: no position is stored
 	droppedAttempts int  // attempts that have been dropped since the gang was last placed
 }
 
--- a/internal/core/run_time_estimator.go
+++ b/internal/core/run_time_estimator.go
@@ -50,8 +50,8 @@
 	return max(minCorrection, min(maxCorrection, sorted[len(sorted)/2]))
 }
 
-// estimate returns the corrected estimate of a job's run time, counted from when all its tasks
-// are granted.
+// estimate returns the corrected estimate of a job's run time, counted from the time when all its
+// tasks have been granted.
 func (e *runTimeEstimator) estimate(spec *wire.JobSpec) Time {
 	return Time(spec.ExpectedS * e.correction(spec.Class) * float64(second))
 }
@@ -59,9 +59,9 @@
 // runTime returns the corrected estimate of a job's run time; see runTimeEstimator.estimate.
 func (n *Node) runTime(spec *wire.JobSpec) Time { return n.runTimeEstimator.estimate(spec) }
 
-// recordRunTime adds a job that is done, with its previous record, to the statistics. The time since
-// its last grant counts as its run time. This is too short for a job that was granted in several
-// steps, but no other start time is stored.
+// recordRunTime adds the run time of a job that is done to the statistics of its class. previous is
+// the job's last live record. The time since the last grant counts as the run time. That is too
+// short for a job that was granted in several steps, but no other start time is stored.
 func (n *Node) recordRunTime(job *job, previous *wire.Job) {
 	if previous.Spec == nil || job.grantedAt == 0 || !n.isLeader() {
 		return
--- a/internal/core/slot_search.go
+++ b/internal/core/slot_search.go
@@ -12,12 +12,13 @@
 	maxExaminedInClass = 96
 )
 
-// slotSearch is a search for the best slot for a task.
+// slotSearch is a search for the best slot for a task. accept and penalty return the same result for
+// all slots of a class.
 type slotSearch struct {
 	set       *slotSet
 	job       *job
-	accept    func(*slot) bool    // same result for all slots of a class; nil: accepts any slot
-	penalty   func(*slot) float64 // added to the score; same result for a class; nil: none
+	accept    func(*slot) bool    // nil: accepts any slot
+	penalty   func(*slot) float64 // added to the score; nil: none
 	best      *slot
 	bestScore float64
 }
@@ -47,8 +48,8 @@
 	}
 }
 
-// compareWithImage compares slots that have the job's image, and removes full slots from the
-// list of that image.
+// compareWithImage compares slots that have the job's image or are fetching it, and removes full
+// slots from the list of that image.
 func (s *slotSearch) compareWithImage() {
 	spec := s.job.Record.Spec
 	key := imageListKey{s.job.Image, spec.GPUs <= 0}
@@ -83,8 +84,8 @@
 	return float64(class.gpus)+1 >= gpus && s.job.Allows(class.machineType, class.zone, class.spot)
 }
 
-// compareInClass compares a few slots of a class. Slots that are full or now belong to another
-// class are removed from the list of the class when they are examined.
+// compareInClass compares a few slots of a class. It removes the slots that it finds to be full, or
+// to belong to another class by now, from the list of the class.
 func (s *slotSearch) compareInClass(class slotClass) {
 	spec, list := s.job.Record.Spec, s.set.byClass[class]
 	compared, examined := 0, 0
@@ -106,7 +107,7 @@
 			continue
 		}
 		if s.accept != nil && !s.accept(candidate) {
-			return
+			return // nor does it accept the other slots of the class
 		}
 		compared++
 		s.compare(candidate)
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -7,7 +7,8 @@
 	"micaport/internal/wire"
 )
 
-// slot is the free capacity of a machine that is up, booting, or planned to be provisioned.
+// slot is the free capacity of a machine that is up, booting or requested, or that a scheduling
+// pass plans to provision.
 type slot struct {
 	machine               *machine // nil for a machine that is not up
 	shard                 int      // index; -1 while unknown
@@ -27,8 +28,8 @@
 	failedJobCount int     // jobs that failed on the machine since its last success
 
 	set      *slotSet    // the set that the slot has been added to, or nil
-	class    slotClass   // under which the set lists it
-	listedIn []slotClass // all classes whose lists contain it, including outdated ones
+	class    slotClass   // class of the slot after the last change of its capacity
+	listedIn []slotClass // all classes whose lists contain the slot, including its earlier classes
 }
 
 // addFetch adds the image of a job to the fetches of the machine unless it has the image.
@@ -80,10 +81,10 @@
 	return s.cores > s.typeInfo.Cores-epsilon && s.gpus > s.typeInfo.GPUs-epsilon
 }
 
-// isFull reports whether the machine has no capacity left, either for tasks without GPUs or, if
-// withoutGPU is false, for tasks with GPUs. A machine whose GPUs are all in use still accepts
-// tasks without GPUs: otherwise these would be placed on machines with free GPUs, which then
-// could neither be drained nor run whole-machine tasks.
+// isFull reports whether the machine has no capacity left: for tasks without GPUs if withoutGPU is
+// set, otherwise for tasks with GPUs. A machine whose GPUs are all in use still accepts tasks
+// without GPUs: otherwise these would be placed on machines with free GPUs, which then could
+// neither be drained nor run whole-machine tasks.
 func (s *slot) isFull(withoutGPU bool) bool {
 	return s.cores <= epsilon || !withoutGPU && s.typeInfo.GPUs > 0 && s.gpus <= epsilon
 }
@@ -92,7 +93,7 @@
 // failed. If it has failed on more, the job is at fault rather than the machines.
 const maxAvoidedMachines = 2
 
-// accepts reports whether a job's tasks may run on the machine, regardless of its free capacity.
+// accepts reports whether a job's tasks may run on the machine, regardless of the free capacity.
 func (s *slot) accepts(job *job) bool {
 	if s.reservedFor > 0 && s.reservedFor != job.Index+1 {
 		return false
@@ -142,8 +143,8 @@
 	byImage    map[imageListKey][]*slot
 }
 
-// slotList lists the slots of a class. The index holds a pointer to it, so that a search can
-// shorten the list without another lookup of the class.
+// slotList lists the slots of a class. slotSet.byClass holds a pointer to the list, so that a
+// search can shorten the list without another lookup of the class.
 type slotList []*slot
 
 // imageListKey is the key of a list of slots that have an image: those with a free GPU or, for
@@ -184,8 +185,8 @@
 	*list = append(*list, slot)
 }
 
-// reclassify lists a slot under its new class after its capacity has changed. The next search
-// that finds it in the list of its old class removes it there.
+// reclassify adds a slot to the list of its new class after its capacity has changed. The next
+// search that finds the slot in the list of its old class removes it from that list.
 func (s *slotSet) reclassify(slot *slot) {
 	class := slot.classify()
 	if class != slot.class {
@@ -211,9 +212,10 @@
 }
 
 // capacityFor returns an upper bound for the number of tasks of a job that fit into the slots of
-// those shards and zones for which includes returns true.
+// those shards and zones for which includes returns true. It considers the GPUs only.
 func (s *slotSet) capacityFor(job *job, includes func(shardIndex, zone int) bool) int {
-	const unbounded = 1 << 10 // the class sets no bound for tasks that need less than one GPU
+	// unbounded is assumed for tasks that need less than one GPU: the class sets no bound for them.
+	const unbounded = 1 << 10
 	spec, tasks := job.Record.Spec, 0
 	for _, class := range s.classOrder {
 		if !includes(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
@@ -221,6 +223,7 @@
 		}
 		tasksPerSlot := unbounded
 		if spec.GPUs >= 1 {
+			// class.gpus is rounded down: a slot may have a fraction of a GPU more.
 			tasksPerSlot = (class.gpus + 1) / int(spec.GPUs)
 			if float64(class.gpus)+1 < spec.GPUs+epsilon {
 				tasksPerSlot = class.gpus / int(spec.GPUs)
--- a/internal/core/slots_test.go
+++ b/internal/core/slots_test.go
@@ -55,14 +55,14 @@
 		spec wire.JobSpec
 		want int
 	}{
-		"limited by cores":       {wire.JobSpec{Cores: 10}, 2},
-		"limited by GPUs":        {wire.JobSpec{Cores: 1, GPUs: 0.5}, 4},
-		"limited by memory":      {wire.JobSpec{Cores: 1, MemoryGB: 33}, 2},
-		"within the tolerance":   {wire.JobSpec{Cores: 8 + epsilon/4}, 3},
-		"beyond the tolerance":   {wire.JobSpec{Cores: 8 + epsilon}, 2},
-		"larger than the slot":   {wire.JobSpec{Cores: 25}, 0},
-		"limited by the run":     {wire.JobSpec{Cores: 0.01}, maxRunLength},
-		"nothing that is needed": {wire.JobSpec{}, maxRunLength},
+		"limited by cores":      {wire.JobSpec{Cores: 10}, 2},
+		"limited by GPUs":       {wire.JobSpec{Cores: 1, GPUs: 0.5}, 4},
+		"limited by memory":     {wire.JobSpec{Cores: 1, MemoryGB: 33}, 2},
+		"within the tolerance":  {wire.JobSpec{Cores: 8 + epsilon/4}, 3},
+		"beyond the tolerance":  {wire.JobSpec{Cores: 8 + epsilon}, 2},
+		"larger than the slot":  {wire.JobSpec{Cores: 25}, 0},
+		"limited by run length": {wire.JobSpec{Cores: 0.01}, maxRunLength},
+		"no demand":             {wire.JobSpec{}, maxRunLength},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := free.capacityFor(&test.spec); got != test.want {
