--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -33,7 +33,7 @@
 	MaxBatchWrites     int     // records that a transaction of this controller may change
 	MaxLargeArrayTasks int     // active tasks of a large array
 	StateRPS           float64 // requests per second that the state service allows all controllers together; 0: no limit
-	WriteRPS           float64 // writes per second, likewise
+	WriteRPS           float64 // writes per second that the state service allows all controllers together; 0: no limit
 	NextWriteRPS       float64 // announced lower write rate that may take effect at any time; 0: WriteRPS
 
 	CloudListLag Time    // usual age of the cloud's machine list
@@ -43,11 +43,11 @@
 	IdleTimeout     Time             // an idle machine is returned to the cloud after this time
 	SpareMachines   int              // idle machines that are kept in each pool
 	MaxMachines     int              // machines of the site; 0: no limit
-	Preempt         bool             // whether tasks may be stopped for guarantees and priorities
-	Admission       Admission        // what shard owners admit without asking the leader
-	// EarlyFailover enables replacing a leader that a quorum suspects before its lease
-	// expires.
+	Preempt         bool             // whether tasks may be preempted for jobs of higher priority or within a guarantee
+	Admission       Admission        // what shard owners admit without the leader
+	// EarlyFailover allows replacing a leader before its lease expires, once a quorum suspects that
+	// it has failed.
 	EarlyFailover bool
 
-	WallClockMS func() int64 // time of day, used only to order queues
+	WallClockMS func() int64 // time of day in Unix milliseconds, for times in records and waiting times derived from them
 }
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -32,12 +32,12 @@
 type imageCacheBuilder struct {
 	record         *wire.ImageCache
 	names          wire.Interner
-	remainingBytes int // that the record may still take
-	imageCount     int // images in the record, counted for each machine
+	remainingBytes int // bytes by which the record may still grow
+	imageCount     int // images in the record; an image on several machines counts for each
 }
 
-// addMachine adds a machine with as many of its images as fit, and reports whether at least the
-// machine's name fitted.
+// addMachine adds a machine with as many of its images as fit into the record. It returns false if
+// not even the machine's name fits.
 func (b *imageCacheBuilder) addMachine(n *Node, machine *machine) bool {
 	if b.remainingBytes -= len(machine.name) + cachedMachineBytes; b.remainingBytes < 0 {
 		return false
@@ -55,8 +55,9 @@
 	return true
 }
 
-// writeImageCache writes the record of the images on this controller's machines if their number
-// has changed. After a restart of all controllers, placement would otherwise ignore cached images.
+// writeImageCache writes the record of the images on this controller's machines if the number of
+// images has changed. Without the record, placement would ignore the cached images after a restart
+// of all controllers.
 func (n *Node) writeImageCache() {
 	if n.now < n.nextImageCacheWriteAt || !n.storeOK {
 		return
@@ -86,7 +87,7 @@
 	n.transact(ClassBackground, nil, []kv.Write{{Key: wire.ImagePrefix + n.cfg.Self, Value: builder.record}}, ignoreResult{})
 }
 
-// putImageCache applies an image cache record.
+// putImageCache adds the images in an image cache record to their machines.
 func (n *Node) putImageCache(record *wire.ImageCache) {
 	for _, name := range slices.Sorted(maps.Keys(record.Machines)) {
 		if n.names.Machines.Find(name) < 0 && n.replica.Loaded() {
@@ -116,7 +117,7 @@
 	return sum
 }
 
-// placementsUseImage reports whether a job of one of the placed tasks uses an image.
+// placementsUseImage reports whether any of the placed tasks uses an image.
 func (s *site) placementsUseImage(placements []placement, image int) bool {
 	for i := range placements {
 		if s.jobs[placements[i].job].Image == image {
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -13,8 +13,8 @@
 	*replica.Job
 	pending               []int // tasks that are neither done nor active; valid if pendingValid is set
 	pendingValid          bool
-	lastConsecutiveErrors int  // as of the previous change of the record
-	suspect               bool // it failed on several machines without success: probably the job's own fault
+	lastConsecutiveErrors int  // consecutive errors in the record at its previous change
+	suspect               bool // the job failed on several machines without success: probably its own fault
 	retryAt               Time // no tasks are granted before this time
 	closedAt              Time // earliest time at which the job can have been recorded as done or cancelled
 
@@ -27,8 +27,8 @@
 	withinGuarantee  bool // the job is within its team's guarantee
 }
 
-// countJobChange updates the statistics of user writes, completions and run times with a change of
-// a job's record.
+// countJobChange updates the statistics of user writes, completions and run times. It is called
+// before job.Record is replaced by record.
 func (n *Node) countJobChange(job *job, record *wire.Job) {
 	previous := job.Record
 	if n.replica.Loaded() && record != nil && (previous == nil || previous.State == wire.JobLive && record.State == wire.JobCancelled) {
@@ -45,9 +45,10 @@
 	}
 }
 
-// setClosedAt sets closedAt of a job that is recorded as done or cancelled. The replica may lag
-// behind the state service. As the change was not in the replica when the last ownership proof took
-// effect, it was committed after that proof was sent.
+// setClosedAt sets closedAt of a job that is recorded as done or cancelled. As the replica may lag
+// behind the state service, the change may have been committed some time ago. It was not in the
+// replica when the last ownership proof took effect, and was thus committed after that proof was
+// sent.
 func (s *site) setClosedAt(job *job) {
 	if job.Record.State == wire.JobLive || job.closedAt != 0 {
 		return
@@ -58,8 +59,9 @@
 	}
 }
 
-// A job with errorsBeforeBackoff or more consecutive errors gets no grants for a time that doubles
-// with each further error. If it has also failed on as many machines, it may become a suspect.
+// Backoff after errors. After errorsBeforeBackoff or more consecutive errors, no tasks of a job are
+// granted for a time that doubles with each further error. A job that has also failed on
+// errorsBeforeBackoff machines may become a suspect; see updateErrorBackoff.
 const (
 	errorsBeforeBackoff = 3
 	minErrorBackoff     = 5 * second
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -5,11 +5,11 @@
 	"micaport/internal/wire"
 )
 
-// An array with more tasks than a record can list one by one is a large array: many small tasks
-// that use spare capacity. It is limited by the size of its record and by the number of writes.
-// Therefore its tasks are granted and placed in runs, and their outcomes are written in batches. A
-// run is as many consecutive tasks as fit on a machine, and takes one entry of the record.
-
+// Constants of large arrays. An array with more tasks than a record can list one by one is a large
+// array: many small tasks that use spare capacity. The size of its record and the number of writes
+// are its bottlenecks. Therefore its tasks are granted and placed in runs, and their outcomes are
+// written in batches. A run is as many consecutive tasks as fit on a machine, and takes one entry
+// of the record.
 const (
 	// maxRunLength bounds the number of tasks in a run.
 	maxRunLength = 256
@@ -17,10 +17,11 @@
 	minListCapacity = 100
 	// maxGrantDelay is the longest time for which the leader batches grants of a job; see grantDelay.
 	maxGrantDelay = 4 * second
-	// lowPriorityDelayFactor is how many times longer the outcomes of low-priority arrays may wait.
+	// lowPriorityDelayFactor is how many times longer the outcomes of arrays of the lowest priority
+	// may wait to be written.
 	lowPriorityDelayFactor = 8
-	// batchingDelayDivisor divides the expected run time of a task. The quotient bounds the delay
-	// by batching.
+	// batchingDelayDivisor divides the expected run time of a task. The quotient bounds how long
+	// batching may delay a write; see maxBatchingDelay.
 	batchingDelayDivisor = 4
 	// defaultMachineName is used to estimate sizes while no machine is known.
 	defaultMachineName = "vm-000000"
@@ -50,14 +51,15 @@
 	return max(minListCapacity, s.replica.ValueBytes()-job.BaseBytes+s.replica.OverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowHeaderBytes-2*s.taskRunBytes()))
 }
 
-// plannableListCapacity returns the list capacity for tasks that are yet to be granted. Unlike
-// listCapacity it uses the value limit that holds at all times, rather than a present higher one.
+// plannableListCapacity returns the list capacity for tasks that are yet to be granted. It is based
+// on MaxValueBytes, while listCapacity uses the limit on values at present, which may be higher for
+// a time; see replica.Replica.ValueBytes.
 func (s *site) plannableListCapacity(job *job) int {
 	return max(minListCapacity, s.listCapacity(job)-s.replica.ValueBytes()+s.cfg.MaxValueBytes)
 }
 
-// taskRunBytes estimates how many bytes one more run takes in a record, by the name of the machine
-// that was added last.
+// taskRunBytes estimates how many bytes one more run takes in a record. The size depends on the
+// length of the machine's name, for which it uses the name of the machine that was added last.
 func (s *site) taskRunBytes() int {
 	if len(s.machines) == 0 {
 		return wire.RunCost(defaultMachineName)
@@ -84,15 +86,15 @@
 	return min(delay, maxBatchingDelay(job))
 }
 
-// maxBatchingDelay returns the longest delay by batching for an array: a share of the expected run
-// time of its tasks, but at least outcomeDelay.
+// maxBatchingDelay returns how long batching may delay the writes of an array: a share of the
+// expected run time of its tasks, but at least outcomeDelay.
 func maxBatchingDelay(job *job) Time {
 	return max(outcomeDelay, Time(job.Record.Spec.ExpectedS*float64(second)/batchingDelayDivisor))
 }
 
-// grantDelay returns how long the leader batches grants to a low-priority or large array. The delay
-// counts from the last grant rather than from the last change of the record, as the record of a
-// large array changes all the time.
+// grantDelay returns how long the leader batches grants to a large array or an array of the lowest
+// priority. The delay counts from the last grant rather than from the last change of the record, as
+// the record of a large array changes all the time.
 func (n *Node) grantDelay(job *job) Time {
 	if len(job.Record.ActiveTasks) == 0 || job.Record.Spec.Shape != wire.ShapeArray || job.Priority > 0 && !job.LargeArray {
 		return 0
@@ -146,8 +148,8 @@
 	return remaining
 }
 
-// allocate reserves bytes of a job's record for one change, and reports whether it did: more than
-// twice as many must remain.
+// allocate reserves bytes of a job's record for one change. It returns false and reserves nothing
+// unless more than twice as many bytes remain.
 func (c *recordCapacity) allocate(job *job, bytes int) bool {
 	remaining := c.remaining(job)
 	if remaining <= 2*bytes {
@@ -194,8 +196,8 @@
 	return outcome
 }
 
-// mayAddRun reports whether one more run may be added to a job's record, and reserves the bytes for
-// it.
+// mayAddRun reports whether one more run may be added to a job's record. If so, it reserves the
+// bytes for the run.
 func (c *recordCapacity) mayAddRun(job *job) bool {
 	return !job.LargeArray || c.allocate(job, c.node.taskRunBytes())
 }
--- a/internal/core/topology.go
+++ b/internal/core/topology.go
@@ -15,7 +15,7 @@
 	offeredTypes   []wire.MachineType
 	typesFetchedAt Time                // when the cloud last listed the machine types; 0: never
 	typesRevision  uint64              // revision of the stored machine types
-	machineTypes   []*wire.MachineType // by index of their name; nil: not offered
+	machineTypes   []*wire.MachineType // by index of their name, also those no longer offered; nil: never offered
 
 	shards   []*shard
 	machines []*machine // by index of their name
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// typeAt returns the machine type with an index, or nil if it is not offered.
+// typeAt returns the machine type with an index, or nil if it has never been offered.
 func (t *topology) typeAt(index int) *wire.MachineType {
 	if index < 0 || index >= len(t.machineTypes) {
 		return nil
@@ -77,8 +77,8 @@
 	return t.machineTypes[index]
 }
 
-// hasReported reports whether the machine has sent a heartbeat to its owner, as far as this
-// controller knows.
+// hasReported reports whether the machine with a name has sent a heartbeat to its owner, as far as
+// this controller knows.
 func (t *topology) hasReported(name string) bool {
 	machine := t.findMachine(name)
 	return machine != nil && machine.view.reportedByOwner
