--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -102,24 +102,24 @@
 	return class.tasksToReserve(now, f.countingSince, leadTime)
 }
 
-// countsArrivals reports whether arrivals and completions are counted. It starts the counting once
-// the replica is loaded and a shard has a machine. Jobs that arrive earlier are a backlog, which
-// does not reflect the arrival rate.
-func (n *Node) countsArrivals() bool {
-	if n.arrivals.countingSince == 0 && n.replica.Loaded() && n.anyMachineUp() {
+// ensureArrivalCounting reports whether arrivals and completions are counted. It starts the
+// counting once the replica is loaded and a shard has a machine. Jobs that arrive earlier are a
+// backlog, which does not reflect the arrival rate.
+func (n *Node) ensureArrivalCounting() bool {
+	if n.arrivals.countingSince == 0 && n.replica.Loaded() && n.anyShardHasMachine() {
 		n.arrivals.countingSince = n.now
 	}
 	return n.arrivals.countingSince > 0
 }
 
-// anyMachineUp reports whether any shard has a machine.
-func (t *topology) anyMachineUp() bool {
+// anyShardHasMachine reports whether any shard has a machine.
+func (t *topology) anyShardHasMachine() bool {
 	return slices.ContainsFunc(t.shards, func(shard *shard) bool { return len(shard.machines) > 0 })
 }
 
 // countArrival counts a new job if its class has a start objective or its team has a guarantee.
 func (n *Node) countArrival(job *job) {
-	if n.countsArrivals() {
+	if n.ensureArrivalCounting() {
 		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
 		n.arrivals.countArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxSingleTasks()), guaranteed)
 	}
@@ -128,7 +128,7 @@
 // countCompletion counts a job that is about to leave the live state, if its class has statistics.
 // previous is the job's last record in that state.
 func (n *Node) countCompletion(previous *wire.Job) {
-	if n.countsArrivals() && previous.Spec != nil && previous.State == wire.JobLive {
+	if n.ensureArrivalCounting() && previous.Spec != nil && previous.State == wire.JobLive {
 		n.arrivals.countCompletion(n.now, previous.Spec.Class, len(previous.ActiveTasks))
 	}
 }
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -14,9 +14,9 @@
 // to.
 type grantTimes map[taskKey]Time
 
-// timedOut reports whether a grant has waited for capacity for longer than grantTimeout. The first
-// call for a grant records now as the start of its wait.
-func (g grantTimes) timedOut(key taskKey, now Time) bool {
+// startOrCheckTimeout reports whether a grant has waited for capacity for longer than grantTimeout.
+// The first call for a grant records now as the start of its wait.
+func (g grantTimes) startOrCheckTimeout(key taskKey, now Time) bool {
 	since, seen := g[key]
 	if !seen {
 		g[key] = now
@@ -140,4 +140,6 @@
 
 // grantTimedOut reports whether a grant has waited for capacity for longer than grantTimeout. The
 // first call for a grant starts its wait.
-func (n *Node) grantTimedOut(key taskKey) bool { return n.grantWaitingSince.timedOut(key, n.now) }
+func (n *Node) grantTimedOut(key taskKey) bool {
+	return n.grantWaitingSince.startOrCheckTimeout(key, n.now)
+}
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -160,7 +160,8 @@
 }
 
 // mayWriteOutcome reports whether the outcome of a task may be written, which removes the task from
-// its run: there must be capacity for a split of the run, or all tasks of the run must have ended.
+// its run: there must be capacity for a split of the run, which is then reserved, or all tasks of
+// the run must have ended.
 func (c *recordCapacity) mayWriteOutcome(key taskKey, machineName string) bool {
 	job := c.node.jobs[key.job]
 	if !job.LargeArray || job.Record.State != wire.JobLive {
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// TestEveryMissedMachineIsNamed checks that after the failure of an owner, whose machines then all
+// TestEveryMissedMachineIsListed checks that after the failure of an owner, whose machines then all
 // send their heartbeats to its peers, a peer lists every one of them: a machine that is not listed
 // counts as unreachable, and would be deprovisioned with its tasks.
-func TestEveryMissedMachineIsNamed(t *testing.T) {
+func TestEveryMissedMachineIsListed(t *testing.T) {
 	const machines = 2_000
 	n := New(Config{Self: "n0", Members: []ownership.Member{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}}, Zones: []string{"a"}, HeartbeatInterval: 3 * second, WorkerLease: 30 * second,
 		MaxTransactionOps: 12, MaxValueBytes: 8192, WallClockMS: func() int64 { return 0 }})
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -36,31 +36,32 @@
 	// admissionIntervalPerJob is added to admissionInterval for each live job, as a pass examines
 	// all of them.
 	admissionIntervalPerJob = 50 * time.Microsecond
-	// homeShardTurn is how long a waiting job has the same home shard before another shard becomes
-	// its home shard. Of all owners only that of the home shard admits the job: the writes of two
-	// owners that admit it at once would conflict.
-	homeShardTurn = 2 * second
+	// homeShardPeriod is how long a waiting job has the same home shard before another shard
+	// becomes its home shard. Of all owners only that of the home shard admits the job: the writes
+	// of two owners that admit it at once would conflict.
+	homeShardPeriod = 2 * second
 )
 
-// admission holds the demand that an owner's pass has admitted.
-type admission struct {
+// admissionPass is the additional state of an owner's scheduling pass, which admits work: the
+// demand that the pass has admitted.
+type admissionPass struct {
 	admitted [][]quota.Amount // by team and shard
 }
 
-// newAdmission returns the state of a pass that has admitted nothing yet.
-func newAdmission(teams, shards int) *admission {
+// newAdmissionPass returns the state of a pass that has admitted nothing yet.
+func newAdmissionPass(teams, shards int) *admissionPass {
 	admitted := make([][]quota.Amount, teams)
 	for team := range admitted {
 		admitted[team] = make([]quota.Amount, shards)
 	}
-	return &admission{admitted: admitted}
+	return &admissionPass{admitted: admitted}
 }
 
 // mayCharge reports whether tasks of a job may be granted to a slot: in the leader's pass if the
-// limit of the job's team allows them, in an owner's pass if the team's share of the limit in the
+// limit of the job's team allows them, in an admission pass if the team's share of the limit in the
 // slot's shard does.
 func (p *schedulingPass) mayCharge(job *job, tasks int, slot *slot) bool {
-	if p.admission != nil {
+	if p.admissionPass != nil {
 		return p.mayAdmit(job, tasks, slot.shard)
 	}
 	return p.checkLimit(job, tasks)
@@ -71,17 +72,17 @@
 	if job.Team < 0 || !p.node.mayActAsOwner(p.node.shards[shardIndex]) {
 		return false
 	}
-	admitted := p.admission.admitted[job.Team][shardIndex].Plus(job.Demand(tasks))
+	admitted := p.admissionPass.admitted[job.Team][shardIndex].Plus(job.Demand(tasks))
 	return p.node.replica.Ledger().MayAdmit(job.Team, shardIndex, admitted, p.node.replica.Revision())
 }
 
 // addAccountCondition makes the transaction conditional on the account of a job's team, so that the
-// transaction fails if the limit or a share has changed meanwhile. In an owner's pass it also
+// transaction fails if the limit or a share has changed meanwhile. In an admission pass it also
 // records the tasks as admitted.
 func (p *schedulingPass) addAccountCondition(job *job, slots []*slot) {
-	if p.admission != nil {
+	if p.admissionPass != nil {
 		for _, slot := range slots {
-			admitted := &p.admission.admitted[job.Team][slot.shard]
+			admitted := &p.admissionPass.admitted[job.Team][slot.shard]
 			*admitted = admitted.Plus(job.Demand(1))
 		}
 	}
@@ -102,7 +103,7 @@
 		n.leadership.HoldsClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
 		return
 	}
-	leaderless := n.leaderIsSilent()
+	leaderless := n.leaderIsUnavailable()
 	if !leaderless && n.cfg.Admission != AdmitGuaranteed {
 		return
 	}
@@ -119,7 +120,7 @@
 		return
 	}
 	pass := n.newSchedulingPass(writer)
-	pass.admission = newAdmission(n.names.Teams.Len(), len(n.shards))
+	pass.admissionPass = newAdmissionPass(n.names.Teams.Len(), len(n.shards))
 	pass.available = free.slots(n)
 	pass.chargeTeams()
 	pass.serveQueues(queues)
@@ -131,11 +132,11 @@
 	return q.withinGuarantee && q.job.Record.NextAttempt == 1 && len(q.job.Record.ActiveTasks) == 0
 }
 
-// leaderIsSilent reports whether no other controller is recorded as the leader, or that leader has
-// not sent a message within leaderTimeout or can't use the state service. A record that names this
-// controller is that of an earlier process and counts as no leader: admitWork admits nothing while
-// this process holds the claim.
-func (n *Node) leaderIsSilent() bool {
+// leaderIsUnavailable reports whether no other controller is recorded as the leader, or that leader
+// has not sent a message within leaderTimeout or can't use the state service. A record that names
+// this controller is that of an earlier process and counts as no leader: admitWork admits nothing
+// while this process holds the claim.
+func (n *Node) leaderIsUnavailable() bool {
 	leader := n.leadership.Record()
 	if leader == nil || leader.Controller == n.cfg.Self {
 		return true
@@ -151,7 +152,7 @@
 }
 
 // homeShard returns the shard that may admit a job at present, or nil. It is chosen by a hash of
-// the job's ID among the shards with a reachable owner, and changes after every homeShardTurn.
+// the job's ID among the shards with a reachable owner, and changes after every homeShardPeriod.
 // Controllers need not agree on it: if two admit the same job at once, one of their writes of the
 // record fails.
 func (n *Node) homeShard(job *job) *shard {
@@ -167,7 +168,7 @@
 	hash := fnv.New32a()
 	hash.Write([]byte(job.ID))
 	waited := max(0, Time(n.cfg.WallClockMS()-job.RunnableSinceMS())*time.Millisecond)
-	return owned[(int(hash.Sum32()>>1)+int(waited/homeShardTurn))%len(owned)]
+	return owned[(int(hash.Sum32()>>1)+int(waited/homeShardPeriod))%len(owned)]
 }
 
 // isOwnerReachable reports whether this controller owns a shard or has received a message from its
--- a/internal/core/scheduler_gang.go
+++ b/internal/core/scheduler_gang.go
@@ -10,7 +10,7 @@
 // serveGang grants all tasks of a gang or none.
 func (p *schedulingPass) serveGang(queued *queuedJob) {
 	job, spec := queued.job, queued.job.Record.Spec
-	if p.admission != nil {
+	if p.admissionPass != nil {
 		p.admitGang(queued)
 		return
 	}
--- a/internal/core/scheduler_gang_reservation.go
+++ b/internal/core/scheduler_gang_reservation.go
@@ -10,7 +10,7 @@
 const (
 	bootingCost    = 15   // on a machine that is expected
 	preemptionCost = 10   // by preempting tasks, in addition to the costs of these tasks
-	drainCost      = 60   // by waiting until the tasks on a machine have ended
+	taskWaitCost   = 60   // by waiting until the tasks on a machine have ended
 	provisionCost  = 30   // on a machine to be provisioned
 	noCapacityCost = 1000 // added where no machine can be provisioned
 	sameZoneBonus  = 10   // subtracted for the zone where capacity is already being reserved
@@ -18,17 +18,17 @@
 	// victimCostDivisor divides the cost of preempting a task, which is lost work rather than
 	// waiting time.
 	victimCostDivisor = 4
-	// sourcesPerTask bounds the number of free, releasing and expected sources that a search
+	// maxSourcesPerTask bounds the number of free, releasing and expected sources that a search
 	// collects for each task of the gang.
-	sourcesPerTask = 4
+	maxSourcesPerTask = 4
 )
 
 // capacitySource is a slot that can provide capacity for one task of a gang.
 type capacitySource struct {
-	slot    *slot
-	victims []victim // tasks to be preempted first
-	drain   bool     // the tasks on the machine have to end first
-	cost    float64
+	slot          *slot
+	victims       []victim // tasks to be preempted first
+	waitsForTasks bool     // the tasks on the machine have to end first
+	cost          float64
 }
 
 // gangReservation is a plan for obtaining the capacity for a gang.
@@ -58,7 +58,7 @@
 				preempted = true
 			}
 			source.slot.reserved = true
-		case source.drain:
+		case source.waitsForTasks:
 			source.slot.reserved = true
 		default:
 			source.slot.allocate(spec)
@@ -118,9 +118,10 @@
 	return search.choosePlan(canProvision)
 }
 
-// hasEnoughSources reports whether the search has collected sourcesPerTask sources for each task.
+// hasEnoughSources reports whether the search has collected maxSourcesPerTask sources for each
+// task.
 func (r *reservationSearch) hasEnoughSources() bool {
-	return len(r.sources) >= sourcesPerTask*len(r.queued.tasks)
+	return len(r.sources) >= maxSourcesPerTask*len(r.queued.tasks)
 }
 
 // isOutsideZone reports whether a slot is outside the zone of the search.
@@ -166,8 +167,8 @@
 }
 
 // addOccupiedSlots adds slots on which a task fits once other tasks have been preempted (with
-// mayPreempt set) or have ended by themselves (with mayDrain set).
-func (r *reservationSearch) addOccupiedSlots(mayPreempt, mayDrain bool) {
+// mayPreempt set) or have ended by themselves (with mayWaitForTasks set).
+func (r *reservationSearch) addOccupiedSlots(mayPreempt, mayWaitForTasks bool) {
 	pass, queued := r.pass, r.queued
 	for _, slot := range pass.available.all {
 		if r.isOutsideZone(slot) || slot.reserved || r.added[slot] ||
@@ -186,9 +187,9 @@
 				continue
 			}
 		}
-		if mayDrain {
+		if mayWaitForTasks {
 			if _, fits := pass.victimsOn(queued, slot, true); fits {
-				r.sources = append(r.sources, capacitySource{slot: slot, drain: true, cost: drainCost})
+				r.sources = append(r.sources, capacitySource{slot: slot, waitsForTasks: true, cost: taskWaitCost})
 			}
 		}
 	}
--- a/internal/core/scheduler_grant.go
+++ b/internal/core/scheduler_grant.go
@@ -53,11 +53,11 @@
 // machine as a hint of the capacity that the grant will use.
 func (p *schedulingPass) addGrant(job *job, record *wire.Job, key taskKey, slot *slot, assignMachine bool) {
 	n := p.node
-	task := wire.ActiveTask{Task: key.task, Attempt: key.attempt, Shard: slot.shard, Admitted: p.admission != nil}
+	task := wire.ActiveTask{Task: key.task, Attempt: key.attempt, Shard: slot.shard, Admitted: p.admissionPass != nil}
 	if assignMachine {
 		task.Machine, task.Epoch = slot.machine.name, slot.machine.epoch
 		p.writer.ownedShards[slot.shard] = true
-		if p.admission == nil {
+		if p.admissionPass == nil {
 			n.leader.pendingPlacements = append(n.leader.pendingPlacements, pendingPlacement{slot.machine, record.Spec})
 		}
 	} else {
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -16,11 +16,11 @@
 }
 
 // schedulingPass is the state of one scheduling pass. The leader runs a pass over the whole site;
-// an owner runs one to admit work in its own shards.
+// an owner runs an admission pass over its own shards.
 type schedulingPass struct {
 	node                *Node
 	writer              *writer
-	admission           *admission          // set in an owner's pass; nil in the leader's
+	admissionPass       *admissionPass      // set in an admission pass; nil in the leader's pass
 	available           *slotSet            // machines that are up
 	expected            *slotSet            // machines that are booting or requested, or that this pass plans to provision
 	used                []usage             // by team, including what this pass has charged
@@ -64,7 +64,7 @@
 	// Collect the capacity, and subtract what is in use already.
 	pass.addMachines()
 	pass.chargeTeams()
-	pass.chargeGrants()
+	pass.allocateUnplacedGrants()
 	pass.addExpectedMachines()
 	idle := pass.idleSlots()
 
@@ -152,9 +152,9 @@
 	p.charged[job.Team] = p.charged[job.Team].Plus(job.Demand(tasks))
 }
 
-// chargeGrants allocates capacity for grants that their owners have not placed yet: on the
-// machine named by the grant's hint, or otherwise on the best machine of the shard.
-func (p *schedulingPass) chargeGrants() {
+// allocateUnplacedGrants allocates capacity for grants that their owners have not placed yet: on
+// the machine named by the grant's hint, or otherwise on the best machine of the shard.
+func (p *schedulingPass) allocateUnplacedGrants() {
 	n := p.node
 	var slots map[*machine]*slot
 	for _, index := range n.replica.Live() {
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -23,10 +23,10 @@
 
 // Costs of preempting a task besides the time for its checkpoint, in seconds.
 const (
-	priorityCost     = 20  // for each level of priority
-	noCheckpointCost = 100 // for a task without checkpoints, which loses all its work
-	gangMemberCost   = 30  // for each other task of its gang, which is stopped as a whole
-	costResolution   = 10  // costs are compared in steps of a tenth of a second
+	priorityCost       = 20  // for each level of priority
+	noCheckpointCost   = 100 // for a task without checkpoints, which loses all its work
+	gangMemberCost     = 30  // for each other task of its gang, which is stopped as a whole
+	costStepsPerSecond = 10  // costs are compared in steps of a tenth of a second
 )
 
 // victim is a task that may be preempted, with the cost of doing so.
@@ -69,11 +69,11 @@
 	return cost
 }
 
-// candidatesOn returns the tasks on a machine that may be preempted for a queued job, cheapest
-// first. It excludes jobs whose records this pass has already changed. With includeUnpreemptable
-// set it returns the tasks of all other live jobs. Tasks of daemons and tasks with a stop request
-// are excluded in both cases.
-func (p *schedulingPass) candidatesOn(queued *queuedJob, machine *machine, includeUnpreemptable bool) []victim {
+// preemptionCandidatesOn returns the tasks on a machine that may be preempted for a queued job,
+// cheapest first. It excludes jobs whose records this pass has already changed. With
+// includeUnpreemptable set it returns the tasks of all other live jobs. Tasks of daemons and tasks
+// with a stop request are excluded in both cases.
+func (p *schedulingPass) preemptionCandidatesOn(queued *queuedJob, machine *machine, includeUnpreemptable bool) []victim {
 	var candidates []victim
 	for i := range machine.placements {
 		placement := &machine.placements[i]
@@ -88,7 +88,7 @@
 		}
 		candidates = append(candidates, victim{job, placement.taskKey, preemptionCostOf(job)})
 	}
-	slices.SortStableFunc(candidates, func(a, b victim) int { return int(a.cost*costResolution) - int(b.cost*costResolution) })
+	slices.SortStableFunc(candidates, func(a, b victim) int { return int(a.cost*costStepsPerSecond) - int(b.cost*costStepsPerSecond) })
 	return candidates
 }
 
@@ -103,7 +103,7 @@
 	afterStops := *slot  // its capacity once the tasks chosen so far have ended
 	afterStops.set = nil // the copy is in no set
 	var chosen []victim
-	for _, candidate := range p.candidatesOn(queued, slot.machine, includeUnpreemptable) {
+	for _, candidate := range p.preemptionCandidatesOn(queued, slot.machine, includeUnpreemptable) {
 		if afterStops.fitsAfterRelease(spec) {
 			break
 		}
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -18,7 +18,7 @@
 	shardTasks         []int // number of its active and newly granted tasks by shard
 	withinGuarantee    bool  // the team's guarantee covers the job and the team's older jobs
 	remainingRuns      int   // runs that the record of a large array can still hold; other jobs: no limit
-	latestStartMS      int64 // see Node.latestStart
+	latestStartMS      int64 // see Node.latestStartOrMax
 	avoidsIdleOnDemand bool  // its next task avoids idle on-demand machines
 
 	// Set if the search for such a slot has failed for a task of the job. The search is then not
@@ -114,7 +114,7 @@
 	queued := &queuedJob{
 		job:             job,
 		withinGuarantee: job.withinGuarantee,
-		latestStartMS:   n.latestStart(job),
+		latestStartMS:   n.latestStartOrMax(job),
 		remainingRuns:   len(job.Record.ActiveTasks) + job.Record.TaskCount, // more than the job can use
 	}
 	if job.Record.Spec.Shape == wire.ShapeGang {
@@ -145,9 +145,9 @@
 	return cmp.Or(b.rank()-a.rank(), cmp.Compare(a.latestStartMS, b.latestStartMS), boolToInt(b.job.LargeArray)-boolToInt(a.job.LargeArray))
 }
 
-// latestStart returns latestStartMS of a job, or math.MaxInt64 if it has none, so that jobs without
-// a latest start come last in the queue.
-func (n *Node) latestStart(job *job) int64 {
+// latestStartOrMax returns latestStartMS of a job, or math.MaxInt64 if it has none, so that jobs
+// without a latest start come last in the queue.
+func (n *Node) latestStartOrMax(job *job) int64 {
 	if ms := n.latestStartMS(job); ms != 0 {
 		return ms
 	}
--- a/internal/core/scheduler_stages_test.go
+++ b/internal/core/scheduler_stages_test.go
@@ -96,11 +96,11 @@
 	if got, want := n.findJob("wk-000001").Links.DeadlineMS, int64(dueMS-3*estimateMS-reportMS); got != want {
 		t.Errorf("deadline of the first stage = %d, want %d", got, want)
 	}
-	if got, want := n.latestStart(n.findJob("wk-000002")), int64(dueMS-3*estimateMS); got != want {
+	if got, want := n.latestStartOrMax(n.findJob("wk-000002")), int64(dueMS-3*estimateMS); got != want {
 		t.Errorf("latest start of the last stage = %d, want %d", got, want)
 	}
 	applyJobRecord(n, 4, "wk-000003", wire.JobLive, nil)
-	if got := n.latestStart(n.findJob("wk-000003")); got != math.MaxInt64 {
+	if got := n.latestStartOrMax(n.findJob("wk-000003")); got != math.MaxInt64 {
 		t.Errorf("latest start of a job outside a chain = %d, want none", got)
 	}
 }
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -44,9 +44,9 @@
 	avoidsIdleOnDemand    bool // the task avoided idle on-demand machines
 }
 
-// isUnmet reports whether no slot was free in this pass for an earlier task that needed no more
-// capacity than a task of this job and was allowed on all machines that this job allows.
-func (p *schedulingPass) isUnmet(job *job, avoidsIdleOnDemand bool) bool {
+// matchesUnmetDemand reports whether no slot was free in this pass for an earlier task that needed
+// no more capacity than a task of this job and was allowed on all machines that this job allows.
+func (p *schedulingPass) matchesUnmetDemand(job *job, avoidsIdleOnDemand bool) bool {
 	spec := job.Record.Spec
 	for i := range p.unmetDemands {
 		unmet := &p.unmetDemands[i]
@@ -72,14 +72,14 @@
 // one, or as many tasks of a large array as fit a machine. It reports whether more tasks of the
 // job may be served.
 func (p *schedulingPass) serveTask(queued *queuedJob) bool {
-	if queued.remainingRuns <= 0 || p.admission == nil && !p.checkLimit(queued.job, 1) {
+	if queued.remainingRuns <= 0 || p.admissionPass == nil && !p.checkLimit(queued.job, 1) {
 		return false
 	}
 	if queued.zoneTasks == nil {
 		p.countTasks(queued)
 	}
 	allowed := p.placementRule(queued)
-	if p.admission != nil {
+	if p.admissionPass != nil {
 		return p.grantOnAvailable(queued, func(slot *slot) bool { return allowed(slot) && p.mayAdmit(queued.job, 1, slot.shard) })
 	}
 	if p.grantOnAvailable(queued, allowed) {
@@ -173,12 +173,12 @@
 // false if no such slot exists.
 func (p *schedulingPass) grantOnAvailable(queued *queuedJob, allowed func(*slot) bool) bool {
 	job := queued.job
-	if queued.noFreeSlot || p.isUnmet(job, queued.avoidsIdleOnDemand) {
+	if queued.noFreeSlot || p.matchesUnmetDemand(job, queued.avoidsIdleOnDemand) {
 		return false
 	}
 	target := p.available.best(job, allowed, p.shardPenalty(queued))
 	if target == nil {
-		if queued.hasNoZoneConstraint() && p.admission == nil { // an owner's share of the limit may be the cause
+		if queued.hasNoZoneConstraint() && p.admissionPass == nil { // an owner's share of the limit may be the cause
 			p.recordUnmetDemand(job, queued.avoidsIdleOnDemand)
 		}
 		return false
