--- a/internal/core/dependency_check_test.go
+++ b/internal/core/dependency_check_test.go
@@ -72,7 +72,7 @@
 		return UserRequest{RequestID: id, Kind: wire.RequestSubmit, Body: submissionBody(t, "wk-000100", "wk-000001")}
 	}
 	reply, wrote := runRequest(n, submit(1), nil)
-	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 || n.replica.OverflowKeys() > 0 {
+	if reply == nil || reply.Status != http.StatusServiceUnavailable || reply.RetryAfterS == 0 || len(wrote) > 0 || n.replica.MaxOverflowKeys() > 0 {
 		t.Errorf("before the upgrade: answered with %+v, wrote %+v, want status %d and no write", reply, wrote, http.StatusServiceUnavailable)
 	}
 	// Nor is it forwarded to a peer, which may still run the earlier version.
@@ -90,7 +90,7 @@
 	}
 	// A lower format recorded later does not lower the agreed format.
 	n.Step(n.now+1, RecordsChanged{Revision: 10, Events: []kv.Event{{Key: wire.FormatPrefix + "n1", Revision: 10, Value: &wire.SupportedFormat{Format: 1}}}})
-	if !n.replica.WritesDependencies() {
+	if !n.replica.SupportsDependencies() {
 		t.Error("the agreed format went back to an earlier one")
 	}
 }
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -48,14 +48,14 @@
 // Each overflow key counts without the size of two runs, as the last bytes of a key may be too few
 // for another run.
 func (s *site) listCapacity(job *job) int {
-	return max(minListCapacity, s.replica.ValueBytes()-job.BaseBytes+s.replica.OverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowHeaderBytes-2*s.taskRunBytes()))
+	return max(minListCapacity, s.replica.MaxWritableBytes()-job.BaseBytes+s.replica.MaxOverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowHeaderBytes-2*s.taskRunBytes()))
 }
 
 // plannableListCapacity returns the list capacity for tasks that are yet to be granted. It is based
 // on MaxValueBytes, while listCapacity uses the limit on values at present, which may be higher for
-// a time; see replica.Replica.ValueBytes.
+// a time; see replica.Replica.MaxWritableBytes.
 func (s *site) plannableListCapacity(job *job) int {
-	return max(minListCapacity, s.listCapacity(job)-s.replica.ValueBytes()+s.cfg.MaxValueBytes)
+	return max(minListCapacity, s.listCapacity(job)-s.replica.MaxWritableBytes()+s.cfg.MaxValueBytes)
 }
 
 // taskRunBytes estimates how many bytes one more run takes in a record. The size depends on the
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -10,7 +10,7 @@
 // was decided under the old claim is settled, as the new claim changes the revision that commits
 // are conditional on.
 func (n *Node) fenceClaim() {
-	if !n.cfg.EarlyFailover || !n.replica.WritesEarlyFailover() ||
+	if !n.cfg.EarlyFailover || !n.replica.SupportsEarlyFailover() ||
 		n.leadership.Record().Fenced || n.leader.batch.active ||
 		!n.leadership.MayClaimAgain(n.now) {
 		return
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -65,7 +65,7 @@
 // newClaim returns the leader record for a claim of this process.
 func (n *Node) newClaim(streak int) *wire.Leader {
 	claim := &wire.Leader{Controller: n.cfg.Self, Incarnation: n.cfg.Incarnation}
-	if n.replica.WritesEarlyFailover() {
+	if n.replica.SupportsEarlyFailover() {
 		claim.Fenced, claim.Streak = n.cfg.EarlyFailover, streak
 	}
 	return claim
--- a/internal/core/overflow.go
+++ b/internal/core/overflow.go
@@ -6,7 +6,7 @@
 // which moves active tasks to overflow keys. Once the lower limits have taken effect, such large
 // records can't be written any more.
 func (n *Node) shrinkRecords(writer *writer) {
-	if !n.replica.WritesDependencies() || n.leader.recordsWithinLimits {
+	if !n.replica.SupportsDependencies() || n.leader.recordsWithinLimits {
 		return
 	}
 	n.leader.recordsWithinLimits = true
--- a/internal/core/request_forwarding.go
+++ b/internal/core/request_forwarding.go
@@ -38,9 +38,9 @@
 // answers 422 if the dependencies do not fit the job's record.
 func (n *Node) peersMayMisinterpret(spec *wire.JobSpec) bool {
 	switch {
-	case spec == nil || len(spec.Dependencies) == 0 || n.replica.WritesDependencyLists():
+	case spec == nil || len(spec.Dependencies) == 0 || n.replica.SupportsDependencyLists():
 		return false
-	case !n.replica.WritesDependencies():
+	case !n.replica.SupportsDependencies():
 		return true
 	}
 	return !n.jobRecordFits(n.newJobRecord(spec))
--- a/internal/core/scheduler_admission.go
+++ b/internal/core/scheduler_admission.go
@@ -86,7 +86,7 @@
 			*admitted = admitted.Plus(job.Demand(1))
 		}
 	}
-	if !p.node.replica.WritesTeamAccounts() {
+	if !p.node.replica.SupportsTeamAccounts() {
 		return
 	}
 	condition := kv.Condition{Key: wire.AccountKey(p.node.cfg.Teams[job.Team].Name), Revision: p.node.replica.Ledger().Revision(job.Team)}
@@ -99,7 +99,7 @@
 // limits in these shards. It does nothing while this controller holds the leader's claim or has a
 // transaction of a leader's pass pending.
 func (n *Node) admitWork(writer *writer, free *lazySlots) {
-	if n.cfg.Admission == AdmitNothing || !n.replica.WritesTeamAccounts() || n.now < n.nextAdmissionAt || n.offeredTypes == nil ||
+	if n.cfg.Admission == AdmitNothing || !n.replica.SupportsTeamAccounts() || n.now < n.nextAdmissionAt || n.offeredTypes == nil ||
 		n.leadership.HoldsClaim() || n.leader.batch.active || n.replica.Revision() == 0 {
 		return
 	}
@@ -186,7 +186,7 @@
 // not admitted it.
 func (n *Node) defersToOwner(job *job) bool {
 	if n.cfg.Admission != AdmitGuaranteed || !n.isLeader() ||
-		!n.replica.WritesTeamAccounts() ||
+		!n.replica.SupportsTeamAccounts() ||
 		n.now-job.ChangedAt >= ownerAdmissionTime ||
 		job.Record.NextAttempt != 1 || len(job.Record.ActiveTasks) > 0 || !job.withinGuarantee {
 		return false
--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -32,7 +32,7 @@
 // the distribution and docs/team-limits.md for the reasons.
 func (p *schedulingPass) distributeShares() {
 	n := p.node
-	if !n.replica.WritesTeamAccounts() {
+	if !n.replica.SupportsTeamAccounts() {
 		return
 	}
 	for team := range n.cfg.Teams {
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -25,7 +25,7 @@
 	}
 	cancelled := false
 	if len(spec.Dependencies) > 0 {
-		if !n.replica.WritesDependencies() {
+		if !n.replica.SupportsDependencies() {
 			n.answerUnavailable(request, notUpgraded)
 			return
 		}
@@ -109,7 +109,7 @@
 	case !n.jobRecordFits(&withReference):
 		n.rejectSubmission(request, errNamesTooLong)
 		return false
-	case !n.replica.WritesDependencyLists():
+	case !n.replica.SupportsDependencyLists():
 		n.answerUnavailable(request, notUpgraded)
 		return false
 	}
--- a/internal/replica/format.go
+++ b/internal/replica/format.go
@@ -43,15 +43,15 @@
 // AgreedFormat returns the newest format that all controllers read.
 func (r *Replica) AgreedFormat() int { return r.agreedFormat }
 
-// WritesDependencies reports whether records may have dependencies and overflow keys.
-func (r *Replica) WritesDependencies() bool { return r.agreedFormat >= wire.FormatDependencies }
+// SupportsDependencies reports whether records may have dependencies and overflow keys.
+func (r *Replica) SupportsDependencies() bool { return r.agreedFormat >= wire.FormatDependencies }
 
-// WritesDependencyLists reports whether dependencies may be stored in separate keys.
-func (r *Replica) WritesDependencyLists() bool { return r.agreedFormat >= wire.FormatDependencyLists }
+// SupportsDependencyLists reports whether dependencies may be stored in separate keys.
+func (r *Replica) SupportsDependencyLists() bool { return r.agreedFormat >= wire.FormatDependencyLists }
 
-// WritesTeamAccounts reports whether teams may have accounts, and shard owners may admit
+// SupportsTeamAccounts reports whether teams may have accounts, and shard owners may admit
 // tasks within their shares.
-func (r *Replica) WritesTeamAccounts() bool { return r.agreedFormat >= wire.FormatTeamAccounts }
+func (r *Replica) SupportsTeamAccounts() bool { return r.agreedFormat >= wire.FormatTeamAccounts }
 
-// WritesEarlyFailover reports whether the record of the leadership may be marked as fenced.
-func (r *Replica) WritesEarlyFailover() bool { return r.agreedFormat >= wire.FormatEarlyFailover }
+// SupportsEarlyFailover reports whether the record of the leadership may be marked as fenced.
+func (r *Replica) SupportsEarlyFailover() bool { return r.agreedFormat >= wire.FormatEarlyFailover }
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -25,20 +25,20 @@
 	recordReserveBytes = 2000
 )
 
-// OverflowKeys returns the number of overflow keys per job that the leader plans with. All of
-// them have to fit into one transaction with the job's record and the key of a gang.
-func (r *Replica) OverflowKeys() int {
-	if !r.WritesDependencies() {
+// MaxOverflowKeys returns the largest number of overflow keys per job that the leader plans with.
+// All of them have to fit into one transaction with the job's record and the key of a gang.
+func (r *Replica) MaxOverflowKeys() int {
+	if !r.SupportsDependencies() {
 		return 0
 	}
 	return max(0, min(maxTaskListBytes/r.cfg.MaxValueBytes-1, r.cfg.MaxTransactionOps-2))
 }
 
-// ValueBytes returns the largest size of a value that may be written now. While controllers
+// MaxWritableBytes returns the largest size of a value that may be written now. While controllers
 // of an earlier version run, their records may be as large as the present limit allows, and
 // this controller has to be able to rewrite them.
-func (r *Replica) ValueBytes() int {
-	if !r.WritesDependencies() {
+func (r *Replica) MaxWritableBytes() int {
+	if !r.SupportsDependencies() {
 		return max(r.cfg.MaxValueBytes, r.cfg.CurrentValueBytes)
 	}
 	return r.cfg.MaxValueBytes
@@ -48,7 +48,7 @@
 // keys can hold if each task is encoded separately. An array with more tasks is a large array,
 // whose tasks are recorded as runs.
 func (r *Replica) MaxTasksWithoutRuns() int {
-	return max(1, (r.cfg.MaxValueBytes*(1+r.OverflowKeys())-recordReserveBytes)/separateTaskBytes)
+	return max(1, (r.cfg.MaxValueBytes*(1+r.MaxOverflowKeys())-recordReserveBytes)/separateTaskBytes)
 }
 
 // TaskListBytes returns an upper bound of the size of the task lists in a record.
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -83,7 +83,7 @@
 func (r *Replica) SplitRecord(id string, stored StoredRecord, record *wire.Job) []kv.Write {
 	split := &recordSplit{replica: r, id: id, record: record, baseBytes: BaseBytes(record), stored: stored, usedBytes: map[int]int{}}
 	tasks := record.ActiveTasks
-	if !r.WritesDependencies() || len(tasks) == 0 || stored.OverflowKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber) {
+	if !r.SupportsDependencies() || len(tasks) == 0 || stored.OverflowKeys == 0 && tasks.MaxEncodedBytes() <= split.capacity(jobKeyNumber) {
 		split.moveAllToJobKey()
 		jobRecord := *record
 		jobRecord.OverflowKeys = stored.UnreadOverflowKeys
@@ -101,7 +101,7 @@
 // capacity returns the largest size of the tasks in a key, in bytes.
 func (s *recordSplit) capacity(key int) int {
 	if key == jobKeyNumber {
-		return s.replica.ValueBytes() - s.baseBytes - TaskRangeBytes*len(s.record.DoneTasks)
+		return s.replica.MaxWritableBytes() - s.baseBytes - TaskRangeBytes*len(s.record.DoneTasks)
 	}
 	return s.replica.cfg.MaxValueBytes - OverflowHeaderBytes
 }
@@ -142,7 +142,7 @@
 // assignKeys assigns each run of tasks without a key to the first key with enough capacity.
 func (s *recordSplit) assignKeys() {
 	tasks := s.record.ActiveTasks
-	last := s.stored.OverflowKeys + 1 + len(tasks) // an upper bound; the leader plans with at most OverflowKeys overflow keys
+	last := s.stored.OverflowKeys + 1 + len(tasks) // an upper bound; the leader plans with MaxOverflowKeys at most
 	for at := 0; at < len(tasks); {
 		from, to := tasks.Run(at)
 		at = to
--- a/internal/replica/overflow_test.go
+++ b/internal/replica/overflow_test.go
@@ -36,8 +36,8 @@
 func TestSplitKeepsAllTasks(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	r := newReplicaWithSmallValues()
-	if r.OverflowKeys() != 2 {
-		t.Fatalf("%d overflow keys, not 2", r.OverflowKeys())
+	if r.MaxOverflowKeys() != 2 {
+		t.Fatalf("%d overflow keys, not 2", r.MaxOverflowKeys())
 	}
 	const jobID = "wk-000001"
 	record := &wire.Job{Spec: &wire.JobSpec{ID: jobID, Class: "c", Team: "t", Shape: wire.ShapeArray, TaskCount: 200, Image: "img"}, TaskCount: 200, NextAttempt: 1}
