--- a/internal/core/scheduler_shares.go
+++ b/internal/core/scheduler_shares.go
@@ -74,12 +74,12 @@
 func (p *schedulingPass) shareDemand(team int) quota.Demand {
 	n := p.node
 	demand := quota.Demand{
-		Owned: make([]bool, len(n.shards)), Blocked: p.atLimit[team], Granted: p.charged[team],
-		Enabled: n.cfg.Admission != AdmitNothing,
+		HasAdmittingOwner: make([]bool, len(n.shards)), LeaderAtLimit: p.atLimit[team], Granted: p.charged[team],
+		SharesEnabled: n.cfg.Admission != AdmitNothing,
 	}
 	for i, shard := range n.shards {
 		// The leader grants in its own shards, so that these need no share.
-		demand.Owned[i] = shard.Record != nil && !n.owns(shard) && n.ownerResponds(shard)
+		demand.HasAdmittingOwner[i] = shard.Record != nil && !n.owns(shard) && n.ownerResponds(shard)
 	}
 	return demand
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -83,7 +83,7 @@
 
 // mayClaim reports whether a shard that this process does not own may be claimed.
 func (n *Node) mayClaim(shard *shard) bool {
-	reason := n.ownership.MayClaim(n.now, shard.Shard, func() ownership.Evidence { return n.takeoverEvidence(shard) })
+	reason := n.ownership.ClaimReason(n.now, shard.Shard, func() ownership.Evidence { return n.takeoverEvidence(shard) })
 	switch reason {
 	case ownership.Unreachable, ownership.OwnerSilent, ownership.OwnerRefused:
 		n.log(LogInfo, "taking over shard", "reason", string(reason), "shard", shard.Name, "owner", shard.Record.Owner)
--- a/internal/core/shard_test.go
+++ b/internal/core/shard_test.go
@@ -31,19 +31,19 @@
 	}
 }
 
-// OwnedSince of a new owner allows for the validity of every earlier owner that may still be
+// SoleOwnerSince of a new owner allows for the validity of every earlier owner that may still be
 // running, not only of the last, whose claim may have been deleted with its lease or be that of an
 // earlier incarnation of the new owner. A process that has just started does not see earlier
 // claims and assumes that the shard was taken over just before.
-func TestOwnedSinceAllowsForEveryEarlierOwner(t *testing.T) {
+func TestSoleOwnerSinceAllowsForEveryEarlierOwner(t *testing.T) {
 	const validity = 20 * second
 	claim := func(owner, incarnation string) *wire.Shard {
 		return &wire.Shard{Owner: owner, Incarnation: incarnation}
 	}
 	for _, c := range []struct {
-		name       string
-		steps      []*wire.Shard // a second apart; nil for a claim that is deleted with its lease
-		ownedSince Time          // after the first step
+		name           string
+		steps          []*wire.Shard // a second apart; nil for a claim that is deleted with its lease
+		soleOwnerSince Time          // after the first step
 	}{
 		{"no earlier owner", nil, 0},
 		{"the owner stopped", []*wire.Shard{claim("n1", "a"), nil}, 2 * second},
@@ -61,14 +61,14 @@
 			rev++
 			n.now += second
 		}
-		if shard.OwnedSince != c.ownedSince {
-			t.Errorf("%s: owned since %v, want %v", c.name, shard.OwnedSince, c.ownedSince)
+		if shard.SoleOwnerSince != c.soleOwnerSince {
+			t.Errorf("%s: sole owner since %v, want %v", c.name, shard.SoleOwnerSince, c.soleOwnerSince)
 		}
 	}
 	n := New(Config{Self: "n0", Incarnation: "x", Zone: "a", Members: []ownership.Member{{Name: "n0", Zone: "a"}}, Zones: []string{"a"}, OwnerValidity: validity, WallClockMS: func() int64 { return 0 }})
 	n.Step(second, RecordsChanged{Reset: true, Revision: 5})
 	n.applyShardClaim(n.shards[0], claim("n0", "x"), 6)
-	if since := n.shards[0].OwnedSince; since != second+validity {
-		t.Errorf("just started: owned since %v, want %v", since, second+validity)
+	if since := n.shards[0].SoleOwnerSince; since != second+validity {
+		t.Errorf("just started: sole owner since %v, want %v", since, second+validity)
 	}
 }
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -17,7 +17,7 @@
 		if len(machine.placements) == 0 {
 			continue
 		}
-		lastReplyAt := shard.OwnedSince // an earlier owner may have replied until then
+		lastReplyAt := shard.SoleOwnerSince // an earlier owner may have replied until then
 		if machine.term == shard.Term {
 			lastReplyAt = max(lastReplyAt, machine.answeredAt)
 		}
--- a/internal/core/view_changes.go
+++ b/internal/core/view_changes.go
@@ -77,7 +77,7 @@
 func (s *site) encodeView(machine *machine, names *wire.Interner) wire.MachineInfo {
 	view := &machine.view
 	info := wire.MachineInfo{Name: machine.name, Zone: names.Intern(s.names.Zones.Name(machine.zone)), Errors: view.failedJobCount,
-		Flags: wire.Flags(machine.spot, view.reclaimPending, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<missedHeartbeatsShift}
+		Flags: wire.PackFlags(machine.spot, view.reclaimPending, view.draining, view.unhealthy, view.unreachable, view.unconfirmed) + view.missedHeartbeats<<missedHeartbeatsShift}
 	if machine.machineType >= 0 {
 		info.Rig = names.Intern(s.names.MachineTypes.Name(machine.machineType))
 	}
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -76,9 +76,9 @@
 	return waited > unownedOtherZoneWait+Time(t.Rank())*time.Second
 }
 
-// MayClaim returns the reason for which a shard that this process does not own may be claimed
-// now, or NotClaimable. It calls gather only if the result depends on the evidence.
-func (t *Table) MayClaim(now Time, s *Shard, gather func() Evidence) Reason {
+// ClaimReason returns the reason why a shard that this process does not own may be claimed now, or
+// NotClaimable. It calls gather only if the result depends on the evidence.
+func (t *Table) ClaimReason(now Time, s *Shard, gather func() Evidence) Reason {
 	waited := now - s.claimWaitStart
 	switch {
 	case s.Record == nil && t.mayClaimUnowned(waited, s):
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -95,7 +95,7 @@
 
 // Whether this controller may claim a shard, and the reason, depend on its owner, the wait and the
 // evidence.
-func TestMayClaim(t *testing.T) {
+func TestClaimReason(t *testing.T) {
 	healthy := Evidence{StoreOK: true, StoreAnswered: true, MachinesReporting: 40}
 	with := func(change func(*Evidence)) Evidence {
 		e := healthy
@@ -133,7 +133,7 @@
 			s := table.Shards()[c.shard]
 			claimedAt := time.Minute
 			table.Put(claimedAt, s, c.claim, 5)
-			if got := table.MayClaim(claimedAt+c.waited, s, func() Evidence { return c.evidence }); got != c.want {
+			if got := table.ClaimReason(claimedAt+c.waited, s, func() Evidence { return c.evidence }); got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
--- a/internal/ownership/shards.go
+++ b/internal/ownership/shards.go
@@ -71,9 +71,9 @@
 	proven        bool // a proof of the current term has settled
 	validityStart Time // start of the validity, which each settled proof moves; see extendValidity
 	MayActSince   Time // since when this controller may act as the owner without interruption
-	// OwnedSince is a time after which no earlier owner can have replied to a worker. It may be in
-	// the future.
-	OwnedSince Time
+	// SoleOwnerSince is a time after which no earlier owner can have replied to a worker. It may be
+	// in the future.
+	SoleOwnerSince Time
 	// earlierOwnersMayActUntil is the time until which earlier owners may act.
 	earlierOwnersMayActUntil Time
 }
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -94,7 +94,7 @@
 		// An owner whose claim was removed with its lease had stopped acting before that, and an
 		// earlier incarnation no longer runs. But an owner from which the shard was recently taken
 		// over may still reply to workers.
-		s.OwnedSince = max(now, s.earlierOwnersMayActUntil)
+		s.SoleOwnerSince = max(now, s.earlierOwnersMayActUntil)
 		t.nextProofAt = 0
 		return Claimed
 	case owned:
--- a/internal/quota/distribution.go
+++ b/internal/quota/distribution.go
@@ -4,10 +4,10 @@
 
 // Demand is the input to the distribution of a team's shares, besides the account.
 type Demand struct {
-	Owned   []bool // by shard: it has an owner, other than the leader, that may admit work
-	Blocked bool   // the leader has work that only the limit prevents from starting
-	Granted Amount // amount that the leader grants in the same transaction
-	Enabled bool   // shards may have shares; if not set, all shares are revoked
+	HasAdmittingOwner []bool // by shard: its owner may admit work, and is not the leader
+	LeaderAtLimit     bool   // the leader has work that only the limit prevents from starting
+	Granted           Amount // amount that the leader grants in the same transaction
+	SharesEnabled     bool   // shards may have shares; if not set, all shares are revoked
 }
 
 // Reason is the reason why a team's shares are redistributed.
@@ -45,7 +45,7 @@
 // revoked part is free is known only once the replica has reached the revision that lowered it.
 func (l *Ledger) Distribute(team int, demand Demand) (*wire.Account, Reason) {
 	account := &l.accounts[team]
-	if account.record == nil && !demand.Enabled || account.err != nil {
+	if account.record == nil && !demand.SharesEnabled || account.err != nil {
 		return nil, Unchanged
 	}
 	quota := l.Quota(team)
@@ -129,12 +129,12 @@
 // headroom returns how much each shard should be able to admit beyond its current usage.
 func (d *distribution) headroom() Amount {
 	owners := 0
-	for _, owned := range d.demand.Owned {
-		if owned {
+	for _, hasOwner := range d.demand.HasAdmittingOwner {
+		if hasOwner {
 			owners++
 		}
 	}
-	if !d.demand.Enabled || d.demand.Blocked || owners == 0 {
+	if !d.demand.SharesEnabled || d.demand.LeaderAtLimit || owners == 0 {
 		return Amount{}
 	}
 	return d.free.dividedBy(distributedDivisor * owners).roundedDown()
@@ -147,13 +147,13 @@
 	share = share.limitedResources(d.limit)
 	charged := d.account.chargedToShares[shard].limitedResources(d.limit)
 	idle = share.Minus(charged).nonNegative()
-	if !d.demand.Enabled || !d.demand.Owned[shard] {
+	if !d.demand.SharesEnabled || !d.demand.HasAdmittingOwner[shard] {
 		if exists {
 			d.setReason(Revoked)
 		}
 		return idle
 	}
-	if d.demand.Blocked {
+	if d.demand.LeaderAtLimit {
 		d.shares = append(d.shares, shardShare{shard, share.min(charged)})
 		if idle != (Amount{}) {
 			d.setReason(Reclaimed)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -153,9 +153,9 @@
 			return
 		}
 	case m.choose("distribute", 3) == 0:
-		demand := Demand{Owned: make([]bool, modelShards), Enabled: m.choose("enabled", 6) > 0, Blocked: m.choose("blocked", 4) == 0}
-		for shard := range demand.Owned {
-			demand.Owned[shard] = m.choose("owned", 5) > 0
+		demand := Demand{HasAdmittingOwner: make([]bool, modelShards), SharesEnabled: m.choose("enabled", 6) > 0, LeaderAtLimit: m.choose("blocked", 4) == 0}
+		for shard := range demand.HasAdmittingOwner {
+			demand.HasAdmittingOwner[shard] = m.choose("owned", 5) > 0
 		}
 		account, reason := a.ledger.Distribute(0, demand)
 		if reason == Unchanged {
--- a/internal/wire/gossip.go
+++ b/internal/wire/gossip.go
@@ -62,8 +62,8 @@
 	FlagUnconfirmed             // the machine has not yet confirmed its owner's term in a heartbeat
 )
 
-// Flags packs booleans, in the order of the constants, into the flags of a machine.
-func Flags(values ...bool) int {
+// PackFlags packs booleans, in the order of the constants, into the flags of a machine.
+func PackFlags(values ...bool) int {
 	flags := 0
 	for i, set := range values {
 		if set {
