--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -69,7 +69,7 @@
 		b.awaitedRevision = max(result.Revision, 1)
 	case kv.Conflict:
 		n.log(LogDebug, "commit conflict", "role", b.role, "revision", result.Revision)
-		if b.removeConflicts(result.Failed) {
+		if b.removeConflicts(result.FailedKeys) {
 			b.send(n)
 			return
 		}
--- a/internal/core/dependency_list_test.go
+++ b/internal/core/dependency_list_test.go
@@ -101,7 +101,7 @@
 						t.Errorf("%d writes in a transaction, at most %d are allowed", len(effect.Writes), n.cfg.MaxTransactionOps)
 					}
 					if allowed--; allowed < 0 {
-						inputs = append(inputs, Committed{ID: effect.ID, Outcome: kv.Refused, Limited: true})
+						inputs = append(inputs, Committed{ID: effect.ID, Outcome: kv.Refused, RateLimited: true})
 						continue
 					}
 					wrote = append(wrote, effect.Writes...)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -205,7 +205,7 @@
 // new claim.
 func TestProofDetectsReplacement(t *testing.T) {
 	m, proof := newHarnessAfterTakeover(t)
-	m.step(Committed{ID: proof.ID, Outcome: kv.Conflict, Revision: m.revision + 5, Failed: []string{wire.LeaderKey}})
+	m.step(Committed{ID: proof.ID, Outcome: kv.Conflict, Revision: m.revision + 5, FailedKeys: []string{wire.LeaderKey}})
 	if m.node.isLeader() {
 		t.Error("the replaced leader still leads")
 	}
--- a/internal/core/inputs.go
+++ b/internal/core/inputs.go
@@ -62,11 +62,11 @@
 	}
 	// Committed is the result of a Commit.
 	Committed struct {
-		ID       uint64
-		Outcome  kv.Outcome
-		Revision uint64
-		Failed   []string // after kv.Conflict: the keys whose conditions did not hold
-		Limited  bool     // at least one attempt was refused because of the service's rate limit
+		ID          uint64
+		Outcome     kv.Outcome
+		Revision    uint64
+		FailedKeys  []string // after kv.Conflict: the keys whose conditions did not hold
+		RateLimited bool     // at least one attempt was refused because of the service's rate limit
 	}
 	// CommandsAnswered is the result of a SendCommands: kv.OK when the worker has executed
 	// the commands, kv.Conflict when it has rejected them permanently, because it has another
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -93,7 +93,7 @@
 	n.cfg.WriteRPS, n.cfg.NextWriteRPS = 20, 15
 	refuse := func() {
 		n.transact(ClassBackground, nil, []kv.Write{{Key: "m/i/n0", Value: &wire.ImageCache{}}}, ignoreResult{})
-		n.Step(n.now+1, Committed{ID: n.nextID, Outcome: kv.Refused, Limited: true})
+		n.Step(n.now+1, Committed{ID: n.nextID, Outcome: kv.Refused, RateLimited: true})
 	}
 	if n.writeRPS() != 20 {
 		t.Fatalf("write rate = %v before any refusal, want 20", n.writeRPS())
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -44,7 +44,7 @@
 func (t commitContinuation) resume(n *Node, result Result) {
 	committed := result.(Committed)
 	n.recordStoreOutcome(committed.Outcome)
-	if committed.Limited && t.writeCount > 0 {
+	if committed.RateLimited && t.writeCount > 0 {
 		n.budget.recordRefusal(n.now)
 	}
 	if committed.Outcome == kv.TooLarge {
--- a/internal/simulation/service_calls.go
+++ b/internal/simulation/service_calls.go
@@ -67,11 +67,11 @@
 			refusedBefore := sim.meter.refusedCommits
 			outcome, revision, failed := sim.store.commit(c, effect.Conditions, writes)
 			return core.Committed{
-				ID:       effect.ID,
-				Outcome:  outcome,
-				Revision: revision,
-				Failed:   failed,
-				Limited:  sim.meter.refusedCommits > refusedBefore,
+				ID:          effect.ID,
+				Outcome:     outcome,
+				Revision:    revision,
+				FailedKeys:  failed,
+				RateLimited: sim.meter.refusedCommits > refusedBefore,
 			}
 		},
 		timeoutAnswer: core.Committed{ID: effect.ID, Outcome: kv.Unknown},
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -70,11 +70,11 @@
 		var answer response
 		outcome := c.call(ctx, request.Class, http.MethodPost, "/commit", newTransaction(request.Conditions, request.Writes), &answer)
 		c.post(core.Committed{
-			ID:       request.ID,
-			Outcome:  outcome,
-			Revision: answer.Revision,
-			Failed:   answer.Failed,
-			Limited:  answer.rateLimited,
+			ID:          request.ID,
+			Outcome:     outcome,
+			Revision:    answer.Revision,
+			FailedKeys:  answer.Failed,
+			RateLimited: answer.rateLimited,
 		})
 	})
 }
