--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -39,11 +39,11 @@
 
 // pendingProvision is a request for machines of one pool whose outcome is not known yet.
 type pendingProvision struct {
-	pool      machinePool
-	request   wire.ProvisionRequest
-	sent      bool // a call with the request is in progress
-	sendAt    Time // earliest time at which the request is sent or repeated
-	decidedAt Time // when the scheduler made the request
+	pool           machinePool
+	request        wire.ProvisionRequest
+	callInProgress bool // a call with the request is in progress
+	sendAt         Time // earliest time at which the request is sent or repeated
+	decidedAt      Time // when the scheduler made the request
 }
 
 // bootingMachine is a provisioned machine whose worker has not reported yet.
--- a/internal/core/autoscaler_machine_list.go
+++ b/internal/core/autoscaler_machine_list.go
@@ -20,7 +20,7 @@
 	for i := range list {
 		entry := &list[i]
 		listed[entry.Name] = true
-		if machine := site.findMachine(entry.Name); machine != nil && machine.returned {
+		if machine := site.findMachine(entry.Name); machine != nil && machine.deprovisioned {
 			continue
 		}
 		if a.reconcileListedMachine(site, entry) {
--- a/internal/core/autoscaler_pools.go
+++ b/internal/core/autoscaler_pools.go
@@ -52,7 +52,7 @@
 // addExpectedMachine adds a machine that is not up yet to the capacity that the pass plans
 // with. It returns nil if the machine type is unknown.
 func (p *schedulingPass) addExpectedMachine(pool machinePool) *slot {
-	slot := p.node.newSlot(pool)
+	slot := p.node.newExpectedSlot(pool)
 	if slot != nil {
 		p.expected.add(slot)
 		p.poolSizes[pool]++
@@ -60,10 +60,10 @@
 	return slot
 }
 
-// newSlot returns the capacity of a machine that is not up yet, or nil if its type is unknown.
-// A machine's name determines its shard, and the name is not known yet, so the slot is assigned
-// to the first shard of the zone.
-func (s *site) newSlot(pool machinePool) *slot {
+// newExpectedSlot returns the capacity of a machine that is not up yet, or nil if its type is
+// unknown. A machine's name determines its shard, and the name is not known yet, so the slot is
+// assigned to the first shard of the zone.
+func (s *site) newExpectedSlot(pool machinePool) *slot {
 	machineType := s.typeAt(pool.machineType)
 	if machineType == nil {
 		return nil
@@ -93,9 +93,9 @@
 	price float64 // of one machine for one hour
 }
 
-// pools returns the pools that a job's tasks may run on, cheapest first; of pools with the same
+// poolsFor returns the pools that a job's tasks may run on, cheapest first; of pools with the same
 // price the one with the fewest machines comes first.
-func (p *schedulingPass) pools(job *job) []pricedPool {
+func (p *schedulingPass) poolsFor(job *job) []pricedPool {
 	n, spec := p.node, job.Record.Spec
 	list := make([]pricedPool, 0, 8)
 	for index, machineType := range n.machineTypes {
@@ -140,7 +140,7 @@
 // that is reserved on machines in use.
 func (p *schedulingPass) canProvision(job *job, zone int) bool {
 	scaler, now := &p.node.leader.autoscaler, p.node.now
-	for _, pool := range p.pools(job) {
+	for _, pool := range p.poolsFor(job) {
 		if (zone < 0 || pool.zone == zone) &&
 			scaler.mayRequest(now, pool.machinePool) &&
 			!scaler.hasShortage(now, pool.machinePool) {
@@ -158,11 +158,11 @@
 	if job.suspect || n.cfg.MaxMachines > 0 && len(p.available.all)+len(p.expected.all) >= n.cfg.MaxMachines {
 		return nil
 	}
-	for _, pool := range p.pools(job) {
+	for _, pool := range p.poolsFor(job) {
 		if !n.leader.autoscaler.mayRequest(n.now, pool.machinePool) {
 			continue
 		}
-		if slot := n.newSlot(pool.machinePool); slot != nil && accept(slot) {
+		if slot := n.newExpectedSlot(pool.machinePool); slot != nil && accept(slot) {
 			p.machinesToProvision[pool.machinePool]++
 			return p.addExpectedMachine(pool.machinePool)
 		}
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -81,14 +81,14 @@
 	}
 	if n.now >= scaler.nextListAt && !scaler.listInProgress {
 		scaler.listInProgress = true
-		n.callCloud(CallCloud{ListMachines: true}, listMachinesCall{tenure: n.leader.tenure})
+		n.callCloud(CallCloud{ListMachines: true}, listMachinesCall{leadershipChanges: n.leader.leadershipChanges})
 	}
 	for _, pending := range scaler.pendingProvisions {
-		if pending.sent || n.now < pending.sendAt || n.cloudCallTime() == 0 {
+		if pending.callInProgress || n.now < pending.sendAt || n.cloudCallTime() == 0 {
 			continue
 		}
-		pending.sent = true
-		n.callCloud(CallCloud{Provision: &pending.request}, provisionCall{pending, n.leader.tenure})
+		pending.callInProgress = true
+		n.callCloud(CallCloud{Provision: &pending.request}, provisionCall{pending, n.leader.leadershipChanges})
 	}
 }
 
@@ -101,8 +101,8 @@
 	}
 }
 
-// setMachineTypes replaces the list of machine types that the cloud offers. machineTypes still
-// contains types that are no longer in the list.
+// setMachineTypes replaces the list of machine types that the cloud offers. The entries of
+// machineTypes are kept for types that are no longer in the list.
 func (n *Node) setMachineTypes(types []wire.MachineType) {
 	n.offeredTypes = types
 	for i := range types {
@@ -136,10 +136,10 @@
 }
 
 // listMachinesCall is a fetch of the machine list in progress.
-type listMachinesCall struct{ tenure int }
+type listMachinesCall struct{ leadershipChanges int }
 
 func (r listMachinesCall) cloudAnswered(n *Node, answer CloudAnswered) {
-	if n.leader.tenure != r.tenure {
+	if n.leader.leadershipChanges != r.leadershipChanges {
 		return
 	}
 	scaler := &n.leader.autoscaler
@@ -153,12 +153,12 @@
 
 // provisionCall is a provisioning call in progress.
 type provisionCall struct {
-	pending *pendingProvision
-	tenure  int
+	pending           *pendingProvision
+	leadershipChanges int
 }
 
 func (r provisionCall) cloudAnswered(n *Node, answer CloudAnswered) {
-	if n.leader.tenure != r.tenure {
+	if n.leader.leadershipChanges != r.leadershipChanges {
 		return
 	}
 	if answer.Outcome == kv.OK {
@@ -191,7 +191,7 @@
 	default:
 		// The machines may have been provisioned. If so, the cloud answers a request with the
 		// same name as it did before, and provisions no more machines.
-		pending.sent, pending.sendAt = false, now+provisionRetryDelay
+		pending.callInProgress, pending.sendAt = false, now+provisionRetryDelay
 		closed = now-pending.decidedAt > provisionRetryPeriod
 	}
 	if closed {
@@ -204,25 +204,25 @@
 	a.retryAt[pool], a.shortageAt[pool] = now+noCapacityDelay, now
 }
 
-// deprovision sends a call that returns machines to the cloud.
+// deprovision sends a call that deprovisions machines.
 func (n *Node) deprovision(names []string) {
 	n.leader.autoscaler.deprovisionInProgress = true
-	n.callCloud(CallCloud{Deprovision: names}, deprovisionCall{names, n.leader.tenure})
+	n.callCloud(CallCloud{Deprovision: names}, deprovisionCall{names, n.leader.leadershipChanges})
 }
 
 // deprovisionCall is a deprovisioning call in progress.
 type deprovisionCall struct {
-	names  []string
-	tenure int
+	names             []string
+	leadershipChanges int
 }
 
 func (r deprovisionCall) cloudAnswered(n *Node, answer CloudAnswered) {
 	if answer.Outcome == kv.OK {
 		for _, name := range r.names {
-			n.getOrAddMachine(name).returned = true
+			n.getOrAddMachine(name).deprovisioned = true
 		}
 	}
-	if n.leader.tenure != r.tenure {
+	if n.leader.leadershipChanges != r.leadershipChanges {
 		return
 	}
 	scaler := &n.leader.autoscaler
@@ -233,10 +233,10 @@
 	}
 	for _, name := range r.names {
 		scaler.removeMachine(name)
-		n.leader.returned = append(n.leader.returned, returnedMachine{name, n.now})
+		n.leader.deprovisioned = append(n.leader.deprovisioned, deprovisionedMachine{name, n.now})
 	}
 	n.log(LogInfo, "machines deprovisioned", "machines", r.names)
-	n.sendGossip(true)
+	n.sendOrExpediteGossip(true)
 }
 
 // removeMachine removes the state of a machine that has been deprovisioned.
--- a/internal/core/autoscaler_scale_in.go
+++ b/internal/core/autoscaler_scale_in.go
@@ -71,7 +71,7 @@
 func (a *autoscaler) drainUnhealthy(site *site) {
 	for _, shard := range site.shards {
 		for _, machine := range shard.machines {
-			if machine.returned || !machine.view.reportedByOwner {
+			if machine.deprovisioned || !machine.view.reportedByOwner {
 				continue
 			}
 			if machine.view.unreachable || machine.view.unhealthy && len(machine.placements) == 0 {
@@ -85,12 +85,12 @@
 
 // drainedMachines returns machines marked for draining that may be deprovisioned now, at most
 // maxMachinesPerDeprovision: their owners have drained them, or no controller receives reports
-// from them. It unmarks machines that have been returned.
+// from them. It unmarks machines that have been deprovisioned.
 func (a *autoscaler) drainedMachines(site *site) []string {
 	var drained []string
 	for name := range a.markedForDraining {
 		if machine := site.findMachine(name); machine != nil {
-			if machine.returned {
+			if machine.deprovisioned {
 				delete(a.markedForDraining, name)
 				continue
 			}
--- a/internal/core/autoscaler_test.go
+++ b/internal/core/autoscaler_test.go
@@ -63,15 +63,15 @@
 		"unknown for long": {answer: CloudAnswered{Outcome: kv.Unknown}, decidedAt: now - provisionRetryPeriod - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request := &pendingProvision{pool: pool, request: wire.ProvisionRequest{Name: "r-1-1", Count: 2}, sent: true, decidedAt: test.decidedAt}
+			request := &pendingProvision{pool: pool, request: wire.ProvisionRequest{Name: "r-1-1", Count: 2}, callInProgress: true, decidedAt: test.decidedAt}
 			scaler := newAutoscaler()
 			scaler.pendingProvisions = []*pendingProvision{request}
 			scaler.applyProvisionAnswer(now, request, test.answer)
 			if open := len(scaler.pendingProvisions) == 1; open != test.open {
 				t.Errorf("open = %v, want %v", open, test.open)
 			}
-			if test.open && (request.sent || request.sendAt != now+provisionRetryDelay) {
-				t.Errorf("sent = %v, sendAt = %v, want the request unsent and sendAt = %v", request.sent, request.sendAt, now+provisionRetryDelay)
+			if test.open && (request.callInProgress || request.sendAt != now+provisionRetryDelay) {
+				t.Errorf("callInProgress = %v, sendAt = %v, want no call in progress and sendAt = %v", request.callInProgress, request.sendAt, now+provisionRetryDelay)
 			}
 			if len(scaler.booting) != test.booting {
 				t.Errorf("%d machines booting, want %d", len(scaler.booting), test.booting)
@@ -92,12 +92,12 @@
 	n := newTestNode()
 	scaler := newAutoscaler()
 	for name, prepare := range map[string]func(*machine){
-		"vm-busy":        func(m *machine) { m.draining, m.placements = true, []placement{{}} },
-		"vm-drained":     func(m *machine) { m.draining = true },
-		"vm-not-yet":     func(*machine) {},
-		"vm-returned":    func(m *machine) { m.returned = true },
-		"vm-unreachable": func(m *machine) { m.view.unreachable, m.placements = true, []placement{{}} },
-		"vm-silent":      func(m *machine) { m.view.reportedByOwner = false },
+		"vm-busy":          func(m *machine) { m.draining, m.placements = true, []placement{{}} },
+		"vm-drained":       func(m *machine) { m.draining = true },
+		"vm-not-yet":       func(*machine) {},
+		"vm-deprovisioned": func(m *machine) { m.deprovisioned = true },
+		"vm-unreachable":   func(m *machine) { m.view.unreachable, m.placements = true, []placement{{}} },
+		"vm-silent":        func(m *machine) { m.view.reportedByOwner = false },
 	} {
 		machine := n.getOrAddMachine(name)
 		machine.view.reportedByOwner = true
@@ -108,7 +108,7 @@
 	if got, want := scaler.drainedMachines(&n.site), []string{"vm-drained", "vm-silent", "vm-unknown", "vm-unreachable"}; !slices.Equal(got, want) {
 		t.Errorf("drainedMachines = %v, want %v", got, want)
 	}
-	if scaler.markedForDraining["vm-returned"] {
+	if scaler.markedForDraining["vm-deprovisioned"] {
 		t.Error("a machine that has been deprovisioned is still marked for draining")
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -40,7 +40,7 @@
 	CloudRPS     float64 // calls per second that the cloud allows
 
 	StartObjectives []StartObjective // job classes that should start soon after their submission
-	IdleTimeout     Time             // an idle machine is returned to the cloud after this time
+	IdleTimeout     Time             // an idle machine is deprovisioned after this time
 	SpareMachines   int              // idle machines that are kept in each pool
 	MaxMachines     int              // machines of the site; 0: no limit
 	Preempt         bool             // whether tasks may be preempted for jobs of higher priority or within a guarantee
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -143,7 +143,7 @@
 	n.sendDirectStarts()
 	n.updateAndSendOwnViews()
 	n.runLeader()
-	n.sendGossip(false)
+	n.sendOrExpediteGossip(false)
 	n.writeImageCache()
 	n.removeGoneMachines()
 	n.queryRevision()
--- a/internal/core/decision_adoption.go
+++ b/internal/core/decision_adoption.go
@@ -41,7 +41,7 @@
 		return true
 	}
 	machine := n.findMachine(fact.Name)
-	if machine != nil && machine.returned {
+	if machine != nil && machine.deprovisioned {
 		return false
 	}
 	return n.adoptMachineFact(fact, machine)
@@ -112,8 +112,8 @@
 		scaler.recentBoots = append(scaler.recentBoots, bootRecord{fact.Name, factTimeOf(fact), fact.Ratio})
 		return
 	}
-	n.getOrAddMachine(fact.Name).returned = true
-	n.leader.returned = append(n.leader.returned, returnedMachine{fact.Name, factTimeOf(fact)})
+	n.getOrAddMachine(fact.Name).deprovisioned = true
+	n.leader.deprovisioned = append(n.leader.deprovisioned, deprovisionedMachine{fact.Name, factTimeOf(fact)})
 }
 
 // adoptMachineFact adopts a fact about a machine unless the records or the machine's owner
--- a/internal/core/decision_facts.go
+++ b/internal/core/decision_facts.go
@@ -38,9 +38,9 @@
 	for _, reserved := range n.leader.reservations {
 		facts = append(facts, wire.Fact{Kind: wire.FactReserved, Name: reserved.Host, JobID: reserved.Ref})
 	}
-	for _, returned := range n.leader.returned {
-		if n.now-returned.at <= deprovisionAnnounceTime {
-			facts = append(facts, wire.Fact{Kind: wire.FactDeprovisioned, Name: returned.name, At: factTime(returned.at)})
+	for _, machine := range n.leader.deprovisioned {
+		if n.now-machine.at <= deprovisionAnnounceTime {
+			facts = append(facts, wire.Fact{Kind: wire.FactDeprovisioned, Name: machine.name, At: factTime(machine.at)})
 		}
 	}
 	for _, index := range n.replica.Live() {
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -76,7 +76,7 @@
 func (s *site) mayStartDirectly(machine *machine) bool {
 	shard := s.shards[machine.shard]
 	if !s.mayActAsOwner(shard) || machine.term != shard.Term ||
-		machine.returned || machine.reclaimAt != 0 ||
+		machine.deprovisioned || machine.reclaimAt != 0 ||
 		machine.address == "" {
 		return false
 	}
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -98,7 +98,7 @@
 	}
 	if !suspectedBefore {
 		n.log(LogInfo, "leader suspected", "leader", n.leadership.Record().Controller, "silence", s.follower.Silence(n.now))
-		n.sendGossip(true) // the next message contains the suspicion
+		n.sendOrExpediteGossip(true) // the next message contains the suspicion
 	}
 	if n.leadership.Lease.Age(n.now) > failover.MaxLeaseAge/2 {
 		n.leadership.Lease.RenewNow(n.now)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -290,9 +290,9 @@
 	if !slices.Equal(last.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
 		t.Fatalf("claims %+v", claims)
 	}
-	tenure := m.node.leader.tenure
+	tenure := m.node.leader.leadershipChanges
 	m.applyLeaderRecord("n1", "y", true, 0)
-	if len(m.node.leader.autoscaler.booting) != 1 || m.node.leader.tenure != tenure || !m.node.isFencedLeader() {
+	if len(m.node.leader.autoscaler.booting) != 1 || m.node.leader.leadershipChanges != tenure || !m.node.isFencedLeader() {
 		t.Error("the leader has lost its state")
 	}
 }
@@ -352,7 +352,7 @@
 		m := newFailoverHarness(t)
 		m.node.setMachineTypes([]wire.MachineType{{Name: "g", Cores: 8, GPUs: 1, MemoryGB: 64, FetchGBs: 1, PricePerHour: 1, BootS: 10, Zones: []string{"a"}}})
 		m.node.getOrAddMachine("vm-4").view.reportedByOwner = true
-		m.node.getOrAddMachine("vm-5").returned = true
+		m.node.getOrAddMachine("vm-5").deprovisioned = true
 		term := m.applyLeaderRecord("n0", "x", true, 0)
 		m.advance(2*second, term)
 		m.step(DecisionLogReceived{RequestID: 1, Message: logMessage(t, term, 1, m.now,
@@ -378,7 +378,7 @@
 		if len(scaler.booting) != 1 || scaler.booting["vm-3"] == nil || m.now-scaler.booting["vm-3"].provisionedAt != second || len(scaler.markedForDraining) != 1 || !scaler.markedForDraining["vm-6"] {
 			t.Errorf("booting %v, draining %v", scaler.booting, scaler.markedForDraining)
 		}
-		if len(scaler.pendingProvisions) != 1 || scaler.pendingProvisions[0].sent || scaler.pendingProvisions[0].request != (wire.ProvisionRequest{Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3}) {
+		if len(scaler.pendingProvisions) != 1 || scaler.pendingProvisions[0].callInProgress || scaler.pendingProvisions[0].request != (wire.ProvisionRequest{Name: "r-5-2", MachineType: "g", Zone: "a", Count: 3}) {
 			t.Errorf("provisioning requests %+v", scaler.pendingProvisions)
 		}
 	}
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -161,7 +161,7 @@
 	if chosen == nil {
 		if !attempt.Denied {
 			attempt.Denied = true
-			n.sendGossip(true)
+			n.sendOrExpediteGossip(true)
 		}
 		return
 	}
@@ -171,7 +171,7 @@
 		slot.allocate(job.Record.Spec)
 		attempt.HeldMachines[ownTasks[i].Task] = slot.machine.index
 	}
-	n.sendGossip(true)
+	n.sendOrExpediteGossip(true)
 }
 
 // placeConfirmedGang places this controller's tasks of a confirmed gang on the machines that are
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -14,14 +14,14 @@
 	minGossipInterval = 150 * time.Millisecond
 )
 
-// sendGossip sends a message to each peer if one is due. With urgent set it sends nothing, but
-// makes the next message due as soon as minGossipInterval allows.
+// sendOrExpediteGossip sends a message to each peer if one is due. With expedite set it sends
+// nothing, but makes the next message due as soon as minGossipInterval allows.
 //
 // Gossip messages carry the shards that this controller owns, its views of their machines, and the
 // leader's instructions. Each receiver gets the views that have changed since the version that
 // it has received; see viewLog.
-func (n *Node) sendGossip(urgent bool) {
-	if urgent {
+func (n *Node) sendOrExpediteGossip(expedite bool) {
+	if expedite {
 		n.nextGossipAt = min(n.nextGossipAt, n.gossipSentAt+minGossipInterval)
 		return
 	}
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		for _, machine := range shard.machines {
-			if machine.returned || machine.term != shard.Term || len(machine.images) == 0 {
+			if machine.deprovisioned || machine.term != shard.Term || len(machine.images) == 0 {
 				continue
 			}
 			if !builder.addMachine(n, machine) {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -11,10 +11,10 @@
 // leaderState is the state that only a leader keeps. It is not persisted: a new leader rebuilds it
 // from the records and from heartbeats, and uses the decision log as a hint.
 type leaderState struct {
-	tenure     int   // number of times that this process has gained or lost the leadership
-	batch      batch // of the last scheduling pass
-	passNeeded bool  // the scheduler's input has changed since the last pass
-	nextPassAt Time  // earliest time of the next pass
+	leadershipChanges int   // number of times that this process has gained or lost the leadership
+	batch             batch // of the last scheduling pass
+	passNeeded        bool  // the scheduler's input has changed since the last pass
+	nextPassAt        Time  // earliest time of the next pass
 
 	grantHints        map[taskKey]*machine // the machine that the scheduler chose for a granted task
 	nextHintCleanupAt Time
@@ -26,10 +26,10 @@
 
 	autoscaler          autoscaler
 	recordsWithinLimits bool // all records are within the announced size limits; see shrinkRecords
-	// Machines that the cloud has recently confirmed as deprovisioned, to be announced to the
-	// owners of shards.
-	returned     []returnedMachine
-	reservations []wire.Reservation // machines reserved for the gang that has waited longest
+	// Machines whose deprovisioning the cloud has recently confirmed, to be announced to the owners
+	// of shards.
+	deprovisioned []deprovisionedMachine
+	reservations  []wire.Reservation // machines reserved for the gang that has waited longest
 }
 
 // pendingPlacement is a task that the leader's current batch places on one of this controller's
@@ -39,8 +39,8 @@
 	spec    *wire.JobSpec
 }
 
-// returnedMachine is a machine that the cloud has confirmed as deprovisioned.
-type returnedMachine struct {
+// deprovisionedMachine is a machine whose deprovisioning the cloud has confirmed.
+type deprovisionedMachine struct {
 	name string
 	at   Time
 }
@@ -52,21 +52,21 @@
 // deprovisionAnnounceTime, and removes the others from the list. An owner that misses an
 // announcement detects by missing heartbeats that the machine is gone.
 func (l *leaderState) recentlyDeprovisioned(n *Node) []string {
-	l.returned = slices.DeleteFunc(l.returned, func(r returnedMachine) bool { return n.now-r.at > deprovisionAnnounceTime })
+	l.deprovisioned = slices.DeleteFunc(l.deprovisioned, func(m deprovisionedMachine) bool { return n.now-m.at > deprovisionAnnounceTime })
 	var out []string
-	for _, r := range l.returned {
-		out = append(out, r.name)
+	for _, machine := range l.deprovisioned {
+		out = append(out, machine.name)
 	}
 	return out
 }
 
 // reset discards the state when this process gains or loses the leadership.
 func (l *leaderState) reset() {
-	l.tenure++
+	l.leadershipChanges++
 	l.batch = batch{role: "leader", generation: l.batch.generation + 1}
 	l.grantHints, l.pendingPlacements = map[taskKey]*machine{}, nil
 	l.autoscaler = newAutoscaler()
-	l.returned, l.reservations = nil, nil
+	l.deprovisioned, l.reservations = nil, nil
 	l.sharesDistributedAt = initialDistributionTimes(len(l.sharesDistributedAt))
 	l.sharesReclaimed = make([]bool, len(l.sharesDistributedAt))
 	l.passNeeded = true
--- a/internal/core/leader_instructions.go
+++ b/internal/core/leader_instructions.go
@@ -14,7 +14,7 @@
 	}
 	for _, name := range message.Returned {
 		if index := n.names.Machines.Find(name); index >= 0 {
-			n.machines[index].returned = true
+			n.machines[index].deprovisioned = true
 		}
 	}
 	n.receiveReservations(message.Kept)
@@ -67,7 +67,7 @@
 		if machine.draining && !asked[machine.name] && n.now >= n.failover.cloudFenceEndsAt(n.cfg.LeaderLease) {
 			machine.draining = false
 		}
-		return !machine.draining || machine.returned
+		return !machine.draining || machine.deprovisioned
 	})
 }
 
@@ -80,5 +80,5 @@
 	}
 	machine.draining = true
 	n.drainingMachines = append(n.drainingMachines, machine.index)
-	n.sendGossip(true)
+	n.sendOrExpediteGossip(true)
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -27,7 +27,7 @@
 	viewTerm         uint64 // term in which the owner reported the view
 	unconfirmedSince Time   // when the view became unconfirmed
 	viewVersion      uint64 // version of the last change of the view in this controller's gossip
-	returned         bool   // the cloud has confirmed that the machine is gone
+	deprovisioned    bool   // the cloud has confirmed that the machine is gone
 
 	misdirectedHeartbeats
 }
--- a/internal/core/machine_views.go
+++ b/internal/core/machine_views.go
@@ -14,7 +14,7 @@
 	n.nextViewUpdateAt = n.now + ownViewsInterval
 	before := n.views.version
 	n.updateOwnViews()
-	n.sendGossip(n.views.version != before)
+	n.sendOrExpediteGossip(n.views.version != before)
 }
 
 // updateOwnViews updates the views of the machines that this controller owns, and adds the changed
@@ -44,7 +44,7 @@
 func (n *Node) mostMachinesReport(shard *shard) bool {
 	reporting, all := 0, 0
 	for _, machine := range shard.machines {
-		if machine.term == shard.Term && !machine.returned {
+		if machine.term == shard.Term && !machine.deprovisioned {
 			all++
 			if n.now-machine.heartbeatAt < 2*n.cfg.HeartbeatInterval {
 				reporting++
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -55,7 +55,7 @@
 		machine.ignoredReplies > 0,
 		s.now-machine.heartbeatAt >= 3*s.cfg.HeartbeatInterval:
 		return false // its worker might not execute a start
-	case machine.reclaimAt != 0, machine.draining, machine.returned, machine.unhealthy, s.now < machine.noCapacityUntil:
+	case machine.reclaimAt != 0, machine.draining, machine.deprovisioned, machine.unhealthy, s.now < machine.noCapacityUntil:
 		return false
 	}
 	return true
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -115,7 +115,7 @@
 // then the last view that it reported is used, for three worker leases at most.
 func (n *Node) grantableSlot(machine *machine) *slot {
 	view := &machine.view
-	if machine.returned || !view.reportedByOwner || view.reclaimPending || view.unhealthy ||
+	if machine.deprovisioned || !view.reportedByOwner || view.reclaimPending || view.unhealthy ||
 		view.unreachable || machine.draining ||
 		view.unconfirmed && n.now-machine.unconfirmedSince > maxUnconfirmedTime {
 		return nil
@@ -220,7 +220,7 @@
 		return
 	}
 	n.leader.reservations = p.reservations
-	n.sendGossip(true)
+	n.sendOrExpediteGossip(true)
 }
 
 // withinLimit reports whether the limit of a job's team allows the leader to grant tasks of the job
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -259,7 +259,7 @@
 		}
 	}
 	scaler := &p.node.leader.autoscaler
-	return slices.ContainsFunc(p.pools(job), func(pool pricedPool) bool {
+	return slices.ContainsFunc(p.poolsFor(job), func(pool pricedPool) bool {
 		return pool.spot && scaler.mayRequest(p.node.now, pool.machinePool)
 	})
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -111,7 +111,7 @@
 		StoreAnswered:   n.now-n.storeAnsweredAt < maxStoreAnswerAge,
 	}
 	for _, machine := range shard.machines {
-		if machine.returned || machine.view.unreachable {
+		if machine.deprovisioned || machine.view.unreachable {
 			continue
 		}
 		if machine.view.reportedByOwner && machine.view.missedHeartbeats < 2 {
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -9,8 +9,8 @@
 const leaseMargin = second
 
 // queueLostTasks queues the tasks of two kinds of machines as lost: machines that have been
-// returned to the cloud, and machines whose worker's lease must have expired because they failed,
-// hang or can't reach a controller.
+// deprovisioned, and machines whose worker's lease must have expired because they failed, hang or
+// can't reach a controller.
 func (n *Node) queueLostTasks(shard *shard) {
 	limit := n.cfg.WorkerLease + n.cfg.WorkerLease/1000 + leaseMargin
 	for _, machine := range shard.machines {
@@ -21,7 +21,7 @@
 		if machine.term == shard.Term {
 			lastReplyAt = max(lastReplyAt, machine.answeredAt)
 		}
-		if !machine.returned && n.now-lastReplyAt <= limit {
+		if !machine.deprovisioned && n.now-lastReplyAt <= limit {
 			continue
 		}
 		for i := range machine.placements {
@@ -57,13 +57,13 @@
 	}
 }
 
-// isGone reports whether a machine has been returned to the cloud, or has been silent for three
-// leases: it has sent no heartbeat to this controller as its owner, or it is unreachable according to
-// another owner and the claim of the shard has not changed for that time.
+// isGone reports whether a machine has been deprovisioned, or has been silent for three leases: it
+// has sent no heartbeat to this controller as its owner, or it is unreachable according to another
+// owner and the claim of the shard has not changed for that time.
 func (s *site) isGone(shard *shard, machine *machine) bool {
 	timeout := 3 * s.cfg.WorkerLease
 	switch {
-	case machine.returned:
+	case machine.deprovisioned:
 		return true
 	case s.mayActAsOwner(shard) && machine.term == shard.Term && s.now-machine.heartbeatAt > timeout:
 		return true
--- a/internal/core/slots_test.go
+++ b/internal/core/slots_test.go
@@ -29,7 +29,7 @@
 			set := newSlotSet(n)
 			var slots []*slot
 			for _, capacity := range free {
-				slot := n.newSlot(machinePool{n.names.MachineTypes.Find("g"), 0, true})
+				slot := n.newExpectedSlot(machinePool{n.names.MachineTypes.Find("g"), 0, true})
 				slot.cores, slot.gpus = capacity.cores, capacity.gpus
 				set.add(slot)
 				slots = append(slots, slot)
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -9,10 +9,10 @@
 // resumeAfterStall discards state that became stale while the process was paused and the clocks
 // continued. Machines and peers whose messages were not processed seem silent, and shards may have
 // been taken over. When this state was not discarded, a controller that resumed within its validity
-// had all its machines returned to the cloud as unreachable. After a stall this controller acts as
-// an owner only once a proof that was sent after the pause has succeeded, and as the leader only
-// once peers have had time to report. The silence of machines, and their heartbeats to controllers
-// that don't own them, count from the end of the stall.
+// had all its machines deprovisioned as unreachable. After a stall this controller acts as an owner
+// only once a proof that was sent after the pause has succeeded, and as the leader only once peers
+// have had time to report. The silence of machines, and their heartbeats to controllers that don't
+// own them, count from the end of the stall.
 func (n *Node) resumeAfterStall(gap Time) {
 	n.log(LogInfo, "process stalled", "duration", gap)
 	n.resumedAt = n.now
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -17,7 +17,7 @@
 	}
 	shard := n.shards[index]
 	machine := n.getOrAddMachine(heartbeat.Machine)
-	if machine.returned {
+	if machine.deprovisioned {
 		// The cloud has confirmed that the machine is gone, so this is a late copy.
 		n.refuseHeartbeat(in.RequestID, "returned")
 		return
@@ -168,7 +168,7 @@
 func (s *site) manyUnresponsive(shard *shard) bool {
 	all, unresponsive := 0, 0
 	for _, machine := range shard.machines {
-		if machine.term == shard.Term && !machine.returned {
+		if machine.term == shard.Term && !machine.deprovisioned {
 			all++
 			if machine.ignoredReplies >= ignoredRepliesThreshold-1 {
 				unresponsive++
