--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// ready reports whether a new batch may be started. If a retry of the active batch is due, it
-// sends the active batch again.
-func (b *batch) ready(n *Node) bool {
+// retryOrCheckReady reports whether a new batch may be started. If a retry of the active batch is
+// due, it sends the active batch again.
+func (b *batch) retryOrCheckReady(n *Node) bool {
 	if !b.active {
 		return n.now >= b.retryAt && n.availableWrites() >= 1
 	}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -45,5 +45,5 @@
 	if job.Links == nil || job.Links.DeadlineMS == 0 {
 		return 0
 	}
-	return job.Links.DeadlineMS - n.runTime(job.Record.Spec).Milliseconds()
+	return job.Links.DeadlineMS - n.estimatedRunTime(job.Record.Spec).Milliseconds()
 }
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -27,7 +27,7 @@
 // cancellation late. The start of a job that is not cancelled has no such deadline: replies repeat
 // it until the worker has the attempt.
 func (s *site) mayStartTooLate(job *job, start directStart) bool {
-	return !start.acknowledged && job.Record.State == wire.JobCancelled && s.now-job.closedAt > s.cfg.OwnerValidity/2
+	return !start.acknowledged && job.Record.State == wire.JobCancelled && s.now-job.earliestCloseAt > s.cfg.OwnerValidity/2
 }
 
 // enforceDirectStartDeadline stops answering a machine, so that its worker's epoch ends, when a
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -290,9 +290,9 @@
 	if !slices.Equal(last.Conditions, []kv.Condition{{Key: wire.LeaderKey, Revision: term}}) || !last.Writes[0].Value.(*wire.Leader).Fenced {
 		t.Fatalf("claims %+v", claims)
 	}
-	tenure := m.node.leader.leadershipChanges
+	changes := m.node.leader.leadershipChanges
 	m.applyLeaderRecord("n1", "y", true, 0)
-	if len(m.node.leader.autoscaler.booting) != 1 || m.node.leader.leadershipChanges != tenure || !m.node.isFencedLeader() {
+	if len(m.node.leader.autoscaler.booting) != 1 || m.node.leader.leadershipChanges != changes || !m.node.isFencedLeader() {
 		t.Error("the leader has lost its state")
 	}
 }
--- a/internal/core/gang_owner.go
+++ b/internal/core/gang_owner.go
@@ -93,7 +93,7 @@
 	key := taskKey{job.Index, ownTasks[0].Task, attemptNumber}
 	if !unplacedInOneShard {
 		// The replica does not show the attempt's record yet, or it has been removed already.
-		if n.grantTimedOut(key) {
+		if n.startOrCheckGrantTimeout(key) {
 			if record := writer.recordToChange(job); record != nil {
 				n.revokeUnplaced(writer, record)
 				abandonGang(record, attemptNumber)
@@ -102,7 +102,7 @@
 		return
 	}
 	chosen := chooseSlotsForAll(job, ownTasks, slots)
-	if chosen == nil && !n.grantTimedOut(key) {
+	if chosen == nil && !n.startOrCheckGrantTimeout(key) {
 		return
 	}
 	record := writer.recordToChange(job)
@@ -186,7 +186,7 @@
 			machines = append(machines, slot.machine)
 		}
 	}
-	if machines == nil && !n.grantTimedOut(taskKey{job.Index, ownTasks[0].Task, attempt.Record.Attempt}) {
+	if machines == nil && !n.startOrCheckGrantTimeout(taskKey{job.Index, ownTasks[0].Task, attempt.Record.Attempt}) {
 		return
 	}
 	record := writer.recordToChange(job)
--- a/internal/core/gang_stop.go
+++ b/internal/core/gang_stop.go
@@ -35,13 +35,13 @@
 		if record == nil {
 			return
 		}
-		preemptAll(record)
+		requestJobPreemption(record)
 	}
 }
 
-// preemptAll requests in a job's record that every placed task saves and exits, and removes the
-// other active tasks.
-func preemptAll(record *wire.Job) {
+// requestJobPreemption requests in a job's record that every placed task saves and exits, and
+// removes the other active tasks.
+func requestJobPreemption(record *wire.Job) {
 	record.ActiveTasks = slices.DeleteFunc(record.ActiveTasks, func(task wire.ActiveTask) bool { return task.Machine == "" })
 	for i := range record.ActiveTasks {
 		if record.ActiveTasks[i].Stop == wire.StopNone {
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -51,7 +51,7 @@
 func (n *Node) gossipMessage() wire.Gossip {
 	message := wire.Gossip{
 		From: n.cfg.Self, Life: n.cfg.Incarnation, UpS: n.now.Seconds(), StoreOK: n.storeOK, CutOff: n.isIsolated(),
-		Holds: n.ownGangAnswers(), Strays: n.missedMachineNames(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
+		Holds: n.ownGangAnswers(), Strays: n.machinesMissedByOwners(), Seen: map[string]wire.SeenVersion{}, Need: n.budget.pendingRecords,
 		Leader: n.leaderView(),
 	}
 	for _, shard := range n.shards {
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -68,11 +68,11 @@
 		// fit, so that the record stores them as one run.
 		if !job.LargeArray || chosen == nil || chosen.shard != task.Shard || !chosen.fits(spec) {
 			chosen = slots.best(job, func(candidate *slot) bool { return candidate.shard == task.Shard }, nil)
-			if chosen != nil && !capacity.mayAddRun(job) {
+			if chosen != nil && !capacity.reserveRun(job) {
 				chosen = nil
 			}
 		}
-		if chosen == nil && !n.grantTimedOut(taskKey{job.Index, task.Task, task.Attempt}) {
+		if chosen == nil && !n.startOrCheckGrantTimeout(taskKey{job.Index, task.Task, task.Attempt}) {
 			continue
 		}
 		record := writer.recordToChange(job)
@@ -123,9 +123,9 @@
 // times would restrict the size of the site: when all times were cleared at such a limit, no grant
 // timed out while more grants than the limit were waiting.
 func (n *Node) removeStaleGrantTimes() {
-	for key := range n.grantWaitingSince {
+	for key := range n.firstPlacementFailureAt {
 		if !n.jobs[key.job].awaitsPlacement(key) {
-			delete(n.grantWaitingSince, key)
+			delete(n.firstPlacementFailureAt, key)
 		}
 	}
 }
@@ -138,8 +138,8 @@
 	})
 }
 
-// grantTimedOut reports whether a grant has waited for capacity for longer than grantTimeout. The
-// first call for a grant starts its wait.
-func (n *Node) grantTimedOut(key taskKey) bool {
-	return n.grantWaitingSince.startOrCheckTimeout(key, n.now)
+// startOrCheckGrantTimeout reports whether a grant has waited for capacity for longer than
+// grantTimeout. The first call for a grant starts its wait.
+func (n *Node) startOrCheckGrantTimeout(key taskKey) bool {
+	return n.firstPlacementFailureAt.startOrCheckTimeout(key, n.now)
 }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -16,7 +16,7 @@
 	lastConsecutiveErrors int  // consecutive errors in the record at its previous change
 	suspect               bool // the job failed on several machines without success: probably its own fault
 	retryAt               Time // no tasks are granted before this time
-	closedAt              Time // earliest time at which the job can have been recorded as done or cancelled
+	earliestCloseAt       Time // earliest time at which the job can have been recorded as done or cancelled
 
 	// State of the scheduler, used while this controller is the leader.
 	waitingSince     Time // when the job started to wait for capacity; 0: it does not wait
@@ -45,17 +45,17 @@
 	}
 }
 
-// setClosedAt sets closedAt of a job that is recorded as done or cancelled. As the replica may lag
-// behind the state service, the change may have been committed some time ago. It was not in the
-// replica when the last ownership proof took effect, and was thus committed after that proof was
-// sent.
-func (s *site) setClosedAt(job *job) {
-	if job.Record.State == wire.JobLive || job.closedAt != 0 {
+// setEarliestCloseAt sets earliestCloseAt of a job that is recorded as done or cancelled. As the
+// replica may lag behind the state service, the change may have been committed some time ago. It was
+// not in the replica when the last ownership proof took effect, and was thus committed after that
+// proof was sent.
+func (s *site) setEarliestCloseAt(job *job) {
+	if job.Record.State == wire.JobLive || job.earliestCloseAt != 0 {
 		return
 	}
-	job.closedAt = s.now
+	job.earliestCloseAt = s.now
 	if provenAt := s.ownership.ProvenAt(); provenAt > 0 {
-		job.closedAt = provenAt
+		job.earliestCloseAt = provenAt
 	}
 }
 
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -72,7 +72,7 @@
 // array always wait, as many arrive per second. Those of low-priority arrays may wait longer, as
 // their work is less urgent.
 func (n *Node) outcomeDelayFor(job *job) Time {
-	delay := Time(float64(outcomeDelay) * n.writeScarcity())
+	delay := Time(float64(baseOutcomeDelay) * n.writeScarcity())
 	if job.Record == nil || job.Record.Spec == nil || job.Record.State != wire.JobLive ||
 		job.Record.Spec.Shape != wire.ShapeArray || len(job.Record.ActiveTasks) < 2 {
 		return delay
@@ -81,15 +81,15 @@
 		delay *= lowPriorityDelayFactor
 	}
 	if job.LargeArray {
-		delay = max(delay, outcomeDelay)
+		delay = max(delay, baseOutcomeDelay)
 	}
 	return min(delay, maxBatchingDelay(job))
 }
 
 // maxBatchingDelay returns how long batching may delay the writes of an array: a share of the
-// expected run time of its tasks, but at least outcomeDelay.
+// expected run time of its tasks, but at least baseOutcomeDelay.
 func maxBatchingDelay(job *job) Time {
-	return max(outcomeDelay, Time(job.Record.Spec.ExpectedS*float64(second)/batchingDelayDivisor))
+	return max(baseOutcomeDelay, Time(job.Record.Spec.ExpectedS*float64(second)/batchingDelayDivisor))
 }
 
 // grantDelay returns how long the leader batches grants to a large array or an array of the lowest
@@ -101,7 +101,7 @@
 	}
 	delay := Time(float64(maxGrantDelay) * n.writeScarcity())
 	if job.LargeArray {
-		delay = max(delay, outcomeDelay)
+		delay = max(delay, baseOutcomeDelay)
 	}
 	return min(delay, maxBatchingDelay(job))
 }
@@ -139,7 +139,7 @@
 	remaining, known := c.remainingBytes[job.Index]
 	if !known {
 		record := job.Record
-		if changed := c.writer.records[job.Index]; changed != nil {
+		if changed := c.writer.changedRecords[job.Index]; changed != nil {
 			record = changed
 		}
 		remaining = c.node.listCapacity(job) - replica.TaskListBytes(record.ActiveTasks, record.DoneTasks)
@@ -159,10 +159,10 @@
 	return true
 }
 
-// mayWriteOutcome reports whether the outcome of a task may be written, which removes the task from
-// its run: there must be capacity for a split of the run, which is then reserved, or all tasks of
-// the run must have ended.
-func (c *recordCapacity) mayWriteOutcome(key taskKey, machineName string) bool {
+// reserveForOutcome reports whether the outcome of a task may be written, which removes the task
+// from its run: there must be capacity for a split of the run, which is then reserved, or all tasks
+// of the run must have ended.
+func (c *recordCapacity) reserveForOutcome(key taskKey, machineName string) bool {
 	job := c.node.jobs[key.job]
 	if !job.LargeArray || job.Record.State != wire.JobLive {
 		return true
@@ -197,8 +197,8 @@
 	return outcome
 }
 
-// mayAddRun reports whether one more run may be added to a job's record. If so, it reserves the
-// bytes for the run.
-func (c *recordCapacity) mayAddRun(job *job) bool {
+// reserveRun reserves the bytes for one more run in a job's record if enough remain. It reports
+// whether the run may be added. Only large arrays need the reservation.
+func (c *recordCapacity) reserveRun(job *job) bool {
 	return !job.LargeArray || c.allocate(job, c.node.taskRunBytes())
 }
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -23,7 +23,7 @@
 	timedOut := func() int {
 		count := 0
 		for task := range grants {
-			if n.grantTimedOut(taskKey{0, task, 1}) {
+			if n.startOrCheckGrantTimeout(taskKey{0, task, 1}) {
 				count++
 			}
 		}
@@ -43,8 +43,8 @@
 	}
 	n.replica.PutJob("wk-1", placed, 2)
 	n.removeStaleGrantTimes()
-	if len(n.grantWaitingSince) != 0 {
-		t.Errorf("%d times of placed grants are still stored", len(n.grantWaitingSince))
+	if len(n.firstPlacementFailureAt) != 0 {
+		t.Errorf("%d times of placed grants are still stored", len(n.firstPlacementFailureAt))
 	}
 }
 
@@ -61,7 +61,7 @@
 		machine.redirectedAt, machine.misdirectedListed, machine.view.missedHeartbeats = n.now, true, 2
 		n.misdirectedMachines = append(n.misdirectedMachines, machine.index)
 	}
-	missed := n.missedMachineNames()
+	missed := n.machinesMissedByOwners()
 	if len(missed) != machines {
 		t.Fatalf("%d of %d machines are listed", len(missed), machines)
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -98,7 +98,7 @@
 		return
 	}
 	n.runCloudCalls()
-	if n.passDue() && n.leader.batch.ready(n) {
+	if n.passDue() && n.leader.batch.retryOrCheckReady(n) {
 		n.runLeaderPass()
 	}
 }
@@ -128,7 +128,7 @@
 	unwritten := n.runSchedulingPass(writer)
 	n.logQuotaExcess()
 	n.recordCancellations(writer)
-	n.budget.pendingGrants = len(writer.changedJobs) + unwritten
+	n.budget.pendingPassRecords = len(writer.changedJobs) + unwritten
 	n.log(LogDebug, "scheduling pass",
 		"machines", n.machineCount(), "changed_jobs", len(writer.changedJobs),
 		"unwritten_grants", unwritten)
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -27,7 +27,7 @@
 	viewTerm         uint64 // term in which the owner reported the view
 	unconfirmedSince Time   // when the view became unconfirmed
 	viewVersion      uint64 // version of the last change of the view in this controller's gossip
-	deprovisioned    bool   // the cloud has confirmed that the machine is gone
+	deprovisioned    bool   // the cloud has confirmed the deprovisioning
 
 	misdirectedHeartbeats
 }
@@ -105,7 +105,7 @@
 type resourceUse struct {
 	cores, gpus, memoryGB                            float64
 	releasingCores, releasingGPUs, releasingMemoryGB float64
-	daemon                                           bool // a daemon is among the tasks
+	hasDaemon                                        bool // a daemon is among the tasks
 }
 
 // noPriority is higher than any priority.
@@ -132,7 +132,7 @@
 		used.cores += spec.Cores
 		used.gpus += spec.GPUs
 		used.memoryGB += spec.MemoryGB
-		used.daemon = used.daemon || spec.Shape == wire.ShapeDaemon
+		used.hasDaemon = used.hasDaemon || spec.Shape == wire.ShapeDaemon
 		if p.stop != wire.StopNone || job.Record.State != wire.JobLive {
 			used.releasingCores += spec.Cores
 			used.releasingGPUs += spec.GPUs
--- a/internal/core/mailbox.go
+++ b/internal/core/mailbox.go
@@ -98,9 +98,9 @@
 	return err == nil && size <= s.cfg.MaxValueBytes
 }
 
-// readMailbox applies the message in a peer's mailbox, unless the peer is reachable directly or the
-// message is not newer than the last one received from it.
-func (n *Node) readMailbox(message *wire.Gossip) {
+// applyMailboxMessage applies the message in a peer's mailbox, unless the peer is reachable directly
+// or the message is not newer than the last one received from it.
+func (n *Node) applyMailboxMessage(message *wire.Gossip) {
 	if p := n.peers[message.From]; p != nil {
 		direct := !p.viaMailbox && n.now-p.receivedAt < peerAliveTime
 		old := p.message.Life == message.Life && message.UpS <= p.message.UpS
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -31,7 +31,7 @@
 		n.batch.discard()
 		return
 	}
-	if !n.batch.ready(n) {
+	if !n.batch.retryOrCheckReady(n) {
 		return
 	}
 	writer := newWriter(n)
--- a/internal/core/placement_score.go
+++ b/internal/core/placement_score.go
@@ -63,7 +63,7 @@
 			score -= busyOnDemandBonus
 		}
 	}
-	if spec.Shape == wire.ShapeDaemon && !slot.daemon {
+	if spec.Shape == wire.ShapeDaemon && !slot.hasDaemon {
 		score += firstDaemonCost
 	}
 	score += otherFailureCost * float64(slot.failedJobCount)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -96,7 +96,7 @@
 		n.gangs.Put(n.now, e.Key, v, e.Revision)
 	case *wire.Gossip:
 		if n.replica.Loaded() { // a message in the first listing may be old, but would count as received now
-			n.readMailbox(v)
+			n.applyMailboxMessage(v)
 		}
 	case *wire.ImageCache:
 		n.putImageCache(v)
--- a/internal/core/replica_observer.go
+++ b/internal/core/replica_observer.go
@@ -10,7 +10,7 @@
 	cfg := replica.Config{
 		Self: n.cfg.Self, Teams: n.cfg.Teams, Shards: len(n.shards), Format: n.cfg.Format,
 		MaxValueBytes: n.cfg.MaxValueBytes, CurrentValueBytes: n.cfg.CurrentValueBytes, MaxTransactionOps: n.cfg.MaxTransactionOps,
-		HeartbeatInterval: n.cfg.HeartbeatInterval, WallClockMS: n.cfg.WallClockMS, EstimateRunTime: n.runTime,
+		HeartbeatInterval: n.cfg.HeartbeatInterval, WallClockMS: n.cfg.WallClockMS, EstimateRunTime: n.estimatedRunTime,
 	}
 	for _, member := range n.cfg.Members {
 		cfg.Controllers = append(cfg.Controllers, member.Name)
@@ -42,7 +42,7 @@
 // ended or has failed repeatedly.
 func (o *replicaObserver) JobChanged(changed *replica.Job) {
 	n, job := o.node, o.node.jobs[changed.Index]
-	n.setClosedAt(job)
+	n.setEarliestCloseAt(job)
 	n.updateErrorBackoff(job)
 	n.indexPlacements(job)
 }
--- a/internal/core/run_time_estimator.go
+++ b/internal/core/run_time_estimator.go
@@ -56,8 +56,8 @@
 	return Time(spec.ExpectedS * e.correction(spec.Class) * float64(second))
 }
 
-// runTime returns the corrected estimate of a job's run time; see runTimeEstimator.estimate.
-func (n *Node) runTime(spec *wire.JobSpec) Time { return n.runTimeEstimator.estimate(spec) }
+// estimatedRunTime returns the corrected estimate of a job's run time; see runTimeEstimator.estimate.
+func (n *Node) estimatedRunTime(spec *wire.JobSpec) Time { return n.runTimeEstimator.estimate(spec) }
 
 // recordRunTime adds the run time of a job that is done to the statistics of its class. previous is
 // the job's last live record. The time since the last grant counts as the run time. That is too
--- a/internal/core/scheduler_preemption.go
+++ b/internal/core/scheduler_preemption.go
@@ -83,7 +83,7 @@
 			job.Record.Spec.Shape == wire.ShapeDaemon {
 			continue
 		}
-		if !includeUnpreemptable && (p.writer.records[placement.job] != nil || !p.mayPreemptJob(queued, job)) {
+		if !includeUnpreemptable && (p.writer.changedRecords[placement.job] != nil || !p.mayPreemptJob(queued, job)) {
 			continue
 		}
 		candidates = append(candidates, victim{job, placement.taskKey, preemptionCostOf(job)})
@@ -158,7 +158,7 @@
 			return false
 		}
 		if victim.job.Record.Spec.Shape == wire.ShapeGang {
-			preemptAll(record)
+			requestJobPreemption(record)
 		} else {
 			for i := range record.ActiveTasks {
 				if task := &record.ActiveTasks[i]; task.Task == victim.key.task && task.Attempt == victim.key.attempt {
--- a/internal/core/scheduler_stages.go
+++ b/internal/core/scheduler_stages.go
@@ -31,7 +31,7 @@
 		}
 		granted := len(dependency.Record.ActiveTasks) > 0 && len(n.pendingTasks(dependency, 1)) == 0
 		if dependency.Record.Spec == nil || !granted ||
-			max(dependency.grantedAt, dependency.ReadySince())+n.runTime(dependency.Record.Spec) > at {
+			max(dependency.grantedAt, dependency.ReadySince())+n.estimatedRunTime(dependency.Record.Spec) > at {
 			return false
 		}
 	}
--- a/internal/core/scheduler_tasks.go
+++ b/internal/core/scheduler_tasks.go
@@ -30,7 +30,7 @@
 
 // currentRecord returns the job's record including the changes made in this pass.
 func (p *schedulingPass) currentRecord(job *job) *wire.Job {
-	if record := p.writer.records[job.Index]; record != nil {
+	if record := p.writer.changedRecords[job.Index]; record != nil {
 		return record
 	}
 	return job.Record
@@ -121,7 +121,7 @@
 // next task of a job in the shard of a slot.
 func (p *schedulingPass) shardPenalty(queued *queuedJob) func(*slot) float64 {
 	job, scarcity := queued.job, p.node.writeScarcity()
-	started := len(job.Record.ActiveTasks) > 0 || p.writer.records[job.Index] != nil
+	started := len(job.Record.ActiveTasks) > 0 || p.writer.changedRecords[job.Index] != nil
 	if job.LargeArray {
 		scarcity = largeArrayScarcity
 	}
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -20,7 +20,7 @@
 	// Capacity that will be released by tasks with a pending stop request.
 	releasingCores, releasingGPUs, releasingMemoryGB float64
 
-	daemon         bool // the machine runs a daemon, so it is not drained anyway
+	hasDaemon      bool // the machine runs a daemon, so it is not drained anyway
 	reserved       bool // for a gang that still waits for more machines
 	reservedFor    int  // index of the only job that may use the slot, plus one; 0: any job
 	images         indexset.Set
@@ -115,21 +115,21 @@
 	used := s.usageOf(machine)
 	return &slot{machine: machine, shard: machine.shard, zone: machine.zone, machineType: machine.machineType, spot: machine.spot, typeInfo: machineType,
 		cores: machineType.Cores - used.cores, gpus: machineType.GPUs - used.gpus, memoryGB: machineType.MemoryGB - used.memoryGB,
-		releasingCores: used.releasingCores, releasingGPUs: used.releasingGPUs, releasingMemoryGB: used.releasingMemoryGB, daemon: used.daemon,
+		releasingCores: used.releasingCores, releasingGPUs: used.releasingGPUs, releasingMemoryGB: used.releasingMemoryGB, hasDaemon: used.hasDaemon,
 		images: machine.images, failedJobCount: machine.view.failedJobCount, fetchGB: s.pendingFetchGB(machine)}
 }
 
 // slotClass groups slots that are nearly equivalent for the choice of a machine.
 type slotClass struct {
-	shard, zone, machineType, gpus    int  // gpus: free GPUs, whole ones only
-	spot, idle, daemon, hasFailedJobs bool // hasFailedJobs: a job has failed on the machine since its last success
-	noFreeGPU                         bool // no GPU is free, not even a fraction of one
+	shard, zone, machineType, gpus       int  // gpus: free GPUs, whole ones only
+	spot, idle, hasDaemon, hasFailedJobs bool // hasFailedJobs: a job has failed on the machine since its last success
+	noFreeGPU                            bool // no GPU is free, not even a fraction of one
 }
 
 // classify returns the class that a slot belongs to at present.
 func (s *slot) classify() slotClass {
 	return slotClass{shard: s.shard, zone: s.zone, machineType: s.machineType, gpus: int(s.gpus + epsilon), noFreeGPU: s.gpus <= epsilon, spot: s.spot,
-		idle: s.isIdle(), daemon: s.daemon, hasFailedJobs: s.failedJobCount > 0}
+		idle: s.isIdle(), hasDaemon: s.hasDaemon, hasFailedJobs: s.failedJobCount > 0}
 }
 
 // slotSet holds slots, indexed by class and by image, so that the cost of choosing a slot grows
--- a/internal/core/task_outcomes.go
+++ b/internal/core/task_outcomes.go
@@ -23,9 +23,10 @@
 // causeLost is the cause of a task that no machine runs or reports any more.
 const causeLost = "lost"
 
-// outcomeDelay is how long an outcome waits for others of the same job when writes are scarce, as
-// one write can record all of them and the tasks of a gang end together.
-const outcomeDelay = 500 * time.Millisecond
+// baseOutcomeDelay is how long an outcome waits for others of the same job when writes are scarce,
+// as one write can record all of them and the tasks of a gang end together. outcomeDelayFor
+// derives the delay for a job from it.
+const baseOutcomeDelay = 500 * time.Millisecond
 
 // tokenConfirmationWait is how long a task that was lost at the end of its machine's epoch waits
 // for the worker to confirm the owner's token. A worker sends a heartbeat half a second after it has
@@ -144,7 +145,7 @@
 			delete(n.outcomes, key) // already written, or queued in an earlier term
 			continue
 		}
-		if !pass.records.mayWriteOutcome(key, outcome.machine) {
+		if !pass.records.reserveForOutcome(key, outcome.machine) {
 			continue
 		}
 		record := writer.recordToChange(n.jobs[key.job])
@@ -161,7 +162,7 @@
 	job := n.jobs[key.job]
 	switch {
 	case p.writer.exitedTasks[key],
-		n.isUrgentOutcome(key, outcome) != urgent && p.writer.records[key.job] == nil,
+		n.isUrgentOutcome(key, outcome) != urgent && p.writer.changedRecords[key.job] == nil,
 		n.leader.batch.changes(job):
 		return false
 	}
@@ -177,7 +178,7 @@
 	p.writer.ownedShards[task.Shard] = true
 	job := n.jobs[key.job]
 	removeExitedTask(record, key, p.records.recordableOutcome(job, record, key, outcome))
-	if p.records.mayAddRun(job) {
+	if p.records.reserveRun(job) {
 		n.rescheduleLostTask(p.writer, record, task, outcome, p.slots)
 	}
 }
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -90,15 +90,15 @@
 		machine.viewTerm == shard.Term && machine.view.missedHeartbeats > 0
 }
 
-// missedMachineNames returns the sorted names of machines of other owners that were redirected
+// machinesMissedByOwners returns the sorted names of machines of other owners that were redirected
 // recently and whose owners report missing heartbeats. It removes machines that were not redirected
 // recently from misdirectedMachines.
 //
-// Peers need all of these names, as a machine that is left out counts as lost and is returned to
-// the cloud although it reports to this controller. They don't need the names of other machines, of
-// which there can be thousands at a large site: after an owner's failure all its machines report to
-// its peers at once.
-func (n *Node) missedMachineNames() []string {
+// Peers need all of these names, as a machine that is left out counts as lost and is deprovisioned
+// although it reports to this controller. They don't need the names of other machines, of which
+// there can be thousands at a large site: after an owner's failure all its machines report to its
+// peers at once.
+func (n *Node) machinesMissedByOwners() []string {
 	var names []string
 	n.misdirectedMachines = slices.DeleteFunc(n.misdirectedMachines, func(index int) bool {
 		machine := n.machines[index]
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -23,7 +23,7 @@
 	reducedUntil       Time    // until then the announced lower rate applies
 	reducedFor         Time    // duration of the last reduction
 	pendingRecords     int     // records that wait to be written by this controller
-	pendingGrants      int     // records that the leader's last pass changed, and grants left unwritten
+	pendingPassRecords int     // records that the leader's last pass changed, and grants left unwritten
 }
 
 const (
@@ -203,7 +203,7 @@
 	}
 	records := len(pending) + len(n.outcomes)/outcomesPerRecord
 	if n.isLeader() {
-		records += n.budget.pendingGrants
+		records += n.budget.pendingPassRecords
 	}
 	return records
 }
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -11,7 +11,7 @@
 // whose owner this controller acts in it.
 type writer struct {
 	node           *Node
-	records        map[int]*wire.Job // changed copies, by index of their job
+	changedRecords map[int]*wire.Job // changed copies, by index of their job
 	changedJobs    []int             // indices of these jobs, in the order of the changes
 	ownedShards    map[int]bool      // shards as whose owner this controller acts in the transaction, by index
 	linkedWrites   []kv.Write        // of other keys, which may only be written together with the rest
@@ -28,7 +28,7 @@
 // newWriter returns a writer for a transaction within the current limits.
 func newWriter(n *Node) *writer {
 	return &writer{
-		node: n, records: map[int]*wire.Job{}, ownedShards: map[int]bool{}, exitedTasks: map[taskKey]bool{}, attemptNumbers: map[int]uint64{},
+		node: n, changedRecords: map[int]*wire.Job{}, ownedShards: map[int]bool{}, exitedTasks: map[taskKey]bool{}, attemptNumbers: map[int]uint64{},
 		maxWrites: min(n.cfg.MaxTransactionOps-1, n.cfg.MaxBatchWrites, n.availableWrites()),
 	}
 }
@@ -44,7 +44,7 @@
 // recordToChange returns a copy of a job's record to change, or nil if the transaction is full.
 // Repeated calls for a job return the same copy.
 func (w *writer) recordToChange(job *job) *wire.Job {
-	if record := w.records[job.Index]; record != nil {
+	if record := w.changedRecords[job.Index]; record != nil {
 		return record
 	}
 	size := max(minRecordBytes, job.BaseBytes) + replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks)
@@ -52,9 +52,9 @@
 		return nil
 	}
 	w.bytes += size
-	w.records[job.Index] = replica.CloneRecord(job.Record)
+	w.changedRecords[job.Index] = replica.CloneRecord(job.Record)
 	w.changedJobs = append(w.changedJobs, job.Index)
-	return w.records[job.Index]
+	return w.changedRecords[job.Index]
 }
 
 // attemptNumber returns the attempt number of the tasks of a job that this transaction starts. The
@@ -111,7 +111,7 @@
 // one transaction, writeOverflowFirst is set and the transaction is empty, it returns writes of
 // overflow keys only, ahead of the record.
 func (w *writer) writesOf(job *job, empty bool) []kv.Write {
-	record := w.records[job.Index]
+	record := w.changedRecords[job.Index]
 	record.OverflowKeys = 0
 	replica.CompactRecord(record)
 	stored := replica.StoredRecord{Tasks: job.Record.ActiveTasks, OverflowKeys: job.Record.OverflowKeys}
