--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -69,7 +69,7 @@
 		b.awaitedRevision = max(result.Revision, 1)
 	case kv.Conflict:
 		n.log(LogDebug, "commit conflict", "role", b.role, "revision", result.Revision)
-		if b.removeConflicts(result.Failed) {
+		if b.removeConflicts(result.FailedKeys) {
 			b.send(n)
 			return
 		}
@@ -104,9 +104,9 @@
 	}
 }
 
-// ready reports whether a new batch may be started. If a retry of the active batch is due, it
-// sends the active batch again.
-func (b *batch) ready(n *Node) bool {
+// retryOrCheckReady reports whether a new batch may be started. If a retry of the active batch is
+// due, it sends the active batch again.
+func (b *batch) retryOrCheckReady(n *Node) bool {
 	if !b.active {
 		return n.now >= b.retryAt && n.availableWrites() >= 1
 	}
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -48,14 +48,14 @@
 // Each overflow key counts without the size of two runs, as the last bytes of a key may be too few
 // for another run.
 func (s *site) listCapacity(job *job) int {
-	return max(minListCapacity, s.replica.ValueBytes()-job.BaseBytes+s.replica.OverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowHeaderBytes-2*s.taskRunBytes()))
+	return max(minListCapacity, s.replica.MaxWritableBytes()-job.BaseBytes+s.replica.MaxOverflowKeys()*(s.cfg.MaxValueBytes-replica.OverflowHeaderBytes-2*s.taskRunBytes()))
 }
 
 // plannableListCapacity returns the list capacity for tasks that are yet to be granted. It is based
 // on MaxValueBytes, while listCapacity uses the limit on values at present, which may be higher for
-// a time; see replica.Replica.ValueBytes.
+// a time; see replica.Replica.MaxWritableBytes.
 func (s *site) plannableListCapacity(job *job) int {
-	return max(minListCapacity, s.listCapacity(job)-s.replica.ValueBytes()+s.cfg.MaxValueBytes)
+	return max(minListCapacity, s.listCapacity(job)-s.replica.MaxWritableBytes()+s.cfg.MaxValueBytes)
 }
 
 // taskRunBytes estimates how many bytes one more run takes in a record. The size depends on the
@@ -72,7 +72,7 @@
 // array always wait, as many arrive per second. Those of low-priority arrays may wait longer, as
 // their work is less urgent.
 func (n *Node) outcomeDelayFor(job *job) Time {
-	delay := Time(float64(outcomeDelay) * n.writeScarcity())
+	delay := Time(float64(baseOutcomeDelay) * n.writeScarcity())
 	if job.Record == nil || job.Record.Spec == nil || job.Record.State != wire.JobLive ||
 		job.Record.Spec.Shape != wire.ShapeArray || len(job.Record.ActiveTasks) < 2 {
 		return delay
@@ -81,15 +81,15 @@
 		delay *= lowPriorityDelayFactor
 	}
 	if job.LargeArray {
-		delay = max(delay, outcomeDelay)
+		delay = max(delay, baseOutcomeDelay)
 	}
 	return min(delay, maxBatchingDelay(job))
 }
 
 // maxBatchingDelay returns how long batching may delay the writes of an array: a share of the
-// expected run time of its tasks, but at least outcomeDelay.
+// expected run time of its tasks, but at least baseOutcomeDelay.
 func maxBatchingDelay(job *job) Time {
-	return max(outcomeDelay, Time(job.Record.Spec.ExpectedS*float64(second)/batchingDelayDivisor))
+	return max(baseOutcomeDelay, Time(job.Record.Spec.ExpectedS*float64(second)/batchingDelayDivisor))
 }
 
 // grantDelay returns how long the leader batches grants to a large array or an array of the lowest
@@ -101,7 +101,7 @@
 	}
 	delay := Time(float64(maxGrantDelay) * n.writeScarcity())
 	if job.LargeArray {
-		delay = max(delay, outcomeDelay)
+		delay = max(delay, baseOutcomeDelay)
 	}
 	return min(delay, maxBatchingDelay(job))
 }
@@ -139,7 +139,7 @@
 	remaining, known := c.remainingBytes[job.Index]
 	if !known {
 		record := job.Record
-		if changed := c.writer.records[job.Index]; changed != nil {
+		if changed := c.writer.changedRecords[job.Index]; changed != nil {
 			record = changed
 		}
 		remaining = c.node.listCapacity(job) - replica.TaskListBytes(record.ActiveTasks, record.DoneTasks)
@@ -159,10 +159,10 @@
 	return true
 }
 
-// mayWriteOutcome reports whether the outcome of a task may be written, which removes the task from
-// its run: there must be capacity for a split of the run, which is then reserved, or all tasks of
-// the run must have ended.
-func (c *recordCapacity) mayWriteOutcome(key taskKey, machineName string) bool {
+// reserveForOutcome reports whether the outcome of a task may be written, which removes the task
+// from its run: there must be capacity for a split of the run, which is then reserved, or all tasks
+// of the run must have ended.
+func (c *recordCapacity) reserveForOutcome(key taskKey, machineName string) bool {
 	job := c.node.jobs[key.job]
 	if !job.LargeArray || job.Record.State != wire.JobLive {
 		return true
@@ -197,8 +197,8 @@
 	return outcome
 }
 
-// mayAddRun reports whether one more run may be added to a job's record. If so, it reserves the
-// bytes for the run.
-func (c *recordCapacity) mayAddRun(job *job) bool {
+// reserveRun reserves the bytes for one more run in a job's record if enough remain. It reports
+// whether the run may be added. Only large arrays need the reservation.
+func (c *recordCapacity) reserveRun(job *job) bool {
 	return !job.LargeArray || c.allocate(job, c.node.taskRunBytes())
 }
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -83,7 +83,7 @@
 
 // mayClaim reports whether a shard that this process does not own may be claimed.
 func (n *Node) mayClaim(shard *shard) bool {
-	reason := n.ownership.MayClaim(n.now, shard.Shard, func() ownership.Evidence { return n.takeoverEvidence(shard) })
+	reason := n.ownership.ClaimReason(n.now, shard.Shard, func() ownership.Evidence { return n.takeoverEvidence(shard) })
 	switch reason {
 	case ownership.Unreachable, ownership.OwnerSilent, ownership.OwnerRefused:
 		n.log(LogInfo, "taking over shard", "reason", string(reason), "shard", shard.Name, "owner", shard.Record.Owner)
@@ -111,7 +111,7 @@
 		StoreAnswered:   n.now-n.storeAnsweredAt < maxStoreAnswerAge,
 	}
 	for _, machine := range shard.machines {
-		if machine.returned || machine.view.unreachable {
+		if machine.deprovisioned || machine.view.unreachable {
 			continue
 		}
 		if machine.view.reportedByOwner && machine.view.missedHeartbeats < 2 {
