--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -13,20 +13,20 @@
 // other batch of the same role starts before the outcome is certain and the replica shows it.
 // So a delayed attempt can never take effect after a later batch.
 type batch struct {
-	role            string // role of the controller that decides the batch, for the log
-	active          bool   // no other batch may start
-	inFlight        bool   // an attempt has not been answered
-	outcomeUnknown  bool   // an earlier attempt may still be carried out
-	conditions      []kv.Condition
-	writes          []kv.Write
-	linkedWrites    []kv.Write // the part of writes that may only be made together with all the others
-	awaitedRevision uint64     // revision at which the replica shows the outcome; 0: not known yet
-	retryAt         Time       // earliest time of the next attempt or the next batch
-	generation      uint64     // number of the batch; results of earlier ones are ignored
+	role              string // role of the controller that decides the batch, for the log
+	active            bool   // no other batch may start
+	inFlight          bool   // an attempt has not been answered
+	outcomeUnknown    bool   // an earlier attempt may still be carried out
+	conditions        []kv.Condition
+	writes            []kv.Write
+	inseparableWrites []kv.Write // the part of writes that may only be made together with all the others
+	awaitedRevision   uint64     // revision at which the replica shows the outcome; 0: not known yet
+	retryAt           Time       // earliest time of the next attempt or the next batch
+	generation        uint64     // number of the batch; results of earlier ones are ignored
 }
 
 // start starts a new batch and sends it.
-func (b *batch) start(n *Node, conditions []kv.Condition, writes, linked []kv.Write) {
+func (b *batch) start(n *Node, conditions []kv.Condition, writes, inseparable []kv.Write) {
 	b.generation++
 	b.active = true
 	b.inFlight = false
@@ -34,7 +34,7 @@
 	b.awaitedRevision = 0
 	b.conditions = conditions
 	b.writes = writes
-	b.linkedWrites = linked
+	b.inseparableWrites = inseparable
 	b.send(n)
 }
 
@@ -79,7 +79,7 @@
 		// limits were lowered, may have been carried out, the conditions are sent alone to
 		// find out.
 		if b.outcomeUnknown && len(b.writes) > 0 {
-			b.writes, b.linkedWrites = nil, nil
+			b.writes, b.inseparableWrites = nil, nil
 			b.send(n)
 			return
 		}
@@ -94,11 +94,11 @@
 		b.outcomeUnknown = true
 		b.retryAt = n.now + unknownRetryDelay
 	}
-	b.settle(n)
+	b.endIfOutcomeShown(n)
 }
 
-// settle ends the batch once the replica has reached the revision that shows its outcome.
-func (b *batch) settle(n *Node) {
+// endIfOutcomeShown ends the batch once the replica has reached the revision that shows its outcome.
+func (b *batch) endIfOutcomeShown(n *Node) {
 	if b.active && b.awaitedRevision > 0 && n.replica.Revision() >= b.awaitedRevision {
 		b.active = false
 	}
@@ -119,9 +119,9 @@
 // removeConflicts removes the records that others have changed from the batch, so that the rest
 // need not wait for a new decision. It reports whether the rest can be sent. That requires that
 // all conflicts are on job records, as only these are independent of each other, that no writes
-// are linked, and that no earlier attempt has an unknown outcome.
+// are inseparable, and that no earlier attempt has an unknown outcome.
 func (b *batch) removeConflicts(failed []string) bool {
-	if b.outcomeUnknown || len(failed) == 0 || len(b.linkedWrites) > 0 {
+	if b.outcomeUnknown || len(failed) == 0 || len(b.inseparableWrites) > 0 {
 		return false
 	}
 	for _, key := range failed {
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -213,7 +213,7 @@
 
 // A new leader makes no decision while a commit that it sent as an owner has an unknown outcome
 // and may still be applied.
-func TestNewLeaderSettlesItsOwnCommits(t *testing.T) {
+func TestNewLeaderWaitsForItsOwnCommits(t *testing.T) {
 	m, proof := newHarnessAfterTakeover(t)
 	m.node.batch.active, m.node.batch.outcomeUnknown = true, true
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.revision})
--- a/internal/core/gang_start.go
+++ b/internal/core/gang_start.go
@@ -24,12 +24,12 @@
 		slowFetchFactor*spec.ImageGB/machineType.FetchGBs < (s.cfg.GangWait-2*s.cfg.HeartbeatInterval).Seconds() {
 		return false
 	}
-	return machine.images.Has(job.Image) && s.othersLackImage(job, active.Attempt)
+	return machine.images.Has(job.Image) && s.ownGangMachineLacksImage(job, active.Attempt)
 }
 
-// othersLackImage reports whether a machine in a shard of this controller has a task of a gang's
+// ownGangMachineLacksImage reports whether a machine in a shard of this controller has a task of a gang's
 // attempt and does not have the image yet.
-func (s *site) othersLackImage(job *job, attempt uint64) bool {
+func (s *site) ownGangMachineLacksImage(job *job, attempt uint64) bool {
 	for i := range job.Record.ActiveTasks {
 		other := &job.Record.ActiveTasks[i]
 		if other.Attempt != attempt || other.Machine == "" {
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -10,13 +10,13 @@
 // grantTimeout is how long an owner tries to place a grant before it revokes it.
 const grantTimeout = 2500 * time.Millisecond
 
-// grantTimes holds, for each grant that this controller could not place yet, when it first failed
+// grantWaitStarts holds, for each grant that this controller could not place yet, when it first failed
 // to.
-type grantTimes map[taskKey]Time
+type grantWaitStarts map[taskKey]Time
 
 // startOrCheckTimeout reports whether a grant has waited for capacity for longer than grantTimeout.
 // The first call for a grant records now as the start of its wait.
-func (g grantTimes) startOrCheckTimeout(key taskKey, now Time) bool {
+func (g grantWaitStarts) startOrCheckTimeout(key taskKey, now Time) bool {
 	since, seen := g[key]
 	if !seen {
 		g[key] = now
@@ -118,11 +118,11 @@
 	})
 }
 
-// removeStaleGrantTimes deletes the times of grants that have been placed or revoked. It is called
+// removeEndedGrantWaits deletes the times of grants that have been placed or revoked. It is called
 // periodically, so the number of waiting grants bounds the memory. A fixed limit on the number of
 // times would restrict the size of the site: when all times were cleared at such a limit, no grant
 // timed out while more grants than the limit were waiting.
-func (n *Node) removeStaleGrantTimes() {
+func (n *Node) removeEndedGrantWaits() {
 	for key := range n.firstPlacementFailureAt {
 		if !n.jobs[key.job].awaitsPlacement(key) {
 			delete(n.firstPlacementFailureAt, key)
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -148,9 +148,9 @@
 	return remaining
 }
 
-// allocate reserves bytes of a job's record for one change. It returns false and reserves nothing
+// reserve reserves bytes of a job's record for one change. It returns false and reserves nothing
 // unless more than twice as many bytes remain.
-func (c *recordCapacity) allocate(job *job, bytes int) bool {
+func (c *recordCapacity) reserve(job *job, bytes int) bool {
 	remaining := c.remaining(job)
 	if remaining <= 2*bytes {
 		return false
@@ -167,7 +167,7 @@
 	if !job.LargeArray || job.Record.State != wire.JobLive {
 		return true
 	}
-	if c.allocate(job, wire.MaxRunBytes(machineName)+replica.TaskRangeBytes) {
+	if c.reserve(job, wire.MaxRunBytes(machineName)+replica.TaskRangeBytes) {
 		return true
 	}
 	at := c.node.activeTaskIndex(key, machineName)
@@ -200,5 +200,5 @@
 // reserveRun reserves the bytes for one more run in a job's record if enough remain. It reports
 // whether the run may be added. Only large arrays need the reservation.
 func (c *recordCapacity) reserveRun(job *job) bool {
-	return !job.LargeArray || c.allocate(job, c.node.taskRunBytes())
+	return !job.LargeArray || c.reserve(job, c.node.taskRunBytes())
 }
--- a/internal/core/large_site_test.go
+++ b/internal/core/large_site_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("%d grants time out immediately", got)
 	}
 	n.now = grantTimeout + second
-	n.removeStaleGrantTimes()
+	n.removeEndedGrantWaits()
 	if got := timedOut(); got != grants {
 		t.Errorf("%d of %d grants have timed out", got, grants)
 	}
@@ -42,7 +42,7 @@
 		placed.ActiveTasks[i].Machine = "vm-000001"
 	}
 	n.replica.PutJob("wk-1", placed, 2)
-	n.removeStaleGrantTimes()
+	n.removeEndedGrantWaits()
 	if len(n.firstPlacementFailureAt) != 0 {
 		t.Errorf("%d times of placed grants are still stored", len(n.firstPlacementFailureAt))
 	}
@@ -58,7 +58,7 @@
 	n.now = 100 * second
 	for i := range machines {
 		machine := n.getOrAddMachine(fmt.Sprintf("vm-%06d", i))
-		machine.redirectedAt, machine.misdirectedListed, machine.view.missedHeartbeats = n.now, true, 2
+		machine.redirectedAt, machine.inMisdirectedMachines, machine.view.missedHeartbeats = n.now, true, 2
 		n.misdirectedMachines = append(n.misdirectedMachines, machine.index)
 	}
 	missed := n.machinesMissedByOwners()
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -42,16 +42,16 @@
 		n.leadership.MarkReplaced(p.term) // the replica does not show the new claim yet
 	case result.Outcome == kv.OK && p.sentAt >= n.resumedAt:
 		n.failover.fence.AddProof(p.sentAt, result.Revision)
-		n.settleProofs()
+		n.applyReachedLeaderProofs()
 	}
 }
 
-// settleProofs makes those proofs take effect whose revision the replica has reached, and extends
+// applyReachedLeaderProofs makes those proofs take effect whose revision the replica has reached, and extends
 // the time in which queued calls may be sent to the cloud.
-func (n *Node) settleProofs() {
+func (n *Node) applyReachedLeaderProofs() {
 	s := &n.failover
 	before := s.fence.RemainingCallTime(n.now)
-	s.fence.Settle(n.replica.Revision())
+	s.fence.ApplyReachedProofs(n.replica.Revision())
 	// The call time is 0 until the cloud fence has ended.
 	if callTime := s.fence.RemainingCallTime(n.now); n.isFencedLeader() && callTime > before {
 		n.emit(AllowCloudCalls{Term: n.leadership.Term(), Until: n.now + callTime})
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -31,7 +31,7 @@
 	}
 	n.setFailoverClaim()
 	switch change {
-	case leadership.Reclaimed:
+	case leadership.ClaimedAgain:
 		n.log(LogInfo, "leadership reclaimed", "term", revision)
 	case leadership.Acquired:
 		n.leader.reset()
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -64,12 +64,12 @@
 // does not own. A bounce is such a heartbeat that shows that the worker can't reach the owner; see
 // recordRedirect.
 type misdirectedHeartbeats struct {
-	redirectedAt        Time   // when it was last redirected to its owner; 0: it was not
-	bouncedAt           Time   // time of the last bounce; 0: none
-	bouncingSince       Time   // when the current series of bounces began
-	misdirectedListed   bool   // it is in gossipState.misdirectedMachines
-	misdirectedEpoch    uint64 // of the newest heartbeat received by this controller
-	misdirectedSequence uint64
+	redirectedAt          Time   // when it was last redirected to its owner; 0: it was not
+	bouncedAt             Time   // time of the last bounce; 0: none
+	bouncingSince         Time   // when the current series of bounces began
+	inMisdirectedMachines bool   // it is in gossipState.misdirectedMachines
+	misdirectedEpoch      uint64 // of the newest heartbeat received by this controller
+	misdirectedSequence   uint64
 }
 
 // machineView is the state of a machine that its owner reports to the other controllers.
--- a/internal/core/owner_state.go
+++ b/internal/core/owner_state.go
@@ -6,7 +6,7 @@
 	nextOwnerPassAt         Time // when the next pass is due
 	outcomes                taskOutcomes
 	gangsToStop             map[int]bool // by index: jobs that must save and exit because one of their machines is about to be reclaimed
-	firstPlacementFailureAt grantTimes
+	firstPlacementFailureAt grantWaitStarts
 
 	replies           delayedReplies
 	unstartedMachines []int // indices of this controller's machines with a placed task that they have not reported
@@ -18,5 +18,5 @@
 }
 
 func newOwnerState() ownerState {
-	return ownerState{outcomes: taskOutcomes{}, gangsToStop: map[int]bool{}, firstPlacementFailureAt: grantTimes{}}
+	return ownerState{outcomes: taskOutcomes{}, gangsToStop: map[int]bool{}, firstPlacementFailureAt: grantWaitStarts{}}
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -43,7 +43,7 @@
 			r.reconcileMissingTask(placed)
 		}
 	}
-	if r.startIgnored && n.hadTimeForReply(machine) {
+	if r.startIgnored && n.sentAfterLastReply(machine) {
 		machine.ignoredReplies++
 	}
 	return r.commands
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -14,17 +14,17 @@
 	}
 	n.applyEvents(c.Events)
 	if c.Reset {
-		n.ownership.AssumeRecentOwners(n.now)
+		n.ownership.AssumeRecentTakeovers(n.now)
 	} else {
 		n.countWrites(len(c.Events))
 	}
 	n.replica.MarkApplied(c.Revision, c.Reset)
 	n.leader.passNeeded = true
-	n.ownership.Settle(n.now, n.replica.Revision())
-	n.settleProofs()
+	n.ownership.ApplyReachedProofs(n.now, n.replica.Revision())
+	n.applyReachedLeaderProofs()
 	n.replies.nextCheckAt = 0 // check the delayed replies at once
-	n.batch.settle(n)
-	n.leader.batch.settle(n)
+	n.batch.endIfOutcomeShown(n)
+	n.leader.batch.endIfOutcomeShown(n)
 }
 
 // deleteUnlisted deletes the records that a full listing does not contain.
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -161,6 +161,6 @@
 func (p ownershipProof) committed(n *Node, result Committed) {
 	if result.Outcome == kv.OK {
 		n.ownership.AddProof(p.proof, result.Revision)
-		n.ownership.Settle(n.now, n.replica.Revision())
+		n.ownership.ApplyReachedProofs(n.now, n.replica.Revision())
 	}
 }
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -46,7 +46,7 @@
 		return
 	}
 	n.nextCleanupAt = n.now + cleanupInterval
-	n.removeStaleGrantTimes()
+	n.removeEndedGrantWaits()
 	for _, shard := range n.shards {
 		for i := len(shard.machines) - 1; i >= 0; i-- {
 			if machine := shard.machines[i]; len(machine.placements) == 0 && n.isGone(shard, machine) {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -118,7 +118,7 @@
 	if machine.tokenConfirmed != (heartbeat.Token == shard.Term) {
 		machine.tokenConfirmed, machine.ignoredReplies = heartbeat.Token == shard.Term, 0
 		n.nextViewUpdateAt = 0
-	} else if machine.heartbeatCount > 0 && !machine.tokenConfirmed && n.hadTimeForReply(machine) {
+	} else if machine.heartbeatCount > 0 && !machine.tokenConfirmed && n.sentAfterLastReply(machine) {
 		machine.ignoredReplies++
 	}
 }
@@ -150,11 +150,11 @@
 	machine.unresponsive, n.nextViewUpdateAt = unresponsive, 0
 }
 
-// hadTimeForReply reports whether the worker has probably waited for the last reply until it arrived,
+// sentAfterLastReply reports whether the worker has probably waited for the last reply until it arrived,
 // or for 4 s, before it sent the heartbeat that has just arrived. If that heartbeat shows no effect
 // of the reply, the reply was lost or ignored. A heartbeat that arrives within 3 s of the reply was
 // sent before it, as were all those that a network partition has delayed.
-func (s *site) hadTimeForReply(machine *machine) bool {
+func (s *site) sentAfterLastReply(machine *machine) bool {
 	return machine.answeredAt > 0 && s.now-machine.answeredAt > 3*second
 }
 
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -32,8 +32,8 @@
 	if !isCopy {
 		n.recordRedirect(shard, machine)
 	}
-	if !machine.misdirectedListed {
-		machine.misdirectedListed = true
+	if !machine.inMisdirectedMachines {
+		machine.inMisdirectedMachines = true
 		n.misdirectedMachines = append(n.misdirectedMachines, machine.index)
 	}
 	n.emit(Reply{RequestID: requestID, Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Owner: shard.Record.Owner}})
@@ -103,7 +103,7 @@
 	n.misdirectedMachines = slices.DeleteFunc(n.misdirectedMachines, func(index int) bool {
 		machine := n.machines[index]
 		if machine.redirectedAt == 0 || n.now-machine.redirectedAt >= redirectRetention {
-			machine.misdirectedListed = false
+			machine.inMisdirectedMachines = false
 			return true
 		}
 		if machine.view.missedHeartbeats > 0 {
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -10,16 +10,16 @@
 // revision of its record. The whole transaction is conditional on the terms of the shards as
 // whose owner this controller acts in it.
 type writer struct {
-	node           *Node
-	changedRecords map[int]*wire.Job // changed copies, by index of their job
-	changedJobs    []int             // indices of these jobs, in the order of the changes
-	ownedShards    map[int]bool      // shards as whose owner this controller acts in the transaction, by index
-	linkedWrites   []kv.Write        // of other keys, which may only be written together with the rest
-	conditions     []kv.Condition    // in addition to those on the changed records
-	bytes          int               // estimated size of the transaction
-	maxWrites      int               // recordToChange adds records up to this number of writes
-	exitedTasks    map[taskKey]bool  // tasks whose end the changed records show
-	attemptNumbers map[int]uint64    // of the tasks that the transaction starts, by index of their job
+	node              *Node
+	changedRecords    map[int]*wire.Job // changed copies, by index of their job
+	changedJobs       []int             // indices of these jobs, in the order of the changes
+	ownedShards       map[int]bool      // shards as whose owner this controller acts in the transaction, by index
+	inseparableWrites []kv.Write        // of other keys, which may only be written together with the rest
+	conditions        []kv.Condition    // in addition to those on the changed records
+	bytes             int               // estimated size of the transaction
+	maxWrites         int               // recordToChange adds records up to this number of writes
+	exitedTasks       map[taskKey]bool  // tasks whose end the changed records show
+	attemptNumbers    map[int]uint64    // of the tasks that the transaction starts, by index of their job
 	// writeOverflowFirst allows writing overflow keys in earlier transactions than the
 	// record that names them.
 	writeOverflowFirst bool
@@ -48,7 +48,7 @@
 		return record
 	}
 	size := max(minRecordBytes, job.BaseBytes) + replica.TaskListBytes(job.Record.ActiveTasks, job.Record.DoneTasks)
-	if len(w.changedJobs)+len(w.linkedWrites) >= w.maxWrites || w.bytes+size > maxTransactionBytes {
+	if len(w.changedJobs)+len(w.inseparableWrites) >= w.maxWrites || w.bytes+size > maxTransactionBytes {
 		return nil
 	}
 	w.bytes += size
@@ -72,10 +72,10 @@
 // addWrite adds a write of another key with a condition. It returns false if the transaction has the
 // maximum number of writes.
 func (w *writer) addWrite(write kv.Write, condition kv.Condition) bool {
-	if len(w.changedJobs)+len(w.linkedWrites) >= w.node.cfg.MaxTransactionOps {
+	if len(w.changedJobs)+len(w.inseparableWrites) >= w.node.cfg.MaxTransactionOps {
 		return false
 	}
-	w.linkedWrites = append(w.linkedWrites, write)
+	w.inseparableWrites = append(w.inseparableWrites, write)
 	w.conditions = append(w.conditions, condition)
 	return true
 }
@@ -83,7 +83,7 @@
 // send commits the changes, if any, as a batch. Records that don't fit the transaction together
 // with their overflow keys are left out; the decisions about them are made again later.
 func (w *writer) send(b *batch) {
-	if len(w.changedJobs)+len(w.linkedWrites) == 0 {
+	if len(w.changedJobs)+len(w.inseparableWrites) == 0 {
 		return
 	}
 	conditions := w.conditions
@@ -92,7 +92,7 @@
 			conditions = append(conditions, kv.Condition{Key: wire.ShardKey(shard.Name), Revision: shard.Term})
 		}
 	}
-	writes := w.linkedWrites
+	writes := w.inseparableWrites
 	for _, index := range w.changedJobs {
 		job := w.node.jobs[index]
 		changed := w.writesOf(job, len(writes) == 0)
@@ -103,7 +103,7 @@
 		writes = append(writes, changed...)
 	}
 	if len(writes) > 0 {
-		b.start(w.node, conditions, writes, w.linkedWrites)
+		b.start(w.node, conditions, writes, w.inseparableWrites)
 	}
 }
 
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -84,14 +84,14 @@
 }
 
 // AddProof records that a proof has succeeded at a revision. The proof takes effect once it has
-// settled; see Settle.
+// settled; see ApplyReachedProofs.
 func (f *Fence) AddProof(sentAt time.Duration, revision uint64) {
 	f.pending = append(f.pending, proof{sentAt, revision})
 }
 
-// Settle makes the pending proofs take effect whose revision the controller's replica of the
+// ApplyReachedProofs makes the pending proofs take effect whose revision the controller's replica of the
 // records has reached.
-func (f *Fence) Settle(revision uint64) {
+func (f *Fence) ApplyReachedProofs(revision uint64) {
 	pending := f.pending[:0]
 	for _, p := range f.pending {
 		if p.revision > revision {
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -53,7 +53,7 @@
 					appliedAt := at + between("proof", time.Millisecond, 1500*time.Millisecond)
 					if appliedAt < replacedAt {
 						fence.AddProof(clock(at), 1)
-						fence.Settle(1)
+						fence.ApplyReachedProofs(1)
 					}
 				}
 				if fence.RemainingCallTime(clock(at)) > 0 {
@@ -83,15 +83,15 @@
 }
 
 // A proof takes effect once the replica has reached its revision, and is invalidated by a stall.
-func TestProofsSettle(t *testing.T) {
+func TestLeaderProofTakesEffectOnceReached(t *testing.T) {
 	var f Fence
 	f.Begin(time.Second, leaseTTL, 0)
 	f.AddProof(time.Second, 9)
-	f.Settle(8)
+	f.ApplyReachedProofs(8)
 	if f.CaughtUp() || f.RemainingCallTime(time.Second) > 0 {
 		t.Error("a proof takes effect before the replica has reached its revision")
 	}
-	f.Settle(9)
+	f.ApplyReachedProofs(9)
 	if got, want := f.RemainingCallTime(2*time.Second), ProofValidity(leaseTTL)-time.Second; !f.CaughtUp() || got != want {
 		t.Errorf("caught up %v, remaining call time %v, want %v", f.CaughtUp(), got, want)
 	}
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -102,11 +102,11 @@
 
 // Kinds of changes.
 const (
-	Stale     Change = iota // the record is outdated and was ignored
-	Other                   // none of the following
-	Acquired                // this process has become the leader
-	Reclaimed               // this process remains the leader, under a new term
-	Lost                    // a claim of this process has ended, possibly one that it had abandoned
+	Stale        Change = iota // the record is outdated and was ignored
+	Other                      // none of the following
+	Acquired                   // this process has become the leader
+	ClaimedAgain               // this process remains the leader, under a new term
+	Lost                       // a claim of this process has ended, possibly one that it had abandoned
 )
 
 // Put applies a claim of the leadership, or its end if the record is nil, at a revision. For a
@@ -121,7 +121,7 @@
 	}
 	l.record, l.term = record, revision
 	if led && l.IsLeader() {
-		return Reclaimed, previous
+		return ClaimedAgain, previous
 	}
 	l.leaderChangedAt = now
 	switch {
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -39,7 +39,7 @@
 		{claimOf(self, incarnation), 4, Stale, false},
 		{claimOf(self, "earlier"), 6, Other, false},
 		{claimOf(self, incarnation), 7, Acquired, true},
-		{claimOf(self, incarnation), 8, Reclaimed, true},
+		{claimOf(self, incarnation), 8, ClaimedAgain, true},
 		{nil, 9, Lost, false},
 		{claimOf(self, incarnation), 10, Acquired, true},
 		{claimOf("n0", "a"), 11, Lost, false},
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -30,7 +30,7 @@
 
 // A proof takes effect once the replica has reached its revision, for the term that it covers
 // and until the validity has expired after it was sent.
-func TestProofTakesEffectOnceSettled(t *testing.T) {
+func TestProofTakesEffectOnceReached(t *testing.T) {
 	table := newTable()
 	s := table.Shards()[0]
 	if change := table.Put(time.Second, s, claimOf(self, incarnation), 5); change != Claimed {
@@ -46,16 +46,16 @@
 	}
 	table.Lease.StartRenewal(now).Complete(now, kv.OK, 7, time.Second)
 	table.AddProof(proofs[0], 9)
-	table.Settle(now, 8)
+	table.ApplyReachedProofs(now, 8)
 	if table.MayAct(now, s) {
 		t.Error("acts on a proof whose revision the replica has not reached")
 	}
-	table.Settle(now, 9)
+	table.ApplyReachedProofs(now, 9)
 	if !table.MayAct(now+validity-1, s) || table.MayAct(now+validity, s) || table.ProvenAt() != now {
 		t.Errorf("does not act for exactly the validity of the proof, which was sent at %v", table.ProvenAt())
 	}
 	table.Put(now, s, claimOf("n1", "y"), 10)
-	table.Settle(now, 11)
+	table.ApplyReachedProofs(now, 11)
 	if table.MayAct(now, s) {
 		t.Error("acts after another controller has claimed the shard")
 	}
@@ -69,7 +69,7 @@
 	proofs := table.NextProofs(2 * time.Second)
 	table.ResetAfterStall(3 * time.Second)
 	table.AddProof(proofs[0], 6)
-	table.Settle(3*time.Second, 6)
+	table.ApplyReachedProofs(3*time.Second, 6)
 	if table.MayAct(3*time.Second, s) {
 		t.Error("acts on a proof that was sent before the stall")
 	}
--- a/internal/ownership/proof.go
+++ b/internal/ownership/proof.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Settle makes the pending proofs take effect whose revision the replica has reached.
-func (t *Table) Settle(now Time, revision uint64) {
+// ApplyReachedProofs makes the pending proofs take effect whose revision the replica has reached.
+func (t *Table) ApplyReachedProofs(now Time, revision uint64) {
 	t.pending = slices.DeleteFunc(t.pending, func(p pendingProof) bool {
 		if p.revision > revision {
 			return false
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -103,9 +103,9 @@
 	return Other
 }
 
-// AssumeRecentOwners assumes that each shard has just been taken over from a live owner. It is
+// AssumeRecentTakeovers assumes that each shard has just been taken over from a live owner. It is
 // called after a full listing, which does not show the earlier claims.
-func (t *Table) AssumeRecentOwners(now Time) {
+func (t *Table) AssumeRecentTakeovers(now Time) {
 	for _, s := range t.shards {
 		s.earlierOwnersMayActUntil = now + t.cfg.Validity
 	}
