--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -19,7 +19,7 @@
 	outcomeUnknown    bool   // an earlier attempt may still be carried out
 	conditions        []kv.Condition
 	writes            []kv.Write
-	inseparableWrites []kv.Write // the part of writes that may only be made together with all the others
+	inseparableWrites []kv.Write // the part of writes that may only be made together with all the others; see removeConflicts
 	awaitedRevision   uint64     // revision at which the replica shows the outcome; 0: not known yet
 	retryAt           Time       // earliest time of the next attempt or the next batch
 	generation        uint64     // number of the batch; results of earlier ones are ignored
@@ -117,9 +117,9 @@
 }
 
 // removeConflicts removes the records that others have changed from the batch, so that the rest
-// need not wait for a new decision. It reports whether the rest can be sent. That requires that
-// all conflicts are on job records, as only these are independent of each other, that no writes
-// are inseparable, and that no earlier attempt has an unknown outcome.
+// need not wait for a new decision. It reports whether the rest can be sent. That requires that all
+// conflicts are on job records, as only these are independent of each other, that the batch has no
+// inseparable writes, and that no earlier attempt has an unknown outcome.
 func (b *batch) removeConflicts(failed []string) bool {
 	if b.outcomeUnknown || len(failed) == 0 || len(b.inseparableWrites) > 0 {
 		return false
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -218,16 +218,16 @@
 	m.node.batch.active, m.node.batch.outcomeUnknown = true, true
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.revision})
 	if m.node.mayDecide() {
-		t.Error("the leader may decide while a commit is unsettled")
+		t.Error("the leader may decide while the outcome of a commit is unknown")
 	}
 	m.node.batch.active = false
 	if !m.node.mayDecide() {
-		t.Error("the leader may not decide after the commit is settled")
+		t.Error("the leader may not decide after the commit has ended")
 	}
 }
 
 // After a stall of its process a leader makes no decision until a proof that was sent after the
-// stall has settled.
+// stall has taken effect.
 func TestStallInvalidatesLeaderProofs(t *testing.T) {
 	m, proof := newHarnessAfterTakeover(t)
 	m.step(Committed{ID: proof.ID, Outcome: kv.OK, Revision: m.revision})
--- a/internal/core/gang_start.go
+++ b/internal/core/gang_start.go
@@ -9,8 +9,8 @@
 const slowFetchFactor = 1.5
 
 // delaysGangStart reports whether the start of a gang's task is delayed because its machine has the
-// image while other machines of the gang still fetch it. A started task waits for the others for
-// gang_wait_s at most, and a fetch can take longer.
+// image while another machine of the gang, in a shard of this controller, still lacks it. A started
+// task waits for the others for gang_wait_s at most, and a fetch can take longer.
 func (s *site) delaysGangStart(job *job, active *wire.ActiveTask) bool {
 	spec := job.Record.Spec
 	if spec.Shape != wire.ShapeGang || spec.TaskCount < 2 {
@@ -27,8 +27,8 @@
 	return machine.images.Has(job.Image) && s.ownGangMachineLacksImage(job, active.Attempt)
 }
 
-// ownGangMachineLacksImage reports whether a machine in a shard of this controller has a task of a gang's
-// attempt and does not have the image yet.
+// ownGangMachineLacksImage reports whether some machine that has a task of a gang's attempt lacks
+// the image. It considers only machines in shards for which this controller may act as the owner.
 func (s *site) ownGangMachineLacksImage(job *job, attempt uint64) bool {
 	for i := range job.Record.ActiveTasks {
 		other := &job.Record.ActiveTasks[i]
--- a/internal/core/gossip_state.go
+++ b/internal/core/gossip_state.go
@@ -13,7 +13,7 @@
 
 	views               viewLog
 	nextViewUpdateAt    Time  // when the next update of the views of this controller's machines is due; 0: at once
-	misdirectedMachines []int // machines of other owners that have recently sent heartbeats here
+	misdirectedMachines []int // indices of the machines of other owners that this controller has recently redirected
 
 	reserved         reservations
 	drainingMachines []int // this controller's machines that are draining at the leader's request
--- a/internal/core/grant_placement.go
+++ b/internal/core/grant_placement.go
@@ -10,8 +10,8 @@
 // grantTimeout is how long an owner tries to place a grant before it revokes it.
 const grantTimeout = 2500 * time.Millisecond
 
-// grantWaitStarts holds, for each grant that this controller could not place yet, when it first failed
-// to.
+// grantWaitStarts holds, for each grant that this controller has failed to place so far, the time
+// of the first failure.
 type grantWaitStarts map[taskKey]Time
 
 // startOrCheckTimeout reports whether a grant has waited for capacity for longer than grantTimeout.
@@ -118,10 +118,11 @@
 	})
 }
 
-// removeEndedGrantWaits deletes the times of grants that have been placed or revoked. It is called
-// periodically, so the number of waiting grants bounds the memory. A fixed limit on the number of
-// times would restrict the size of the site: when all times were cleared at such a limit, no grant
-// timed out while more grants than the limit were waiting.
+// removeEndedGrantWaits deletes from firstPlacementFailureAt the grants that have been placed or
+// revoked. It is called periodically, so the number of waiting grants bounds the memory. A fixed
+// limit on the number of entries would restrict the size of the site: clearing the map at such a
+// limit would restart all waits, so no grant would time out while more grants than the limit are
+// waiting.
 func (n *Node) removeEndedGrantWaits() {
 	for key := range n.firstPlacementFailureAt {
 		if !n.jobs[key.job].awaitsPlacement(key) {
--- a/internal/core/large_array.go
+++ b/internal/core/large_array.go
@@ -149,7 +149,8 @@
 }
 
 // reserve reserves bytes of a job's record for one change. It returns false and reserves nothing
-// unless more than twice as many bytes remain.
+// unless more than twice as many bytes remain, so that enough for another such change are left
+// afterwards.
 func (c *recordCapacity) reserve(job *job, bytes int) bool {
 	remaining := c.remaining(job)
 	if remaining <= 2*bytes {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -50,7 +50,7 @@
 
 // recentlyDeprovisioned returns the names of the machines that were deprovisioned within
 // deprovisionAnnounceTime, and removes the others from the list. An owner that misses an
-// announcement detects by missing heartbeats that the machine is gone.
+// announcement detects by missing heartbeats that the machine no longer runs.
 func (l *leaderState) recentlyDeprovisioned(n *Node) []string {
 	l.deprovisioned = slices.DeleteFunc(l.deprovisioned, func(m deprovisionedMachine) bool { return n.now-m.at > deprovisionAnnounceTime })
 	var out []string
--- a/internal/core/leader_proof.go
+++ b/internal/core/leader_proof.go
@@ -7,8 +7,8 @@
 
 // fenceClaim replaces this leader's claim by a fenced one, which permits early takeovers, as soon
 // as all controllers support the record format with this field. It first waits until the batch that
-// was decided under the old claim is settled, as the new claim changes the revision that commits
-// are conditional on.
+// was decided under the old claim has ended, as the new claim changes the revision that commits are
+// conditional on.
 func (n *Node) fenceClaim() {
 	if !n.cfg.EarlyFailover || !n.replica.SupportsEarlyFailover() ||
 		n.leadership.Record().Fenced || n.leader.batch.active ||
@@ -46,13 +46,14 @@
 	}
 }
 
-// applyReachedLeaderProofs makes those proofs take effect whose revision the replica has reached, and extends
-// the time in which queued calls may be sent to the cloud.
+// applyReachedLeaderProofs makes each proof of this leader take effect whose revision the replica
+// has reached, and extends the time in which queued calls may be sent to the cloud.
 func (n *Node) applyReachedLeaderProofs() {
 	s := &n.failover
 	before := s.fence.RemainingCallTime(n.now)
 	s.fence.ApplyReachedProofs(n.replica.Revision())
-	// The call time is 0 until the cloud fence has ended.
+	// The call time is 0 while a replaced leader may still call the cloud; see
+	// failoverState.cloudFenceEndsAt.
 	if callTime := s.fence.RemainingCallTime(n.now); n.isFencedLeader() && callTime > before {
 		n.emit(AllowCloudCalls{Term: n.leadership.Term(), Until: n.now + callTime})
 	}
@@ -68,9 +69,10 @@
 }
 
 // mayDecide reports whether the leader may make scheduling decisions. A leader that may be replaced
-// early needs a settled proof, which shows that it has not been replaced and that its replica is
-// current. Before its first pass there must also be no commit of this controller as an owner whose
-// outcome is unknown. A takeover reaches the stage CaughtUp when these conditions are first met.
+// early needs a proof that has taken effect, which shows that it has not been replaced and that its
+// replica is current. Before its first pass there must also be no commit of this controller as an
+// owner whose outcome is unknown. A takeover reaches the stage CaughtUp when these conditions are
+// first met.
 func (n *Node) mayDecide() bool {
 	if !n.isFencedLeader() {
 		return true
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -61,13 +61,13 @@
 }
 
 // misdirectedHeartbeats holds what a controller records about heartbeats from a machine that it
-// does not own. A bounce is such a heartbeat that shows that the worker can't reach the owner; see
-// recordRedirect.
+// does not own. Such a heartbeat is a bounce if the worker has apparently sent it because it can't
+// reach the owner; recordRedirect decides whether it is.
 type misdirectedHeartbeats struct {
 	redirectedAt          Time   // when it was last redirected to its owner; 0: it was not
 	bouncedAt             Time   // time of the last bounce; 0: none
 	bouncingSince         Time   // when the current series of bounces began
-	inMisdirectedMachines bool   // it is in gossipState.misdirectedMachines
+	inMisdirectedMachines bool   // gossipState.misdirectedMachines contains it
 	misdirectedEpoch      uint64 // of the newest heartbeat received by this controller
 	misdirectedSequence   uint64
 }
--- a/internal/core/overflow_test.go
+++ b/internal/core/overflow_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// After the state service has refused writes because of its rate limit, the announced lower rate
-// applies for a while, which doubles with each refusal.
+// After the state service has refused writes because of its rate limit, NextWriteRPS is assumed for
+// a while, which doubles with each refusal.
 func TestRefusalsReduceWriteRate(t *testing.T) {
 	n := newTestNode()
 	n.cfg.WriteRPS, n.cfg.NextWriteRPS = 20, 15
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -36,8 +36,8 @@
 	if change == ownership.Stale {
 		return
 	}
-	// Redirects and bounces under the previous owner are no evidence against the new one. When
-	// they counted, two peers repeatedly took the shard from each other.
+	// Redirects and bounces under the previous owner are no evidence against the new one. If they
+	// counted, two peers would repeatedly take the shard from each other.
 	shard.clearRedirects()
 	n.discardOutcomes(shard)
 	switch change {
@@ -94,7 +94,8 @@
 const (
 	// ownerSilenceTimeout is the time without a message after which an owner counts as silent.
 	ownerSilenceTimeout = 5 * second
-	// bounceRetention is how long a bounce of a machine counts as evidence.
+	// bounceRetention is how long a bounce of a machine counts as evidence; see
+	// misdirectedHeartbeats for the term.
 	bounceRetention = 12 * second
 	// maxStoreAnswerAge is the greatest age of the state service's last answer at which it counts
 	// as serving this controller.
--- a/internal/core/silent_machines.go
+++ b/internal/core/silent_machines.go
@@ -34,13 +34,13 @@
 	}
 }
 
-// cleanupInterval is the time between two searches for machines that are gone and outdated grant
-// times.
+// cleanupInterval is the time between two searches for machines that are gone and for grants that
+// no longer wait; see removeGoneMachines.
 const cleanupInterval = 5 * second
 
-// removeGoneMachines removes machines that are gone from their shards and discards their state,
-// so that they use no time or memory. It also discards the times of grants that have been placed
-// or revoked.
+// removeGoneMachines removes machines that are gone from their shards and discards their state, so
+// that they use no time or memory. Machines with placed tasks are kept. It also calls
+// removeEndedGrantWaits.
 func (n *Node) removeGoneMachines() {
 	if n.now < n.nextCleanupAt {
 		return
@@ -57,9 +57,11 @@
 	}
 }
 
-// isGone reports whether a machine has been deprovisioned, or has been silent for three leases: it
-// has sent no heartbeat to this controller as its owner, or it is unreachable according to another
-// owner and the claim of the shard has not changed for that time.
+// isGone reports whether a machine has been deprovisioned, or has been silent for three times the
+// lease of a worker. If this controller may act as the owner, silent means that it has received no
+// heartbeat for that time. If this controller does not own the shard, it means that the view from
+// the owner shows the machine as unreachable, and that the claim of the shard has not changed for
+// that time.
 func (s *site) isGone(shard *shard, machine *machine) bool {
 	timeout := 3 * s.cfg.WorkerLease
 	switch {
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -18,7 +18,7 @@
 	shard := n.shards[index]
 	machine := n.getOrAddMachine(heartbeat.Machine)
 	if machine.deprovisioned {
-		// The cloud has confirmed that the machine is gone, so this is a late copy.
+		// The cloud has confirmed the deprovisioning, so this is a late copy.
 		n.refuseHeartbeat(in.RequestID, "returned")
 		return
 	}
@@ -150,10 +150,12 @@
 	machine.unresponsive, n.nextViewUpdateAt = unresponsive, 0
 }
 
-// sentAfterLastReply reports whether the worker has probably waited for the last reply until it arrived,
-// or for 4 s, before it sent the heartbeat that has just arrived. If that heartbeat shows no effect
-// of the reply, the reply was lost or ignored. A heartbeat that arrives within 3 s of the reply was
-// sent before it, as were all those that a network partition has delayed.
+// sentAfterLastReply reports whether the worker has probably sent the heartbeat that has just
+// arrived after it received the last reply, or after it gave up waiting for that reply, which it
+// does 4 s after sending a heartbeat. If such a heartbeat shows no effect of the reply, the reply
+// was lost or ignored. A heartbeat that arrives within 3 s of the reply is assumed to have been
+// sent before it. This includes heartbeats that a network partition has delayed, which arrive
+// together.
 func (s *site) sentAfterLastReply(machine *machine) bool {
 	return machine.answeredAt > 0 && s.now-machine.answeredAt > 3*second
 }
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -40,9 +40,10 @@
 }
 
 // recordRedirect records that a worker is redirected to its owner. It also records a bounce if the
-// worker apparently can't reach the owner: the worker was redirected shortly before, or the owner
-// reports that heartbeats are missing, and the owner does not report that it receives them. Bounces
-// are evidence for taking over the shard.
+// worker apparently can't reach the owner. This is assumed if the worker was redirected shortly
+// before, or the owner reports that heartbeats are missing, unless the owner reports that it
+// receives them or the state service does not serve this controller. Bounces are evidence for
+// taking over the shard.
 func (n *Node) recordRedirect(shard *shard, machine *machine) {
 	sinceRedirect := n.now - machine.redirectedAt
 	redirectedBefore := machine.redirectedAt > 0 && sinceRedirect > minBounceDelay && sinceRedirect < maxBounceDelay
@@ -68,8 +69,8 @@
 
 // ownerReceivesHeartbeats reports whether a machine's owner is reachable and reports that it
 // receives the machine's heartbeats. Then a heartbeat that arrives here is a late copy, or only the
-// owner's replies don't reach the worker. When such copies counted as bounces, two controllers kept
-// taking shards from each other for as long as copies arrived.
+// owner's replies don't reach the worker. If such copies counted as bounces, two controllers would
+// keep taking shards from each other for as long as copies arrive.
 func (n *Node) ownerReceivesHeartbeats(shard *shard, machine *machine) bool {
 	owner := n.peers[shard.Record.Owner]
 	if owner == nil || n.now-owner.receivedAt > peerAliveTime {
@@ -90,9 +91,9 @@
 		machine.viewTerm == shard.Term && machine.view.missedHeartbeats > 0
 }
 
-// machinesMissedByOwners returns the sorted names of machines of other owners that were redirected
-// recently and whose owners report missing heartbeats. It removes machines that were not redirected
-// recently from misdirectedMachines.
+// machinesMissedByOwners returns the sorted names of the machines that this controller has recently
+// redirected to their owners and whose owners report missing heartbeats. It also removes from
+// misdirectedMachines the machines that it has not redirected recently.
 //
 // Peers need all of these names, as a machine that is left out counts as lost and is deprovisioned
 // although it reports to this controller. They don't need the names of other machines, of which
--- a/internal/core/write_budget.go
+++ b/internal/core/write_budget.go
@@ -20,14 +20,15 @@
 
 	observedUserWrites int     // submissions and cancellations since measuredAt
 	userWritesPerS     float64 // submissions and cancellations, as a moving average
-	reducedUntil       Time    // until then the announced lower rate applies
-	reducedFor         Time    // duration of the last reduction
+	reducedUntil       Time    // until then Config.NextWriteRPS is assumed to be in effect
+	reducedFor         Time    // for how long it was last assumed
 	pendingRecords     int     // records that wait to be written by this controller
 	pendingPassRecords int     // records that the leader's last pass changed, and grants left unwritten
 }
 
 const (
-	// minReducedTime is how long the announced lower rate applies after the first refusal.
+	// minReducedTime is how long Config.NextWriteRPS is assumed to be in effect after the first
+	// refusal.
 	minReducedTime = 20 * second
 	// rateInterval is the time between two calculations of this controller's share.
 	rateInterval = 200 * time.Millisecond
@@ -67,9 +68,9 @@
 	outcomesPerRecord = 4
 )
 
-// recordRefusal applies the announced lower rate for a while after the service has refused
-// writes because of its rate limit, as the lower rate may already be in effect. Refusals
-// during this time have no effect; each later one doubles the duration.
+// recordRefusal records that the service has refused writes because of its rate limit. The lower
+// rate that the settings announce, Config.NextWriteRPS, may already be in effect, so it is assumed
+// for minReducedTime. Refusals during this time have no effect; each later one doubles the time.
 func (b *writeBudget) recordRefusal(now Time) {
 	if now < b.reducedUntil {
 		return
--- a/internal/core/write_budget_test.go
+++ b/internal/core/write_budget_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// After a refusal the announced lower rate applies, and twice as long after each further one.
+// After a refusal NextWriteRPS is assumed to be in effect, and twice as long after each further
+// one.
 func TestReducedRate(t *testing.T) {
 	cfg := &Config{WriteRPS: 40, NextWriteRPS: 30}
 	var budget writeBudget
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -47,10 +47,10 @@
 type Fence struct {
 	validity    time.Duration // of a proof
 	allowedFrom time.Duration // earliest time of a call; until then a replaced leader may still call the cloud
-	provenAt    time.Duration // when the latest settled proof was sent
-	proven      bool          // at least one proof has settled
+	provenAt    time.Duration // when the latest proof that has taken effect was sent
+	proven      bool          // at least one proof has taken effect
 	nextProofAt time.Duration // when the next proof is due
-	pending     []proof       // proofs that have succeeded but not settled
+	pending     []proof       // proofs that have succeeded but not taken effect yet
 }
 
 // proof is a comparison of the leader key that has succeeded.
@@ -83,14 +83,14 @@
 	return true
 }
 
-// AddProof records that a proof has succeeded at a revision. The proof takes effect once it has
-// settled; see ApplyReachedProofs.
+// AddProof records that a proof has succeeded at a revision. It takes effect later; see
+// ApplyReachedProofs.
 func (f *Fence) AddProof(sentAt time.Duration, revision uint64) {
 	f.pending = append(f.pending, proof{sentAt, revision})
 }
 
-// ApplyReachedProofs makes the pending proofs take effect whose revision the controller's replica of the
-// records has reached.
+// ApplyReachedProofs makes each pending proof take effect whose revision the controller's replica
+// of the records has reached. The proof then counts for CaughtUp and RemainingCallTime.
 func (f *Fence) ApplyReachedProofs(revision uint64) {
 	pending := f.pending[:0]
 	for _, p := range f.pending {
@@ -104,8 +104,8 @@
 }
 
 // CaughtUp reports whether a proof that succeeded since the claim was seen, and since the last
-// stall of the process, has settled. This shows that the replica contains all records up to the
-// revision of the proof.
+// stall of the process, has taken effect. This shows that the replica contains all records up to
+// the revision of the proof.
 func (f *Fence) CaughtUp() bool { return f.proven }
 
 // RemainingCallTime returns for how much longer the leader may call the cloud; 0 if it may not.
--- a/internal/failover/publisher.go
+++ b/internal/failover/publisher.go
@@ -55,7 +55,8 @@
 	p.resendAll()
 }
 
-// resendAll causes all facts to be sent again, after a reset of the standby's facts.
+// resendAll causes all facts to be sent again. The next message instructs the standby to discard
+// the facts that it has.
 func (p *Publisher) resendAll() {
 	p.reset = true
 	clear(p.changed)
--- a/internal/failover/takeover.go
+++ b/internal/failover/takeover.go
@@ -10,7 +10,7 @@
 	Suspected Stage = iota // the leader's silence has exceeded the timeout
 	Claimed                // a quorum suspected the leader, and the claim was sent
 	Seen                   // the replica of the records shows the claim
-	CaughtUp               // a proof of the claim has settled, and no commit of this controller has an unknown outcome
+	CaughtUp               // a proof of the claim has taken effect, and no commit of this controller has an unknown outcome
 	Decided                // the first scheduling pass has completed
 	stageCount
 )
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -109,8 +109,9 @@
 	Lost                       // a claim of this process has ended, possibly one that it had abandoned
 )
 
-// Put applies a claim of the leadership, or its end if the record is nil, at a revision. For a
-// new claim, previous is the term of the claim before it.
+// Put applies a claim of the leadership, or its end if the record is nil, at a revision, and
+// returns the effect on this process. If the record is a new claim, previous is the term of the
+// claim before it, otherwise 0.
 func (l *Leadership) Put(now Time, record *wire.Leader, revision uint64) (change Change, previous uint64) {
 	if revision <= l.term {
 		return Stale, 0
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -6,11 +6,12 @@
 type Evidence struct {
 	// MachinesReporting is the number of machines whose heartbeats the owner has recently received.
 	MachinesReporting int
-	// MachinesBounced is the number of machines that contacted this controller again after
-	// they had been redirected to the owner, because they can't reach it. A single one among
-	// many may have lost its own connection, which is no evidence against the owner.
+	// MachinesBounced is the number of machines that have recently bounced. A machine bounces when
+	// its worker sends this controller a heartbeat, apparently because it can't reach the owner. A
+	// single machine among many that bounces may have lost its own connection, which is no evidence
+	// against the owner.
 	MachinesBounced int
-	BouncingSince   Time // since when the first of these machines has done so
+	BouncingSince   Time // since when the first of these machines has been bouncing; 0: there are none
 	// OwnerSilent is set if the owner has sent no message for a while.
 	OwnerSilent bool
 	// OwnerRefusedFor is how long the state service has refused to serve the owner while it
@@ -57,7 +58,8 @@
 	maxBouncedRequired = 12
 )
 
-// hasEnoughBounces reports whether enough machines have bounced to consider the owner at fault.
+// hasEnoughBounces reports whether enough machines have bounced to assume that the fault is the
+// owner's.
 func (e *Evidence) hasEnoughBounces() bool {
 	needed := max(1, min(e.MachinesReporting, max(minBouncedRequired, min(e.MachinesReporting/bouncedDivisor, maxBouncedRequired))))
 	return e.MachinesBounced >= needed
--- a/internal/ownership/proof.go
+++ b/internal/ownership/proof.go
@@ -27,9 +27,10 @@
 	terms    map[int]uint64 // terms of the shards that it covers, by index
 }
 
-// ProofInterval returns the time between two renewals of an owner's lease, and between two proofs
-// of its claims. The older the last proof when an owner loses the state service, the sooner its
-// workers lose their tasks.
+// ProofInterval returns the longest time between two renewals of an owner's lease, and between two
+// proofs of its claims. The interval is as short as proofRequestShare permits, within
+// minProofInterval and maxProofInterval: the older the last proof is when an owner loses the state
+// service, the sooner its workers lose their tasks.
 func (t *Table) ProofInterval() Time {
 	if t.cfg.StateRPS <= 0 {
 		return minProofInterval
@@ -80,7 +81,9 @@
 	}
 }
 
-// ApplyReachedProofs makes the pending proofs take effect whose revision the replica has reached.
+// ApplyReachedProofs makes each pending proof take effect whose revision the replica has reached:
+// it extends the validity of those shards covered by the proof whose term has not changed since.
+// See AddProof for why a proof does not take effect earlier.
 func (t *Table) ApplyReachedProofs(now Time, revision uint64) {
 	t.pending = slices.DeleteFunc(t.pending, func(p pendingProof) bool {
 		if p.revision > revision {
@@ -106,6 +109,6 @@
 	s.proven = true
 }
 
-// ProvenAt returns when the latest settled proof was sent; 0 if there is none. Records that the
-// replica shows only later were committed after this time.
+// ProvenAt returns when the latest proof that has taken effect was sent; 0 if none has. Records
+// that the replica shows only later were committed after this time.
 func (t *Table) ProvenAt() Time { return t.provenAt }
--- a/internal/ownership/shards.go
+++ b/internal/ownership/shards.go
@@ -68,8 +68,8 @@
 	claimWaitStart Time // start of the waits before a claim: when the replica last showed a new claim or its end, or this controller last sent a claim
 	claimCheckedAt Time // when it was last checked whether to claim the shard
 
-	proven        bool // a proof of the current term has settled
-	validityStart Time // start of the validity, which each settled proof moves; see extendValidity
+	proven        bool // a proof of the current term has taken effect
+	validityStart Time // start of the validity; it moves when a proof takes effect, see extendValidity
 	MayActSince   Time // since when this controller may act as the owner without interruption
 	// SoleOwnerSince is a time after which no earlier owner can have replied to a worker. It may be
 	// in the future.
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -35,7 +35,7 @@
 
 	nextProofAt Time           // when the next proof is due
 	pending     []pendingProof // proofs that succeeded at a revision that the replica has not reached
-	provenAt    Time           // when the latest settled proof was sent
+	provenAt    Time           // when the latest proof that has taken effect was sent
 	resumedAt   Time           // when the process last resumed after a stall
 }
 
@@ -82,10 +82,10 @@
 	s.claimWaitStart = now
 	s.ChangedAt = now
 	if before != nil && record != nil && before.Owner != record.Owner {
-		// The shard was taken over from a live owner, which may act until its validity has
-		// expired, whoever claims the shard next. Later claims don't reset this time: an
-		// owner that took the shard over, lost it and claims it again must still respect
-		// it.
+		// The shard was taken over from a live owner, which may act until the validity of its last
+		// proof has expired, whoever claims the shard next. A claim by the same owner, or after the
+		// end of a claim, does not change this time: an owner that took the shard over, lost it and
+		// claims it again is the sole owner only from this time on.
 		s.earlierOwnersMayActUntil = now + t.cfg.Validity
 	}
 	s.proven, s.validityStart = false, 0
@@ -103,8 +103,8 @@
 	return Other
 }
 
-// AssumeRecentTakeovers assumes that each shard has just been taken over from a live owner. It is
-// called after a full listing, which does not show the earlier claims.
+// AssumeRecentTakeovers assumes that each shard has just been taken over from a live owner, which
+// may still act. It is called after a full listing, which does not show earlier claims.
 func (t *Table) AssumeRecentTakeovers(now Time) {
 	for _, s := range t.shards {
 		s.earlierOwnersMayActUntil = now + t.cfg.Validity
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -71,9 +71,11 @@
 	return sum
 }
 
-// Quota returns the quota in force for a team: that of its record, also of an invalid record if
-// the quota in it is valid, and otherwise that of the settings. MayGrant grants nothing under a
-// record without a valid quota, which includes an unreadable record.
+// Quota returns the quota in force for a team. It is that of the team's record, or that of the
+// settings if no record exists or the quota in the record is invalid. The quota of a record whose
+// shares are invalid may still be valid. An unreadable record has no values, so Quota returns a
+// quota with neither a limit nor a guarantee for it; but MayGrant grants nothing under it, nor
+// under any other record without a valid quota.
 func (l *Ledger) Quota(team int) Quota {
 	account := &l.accounts[team]
 	if account.record == nil || account.err != nil && validateQuota(account.record.Limit, account.record.Guarantee) != nil {
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -34,9 +34,10 @@
 	return max(0, min(maxTaskListBytes/r.cfg.MaxValueBytes-1, r.cfg.MaxTransactionOps-2))
 }
 
-// MaxWritableBytes returns the largest size of a value that may be written now. While controllers
-// of an earlier version run, their records may be as large as the present limit allows, and
-// this controller has to be able to rewrite them.
+// MaxWritableBytes returns the size limit of the values that this controller writes now. It is
+// MaxValueBytes, which also holds after an announced reduction of the limit. While controllers run
+// that don't support overflow keys, it is at least CurrentValueBytes: their records may be that
+// large, and this controller has to be able to rewrite them.
 func (r *Replica) MaxWritableBytes() int {
 	if !r.SupportsDependencies() {
 		return max(r.cfg.MaxValueBytes, r.cfg.CurrentValueBytes)
