--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -102,15 +102,16 @@
 
 // Kinds of changes.
 const (
-	Stale     Change = iota // the record is outdated and was ignored
-	Other                   // none of the following
-	Acquired                // this process has become the leader
-	Reclaimed               // this process remains the leader, under a new term
-	Lost                    // a claim of this process has ended, possibly one that it had abandoned
+	Stale        Change = iota // the record is outdated and was ignored
+	Other                      // none of the following
+	Acquired                   // this process has become the leader
+	ClaimedAgain               // this process remains the leader, under a new term
+	Lost                       // a claim of this process has ended, possibly one that it had abandoned
 )
 
-// Put applies a claim of the leadership, or its end if the record is nil, at a revision. For a
-// new claim, previous is the term of the claim before it.
+// Put applies a claim of the leadership, or its end if the record is nil, at a revision, and
+// returns the effect on this process. If the record is a new claim, previous is the term of the
+// claim before it, otherwise 0.
 func (l *Leadership) Put(now Time, record *wire.Leader, revision uint64) (change Change, previous uint64) {
 	if revision <= l.term {
 		return Stale, 0
@@ -121,7 +122,7 @@
 	}
 	l.record, l.term = record, revision
 	if led && l.IsLeader() {
-		return Reclaimed, previous
+		return ClaimedAgain, previous
 	}
 	l.leaderChangedAt = now
 	switch {
