--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,7 +1,7 @@
 // Package api is the HTTP API for users (POST and GET /api/jobs, cancellation) and for the load
 // balancer's health checks (GET /ready), with MessagePack bodies. It converts HTTP requests to
-// inputs of the core, and limits the connections to the listener, which also serves the routes
-// for workers of package worker.
+// inputs of the core. It also limits the connections to the listener, which serves the routes of
+// package worker as well.
 package api
 
 import (
@@ -24,16 +24,16 @@
 // OverloadedText is the error of requests that the core could not accept or answer in time.
 const OverloadedText = "overloaded"
 
-// overloadedRetryS is the Retry-After of such requests, in seconds.
+// overloadedRetryS is the Retry-After of responses with OverloadedText to users, in seconds.
 const overloadedRetryS = 1
 
 // Dispatch passes an input to the core and returns the reply. It calls newInput with the ID of
-// the request, which the input and its reply carry. It returns false if the core could not
+// the request, which the input and its reply contain. It returns false if the core could not
 // accept the input, or did not reply in time.
 type Dispatch func(newInput func(requestID uint64) core.Input) (core.Reply, bool)
 
 // RegisterRoutes adds the routes for users, whose requests are passed to dispatch, and the
-// health check, which succeeds once ready returns true.
+// health check, which succeeds while ready returns true.
 func RegisterRoutes(router *httprouter.Router, dispatch Dispatch, ready func() bool) {
 	const jobParam = "job"
 	router.POST("/api/jobs", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -101,7 +101,7 @@
 	msgpackhttp.Respond(w, reply.Status, reply.Body)
 }
 
-// WriteError writes an error with its text.
+// WriteError writes a response whose body is a wire.Error with the text.
 func WriteError(w http.ResponseWriter, status int, text string) {
 	msgpackhttp.Respond(w, status, wire.Error{Error: text})
 }
@@ -115,13 +115,14 @@
 	spareConnectionDivisor = 16
 )
 
-// NewServer returns an HTTP server that bounds slow and half-open connections.
+// NewServer returns an HTTP server that limits the duration of requests, and limits the number of
+// connections by closing idle ones.
 //
-// A connection that has been idle for the duration of a worker lease is closed: the lease of
-// its worker has expired. When nearly maxConnections are open, each new connection closes the
-// one that has been idle for longest. The longest idle connections are those of failed or
-// partitioned machines, which would otherwise lock out users, health checks and the workers of
-// a controller that has failed.
+// A connection that has been idle for the duration of a worker lease is closed: if it belongs to
+// a worker, the worker's lease has expired. When nearly maxConnections are open, each new
+// connection closes the one that has been idle for longest. The longest idle connections are
+// those of failed or partitioned machines, which would otherwise lock out users, health checks
+// and the workers of a controller that has failed.
 func NewServer(handler http.Handler, workerLease time.Duration, maxConnections int) *http.Server {
 	limiter := newConnLimiter(maxConnections - max(1, maxConnections/spareConnectionDivisor))
 	return &http.Server{
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -12,9 +12,9 @@
 	"micaport/internal/wire"
 )
 
-// newTestServer serves the routes with a simulated core, which gives every request the same
-// reply if serves is true, and otherwise none. It returns the server and the requests that the
-// core has received.
+// newTestServer serves the routes with a simulated core, which answers every request with the
+// reply if serves is true, and otherwise does not reply. It returns the server and the requests
+// that the core has received.
 func newTestServer(t *testing.T, reply core.Reply, serves bool) (*httptest.Server, *[]core.UserRequest) {
 	t.Helper()
 	var received []core.UserRequest
--- a/internal/api/connlimit.go
+++ b/internal/api/connlimit.go
@@ -30,7 +30,8 @@
 }
 
 // track records the state of a connection. If the connection is new and the limit is exceeded,
-// it returns an idle connection to be closed; otherwise it returns nil.
+// it returns the connection that has been idle for longest, which the caller must close. It
+// returns nil if there is none, and in all other cases.
 func (l *connLimiter) track(conn net.Conn, state http.ConnState) net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -31,7 +31,7 @@
 	callTimeout = 20 * time.Second
 	// rateShare is the share of the cloud's rate limit that is used.
 	rateShare = 0.85
-	// A list waits while provisioning or deprovisioning calls are pending, but at most
+	// A list call waits while provisioning or deprovisioning calls are pending, but at most
 	// maxUrgentWaits times urgentWaitInterval.
 	urgentWaitInterval = 200 * time.Millisecond
 	maxUrgentWaits     = 20
@@ -82,15 +82,15 @@
 // Wait waits until all calls have ended. No call may be started during the wait.
 func (c *Client) Wait() { c.running.Wait() }
 
-// AllowCalls allows the provisioning and deprovisioning calls of a term to be started until a
-// time, including those that are waiting already, and forbids those of all other terms.
+// AllowCalls allows the provisioning and deprovisioning calls of a term, including calls that
+// are waiting already, to be started until a time. It forbids the calls of all other terms.
 func (c *Client) AllowCalls(term uint64, until time.Time) {
 	c.permission.Store(&callPermission{term, until})
 }
 
 // startDeadline returns the time until which a provisioning or deprovisioning call may be started.
-// A call without a term is valid for its ValidFor; the deadline of a call whose term has no
-// permission is the zero time.
+// A call without a term may be started until ValidFor after decided. The deadline of a call
+// whose term has no permission is the zero time.
 func (c *Client) startDeadline(call core.CallCloud, decided time.Time) time.Time {
 	if call.Term == 0 {
 		return decided.Add(call.ValidFor)
@@ -145,7 +145,7 @@
 	})
 }
 
-// sendCall makes a call at once and returns the result.
+// sendCall sends the requests of a call and returns the result.
 func (c *Client) sendCall(ctx context.Context, call core.CallCloud) core.CloudAnswered {
 	result := core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}
 	switch {
@@ -166,7 +166,8 @@
 }
 
 // waitForUrgentCalls waits while provisioning or deprovisioning calls are pending, for a limited
-// time. Lists are less urgent: they only reveal machines that no controller has recorded.
+// time. Lists are less urgent: a list of machines only reveals machines that no controller has
+// recorded.
 func (c *Client) waitForUrgentCalls(ctx context.Context) {
 	for i := 0; i < maxUrgentWaits && c.urgentCalls.Load() > 0; i++ {
 		select {
@@ -177,8 +178,8 @@
 	}
 }
 
-// listMachines returns the machines of all pages of the list. It applies the rate limit to
-// each page.
+// listMachines returns the machines of all pages of the list. It applies the rate limit to each
+// page after the first, to which Call has applied it.
 func (c *Client) listMachines(ctx context.Context) ([]wire.CloudMachine, kv.Outcome) {
 	var machines []wire.CloudMachine
 	query := url.Values{"limit": {listPageSize}}
--- a/internal/config/operator_settings.go
+++ b/internal/config/operator_settings.go
@@ -38,7 +38,7 @@
 
 // Values of OperatorSettings.Admission.
 const (
-	AdmitByLeader   = "leader"     // the leader grants everything
+	AdmitByLeader   = "leader"     // nothing is admitted without the leader
 	AdmitLeaderless = "leaderless" // shard owners admit jobs while no leader can be reached
 	AdmitGuaranteed = "guaranteed" // shard owners also admit new work within guarantees at any time
 )
@@ -140,7 +140,7 @@
 // platform.
 func (s *Settings) ValidateOperator(operator OperatorSettings) error {
 	// After an early takeover no controller deprovisions machines until the new leader may
-	// call the cloud. This time must be shorter than a worker lease.
+	// call the cloud. The time until then must be shorter than a worker lease.
 	least := LeaderLease + failover.CloudFenceTime(LeaderLease)
 	if lease := Seconds(s.Deployment.Workers.LeaseS); operator.Takeover == TakeoverEarly && lease <= least {
 		return fmt.Errorf("takeover = %s needs workers.lease_s above %v, not %v", TakeoverEarly, least, lease)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -39,7 +39,7 @@
 }
 
 // Deployment contains the settings that all controllers have in common, and the limits of the
-// machine of each of them.
+// machine that a controller runs on.
 type Deployment struct {
 	Size         int           `json:"size"` // number of controllers; 0 if not stated
 	Zones        []string      `json:"zones"`
--- a/internal/config/validity.go
+++ b/internal/config/validity.go
@@ -7,11 +7,11 @@
 	clockDriftDivisor = 1000
 	// timerSlack allows for the granularity of timers and for responses in flight.
 	timerSlack = time.Second
-	// cancelSlack is the part of the time for a cancellation that is not used, in addition
-	// to the margin.
+	// cancelSlack is subtracted, in addition to the clock margin, from the time within which
+	// a cancelled task must have ended.
 	cancelSlack = 250 * time.Millisecond
-	// takeoverSlack is the least difference between a worker lease, less its margin, and an
-	// owner's validity.
+	// takeoverSlack is the minimum by which an owner's validity is shorter than a worker lease
+	// minus the clock margin of the lease.
 	takeoverSlack = time.Second
 )
 
@@ -35,9 +35,9 @@
 // its validity ended. Its workers therefore kill their tasks at most one worker lease after the
 // end of the validity, which must be within cancel. Below that bound the validity is as long as
 // possible: in a zone that is partitioned from the others together with its controller, tasks
-// run on for the validity and a lease. The validity is also shorter than the worker lease, so
-// that a peer that waits for an owner's claim to expire can still reach the owner's workers
-// before they kill their tasks.
+// continue to run for the validity and a lease. The validity is also shorter than the worker
+// lease, so that a peer that waits for an owner's claim to expire can still reach the owner's
+// workers before they kill their tasks.
 func Validity(workerLease, cancel time.Duration) time.Duration {
 	withinCancel := cancel - workerLease - ClockMargin(workerLease) - cancelSlack
 	return min(withinCancel, workerLease-ClockMargin(workerLease)-takeoverSlack)
--- a/internal/failoverctl/print.go
+++ b/internal/failoverctl/print.go
@@ -101,7 +101,8 @@
 }
 
 // silence returns the time since the leader's last heartbeat, and how many controllers suspect
-// the leader. It returns "-" for the leader itself, and when an early takeover is impossible.
+// the leader. It returns "-" for the leader itself, and while the leader is not fenced, as an
+// early takeover is then impossible.
 func (c *Controller) silence() string {
 	if !c.Fenced || c.Controller == c.Leader {
 		return "-"
@@ -114,7 +115,7 @@
 }
 
 // decisionLogStatus returns the state of the decision log: for the leader how far its standby
-// is behind, and for other controllers how many facts of the leader's log they hold.
+// is behind, and for other controllers how many facts of the leader's log they have stored.
 func (c *Controller) decisionLogStatus() string {
 	switch {
 	case !c.Fenced:
--- a/internal/msgpackhttp/msgpackhttp.go
+++ b/internal/msgpackhttp/msgpackhttp.go
@@ -90,8 +90,8 @@
 const contentType = "application/msgpack"
 
 // Respond writes a response with a body, which is encoded as MessagePack unless it is a
-// []byte, which must be encoded already. If the body can't be encoded, the status is 500. Errors
-// of the connection are ignored, as the HTTP server closes it.
+// []byte, which must be encoded already. If the body can't be encoded, the status is 500. Write
+// errors are ignored, as the HTTP server closes a broken connection.
 func Respond(w http.ResponseWriter, status int, body any) {
 	encoded, isEncoded := body.([]byte)
 	if !isEncoded {
--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -35,8 +35,8 @@
 // yet.
 func (l *Link) SendHeartbeat(message *wire.LeaderHeartbeat) { replaceMessage(l.heartbeats, message) }
 
-// replaceMessage puts a message into a mailbox with a capacity of one, and discards an older
-// message.
+// replaceMessage puts a message into a mailbox with a capacity of one. An older message that is
+// still in the mailbox is discarded.
 func replaceMessage[M any](mailbox chan M, message M) {
 	for {
 		select {
@@ -52,7 +52,7 @@
 }
 
 // SendDecisionLog sends a message of the decision log. If the peer replies in time,
-// acknowledged is called in another goroutine.
+// acknowledged is called in another goroutine; otherwise it is not called.
 func (l *Link) SendDecisionLog(message *wire.DecisionLog, acknowledged func(wire.DecisionLogAck)) {
 	l.enqueue(func(ctx context.Context, client *rpc.Client) {
 		if client == nil {
@@ -68,7 +68,7 @@
 }
 
 // Forward forwards a user's request. It calls answered with the answer, or with status 0 if the
-// peer does not answer. The function may be called in any goroutine and must not block.
+// peer does not answer. The call may be made in any goroutine, so answered must not block.
 func (l *Link) Forward(request wire.UserCall, answered func(wire.UserAnswer)) {
 	queued := l.enqueue(func(ctx context.Context, client *rpc.Client) {
 		if client == nil {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -21,7 +21,7 @@
 	redialInterval = time.Second
 	// callQueueSize is how many calls may wait while the actor sends gossip, which may
 	// take gossipTimeout. On a site of 4,000 machines users make about 500 requests a second,
-	// and a controller that the state service refuses forwards all of them.
+	// and a controller whose requests the state service refuses forwards all of them.
 	callQueueSize = 4096
 )
 
@@ -29,8 +29,9 @@
 // connection: it connects when it has something to send, and reconnects after the connection
 // has broken.
 //
-// Gossip and heartbeats each wait in a mailbox for one message. A newer message replaces an
-// older one, which is not needed any more, as each message is complete. Calls wait in a queue.
+// Gossip and heartbeats each have a mailbox with a capacity of one message. A newer message
+// replaces an older one, which is not needed any more, as each message is complete. Calls wait
+// in a queue.
 type Link struct {
 	address    string
 	onBroken   func()
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// peerIdleTimeout is how long a connection may be idle; peers send a message every second. The
-// connections of a peer that failed without closing them must be closed, as the number of
-// connections is limited and the peer's next incarnation needs new ones.
+// peerIdleTimeout is how long a connection may be idle; peers send a message every second. A
+// peer that failed may have left connections open. They must be closed, as the number of
+// connections is limited and the peer needs new ones after its restart.
 const peerIdleTimeout = 20 * time.Second
 
 // idleTimeoutConn is a connection whose reads fail after peerIdleTimeout without data. After
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -17,15 +17,15 @@
 const (
 	commandDialTimeout = 700 * time.Millisecond
 	commandTimeout     = 3 * time.Second
-	// maxCommandResponseBytes is how many bytes of a worker's response are read. Only its status
-	// is used.
+	// maxCommandResponseBytes is how many bytes of the body of a worker's response are read. The
+	// body is not used, only the status.
 	maxCommandResponseBytes = 64 << 10
 )
 
 // CommandClient sends batches of commands directly to workers.
 type CommandClient struct {
 	http     *http.Client
-	inFlight chan struct{} // a slot for each batch in progress
+	inFlight chan struct{} // contains a value for each batch in progress
 	post     func(core.Input)
 	running  sync.WaitGroup // batches
 }
@@ -83,7 +83,7 @@
 	case errors.Is(err, msgpackhttp.ErrNotSent):
 		return kv.Refused
 	case errors.As(err, &network) && network.Op == "dial":
-		return kv.Refused // after a failed dial the batch is not sent later either
+		return kv.Refused // net/http does not send the request after a failed dial
 	}
 	return kv.Unknown
 }
