--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -13,15 +13,15 @@
 )
 
 // newTestServer serves the routes with a simulated core, which answers every request with the
-// reply if serves is true, and otherwise does not reply. It returns the server and the requests
+// reply if replies is true, and otherwise does not reply. It returns the server and the requests
 // that the core has received.
-func newTestServer(t *testing.T, reply core.Reply, serves bool) (*httptest.Server, *[]core.UserRequest) {
+func newTestServer(t *testing.T, reply core.Reply, replies bool) (*httptest.Server, *[]core.UserRequest) {
 	t.Helper()
 	var received []core.UserRequest
 	router := httprouter.New()
 	RegisterRoutes(router, func(newInput func(uint64) core.Input) (core.Reply, bool) {
 		received = append(received, newInput(1).(core.UserRequest))
-		return reply, serves
+		return reply, replies
 	}, func() bool { return true })
 	server := httptest.NewServer(router)
 	t.Cleanup(server.Close)
@@ -87,7 +87,7 @@
 }
 
 // The response to a request that the core could not accept has a Retry-After header.
-func TestOverloadNamesARetryTime(t *testing.T) {
+func TestOverloadResponseHasRetryAfter(t *testing.T) {
 	server, _ := newTestServer(t, core.Reply{}, false)
 	response := send(t, http.MethodPost, server.URL+"/api/jobs", []byte{0x80})
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
--- a/internal/api/connlimit.go
+++ b/internal/api/connlimit.go
@@ -39,8 +39,8 @@
 	switch state {
 	case http.StateNew:
 		l.open++
-		if longest := l.idle.Front(); l.open > l.limit && longest != nil {
-			surplus := longest.Value.(net.Conn)
+		if longestIdle := l.idle.Front(); l.open > l.limit && longestIdle != nil {
+			surplus := longestIdle.Value.(net.Conn)
 			l.removeIdle(surplus)
 			return surplus
 		}
--- a/internal/ci/verdict.go
+++ b/internal/ci/verdict.go
@@ -53,8 +53,8 @@
 			fmt.Fprint(v.out, e.Output)
 		}
 	case actionFail:
-		ofPackage := func(test string) bool { return strings.HasPrefix(test, e.Package+".") }
-		if !slices.ContainsFunc(v.failedTests, ofPackage) {
+		inPackage := func(test string) bool { return strings.HasPrefix(test, e.Package+".") }
+		if !slices.ContainsFunc(v.failedTests, inPackage) {
 			v.failedPackages = append(v.failedPackages, e.Package)
 		}
 	}
@@ -90,9 +90,9 @@
 		violations = append(violations, fmt.Errorf("%s failed outside its tests", name))
 	}
 	for _, test := range v.failedTests {
-		throughSubtest := slices.ContainsFunc(v.failedTests, func(other string) bool { return strings.HasPrefix(other, test+"/") })
+		hasFailedSubtest := slices.ContainsFunc(v.failedTests, func(other string) bool { return strings.HasPrefix(other, test+"/") })
 		listed := slices.ContainsFunc(known, func(k knownFailure) bool { return k.test == test })
-		if !throughSubtest && !listed {
+		if !hasFailedSubtest && !listed {
 			violations = append(violations, fmt.Errorf("%s failed", test))
 		}
 	}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -89,11 +89,11 @@
 }
 
 // startDeadline returns the time until which a provisioning or deprovisioning call may be started.
-// A call without a term may be started until ValidFor after decided. The deadline of a call
+// A call without a term may be started until ValidFor after decidedAt. The deadline of a call
 // whose term has no permission is the zero time.
-func (c *Client) startDeadline(call core.CallCloud, decided time.Time) time.Time {
+func (c *Client) startDeadline(call core.CallCloud, decidedAt time.Time) time.Time {
 	if call.Term == 0 {
-		return decided.Add(call.ValidFor)
+		return decidedAt.Add(call.ValidFor)
 	}
 	if allowed := c.permission.Load(); allowed != nil && allowed.term == call.Term {
 		return allowed.until
@@ -118,7 +118,7 @@
 // Call makes a call in a goroutine of its own and delivers core.CloudAnswered. The outcome is
 // kv.Refused if the call could not be started in time.
 func (c *Client) Call(ctx context.Context, call core.CallCloud) {
-	decided := time.Now()
+	decidedAt := time.Now()
 	c.running.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
@@ -134,7 +134,7 @@
 			return
 		}
 		if urgent {
-			deadline := c.startDeadline(call, decided)
+			deadline := c.startDeadline(call, decidedAt)
 			if time.Now().After(deadline) {
 				c.post(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused})
 				return
@@ -151,16 +151,16 @@
 	switch {
 	case call.ListTypes:
 		var list wire.MachineTypeList
-		result.Outcome = c.exchange(ctx, http.MethodGet, "/flavors", nil, &list)
+		result.Outcome = c.sendRequest(ctx, http.MethodGet, "/flavors", nil, &list)
 		result.MachineTypes = list.MachineTypes
 	case call.ListMachines:
 		result.Machines, result.Outcome = c.listMachines(ctx)
 	case call.Provision != nil:
 		var machines wire.MachineNames
-		result.Outcome = c.exchange(ctx, http.MethodPost, "/hosts", call.Provision, &machines)
+		result.Outcome = c.sendRequest(ctx, http.MethodPost, "/hosts", call.Provision, &machines)
 		result.Names = machines.Names
 	case call.Deprovision != nil:
-		result.Outcome = c.exchange(ctx, http.MethodPost, "/hosts/return", wire.MachineNames{Names: call.Deprovision}, nil)
+		result.Outcome = c.sendRequest(ctx, http.MethodPost, "/hosts/return", wire.MachineNames{Names: call.Deprovision}, nil)
 	}
 	return result
 }
@@ -185,7 +185,7 @@
 	query := url.Values{"limit": {listPageSize}}
 	for {
 		var page wire.MachineList
-		if outcome := c.exchange(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); outcome != kv.OK {
+		if outcome := c.sendRequest(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); outcome != kv.OK {
 			return nil, outcome
 		}
 		machines = append(machines, page.Machines...)
@@ -200,9 +200,9 @@
 	}
 }
 
-// exchange sends a request and decodes the response into target, unless that is nil. It returns
-// the outcome, which is kv.Unknown if the cloud may have processed the request.
-func (c *Client) exchange(ctx context.Context, method, path string, body, target any) kv.Outcome {
+// sendRequest sends a request and decodes the response into target, unless that is nil. It
+// returns the outcome, which is kv.Unknown if the cloud may have processed the request.
+func (c *Client) sendRequest(ctx context.Context, method, path string, body, target any) kv.Outcome {
 	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
 		Method: method, URL: c.baseURL + path, Body: body, MaxResponseBytes: maxResponseBytes,
 	})
--- a/internal/config/operator_settings.go
+++ b/internal/config/operator_settings.go
@@ -141,9 +141,9 @@
 func (s *Settings) ValidateOperator(operator OperatorSettings) error {
 	// After an early takeover no controller deprovisions machines until the new leader may
 	// call the cloud. The time until then must be shorter than a worker lease.
-	least := LeaderLease + failover.CloudFenceTime(LeaderLease)
-	if lease := Seconds(s.Deployment.Workers.LeaseS); operator.Takeover == TakeoverEarly && lease <= least {
-		return fmt.Errorf("takeover = %s needs workers.lease_s above %v, not %v", TakeoverEarly, least, lease)
+	untilCloudCalls := LeaderLease + failover.CloudFenceTime(LeaderLease)
+	if lease := Seconds(s.Deployment.Workers.LeaseS); operator.Takeover == TakeoverEarly && lease <= untilCloudCalls {
+		return fmt.Errorf("takeover = %s needs workers.lease_s above %v, not %v", TakeoverEarly, untilCloudCalls, lease)
 	}
 	return nil
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -41,8 +41,8 @@
 	running    sync.WaitGroup // goroutines of the actor and of its calls
 
 	// The following fields are used by the actor only.
-	client   *rpc.Client // nil while not connected
-	redialAt time.Time
+	client     *rpc.Client // nil while not connected
+	nextDialAt time.Time   // earliest time of the next attempt to connect
 }
 
 // Dial returns a link to the peer at an address (host:port) and starts its actor, which ends
@@ -87,13 +87,13 @@
 // connect connects to the peer, unless the link is connected already or the last attempt failed
 // less than redialInterval ago. It reports whether the link is connected.
 func (l *Link) connect(ctx context.Context) bool {
-	if l.client != nil || time.Now().Before(l.redialAt) {
+	if l.client != nil || time.Now().Before(l.nextDialAt) {
 		return l.client != nil
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", l.address)
 	if err != nil {
-		l.redialAt = time.Now().Add(redialInterval)
+		l.nextDialAt = time.Now().Add(redialInterval)
 		l.running.Go(l.onBroken)
 		return false
 	}
--- a/internal/worker/commands.go
+++ b/internal/worker/commands.go
@@ -59,15 +59,15 @@
 		return
 	}
 	c.running.Go(func() {
-		outcome := c.exchange(ctx, commands)
+		outcome := c.sendBatch(ctx, commands)
 		<-c.inFlight
 		c.post(core.CommandsAnswered{ID: commands.ID, Outcome: outcome})
 	})
 }
 
-// exchange sends a batch and returns the outcome, which is kv.Unknown if the worker may have
+// sendBatch sends a batch and returns the outcome, which is kv.Unknown if the worker may have
 // executed the commands.
-func (c *CommandClient) exchange(ctx context.Context, commands core.SendCommands) kv.Outcome {
+func (c *CommandClient) sendBatch(ctx context.Context, commands core.SendCommands) kv.Outcome {
 	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
 		Method: http.MethodPost, URL: "http://" + commands.Address + "/orders", Body: commands.Batch,
 		NoReplay: true, MaxResponseBytes: maxCommandResponseBytes,
@@ -78,11 +78,11 @@
 	case http.StatusConflict, http.StatusBadRequest:
 		return kv.Conflict
 	}
-	var network *net.OpError
+	var networkError *net.OpError
 	switch {
 	case errors.Is(err, msgpackhttp.ErrNotSent):
 		return kv.Refused
-	case errors.As(err, &network) && network.Op == "dial":
+	case errors.As(err, &networkError) && networkError.Op == "dial":
 		return kv.Refused // net/http does not send the request after a failed dial
 	}
 	return kv.Unknown
