--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -31,7 +31,7 @@
 	callTimeout = 20 * time.Second
 	// rateShare is the share of the cloud's rate limit that is used.
 	rateShare = 0.85
-	// A list waits while provisioning or deprovisioning calls are pending, but at most
+	// A list call waits while provisioning or deprovisioning calls are pending, but at most
 	// maxUrgentWaits times urgentWaitInterval.
 	urgentWaitInterval = 200 * time.Millisecond
 	maxUrgentWaits     = 20
@@ -82,18 +82,18 @@
 // Wait waits until all calls have ended. No call may be started during the wait.
 func (c *Client) Wait() { c.running.Wait() }
 
-// AllowCalls allows the provisioning and deprovisioning calls of a term to be started until a
-// time, including those that are waiting already, and forbids those of all other terms.
+// AllowCalls allows the provisioning and deprovisioning calls of a term, including calls that
+// are waiting already, to be started until a time. It forbids the calls of all other terms.
 func (c *Client) AllowCalls(term uint64, until time.Time) {
 	c.permission.Store(&callPermission{term, until})
 }
 
 // startDeadline returns the time until which a provisioning or deprovisioning call may be started.
-// A call without a term is valid for its ValidFor; the deadline of a call whose term has no
-// permission is the zero time.
-func (c *Client) startDeadline(call core.CallCloud, decided time.Time) time.Time {
+// A call without a term may be started until ValidFor after decidedAt. The deadline of a call
+// whose term has no permission is the zero time.
+func (c *Client) startDeadline(call core.CallCloud, decidedAt time.Time) time.Time {
 	if call.Term == 0 {
-		return decided.Add(call.ValidFor)
+		return decidedAt.Add(call.ValidFor)
 	}
 	if allowed := c.permission.Load(); allowed != nil && allowed.term == call.Term {
 		return allowed.until
@@ -118,7 +118,7 @@
 // Call makes a call in a goroutine of its own and delivers core.CloudAnswered. The outcome is
 // kv.Refused if the call could not be started in time.
 func (c *Client) Call(ctx context.Context, call core.CallCloud) {
-	decided := time.Now()
+	decidedAt := time.Now()
 	c.running.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
@@ -134,7 +134,7 @@
 			return
 		}
 		if urgent {
-			deadline := c.startDeadline(call, decided)
+			deadline := c.startDeadline(call, decidedAt)
 			if time.Now().After(deadline) {
 				c.post(core.CloudAnswered{ID: call.ID, Outcome: kv.Refused})
 				return
@@ -145,28 +145,29 @@
 	})
 }
 
-// sendCall makes a call at once and returns the result.
+// sendCall sends the requests of a call and returns the result.
 func (c *Client) sendCall(ctx context.Context, call core.CallCloud) core.CloudAnswered {
 	result := core.CloudAnswered{ID: call.ID, Outcome: kv.Refused}
 	switch {
 	case call.ListTypes:
 		var list wire.MachineTypeList
-		result.Outcome = c.exchange(ctx, http.MethodGet, "/flavors", nil, &list)
+		result.Outcome = c.sendRequest(ctx, http.MethodGet, "/flavors", nil, &list)
 		result.MachineTypes = list.MachineTypes
 	case call.ListMachines:
 		result.Machines, result.Outcome = c.listMachines(ctx)
 	case call.Provision != nil:
 		var machines wire.MachineNames
-		result.Outcome = c.exchange(ctx, http.MethodPost, "/hosts", call.Provision, &machines)
+		result.Outcome = c.sendRequest(ctx, http.MethodPost, "/hosts", call.Provision, &machines)
 		result.Names = machines.Names
 	case call.Deprovision != nil:
-		result.Outcome = c.exchange(ctx, http.MethodPost, "/hosts/return", wire.MachineNames{Names: call.Deprovision}, nil)
+		result.Outcome = c.sendRequest(ctx, http.MethodPost, "/hosts/return", wire.MachineNames{Names: call.Deprovision}, nil)
 	}
 	return result
 }
 
 // waitForUrgentCalls waits while provisioning or deprovisioning calls are pending, for a limited
-// time. Lists are less urgent: they only reveal machines that no controller has recorded.
+// time. Lists are less urgent: a list of machines only reveals machines that no controller has
+// recorded.
 func (c *Client) waitForUrgentCalls(ctx context.Context) {
 	for i := 0; i < maxUrgentWaits && c.urgentCalls.Load() > 0; i++ {
 		select {
@@ -177,14 +178,14 @@
 	}
 }
 
-// listMachines returns the machines of all pages of the list. It applies the rate limit to
-// each page.
+// listMachines returns the machines of all pages of the list. It applies the rate limit to each
+// page after the first, to which Call has applied it.
 func (c *Client) listMachines(ctx context.Context) ([]wire.CloudMachine, kv.Outcome) {
 	var machines []wire.CloudMachine
 	query := url.Values{"limit": {listPageSize}}
 	for {
 		var page wire.MachineList
-		if outcome := c.exchange(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); outcome != kv.OK {
+		if outcome := c.sendRequest(ctx, http.MethodGet, "/hosts?"+query.Encode(), nil, &page); outcome != kv.OK {
 			return nil, outcome
 		}
 		machines = append(machines, page.Machines...)
@@ -199,9 +200,9 @@
 	}
 }
 
-// exchange sends a request and decodes the response into target, unless that is nil. It returns
-// the outcome, which is kv.Unknown if the cloud may have processed the request.
-func (c *Client) exchange(ctx context.Context, method, path string, body, target any) kv.Outcome {
+// sendRequest sends a request and decodes the response into target, unless that is nil. It
+// returns the outcome, which is kv.Unknown if the cloud may have processed the request.
+func (c *Client) sendRequest(ctx context.Context, method, path string, body, target any) kv.Outcome {
 	response, err := msgpackhttp.Do(ctx, c.http, msgpackhttp.Request{
 		Method: method, URL: c.baseURL + path, Body: body, MaxResponseBytes: maxResponseBytes,
 	})
