--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -18,7 +18,7 @@
 	requests        map[string]wire.ProvisionRequest // by name
 	createdMachines int                              // number of machines created so far
 
-	deprovisioned  int // number of machines that controllers have asked to deprovision
+	deprovisioned  int // number of machines named in deprovision calls so far, repetitions included
 	outage         bool
 	outOfCapacity  bool
 	slowBoot       timedValue // factor by which the boot time increases
@@ -65,8 +65,8 @@
 	return answer
 }
 
-// list returns the machines that are older than cloudListLag, since new machines appear in
-// the list late.
+// list returns the machines that are older than cloudListLag. It models a cloud in whose list
+// new machines appear late.
 func (c *cloud) list() []wire.CloudMachine {
 	var listed []wire.CloudMachine
 	for _, name := range sortedKeys(c.machines) {
@@ -139,7 +139,7 @@
 	bootTime := time.Duration(float64(sim.BootTime) * (0.6 + 0.9*sim.rng.Float64()))
 	if sim.now < c.slowBoot.until {
 		if sim.rng.Float64() < c.neverBootShare {
-			return name // it stays in the booting state, and is charged for, until it is deprovisioned
+			return name // the machine stays in the booting state, and is charged for, until it is deprovisioned
 		}
 		bootTime = time.Duration(float64(bootTime) * c.slowBoot.value)
 	}
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -31,7 +31,7 @@
 	frozenUntil         time.Duration
 	queuedInputs        []core.Input  // inputs that arrived while it was frozen
 	pendingEffects      []core.Effect // effects of its last step before it froze, not performed yet
-	freezeBeforeEffects bool          // it executes one more step, and freezes before it performs the effects
+	freezeBeforeEffects bool          // set when a freeze begins: the next step still runs, but its effects wait for the end of the freeze
 }
 
 // Timing and limits of a controller.
@@ -108,16 +108,17 @@
 	return cfg
 }
 
-// lowerLimit returns the lower of a limit and the next one. If next is 0, none follows.
-func lowerLimit(now, next int) int {
+// lowerLimit returns the lower of the current limit and the next one, or the current one if
+// next is 0.
+func lowerLimit(current, next int) int {
 	if next > 0 {
-		return min(now, next)
+		return min(current, next)
 	}
-	return now
+	return current
 }
 
-// step runs a step of the core with an input and performs its effects. While the controller
-// is frozen, it queues the input instead, and ignores ticks.
+// step runs a step of the core with an input and performs its effects. A frozen controller
+// queues its inputs instead, except ticks, which it ignores; see also freezeBeforeEffects.
 func (c *controller) step(in core.Input) {
 	sim := c.sim
 	if !c.running {
--- a/internal/simulation/controller_effects.go
+++ b/internal/simulation/controller_effects.go
@@ -73,14 +73,14 @@
 	if peer == nil || sim.network.drawLoss(monitor.rng) {
 		return
 	}
-	incarnation, sender := peer.incarnation, c.incarnation
+	peerIncarnation, senderIncarnation := peer.incarnation, c.incarnation
 	acknowledge := func(reply core.Reply) {
-		if c.incarnation == sender && c.reachablePeer(effect.To) != nil && !sim.network.drawLoss(monitor.rng) {
+		if c.incarnation == senderIncarnation && c.reachablePeer(effect.To) != nil && !sim.network.drawLoss(monitor.rng) {
 			c.deliver(monitor.drawLatency(), core.DecisionLogAcknowledged{Ack: reply.Body.(wire.DecisionLogAck)})
 		}
 	}
 	sim.after(monitor.drawLatency(), func() {
-		if peer.isRunning(incarnation) {
+		if peer.isRunning(peerIncarnation) {
 			peer.stepRequest(func(requestID uint64) core.Input {
 				return core.DecisionLogReceived{RequestID: requestID, Message: effect.Message}
 			}, acknowledge)
--- a/internal/simulation/controller_faults.go
+++ b/internal/simulation/controller_faults.go
@@ -7,8 +7,8 @@
 	"micaport/internal/kv"
 )
 
-// beginFailure records that the controller crashes or freezes now, for d. It reports false
-// if the controller does not run.
+// beginFailure records that the controller crashes or freezes now, for d. If the controller
+// does not run, it records nothing and reports false.
 func (c *controller) beginFailure(d time.Duration) bool {
 	if !c.running {
 		return false
--- a/internal/simulation/event_loop.go
+++ b/internal/simulation/event_loop.go
@@ -24,8 +24,9 @@
 	l.after(d, func() { run(); l.every(d, run) })
 }
 
-// runUntil runs the events that are due up to the given time, or until stopped reports
-// true, which is checked before each event. It then advances the clock to that time.
+// runUntil runs the events that are due up to the given time. It calls stopped before each
+// event, and runs no more events once stopped returns true. In both cases it finally advances
+// the clock to the given time.
 func (l *eventLoop) runUntil(until time.Duration, stopped func() bool) {
 	for len(l.queue) > 0 && l.queue[0].at <= until && !stopped() {
 		event := heap.Pop(&l.queue).(scheduledEvent)
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// workerFleet holds the workers of all machines that have booted.
+// workerFleet holds the workers of all machines that have booted, terminated ones included.
 type workerFleet struct {
 	sim     *Simulation
 	workers map[string]*simWorker // by the name of the machine
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -22,7 +22,8 @@
 }
 
 // checkGang ends a gang task that has waited for its peers for too long, or that has run for
-// too long while a peer was missing.
+// too long while a peer was missing. It starts the gang of a waiting task if the gang is
+// complete.
 func (w *simWorker) checkGang(task *simTask) {
 	if task.user == nil || task.user.spec.Shape != wire.ShapeGang {
 		return
--- a/internal/simulation/heartbeat_replay.go
+++ b/internal/simulation/heartbeat_replay.go
@@ -13,7 +13,7 @@
 // heartbeatReplays delivers late copies of workers' heartbeats.
 type heartbeatReplays struct {
 	sim           *Simulation
-	delayedShare  timedValue              // share of heartbeats delivered again, 2 s to 2 s plus 1.5 worker leases later
+	delayedShare  timedValue              // share of heartbeats delivered again, after 2 s plus at most 1.5 times the worker lease
 	retainedShare timedValue              // share of heartbeats retained for the next leader
 	retained      []*wire.WorkerHeartbeat // for the next leader
 	stashed       *wire.WorkerHeartbeat   // delivered by the script's command "deliver"
--- a/internal/simulation/leadership.go
+++ b/internal/simulation/leadership.go
@@ -61,8 +61,8 @@
 }
 
 // recordClaim records a claim of the leadership that is about to be written. It reports
-// whether the claim begins a new tenure; the current leader may renew its claim in order to
-// become fenced.
+// whether the claim begins a new tenure. A claim by the current leader whose record is not
+// fenced does not begin one: the leader renews its claim in order to become fenced.
 func (m *leadershipMonitor) recordClaim(claim *wire.Leader) bool {
 	sim, holder := m.sim, m.sim.store.leader()
 	if holder != nil {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// recordFailure records that a controller crashes or freezes now.
+// recordFailure records that a controller crashes or freezes now, if it is the current leader.
 func (m *leadershipMonitor) recordFailure(ctrl *controller) {
 	if tenure := m.currentTenure(); tenure != nil && tenure.controller == ctrl.label && m.failedAt == 0 {
 		m.failedAt = m.sim.now
@@ -124,7 +124,8 @@
 }
 
 // checkCommit checks a transaction that has been committed: if it is conditional on the
-// leader's key, the controller must be the leader.
+// leader's key and is not itself a claim, the controller must be the leader. It also records
+// when a tenure first changes a job's record.
 func (m *leadershipMonitor) checkCommit(ctrl *controller, conditions []kv.Condition, writes []recordWrite) {
 	tenure := m.currentTenure()
 	underClaim := slices.ContainsFunc(conditions, func(c kv.Condition) bool { return c.Key == wire.LeaderKey && c.Revision > 0 })
@@ -141,8 +142,9 @@
 	}
 }
 
-// checkCloudCall checks that a controller may provision or deprovision machines: it is not
-// a stale leader, and no later leader has called the cloud.
+// checkCloudCall checks that a controller may provision or deprovision machines: it must not
+// be a stale leader, and no later leader may have called the cloud. It also updates
+// lastCloudTenure.
 func (m *leadershipMonitor) checkCloudCall(ctrl *controller, call core.CallCloud) {
 	if call.Provision == nil && call.Deprovision == nil {
 		return
--- a/internal/simulation/meter.go
+++ b/internal/simulation/meter.go
@@ -8,7 +8,7 @@
 	heartbeats     int           // sent by workers
 	gossipBytes    int           // sent between controllers
 	refusedCommits int           // refused because of the write limit
-	coreWork       uint64        // coreWork at the start of the period
+	coreWork       uint64        // result of Simulation.coreWork at the start of the period
 }
 
 // coreWork returns the number of machines that the cores of all controllers have examined
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -11,12 +11,12 @@
 	sim *Simulation
 
 	lossShare  float64       // share of requests that are lost, or whose reply is lost
-	lateShare  float64       // share of requests that are executed up to a minute late
+	lateShare  float64       // share of requests that are executed up to a minute late, and whose reply is lost
 	lossyUntil time.Duration // when lossShare and lateShare cease to apply
 	slowdown   timedValue    // factor by which the latency increases
 
 	duplicateUntil time.Duration // heartbeats and commands sent before this time are delivered twice
-	duplicateDelay time.Duration // upper bound of the random delay of the second delivery
+	duplicateDelay time.Duration // the second delivery is delayed by 1 s plus a random time below this
 
 	cuts map[string]int  // number of cuts in effect between two endpoints, by linkName
 	held map[string]bool // whether messages sent during a cut are delivered after it, by linkName
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -9,9 +9,9 @@
 
 // Limits on the time that a user may be without an answer, and intervals of the checks.
 const (
-	unansweredAfter       = 90 * time.Second // of some users, while more users get answers
-	answeredWithin        = 6 * time.Second  // how recent the last answer of those other users is
-	unansweredAfterFaults = 75 * time.Second // of any user, once all faults have ended
+	unansweredAfter       = 90 * time.Second // a user whose last answer is older counts as unanswered
+	answeredWithin        = 6 * time.Second  // a user whose last answer is more recent counts as answered
+	unansweredAfterFaults = 75 * time.Second // longest time without an answer once all faults have ended
 	ruleCheckInterval     = time.Second
 	waitingJobInterval    = 5 * time.Second // between checks of the waiting jobs
 )
@@ -153,9 +153,9 @@
 	return cores, gpus
 }
 
-// exceedsHighestLimit reports whether a usage exceeds the highest limit that a team has had,
-// since tasks that were placed before the limit was lowered may start afterwards. Whether
-// they may be placed is checked by quotaAccounting.
+// exceedsHighestLimit reports whether a usage exceeds the highest limit that a team has had.
+// The current limit may be lower, but tasks that were placed before it was lowered may start
+// afterwards. Whether tasks may be placed is checked by quotaAccounting.
 func (r *ruleChecker) exceedsHighestLimit(team string, cores, gpus float64) bool {
 	return exceedsLimit(r.sim.quota.highestLimits[team], cores, gpus)
 }
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -42,8 +42,8 @@
 	return task
 }
 
-// TestRulesAreChecked checks for rules of the simulation that a violation is reported, and
-// that none is reported for allowed behaviour.
+// TestRulesAreChecked checks, for several rules, that a violation is reported, and that none
+// is reported for allowed behaviour.
 func TestRulesAreChecked(t *testing.T) {
 	answer := func(status string) core.Reply {
 		return core.Reply{Status: http.StatusOK, Body: wire.JobStatus{JobID: "wk-000001", Status: status}}
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -9,13 +9,13 @@
 )
 
 // largestJobStartLimit is how long the largest jobs of each class may take to start. Jobs
-// submitted later than this before the end of a scenario are not judged.
+// submitted within this time before the end of a scenario are not judged.
 const largestJobStartLimit = 240 * time.Second
 
 // startCount counts the jobs of one kind and those of them that have started.
 type startCount struct{ started, total int }
 
-// findUnderservedJobKinds returns a fault for each kind of jobs of which fewer than half have
+// findUnderservedJobKinds returns a message for each kind of jobs of which fewer than half have
 // started by the end of a scenario. The kinds are each class, each team, and the largest jobs of
 // each class, which must have started within largestJobStartLimit.
 func (r *ruleChecker) findUnderservedJobKinds() []string {
@@ -44,13 +44,13 @@
 			count("largest of class "+user.spec.Class, started && user.startedAt-user.submittedAt <= largestJobStartLimit)
 		}
 	}
-	var faults []string
+	var messages []string
 	for _, kind := range sortedKeys(counts) {
 		if c := counts[kind]; 2*c.started < c.total {
-			faults = append(faults, fmt.Sprintf("served: %d of %d of %s", c.started, c.total, kind))
+			messages = append(messages, fmt.Sprintf("served: %d of %d of %s", c.started, c.total, kind))
 		}
 	}
-	return faults
+	return messages
 }
 
 // shouldHaveStarted reports whether a job can run and was submitted early enough to have
@@ -68,6 +68,7 @@
 // maxIdleCapacityWait.
 func (r *ruleChecker) checkWaitingJobs() {
 	now := r.sim.now
+	// The caller runs once every ruleCheckInterval, this check once every waitingJobInterval.
 	if now < r.faultsEndAt || now%waitingJobInterval >= ruleCheckInterval {
 		return
 	}
@@ -93,7 +94,7 @@
 	}
 }
 
-// isWaiting reports whether a job that should run has no active task.
+// isWaiting reports whether a job should run but has no active task.
 func (u *simUser) isWaiting() bool {
 	if !u.accepted || u.cancelRequested || u.alwaysFails || u.isBlocked() {
 		return false
@@ -109,7 +110,7 @@
 }
 
 // freeCapacity returns the free resources of each machine whose worker is healthy. The result
-// is never nil.
+// is never nil, so that nil can mean that it has not been determined yet.
 func (f *workerFleet) freeCapacity() []*freeCapacity {
 	now, machineType := f.sim.now, &f.sim.cloud.machineType
 	all := []*freeCapacity{}
--- a/internal/simulation/settings.go
+++ b/internal/simulation/settings.go
@@ -17,7 +17,7 @@
 	WorkerLease       time.Duration // a worker that receives no reply for this long ends its tasks
 	GangWait          time.Duration // how long a gang task waits for its peers to start
 	GangPeerTimeout   time.Duration // how long a running gang task tolerates a missing peer
-	CancelDeadline    time.Duration // time from the confirmed cancellation of a job until all of its tasks have ended
+	CancelDeadline    time.Duration // time within which all tasks of a job must end once its cancellation has been confirmed
 	BootTime          time.Duration // approximate time that a machine takes to boot
 	Capacity          int           // machines that a zone has of each kind, spot and on-demand
 	IdleTimeout       time.Duration // time after which an idle machine is deprovisioned
@@ -27,7 +27,8 @@
 	MaxTransactionOps int
 	MaxValueBytes     int
 
-	// Limits of the state service that apply once the script's command "limits" runs; 0: none.
+	// Limits that replace the ones above when the script's command "limits" runs; 0: not
+	// configured. Controllers know them from their start, except controllers of format 1.
 	NextWriteRPS          float64
 	NextMaxTransactionOps int
 	NextMaxValueBytes     int
@@ -72,7 +73,7 @@
 }
 
 // maxBatchWrites returns how many writes a controller may put into one batch: its share of
-// the writes of 1.5 s. The deployed program computes it in the same way.
+// the writes that the state service accepts in 1.5 s, but at least 2. The deployed program computes it in the same way.
 func (s *Simulation) maxBatchWrites() int {
 	if s.WriteRPS <= 0 {
 		return s.MaxTransactionOps
--- a/internal/simulation/state_faults.go
+++ b/internal/simulation/state_faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// drawDelivery draws how a request to the state service is treated.
+// drawDelivery draws how the network and the service treat a request to the service.
 func (s *stateService) drawDelivery() requestDelivery {
 	delivery := s.sim.network.drawDelivery()
 	if s.sim.now < s.slowdown.until {
@@ -11,8 +11,9 @@
 	return delivery
 }
 
-// drawCommitDelivery draws how a transaction with the given number of writes is treated. One
-// without writes only checks conditions, and is treated like any other request.
+// drawCommitDelivery draws how the network and the service treat a transaction with the given
+// number of writes. A transaction without writes only checks conditions and is treated like
+// any other request.
 func (s *stateService) drawCommitDelivery(writes int) requestDelivery {
 	switch {
 	case writes > 0 && s.sim.draw(s.lostReplies):
@@ -47,7 +48,8 @@
 	s.addFault(s.watchFaults, ctrl, d)
 }
 
-// addFault increments a controller's count of faults for d, since faults may overlap.
+// addFault increments a controller's count of faults, and decrements it after d. Faults of one
+// controller may overlap.
 func (s *stateService) addFault(faults map[string]int, ctrl *controller, d time.Duration) {
 	s.sim.rules.extendFaultPeriod(d)
 	faults[ctrl.label]++
--- a/internal/simulation/state_records.go
+++ b/internal/simulation/state_records.go
@@ -31,11 +31,11 @@
 	return record
 }
 
-// encodedJSONSize returns the size of a value in JSON, to which the limit of the service
-// applies. For a value of at most approximate bytes, which is far below the limit, it returns
-// the size of its encoding instead.
-func encodedJSONSize(raw []byte, approximate int) int {
-	if len(raw) <= approximate {
+// encodedJSONSize returns the size of an encoded value in JSON, to which the limit of the
+// service applies. It does not convert an encoding of at most maxUnconverted bytes, which is
+// far below the limit, and returns the size of the encoding instead.
+func encodedJSONSize(raw []byte, maxUnconverted int) int {
+	if len(raw) <= maxUnconverted {
 		return len(raw)
 	}
 	var value any
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -201,7 +201,7 @@
 	return kv.OK, 0
 }
 
-// expireLeases deletes the records of the leases that have expired.
+// expireLeases deletes the leases that have expired, and the records attached to them.
 func (s *stateService) expireLeases() {
 	if s.outage {
 		return
--- a/internal/simulation/timed_value.go
+++ b/internal/simulation/timed_value.go
@@ -13,8 +13,8 @@
 	*v = timedValue{value, s.now + d}
 }
 
-// draw reports true with the probability that the share gives, and false once the share
-// has expired. It draws no random number in that case.
+// draw reports true with the probability that the share gives. Once the share has expired, it
+// reports false without drawing a random number.
 func (s *Simulation) draw(share timedValue) bool {
 	return s.now < share.until && s.rng.Float64() < share.value
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// addTask adds a task under its attemptName.
+// addTask adds a task, under its attemptName, to the worker and to the tasks of its user.
 func (w *simWorker) addTask(key string, task *simTask) {
 	w.tasks[key] = task
 	if task.user != nil {
@@ -88,7 +88,8 @@
 	}
 }
 
-// removeTask removes a task by its attemptName.
+// removeTask removes a task, given its attemptName, from the worker and from the tasks of its
+// user.
 func (w *simWorker) removeTask(key string) {
 	task := w.tasks[key]
 	delete(w.tasks, key)
--- a/internal/simulation/worker_commands.go
+++ b/internal/simulation/worker_commands.go
@@ -33,7 +33,7 @@
 		c.answerCommands(connectionRefused, effect, kv.Refused)
 		return
 	}
-	// The connection was established before the cut, so the commands arrive after the cut.
+	// Model a connection that was established before the cut: the commands arrive after the cut.
 	c.answerCommands(commandTimeout, effect, kv.Unknown)
 	worker.acceptCommands(effect.Batch, isCut, ignoreOutcome)
 }
@@ -73,9 +73,9 @@
 	})
 }
 
-// acceptCommands executes commands that were sent to the worker's address, as soon as the
-// worker does not hang and held, unless nil, reports false. Done receives the outcome; it is
-// not called if the machine has been terminated.
+// acceptCommands executes commands that were sent to the worker's address. It waits while the
+// worker hangs, and while held, which may be nil, reports true. Done receives the outcome; it
+// is not called if the machine is terminated before the commands are executed.
 func (w *simWorker) acceptCommands(batch wire.CommandBatch, held func() bool, done func(kv.Outcome)) {
 	if w.terminated {
 		return
--- a/internal/simulation/worker_heartbeat.go
+++ b/internal/simulation/worker_heartbeat.go
@@ -60,7 +60,7 @@
 		}
 	})
 	switch {
-	case sim.now < w.outboundCutUntil:
+	case sim.now < w.outboundCutUntil: // the heartbeat is lost
 	case pending.isCut():
 		if sim.network.isHeld(w.endpoint(), pending.recipient.endpoint()) {
 			sim.after(time.Second, pending.deliverAfterCut)
@@ -101,7 +101,7 @@
 	p.recipient.deliverHeartbeat(p.message)
 }
 
-// redirect makes the worker send its next heartbeat to another controller, after wait.
+// redirect makes the worker send its next heartbeat to the given controller, after wait.
 func (p *pendingHeartbeat) redirect(wait time.Duration, controllerIndex int) {
 	worker := p.worker
 	worker.controllerIndex = controllerIndex
--- a/internal/simulation/worker_task.go
+++ b/internal/simulation/worker_task.go
@@ -17,7 +17,7 @@
 	state            string // one of the task states, such as wire.TaskFetching
 	exitCause        string // one of the exit causes, such as wire.CauseDone, once it has exited
 	checkpointSaved  bool
-	stateSince       time.Duration // when it began to fetch its image, to wait for its gang, or to run without a gang
+	stateSince       time.Duration // when it was created or, later, when its image had been fetched; the start of its gang does not change it
 	generation       int           // incremented when an action scheduled for the task becomes obsolete
 	peerMissingSince time.Duration // when a running gang task first missed a peer; 0: none is missing
 }
@@ -114,8 +114,9 @@
 	w.exitTask(task, wire.CauseStopped)
 }
 
-// schedule runs a function for a task after d, or later if the worker hangs then. It does not
-// run it if the task has been removed or its generation has changed by then.
+// schedule runs a function for a task after d, or later if the worker hangs then. It replaces
+// a function scheduled earlier for the task. The function does not run if the task has been
+// removed or its generation has changed by then.
 func (w *simWorker) schedule(task *simTask, d time.Duration, run func()) {
 	task.generation++
 	generation := task.generation
