--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// dependencyPollInterval is the interval at which a user checks whether the dependencies of
-// the next job are ready for its submission.
+// dependencyPollInterval is the interval at which submitWhen checks the dependencies of a job.
 const dependencyPollInterval = 100 * time.Millisecond
 
 // findDependency returns a matching job among the direct and transitive dependencies of the
@@ -38,8 +37,8 @@
 	}) != nil
 }
 
-// submitWhen submits a job with attributes and dependencies as soon as each dependency is
-// ready.
+// submitWhen submits a job with attributes and dependencies as soon as ready reports true for
+// each of the dependencies.
 func (u *userSet) submitWhen(ready func(dependency *simUser) bool, jobID string, dependencies, attributes []string) {
 	for _, id := range dependencies {
 		if dependency := u.byJob[id]; dependency == nil || !ready(dependency) {
--- a/internal/simulation/effects_test.go
+++ b/internal/simulation/effects_test.go
@@ -229,7 +229,8 @@
 	case wire.DecisionLog:
 		v = reflect.ValueOf(orderedFacts(value))
 	case wire.UserCall:
-		// The simulated users encode the fields of a submission in no fixed order.
+		// The simulated users encode the fields of a submission in no fixed order. The text of
+		// the decoded map is in the order of its keys.
 		var body map[string]any
 		if wire.Decode(value.Body, &body) == nil {
 			value.Body = fmt.Append(nil, body)
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -12,8 +12,9 @@
 // expect checks the conditions of an "expect" line, which is "JOB CONDITION..." or one
 // condition of the simulation as a whole.
 //
-// Conditions of the simulation are NAME<=N and NAME>=N with a name of counts, deaf=0 and
-// sick=0 (no running worker has that fault), and owner=SHARD:CONTROLLER|CONTROLLER.
+// Conditions of the simulation are NAME<=N and NAME>=N with a name of counts, deaf=0 (no
+// running worker is cut off from incoming messages), sick=0 (no running worker fails its
+// tasks), and owner=SHARD:CONTROLLER|CONTROLLER (one of the controllers owns the shard).
 // Conditions of a job are those of jobExpectations, as NAME=N or NAME<=N, or the status that
 // its user received last.
 func (s *Simulation) expect(args arguments) error {
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -28,10 +28,9 @@
 	return sim
 }
 
-// TestThawAtEachStage resumes a frozen leader at each stage of a takeover: before the leader
-// is suspected, between the stages (suspicion, claim, the watch, the proof and the first
-// decision), and afterwards. No rule may be violated, and the leader must be replaced unless
-// it resumed before it was suspected.
+// TestThawAtEachStage resumes a frozen leader before it is suspected, between the stages of
+// the takeover (see wire.Takeover.StagesMS), and after the takeover. No rule may be violated,
+// and the leader must be replaced unless it resumed before it was suspected.
 func TestThawAtEachStage(t *testing.T) {
 	for ms := 1000; ms <= 4000; ms += 100 {
 		t.Run(fmt.Sprintf("%dms", ms), func(t *testing.T) {
@@ -143,9 +142,9 @@
 	return leader, facts
 }
 
-// TestTakeoverContinuesFromTheLog checks that the next leader continues with the facts that
-// are only in the decision log of the last one: estimates of boot times, pools without
-// capacity, machines reserved for the gang that has waited longest. That gang keeps its
+// TestTakeoverContinuesFromTheLog checks that a new leader continues with the facts that are
+// only in the decision log of its predecessor: estimates of boot times, pools without
+// capacity, and machines reserved for the gang that has waited longest. This gang keeps its
 // position in the queue and starts before the other.
 func TestTakeoverContinuesFromTheLog(t *testing.T) {
 	compared := map[wire.FactKind]int{}
@@ -157,7 +156,7 @@
 		for sim.leadership.countEarlyTakeovers() == 0 && sim.now < 150*time.Second {
 			sim.Run(sim.now + 10*time.Millisecond)
 		}
-		sim.Run(sim.now + 60*time.Millisecond) // its watch delivers its claim; it has made no scheduling pass yet
+		sim.Run(sim.now + 60*time.Millisecond) // the new leader has seen its claim in its watch, and has made no scheduling pass yet
 		first := ""
 		after := decisionFacts(sim.controllerNamed("leader"))
 		for key, f := range before {
@@ -171,6 +170,7 @@
 			if f.Kind == wire.FactReserved {
 				first = f.JobID
 			}
+			// The times may differ by up to 50 ms; everything else must be equal.
 			if difference := got.At - f.At; !found || difference < -50 || difference > 50 {
 				t.Errorf("seed %d: fact %+v became %+v", seed, f, got)
 			}
--- a/internal/simulation/irregular_requests.go
+++ b/internal/simulation/irregular_requests.go
@@ -87,8 +87,8 @@
 	})
 }
 
-// checkRejection checks the reply to a submission that must be rejected. No reply, or one
-// that the service is unavailable, is allowed.
+// checkRejection checks the status code of the reply to a submission that must be rejected.
+// Besides the wanted code, it allows 503, and 0 for a missing reply.
 func (u *userSet) checkRejection(jobID string, want, status int) {
 	switch status {
 	case want, 0, http.StatusServiceUnavailable:
--- a/internal/simulation/loopback.go
+++ b/internal/simulation/loopback.go
@@ -137,7 +137,7 @@
 	l.client.CloseIdleConnections()
 }
 
-// serve starts a server on a free port and returns its address. It runs until Close.
+// serve starts a server on a free port and returns its address. The server runs until Close.
 func (l *Loopback) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/simulation/loopback_failover_test.go
+++ b/internal/simulation/loopback_failover_test.go
@@ -39,8 +39,8 @@
 }
 
 // failoverTimes returns the distribution, in ms, of the times from the failure of a leader
-// until the first decision of the next, and the number of takeovers that did not wait for
-// the lease to expire.
+// until the first decision of the next leader, and the number of takeovers that did not wait
+// for the lease to expire.
 func (l *Loopback) failoverTimes() (times *hdrhistogram.Histogram, early int) {
 	times = hdrhistogram.New(1, 120_000, 3)
 	for _, tenure := range l.leadership.tenures {
@@ -55,7 +55,7 @@
 func (s *Simulation) countViolations(rule string) int {
 	count := 0
 	for _, violation := range s.rules.violations {
-		var at, name string
+		var at, name string // the first two words, as written by reportViolation
 		if _, err := fmt.Sscan(violation, &at, &name); err == nil && name == rule+":" {
 			count++
 		}
@@ -63,11 +63,11 @@
 	return count
 }
 
-// TestTakeoverOnLoopback kills and stops leaders among real controllers at random moments,
-// determined by a seed, while jobs, gangs and cancellations are submitted. Leaders are
-// replaced, and no rule is violated: no task runs twice or starts after its cancellation was
-// confirmed, no job is lost, no limit is exceeded, and no controller decides under another's
-// claim.
+// TestTakeoverOnLoopback kills leaders among real controllers, or pauses them with SIGSTOP, at
+// random times determined by a seed, while jobs, gangs and cancellations are submitted. The
+// leaders must be replaced, and no rule may be violated: no task runs twice or starts after its
+// cancellation was confirmed, no job is lost, no limit is exceeded, and no controller decides
+// under another's claim.
 func TestTakeoverOnLoopback(t *testing.T) {
 	const (
 		length = 30 * time.Second
--- a/internal/simulation/loopback_faults.go
+++ b/internal/simulation/loopback_faults.go
@@ -14,7 +14,7 @@
 	l.signal(ctrl, syscall.SIGKILL)
 }
 
-// Stop stops a controller's process with SIGSTOP and continues it after d.
+// Stop pauses a controller's process with SIGSTOP and resumes it after d.
 func (l *Loopback) Stop(ctrl *controller, d time.Duration) {
 	if !ctrl.beginFailure(d) {
 		return
@@ -28,9 +28,9 @@
 	})
 }
 
-// Isolate puts the links between a controller and the state service, or else those between it
-// and its peers, into the given states for d. Forward and backward are the two directions of
-// each link.
+// Isolate sets the states of a controller's links for d: with fromState those of its link to
+// the state service, otherwise those of all links between the controller and its peers. Forward
+// and backward are the two directions of each link.
 func (l *Loopback) Isolate(ctrl *controller, fromState bool, forward, backward linkState, d time.Duration) {
 	l.rules.extendFaultPeriod(d)
 	proc := l.processes[ctrl.index]
--- a/internal/simulation/loopback_http.go
+++ b/internal/simulation/loopback_http.go
@@ -12,7 +12,8 @@
 	"micaport/internal/wire"
 )
 
-// workerReplyTimeout is how long a worker's server waits until the worker accepts commands.
+// workerReplyTimeout is how long a worker's server waits for the worker to accept or refuse
+// commands. After that it replies with status 200.
 const workerReplyTimeout = 4 * time.Second
 
 // sendRequest sends a worker's or user's request to a controller. If no valid reply arrives,
--- a/internal/simulation/loopback_process.go
+++ b/internal/simulation/loopback_process.go
@@ -19,10 +19,10 @@
 	logFile       *os.File
 	publicAddress string
 	peerAddress   string
-	frontProxy    *proxy // from workers and users to the controller
-	stateProxy    *proxy
-	cloudProxy    *proxy
-	peerProxies   map[int]*proxy // to other controllers, by index
+	frontProxy    *proxy         // from workers and users to the controller
+	stateProxy    *proxy         // from the controller to the state service
+	cloudProxy    *proxy         // from the controller to the cloud
+	peerProxies   map[int]*proxy // from the controller to its peers, by their index
 }
 
 // reserveAddresses finds two free ports for a controller, on a loopback IP address that only
--- a/internal/simulation/loopback_test.go
+++ b/internal/simulation/loopback_test.go
@@ -88,7 +88,7 @@
 			return
 		}
 		team := []string{"red", "blue", "wide"}[count%3]
-		// More workers get longer tasks instead of more jobs, because the user of each job keeps polling.
+		// With more workers, tasks run longer instead of jobs being more frequent, because the user of each job keeps polling.
 		runtime := float64(1+rng.IntN(3)) * float64(*loopbackWorkers) / 40
 		line := []string{
 			fmt.Sprintf("wk-%06d", count), "team=" + team, "gb=0", fmt.Sprintf("frames=%d", 1+rng.IntN(maxTasksByTeam[team])),
@@ -102,7 +102,7 @@
 	})
 }
 
-// injectProcessFaults kills, stops and isolates controllers every 3 s, from 6 s on until a
+// injectProcessFaults kills, pauses or isolates a controller every 3 s, from 6 s on until a
 // time. The first fault kills the leader.
 func (l *Loopback) injectProcessFaults(rng *rand.Rand, until time.Duration) {
 	faults := []func(ctrl, leader *controller, d time.Duration){
@@ -127,7 +127,7 @@
 	})
 }
 
-// TestLimitsHoldOnLoopback kills and stops real controllers, and cuts them off from each
+// TestLimitsHoldOnLoopback kills and pauses real controllers, and cuts them off from each
 // other and from the state service, while jobs that exceed the teams' limits are submitted.
 // No revision of the records may charge a team more than its limit, and no other rule may be
 // violated.
--- a/internal/simulation/measure_failover_test.go
+++ b/internal/simulation/measure_failover_test.go
@@ -21,7 +21,8 @@
 )
 
 // failureSpacing is the time between two failures of a deployment's leader. It is long enough
-// for a streak of early takeovers to end, so that each takeover can be an early one.
+// for the new leader to count as stable, which ends its streak of early takeovers, so that the
+// next takeover can be early again.
 const failureSpacing = 18 * time.Second
 
 // stageNames are the names of the stages of wire.Takeover, in the order of StagesMS.
@@ -47,7 +48,7 @@
 	return s
 }
 
-// add adds the results of a deployment.
+// add adds the results of a deployment. Seen are the recorded takeovers.
 func (s *failoverSample) add(loopback *Loopback, seen map[uint64]wire.Takeover) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 			}
 		})
 	}
-	seen := map[uint64]wire.Takeover{}
+	seen := map[uint64]wire.Takeover{} // by Replaced; the record may not retain all of them
 	loopback.every(2*time.Second, func() {
 		if record := loopback.store.records[wire.TakeoversKey]; record != nil {
 			for _, x := range mustDecodeRecord(wire.TakeoversKey, record.raw).(*wire.Takeovers).List {
@@ -150,7 +151,7 @@
 		loopback.Close()
 		var processor []string
 		for _, proc := range loopback.processes {
-			for range 100 {
+			for range 100 { // the process was killed by Close, and is waited for by startProcess
 				if proc.command.ProcessState != nil {
 					break
 				}
--- a/internal/simulation/measure_loopback_test.go
+++ b/internal/simulation/measure_loopback_test.go
@@ -43,14 +43,14 @@
 			t.Errorf("%s: %v", admission, loopback.rules.violations)
 		}
 		histogram := newWaitHistogram()
-		for _, user := range loopback.users.ordered[1:] {
+		for _, user := range loopback.users.ordered[1:] { // without the job for which all workers boot
 			created, known := loopback.quota.createdAt[user.spec.ID]
 			if !known {
 				continue // never accepted
 			}
 			at, placed := loopback.quota.placedAt[user.spec.ID]
 			if !placed {
-				at = loopback.now
+				at = loopback.now // counted as waiting until the end
 			}
 			must(histogram.RecordValue(max(1, (at - created).Milliseconds())))
 		}
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -112,10 +112,10 @@
 	if len(sim.rules.violations) > 0 {
 		t.Errorf("%s, admission %d, seed %d: %v", load.name, admission, seed, sim.rules.violations)
 	}
-	for _, user := range sim.users.ordered[1:] {
+	for _, user := range sim.users.ordered[1:] { // without the job for which the machines boot
 		at, placed := sim.quota.placedAt[user.spec.ID]
 		if !placed {
-			at = sim.now
+			at = sim.now // counted as waiting until the end
 		}
 		must(histogram.RecordValue(max(1, (at - sim.quota.createdAt[user.spec.ID]).Milliseconds())))
 	}
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -24,7 +24,7 @@
 )
 
 // proxy is a TCP proxy that acts as the link from one process to another on loopback. Each
-// direction can be held or refused. Its goroutines end with close.
+// direction can be held or refused. Close ends its goroutines.
 type proxy struct {
 	listener     net.Listener
 	target       string       // the address that connections are relayed to
@@ -48,7 +48,7 @@
 	return p, nil
 }
 
-// address returns the address that the proxy listens at.
+// address returns the address that the proxy listens on.
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
 // close stops the proxy and closes its connections.
@@ -114,7 +114,7 @@
 	<-done
 }
 
-// track adds connections to those that set closes.
+// track adds connections to those that setStates closes.
 func (p *proxy) track(connections ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/simulation/quota_accounting.go
+++ b/internal/simulation/quota_accounting.go
@@ -37,9 +37,9 @@
 // teamCharge is a team's limit and what it is charged.
 type teamCharge struct {
 	limit            wire.Resources
-	sharesByShard    map[int]wire.Resources // of the limit, by shard
-	admittedByLeader wire.Resources         // admitted by the leader
-	admittedByShard  map[int]wire.Resources // admitted by shard owners, by shard
+	sharesByShard    map[int]wire.Resources // parts of the limit, by the shard whose owner may use them
+	admittedByLeader wire.Resources         // charged for tasks that the leader has admitted
+	admittedByShard  map[int]wire.Resources // charged for tasks that shard owners have admitted, by shard
 }
 
 // newQuotaAccounting returns an accounting without charges.
@@ -90,8 +90,8 @@
 }
 
 // checkChargeCondition checks that a commit which raises the charge of a job was conditional
-// on the team's account, if that is stored. Without the condition it could be applied after the
-// limit was lowered or the share revoked.
+// on the team's account, provided that the account is stored. Without the condition, the commit
+// could be applied after the limit was lowered or the share revoked.
 func (a *quotaAccounting) checkChargeCondition(conditions []kv.Condition, jobID string, previous jobCharge) {
 	current := a.jobs[jobID]
 	if current.admittedByLeader <= previous.admittedByLeader && current.countAdmittedByOwners() <= previous.countAdmittedByOwners() {
@@ -104,8 +104,8 @@
 	}
 }
 
-// raisesAboveLimit reports whether a commit has raised a charge above its limit. A charge
-// that already exceeded the limit, because the limit was lowered, must not rise.
+// raisesAboveLimit reports whether a commit has raised a charge above its limit; 0 means no
+// limit. A charge that already exceeded the limit, because the limit was lowered, must not rise.
 func raisesAboveLimit(current, limit, previous float64) bool {
 	return limit > 0 && current > limit+quotaTolerance && current > previous+quotaTolerance
 }
--- a/internal/simulation/script_users.go
+++ b/internal/simulation/script_users.go
@@ -29,14 +29,14 @@
 	"stick": infallible(func(sim *Simulation, args arguments) {
 		sim.users.byJob[args.word(0)].pinnedTo = sim.controllerNamed(args.word(1)).index
 	}),
-	// polls SECONDS COUNT: each user requests the job's status COUNT times a second.
+	// polls SECONDS COUNT: for SECONDS, each user requests the job's status COUNT times a second.
 	"polls": infallible(func(sim *Simulation, args arguments) {
 		for second := range int(args.number(0)) {
 			sim.after(time.Duration(second)*time.Second, func() { sim.users.pollAll(int(args.number(1))) })
 		}
 	}),
-	// bulk COUNT SECONDS ATTRIBUTES: COUNT jobs are submitted, one a second; each is cancelled about SECONDS later
-	// unless that is 0.
+	// bulk COUNT SECONDS ATTRIBUTES: COUNT jobs are submitted, one a second; each is cancelled about SECONDS later,
+	// or not at all if SECONDS is 0.
 	"bulk": infallible(func(sim *Simulation, args arguments) {
 		for i := range int(args.number(0)) {
 			jobID := sim.users.nextGeneratedID()
@@ -47,7 +47,8 @@
 			})
 		}
 	}),
-	// stream RATE SECONDS SHARE ATTRIBUTES: RATE jobs a second are submitted, and a share of them is cancelled.
+	// stream RATE SECONDS SHARE ATTRIBUTES: for SECONDS, RATE jobs a second are submitted, and a share of them is
+	// cancelled within 12 s.
 	"stream": infallible(func(sim *Simulation, args arguments) {
 		interval := seconds(1 / args.number(0))
 		for i := range int(args.number(0) * args.number(1)) {
@@ -63,8 +64,8 @@
 	"fan-in": func(sim *Simulation, args arguments) error {
 		return sim.users.submitFanIn(args.word(0), int(args.number(1)), args.from(2))
 	},
-	// pipelines RATE SECONDS SHARE SHARE: RATE pipelines a second are submitted; in the first share of them a job is
-	// cancelled, in the second the last job is submitted late.
+	// pipelines RATE SECONDS SHARE SHARE: for SECONDS, RATE pipelines a second are submitted; in the first share of
+	// them a job is cancelled, in the second the last job is submitted late.
 	"pipelines": infallible(func(sim *Simulation, args arguments) {
 		interval := seconds(1 / args.number(0))
 		for i := range int(args.number(0) * args.number(1)) {
@@ -80,7 +81,7 @@
 	"cancel-at-end": infallible(func(sim *Simulation, args arguments) {
 		sim.setTimedValue(&sim.users.cancelAtEnd, args.number(0), args.duration(1))
 	}),
-	// close-looks SECONDS: users poll all controllers after each change of a job's status.
+	// close-looks SECONDS: users poll all controllers at the first and at a final status of their job.
 	"close-looks": infallible(func(sim *Simulation, args arguments) {
 		sim.users.pollBurstsUntil = sim.now + args.duration(0)
 	}),
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -27,8 +27,8 @@
 	lastStatus     string        // the last status that was checked
 	lastStatusAt   time.Duration // when lastStatus was checked
 	lastCode       int           // the status code of the last poll
-	lastAnsweredAt time.Duration
-	submitCodes    []int // the status codes of all submissions
+	lastAnsweredAt time.Duration // when the last successful reply arrived, other than one received by userSet.cancel
+	submitCodes    []int         // the status codes of all submissions
 
 	idleCapacitySince time.Duration // since when the job has waited despite free capacity; 0: it does not
 }
@@ -62,8 +62,8 @@
 // submit submits the job and retries until it is accepted.
 func (u *simUser) submit() { u.sendSubmission(u.sim.now, u.submissionBody()) }
 
-// sendSubmission submits a body. It retries until the submission is accepted, rejected with
-// a permanent error, or was first sent longer than submitRetryPeriod ago.
+// sendSubmission submits a body, which was first sent at firstAt. It retries until the
+// submission is accepted or rejected with a permanent error, for submitRetryPeriod at most.
 func (u *simUser) sendSubmission(firstAt time.Duration, body []byte) {
 	askedAt := u.sim.now
 	u.sim.users.request(wire.RequestSubmit, u.spec.ID, body, changeTimeout, func(reply core.Reply) {
@@ -122,9 +122,9 @@
 	return status == wire.StatusDone || status == wire.StatusCancelled
 }
 
-// checkStatus checks a reply against the replies that the user received before. A reply to
-// a request that was sent before the last checked reply arrived may be older than that one,
-// and is ignored.
+// checkStatus checks a reply to a request sent at askedAt against the replies that the user
+// received before. It ignores the reply if the request was sent before the last checked reply
+// arrived, because its status may then be older than the one checked last.
 func (u *simUser) checkStatus(askedAt time.Duration, reply core.Reply) {
 	var received wire.JobStatus
 	switch body := reply.Body.(type) {
@@ -139,7 +139,7 @@
 	u.lastReply = received
 	status, last := received.Status, u.lastStatus
 	if last == "" || isFinalStatus(status) && status != last {
-		defer u.startPollBurst()
+		defer u.startPollBurst() // after lastStatus is set
 	}
 	if isFinalStatus(last) && status != last {
 		u.sim.rules.reportViolation("went_back", "%s: %s after %s", u.spec.ID, status, last)
@@ -160,8 +160,8 @@
 	u.lastStatus, u.lastStatusAt = status, u.sim.now
 }
 
-// checkOrphaned checks that no dependency of an unfinished job was cancelled longer than
-// CancelDeadline ago.
+// checkOrphaned reports a violation if the cancellation of a dependency had been confirmed for
+// longer than CancelDeadline when the user requested the status, which is not a final one.
 func (u *simUser) checkOrphaned(askedAt time.Duration, status string) {
 	dependency := u.findDependency(func(dependency *simUser) bool {
 		return dependency.cancelledAt > 0 && askedAt-dependency.cancelledAt > u.sim.CancelDeadline
--- a/internal/simulation/user_behavior.go
+++ b/internal/simulation/user_behavior.go
@@ -47,8 +47,8 @@
 	return long
 }
 
-// scheduleCancelAtEnd makes some users cancel their job within 1.5 s after its last task has
-// ended. It is called whenever a task completes.
+// scheduleCancelAtEnd is called whenever a task of the user's job completes. If all of its
+// tasks have completed, the user cancels the job within 1.5 s with the probability cancelAtEnd.
 func (u *userSet) scheduleCancelAtEnd(user *simUser) {
 	sim := u.sim
 	if sim.now >= u.cancelAtEnd.until || user.cancelRequested || !user.allTasksDone() || !sim.draw(u.cancelAtEnd) {
@@ -61,9 +61,10 @@
 	})
 }
 
-// startPollBurst polls all controllers three times within 12 ms and repeats the submission. It
-// also cancels a sixth of the jobs that are not done and have an id of nextGeneratedID. It does
-// nothing after pollBurstsUntil. checkStatus checks the replies.
+// startPollBurst requests the status of the job from each controller three times within 12 ms
+// and repeats the submission. It also cancels the job with a probability of 1/6 if the job is
+// neither done nor being cancelled and its id is from nextGeneratedID. From pollBurstsUntil on,
+// startPollBurst does nothing.
 func (u *simUser) startPollBurst() {
 	sim := u.sim
 	if sim.now >= sim.users.pollBurstsUntil {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -25,10 +25,10 @@
 	ordered        []*simUser      // in the order of their first submission
 	completedTasks map[string]bool // by name
 	generatedJobs  int             // jobs whose ids the simulation has generated, for commands such as bulk and pipelines
-	irregularCount int             // irregular requests that were sent with a new job id
+	irregularCount int             // invalid submissions that were sent, each with a new job id
 
 	cancelAtEnd     timedValue    // share of jobs that are cancelled when their last task ends
-	pollBurstsUntil time.Duration // until then, users poll all controllers after each status change
+	pollBurstsUntil time.Duration // until then, users poll all controllers at the first and at a final status of their job
 }
 
 // generatedIDPrefix is the prefix of the ids that nextGeneratedID returns.
