--- a/internal/simulation/effects_test.go
+++ b/internal/simulation/effects_test.go
@@ -135,7 +135,7 @@
 
 func (r *effectRecorder) record(now time.Duration, controller string, effects []core.Effect) {
 	for _, effect := range effects {
-		if _, is := effect.(core.Log); is {
+		if _, isLog := effect.(core.Log); isLog {
 			continue
 		}
 		r.count++
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -44,7 +44,7 @@
 
 // counts returns the numbers that a script can bound, by name.
 func (s *Simulation) counts() map[string]int {
-	metered := max(1, int((s.now - s.meter.since).Seconds()))
+	meteredSeconds := max(1, int((s.now - s.meter.since).Seconds()))
 	return map[string]int{
 		"machines":    len(s.fleet.running()),
 		"returned":    s.cloud.deprovisioned,
@@ -62,7 +62,7 @@
 		// Costs since the last "meter" command.
 		"refused":          s.meter.refusedCommits,
 		"looks_per_report": int(s.coreWork()-s.meter.coreWork) / max(1, s.meter.heartbeats),
-		"bytes_per_s":      s.meter.gossipBytes / metered,
+		"bytes_per_s":      s.meter.gossipBytes / meteredSeconds,
 	}
 }
 
@@ -75,8 +75,8 @@
 	if name, limit, ok := strings.Cut(condition, ">="); ok {
 		return s.evaluateBound(name, limit, func(got, bound int) bool { return got >= bound })
 	}
-	if claim, ok := strings.CutPrefix(condition, "owner="); ok {
-		shard, owners, _ := strings.Cut(claim, ":")
+	if ownership, ok := strings.CutPrefix(condition, "owner="); ok {
+		shard, owners, _ := strings.Cut(ownership, ":")
 		owner := s.store.shardOwner(shard)
 		return slices.Contains(strings.Split(owners, "|"), owner), owner, true
 	}
--- a/internal/simulation/measure_failover_test.go
+++ b/internal/simulation/measure_failover_test.go
@@ -48,8 +48,8 @@
 	return s
 }
 
-// add adds the results of a deployment. Seen are the recorded takeovers.
-func (s *failoverSample) add(loopback *Loopback, seen map[uint64]wire.Takeover) {
+// add adds the results of a deployment. Takeovers are the recorded ones.
+func (s *failoverSample) add(loopback *Loopback, takeovers map[uint64]wire.Takeover) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	times, early := loopback.failoverTimes()
@@ -57,7 +57,7 @@
 	s.early += early
 	s.workersUp = append(s.workersUp, len(loopback.fleet.running()))
 	s.violations = append(s.violations, loopback.rules.violations...)
-	for _, takeover := range seen {
+	for _, takeover := range takeovers {
 		for i, ms := range takeover.StagesMS {
 			must(s.stages[stageNames[i]].RecordValue(max(1, ms)))
 		}
@@ -117,16 +117,16 @@
 			}
 		})
 	}
-	seen := map[uint64]wire.Takeover{} // by Replaced; the record may not retain all of them
+	takeovers := map[uint64]wire.Takeover{} // by Replaced; the record may not retain all of them
 	loopback.every(2*time.Second, func() {
 		if record := loopback.store.records[wire.TakeoversKey]; record != nil {
 			for _, x := range mustDecodeRecord(wire.TakeoversKey, record.raw).(*wire.Takeovers).List {
-				seen[x.Replaced] = x
+				takeovers[x.Replaced] = x
 			}
 		}
 	})
 	loopback.RunInRealTime(end + 10*time.Second)
-	sample.add(loopback, seen)
+	sample.add(loopback, takeovers)
 }
 
 // TestMeasureFollowing measures the cost of following the leader in the absence of faults:
--- a/internal/simulation/measure_loopback_test.go
+++ b/internal/simulation/measure_loopback_test.go
@@ -48,11 +48,11 @@
 			if !known {
 				continue // never accepted
 			}
-			at, placed := loopback.quota.placedAt[user.spec.ID]
+			placedAt, placed := loopback.quota.placedAt[user.spec.ID]
 			if !placed {
-				at = loopback.now // counted as waiting until the end
+				placedAt = loopback.now // counted as waiting until the end
 			}
-			must(histogram.RecordValue(max(1, (at - created).Milliseconds())))
+			must(histogram.RecordValue(max(1, (placedAt - created).Milliseconds())))
 		}
 		t.Logf("%s: %v; %d workers, %d leaders, %d tasks admitted by owners", admission, histogram, len(loopback.fleet.running()), loopback.store.leaderChanges, loopback.quota.admissions)
 		loopback.Close()
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -113,11 +113,11 @@
 		t.Errorf("%s, admission %d, seed %d: %v", load.name, admission, seed, sim.rules.violations)
 	}
 	for _, user := range sim.users.ordered[1:] { // without the job for which the machines boot
-		at, placed := sim.quota.placedAt[user.spec.ID]
+		placedAt, placed := sim.quota.placedAt[user.spec.ID]
 		if !placed {
-			at = sim.now // counted as waiting until the end
+			placedAt = sim.now // counted as waiting until the end
 		}
-		must(histogram.RecordValue(max(1, (at - sim.quota.createdAt[user.spec.ID]).Milliseconds())))
+		must(histogram.RecordValue(max(1, (placedAt - sim.quota.createdAt[user.spec.ID]).Milliseconds())))
 	}
 	*used += sum / float64(samples) / 120
 	return sim.quota.admissions
--- a/internal/simulation/user.go
+++ b/internal/simulation/user.go
@@ -65,14 +65,14 @@
 // sendSubmission submits a body, which was first sent at firstAt. It retries until the
 // submission is accepted or rejected with a permanent error, for submitRetryPeriod at most.
 func (u *simUser) sendSubmission(firstAt time.Duration, body []byte) {
-	askedAt := u.sim.now
+	sentAt := u.sim.now
 	u.sim.users.request(wire.RequestSubmit, u.spec.ID, body, changeTimeout, func(reply core.Reply) {
 		u.submitCodes = append(u.submitCodes, reply.Status)
 		switch reply.Status {
 		case http.StatusOK, http.StatusCreated:
 			u.accepted = true
 			u.lastAnsweredAt = u.sim.now
-			u.checkStatus(askedAt, reply)
+			u.checkStatus(sentAt, reply)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			if u.accepted {
 				u.sim.rules.reportViolation("forgotten", "%s: repeated submission got %d", u.spec.ID, reply.Status)
@@ -90,13 +90,13 @@
 	if !u.accepted {
 		return
 	}
-	askedAt := u.sim.now
+	sentAt := u.sim.now
 	u.sim.users.request(wire.RequestStatus, u.spec.ID, nil, statusTimeout, func(reply core.Reply) {
 		u.lastCode = reply.Status
 		switch reply.Status {
 		case http.StatusOK:
 			u.lastAnsweredAt = u.sim.now
-			u.checkStatus(askedAt, reply)
+			u.checkStatus(sentAt, reply)
 		case http.StatusNotFound:
 			u.sim.rules.reportViolation("forgotten", "%s: got 404 after the job was accepted", u.spec.ID)
 		}
@@ -105,12 +105,12 @@
 
 // requestAt sends a request about the accepted job to the given controller.
 func (u *simUser) requestAt(ctrl *controller, kind wire.RequestKind, body []byte) {
-	askedAt := u.sim.now
+	sentAt := u.sim.now
 	u.sim.users.requestAt(ctrl, kind, u.spec.ID, body, statusTimeout, func(reply core.Reply) {
 		switch reply.Status {
 		case http.StatusOK, http.StatusCreated:
 			u.lastAnsweredAt = u.sim.now
-			u.checkStatus(askedAt, reply)
+			u.checkStatus(sentAt, reply)
 		case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 			u.sim.rules.reportViolation("forgotten", "%s: %s got %d after the job was accepted", u.spec.ID, kind, reply.Status)
 		}
@@ -122,10 +122,10 @@
 	return status == wire.StatusDone || status == wire.StatusCancelled
 }
 
-// checkStatus checks a reply to a request sent at askedAt against the replies that the user
+// checkStatus checks a reply to a request sent at sentAt against the replies that the user
 // received before. It ignores the reply if the request was sent before the last checked reply
 // arrived, because its status may then be older than the one checked last.
-func (u *simUser) checkStatus(askedAt time.Duration, reply core.Reply) {
+func (u *simUser) checkStatus(sentAt time.Duration, reply core.Reply) {
 	var received wire.JobStatus
 	switch body := reply.Body.(type) {
 	case wire.JobStatus:
@@ -133,7 +133,7 @@
 	case []byte:
 		must(wire.Decode(body, &received))
 	}
-	if askedAt < u.lastStatusAt {
+	if sentAt < u.lastStatusAt {
 		return
 	}
 	u.lastReply = received
@@ -155,16 +155,16 @@
 			u.sim.rules.reportViolation("not_done", "%s: reported as done before all of its tasks are", u.spec.ID)
 		}
 	default:
-		u.checkOrphaned(askedAt, status)
+		u.checkOrphaned(sentAt, status)
 	}
 	u.lastStatus, u.lastStatusAt = status, u.sim.now
 }
 
 // checkOrphaned reports a violation if the cancellation of a dependency had been confirmed for
 // longer than CancelDeadline when the user requested the status, which is not a final one.
-func (u *simUser) checkOrphaned(askedAt time.Duration, status string) {
+func (u *simUser) checkOrphaned(sentAt time.Duration, status string) {
 	dependency := u.findDependency(func(dependency *simUser) bool {
-		return dependency.cancelledAt > 0 && askedAt-dependency.cancelledAt > u.sim.CancelDeadline
+		return dependency.cancelledAt > 0 && sentAt-dependency.cancelledAt > u.sim.CancelDeadline
 	})
 	if dependency != nil {
 		u.sim.rules.reportViolation("orphaned", "%s: %s, though %s was cancelled %v ago", u.spec.ID, status, dependency.spec.ID, u.sim.now-dependency.cancelledAt)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -62,13 +62,13 @@
 func (u *userSet) cancel(jobID string) {
 	user := u.byJob[jobID]
 	user.cancelRequested = true
-	askedAt := u.sim.now
+	sentAt := u.sim.now
 	u.request(wire.RequestCancel, jobID, nil, changeTimeout, func(reply core.Reply) {
 		if reply.Status != http.StatusOK {
 			u.sim.after(retryDelay, func() { u.cancel(jobID) })
 			return
 		}
-		user.checkStatus(askedAt, reply)
+		user.checkStatus(sentAt, reply)
 		if user.lastStatus == wire.StatusCancelled && user.cancelledAt == 0 {
 			user.cancelledAt = u.sim.now
 		}
