--- a/internal/simulation/measure_loopback_test.go
+++ b/internal/simulation/measure_loopback_test.go
@@ -43,16 +43,16 @@
 			t.Errorf("%s: %v", admission, loopback.rules.violations)
 		}
 		histogram := newWaitHistogram()
-		for _, user := range loopback.users.ordered[1:] {
+		for _, user := range loopback.users.ordered[1:] { // without the job for which all workers boot
 			created, known := loopback.quota.createdAt[user.spec.ID]
 			if !known {
 				continue // never accepted
 			}
-			at, placed := loopback.quota.placedAt[user.spec.ID]
+			placedAt, placed := loopback.quota.placedAt[user.spec.ID]
 			if !placed {
-				at = loopback.now
+				placedAt = loopback.now // counted as waiting until the end
 			}
-			must(histogram.RecordValue(max(1, (at - created).Milliseconds())))
+			must(histogram.RecordValue(max(1, (placedAt - created).Milliseconds())))
 		}
 		t.Logf("%s: %v; %d workers, %d leaders, %d tasks admitted by owners", admission, histogram, len(loopback.fleet.running()), loopback.store.leaderChanges, loopback.quota.admissions)
 		loopback.Close()
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -112,12 +112,12 @@
 	if len(sim.rules.violations) > 0 {
 		t.Errorf("%s, admission %d, seed %d: %v", load.name, admission, seed, sim.rules.violations)
 	}
-	for _, user := range sim.users.ordered[1:] {
-		at, placed := sim.quota.placedAt[user.spec.ID]
+	for _, user := range sim.users.ordered[1:] { // without the job for which the machines boot
+		placedAt, placed := sim.quota.placedAt[user.spec.ID]
 		if !placed {
-			at = sim.now
+			placedAt = sim.now // counted as waiting until the end
 		}
-		must(histogram.RecordValue(max(1, (at - sim.quota.createdAt[user.spec.ID]).Milliseconds())))
+		must(histogram.RecordValue(max(1, (placedAt - sim.quota.createdAt[user.spec.ID]).Milliseconds())))
 	}
 	*used += sum / float64(samples) / 120
 	return sim.quota.admissions
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -25,10 +25,10 @@
 	ordered        []*simUser      // in the order of their first submission
 	completedTasks map[string]bool // by name
 	generatedJobs  int             // jobs whose ids the simulation has generated, for commands such as bulk and pipelines
-	irregularCount int             // irregular requests that were sent with a new job id
+	irregularCount int             // invalid submissions that were sent, each with a new job id
 
 	cancelAtEnd     timedValue    // share of jobs that are cancelled when their last task ends
-	pollBurstsUntil time.Duration // until then, users poll all controllers after each status change
+	pollBurstsUntil time.Duration // until then, users poll all controllers at the first and at a final status of their job
 }
 
 // generatedIDPrefix is the prefix of the ids that nextGeneratedID returns.
@@ -62,13 +62,13 @@
 func (u *userSet) cancel(jobID string) {
 	user := u.byJob[jobID]
 	user.cancelRequested = true
-	askedAt := u.sim.now
+	sentAt := u.sim.now
 	u.request(wire.RequestCancel, jobID, nil, changeTimeout, func(reply core.Reply) {
 		if reply.Status != http.StatusOK {
 			u.sim.after(retryDelay, func() { u.cancel(jobID) })
 			return
 		}
-		user.checkStatus(askedAt, reply)
+		user.checkStatus(sentAt, reply)
 		if user.lastStatus == wire.StatusCancelled && user.cancelledAt == 0 {
 			user.cancelledAt = u.sim.now
 		}
