--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -70,7 +70,8 @@
 }
 
 // countArrival counts a new job and its number of tasks if its class has statistics. If the class
-// has none, but guaranteed is set, countArrival first creates them, for at most maxClasses classes.
+// has none, but the job's team has a guarantee, countArrival first creates them, unless maxClasses
+// classes have statistics already.
 func (f *arrivalForecast) countArrival(now Time, job *job, tasks int, guaranteed bool) {
 	name := job.Record.Spec.Class
 	class := f.findClass(name)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// claimLeader claims the leadership if it is vacant, if the current claim is one of this
-// controller's earlier incarnations or one that it has abandoned, or early if a quorum suspects the
-// leader.
+// claimLeader claims the leadership if it is vacant, or if the current claim is that of an earlier
+// incarnation of this controller or one that it has abandoned. It replaces another controller's
+// claim early if the failover procedure advises it and this controller's lease was renewed recently.
 func (n *Node) claimLeader() {
 	mayReplace := func() bool {
 		return n.failover.follower.Advise(n.now) == failover.Replace && n.leadership.Lease.Age(n.now) <= failover.MaxLeaseAge
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -61,12 +61,12 @@
 }
 
 // misdirectedHeartbeats holds what a controller records about heartbeats from a machine that it
-// does not own. Such a heartbeat is a bounce if the worker has apparently sent it because it can't
-// reach the owner; recordRedirect decides whether it is.
+// does not own. recordRedirect decides whether the worker has apparently sent such a heartbeat
+// because it can't reach the owner.
 type misdirectedHeartbeats struct {
 	redirectedAt          Time   // when it was last redirected to its owner; 0: it was not
-	bouncedAt             Time   // time of the last bounce; 0: none
-	bouncingSince         Time   // when the current series of bounces began
+	bouncedAt             Time   // when it last sent a heartbeat here because it apparently can't reach its owner; 0: it did not
+	bouncingSince         Time   // when the current series of such heartbeats began
 	inMisdirectedMachines bool   // gossipState.misdirectedMachines contains it
 	misdirectedEpoch      uint64 // of the newest heartbeat received by this controller
 	misdirectedSequence   uint64
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// addMachines adds the machines to which tasks may be granted.
+// addMachines adds the slots of the machines to which tasks may be granted to the available ones,
+// and counts these machines by pool.
 func (p *schedulingPass) addMachines() {
 	for _, shard := range p.node.shards {
 		for _, machine := range shard.machines {
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -177,9 +177,11 @@
 	return 1 + used.gpus + used.cores/coresPerGPU
 }
 
-// serveQueues serves the teams in turn until their queues are empty: the job with the highest rank
-// first, and among equal ranks the team that uses the smallest fraction of its guarantee. It
-// returns the number of grants of the whole pass that did not fit into the transaction.
+// serveQueues serves the queues until they are empty. If gangs have waited for
+// gangReservationDelay, the one that has waited longest is served first. After that, the next job is
+// always the one with the highest rank, and among equal ranks that of the team that uses the
+// smallest fraction of its guarantee. serveQueues returns the number of grants of the whole pass
+// that did not fit into the transaction.
 func (p *schedulingPass) serveQueues(queues []*teamQueue) (unwritten int) {
 	p.serveLongestWaitingGang(queues)
 	for queue := p.nextQueue(queues); queue != nil; queue = p.nextQueue(queues) {
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -36,8 +36,8 @@
 	if change == ownership.Stale {
 		return
 	}
-	// Redirects and bounces under the previous owner are no evidence against the new one. If they
-	// counted, two peers would repeatedly take the shard from each other.
+	// Redirects to the previous owner, and workers that could not reach it, are no evidence against
+	// the new one. If they counted, two peers would repeatedly take the shard from each other.
 	shard.clearRedirects()
 	n.discardOutcomes(shard)
 	switch change {
@@ -60,7 +60,8 @@
 	}
 }
 
-// clearRedirects discards the redirects and bounces of a shard's machines.
+// clearRedirects clears, for each of a shard's machines, the records that it was redirected and
+// could not reach its owner.
 func (s *shard) clearRedirects() {
 	for _, machine := range s.machines {
 		machine.redirectedAt, machine.bouncedAt = 0, 0
@@ -94,8 +95,8 @@
 const (
 	// ownerSilenceTimeout is the time without a message after which an owner counts as silent.
 	ownerSilenceTimeout = 5 * second
-	// bounceRetention is how long a bounce of a machine counts as evidence; see
-	// misdirectedHeartbeats for the term.
+	// bounceRetention is how long a heartbeat of a worker that can't reach its owner counts as
+	// evidence; see misdirectedHeartbeats.
 	bounceRetention = 12 * second
 	// maxStoreAnswerAge is the greatest age of the state service's last answer at which it counts
 	// as serving this controller.
--- a/internal/core/store_state.go
+++ b/internal/core/store_state.go
@@ -28,8 +28,9 @@
 	case kv.OK, kv.Conflict, kv.NotFound, kv.LeaseExpired, kv.TooLarge:
 		if !n.storeOK {
 			// During an outage the owners' validity expires, and redirecting their
-			// workers to them does not help. After the outage, redirects and bounces
-			// from that time must not count as evidence against the owners.
+			// workers to them does not help. After the outage, redirects, and heartbeats
+			// of workers that could not reach their owner, from that time must not count
+			// as evidence against the owners.
 			n.storeOKSince = n.now
 			for _, shard := range n.shards {
 				shard.clearRedirects()
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -124,7 +124,8 @@
 }
 
 // recordHeartbeat records the time, epoch and sequence number of a machine's heartbeat and a notice
-// that the cloud will reclaim the machine. It discards the machine's redirects and bounces.
+// that the cloud will reclaim the machine. It clears the records that the worker was redirected and
+// could not reach its owner.
 func (n *Node) recordHeartbeat(machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	machine.epoch = heartbeat.Epoch
 	machine.sequence = heartbeat.Sequence
@@ -165,8 +166,8 @@
 const ignoredRepliesThreshold = 3
 
 // manyUnresponsive reports whether more than a quarter of a shard's machines, and at least two, have
-// ignored all but one of the replies that make a machine unresponsive. Then the fault is probably
-// this controller's: workers also ignore replies that arrive too late.
+// ignored at least ignoredRepliesThreshold-1 consecutive replies. Then the fault is probably this
+// controller's: workers also ignore replies that arrive too late.
 func (s *site) manyUnresponsive(shard *shard) bool {
 	all, unresponsive := 0, 0
 	for _, machine := range shard.machines {
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -16,8 +16,8 @@
 	// has another reason.
 	minBounceDelay = 700 * time.Millisecond
 	maxBounceDelay = 15 * second
-	// bounceSeriesGap is the time between two bounces beyond which the later one begins a new
-	// series.
+	// bounceSeriesGap is the time between two heartbeats of a worker that can't reach its owner
+	// beyond which the later one begins a new series.
 	bounceSeriesGap = 12 * second
 )
 
@@ -39,11 +39,10 @@
 	n.emit(Reply{RequestID: requestID, Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Owner: shard.Record.Owner}})
 }
 
-// recordRedirect records that a worker is redirected to its owner. It also records a bounce if the
-// worker apparently can't reach the owner. This is assumed if the worker was redirected shortly
-// before, or the owner reports that heartbeats are missing, unless the owner reports that it
-// receives them or the state service does not serve this controller. Bounces are evidence for
-// taking over the shard.
+// recordRedirect records that a worker is redirected to its owner. It also records if the worker
+// apparently can't reach the owner, which is evidence for taking over the shard. This is assumed if
+// the worker was redirected shortly before, or the owner reports that heartbeats are missing, unless
+// the owner reports that it receives them or the state service does not serve this controller.
 func (n *Node) recordRedirect(shard *shard, machine *machine) {
 	sinceRedirect := n.now - machine.redirectedAt
 	redirectedBefore := machine.redirectedAt > 0 && sinceRedirect > minBounceDelay && sinceRedirect < maxBounceDelay
@@ -69,8 +68,8 @@
 
 // ownerReceivesHeartbeats reports whether a machine's owner is reachable and reports that it
 // receives the machine's heartbeats. Then a heartbeat that arrives here is a late copy, or only the
-// owner's replies don't reach the worker. If such copies counted as bounces, two controllers would
-// keep taking shards from each other for as long as copies arrive.
+// owner's replies don't reach the worker. If such copies were taken as signs of an unreachable
+// owner, two controllers would keep taking shards from each other for as long as copies arrive.
 func (n *Node) ownerReceivesHeartbeats(shard *shard, machine *machine) bool {
 	owner := n.peers[shard.Record.Owner]
 	if owner == nil || n.now-owner.receivedAt > peerAliveTime {
--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -40,7 +40,8 @@
 }
 
 // recordHeartbeat records a heartbeat of the leader. It removes the recorded gaps that are not
-// longer than the one that ends now, because that one expires later.
+// longer than the gap that ends now: the timeout depends on the longest gap only, and the new gap
+// expires later than they do.
 func (d *detector) recordHeartbeat(now time.Duration) {
 	length := now - d.lastHeartbeatAt
 	d.lastHeartbeatAt, d.disconnectedAt = now, 0
--- a/internal/failover/fence.go
+++ b/internal/failover/fence.go
@@ -89,8 +89,8 @@
 	f.pending = append(f.pending, proof{sentAt, revision})
 }
 
-// ApplyReachedProofs makes each pending proof take effect whose revision the controller's replica
-// of the records has reached. The proof then counts for CaughtUp and RemainingCallTime.
+// ApplyReachedProofs applies the pending proofs whose revisions the controller's replica of the
+// records has reached. From then on they count for CaughtUp and RemainingCallTime.
 func (f *Fence) ApplyReachedProofs(revision uint64) {
 	pending := f.pending[:0]
 	for _, p := range f.pending {
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -12,7 +12,7 @@
 	controller, incarnation string // of the leader
 	term                    uint64
 	sequence                uint64        // number of the last message accepted
-	offset                  time.Duration // from the leader's monotonic clock to that of this process
+	offset                  time.Duration // added to a time of the leader's monotonic clock, gives that of this process
 	facts                   map[factKey]wire.Fact
 
 	refusedMessages int // messages that were refused
@@ -73,8 +73,8 @@
 	return r.controller == message.From && r.incarnation == message.Life && r.term == message.Term && message.Term > 0
 }
 
-// FactsOfTerm returns the facts of the leader of a term, with their times converted to the
-// monotonic clock of this process; nil if the replica has stored those of another term.
+// FactsOfTerm returns the stored facts, with their times converted to the monotonic clock of this
+// process, or nil if they are not those of the leader of the given term.
 func (r *Replica) FactsOfTerm(term uint64) []wire.Fact {
 	if term == 0 || r.term != term {
 		return nil
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -103,7 +103,7 @@
 // Kinds of changes.
 const (
 	Stale        Change = iota // the record is outdated and was ignored
-	Other                      // none of the following
+	Other                      // this process has neither become the leader nor lost a claim
 	Acquired                   // this process has become the leader
 	ClaimedAgain               // this process remains the leader, under a new term
 	Lost                       // a claim of this process has ended, possibly one that it had abandoned
@@ -147,7 +147,7 @@
 
 // NextClaim returns the kind of claim that may be made now. Isolated reports whether this
 // controller has lost the cloud or all other controllers; replace reports whether another
-// controller's claim is to be replaced early. Each is called only where the result depends on
+// controller's claim may be replaced early. Each is called only where the result depends on
 // it.
 func (l *Leadership) NextClaim(now Time, isolated, replace func() bool) Claim {
 	if l.IsLeader() || !l.Lease.Usable(now) || now < l.nextClaimAt {
@@ -222,10 +222,10 @@
 func (l *Leadership) MarkReplaced(term uint64) { l.abandonedTerm = term }
 
 // ResignIfIsolated abandons the claim if this leader is to resign now, and reports whether it did.
-// An isolated leader that the state service still serves resigns if successor reports that a
-// controller which is not isolated could take over. If all controllers are isolated, another leader
-// would be no better. After a resignation this process does not lead, even if its watch hangs and
-// never shows the end of the claim.
+// An isolated leader that the state service still serves resigns if successor reports that another
+// controller, which is not isolated, could take over. If all controllers are isolated, another
+// leader would be no better. After a resignation this process does not lead, even if its watch hangs
+// and never shows the end of the claim.
 func (l *Leadership) ResignIfIsolated(now Time, isolated bool, successor func() bool) bool {
 	if !isolated {
 		l.isolatedSince = 0
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -6,12 +6,11 @@
 type Evidence struct {
 	// MachinesReporting is the number of machines whose heartbeats the owner has recently received.
 	MachinesReporting int
-	// MachinesBounced is the number of machines that have recently bounced. A machine bounces when
-	// its worker sends this controller a heartbeat, apparently because it can't reach the owner. A
-	// single machine among many that bounces may have lost its own connection, which is no evidence
-	// against the owner.
+	// MachinesBounced is the number of machines whose workers have recently sent this controller a
+	// heartbeat, apparently because they can't reach the owner. A single one among many may have
+	// lost its own connection, which is no evidence against the owner.
 	MachinesBounced int
-	BouncingSince   Time // since when the first of these machines has been bouncing; 0: there are none
+	BouncingSince   Time // since when the first of these machines has not reached the owner; 0: there are none
 	// OwnerSilent is set if the owner has sent no message for a while.
 	OwnerSilent bool
 	// OwnerRefusedFor is how long the state service has refused to serve the owner while it
@@ -50,16 +49,16 @@
 	homeRecoveredWait    = 60 * time.Second
 )
 
-// The number of bounced machines that justifies a claim is an eighth of a shard's machines, but
-// at least two and at most twelve. If the shard has fewer machines, all of them must have bounced.
+// The number of machines not reaching the owner that justifies a claim is an eighth of a shard's
+// machines, but at least two and at most twelve. If the shard has fewer machines, it is all of them.
 const (
 	bouncedDivisor     = 8
 	minBouncedRequired = 2
 	maxBouncedRequired = 12
 )
 
-// hasEnoughBounces reports whether enough machines have bounced to assume that the fault is the
-// owner's.
+// hasEnoughBounces reports whether so many machines can't reach the owner that the fault is probably
+// the owner's.
 func (e *Evidence) hasEnoughBounces() bool {
 	needed := max(1, min(e.MachinesReporting, max(minBouncedRequired, min(e.MachinesReporting/bouncedDivisor, maxBouncedRequired))))
 	return e.MachinesBounced >= needed
--- a/internal/ownership/proof.go
+++ b/internal/ownership/proof.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// ApplyReachedProofs makes each pending proof take effect whose revision the replica has reached:
-// it extends the validity of those shards covered by the proof whose term has not changed since.
-// See AddProof for why a proof does not take effect earlier.
+// ApplyReachedProofs applies the pending proofs whose revisions the replica has reached. A proof
+// extends the validity of the shards that it covers, except for shards whose terms have changed
+// since it was sent. See AddProof for why a proof does not take effect earlier.
 func (t *Table) ApplyReachedProofs(now Time, revision uint64) {
 	t.pending = slices.DeleteFunc(t.pending, func(p pendingProof) bool {
 		if p.revision > revision {
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -66,7 +66,7 @@
 // Kinds of changes.
 const (
 	Stale   Change = iota // the record is outdated and was ignored
-	Other                 // neither of the following
+	Other                 // this process neither was nor is the owner
 	Claimed               // this process has become the owner, or remains it under a new term
 	Lost                  // this process is no longer the owner
 )
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -123,8 +123,8 @@
 	return sum
 }
 
-// MayGrant reports whether the leader may add an amount to its charge. revision is the revision
-// of its replica. Until the replica has reached the revision of the account's record, it may lack
+// MayGrant reports whether the leader may grant work that needs an amount. revision is that of the
+// leader's replica. Until the replica has reached the revision of the account's record, it may lack
 // work that owners admitted within the shares of earlier records, so nothing may be granted.
 // Nothing may be granted under a record with an invalid quota either.
 func (l *Ledger) MayGrant(team int, amount Amount, revision uint64) bool {
@@ -143,8 +143,9 @@
 // FitsLimit reports whether an amount is within a team's limit if nothing else runs.
 func (l *Ledger) FitsLimit(team int, amount Amount) bool { return amount.within(l.Quota(team).Limit) }
 
-// MayAdmit reports whether the owner of a shard may add an amount to the charge to the shard's
-// share. revision is the revision of its replica; see MayGrant.
+// MayAdmit reports whether the owner of a shard may admit work that needs an amount: whether the
+// shard's share covers the amount and what is already charged to it. revision is that of the
+// owner's replica; see MayGrant for why it is needed.
 func (l *Ledger) MayAdmit(team, shard int, amount Amount, revision uint64) bool {
 	account := &l.accounts[team]
 	share, exists := account.share(shard)
--- a/internal/replica/layout.go
+++ b/internal/replica/layout.go
@@ -29,7 +29,7 @@
 // All of them have to fit into one transaction with the job's record and the key of a gang.
 func (r *Replica) MaxOverflowKeys() int {
 	if !r.SupportsDependencies() {
-		return 0
+		return 0 // the agreed format has no overflow keys
 	}
 	return max(0, min(maxTaskListBytes/r.cfg.MaxValueBytes-1, r.cfg.MaxTransactionOps-2))
 }
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -139,10 +139,11 @@
 	}
 }
 
-// assignKeys assigns each run of tasks without a key to the first key with enough capacity.
+// assignKeys assigns each run of tasks without a key to the first key with enough capacity. It skips
+// the overflow keys that have not been read.
 func (s *recordSplit) assignKeys() {
 	tasks := s.record.ActiveTasks
-	last := s.stored.OverflowKeys + 1 + len(tasks) // an upper bound; the leader plans with MaxOverflowKeys at most
+	last := s.stored.OverflowKeys + 1 + len(tasks) // enough for one new key per task; the leader plans with at most MaxOverflowKeys
 	for at := 0; at < len(tasks); {
 		from, to := tasks.Run(at)
 		at = to
@@ -205,11 +206,12 @@
 	})
 }
 
-// EarlyOverflowWrites returns the last of the given writes, at most maxWrites, of overflow keys
-// that the stored record does not refer to yet; storedKeys is the number of keys that it refers
-// to. These keys can be written in earlier transactions, as they have no effect until the record
-// refers to them. A record that is too large for one transaction can thus be split over several
-// keys, and the stored state lacks none of its tasks in between.
+// EarlyOverflowWrites returns those of the given writes that write overflow keys to which the stored
+// record does not refer yet: the last ones, at most maxWrites. storedKeys is the number of overflow
+// keys to which the stored record refers. The returned writes can be made in an earlier transaction,
+// as the keys have no effect until the record refers to them. A record with too many writes for one
+// transaction can thus be stored by several, and no task is missing from the stored state in
+// between.
 func EarlyOverflowWrites(writes []kv.Write, storedKeys, maxWrites int) []kv.Write {
 	var early []kv.Write
 	for i := len(writes) - 1; i >= 0 && len(early) < maxWrites; i-- {
