--- a/internal/core/arrival_forecast.go
+++ b/internal/core/arrival_forecast.go
@@ -21,9 +21,9 @@
 	newestJob   *job // the job that arrived last
 	arrivals    []jobEvent
 	completions []jobEvent // jobs that have released their machines
-	// onlyAgainstBackfill is set for a class that has no start objective and belongs to a team with
-	// a guarantee: its reserved capacity is withheld from backfill only.
-	onlyAgainstBackfill bool
+	// withheldFromBackfillOnly is set for a class that has no start objective and belongs to a team
+	// with a guarantee: its reserved capacity is withheld from backfill only.
+	withheldFromBackfillOnly bool
 }
 
 // jobEvent is the arrival or the completion of a job.
@@ -72,11 +72,11 @@
 // countArrival counts a new job and its number of tasks if its class has statistics. If the class
 // has none, but the job's team has a guarantee, countArrival first creates them, unless maxClasses
 // classes have statistics already.
-func (f *arrivalForecast) countArrival(now Time, job *job, tasks int, guaranteed bool) {
+func (f *arrivalForecast) countArrival(now Time, job *job, tasks int, teamHasGuarantee bool) {
 	name := job.Record.Spec.Class
 	class := f.findClass(name)
-	if class == nil && guaranteed && len(f.classes) < maxClasses {
-		class = &classArrivals{name: name, onlyAgainstBackfill: true}
+	if class == nil && teamHasGuarantee && len(f.classes) < maxClasses {
+		class = &classArrivals{name: name, withheldFromBackfillOnly: true}
 		f.classes = append(f.classes, class)
 	}
 	if class == nil {
@@ -121,8 +121,8 @@
 // countArrival counts a new job if its class has a start objective or its team has a guarantee.
 func (n *Node) countArrival(job *job) {
 	if n.ensureArrivalCounting() {
-		guaranteed := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
-		n.arrivals.countArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxTasksWithoutRuns()), guaranteed)
+		teamHasGuarantee := job.Team >= 0 && hasGuarantee(&n.cfg.Teams[job.Team])
+		n.arrivals.countArrival(n.now, job, min(job.Record.TaskCount, n.replica.MaxTasksWithoutRuns()), teamHasGuarantee)
 	}
 }
 
--- a/internal/core/autoscaler_requests.go
+++ b/internal/core/autoscaler_requests.go
@@ -58,7 +58,7 @@
 
 // callCloud sends a call to the cloud; next receives its answer.
 func (n *Node) callCloud(call CallCloud, next cloudReceiver) {
-	call.ID = n.continueWith(cloudCall{next})
+	call.ID = n.registerContinuation(cloudCall{next})
 	// The call expires, because after a stall of this process another controller may be the
 	// leader and the machines may be in use.
 	call.ValidFor = n.cloudCallTime()
--- a/internal/core/direct_start.go
+++ b/internal/core/direct_start.go
@@ -121,7 +121,7 @@
 	for _, key := range keys {
 		machine.directStarts[key] = directStart{sentAt: n.now}
 	}
-	id := n.continueWith(directStartBatch{machine, machine.term, machine.epoch, keys})
+	id := n.registerContinuation(directStartBatch{machine, machine.term, machine.epoch, keys})
 	n.emit(SendCommands{
 		ID:      id,
 		Address: machine.address,
--- a/internal/core/gossip_received.go
+++ b/internal/core/gossip_received.go
@@ -92,7 +92,7 @@
 	n.setView(machine, decodeView(info), term)
 	machine.draining = machine.view.draining
 	if machine.view.missedHeartbeats == 0 {
-		machine.bouncedAt = 0 // its heartbeats reach its owner again
+		machine.ownerUnreachableAt = 0 // its heartbeats reach its owner again
 	}
 	for _, image := range info.Images {
 		machine.images.Add(n.names.Images.Intern(messageName(message, image)))
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -25,7 +25,7 @@
 
 // putLeader applies a change of the leader record; a nil claim means that it was deleted.
 func (n *Node) putLeader(claim *wire.Leader, revision uint64) {
-	change, previous := n.leadership.Put(n.now, claim, revision)
+	change, previousTerm := n.leadership.Put(n.now, claim, revision)
 	if change == leadership.Stale {
 		return
 	}
@@ -36,7 +36,7 @@
 	case leadership.Acquired:
 		n.leader.reset()
 		n.log(LogInfo, "leadership acquired", "term", revision)
-		n.adoptDecisions(previous)
+		n.adoptDecisions(previousTerm)
 	case leadership.Lost:
 		// Also after a resignation: otherwise a batch with an unknown outcome would stay pending
 		// for ever, and this controller would not change its records as an owner.
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -27,7 +27,7 @@
 // sendLeaseRequest sends a request that extends a lease, or that creates one.
 func (n *Node) sendLeaseRequest(l *lease.Lease) {
 	renewal := l.StartRenewal(n.now)
-	id := n.continueWith(leaseRenewal{renewal})
+	id := n.registerContinuation(leaseRenewal{renewal})
 	n.emit(RenewLease{ID: id, LeaseID: renewal.ID(), TTL: l.TTL})
 }
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -65,8 +65,8 @@
 // because it can't reach the owner.
 type misdirectedHeartbeats struct {
 	redirectedAt          Time   // when it was last redirected to its owner; 0: it was not
-	bouncedAt             Time   // when it last sent a heartbeat here because it apparently can't reach its owner; 0: it did not
-	bouncingSince         Time   // when the current series of such heartbeats began
+	ownerUnreachableAt    Time   // when it last sent a heartbeat here because it apparently can't reach its owner; 0: it did not
+	ownerUnreachableSince Time   // when the current series of such heartbeats began
 	inMisdirectedMachines bool   // gossipState.misdirectedMachines contains it
 	misdirectedEpoch      uint64 // of the newest heartbeat received by this controller
 	misdirectedSequence   uint64
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -19,8 +19,8 @@
 	jobRead(n *Node, result JobRead)
 }
 
-// continueWith registers the continuation of a request and returns the request's ID.
-func (n *Node) continueWith(next continuation) (id uint64) {
+// registerContinuation registers the continuation of a request and returns the request's ID.
+func (n *Node) registerContinuation(next continuation) (id uint64) {
 	n.nextID++
 	n.continuations[n.nextID] = next
 	return n.nextID
@@ -56,7 +56,7 @@
 // transact sends a transaction that writes only if all conditions hold. The writes of background
 // transactions are subtracted from the write budget.
 func (n *Node) transact(class RequestClass, conditions []kv.Condition, writes []kv.Write, next commitHandler) {
-	id := n.continueWith(commitContinuation{conditionCount: len(conditions), writeCount: len(writes), next: next})
+	id := n.registerContinuation(commitContinuation{conditionCount: len(conditions), writeCount: len(writes), next: next})
 	if class == ClassBackground {
 		n.budget.available -= float64(len(writes))
 	}
@@ -74,7 +74,7 @@
 
 // readJobRecord reads a job's record from the state service.
 func (n *Node) readJobRecord(id string, next jobReadHandler) {
-	n.emit(ReadJob{ID: n.continueWith(jobReadContinuation{next}), JobID: id})
+	n.emit(ReadJob{ID: n.registerContinuation(jobReadContinuation{next}), JobID: id})
 }
 
 // ignoreResult handles the result of a transaction by ignoring it.
--- a/internal/core/scheduler_pass.go
+++ b/internal/core/scheduler_pass.go
@@ -62,7 +62,7 @@
 	pass := n.newSchedulingPass(writer)
 
 	// Collect the capacity, and subtract what is in use already.
-	pass.addMachines()
+	pass.addAvailableMachines()
 	pass.chargeTeams()
 	pass.allocateUnplacedGrants()
 	pass.addExpectedMachines()
@@ -95,9 +95,9 @@
 	}
 }
 
-// addMachines adds the slots of the machines to which tasks may be granted to the available ones,
-// and counts these machines by pool.
-func (p *schedulingPass) addMachines() {
+// addAvailableMachines adds the slots of the machines to which tasks may be granted to the available
+// ones, and counts these machines by pool.
+func (p *schedulingPass) addAvailableMachines() {
 	for _, shard := range p.node.shards {
 		for _, machine := range shard.machines {
 			p.node.examinedMachines++
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -51,7 +51,7 @@
 		queues[team] = &teamQueue{team: team}
 	}
 	used := make([]usage, n.names.Teams.Len())
-	for _, index := range n.jobsByAge() {
+	for _, index := range n.jobsByRunnableTime() {
 		job := n.jobs[index]
 		if job.Record.State != wire.JobLive || job.Record.Spec == nil || job.Team < 0 || job.IsBlocked() {
 			continue
@@ -76,8 +76,8 @@
 	return queues
 }
 
-// jobsByAge returns the live jobs in the order in which they became runnable, oldest first.
-func (s *site) jobsByAge() []int {
+// jobsByRunnableTime returns the live jobs in the order in which they became runnable, oldest first.
+func (s *site) jobsByRunnableTime() []int {
 	order := slices.Clone(s.replica.Live())
 	slices.SortFunc(order, func(a, b int) int {
 		first, second := s.jobs[a], s.jobs[b]
@@ -186,13 +186,13 @@
 	p.serveLongestWaitingGang(queues)
 	for queue := p.nextQueue(queues); queue != nil; queue = p.nextQueue(queues) {
 		queued := queue.jobs[0]
-		more := false
+		moreTasks := false
 		if queued.job.Record.Spec.Shape == wire.ShapeGang {
 			p.serveGang(queued)
 		} else {
-			more = p.serveTask(queued)
+			moreTasks = p.serveTask(queued)
 		}
-		if !more || len(queued.tasks) == 0 {
+		if !moreTasks || len(queued.tasks) == 0 {
 			queue.jobs = queue.jobs[1:]
 		}
 	}
--- a/internal/core/scheduler_reserve.go
+++ b/internal/core/scheduler_reserve.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		lead := n.provisionTime(job)
-		if class.onlyAgainstBackfill {
+		if class.withheldFromBackfillOnly {
 			if p.hasBackfill {
 				p.reserveAgainstBackfill(job, n.arrivals.tasksToReserve(class, n.now, n.preemptionTime()))
 			}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -64,7 +64,7 @@
 // could not reach its owner.
 func (s *shard) clearRedirects() {
 	for _, machine := range s.machines {
-		machine.redirectedAt, machine.bouncedAt = 0, 0
+		machine.redirectedAt, machine.ownerUnreachableAt = 0, 0
 	}
 }
 
@@ -95,9 +95,9 @@
 const (
 	// ownerSilenceTimeout is the time without a message after which an owner counts as silent.
 	ownerSilenceTimeout = 5 * second
-	// bounceRetention is how long a heartbeat of a worker that can't reach its owner counts as
-	// evidence; see misdirectedHeartbeats.
-	bounceRetention = 12 * second
+	// ownerUnreachableRetention is how long a heartbeat of a worker that can't reach its owner
+	// counts as evidence; see misdirectedHeartbeats.
+	ownerUnreachableRetention = 12 * second
 	// maxStoreAnswerAge is the greatest age of the state service's last answer at which it counts
 	// as serving this controller.
 	maxStoreAnswerAge = 2 * second
@@ -119,10 +119,10 @@
 		if machine.view.reportedByOwner && machine.view.missedHeartbeats < 2 {
 			e.MachinesReporting++
 		}
-		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < bounceRetention {
-			e.MachinesBounced++
-			if e.BouncingSince == 0 || machine.bouncingSince < e.BouncingSince {
-				e.BouncingSince = machine.bouncingSince
+		if machine.ownerUnreachableAt > 0 && n.now-machine.ownerUnreachableAt < ownerUnreachableRetention {
+			e.MachinesNotReachingOwner++
+			if e.OwnerUnreachableSince == 0 || machine.ownerUnreachableSince < e.OwnerUnreachableSince {
+				e.OwnerUnreachableSince = machine.ownerUnreachableSince
 			}
 		}
 	}
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -214,15 +214,15 @@
 // capacityFor returns an upper bound for the number of tasks of a job that fit into the slots of
 // those shards and zones for which includes returns true. It considers the GPUs only.
 func (s *slotSet) capacityFor(job *job, includes func(shardIndex, zone int) bool) int {
-	// unbounded is assumed for tasks that need less than one GPU, for which no bound is derived
-	// from the class.
-	const unbounded = 1 << 10
+	// assumedTasksPerSlot is assumed for tasks that need less than one GPU, for which no bound is
+	// derived from the class.
+	const assumedTasksPerSlot = 1 << 10
 	spec, tasks := job.Record.Spec, 0
 	for _, class := range s.classOrder {
 		if !includes(class.shard, class.zone) || !job.Allows(class.machineType, class.zone, class.spot) {
 			continue
 		}
-		tasksPerSlot := unbounded
+		tasksPerSlot := assumedTasksPerSlot
 		if spec.GPUs >= 1 {
 			// class.gpus is rounded down: a slot of the class has less than class.gpus+1 free
 			// GPUs. If a single task needs that many, none fits.
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -130,7 +130,7 @@
 	machine.epoch = heartbeat.Epoch
 	machine.sequence = heartbeat.Sequence
 	machine.heartbeatAt = n.now
-	machine.bouncedAt, machine.redirectedAt = 0, 0
+	machine.ownerUnreachableAt, machine.redirectedAt = 0, 0
 	machine.heartbeatCount++
 	machine.reclaimAt = 0
 	if heartbeat.ReclaimS != nil {
@@ -169,14 +169,14 @@
 // ignored at least ignoredRepliesThreshold-1 consecutive replies. Then the fault is probably this
 // controller's: workers also ignore replies that arrive too late.
 func (s *site) manyUnresponsive(shard *shard) bool {
-	all, unresponsive := 0, 0
+	all, ignoring := 0, 0
 	for _, machine := range shard.machines {
 		if machine.term == shard.Term && !machine.deprovisioned {
 			all++
 			if machine.ignoredReplies >= ignoredRepliesThreshold-1 {
-				unresponsive++
+				ignoring++
 			}
 		}
 	}
-	return unresponsive > max(1, all/4)
+	return ignoring > max(1, all/4)
 }
--- a/internal/core/worker_redirect.go
+++ b/internal/core/worker_redirect.go
@@ -14,11 +14,11 @@
 	// A worker that sends the next heartbeat here has failed to reach its owner if the time since
 	// the redirect is between these limits. Earlier, it can't have tried the owner yet; later, it
 	// has another reason.
-	minBounceDelay = 700 * time.Millisecond
-	maxBounceDelay = 15 * second
-	// bounceSeriesGap is the time between two heartbeats of a worker that can't reach its owner
-	// beyond which the later one begins a new series.
-	bounceSeriesGap = 12 * second
+	minFailedRedirectDelay = 700 * time.Millisecond
+	maxFailedRedirectDelay = 15 * second
+	// ownerUnreachableSeriesGap is the time between two heartbeats of a worker that can't reach its
+	// owner beyond which the later one begins a new series.
+	ownerUnreachableSeriesGap = 12 * second
 )
 
 // redirect answers a heartbeat of a machine that this controller does not own with the name of
@@ -45,12 +45,12 @@
 // the owner reports that it receives them or the state service does not serve this controller.
 func (n *Node) recordRedirect(shard *shard, machine *machine) {
 	sinceRedirect := n.now - machine.redirectedAt
-	redirectedBefore := machine.redirectedAt > 0 && sinceRedirect > minBounceDelay && sinceRedirect < maxBounceDelay
+	redirectedBefore := machine.redirectedAt > 0 && sinceRedirect > minFailedRedirectDelay && sinceRedirect < maxFailedRedirectDelay
 	if n.storeOK && (redirectedBefore || n.ownerMissesHeartbeats(shard, machine)) && !n.ownerReceivesHeartbeats(shard, machine) {
-		if machine.bouncedAt == 0 || n.now-machine.bouncedAt > bounceSeriesGap {
-			machine.bouncingSince = n.now
+		if machine.ownerUnreachableAt == 0 || n.now-machine.ownerUnreachableAt > ownerUnreachableSeriesGap {
+			machine.ownerUnreachableSince = n.now
 		}
-		machine.bouncedAt = n.now
+		machine.ownerUnreachableAt = n.now
 	}
 	machine.redirectedAt = n.now
 }
--- a/internal/failover/decision_log_test.go
+++ b/internal/failover/decision_log_test.go
@@ -25,7 +25,7 @@
 func factTimes(r *Replica, term uint64) map[string]int64 {
 	facts := map[string]int64{}
 	for _, f := range r.FactsOfTerm(term) {
-		facts[f.Name] = f.At - r.offset.Milliseconds()
+		facts[f.Name] = f.At - r.clockOffset.Milliseconds()
 	}
 	return facts
 }
--- a/internal/failover/replica.go
+++ b/internal/failover/replica.go
@@ -12,7 +12,7 @@
 	controller, incarnation string // of the leader
 	term                    uint64
 	sequence                uint64        // number of the last message accepted
-	offset                  time.Duration // added to a time of the leader's monotonic clock, gives that of this process
+	clockOffset             time.Duration // added to a time of the leader's monotonic clock, gives that of this process
 	facts                   map[factKey]wire.Fact
 
 	refusedMessages int // messages that were refused
@@ -47,7 +47,7 @@
 		r.controller = message.From
 		r.incarnation = message.Life
 		r.term = message.Term
-		r.offset = now - time.Duration(message.NowMS)*time.Millisecond
+		r.clockOffset = now - time.Duration(message.NowMS)*time.Millisecond
 		clear(r.facts)
 	}
 	r.sequence = message.Sequence
@@ -82,7 +82,7 @@
 	facts := make([]wire.Fact, 0, len(r.facts))
 	for _, fact := range r.facts {
 		if fact.At != 0 {
-			fact.At += r.offset.Milliseconds()
+			fact.At += r.clockOffset.Milliseconds()
 		}
 		facts = append(facts, fact)
 	}
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -103,35 +103,35 @@
 // Kinds of changes.
 const (
 	Stale        Change = iota // the record is outdated and was ignored
-	Other                      // this process has neither become the leader nor lost a claim
+	Unaffected                 // this process has neither become the leader nor lost a claim
 	Acquired                   // this process has become the leader
 	ClaimedAgain               // this process remains the leader, under a new term
 	Lost                       // a claim of this process has ended, possibly one that it had abandoned
 )
 
 // Put applies a claim of the leadership, or its end if the record is nil, at a revision, and
-// returns the effect on this process. If the record is a new claim, previous is the term of the
+// returns the effect on this process. If the record is a new claim, previousTerm is the term of the
 // claim before it, otherwise 0.
-func (l *Leadership) Put(now Time, record *wire.Leader, revision uint64) (change Change, previous uint64) {
+func (l *Leadership) Put(now Time, record *wire.Leader, revision uint64) (change Change, previousTerm uint64) {
 	if revision <= l.term {
 		return Stale, 0
 	}
 	held, led := l.HoldsClaim(), l.IsLeader()
 	if record != nil && revision > l.lastClaimTerm {
-		previous, l.lastClaimTerm = l.lastClaimTerm, revision
+		previousTerm, l.lastClaimTerm = l.lastClaimTerm, revision
 	}
 	l.record, l.term = record, revision
 	if led && l.IsLeader() {
-		return ClaimedAgain, previous
+		return ClaimedAgain, previousTerm
 	}
 	l.leaderChangedAt = now
 	switch {
 	case l.IsLeader():
-		return Acquired, previous
+		return Acquired, previousTerm
 	case held:
-		return Lost, previous
+		return Lost, previousTerm
 	}
-	return Other, previous
+	return Unaffected, previousTerm
 }
 
 // Claim is the kind of claim that this process may make.
@@ -146,10 +146,10 @@
 )
 
 // NextClaim returns the kind of claim that may be made now. Isolated reports whether this
-// controller has lost the cloud or all other controllers; replace reports whether another
+// controller has lost the cloud or all other controllers; mayReplace reports whether another
 // controller's claim may be replaced early. Each is called only where the result depends on
 // it.
-func (l *Leadership) NextClaim(now Time, isolated, replace func() bool) Claim {
+func (l *Leadership) NextClaim(now Time, isolated, mayReplace func() bool) Claim {
 	if l.IsLeader() || !l.Lease.Usable(now) || now < l.nextClaimAt {
 		return NoClaim
 	}
@@ -160,7 +160,7 @@
 		}
 	case l.record.Controller == l.cfg.Self:
 		return ClaimOwn
-	case replace():
+	case mayReplace():
 		return ClaimEarly
 	}
 	return NoClaim
@@ -222,11 +222,11 @@
 func (l *Leadership) MarkReplaced(term uint64) { l.abandonedTerm = term }
 
 // ResignIfIsolated abandons the claim if this leader is to resign now, and reports whether it did.
-// An isolated leader that the state service still serves resigns if successor reports that another
-// controller, which is not isolated, could take over. If all controllers are isolated, another
-// leader would be no better. After a resignation this process does not lead, even if its watch hangs
-// and never shows the end of the claim.
-func (l *Leadership) ResignIfIsolated(now Time, isolated bool, successor func() bool) bool {
+// An isolated leader that the state service still serves resigns if hasSuccessor reports that
+// another controller, which is not isolated, could take over. If all controllers are isolated,
+// another leader would be no better. After a resignation this process does not lead, even if its
+// watch hangs and never shows the end of the claim.
+func (l *Leadership) ResignIfIsolated(now Time, isolated bool, hasSuccessor func() bool) bool {
 	if !isolated {
 		l.isolatedSince = 0
 		return false
@@ -236,7 +236,7 @@
 	}
 	if now < l.nextResignAt || now-l.leaderChangedAt < minTenureBeforeResigning ||
 		now-l.isolatedSince < l.cfg.HeartbeatInterval+isolationReportTime ||
-		!successor() {
+		!hasSuccessor() {
 		return false
 	}
 	l.nextResignAt = now + resignInterval
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -35,9 +35,9 @@
 		want     Change
 		leads    bool
 	}{
-		{claimOf("n0", "a"), 5, Other, false},
+		{claimOf("n0", "a"), 5, Unaffected, false},
 		{claimOf(self, incarnation), 4, Stale, false},
-		{claimOf(self, "earlier"), 6, Other, false},
+		{claimOf(self, "earlier"), 6, Unaffected, false},
 		{claimOf(self, incarnation), 7, Acquired, true},
 		{claimOf(self, incarnation), 8, ClaimedAgain, true},
 		{nil, 9, Lost, false},
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -6,11 +6,11 @@
 type Evidence struct {
 	// MachinesReporting is the number of machines whose heartbeats the owner has recently received.
 	MachinesReporting int
-	// MachinesBounced is the number of machines whose workers have recently sent this controller a
-	// heartbeat, apparently because they can't reach the owner. A single one among many may have
-	// lost its own connection, which is no evidence against the owner.
-	MachinesBounced int
-	BouncingSince   Time // since when the first of these machines has not reached the owner; 0: there are none
+	// MachinesNotReachingOwner is the number of machines whose workers have recently sent this
+	// controller a heartbeat, apparently because they can't reach the owner. A single one among many
+	// may have lost its own connection, which is no evidence against the owner.
+	MachinesNotReachingOwner int
+	OwnerUnreachableSince    Time // since when the first of these machines has not reached the owner; 0: there are none
 	// OwnerSilent is set if the owner has sent no message for a while.
 	OwnerSilent bool
 	// OwnerRefusedFor is how long the state service has refused to serve the owner while it
@@ -36,32 +36,32 @@
 	HomeRecovered Reason = "this controller is its home and is well"
 )
 
-// Minimum times before a claim. The waits are counted from Shard.claimWaitStart, minBouncingTime
-// and minRefusedTime from the beginning of the evidence.
+// Minimum times before a claim. The waits are counted from Shard.claimWaitStart,
+// minOwnerUnreachableTime and minRefusedTime from the beginning of the evidence.
 const (
-	unownedSameZoneWait  = 2 * time.Second
-	unownedOtherZoneWait = 4 * time.Second // plus a second for each controller before this one
-	otherZoneExtraWait   = 4 * time.Second // additional, if the shard is in another zone
-	minBouncingTime      = 2 * time.Second
-	unreachableWait      = 10 * time.Second
-	ownerSilentWait      = 5 * time.Second
-	minRefusedTime       = 4 * time.Second
-	homeRecoveredWait    = 60 * time.Second
+	unownedSameZoneWait     = 2 * time.Second
+	unownedOtherZoneWait    = 4 * time.Second // plus a second for each controller before this one
+	otherZoneExtraWait      = 4 * time.Second // additional, if the shard is in another zone
+	minOwnerUnreachableTime = 2 * time.Second
+	unreachableWait         = 10 * time.Second
+	ownerSilentWait         = 5 * time.Second
+	minRefusedTime          = 4 * time.Second
+	homeRecoveredWait       = 60 * time.Second
 )
 
 // The number of machines not reaching the owner that justifies a claim is an eighth of a shard's
 // machines, but at least two and at most twelve. If the shard has fewer machines, it is all of them.
 const (
-	bouncedDivisor     = 8
-	minBouncedRequired = 2
-	maxBouncedRequired = 12
+	notReachingDivisor     = 8
+	minNotReachingRequired = 2
+	maxNotReachingRequired = 12
 )
 
-// hasEnoughBounces reports whether so many machines can't reach the owner that the fault is probably
-// the owner's.
-func (e *Evidence) hasEnoughBounces() bool {
-	needed := max(1, min(e.MachinesReporting, max(minBouncedRequired, min(e.MachinesReporting/bouncedDivisor, maxBouncedRequired))))
-	return e.MachinesBounced >= needed
+// ownerLikelyUnreachable reports whether so many machines can't reach the owner that the fault is
+// probably the owner's.
+func (e *Evidence) ownerLikelyUnreachable() bool {
+	needed := max(1, min(e.MachinesReporting, max(minNotReachingRequired, min(e.MachinesReporting/notReachingDivisor, maxNotReachingRequired))))
+	return e.MachinesNotReachingOwner >= needed
 }
 
 // mayClaimUnowned reports whether a shard without an owner may be claimed after a wait. The home
@@ -95,9 +95,9 @@
 		extra = otherZoneExtraWait
 	}
 	switch {
-	case e.hasEnoughBounces() && now-e.BouncingSince > minBouncingTime+extra && waited > unreachableWait:
+	case e.ownerLikelyUnreachable() && now-e.OwnerUnreachableSince > minOwnerUnreachableTime+extra && waited > unreachableWait:
 		return Unreachable
-	case e.OwnerSilent && e.MachinesBounced >= 1 && waited > ownerSilentWait+extra:
+	case e.OwnerSilent && e.MachinesNotReachingOwner >= 1 && waited > ownerSilentWait+extra:
 		return OwnerSilent
 	case !e.OwnerSilent && e.StoreOK && e.StoreAnswered && e.OwnerRefusedFor > minRefusedTime+extra:
 		return OwnerRefused
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -65,10 +65,10 @@
 
 // Kinds of changes.
 const (
-	Stale   Change = iota // the record is outdated and was ignored
-	Other                 // this process neither was nor is the owner
-	Claimed               // this process has become the owner, or remains it under a new term
-	Lost                  // this process is no longer the owner
+	Stale      Change = iota // the record is outdated and was ignored
+	Unaffected               // this process neither was nor is the owner
+	Claimed                  // this process has become the owner, or remains it under a new term
+	Lost                     // this process is no longer the owner
 )
 
 // Put applies a claim of a shard, or its end if the record is nil, at a revision.
@@ -100,7 +100,7 @@
 	case owned:
 		return Lost
 	}
-	return Other
+	return Unaffected
 }
 
 // AssumeRecentTakeovers assumes that each shard has just been taken over from a live owner, which
--- a/internal/replica/overflow.go
+++ b/internal/replica/overflow.go
@@ -143,7 +143,7 @@
 // the overflow keys that have not been read.
 func (s *recordSplit) assignKeys() {
 	tasks := s.record.ActiveTasks
-	last := s.stored.OverflowKeys + 1 + len(tasks) // enough for one new key per task; the leader plans with at most MaxOverflowKeys
+	lastKey := s.stored.OverflowKeys + 1 + len(tasks) // enough for one new key per task; the leader plans with at most MaxOverflowKeys
 	for at := 0; at < len(tasks); {
 		from, to := tasks.Run(at)
 		at = to
@@ -152,7 +152,7 @@
 		}
 		maxBytes := wire.MaxRunBytes(tasks[from].Machine) + wire.MaxGroupOverheadBytes
 		key := jobKeyNumber
-		for key < last && (s.isUnread(key) || s.usedBytes[key]+maxBytes > s.capacity(key)) {
+		for key < lastKey && (s.isUnread(key) || s.usedBytes[key]+maxBytes > s.capacity(key)) {
 			key++
 		}
 		s.usedBytes[key] += maxBytes
