--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -25,7 +25,7 @@
 
 // putLeader applies a change of the leader record; a nil claim means that it was deleted.
 func (n *Node) putLeader(claim *wire.Leader, revision uint64) {
-	change, previous := n.leadership.Put(n.now, claim, revision)
+	change, previousTerm := n.leadership.Put(n.now, claim, revision)
 	if change == leadership.Stale {
 		return
 	}
@@ -36,7 +36,7 @@
 	case leadership.Acquired:
 		n.leader.reset()
 		n.log(LogInfo, "leadership acquired", "term", revision)
-		n.adoptDecisions(previous)
+		n.adoptDecisions(previousTerm)
 	case leadership.Lost:
 		// Also after a resignation: otherwise a batch with an unknown outcome would stay pending
 		// for ever, and this controller would not change its records as an owner.
@@ -45,9 +45,9 @@
 	}
 }
 
-// claimLeader claims the leadership if it is vacant, if the current claim is one of this
-// controller's earlier incarnations or one that it has abandoned, or early if a quorum suspects the
-// leader.
+// claimLeader claims the leadership if it is vacant, or if the current claim is that of an earlier
+// incarnation of this controller or one that it has abandoned. It replaces another controller's
+// claim early if the failover procedure advises it and this controller's lease was renewed recently.
 func (n *Node) claimLeader() {
 	mayReplace := func() bool {
 		return n.failover.follower.Advise(n.now) == failover.Replace && n.leadership.Lease.Age(n.now) <= failover.MaxLeaseAge
--- a/internal/core/scheduler_queue.go
+++ b/internal/core/scheduler_queue.go
@@ -51,7 +51,7 @@
 		queues[team] = &teamQueue{team: team}
 	}
 	used := make([]usage, n.names.Teams.Len())
-	for _, index := range n.jobsByAge() {
+	for _, index := range n.jobsByRunnableTime() {
 		job := n.jobs[index]
 		if job.Record.State != wire.JobLive || job.Record.Spec == nil || job.Team < 0 || job.IsBlocked() {
 			continue
@@ -76,8 +76,8 @@
 	return queues
 }
 
-// jobsByAge returns the live jobs in the order in which they became runnable, oldest first.
-func (s *site) jobsByAge() []int {
+// jobsByRunnableTime returns the live jobs in the order in which they became runnable, oldest first.
+func (s *site) jobsByRunnableTime() []int {
 	order := slices.Clone(s.replica.Live())
 	slices.SortFunc(order, func(a, b int) int {
 		first, second := s.jobs[a], s.jobs[b]
@@ -177,20 +177,22 @@
 	return 1 + used.gpus + used.cores/coresPerGPU
 }
 
-// serveQueues serves the teams in turn until their queues are empty: the job with the highest rank
-// first, and among equal ranks the team that uses the smallest fraction of its guarantee. It
-// returns the number of grants of the whole pass that did not fit into the transaction.
+// serveQueues serves the queues until they are empty. If gangs have waited for
+// gangReservationDelay, the one that has waited longest is served first. After that, the next job is
+// always the one with the highest rank, and among equal ranks that of the team that uses the
+// smallest fraction of its guarantee. serveQueues returns the number of grants of the whole pass
+// that did not fit into the transaction.
 func (p *schedulingPass) serveQueues(queues []*teamQueue) (unwritten int) {
 	p.serveLongestWaitingGang(queues)
 	for queue := p.nextQueue(queues); queue != nil; queue = p.nextQueue(queues) {
 		queued := queue.jobs[0]
-		more := false
+		moreTasks := false
 		if queued.job.Record.Spec.Shape == wire.ShapeGang {
 			p.serveGang(queued)
 		} else {
-			more = p.serveTask(queued)
+			moreTasks = p.serveTask(queued)
 		}
-		if !more || len(queued.tasks) == 0 {
+		if !moreTasks || len(queued.tasks) == 0 {
 			queue.jobs = queue.jobs[1:]
 		}
 	}
--- a/internal/core/shard.go
+++ b/internal/core/shard.go
@@ -36,8 +36,8 @@
 	if change == ownership.Stale {
 		return
 	}
-	// Redirects and bounces under the previous owner are no evidence against the new one. If they
-	// counted, two peers would repeatedly take the shard from each other.
+	// Redirects to the previous owner, and workers that could not reach it, are no evidence against
+	// the new one. If they counted, two peers would repeatedly take the shard from each other.
 	shard.clearRedirects()
 	n.discardOutcomes(shard)
 	switch change {
@@ -60,10 +60,11 @@
 	}
 }
 
-// clearRedirects discards the redirects and bounces of a shard's machines.
+// clearRedirects clears, for each of a shard's machines, the records that it was redirected and
+// could not reach its owner.
 func (s *shard) clearRedirects() {
 	for _, machine := range s.machines {
-		machine.redirectedAt, machine.bouncedAt = 0, 0
+		machine.redirectedAt, machine.ownerUnreachableAt = 0, 0
 	}
 }
 
@@ -94,9 +95,9 @@
 const (
 	// ownerSilenceTimeout is the time without a message after which an owner counts as silent.
 	ownerSilenceTimeout = 5 * second
-	// bounceRetention is how long a bounce of a machine counts as evidence; see
-	// misdirectedHeartbeats for the term.
-	bounceRetention = 12 * second
+	// ownerUnreachableRetention is how long a heartbeat of a worker that can't reach its owner
+	// counts as evidence; see misdirectedHeartbeats.
+	ownerUnreachableRetention = 12 * second
 	// maxStoreAnswerAge is the greatest age of the state service's last answer at which it counts
 	// as serving this controller.
 	maxStoreAnswerAge = 2 * second
@@ -118,10 +119,10 @@
 		if machine.view.reportedByOwner && machine.view.missedHeartbeats < 2 {
 			e.MachinesReporting++
 		}
-		if machine.bouncedAt > 0 && n.now-machine.bouncedAt < bounceRetention {
-			e.MachinesBounced++
-			if e.BouncingSince == 0 || machine.bouncingSince < e.BouncingSince {
-				e.BouncingSince = machine.bouncingSince
+		if machine.ownerUnreachableAt > 0 && n.now-machine.ownerUnreachableAt < ownerUnreachableRetention {
+			e.MachinesNotReachingOwner++
+			if e.OwnerUnreachableSince == 0 || machine.ownerUnreachableSince < e.OwnerUnreachableSince {
+				e.OwnerUnreachableSince = machine.ownerUnreachableSince
 			}
 		}
 	}
--- a/internal/core/worker_heartbeat.go
+++ b/internal/core/worker_heartbeat.go
@@ -124,12 +124,13 @@
 }
 
 // recordHeartbeat records the time, epoch and sequence number of a machine's heartbeat and a notice
-// that the cloud will reclaim the machine. It discards the machine's redirects and bounces.
+// that the cloud will reclaim the machine. It clears the records that the worker was redirected and
+// could not reach its owner.
 func (n *Node) recordHeartbeat(machine *machine, heartbeat *wire.WorkerHeartbeat) {
 	machine.epoch = heartbeat.Epoch
 	machine.sequence = heartbeat.Sequence
 	machine.heartbeatAt = n.now
-	machine.bouncedAt, machine.redirectedAt = 0, 0
+	machine.ownerUnreachableAt, machine.redirectedAt = 0, 0
 	machine.heartbeatCount++
 	machine.reclaimAt = 0
 	if heartbeat.ReclaimS != nil {
@@ -165,17 +166,17 @@
 const ignoredRepliesThreshold = 3
 
 // manyUnresponsive reports whether more than a quarter of a shard's machines, and at least two, have
-// ignored all but one of the replies that make a machine unresponsive. Then the fault is probably
-// this controller's: workers also ignore replies that arrive too late.
+// ignored at least ignoredRepliesThreshold-1 consecutive replies. Then the fault is probably this
+// controller's: workers also ignore replies that arrive too late.
 func (s *site) manyUnresponsive(shard *shard) bool {
-	all, unresponsive := 0, 0
+	all, ignoring := 0, 0
 	for _, machine := range shard.machines {
 		if machine.term == shard.Term && !machine.deprovisioned {
 			all++
 			if machine.ignoredReplies >= ignoredRepliesThreshold-1 {
-				unresponsive++
+				ignoring++
 			}
 		}
 	}
-	return unresponsive > max(1, all/4)
+	return ignoring > max(1, all/4)
 }
